--- /dev/null
+++ b/src/sim/stored-data.ts
@@ -0,0 +1,218 @@
+/**
+ * What controllers and a proxy keep on their disks, written and read back in the simulator. A fixture of such disks, made
+ * by an earlier version, is opened by `stored-data.test.ts`: what was stored stays readable.
+ */
+import { createClaims } from '../coordination/ledger/claims.js';
+import { createFollower } from '../coordination/ledger/follower.js';
+import { openIdentity } from '../coordination/ledger/identity.js';
+import { loadControlState } from '../coordination/ledger/kept-control-state.js';
+import { nextLife } from '../coordination/ledger/life.js';
+import { openStore } from '../coordination/ledger/store.js';
+import { createPeers } from '../coordination/members/peers.js';
+import { shapesFor } from '../coordination/controller.js';
+import { membersMark, memberId } from '../state/control-state.js';
+import { HOUR_MS } from '../state/claim-table.js';
+import { createQuietLog } from '../transport/log.js';
+import { createRng } from '../transport/rng.js';
+import { createSimCore } from './sim-core.js';
+import type { SimCore } from './sim-core.js';
+import { createPlatter, simDisk } from './sim-disk.js';
+import type { Platter } from './sim-disk.js';
+import { createWorld } from './world.js';
+
+/** Files of one disk by name, their bytes in base64. */
+export type StoredFiles = Readonly<Record<string, string>>;
+
+/** Disks by the name of their node. */
+export type StoredDisks = Readonly<Record<string, StoredFiles>>;
+
+const DISK_BYTES = 16 * 1_048_576;
+const CLAIMED_HOUR = 500_000;
+const CLAIMS = 300;
+const BULK_ROUNDS = 8;
+const BULK_ENTRIES = 120;
+const LONG_CAUSE = 900;
+const PROXY = 'p1';
+const WAIT_MS = 60_000;
+
+function drop(): void {}
+
+/** Plays a small core that is changed, evacuates a zone, replaces a machine and holds claims, and gives its disks. */
+export async function writeStoredData(seed: number): Promise<StoredDisks> {
+  const core = createSimCore(seed, { controllers: 3, seeds: 3, regionMs: 5, claims: true, diskBytes: DISK_BYTES });
+  core.startAll();
+  await core.until(WAIT_MS, () => core.whole(['h1', 'h2', 'h3']));
+  const proxyDisk = createPlatter();
+  const proxy = await startProxyCopy(core, proxyDisk);
+  await change(core);
+  await claim(core);
+  await bulk(core);
+  core.add('h4');
+  core.powerLoss('h2');
+  core.wipe('h2');
+  core.start('h4');
+  await core.until(WAIT_MS, () => core.whole(['h1', 'h3', 'h4']));
+  await core.order('h1', 'zone-last', 5_000);
+  await core.world.advance(12_000);
+  proxy.stop();
+  const disks: Record<string, StoredFiles> = { [PROXY]: filesOf(proxyDisk) };
+  for (const name of ['h1', 'h3', 'h4']) disks[name] = filesOf(core.node(name).platter);
+  return disks;
+}
+
+async function startProxyCopy(core: SimCore, platter: Platter): Promise<{ readonly stop: () => void }> {
+  const lab = core.lab(PROXY);
+  const world = core.world;
+  const log = createQuietLog().part(PROXY);
+  const peers = createPeers(lab.wire, lab.clock, log);
+  const proc = world.begin(world.host(`${PROXY}-disk`, `zone-${PROXY}`));
+  const self = { name: PROXY, zone: `zone-${PROXY}`, region: `zone-${PROXY}` };
+  const seeds = core.nodes.map((node) => node.wire);
+  const made = await core.finish(
+    createFollower(self, seeds, peers, lab.clock, simDisk(platter, proc, world), log),
+    WAIT_MS,
+  );
+  return made ?? { stop: drop };
+}
+
+async function change(core: SimCore): Promise<void> {
+  const ledger = core.node('h1').controller?.ledger;
+  if (!ledger) return;
+  for (let number = 1; number <= 3; number += 1) {
+    const base = ledger.controlState().version;
+    const changes = [{ path: ['zones', `zone-${number}`], value: { region: 'region-1' } }];
+    await core.finish(
+      ledger.propose(
+        {
+          id: `change-${number}`,
+          cause: `Change ${number}.`,
+          act: {
+            tag: 'configured',
+            base,
+            changes,
+            revision: { request: `change-${number}`, base: number - 1, number },
+          },
+        },
+        5_000,
+      ),
+      WAIT_MS,
+    );
+  }
+  await core.order('h2', 'zone-1', 5_000);
+  await core.finish(
+    ledger.propose(
+      {
+        cause: 'An order.',
+        act: { tag: 'orderIntended', order: 'o1', model: 'm', zone: 'zone-1', kind: 'spot', accelerator: 'a' },
+      },
+      5_000,
+    ),
+    WAIT_MS,
+  );
+  await core.finish(ledger.propose({ cause: 'It failed.', act: { tag: 'orderFailed', order: 'o1' } }, 5_000), WAIT_MS);
+}
+
+async function claim(core: SimCore): Promise<void> {
+  const lab = core.lab('c1');
+  const peers = createPeers(lab.wire, lab.clock, createQuietLog().part('c1'));
+  const state = core.node('h1').controller?.ledger.controlState();
+  if (!state) return;
+  const claims = [];
+  for (let i = 0; i < CLAIMS; i += 1)
+    claims.push({ key: `key-${i}`, by: 'first', born: (CLAIMED_HOUR + (i % 3)) * HOUR_MS });
+  for (const member of state.members)
+    await core.finish(
+      peers.call(
+        member.address,
+        { kind: 'claim', ledger: state.ledger, members: membersMark(state.members), claims },
+        5_000,
+      ),
+      WAIT_MS,
+    );
+}
+
+/** More entries than the ring holds, so that a snapshot is written. */
+async function bulk(core: SimCore): Promise<void> {
+  const ledger = core.node('h3').controller?.ledger;
+  if (!ledger) return;
+  for (let round = 0; round < BULK_ROUNDS; round += 1) {
+    const work = [];
+    for (let i = 0; i < BULK_ENTRIES; i += 1)
+      work.push(
+        ledger.propose(
+          {
+            cause: `Entry ${round}.${i} `.padEnd(LONG_CAUSE, '.'),
+            act: { tag: 'proxyKnown', name: `p-${i}`, zone: `zone-${round}`, region: 'region-1' },
+          },
+          5_000,
+        ),
+      );
+    await core.finish(Promise.all(work), WAIT_MS);
+  }
+}
+
+function filesOf(platter: Platter): StoredFiles {
+  const files: Record<string, string> = {};
+  for (const [name, file] of platter.files) files[name] = file.synced.toString('base64');
+  return files;
+}
+
+/** The disk that these files make. */
+export function platterOf(files: StoredFiles): Platter {
+  const platter = createPlatter();
+  for (const [name, text] of Object.entries(files)) {
+    const bytes = Buffer.from(text, 'base64');
+    platter.files.set(name, { current: Buffer.from(bytes), synced: bytes, unsynced: [] });
+  }
+  return platter;
+}
+
+/** All that one node reads from its disk, as plain values. */
+export async function readStoredData(name: string, files: StoredFiles): Promise<unknown> {
+  const world = createWorld(1);
+  const proc = world.begin(world.host(name, 'zone'));
+  const disk = simDisk(platterOf(files), proc, world);
+  const log = createQuietLog().part(name);
+  async function finish<T>(work: Promise<T>): Promise<T> {
+    const box: { value: T | null; done: boolean } = { value: null, done: false };
+    void work.then((value) => {
+      box.value = value;
+      box.done = true;
+    });
+    await world.until(WAIT_MS, () => box.done);
+    return box.value as T;
+  }
+  if (name === PROXY) return finish(loadControlState(disk, log));
+  const shapes = shapesFor(DISK_BYTES);
+  const identity = await finish(openIdentity(disk, createRng(1), null));
+  const incarnation = await finish(nextLife(disk, log));
+  const store = await finish(openStore(disk, shapes.ledger, drop, drop));
+  if (!store.ok || !identity.ok) return { store, identity };
+  const state = store.value.controlState();
+  const own = state.members.find((member) => member.incarnation === identity.value.incarnation);
+  const claims = await finish(
+    createClaims(
+      { controlState: () => state, isMember: () => true, self: own } as never,
+      { on: drop, call: () => Promise.resolve({ ok: false }) } as never,
+      disk,
+      shapes.claims,
+      world.clockOf(proc),
+      log,
+    ),
+  );
+  if (!claims.ok) return { claims };
+  const closed = [...store.value.closed.all()];
+  return {
+    identity: identity.value,
+    incarnation,
+    member: own ? memberId(own) : null,
+    state,
+    closed,
+    lacking: store.value.closed.lacking(),
+    top: store.value.top(),
+    accepted: store.value.accepted(store.value.top()),
+    recent: store.value.recent(Math.max(0, state.slot - 3)),
+    claimsReady: claims.value.ready(),
+    claims: claims.value.size(),
+  };
+}
