--- a/eslint.config.js
+++ b/eslint.config.js
@@ -3,11 +3,12 @@
 import { DOCUMENTED } from './tools/lint/documented.mjs';
 import { moduleComment } from './tools/lint/module-comment.mjs';
 
-const onlyDeclarations = [
-  { selector: 'ArrowFunctionExpression', message: 'Functions are declared: function name() {}.' },
-  { selector: 'FunctionExpression', message: 'Functions are declared: function name() {}.' },
-  { selector: 'ClassDeclaration', message: 'State lives in factory functions.' },
-  { selector: 'ThrowStatement', message: 'Failures are values: return a tagged fault.' },
+const NAMED = 'Free functions are declarations: function name() {}. An arrow function is a callback.';
+
+const restrictedSyntax = [
+  { selector: 'Program > VariableDeclaration > VariableDeclarator > ArrowFunctionExpression', message: NAMED },
+  { selector: ':not(MethodDefinition, Property) > FunctionExpression', message: NAMED },
+  { selector: 'ThrowStatement', message: 'Failures are values: return a tagged error.' },
 ];
 
 const noCatch = {
@@ -28,7 +29,7 @@
     files: [`src/${folder}/**/*.ts`],
     ignores: ['**/*.test.ts'],
     rules: {
-      'no-restricted-syntax': ['error', ...onlyDeclarations, ...(edge ? [] : [noCatch])],
+      'no-restricted-syntax': ['error', ...restrictedSyntax, ...(edge ? [] : [noCatch])],
       'no-restricted-imports': ['error', { paths, ...noneOf(...above) }],
     },
   };
@@ -57,7 +58,7 @@
         publicOnly: true,
         enableFixer: false,
         require: { FunctionDeclaration: true },
-        contexts: ['TSTypeAliasDeclaration', 'TSInterfaceDeclaration', 'VariableDeclaration'],
+        contexts: ['TSTypeAliasDeclaration', 'TSInterfaceDeclaration', 'VariableDeclaration', 'ClassDeclaration'],
       },
     ],
     'jsdoc/require-description': ['error', { contexts: ['any'] }],
@@ -71,7 +72,7 @@
   {
     files: ['src/**/*.ts', 'platform/**/*.ts', 'standin-platform/**/*.ts'],
     rules: {
-      'no-restricted-syntax': ['error', ...onlyDeclarations],
+      'no-restricted-syntax': ['error', ...restrictedSyntax],
       eqeqeq: 'error',
       '@typescript-eslint/no-unused-vars': ['error', { argsIgnorePattern: '^_' }],
       'prefer-const': 'error',
--- a/src/coordination/controller-status.ts
+++ b/src/coordination/controller-status.ts
@@ -25,26 +25,26 @@
   readonly holdsScaler: () => boolean;
 };
 
-export type ControllerStatus = {
+export interface ControllerStatus {
   /** The body of the status answer. */
-  readonly body: () => unknown;
+  body(): unknown;
   /** Sets the gauges to what they are now. */
-  readonly meter: (meters: Meters) => void;
-};
+  meter(meters: Meters): void;
+}
 
 type WorkerVerdicts = { fit: number; unfit: number };
 
-export function createControllerStatus(deps: ControllerStatusDeps): ControllerStatus {
-  const { ledger, claims, push, coreHealth, clock } = deps;
+class LocalControllerStatus implements ControllerStatus {
+  constructor(private readonly deps: ControllerStatusDeps) {}
 
-  function proxyRows(): Record<string, unknown> {
+  private proxyRows(): Record<string, unknown> {
     const rows: Record<string, unknown> = {};
-    for (const name of Object.keys(ledger.controlState().proxies)) {
-      const report = push.reports().get(name);
-      const at = push.heardAt(name);
+    for (const name of Object.keys(this.deps.ledger.controlState().proxies)) {
+      const report = this.deps.push.reports().get(name);
+      const at = this.deps.push.heardAt(name);
       rows[name] = {
-        slot: push.confirmedSlot(name),
-        heardMs: at === null ? null : Math.round(clock.mono() - at),
+        slot: this.deps.push.confirmedSlot(name),
+        heardMs: at === null ? null : Math.round(this.deps.clock.mono() - at),
         shed: report?.shed ?? null,
         attempted: report?.attempted ?? null,
         retried: report?.retried ?? null,
@@ -53,9 +53,9 @@
     return rows;
   }
 
-  function workerRows(): Record<string, WorkerVerdicts> {
+  private workerRows(): Record<string, WorkerVerdicts> {
     const rows: Record<string, WorkerVerdicts> = {};
-    for (const report of push.reports().values()) {
+    for (const report of this.deps.push.reports().values()) {
       for (const [worker, verdict] of Object.entries(report.health)) {
         const seen = rows[worker] ?? { fit: 0, unfit: 0 };
         seen[verdict] += 1;
@@ -65,49 +65,49 @@
     return rows;
   }
 
-  function body(): unknown {
-    const state = ledger.controlState();
+  body(): unknown {
+    const state = this.deps.ledger.controlState();
     return {
-      name: deps.name,
+      name: this.deps.name,
       role: 'controller',
-      member: memberId(ledger.self),
-      isMember: ledger.isMember(),
+      member: memberId(this.deps.ledger.self),
+      isMember: this.deps.ledger.isMember(),
       ledger: state.ledger,
       slot: state.slot,
       version: state.version,
-      writable: ledger.writable(),
-      quorate: push.quorate(),
-      core: coreHealth.current(),
-      claimsReady: claims.ready(),
-      claimsHeld: claims.size(),
+      writable: this.deps.ledger.writable(),
+      quorate: this.deps.push.quorate(),
+      core: this.deps.coreHealth.current(),
+      claimsReady: this.deps.claims.ready(),
+      claimsHeld: this.deps.claims.size(),
       members: state.members,
-      nodes: deps.membership.all(),
+      nodes: this.deps.membership.all(),
       leases: state.leases,
-      holdsScaler: deps.holdsScaler(),
+      holdsScaler: this.deps.holdsScaler(),
       evacuated: state.evacuated,
       zoneSets: state.zoneSets,
       targets: state.targets,
-      proxies: proxyRows(),
-      workers: workerRows(),
+      proxies: this.proxyRows(),
+      workers: this.workerRows(),
       ordersInFlight: ordersInFlight(state),
     };
   }
 
-  function meter(meters: Meters): void {
-    const state = ledger.controlState();
+  meter(meters: Meters): void {
+    const state = this.deps.ledger.controlState();
     meters.set('millfield_slot', 'Newest ledger slot', state.slot);
     meters.set('millfield_version', 'Configuration in force', state.version);
-    meters.set('millfield_quorate', '1 while a majority is heard', push.quorate() ? 1 : 0);
-    meters.set('millfield_writable', '1 while the ring takes writes', ledger.writable() ? 1 : 0);
-    meters.set('millfield_holds_scaler', '1 on the holder of the scaler duty', deps.holdsScaler() ? 1 : 0);
-    meters.set('millfield_claims_held', 'Run-once keys remembered', claims.size());
-    meters.set('millfield_claims_ready', '1 once claims are whole', claims.ready() ? 1 : 0);
+    meters.set('millfield_quorate', '1 while a majority is heard', this.deps.push.quorate() ? 1 : 0);
+    meters.set('millfield_writable', '1 while the ring takes writes', this.deps.ledger.writable() ? 1 : 0);
+    meters.set('millfield_holds_scaler', '1 on the holder of the scaler duty', this.deps.holdsScaler() ? 1 : 0);
+    meters.set('millfield_claims_held', 'Run-once keys remembered', this.deps.claims.size());
+    meters.set('millfield_claims_ready', '1 once claims are whole', this.deps.claims.ready() ? 1 : 0);
     meters.set(
       'millfield_proxies_behind',
       'Proxies that have not confirmed the newest slot',
-      push.unconfirmed(state.slot).length,
+      this.deps.push.unconfirmed(state.slot).length,
     );
-    const health = coreHealth.current();
+    const health = this.deps.coreHealth.current();
     meterCore(meters, 'ledger', health.ledger);
     if (health.claims) meterCore(meters, 'claims', health.claims);
     for (const [model, target] of Object.entries(state.targets))
@@ -116,8 +116,10 @@
     for (const [model, zones] of Object.entries(state.zoneSets))
       meters.set('millfield_zones_preemptive', 'Zones avoided for spot', zones.preemptive.length, { model });
   }
+}
 
-  return { body, meter };
+export function createControllerStatus(deps: ControllerStatusDeps): ControllerStatus {
+  return new LocalControllerStatus(deps);
 }
 
 function ordersInFlight(state: ControlState): unknown[] {
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -179,7 +179,7 @@
   }
   const membership = createMembership(node, contacts, peers, clock, rng, logs.part('members'));
   nodes = membership;
-  followMovedHeads(membership, ledger.controlState, peers);
+  followMovedHeads(membership, () => ledger.controlState(), peers);
   function heads(): Set<Address> {
     const out = new Set<Address>(ledger.controlState().members.length > 0 ? [] : id.seeds);
     for (const m of ledger.controlState().members) out.add(m.address);
@@ -230,9 +230,12 @@
     clock,
     holdsScaler,
   });
-  const routes = operatorRoutes({ ledger, push, aims, clock, status: status.body });
+  const routes = operatorRoutes({ ledger, push, aims, clock, status: () => status.body() });
   function openHttpServer(): Promise<Result<Listener, WireFault>> {
-    return deps.httpServer.open(id.httpListen, [...routes, metricsRoute(deps.meters(), status.meter)]);
+    return deps.httpServer.open(id.httpListen, [
+      ...routes,
+      metricsRoute(deps.meters(), (meters) => status.meter(meters)),
+    ]);
   }
   const httpServer = id.operatorHttpServer === false ? null : await openHttpServer();
   if (httpServer && !httpServer.ok) {
@@ -271,7 +274,7 @@
     http: served?.address ?? id.http,
     push,
     ledger,
-    claimsReady: claims.value.ready,
+    claimsReady: () => claims.value.ready(),
     holdsScaler,
     reads: routes.filter(isRead),
     stop,
--- a/src/coordination/edge/open-proxy.ts
+++ b/src/coordination/edge/open-proxy.ts
@@ -91,8 +91,8 @@
     address: id.listen,
     status: 'alive',
   };
-  const membership = createMembership(node, follower.controllers, peers, clock, rng, logs.part('members'));
-  followMovedHeads(membership, follower.controlState, peers);
+  const membership = createMembership(node, () => follower.controllers(), peers, clock, rng, logs.part('members'));
+  followMovedHeads(membership, () => follower.controlState(), peers);
   const book = createWorkerRegistry(
     { name: id.name, zone: id.zone, region: id.region, held: deps.connectionPool.idle },
     tuning,
@@ -102,7 +102,7 @@
     slack: tuning.retrySlack,
     windowMs: tuning.retryWindowMs,
   });
-  const feed = deps.feed(peers, follower.controllers);
+  const feed = deps.feed(peers, () => follower.controllers());
   let table: RouteTable | null = null;
   let tableVersion = -1;
   let closing = false;
--- a/src/coordination/edge/proxy.ts
+++ b/src/coordination/edge/proxy.ts
@@ -59,11 +59,11 @@
 
   const self: ProxySelf = { name: id.name, run: id.run, zone: id.zone, region: id.region, http: id.http };
   const node: NodeInfo = { ...self, role: 'proxy', incarnation: life, address: id.advertised, status: 'alive' };
-  const membership = createMembership(node, follower.controllers, peers, clock, rng, logs.part('members'));
-  followMovedHeads(membership, follower.controlState, peers);
+  const membership = createMembership(node, () => follower.controllers(), peers, clock, rng, logs.part('members'));
+  followMovedHeads(membership, () => follower.controlState(), peers);
   follower.knowSpots(spotsOf(membership));
   const placer = createPlacer({ self, ready, follower, membership, table, policies: deps.policies, clock, rng });
-  const claims = createClaimClient(follower.controlState, peers, clock);
+  const claims = createClaimClient(() => follower.controlState(), peers, clock);
   const dispatcher = createDispatcher({
     ready,
     placer,
--- a/src/coordination/ledger/catch-up.ts
+++ b/src/coordination/ledger/catch-up.ts
@@ -9,6 +9,7 @@
 import { createSnapshotGiver } from './snapshot-giver.js';
 import type { SnapshotGiver } from './snapshot-giver.js';
 import { createSnapshotTaker } from './snapshot-taker.js';
+import type { SnapshotTaker } from './snapshot-taker.js';
 import type { Store } from './store.js';
 
 /**
@@ -16,11 +17,11 @@
  * the whole state where the other no longer keeps these slots. The other side, which hands them
  * out, is here as well. The ledger calls it whenever it hears of a member that is further.
  */
-export type CatchUp = {
+export interface CatchUp {
   /** Asks one controller until nothing more comes; calls for the same one join the one under way. */
-  readonly from: (address: Address) => Promise<void>;
+  from(address: Address): Promise<void>;
   readonly snapshots: SnapshotGiver;
-};
+}
 
 export type CatchUpDeps = {
   readonly peers: Pick<Peers, 'call' | 'on'>;
@@ -52,74 +53,92 @@
   return offered && (bytes === null || offered.length < bytes) ? offered : null;
 }
 
-export function createCatchUp(deps: CatchUpDeps): CatchUp {
-  const { peers, clock, log, store, controlState, learn } = deps;
-  const underWay = new Map<Address, Promise<void>>();
-  const snapshots = createSnapshotGiver({ peers, clock, log, controlState, keepsFrom });
-  const taker = createSnapshotTaker(peers, clock, log);
+class LogCatchUp implements CatchUp {
+  private readonly underWay = new Map<Address, Promise<void>>();
+  readonly snapshots: SnapshotGiver;
+  private readonly taker: SnapshotTaker;
+
+  constructor(private readonly deps: CatchUpDeps) {
+    this.snapshots = createSnapshotGiver({
+      peers: this.deps.peers,
+      clock: this.deps.clock,
+      log: this.deps.log,
+      controlState: this.deps.controlState,
+      keepsFrom: (slot) => this.keepsFrom(slot),
+    });
+    this.taker = createSnapshotTaker(this.deps.peers, this.deps.clock, this.deps.log);
+
+    this.deps.peers.on('fetch', (m) => this.onFetch(m));
+  }
 
-  function keepsFrom(slot: number): boolean {
-    return store.recent(slot) !== null;
+  private keepsFrom(slot: number): boolean {
+    return this.deps.store.recent(slot) !== null;
   }
 
-  function from(address: Address): Promise<void> {
-    const joined = underWay.get(address);
+  from(address: Address): Promise<void> {
+    const joined = this.underWay.get(address);
     if (joined) return joined;
-    function done(): void {
-      underWay.delete(address);
-    }
-    const made = fetchAll(address).then(done);
-    underWay.set(address, made);
+
+    const done = (): void => {
+      this.underWay.delete(address);
+    };
+    const made = this.fetchAll(address).then(done);
+    this.underWay.set(address, made);
     return made;
   }
 
-  async function fetchAll(address: Address): Promise<void> {
+  private async fetchAll(address: Address): Promise<void> {
     for (let i = 0; i < MOST_FETCHES; i += 1) {
-      const at = controlState().slot;
-      const reply = await peers.call(
+      const at = this.deps.controlState().slot;
+      const reply = await this.deps.peers.call(
         address,
-        { kind: 'fetch', ledger: controlState().ledger, from: at + 1 },
+        { kind: 'fetch', ledger: this.deps.controlState().ledger, from: at + 1 },
         FETCH_WAIT_MS,
       );
       if (!reply.ok || reply.value.kind !== 'fetched') return;
       const { batches, snapshot } = reply.value;
-      if (snapshot && snapshot.slot > controlState().slot && !(await adopt(address, snapshot))) return;
-      await learnAll(batches);
-      if (controlState().slot === at) return;
+      if (snapshot && snapshot.slot > this.deps.controlState().slot && !(await this.adopt(address, snapshot))) return;
+      await this.learnAll(batches);
+      if (this.deps.controlState().slot === at) return;
     }
   }
 
   /** False if the fetch ended without a state; the next call goes on where it stood. */
-  async function adopt(address: Address, offer: SnapshotOffer): Promise<boolean> {
-    const taken = await taker.take(address, offer);
+  private async adopt(address: Address, offer: SnapshotOffer): Promise<boolean> {
+    const taken = await this.taker.take(address, offer);
     if (taken.tag === 'joined') return true;
     if (taken.tag !== 'whole') return false;
-    const own = controlState().ledger;
+    const own = this.deps.controlState().ledger;
     if (own !== '' && taken.state.ledger !== own) {
-      log.error(`${address} gave a snapshot of another ledger; it is not taken.`);
+      this.deps.log.error(`${address} gave a snapshot of another ledger; it is not taken.`);
       return false;
     }
-    await store.put({ tag: 'adopt', controlState: taken.state });
+    await this.deps.store.put({ tag: 'adopt', controlState: taken.state });
     return true;
   }
 
   /** All at once, so that the disk syncs a page and not each slot. */
-  async function learnAll(batches: readonly SlotBatch[]): Promise<void> {
+  private async learnAll(batches: readonly SlotBatch[]): Promise<void> {
     const learning: Promise<void>[] = [];
-    for (const b of batches) learning.push(learn(b.slot, b.batch));
+    for (const b of batches) learning.push(this.deps.learn(b.slot, b.batch));
     await Promise.all(learning);
   }
 
-  function offerToController(slot: number): SnapshotOffer | null {
-    return snapshots.offer('controller', slot);
+  private offerToController(slot: number): SnapshotOffer | null {
+    return this.snapshots.offer('controller', slot);
   }
-  function onFetch(m: MessageOf<'fetch'>): Message {
-    if (m.ledger !== '' && m.ledger !== controlState().ledger) return { kind: 'fetched', batches: [] };
-    const snapshot = m.ledger === '' ? offerToController(m.from) : snapshotInstead(store, m.from, offerToController);
+
+  private onFetch(m: MessageOf<'fetch'>): Message {
+    if (m.ledger !== '' && m.ledger !== this.deps.controlState().ledger) return { kind: 'fetched', batches: [] };
+    const snapshot =
+      m.ledger === ''
+        ? this.offerToController(m.from)
+        : snapshotInstead(this.deps.store, m.from, (slot) => this.offerToController(slot));
     if (snapshot) return { kind: 'fetched', snapshot, batches: [] };
-    return { kind: 'fetched', batches: [...(store.page(m.from, PAGE_BYTES) ?? [])] };
+    return { kind: 'fetched', batches: [...(this.deps.store.page(m.from, PAGE_BYTES) ?? [])] };
   }
-  peers.on('fetch', onFetch);
+}
 
-  return { from, snapshots };
+export function createCatchUp(deps: CatchUpDeps): CatchUp {
+  return new LogCatchUp(deps);
 }
--- a/src/coordination/ledger/claims.test.ts
+++ b/src/coordination/ledger/claims.test.ts
@@ -65,8 +65,8 @@
   if (!made?.ok) throw new Error('not opened');
   return {
     ask: (m) => finish(r, Promise.resolve(r.handlers.get(self.address)?.get(m.kind)?.(m) ?? null)),
-    ready: made.value.ready,
-    size: made.value.size,
+    ready: () => made.value.ready(),
+    size: () => made.value.size(),
   };
 }
 async function finish<T>(r: Room, work: Promise<T>): Promise<T | null> {
--- a/src/coordination/ledger/claims.ts
+++ b/src/coordination/ledger/claims.ts
@@ -4,6 +4,7 @@
  * is met (docs/design/claims.md; docs/consistency.md, section 3).
  */
 import { createLine } from '../../base/line.js';
+import type { Line } from '../../base/line.js';
 import { parsedJson } from '../../base/parsed-json.js';
 import { isTable } from '../../base/is-table.js';
 import { err, ok } from '../../base/result.js';
@@ -12,19 +13,24 @@
 import type { Claim, ClaimAnswer, ClaimEnd } from '../../state/claim.js';
 import { majorityOf, memberId, membersMark } from '../../state/control-state.js';
 import { CLAIM_RECORD, createClaimTable, HOUR_MS, unpackClaims } from '../../state/claim-table.js';
+import type { ClaimTable } from '../../state/claim-table.js';
 import type { Member } from '../../state/entry.js';
 import type { HourRange } from '../../state/hour-ranges.js';
 import { KEY_LIFE_MS } from '../../state/run-key.js';
 import { every } from '../../transport/clock.js';
-import type { Clock } from '../../transport/clock.js';
+import type { Clock, Timer } from '../../transport/clock.js';
 import type { Disk } from '../../transport/disk.js';
 import type { Log } from '../../transport/log.js';
 import { openRing } from '../../transport/ring.js';
-import type { RingFault, RingShape } from '../../transport/ring.js';
+import type { Opened, RingFault, RingShape } from '../../transport/ring.js';
 import type { Ledger } from './ledger.js';
 import type { Peers } from '../members/peers.js';
 
-export type Claims = { readonly ready: () => boolean; readonly size: () => number; readonly stop: () => void };
+export interface Claims {
+  ready(): boolean;
+  size(): number;
+  stop(): void;
+}
 
 type Command =
   | { readonly tag: 'claim'; readonly members: string; readonly claims: readonly Claim[] }
@@ -88,147 +94,189 @@
 ): Promise<Result<Claims, RingFault>> {
   const opened = await openRing(disk, shape);
   if (!opened.ok) return opened;
-  const { ring, snapshot, records } = opened.value;
-  function me(): string {
-    return memberId(ledger.self);
-  }
-  const table = createClaimTable(Math.min(MOST_CLAIMS, Math.floor((shape.snapshotBytes - HEAD_ROOM) / CLAIM_RECORD)));
-  let readyFor = '';
-  let lived = 0;
-  let rebuilding = false;
-  let aheadOfDisk = false;
+  const { snapshot, records } = opened.value;
   const first = snapshot?.[0] === BRACE && snapshot.indexOf(NEW_LINE) < 0 ? 0 : records.findIndex(isForeign);
   if (first >= 0) return err({ tag: 'ringDamaged', file: shape.name, at: first });
+  return ok(createRingClaims(opened.value, ledger, peers, shape, clock, log));
+}
 
-  function takeHead(text: string): void {
-    const head = parsedJson(text);
-    if (!isTable(head)) return;
-    if (typeof head['readyFor'] === 'string') readyFor = head['readyFor'];
-    if (typeof head['uptime'] === 'number') lived = Math.max(lived, head['uptime']);
-    if (isRanges(head['forgotten'])) table.addForgotten(head['forgotten']);
+type Told = { readonly forgotten: readonly HourRange[]; readonly records: readonly Buffer[] };
+
+class RingClaims implements Claims {
+  private readonly table: ClaimTable;
+  private readyFor = '';
+  private lived = 0;
+  private rebuilding = false;
+  private aheadOfDisk = false;
+  private readonly openedAt: number;
+
+  private readonly line: Line<
+    Command,
+    ({ tag: 'claimed' } | { tag: 'taken'; answered: boolean } | { tag: 'full' } | { tag: 'tooOld' })[] | null
+  >;
+
+  private readonly beating: Timer;
+  private readonly forgetting: Timer;
+
+  constructor(
+    private readonly opened: Opened,
+    private readonly ledger: Ledger,
+    private readonly peers: Peers,
+    private readonly shape: RingShape,
+    private readonly clock: Clock,
+    private readonly log: Log,
+  ) {
+    this.table = createClaimTable(
+      Math.min(MOST_CLAIMS, Math.floor((this.shape.snapshotBytes - HEAD_ROOM) / CLAIM_RECORD)),
+    );
+
+    if (this.opened.snapshot) {
+      const end = this.opened.snapshot.indexOf(NEW_LINE);
+      this.takeHead(this.opened.snapshot.subarray(0, end).toString());
+      unpackClaims(this.table, this.opened.snapshot.subarray(end + 1));
+    }
+
+    for (const rec of this.opened.records) {
+      const at = rec.readDoubleBE(1);
+      this.lived = Math.max(this.lived, at);
+      this.table.replay(rec.subarray(9), at);
+    }
+    this.openedAt = this.clock.mono();
+    this.line = createLine((commands) => this.work(commands));
+
+    this.peers.on('claim', (m) => this.onClaim(m));
+
+    this.peers.on('claimEnds', (m) => this.onEnds(m));
+
+    this.peers.on('claimsAsk', (m) => this.onAsk(m));
+    this.beating = every(this.clock, 1_000, () => this.beat());
+    this.forgetting = every(this.clock, FORGET_EVERY_MS, () => this.forget());
   }
-  if (snapshot) {
-    const end = snapshot.indexOf(NEW_LINE);
-    takeHead(snapshot.subarray(0, end).toString());
-    unpackClaims(table, snapshot.subarray(end + 1));
+
+  private me(): string {
+    return memberId(this.ledger.self);
   }
-  for (const rec of records) {
-    const at = rec.readDoubleBE(1);
-    lived = Math.max(lived, at);
-    table.replay(rec.subarray(9), at);
+
+  private takeHead(text: string): void {
+    const head = parsedJson(text);
+    if (!isTable(head)) return;
+    if (typeof head['readyFor'] === 'string') this.readyFor = head['readyFor'];
+    if (typeof head['uptime'] === 'number') this.lived = Math.max(this.lived, head['uptime']);
+    if (isRanges(head['forgotten'])) this.table.addForgotten(head['forgotten']);
   }
 
-  const openedAt = clock.mono();
-  function uptime(): number {
-    return lived + (clock.mono() - openedAt);
+  private uptime(): number {
+    return this.lived + (this.clock.mono() - this.openedAt);
   }
 
-  function ready(): boolean {
-    return ledger.isMember() && (readyFor === me() || ledger.controlState().claimants.includes(me()));
+  ready(): boolean {
+    return (
+      this.ledger.isMember() &&
+      (this.readyFor === this.me() || this.ledger.controlState().claimants.includes(this.me()))
+    );
   }
 
-  async function work(commands: readonly Command[]): Promise<readonly (ClaimAnswer[] | null)[]> {
+  private async work(commands: readonly Command[]): Promise<readonly (ClaimAnswer[] | null)[]> {
     function none(): null {
       return null;
     }
-    if (aheadOfDisk && !(await compacted())) return commands.map(none);
+    if (this.aheadOfDisk && !(await this.compacted())) return commands.map(none);
     const answers: (ClaimAnswer[] | null)[] = [];
     const writes: Buffer[] = [];
     let whole = false;
     for (const c of commands) {
-      if (c.tag === 'claim' && c.members !== membersMark(ledger.controlState().members)) {
+      if (c.tag === 'claim' && c.members !== membersMark(this.ledger.controlState().members)) {
         answers.push(null);
         continue;
       }
       const given: ClaimAnswer[] = [];
       answers.push(given);
-      const now = uptime();
+      const now = this.uptime();
       if (c.tag === 'claim') {
         for (const claim of c.claims) {
-          const step = table.claim(claim, now);
+          const step = this.table.claim(claim, now);
           if (step.record) writes.push(encodedRecord(step.record, now));
           given.push(step.answer);
         }
       } else if (c.tag === 'end') {
         for (const e of c.ends) {
-          const record = table.end(e, now);
+          const record = this.table.end(e, now);
           if (record) writes.push(encodedRecord(record, now));
         }
       } else if (c.tag === 'rebuild') {
-        table.addForgotten(c.forgotten);
-        for (const r of c.records) table.merge(r, now);
-        readyFor = c.member;
+        this.table.addForgotten(c.forgotten);
+        for (const r of c.records) this.table.merge(r, now);
+        this.readyFor = c.member;
         whole = true;
-      } else table.forgetBefore(now - CLAIMS_KEPT_MS);
+      } else this.table.forgetBefore(now - CLAIMS_KEPT_MS);
     }
     if (writes.length === 0 && !whole) return answers;
-    aheadOfDisk = true;
-    if (whole || ring.crowded()) return (await compacted()) ? answers : commands.map(none);
-    const written = await ring.append(writes);
-    if (!written.ok && written.fault.tag === 'ringFull') return (await compacted()) ? answers : commands.map(none);
-    aheadOfDisk = !written.ok;
+    this.aheadOfDisk = true;
+    if (whole || this.opened.ring.crowded()) return (await this.compacted()) ? answers : commands.map(none);
+    const written = await this.opened.ring.append(writes);
+    if (!written.ok && written.fault.tag === 'ringFull') return (await this.compacted()) ? answers : commands.map(none);
+    this.aheadOfDisk = !written.ok;
     if (written.ok) return answers;
-    log.error(`Cannot write claims (${written.fault.tag}); none is granted.`);
+    this.log.error(`Cannot write claims (${written.fault.tag}); none is granted.`);
     return commands.map(none);
   }
 
-  async function compacted(): Promise<boolean> {
-    const head: Head = { readyFor, uptime: uptime(), forgotten: table.forgotten() };
-    const done = await ring.compact(Buffer.concat([Buffer.from(`${JSON.stringify(head)}\n`), table.packed()]));
-    aheadOfDisk = !done.ok;
-    if (!done.ok) log.error(`Cannot write claims (${done.fault.tag}); none is granted.`);
+  private async compacted(): Promise<boolean> {
+    const head: Head = { readyFor: this.readyFor, uptime: this.uptime(), forgotten: this.table.forgotten() };
+    const done = await this.opened.ring.compact(
+      Buffer.concat([Buffer.from(`${JSON.stringify(head)}\n`), this.table.packed()]),
+    );
+    this.aheadOfDisk = !done.ok;
+    if (!done.ok) this.log.error(`Cannot write claims (${done.fault.tag}); none is granted.`);
     return done.ok;
   }
 
-  const line = createLine(work);
-
-  function mayAnswer(of: string): boolean {
-    return of === ledger.controlState().ledger && ready() && !aheadOfDisk;
+  private mayAnswer(of: string): boolean {
+    return of === this.ledger.controlState().ledger && this.ready() && !this.aheadOfDisk;
   }
 
   // The members are compared again when the claim comes into the table (in work): whoever reads all claims asks a voter that
   // knows it as a member, and such a voter grants nothing more for the members before.
-  async function onClaim(m: MessageOf<'claim'>): Promise<Message> {
+  private async onClaim(m: MessageOf<'claim'>): Promise<Message> {
     if (
-      m.ledger !== ledger.controlState().ledger ||
-      !ready() ||
-      m.members !== membersMark(ledger.controlState().members)
+      m.ledger !== this.ledger.controlState().ledger ||
+      !this.ready() ||
+      m.members !== membersMark(this.ledger.controlState().members)
     )
       return { kind: 'cannotVote' };
-    const answers = await line.put({ tag: 'claim', members: m.members, claims: m.claims });
-    return answers ? { kind: 'claimAnswer', voter: me(), answers } : { kind: 'cannotVote' };
+    const answers = await this.line.put({ tag: 'claim', members: m.members, claims: m.claims });
+    return answers ? { kind: 'claimAnswer', voter: this.me(), answers } : { kind: 'cannotVote' };
   }
-  async function onEnds(m: MessageOf<'claimEnds'>): Promise<Message> {
-    if (m.ledger !== ledger.controlState().ledger || !ready()) return { kind: 'cannotVote' };
-    return { kind: 'done', agreed: (await line.put({ tag: 'end', ends: m.ends })) !== null };
+
+  private async onEnds(m: MessageOf<'claimEnds'>): Promise<Message> {
+    if (m.ledger !== this.ledger.controlState().ledger || !this.ready()) return { kind: 'cannotVote' };
+    return { kind: 'done', agreed: (await this.line.put({ tag: 'end', ends: m.ends })) !== null };
   }
-  function onAsk(m: MessageOf<'claimsAsk'>): Message {
-    if (!mayAnswer(m.ledger) || !knowsMember(m.asker)) return { kind: 'cannotVote' };
-    const page = table.page(m.from, PAGE);
+
+  private onAsk(m: MessageOf<'claimsAsk'>): Message {
+    if (!this.mayAnswer(m.ledger) || !this.knowsMember(m.asker)) return { kind: 'cannotVote' };
+    const page = this.table.page(m.from, PAGE);
     return {
       kind: 'claimsPage',
-      voter: me(),
-      forgotten: table.forgotten() as [number, number][],
+      voter: this.me(),
+      forgotten: this.table.forgotten() as [number, number][],
       records: page.records.toString('base64'),
       next: page.next,
     };
   }
-  function knowsMember(id: string): boolean {
-    for (const m of ledger.controlState().members) if (memberId(m) === id) return true;
+
+  private knowsMember(id: string): boolean {
+    for (const m of this.ledger.controlState().members) if (memberId(m) === id) return true;
     return false;
   }
-  peers.on('claim', onClaim);
-  peers.on('claimEnds', onEnds);
-  peers.on('claimsAsk', onAsk);
 
-  type Told = { readonly forgotten: readonly HourRange[]; readonly records: readonly Buffer[] };
-  async function readAll(m: Member): Promise<Told | null> {
+  private async readAll(m: Member): Promise<Told | null> {
     const found: Buffer[] = [];
     const forgotten: HourRange[] = [];
     for (let from = 0; from >= 0;) {
-      const got = await peers.call(
+      const got = await this.peers.call(
         m.address,
-        { kind: 'claimsAsk', ledger: ledger.controlState().ledger, asker: me(), from },
+        { kind: 'claimsAsk', ledger: this.ledger.controlState().ledger, asker: this.me(), from },
         5_000,
       );
       if (!got.ok || got.value.kind !== 'claimsPage' || got.value.voter !== memberId(m)) return null;
@@ -239,42 +287,53 @@
     return { forgotten, records: found };
   }
 
-  async function rebuild(): Promise<void> {
-    if (ready() || !ledger.isMember() || rebuilding) return;
-    rebuilding = true;
-    const members = ledger.controlState().members;
+  private async rebuild(): Promise<void> {
+    if (this.ready() || !this.ledger.isMember() || this.rebuilding) return;
+    this.rebuilding = true;
+    const members = this.ledger.controlState().members;
     const need = members.length - majorityOf(members) + 1;
     const found: Buffer[] = [];
     const forgotten: HourRange[] = [];
     let answered = 0;
     for (const m of members) {
-      if (memberId(m) === me()) continue;
-      const told = await readAll(m);
+      if (memberId(m) === this.me()) continue;
+      const told = await this.readAll(m);
       if (!told) continue;
       answered += 1;
       forgotten.push(...told.forgotten);
       found.push(...told.records);
     }
-    if (answered >= need && (await line.put({ tag: 'rebuild', member: me(), forgotten, records: found }))) {
-      log.info(`Claims were rebuilt from ${answered} others: ${table.size()} held.`);
+    if (answered >= need && (await this.line.put({ tag: 'rebuild', member: this.me(), forgotten, records: found }))) {
+      this.log.info(`Claims were rebuilt from ${answered} others: ${this.table.size()} held.`);
     }
-    rebuilding = false;
+    this.rebuilding = false;
   }
-  function beat(): void {
-    void rebuild();
+
+  private beat(): void {
+    void this.rebuild();
   }
-  function forget(): void {
-    void line.put({ tag: 'forget' });
+
+  private forget(): void {
+    void this.line.put({ tag: 'forget' });
   }
-  const beating = every(clock, 1_000, beat);
-  const forgetting = every(clock, FORGET_EVERY_MS, forget);
 
-  function size(): number {
-    return table.size();
+  size(): number {
+    return this.table.size();
   }
-  function stop(): void {
-    beating.cancel();
-    forgetting.cancel();
+
+  stop(): void {
+    this.beating.cancel();
+    this.forgetting.cancel();
   }
-  return ok({ ready, size, stop });
+}
+
+function createRingClaims(
+  opened: Opened,
+  ledger: Ledger,
+  peers: Peers,
+  shape: RingShape,
+  clock: Clock,
+  log: Log,
+): Claims {
+  return new RingClaims(opened, ledger, peers, shape, clock, log);
 }
--- a/src/coordination/ledger/closed-orders-fetch.ts
+++ b/src/coordination/ledger/closed-orders-fetch.ts
@@ -4,7 +4,7 @@
 import type { ClosedCursor, ClosedOrders, SlotRange } from '../../state/closed-orders.js';
 import type { Member } from '../../state/entry.js';
 import { every } from '../../transport/clock.js';
-import type { Clock } from '../../transport/clock.js';
+import type { Clock, Timer } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
 import type { Peers } from '../members/peers.js';
 import type { StoreCommand } from './store.js';
@@ -13,7 +13,9 @@
  * A controller that took a snapshot did not fold the slots before it, so it lacks the orders that were closed in them.
  * It asks the other members for them one after another, page by page, beside all else; nothing waits for it.
  */
-export type ClosedOrdersFetch = { readonly stop: () => void };
+export interface ClosedOrdersFetch {
+  stop(): void;
+}
 
 export type ClosedOrdersFetchDeps = {
   readonly peers: Pick<Peers, 'call' | 'on'>;
@@ -34,34 +36,40 @@
 
 type Told = { readonly orders: readonly string[]; readonly whole: boolean };
 
-export function createClosedOrdersFetch(deps: ClosedOrdersFetchDeps): ClosedOrdersFetch {
-  const { peers, clock, log, self, controlState, closed, put } = deps;
-  let asking = false;
-  let asked = 0;
-  let waitUntil = 0;
+class ClosedOrdersFetcher implements ClosedOrdersFetch {
+  private asking = false;
+  private asked = 0;
+  private waitUntil = 0;
+  private readonly ticking: Timer;
 
-  function onAsk(m: MessageOf<'closedAsk'>): Message {
-    if (m.ledger !== controlState().ledger) return { kind: 'closedPage', orders: [], next: null, lacking: true };
-    const page = closed.page(m.slots, m.after, PAGE_LENGTH);
+  constructor(private readonly deps: ClosedOrdersFetchDeps) {
+    this.deps.peers.on('closedAsk', (m) => this.onAsk(m));
+    this.ticking = every(this.deps.clock, ASK_EVERY_MS, () => this.tick());
+  }
+
+  private onAsk(m: MessageOf<'closedAsk'>): Message {
+    if (m.ledger !== this.deps.controlState().ledger)
+      return { kind: 'closedPage', orders: [], next: null, lacking: true };
+    const page = this.deps.closed.page(m.slots, m.after, PAGE_LENGTH);
     return { kind: 'closedPage', orders: [...page.orders], next: page.next, lacking: page.lacking };
   }
-  peers.on('closedAsk', onAsk);
 
-  function others(): Member[] {
+  private others(): Member[] {
     const out: Member[] = [];
-    for (const member of controlState().members) if (memberId(member) !== memberId(self)) out.push(member);
+    for (const member of this.deps.controlState().members)
+      if (memberId(member) !== memberId(this.deps.self)) out.push(member);
     return out;
   }
 
   /** All pages that a member has of these slots; null if it fell silent on the way. */
-  async function fetchFrom(member: Member, slots: SlotRange): Promise<Told | null> {
+  private async fetchFrom(member: Member, slots: SlotRange): Promise<Told | null> {
     const orders: string[] = [];
     let whole = true;
     let after: ClosedCursor | null = null;
     for (let n = 0; n < MOST_PAGES; n += 1) {
-      const reply = await peers.call(
+      const reply = await this.deps.peers.call(
         member.address,
-        { kind: 'closedAsk', ledger: controlState().ledger, slots, after },
+        { kind: 'closedAsk', ledger: this.deps.controlState().ledger, slots, after },
         PAGE_WAIT_MS,
       );
       if (!reply.ok || reply.value.kind !== 'closedPage') return null;
@@ -73,30 +81,37 @@
     return null;
   }
 
-  async function askNext(): Promise<void> {
-    const slots = closed.lacking();
-    const members = others();
+  private async askNext(): Promise<void> {
+    const slots = this.deps.closed.lacking();
+    const members = this.others();
     if (!slots || members.length === 0) return;
-    const member = members[asked % members.length] as Member;
-    asked += 1;
-    const told = await fetchFrom(member, slots);
-    const now = closed.lacking();
+    const member = members[this.asked % members.length] as Member;
+    this.asked += 1;
+    const told = await this.fetchFrom(member, slots);
+    const now = this.deps.closed.lacking();
     if (told && now && now.from === slots.from && now.to === slots.to)
-      await put({ tag: 'fillClosed', orders: told.orders, whole: told.whole });
-    if (!closed.lacking())
-      log.info(`Holds the closed orders of slots ${slots.from} to ${slots.to}, from ${member.name}.`);
-    else if (asked % members.length === 0) waitUntil = clock.mono() + (told ? ASK_AGAIN_MS : 0);
+      await this.deps.put({ tag: 'fillClosed', orders: told.orders, whole: told.whole });
+    if (!this.deps.closed.lacking())
+      this.deps.log.info(`Holds the closed orders of slots ${slots.from} to ${slots.to}, from ${member.name}.`);
+    else if (this.asked % members.length === 0) this.waitUntil = this.deps.clock.mono() + (told ? ASK_AGAIN_MS : 0);
+  }
+
+  private async turn(): Promise<void> {
+    if (this.asking || this.deps.closed.lacking() === null || this.deps.clock.mono() < this.waitUntil) return;
+    this.asking = true;
+    await this.askNext();
+    this.asking = false;
   }
 
-  async function turn(): Promise<void> {
-    if (asking || closed.lacking() === null || clock.mono() < waitUntil) return;
-    asking = true;
-    await askNext();
-    asking = false;
+  private tick(): void {
+    void this.turn();
   }
-  function tick(): void {
-    void turn();
+
+  stop(): void {
+    this.ticking.cancel();
   }
-  const ticking = every(clock, ASK_EVERY_MS, tick);
-  return { stop: ticking.cancel };
+}
+
+export function createClosedOrdersFetch(deps: ClosedOrdersFetchDeps): ClosedOrdersFetch {
+  return new ClosedOrdersFetcher(deps);
 }
--- a/src/coordination/ledger/configuration-service.ts
+++ b/src/coordination/ledger/configuration-service.ts
@@ -40,12 +40,12 @@
 export type Edit = (serving: Serving) => Result<unknown, readonly ConfigFault[]>;
 
 /** `digest` is the identity of the request: the same digest is the same change, whenever and wherever it is sent. */
-export type ConfigurationService = {
-  readonly replace: (base: number, draft: unknown, digest: string) => Promise<Result<Taken, NumberedFault>>;
-  readonly amend: (base: number, edit: Edit, digest: string) => Promise<Result<Taken, NumberedFault>>;
-  readonly read: () => Promise<Result<Serving, NumberedFault>>;
-  readonly evacuate: (zone: string, begun: boolean) => Promise<Result<{ readonly tag: 'taken' }, NumberedFault>>;
-};
+export interface ConfigurationService {
+  replace(base: number, draft: unknown, digest: string): Promise<Result<Taken, NumberedFault>>;
+  amend(base: number, edit: Edit, digest: string): Promise<Result<Taken, NumberedFault>>;
+  read(): Promise<Result<Serving, NumberedFault>>;
+  evacuate(zone: string, begun: boolean): Promise<Result<{ readonly tag: 'taken' }, NumberedFault>>;
+}
 
 export type ConfigurationServiceDeps = {
   readonly ledger: Pick<Ledger, 'controlState' | 'settle' | 'propose'>;
@@ -142,43 +142,51 @@
   return result.ok && result.value.number === newest.number && differences(servingOf(state), result.value).length === 0;
 }
 
-export function createConfigurationService(deps: ConfigurationServiceDeps): ConfigurationService {
-  const { ledger, clock } = deps;
-  const settleMs = deps.settleMs ?? SETTLE_MS;
-  const agreeMs = deps.agreeMs ?? AGREE_MS;
+class LedgerConfigurationService implements ConfigurationService {
+  private readonly settleMs: number;
+  private readonly agreeMs: number;
+
+  constructor(private readonly deps: ConfigurationServiceDeps) {
+    this.settleMs = this.deps.settleMs ?? SETTLE_MS;
+    this.agreeMs = this.deps.agreeMs ?? AGREE_MS;
+  }
 
-  async function tooLate(): Promise<boolean> {
-    await pause(clock, settleMs);
+  private async tooLate(): Promise<boolean> {
+    await pause(this.deps.clock, this.settleMs);
     return false;
   }
-  function settled(): Promise<boolean> {
-    return Promise.race([ledger.settle(settleMs), tooLate()]);
+
+  private settled(): Promise<boolean> {
+    return Promise.race([this.deps.ledger.settle(this.settleMs), this.tooLate()]);
   }
 
-  async function amend(base: number, edit: Edit, digest: string): Promise<Result<Taken, NumberedFault>> {
+  async amend(base: number, edit: Edit, digest: string): Promise<Result<Taken, NumberedFault>> {
     const request = operatorRequest(digest);
-    const until = clock.mono() + agreeMs;
-    while (clock.mono() < until) {
-      if (!(await settled())) return err(NO_MAJORITY);
-      const state = ledger.controlState();
+    const until = this.deps.clock.mono() + this.agreeMs;
+    while (this.deps.clock.mono() < until) {
+      if (!(await this.settled())) return err(NO_MAJORITY);
+      const state = this.deps.ledger.controlState();
       const judged = judge(state, request, base, edit);
       if (judged.tag === 'answer') return judged.answer;
-      const agreed = await ledger.propose(draftOf(state, request, base, judged), until - clock.mono());
+      const agreed = await this.deps.ledger.propose(
+        draftOf(state, request, base, judged),
+        until - this.deps.clock.mono(),
+      );
       if (!agreed.ok) return err(NO_MAJORITY);
       if (agreed.value.outcome.tag === 'applied') return ok({ tag: 'taken', number: judged.number });
     }
     return err(NO_MAJORITY);
   }
 
-  function replace(base: number, draft: unknown, digest: string): Promise<Result<Taken, NumberedFault>> {
+  replace(base: number, draft: unknown, digest: string): Promise<Result<Taken, NumberedFault>> {
     function whole(): Result<unknown, never> {
       return ok(draft);
     }
-    return amend(base, whole, digest);
+    return this.amend(base, whole, digest);
   }
 
-  async function read(): Promise<Result<Serving, NumberedFault>> {
-    return (await settled()) ? ok(servingOf(ledger.controlState())) : err(NO_MAJORITY);
+  async read(): Promise<Result<Serving, NumberedFault>> {
+    return (await this.settled()) ? ok(servingOf(this.deps.ledger.controlState())) : err(NO_MAJORITY);
   }
 
   /**
@@ -186,17 +194,22 @@
    * first: that one may be the later order, and the caller of this one may be long gone. Whoever still wants it sends it
    * again. For the same reason a process that stood still while it asked a majority doesn't go on.
    */
-  async function evacuate(zone: string, begun: boolean): Promise<Result<{ readonly tag: 'taken' }, NumberedFault>> {
-    const cameAt = clock.mono();
-    if (!(await settled()) || clock.mono() - cameAt > settleMs) return err(NO_MAJORITY);
-    const base = zoneVersion(ledger.controlState().history, zone);
+  async evacuate(zone: string, begun: boolean): Promise<Result<{ readonly tag: 'taken' }, NumberedFault>> {
+    const cameAt = this.deps.clock.mono();
+    if (!(await this.settled()) || this.deps.clock.mono() - cameAt > this.settleMs) return err(NO_MAJORITY);
+    const base = zoneVersion(this.deps.ledger.controlState().history, zone);
     const id = `evacuation:${zone}@${base}:${begun ? 'begin' : 'finish'}`;
     const cause = begun ? `The operator evacuates ${zone}.` : `The operator hands ${zone} back.`;
-    const agreed = await ledger.propose({ id, cause, act: { tag: 'evacuation', zone, begun, base } }, agreeMs);
+    const agreed = await this.deps.ledger.propose(
+      { id, cause, act: { tag: 'evacuation', zone, begun, base } },
+      this.agreeMs,
+    );
     if (!agreed.ok) return err(NO_MAJORITY);
-    const isSo = (ledger.controlState().evacuated[zone] !== undefined) === begun;
+    const isSo = (this.deps.ledger.controlState().evacuated[zone] !== undefined) === begun;
     return agreed.value.outcome.tag === 'applied' || isSo ? ok({ tag: 'taken' }) : err({ tag: 'outcomeUnknown' });
   }
+}
 
-  return { replace, amend, read, evacuate };
+export function createConfigurationService(deps: ConfigurationServiceDeps): ConfigurationService {
+  return new LedgerConfigurationService(deps);
 }
--- a/src/coordination/ledger/controller-choice.ts
+++ b/src/coordination/ledger/controller-choice.ts
@@ -11,23 +11,23 @@
  * another one when the followed one is lost or silent, asks all while none attests, and looks for a nearer one now and
  * then. Those that are asked to tell changes are few: mostly the followed one alone.
  */
-export type ControllerChoice = {
-  readonly followed: () => Address | null;
-  readonly isAsked: (address: Address) => boolean;
-  readonly tellAsked: (m: Message) => void;
+export interface ControllerChoice {
+  followed(): Address | null;
+  isAsked(address: Address): boolean;
+  tellAsked(m: Message): void;
   /** An attested beat came from this controller. */
-  readonly noteAttested: (from: Address) => void;
-  readonly noteLost: (address: Address) => void;
+  noteAttested(from: Address): void;
+  noteLost(address: Address): void;
   /** The process stood still: silence before now says nothing. */
-  readonly noteStandstill: () => void;
-  readonly turn: () => void;
+  noteStandstill(): void;
+  turn(): void;
   /** All known controllers, the followed one first. */
-  readonly all: () => readonly Address[];
-  readonly knowSpots: (spotOf: SpotOf) => void;
-  readonly stop: () => void;
-};
+  all(): readonly Address[];
+  knowSpots(spotOf: SpotOf): void;
+  stop(): void;
+}
 
-type SpotOf = (name: string) => Spot | null;
+export type SpotOf = (name: string) => Spot | null;
 
 export type ControllerChoiceDeps = {
   readonly self: { readonly name: string; readonly zone: string; readonly region: string };
@@ -51,172 +51,214 @@
 
 type Times = { attested: number; touched: number; sought: number; attended: number; looked: number };
 
-export function createControllerChoice(deps: ControllerChoiceDeps): ControllerChoice {
-  const { self, links, clock } = deps;
-  const asked = new Set<Address>();
-  const at: Times = { attested: clock.mono(), touched: clock.mono(), sought: clock.mono(), attended: 0, looked: 0 };
-  let spotOf: SpotOf = nowhere;
-  let followed: Address | null = null;
-  let standby: Address | null = null;
-  let nearer: Address | null = null;
-  let stopped = false;
-
-  function candidates(): Candidate[] {
+class NearestControllerChoice implements ControllerChoice {
+  private readonly asked = new Set<Address>();
+  private readonly at: Times;
+  private spotOf: SpotOf = nowhere;
+  private currentFollowed: Address | null = null;
+  private standby: Address | null = null;
+  private nearer: Address | null = null;
+  private stopped = false;
+
+  constructor(private readonly deps: ControllerChoiceDeps) {
+    this.at = {
+      attested: this.deps.clock.mono(),
+      touched: this.deps.clock.mono(),
+      sought: this.deps.clock.mono(),
+      attended: 0,
+      looked: 0,
+    };
+  }
+
+  private candidates(): Candidate[] {
     const out: Candidate[] = [];
     const known = new Set<Address>();
-    function add(address: Address, name: string | null): void {
+
+    const add = (address: Address, name: string | null): void => {
       if (known.has(address)) return;
       known.add(address);
-      out.push({ address, name, spot: name === null ? null : spotOf(name), failed: links.hasFailed(address) });
-    }
-    for (const m of deps.members()) add(m.address, m.name);
-    for (const seed of deps.seeds) add(seed, null);
-    return ranked(self, out);
+      out.push({
+        address,
+        name,
+        spot: name === null ? null : this.spotOf(name),
+        failed: this.deps.links.hasFailed(address),
+      });
+    };
+    for (const m of this.deps.members()) add(m.address, m.name);
+    for (const seed of this.deps.seeds) add(seed, null);
+    return ranked(this.deps.self, out);
   }
 
-  function noteLost(address: Address): void {
-    if (address === followed) turnOnFailure();
+  noteLost(address: Address): void {
+    if (address === this.currentFollowed) this.turnOnFailure();
   }
-  function turnOnFailure(): void {
-    if (stopped) return;
-    for (const c of candidates()) if (!c.failed) return turnAway();
+
+  private turnOnFailure(): void {
+    if (this.stopped) return;
+    for (const c of this.candidates()) if (!c.failed) return this.turnAway();
   }
 
-  async function ask(to: Address): Promise<void> {
-    asked.add(to);
-    const peer = await links.dial(to);
-    if (stopped || !asked.has(to)) return;
-    if (peer) peer.tell(deps.followMessage());
-    else if (to === followed) turnOnFailure();
+  private async ask(to: Address): Promise<void> {
+    this.asked.add(to);
+    const peer = await this.deps.links.dial(to);
+    if (this.stopped || !this.asked.has(to)) return;
+    if (peer) peer.tell(this.deps.followMessage());
+    else if (to === this.currentFollowed) this.turnOnFailure();
   }
 
-  function turnAway(): void {
-    if (followed !== null) links.noteFailed(followed);
-    nearer = null;
-    at.attested = clock.mono();
-    const order = candidates();
+  private turnAway(): void {
+    if (this.currentFollowed !== null) this.deps.links.noteFailed(this.currentFollowed);
+    this.nearer = null;
+    this.at.attested = this.deps.clock.mono();
+    const order = this.candidates();
     for (const c of order) {
-      if (c.address === followed && order.length > 1) continue;
-      followed = c.address;
+      if (c.address === this.currentFollowed && order.length > 1) continue;
+      this.currentFollowed = c.address;
       break;
     }
-    if (followed !== null) void ask(followed);
-    chooseStandby();
+    if (this.currentFollowed !== null) void this.ask(this.currentFollowed);
+    this.chooseStandby();
   }
 
-  function chooseStandby(): void {
-    const was = standby;
-    standby = null;
-    for (const c of candidates()) {
-      if (c.address === followed || c.failed) continue;
-      standby = c.address;
+  private chooseStandby(): void {
+    const was = this.standby;
+    this.standby = null;
+    for (const c of this.candidates()) {
+      if (c.address === this.currentFollowed || c.failed) continue;
+      this.standby = c.address;
       break;
     }
-    if (standby !== null) void links.dial(standby);
-    if (was !== null && was !== standby) letGo(was);
+    if (this.standby !== null) void this.deps.links.dial(this.standby);
+    if (was !== null && was !== this.standby) this.letGo(was);
   }
 
-  function letGo(address: Address): void {
-    if (address === followed || address === standby || address === nearer || asked.has(address)) return;
-    links.letGo(address);
+  private letGo(address: Address): void {
+    if (
+      address === this.currentFollowed ||
+      address === this.standby ||
+      address === this.nearer ||
+      this.asked.has(address)
+    )
+      return;
+    this.deps.links.letGo(address);
   }
-  function unfollow(address: Address): void {
-    asked.delete(address);
-    links.tell(address, { kind: 'unfollow', name: self.name });
-    letGo(address);
+
+  private unfollow(address: Address): void {
+    this.asked.delete(address);
+    this.deps.links.tell(address, { kind: 'unfollow', name: this.deps.self.name });
+    this.letGo(address);
   }
-  function settleOn(address: Address): void {
-    followed = address;
-    nearer = null;
-    links.noteWorks(address);
-    for (const other of [...asked]) if (other !== address) unfollow(other);
-    chooseStandby();
+
+  private settleOn(address: Address): void {
+    this.currentFollowed = address;
+    this.nearer = null;
+    this.deps.links.noteWorks(address);
+    for (const other of [...this.asked]) if (other !== address) this.unfollow(other);
+    this.chooseStandby();
   }
 
-  function attend(): void {
-    at.attended = clock.mono();
-    tellAsked(deps.attendMessage());
+  private attend(): void {
+    this.at.attended = this.deps.clock.mono();
+    this.tellAsked(this.deps.attendMessage());
   }
-  function tellAsked(m: Message): void {
-    for (const to of asked) links.tell(to, m);
+
+  tellAsked(m: Message): void {
+    for (const to of this.asked) this.deps.links.tell(to, m);
   }
 
-  function isConnected(): boolean {
-    for (const to of asked) if (links.isHeld(to)) return true;
+  private isConnected(): boolean {
+    for (const to of this.asked) if (this.deps.links.isHeld(to)) return true;
     return false;
   }
-  function mustSeek(now: number): boolean {
-    if (!isConnected()) return now - at.sought >= REDIAL_MS;
-    return now - at.touched > LOST_MS && now - at.sought >= SEEK_MS;
-  }
-  function seekAnyone(): void {
-    at.sought = clock.mono();
-    for (const c of candidates()) if (!asked.has(c.address) || !links.isHeld(c.address)) void ask(c.address);
-  }
-  function seekNearer(): void {
-    at.looked = clock.mono();
-    const [best] = candidates();
-    const now = nameOf(followed);
-    if (!best || best.failed || best.spot?.up !== true || best.address === followed || now === null) return;
-    if (steps(self, best.spot) >= steps(self, spotOf(now))) return;
-    nearer = best.address;
-    void ask(nearer);
-  }
-  function nameOf(address: Address | null): string | null {
-    for (const m of deps.members()) if (m.address === address) return m.name;
+
+  private mustSeek(now: number): boolean {
+    if (!this.isConnected()) return now - this.at.sought >= REDIAL_MS;
+    return now - this.at.touched > LOST_MS && now - this.at.sought >= SEEK_MS;
+  }
+
+  private seekAnyone(): void {
+    this.at.sought = this.deps.clock.mono();
+    for (const c of this.candidates())
+      if (!this.asked.has(c.address) || !this.deps.links.isHeld(c.address)) void this.ask(c.address);
+  }
+
+  private seekNearer(): void {
+    this.at.looked = this.deps.clock.mono();
+    const [best] = this.candidates();
+    const now = this.nameOf(this.currentFollowed);
+    if (!best || best.failed || best.spot?.up !== true || best.address === this.currentFollowed || now === null) return;
+    if (steps(this.deps.self, best.spot) >= steps(this.deps.self, this.spotOf(now))) return;
+    this.nearer = best.address;
+    void this.ask(this.nearer);
+  }
+
+  private nameOf(address: Address | null): string | null {
+    for (const m of this.deps.members()) if (m.address === address) return m.name;
     return null;
   }
 
-  function noteAttested(from: Address): void {
-    at.touched = clock.mono();
-    takeAttested(from);
-    attend();
+  noteAttested(from: Address): void {
+    this.at.touched = this.deps.clock.mono();
+    this.takeAttested(from);
+    this.attend();
   }
-  function takeAttested(from: Address): void {
-    const now = clock.mono();
-    if (from === followed) {
-      at.attested = now;
-      if (nearer === null && asked.size > 1) settleOn(from);
+
+  private takeAttested(from: Address): void {
+    const now = this.deps.clock.mono();
+    if (from === this.currentFollowed) {
+      this.at.attested = now;
+      if (this.nearer === null && this.asked.size > 1) this.settleOn(from);
       return;
     }
-    const isHeard = followed !== null && links.isHeld(followed) && now - at.attested <= SILENT_MS / 2;
-    if (from !== nearer && isHeard) return;
-    at.attested = now;
-    settleOn(from);
+    const isHeard =
+      this.currentFollowed !== null &&
+      this.deps.links.isHeld(this.currentFollowed) &&
+      now - this.at.attested <= SILENT_MS / 2;
+    if (from !== this.nearer && isHeard) return;
+    this.at.attested = now;
+    this.settleOn(from);
   }
-  function noteStandstill(): void {
-    at.attested = clock.mono();
+
+  noteStandstill(): void {
+    this.at.attested = this.deps.clock.mono();
   }
 
-  function turn(): void {
-    const now = clock.mono();
-    if (followed === null || now - at.attested > SILENT_MS) turnAway();
-    if (mustSeek(now)) seekAnyone();
-    if (now - at.attended >= ATTEND_MS) attend();
-    if (now - at.looked < NEARER_MS) return;
-    nearer = null;
-    seekNearer();
-    chooseStandby();
+  turn(): void {
+    const now = this.deps.clock.mono();
+    if (this.currentFollowed === null || now - this.at.attested > SILENT_MS) this.turnAway();
+    if (this.mustSeek(now)) this.seekAnyone();
+    if (now - this.at.attended >= ATTEND_MS) this.attend();
+    if (now - this.at.looked < NEARER_MS) return;
+    this.nearer = null;
+    this.seekNearer();
+    this.chooseStandby();
   }
 
-  function current(): Address | null {
-    return followed;
+  followed(): Address | null {
+    return this.currentFollowed;
   }
-  function isAsked(address: Address): boolean {
-    return asked.has(address);
+
+  isAsked(address: Address): boolean {
+    return this.asked.has(address);
   }
-  function all(): readonly Address[] {
-    const out = new Set<Address>(followed === null ? [] : [followed]);
-    for (const c of candidates()) out.add(c.address);
+
+  all(): readonly Address[] {
+    const out = new Set<Address>(this.currentFollowed === null ? [] : [this.currentFollowed]);
+    for (const c of this.candidates()) out.add(c.address);
     return [...out];
   }
-  function knowSpots(of: SpotOf): void {
-    spotOf = of;
+
+  knowSpots(of: SpotOf): void {
+    this.spotOf = of;
   }
-  function stop(): void {
-    stopped = true;
+
+  stop(): void {
+    this.stopped = true;
   }
-  return { followed: current, isAsked, tellAsked, noteAttested, noteLost, noteStandstill, turn, all, knowSpots, stop };
+}
+
+export function createControllerChoice(deps: ControllerChoiceDeps): ControllerChoice {
+  return new NearestControllerChoice(deps);
 }
 
 function nowhere(): null {
--- a/src/coordination/ledger/core-health-log.ts
+++ b/src/coordination/ledger/core-health-log.ts
@@ -7,7 +7,9 @@
 import type { Clock } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
 
-export type CoreHealthLog = { readonly note: (health: CoreHealth) => void };
+export interface CoreHealthLog {
+  note(health: CoreHealth): void;
+}
 
 type Condition = 'spare' | 'none' | 'unknown';
 
@@ -34,22 +36,33 @@
   unknown: 'No majority of the core is heard: how many losses it bears is not known',
 };
 
-/** `group` names what is judged: the members of the ledger, or those that hold claims. */
-export function createCoreHealthLog(group: string, clock: Clock, log: Log): CoreHealthLog {
-  let told: Condition = 'spare';
-  let seen: Condition = 'spare';
-  let since = clock.mono();
+class ChangeOnlyHealthLog implements CoreHealthLog {
+  private told: Condition = 'spare';
+  private seen: Condition = 'spare';
+  private since: number;
+
+  constructor(
+    private readonly group: string,
+    private readonly clock: Clock,
+    private readonly log: Log,
+  ) {
+    this.since = this.clock.mono();
+  }
 
-  function note(health: CoreHealth): void {
+  note(health: CoreHealth): void {
     const condition = conditionOf(health);
     if (condition === null) return;
-    if (condition !== seen) since = clock.mono();
-    seen = condition;
-    if (condition === told || clock.mono() - since < LASTS_MS) return;
-    told = condition;
-    const line = `${WORDS[condition]}: group=${group} ${figuresOf(health)}.`;
-    if (condition === 'spare') log.info(line);
-    else log.warn(line);
+    if (condition !== this.seen) this.since = this.clock.mono();
+    this.seen = condition;
+    if (condition === this.told || this.clock.mono() - this.since < LASTS_MS) return;
+    this.told = condition;
+    const line = `${WORDS[condition]}: group=${this.group} ${figuresOf(health)}.`;
+    if (condition === 'spare') this.log.info(line);
+    else this.log.warn(line);
   }
-  return { note };
+}
+
+/** `group` names what is judged: the members of the ledger, or those that hold claims. */
+export function createCoreHealthLog(group: string, clock: Clock, log: Log): CoreHealthLog {
+  return new ChangeOnlyHealthLog(group, clock, log);
 }
--- a/src/coordination/ledger/core-health-watch.ts
+++ b/src/coordination/ledger/core-health-watch.ts
@@ -11,11 +11,12 @@
 import type { CoreHealth, MemberView } from '../../state/core-health.js';
 import type { Member } from '../../state/entry.js';
 import { every } from '../../transport/clock.js';
-import type { Clock } from '../../transport/clock.js';
+import type { Clock, Timer } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
 import type { Peers } from '../members/peers.js';
 import type { Claims } from './claims.js';
 import { createCoreHealthLog } from './core-health-log.js';
+import type { CoreHealthLog } from './core-health-log.js';
 import type { Ledger } from './ledger.js';
 import type { HeardMemberStatus } from './member-statuses.js';
 
@@ -26,7 +27,10 @@
   readonly claims: CoreHealth | null;
 };
 
-export type CoreHealthWatch = { readonly current: () => CoreHealthReport; readonly stop: () => void };
+export interface CoreHealthWatch {
+  current(): CoreHealthReport;
+  stop(): void;
+}
 
 export type CoreHealthWatchDeps = {
   readonly ledger: Pick<Ledger, 'controlState' | 'self' | 'top' | 'writable' | 'events'>;
@@ -51,64 +55,79 @@
 const STOOD_STILL_MS = 1_500;
 const ASK_MS = 1_000;
 
-export function createCoreHealthWatch(deps: CoreHealthWatchDeps): CoreHealthWatch {
-  const { ledger, claims, peers, clock } = deps;
-  const heard = new Map<string, Heard>();
-  const claimsWhole = new Map<string, number>();
-  const ledgerLog = createCoreHealthLog('ledger', clock, deps.log);
-  const claimsLog = createCoreHealthLog('claims', clock, deps.log);
-  let known: KnownSlot[] = [];
-  let lastTurn = clock.mono();
+class PollingHealthWatch implements CoreHealthWatch {
+  private readonly heard = new Map<string, Heard>();
+  private readonly claimsWhole = new Map<string, number>();
+  private readonly ledgerLog: CoreHealthLog;
+  private readonly claimsLog: CoreHealthLog;
+  private known: KnownSlot[] = [];
+  private lastTurn: number;
+  private readonly turning: Timer;
+
+  constructor(private readonly deps: CoreHealthWatchDeps) {
+    this.ledgerLog = createCoreHealthLog('ledger', this.deps.clock, this.deps.log);
+    this.claimsLog = createCoreHealthLog('claims', this.deps.clock, this.deps.log);
+    this.lastTurn = this.deps.clock.mono();
+
+    this.deps.ledger.events.on('heard', ({ member, askedAt, memberStatus }) =>
+      this.onHeard({ member, askedAt, memberStatus }),
+    );
+
+    this.deps.peers.on('claimsWholeAsk', () => this.onClaimsWholeAsk());
+    this.turning = every(this.deps.clock, TURN_MS, () => this.turn());
+  }
 
-  function me(): string {
-    return memberId(ledger.self);
+  private me(): string {
+    return memberId(this.deps.ledger.self);
   }
-  function isRecent(at: number | undefined): boolean {
-    return at !== undefined && clock.mono() - at < IN_TOUCH_MS;
+
+  private isRecent(at: number | undefined): boolean {
+    return at !== undefined && this.deps.clock.mono() - at < IN_TOUCH_MS;
   }
 
-  function onHeard({ member, askedAt, memberStatus }: HeardMemberStatus): void {
-    heard.set(memberId(member), { askedAt, memberStatus });
+  private onHeard({ member, askedAt, memberStatus }: HeardMemberStatus): void {
+    this.heard.set(memberId(member), { askedAt, memberStatus });
   }
-  ledger.events.on('heard', onHeard);
 
-  function newestKnown(): number {
-    let newest = ledger.controlState().slot;
-    for (const { memberStatus } of heard.values()) newest = Math.max(newest, memberStatus.learned);
+  private newestKnown(): number {
+    let newest = this.deps.ledger.controlState().slot;
+    for (const { memberStatus } of this.heard.values()) newest = Math.max(newest, memberStatus.learned);
     return newest;
   }
-  function stoodStill(): boolean {
-    return clock.mono() - lastTurn > STOOD_STILL_MS;
+
+  private stoodStill(): boolean {
+    return this.deps.clock.mono() - this.lastTurn > STOOD_STILL_MS;
   }
+
   /** The newest slot that was known some time ago; without so long a memory, the newest one of all. */
-  function settledSlot(): number {
-    if (stoodStill()) return newestKnown();
+  private settledSlot(): number {
+    if (this.stoodStill()) return this.newestKnown();
     let settled: number | null = null;
-    for (const sample of known) if (clock.mono() - sample.at >= SETTLED_MS) settled = sample.slot;
-    return settled ?? newestKnown();
+    for (const sample of this.known) if (this.deps.clock.mono() - sample.at >= SETTLED_MS) settled = sample.slot;
+    return settled ?? this.newestKnown();
   }
 
-  function viewOf(member: Member, settled: number): MemberView {
+  private viewOf(member: Member, settled: number): MemberView {
     const id = memberId(member);
-    if (id === me()) {
-      const learned = ledger.controlState().slot;
+    if (id === this.me()) {
+      const learned = this.deps.ledger.controlState().slot;
       return {
         id,
         name: member.name,
         inTouch: true,
         learned,
-        top: ledger.top(),
-        writable: ledger.writable(),
+        top: this.deps.ledger.top(),
+        writable: this.deps.ledger.writable(),
         holdsAll: learned >= settled,
         unheard: [],
       };
     }
-    const answer = heard.get(id);
+    const answer = this.heard.get(id);
     const learned = answer?.memberStatus.learned ?? -1;
     return {
       id,
       name: member.name,
-      inTouch: isRecent(answer?.askedAt),
+      inTouch: this.isRecent(answer?.askedAt),
       learned,
       top: answer?.memberStatus.top ?? -1,
       writable: answer?.memberStatus.cannotWrite !== true,
@@ -116,68 +135,79 @@
       unheard: answer?.memberStatus.unheard ?? [],
     };
   }
-  function holdsClaims(view: MemberView): boolean {
-    if (view.id === me()) return claims?.ready() ?? false;
-    return isRecent(claimsWhole.get(view.id));
+
+  private holdsClaims(view: MemberView): boolean {
+    if (view.id === this.me()) return this.deps.claims?.ready() ?? false;
+    return this.isRecent(this.claimsWhole.get(view.id));
   }
 
-  function current(): CoreHealthReport {
-    const settled = settledSlot();
+  current(): CoreHealthReport {
+    const settled = this.settledSlot();
     const views: MemberView[] = [];
     const claimViews: MemberView[] = [];
-    for (const member of ledger.controlState().members) {
-      const view = viewOf(member, settled);
+    for (const member of this.deps.ledger.controlState().members) {
+      const view = this.viewOf(member, settled);
       views.push(view);
-      claimViews.push({ ...view, holdsAll: holdsClaims(view) });
+      claimViews.push({ ...view, holdsAll: this.holdsClaims(view) });
     }
-    return { ledger: coreHealth(me(), views), claims: claims ? coreHealth(me(), claimViews) : null };
+    return {
+      ledger: coreHealth(this.me(), views),
+      claims: this.deps.claims ? coreHealth(this.me(), claimViews) : null,
+    };
   }
 
-  function onClaimsWholeAsk(): Message {
-    return { kind: 'claimsWhole', voter: me(), whole: claims?.ready() ?? false };
+  private onClaimsWholeAsk(): Message {
+    return { kind: 'claimsWhole', voter: this.me(), whole: this.deps.claims?.ready() ?? false };
   }
-  peers.on('claimsWholeAsk', onClaimsWholeAsk);
 
-  async function askClaims(member: Member): Promise<void> {
-    const askedAt = clock.mono();
-    const answer = await peers.call(member.address, { kind: 'claimsWholeAsk' }, ASK_MS);
+  private async askClaims(member: Member): Promise<void> {
+    const askedAt = this.deps.clock.mono();
+    const answer = await this.deps.peers.call(member.address, { kind: 'claimsWholeAsk' }, ASK_MS);
     if (!answer.ok || answer.value.kind !== 'claimsWhole' || answer.value.voter !== memberId(member)) return;
-    if (answer.value.whole) claimsWhole.set(memberId(member), askedAt);
-    else claimsWhole.delete(memberId(member));
+    if (answer.value.whole) this.claimsWhole.set(memberId(member), askedAt);
+    else this.claimsWhole.delete(memberId(member));
   }
 
-  function forgetFormerMembers(): void {
-    const ids = new Set(ledger.controlState().members.map(memberId));
-    for (const id of heard.keys()) if (!ids.has(id)) heard.delete(id);
-    for (const id of claimsWhole.keys()) if (!ids.has(id)) claimsWhole.delete(id);
+  private forgetFormerMembers(): void {
+    const ids = new Set(this.deps.ledger.controlState().members.map(memberId));
+    for (const id of this.heard.keys()) if (!ids.has(id)) this.heard.delete(id);
+    for (const id of this.claimsWhole.keys()) if (!ids.has(id)) this.claimsWhole.delete(id);
   }
-  function hearsMajority(): boolean {
-    const { members } = ledger.controlState();
+
+  private hearsMajority(): boolean {
+    const { members } = this.deps.ledger.controlState();
     let inTouch = 0;
     for (const member of members) {
       const id = memberId(member);
-      if (id === me() || isRecent(heard.get(id)?.askedAt)) inTouch += 1;
+      if (id === this.me() || this.isRecent(this.heard.get(id)?.askedAt)) inTouch += 1;
     }
     return inTouch >= majorityOf(members);
   }
-  function noteKnownSlot(): void {
-    const now = clock.mono();
-    if (stoodStill() || !hearsMajority()) known = [];
-    lastTurn = now;
-    known.push({ at: now, slot: newestKnown() });
-    while (known.length > 1 && now - (known[1] as KnownSlot).at >= SETTLED_MS) known.shift();
+
+  private noteKnownSlot(): void {
+    const now = this.deps.clock.mono();
+    if (this.stoodStill() || !this.hearsMajority()) this.known = [];
+    this.lastTurn = now;
+    this.known.push({ at: now, slot: this.newestKnown() });
+    while (this.known.length > 1 && now - (this.known[1] as KnownSlot).at >= SETTLED_MS) this.known.shift();
   }
 
-  function turn(): void {
-    forgetFormerMembers();
-    noteKnownSlot();
-    const report = current();
-    ledgerLog.note(report.ledger);
+  private turn(): void {
+    this.forgetFormerMembers();
+    this.noteKnownSlot();
+    const report = this.current();
+    this.ledgerLog.note(report.ledger);
     if (!report.claims) return;
-    claimsLog.note(report.claims);
-    for (const member of ledger.controlState().members) if (memberId(member) !== me()) void askClaims(member);
+    this.claimsLog.note(report.claims);
+    for (const member of this.deps.ledger.controlState().members)
+      if (memberId(member) !== this.me()) void this.askClaims(member);
   }
-  const turning = every(clock, TURN_MS, turn);
 
-  return { current, stop: turning.cancel };
+  stop(): void {
+    this.turning.cancel();
+  }
+}
+
+export function createCoreHealthWatch(deps: CoreHealthWatchDeps): CoreHealthWatch {
+  return new PollingHealthWatch(deps);
 }
--- a/src/coordination/ledger/follower.ts
+++ b/src/coordination/ledger/follower.ts
@@ -12,10 +12,15 @@
 import type { Address } from '../../transport/wire.js';
 import type { Peer, Peers } from '../members/peers.js';
 import { createControllerChoice } from './controller-choice.js';
+import type { ControllerChoice, SpotOf } from './controller-choice.js';
 import { createControllerLinks } from './controller-links.js';
+import type { ControllerLinks } from './controller-links.js';
 import { createControlStateKeeper, loadControlState } from './kept-control-state.js';
+import type { KeptControlState, ControlStateKeeper } from './kept-control-state.js';
 import { createMajorityContact } from './majority-contact.js';
+import type { MajorityContact } from './majority-contact.js';
 import { createSnapshotTaker } from './snapshot-taker.js';
+import type { SnapshotTaker } from './snapshot-taker.js';
 
 export type FollowerEvents = { readonly moved: { readonly slot: number } };
 
@@ -24,22 +29,22 @@
  * whether a majority stands behind what it holds: `fresh` once it holds all that a majority attested since the
  * process began or last stood still, `partitioned` when the newest contact is too long ago.
  */
-export type Follower = {
-  readonly controlState: () => ControlState;
-  readonly fresh: () => boolean;
-  readonly partitioned: () => boolean;
-  readonly wokeAt: () => number;
-  readonly sharedNow: () => number;
+export interface Follower {
+  controlState(): ControlState;
+  fresh(): boolean;
+  partitioned(): boolean;
+  wokeAt(): number;
+  sharedNow(): number;
   readonly events: {
     readonly on: <K extends keyof FollowerEvents>(name: K, fn: (e: FollowerEvents[K]) => void) => void;
   };
-  readonly controllers: () => readonly Address[];
-  readonly followed: () => Address | null;
-  readonly knowSpots: (spotOf: (name: string) => Spot | null) => void;
+  controllers(): readonly Address[];
+  followed(): Address | null;
+  knowSpots(spotOf: (name: string) => Spot | null): void;
   /** Tells the followed controller; reports go as differences to what it was told before. */
-  readonly tellAll: (m: Message) => void;
-  readonly stop: () => void;
-};
+  tellAll(m: Message): void;
+  stop(): void;
+}
 
 export type FollowerSelf = { readonly name: string; readonly zone: string; readonly region: string };
 
@@ -53,165 +58,224 @@
   disk: Disk | null,
   log: Log,
 ): Promise<Follower> {
-  const events = createEvents<FollowerEvents>();
   const kept = await loadControlState(disk, log);
-  const { floor } = kept;
-  let controlState = kept.state;
-  let wasPartitioned = false;
-  let stopped = false;
-  const time = createSharedTime();
-  const taker = createSnapshotTaker(peers, clock, log);
-  const contact = createMajorityContact(clock, onStandstill);
-  const links = createControllerLinks(peers, clock, onLost);
-  const choice = createControllerChoice({ self, seeds, members, links, clock, followMessage, attendMessage });
-  const keeper = createControlStateKeeper(disk, clock, log, currentControlState);
+  return createLoadedFollower(kept, self, seeds, peers, clock, disk, log);
+}
+
+class LogFollower implements Follower {
+  readonly events = createEvents<FollowerEvents>();
+  private currentControlState: ControlState;
+  private wasPartitioned = false;
+  private stopped = false;
+  private readonly time = createSharedTime();
+  private readonly taker: SnapshotTaker;
+  private readonly contact: MajorityContact;
+  private readonly links: ControllerLinks;
+  private readonly choice: ControllerChoice;
+  private readonly keeper: ControlStateKeeper;
+  private readonly ticking: Timer;
+
+  constructor(
+    private readonly kept: KeptControlState,
+    private readonly self: FollowerSelf,
+    private readonly seeds: readonly Address[],
+    private readonly peers: Peers,
+    private readonly clock: Clock,
+    private readonly disk: Disk | null,
+    private readonly log: Log,
+  ) {
+    this.currentControlState = this.kept.state;
+    this.taker = createSnapshotTaker(this.peers, this.clock, this.log);
+    this.contact = createMajorityContact(this.clock, (gapMs) => this.onStandstill(gapMs));
+    this.links = createControllerLinks(this.peers, this.clock, (address) => this.onLost(address));
+    this.choice = createControllerChoice({
+      self: this.self,
+      seeds: this.seeds,
+      members: () => this.members(),
+      links: this.links,
+      clock: this.clock,
+      followMessage: () => this.followMessage(),
+      attendMessage: () => this.attendMessage(),
+    });
+    this.keeper = createControlStateKeeper(this.disk, this.clock, this.log, () => this.controlState());
+    this.ticking = every(this.clock, TICK_MS, () => this.tick());
+
+    this.tick();
 
-  function currentControlState(): ControlState {
-    return controlState;
+    this.peers.on('changes', (m, peer) => this.onChanges(m, peer));
+
+    this.peers.on('beat', (m, peer) => this.onBeat(m, peer));
+
+    this.peers.on('reportsAsk', (m, peer) => this.onReportsAsk(m, peer));
   }
-  function members(): ControlState['members'] {
-    return controlState.members;
+
+  controlState(): ControlState {
+    return this.currentControlState;
+  }
+
+  private members(): ControlState['members'] {
+    return this.currentControlState.members;
   }
-  function followMessage(): MessageOf<'follow'> {
-    const { ledger, slot } = controlState;
-    const { name, zone, region } = self;
-    return { kind: 'follow', name, zone, region, ledger, from: slot + 1, nonce: contact.nextNonce() };
+
+  private followMessage(): MessageOf<'follow'> {
+    const { ledger, slot } = this.currentControlState;
+    const { name, zone, region } = this.self;
+    return { kind: 'follow', name, zone, region, ledger, from: slot + 1, nonce: this.contact.nextNonce() };
   }
-  function attendMessage(): MessageOf<'attend'> {
-    return { kind: 'attend', name: self.name, nonce: contact.nextNonce() };
+
+  private attendMessage(): MessageOf<'attend'> {
+    return { kind: 'attend', name: this.self.name, nonce: this.contact.nextNonce() };
   }
 
-  function onLost(address: Address): void {
-    choice.noteLost(address);
+  private onLost(address: Address): void {
+    this.choice.noteLost(address);
   }
-  function onStandstill(gapMs: number): void {
-    log.warn(`Stood still for ${Math.round(gapMs)} ms; serves again once it has fresh news.`);
-    wasPartitioned = false;
-    choice.noteStandstill();
-    choice.tellAsked(followMessage());
+
+  private onStandstill(gapMs: number): void {
+    this.log.warn(`Stood still for ${Math.round(gapMs)} ms; serves again once it has fresh news.`);
+    this.wasPartitioned = false;
+    this.choice.noteStandstill();
+    this.choice.tellAsked(this.followMessage());
   }
 
-  function tick(): void {
-    contact.noteTurn();
-    choice.turn();
-    const alone = partitioned();
-    if (alone !== wasPartitioned)
-      log.warn(alone ? 'No controller is heard; serves its own region only.' : 'Controllers are heard again.');
-    wasPartitioned = alone;
+  private tick(): void {
+    this.contact.noteTurn();
+    this.choice.turn();
+    const alone = this.partitioned();
+    if (alone !== this.wasPartitioned)
+      this.log.warn(alone ? 'No controller is heard; serves its own region only.' : 'Controllers are heard again.');
+    this.wasPartitioned = alone;
   }
-  const ticking: Timer = every(clock, TICK_MS, tick);
-  tick();
 
-  function accepts(ledger: string): boolean {
-    return controlState.ledger === '' || ledger === controlState.ledger;
+  private accepts(ledger: string): boolean {
+    return this.currentControlState.ledger === '' || ledger === this.currentControlState.ledger;
   }
 
-  function onChanges(m: MessageOf<'changes'>, peer: Peer): null {
-    if (!accepts(m.ledger)) return null;
-    const before = controlState.slot;
-    if (m.snapshot && m.snapshot.slot > before) void adopt(m.snapshot, peer);
+  private onChanges(m: MessageOf<'changes'>, peer: Peer): null {
+    if (!this.accepts(m.ledger)) return null;
+    const before = this.currentControlState.slot;
+    if (m.snapshot && m.snapshot.slot > before) void this.adopt(m.snapshot, peer);
     let gap = false;
     for (const b of m.batches) {
-      if (b.slot <= controlState.slot) continue;
-      gap = b.slot !== controlState.slot + 1;
+      if (b.slot <= this.currentControlState.slot) continue;
+      gap = b.slot !== this.currentControlState.slot + 1;
       if (gap) break;
-      foldBatch(controlState, b.slot, b.batch);
+      foldBatch(this.currentControlState, b.slot, b.batch);
     }
-    if (gap && !taker.isTaking()) peer.tell(followMessage());
-    if (controlState.slot > before) noteMoved();
+    if (gap && !this.taker.isTaking()) peer.tell(this.followMessage());
+    if (this.currentControlState.slot > before) this.noteMoved();
     return null;
   }
 
   /** Fetches a snapshot from the controller that offered it, then asks it for the slots since. */
-  async function adopt(offer: SnapshotOffer, peer: Peer): Promise<void> {
-    const from = links.addressOf(peer);
+  private async adopt(offer: SnapshotOffer, peer: Peer): Promise<void> {
+    const from = this.links.addressOf(peer);
     if (from === null) return;
-    const taken = await taker.take(from, offer);
-    if (stopped || taken.tag === 'interrupted' || taken.tag === 'refused') return;
-    if (taken.tag === 'whole' && taken.state.slot > controlState.slot && accepts(taken.state.ledger)) {
-      controlState = taken.state;
-      noteMoved();
+    const taken = await this.taker.take(from, offer);
+    if (this.stopped || taken.tag === 'interrupted' || taken.tag === 'refused') return;
+    if (taken.tag === 'whole' && taken.state.slot > this.currentControlState.slot && this.accepts(taken.state.ledger)) {
+      this.currentControlState = taken.state;
+      this.noteMoved();
     }
-    peer.tell(followMessage());
+    peer.tell(this.followMessage());
   }
 
-  function noteMoved(): void {
+  private noteMoved(): void {
     const names = new Set<string>();
-    for (const m of controlState.members) names.add(m.name);
-    time.keepOnly(names);
-    events.emit('moved', { slot: controlState.slot });
-    choice.tellAsked({ kind: 'followed', name: self.name, slot: controlState.slot });
-    keeper.keepFloor();
-  }
-
-  function onBeat(m: MessageOf<'beat'>, peer: Peer): null {
-    contact.noteTurn();
-    const from = links.addressOf(peer);
-    if (from === null || !choice.isAsked(from)) {
-      peer.tell({ kind: 'unfollow', name: self.name });
+    for (const m of this.currentControlState.members) names.add(m.name);
+    this.time.keepOnly(names);
+    this.events.emit('moved', { slot: this.currentControlState.slot });
+    this.choice.tellAsked({ kind: 'followed', name: this.self.name, slot: this.currentControlState.slot });
+    this.keeper.keepFloor();
+  }
+
+  private onBeat(m: MessageOf<'beat'>, peer: Peer): null {
+    this.contact.noteTurn();
+    const from = this.links.addressOf(peer);
+    if (from === null || !this.choice.isAsked(from)) {
+      peer.tell({ kind: 'unfollow', name: this.self.name });
       return null;
     }
-    if (!accepts(m.ledger) || m.ledger === '') return null;
-    time.hear(m.from, m.wall, clock.mono());
-    if (m.slot > controlState.slot && !taker.isTaking()) peer.tell(followMessage());
-    if (holdsAllOf(m) && isNewContact(m.echo)) choice.noteAttested(from);
+    if (!this.accepts(m.ledger) || m.ledger === '') return null;
+    this.time.hear(m.from, m.wall, this.clock.mono());
+    if (m.slot > this.currentControlState.slot && !this.taker.isTaking()) peer.tell(this.followMessage());
+    if (this.holdsAllOf(m) && this.isNewContact(m.echo)) this.choice.noteAttested(from);
     return null;
   }
-  function holdsAllOf(m: MessageOf<'beat'>): boolean {
-    return m.quorate && controlState.ledger !== '' && controlState.slot >= Math.max(m.top, floor);
+
+  private holdsAllOf(m: MessageOf<'beat'>): boolean {
+    return (
+      m.quorate &&
+      this.currentControlState.ledger !== '' &&
+      this.currentControlState.slot >= Math.max(m.top, this.kept.floor)
+    );
   }
-  function isNewContact(echo: number): boolean {
-    const sentAt = contact.sentAt(echo);
-    return sentAt !== null && contact.note(sentAt);
+
+  private isNewContact(echo: number): boolean {
+    const sentAt = this.contact.sentAt(echo);
+    return sentAt !== null && this.contact.note(sentAt);
   }
 
-  function onReportsAsk(m: MessageOf<'reportsAsk'>, peer: Peer): null {
-    const from = links.addressOf(peer);
-    if (from !== null) links.forgetReports(from, m.reporters);
+  private onReportsAsk(m: MessageOf<'reportsAsk'>, peer: Peer): null {
+    const from = this.links.addressOf(peer);
+    if (from !== null) this.links.forgetReports(from, m.reporters);
     return null;
   }
-  peers.on('changes', onChanges);
-  peers.on('beat', onBeat);
-  peers.on('reportsAsk', onReportsAsk);
 
-  function fresh(): boolean {
-    contact.noteTurn();
-    return contact.isKnown() && controlState.slot >= floor;
+  fresh(): boolean {
+    this.contact.noteTurn();
+    return this.contact.isKnown() && this.currentControlState.slot >= this.kept.floor;
   }
-  function partitioned(): boolean {
-    contact.noteTurn();
-    return contact.isLost();
+
+  partitioned(): boolean {
+    this.contact.noteTurn();
+    return this.contact.isLost();
   }
-  function wokeAt(): number {
-    contact.noteTurn();
-    return contact.wokeAt();
+
+  wokeAt(): number {
+    this.contact.noteTurn();
+    return this.contact.wokeAt();
   }
-  function sharedNow(): number {
-    return time.now(clock.mono(), clock.wall());
+
+  sharedNow(): number {
+    return this.time.now(this.clock.mono(), this.clock.wall());
   }
-  function tellAll(m: Message): void {
-    const to = choice.followed();
+
+  tellAll(m: Message): void {
+    const to = this.choice.followed();
     if (to === null) return;
-    if (m.kind === 'reports' && m.by === undefined) links.tellReports(to, m.reports);
-    else links.tell(to, m);
-  }
-  function stop(): void {
-    stopped = true;
-    choice.stop();
-    ticking.cancel();
-    keeper.stop();
-  }
-  return {
-    controlState: currentControlState,
-    fresh,
-    partitioned,
-    wokeAt,
-    sharedNow,
-    events,
-    controllers: choice.all,
-    followed: choice.followed,
-    knowSpots: choice.knowSpots,
-    tellAll,
-    stop,
-  };
+    if (m.kind === 'reports' && m.by === undefined) this.links.tellReports(to, m.reports);
+    else this.links.tell(to, m);
+  }
+
+  stop(): void {
+    this.stopped = true;
+    this.choice.stop();
+    this.ticking.cancel();
+    this.keeper.stop();
+  }
+
+  controllers(): readonly string[] {
+    return this.choice.all();
+  }
+
+  followed(): string | null {
+    return this.choice.followed();
+  }
+
+  knowSpots(spotOf: SpotOf): void {
+    this.choice.knowSpots(spotOf);
+  }
+}
+
+function createLoadedFollower(
+  kept: KeptControlState,
+  self: FollowerSelf,
+  seeds: readonly Address[],
+  peers: Peers,
+  clock: Clock,
+  disk: Disk | null,
+  log: Log,
+): Follower {
+  return new LogFollower(kept, self, seeds, peers, clock, disk, log);
 }
--- a/src/coordination/ledger/kept-control-state.ts
+++ b/src/coordination/ledger/kept-control-state.ts
@@ -3,7 +3,7 @@
 import { emptyControlState, isControlState } from '../../state/control-state.js';
 import type { ControlState } from '../../state/control-state.js';
 import { every } from '../../transport/clock.js';
-import type { Clock } from '../../transport/clock.js';
+import type { Clock, Timer } from '../../transport/clock.js';
 import type { Disk } from '../../transport/disk.js';
 import type { Log } from '../../transport/log.js';
 
@@ -17,11 +17,11 @@
   readonly floor: number;
 };
 
-export type ControlStateKeeper = {
+export interface ControlStateKeeper {
   /** Writes the newest slot, unless it stands on the disk already. */
-  readonly keepFloor: () => void;
-  readonly stop: () => void;
-};
+  keepFloor(): void;
+  stop(): void;
+}
 
 const STATE_FILE = 'control-state.json';
 const FLOOR_FILE = 'floor.json';
@@ -47,44 +47,63 @@
   return { state, floor: Math.max(state.slot, floor) };
 }
 
-/** Keeps the state that `current` tells, from the slot on that stands on the disk. */
-export function createControlStateKeeper(
-  disk: Disk | null,
-  clock: Clock,
-  log: Log,
-  current: () => ControlState,
-): ControlStateKeeper {
-  let savedSlot = current().slot;
-  let savedFloor = -1;
-  let savingFloor = false;
+class DiskControlStateKeeper implements ControlStateKeeper {
+  private savedSlot: number;
+  private savedFloor = -1;
+  private savingFloor = false;
+  private readonly keeping: Timer;
 
-  async function saveFloor(onto: Disk): Promise<void> {
-    savingFloor = true;
-    while (savedFloor < current().slot) {
-      const { ledger, slot } = current();
+  constructor(
+    private readonly disk: Disk | null,
+    private readonly clock: Clock,
+    private readonly log: Log,
+    private readonly current: () => ControlState,
+  ) {
+    this.savedSlot = this.current().slot;
+    this.keeping = every(this.clock, KEEP_EVERY_MS, () => this.keepState());
+  }
+
+  private async saveFloor(onto: Disk): Promise<void> {
+    this.savingFloor = true;
+    while (this.savedFloor < this.current().slot) {
+      const { ledger, slot } = this.current();
       const done = await onto.replace(FLOOR_FILE, Buffer.from(JSON.stringify({ ledger, slot })));
       if (!done.ok) {
-        log.warn(`Could not keep the newest slot (${done.fault.tag}).`);
+        this.log.warn(`Could not keep the newest slot (${done.fault.tag}).`);
         break;
       }
-      savedFloor = slot;
+      this.savedFloor = slot;
     }
-    savingFloor = false;
+    this.savingFloor = false;
+  }
+
+  keepFloor(): void {
+    if (this.disk && !this.savingFloor) void this.saveFloor(this.disk);
   }
-  function keepFloor(): void {
-    if (disk && !savingFloor) void saveFloor(disk);
+
+  private async saveState(onto: Disk): Promise<void> {
+    const { slot } = this.current();
+    if (this.savedSlot >= slot) return;
+    const done = await onto.replace(STATE_FILE, Buffer.from(JSON.stringify(this.current())));
+    if (done.ok) this.savedSlot = slot;
+    else this.log.warn(`Could not keep the control state (${done.fault.tag}).`);
   }
 
-  async function saveState(onto: Disk): Promise<void> {
-    const { slot } = current();
-    if (savedSlot >= slot) return;
-    const done = await onto.replace(STATE_FILE, Buffer.from(JSON.stringify(current())));
-    if (done.ok) savedSlot = slot;
-    else log.warn(`Could not keep the control state (${done.fault.tag}).`);
+  private keepState(): void {
+    if (this.disk) void this.saveState(this.disk);
   }
-  function keepState(): void {
-    if (disk) void saveState(disk);
+
+  stop(): void {
+    this.keeping.cancel();
   }
-  const keeping = every(clock, KEEP_EVERY_MS, keepState);
-  return { keepFloor, stop: keeping.cancel };
+}
+
+/** Keeps the state that `current` tells, from the slot on that stands on the disk. */
+export function createControlStateKeeper(
+  disk: Disk | null,
+  clock: Clock,
+  log: Log,
+  current: () => ControlState,
+): ControlStateKeeper {
+  return new DiskControlStateKeeper(disk, clock, log, current);
 }
--- a/src/coordination/ledger/lease.ts
+++ b/src/coordination/ledger/lease.ts
@@ -4,6 +4,7 @@
  */
 import { majorityOf, memberId, membersMark } from '../../state/control-state.js';
 import { askGrant, createLeaseBook, dropGrant } from '../../state/lease-book.js';
+import type { LeaseBook } from '../../state/lease-book.js';
 import type { Message, MessageOf } from '../../protocol/messages.js';
 import type { Member } from '../../state/entry.js';
 import type { Clock } from '../../transport/clock.js';
@@ -15,11 +16,11 @@
 import { poll } from './poll.js';
 import type { Votes } from './poll.js';
 
-export type Lease = {
-  readonly fence: () => number | null;
-  readonly leftMs: () => number;
-  readonly stop: () => void;
-};
+export interface Lease {
+  fence(): number | null;
+  leftMs(): number;
+  stop(): void;
+}
 
 function idsOf(members: readonly Member[]): Set<string> {
   const ids = new Set<string>();
@@ -31,143 +32,179 @@
 const MARGIN_MS = 1_000;
 const RENEW_MS = 1_000;
 
-export function createLease(duty: string, ledger: Ledger, peers: Peers, clock: Clock, rng: Rng, log: Log): Lease {
-  function me(): string {
-    return memberId(ledger.self);
-  }
-  const book = createLeaseBook(clock.mono(), LEASE_TERM_MS);
-  let until = 0;
-  let held: number | null = null;
-  let stopped = false;
-  let round = 0;
+class MajorityLease implements Lease {
+  private readonly book: LeaseBook;
+  private until = 0;
+  private held: number | null = null;
+  private stopped = false;
+  private round = 0;
 
   // A majority of the members after a change need not share anyone with the majority that granted a lease before it, where
   // this node is new among them or where two are gone. Then for one term only the holder that the ledger names is granted it.
-  let members = ledger.controlState().members;
-  let othersFrom = 0;
-  function noteMembers(): void {
-    const now = ledger.controlState().members;
-    if (membersMark(now) === membersMark(members)) return;
-    const before = idsOf(members);
+  private members: readonly Member[];
+  private othersFrom = 0;
+
+  constructor(
+    private readonly duty: string,
+    private readonly ledger: Ledger,
+    private readonly peers: Peers,
+    private readonly clock: Clock,
+    private readonly rng: Rng,
+    private readonly log: Log,
+  ) {
+    this.book = createLeaseBook(this.clock.mono(), LEASE_TERM_MS);
+    this.members = this.ledger.controlState().members;
+
+    this.peers.on('leaseAsk', (m) => this.onAsk(m));
+
+    this.peers.on('leaseDrop', (m) => this.onDrop(m));
+
+    void this.run();
+  }
+
+  private me(): string {
+    return memberId(this.ledger.self);
+  }
+
+  private noteMembers(): void {
+    const now = this.ledger.controlState().members;
+    if (membersMark(now) === membersMark(this.members)) return;
+    const before = idsOf(this.members);
     const after = idsOf(now);
     let gone = 0;
     for (const id of before) if (!after.has(id)) gone += 1;
-    const bootstrapped = before.size === 0 && ledger.controlState().leases[duty] === undefined;
-    const joined = !before.has(me()) && !bootstrapped;
+    const bootstrapped = before.size === 0 && this.ledger.controlState().leases[this.duty] === undefined;
+    const joined = !before.has(this.me()) && !bootstrapped;
     const shrank = after.size < before.size && (before.size % 2 !== 0 || gone > 1);
-    if (joined || shrank) othersFrom = clock.mono() + LEASE_TERM_MS;
-    members = now;
+    if (joined || shrank) this.othersFrom = this.clock.mono() + LEASE_TERM_MS;
+    this.members = now;
   }
-  function mayGrant(m: MessageOf<'leaseAsk'>): boolean {
-    noteMembers();
-    if (m.ledger !== ledger.controlState().ledger || !ledger.isMember() || m.termMs > LEASE_TERM_MS) return false;
-    return clock.mono() >= othersFrom || ledger.controlState().leases[m.duty]?.holder === m.holder;
+
+  private mayGrant(m: MessageOf<'leaseAsk'>): boolean {
+    this.noteMembers();
+    if (m.ledger !== this.ledger.controlState().ledger || !this.ledger.isMember() || m.termMs > LEASE_TERM_MS)
+      return false;
+    return this.clock.mono() >= this.othersFrom || this.ledger.controlState().leases[m.duty]?.holder === m.holder;
   }
 
-  function onAsk(m: MessageOf<'leaseAsk'>): Message {
-    const mine = mayGrant(m);
-    return { kind: 'leaseAnswer', voter: me(), granted: mine && askGrant(book, m, clock.mono()) };
+  private onAsk(m: MessageOf<'leaseAsk'>): Message {
+    const mine = this.mayGrant(m);
+    return { kind: 'leaseAnswer', voter: this.me(), granted: mine && askGrant(this.book, m, this.clock.mono()) };
   }
-  function onDrop(m: MessageOf<'leaseDrop'>): null {
-    if (m.ledger === ledger.controlState().ledger) dropGrant(book, m.duty, m.holder, m.round);
+
+  private onDrop(m: MessageOf<'leaseDrop'>): null {
+    if (m.ledger === this.ledger.controlState().ledger) dropGrant(this.book, m.duty, m.holder, m.round);
     return null;
   }
-  peers.on('leaseAsk', onAsk);
-  peers.on('leaseDrop', onDrop);
 
-  function leftMs(): number {
-    return until - MARGIN_MS - clock.mono();
+  leftMs(): number {
+    return this.until - MARGIN_MS - this.clock.mono();
   }
 
-  function fence(): number | null {
-    if (stopped || held === null || leftMs() <= 0) return null;
-    const record = ledger.controlState().leases[duty];
-    return record && record.fence === held ? held : null;
+  fence(): number | null {
+    if (this.stopped || this.held === null || this.leftMs() <= 0) return null;
+    const record = this.ledger.controlState().leases[this.duty];
+    return record && record.fence === this.held ? this.held : null;
   }
 
-  async function askMajority(): Promise<'granted' | 'refused' | 'notAsked'> {
-    const b = ledger.controlState();
-    round += 1;
+  private async askMajority(): Promise<'granted' | 'refused' | 'notAsked'> {
+    const b = this.ledger.controlState();
+    this.round += 1;
     const ask: MessageOf<'leaseAsk'> = {
       kind: 'leaseAsk',
       ledger: b.ledger,
-      duty,
-      holder: me(),
+      duty: this.duty,
+      holder: this.me(),
       termMs: LEASE_TERM_MS,
-      round,
+      round: this.round,
     };
     const need = majorityOf(b.members);
-    const own = onAsk(ask);
-    if (!isGrant(own)) return 'notAsked';
-    async function one(m: Member): Promise<Message | null> {
-      if (memberId(m) === me()) return own;
-      const got = await peers.call(m.address, ask, RENEW_MS);
+    const own = this.onAsk(ask);
+    if (!this.isGrant(own)) return 'notAsked';
+
+    const one = async (m: Member): Promise<Message | null> => {
+      if (memberId(m) === this.me()) return own;
+      const got = await this.peers.call(m.address, ask, RENEW_MS);
       return got.ok && got.value.kind === 'leaseAnswer' && got.value.voter === memberId(m) ? got.value : null;
-    }
-    function decided(votes: Votes, open: number): boolean {
-      const granted = grantsIn(votes);
+    };
+
+    const decided = (votes: Votes, open: number): boolean => {
+      const granted = this.grantsIn(votes);
       return granted >= need || granted + open < need;
-    }
-    return grantsIn(await poll(b.members, one, decided)) >= need ? 'granted' : 'refused';
+    };
+    return this.grantsIn(await poll(b.members, one, decided)) >= need ? 'granted' : 'refused';
   }
-  function isGrant(m: Message): boolean {
+
+  private isGrant(m: Message): boolean {
     return m.kind === 'leaseAnswer' && m.granted;
   }
-  function grantsIn(votes: Votes): number {
+
+  private grantsIn(votes: Votes): number {
     let n = 0;
-    for (const v of votes.values()) if (isGrant(v)) n += 1;
+    for (const v of votes.values()) if (this.isGrant(v)) n += 1;
     return n;
   }
 
-  function dropAll(): void {
-    const b = ledger.controlState();
-    const drop: MessageOf<'leaseDrop'> = { kind: 'leaseDrop', ledger: b.ledger, duty, holder: me(), round };
+  private dropAll(): void {
+    const b = this.ledger.controlState();
+    const drop: MessageOf<'leaseDrop'> = {
+      kind: 'leaseDrop',
+      ledger: b.ledger,
+      duty: this.duty,
+      holder: this.me(),
+      round: this.round,
+    };
     for (const m of b.members) {
-      if (memberId(m) === me()) onDrop(drop);
-      else void peers.tell(m.address, drop);
+      if (memberId(m) === this.me()) this.onDrop(drop);
+      else void this.peers.tell(m.address, drop);
     }
   }
 
-  async function turn(): Promise<void> {
-    if (!ledger.isMember()) {
-      held = null;
+  private async turn(): Promise<void> {
+    if (!this.ledger.isMember()) {
+      this.held = null;
       return;
     }
-    const askedAt = clock.mono();
-    const expired = leftMs() <= 0;
-    const asked = await askMajority();
+    const askedAt = this.clock.mono();
+    const expired = this.leftMs() <= 0;
+    const asked = await this.askMajority();
     if (asked !== 'granted') {
-      if (asked === 'refused' && clock.mono() > until) dropAll();
-      if (held !== null && leftMs() <= 0) {
-        log.warn(`The ${duty} lease ended.`);
-        held = null;
+      if (asked === 'refused' && this.clock.mono() > this.until) this.dropAll();
+      if (this.held !== null && this.leftMs() <= 0) {
+        this.log.warn(`The ${this.duty} lease ended.`);
+        this.held = null;
       }
       return;
     }
-    until = askedAt + LEASE_TERM_MS;
-    const record = ledger.controlState().leases[duty];
-    if (!expired && held !== null && record?.fence === held) return;
-    held = null;
-    const taken = await ledger.propose(
-      { cause: `A majority granted the ${duty} lease.`, act: { tag: 'leaseTaken', duty, holder: me() } },
+    this.until = askedAt + LEASE_TERM_MS;
+    const record = this.ledger.controlState().leases[this.duty];
+    if (!expired && this.held !== null && record?.fence === this.held) return;
+    this.held = null;
+    const taken = await this.ledger.propose(
+      {
+        cause: `A majority granted the ${this.duty} lease.`,
+        act: { tag: 'leaseTaken', duty: this.duty, holder: this.me() },
+      },
       RENEW_MS * 2,
     );
     if (taken.ok && taken.value.outcome.tag === 'applied') {
-      held = taken.value.slot;
-      log.info(`Holds the ${duty} lease with fence ${held}.`);
+      this.held = taken.value.slot;
+      this.log.info(`Holds the ${this.duty} lease with fence ${this.held}.`);
     }
   }
 
-  async function run(): Promise<void> {
-    while (!stopped) {
-      await pause(clock, held === null ? RENEW_MS * (0.3 + 1.7 * rng.next()) : RENEW_MS);
-      if (!stopped) await turn();
+  private async run(): Promise<void> {
+    while (!this.stopped) {
+      await pause(this.clock, this.held === null ? RENEW_MS * (0.3 + 1.7 * this.rng.next()) : RENEW_MS);
+      if (!this.stopped) await this.turn();
     }
   }
-  void run();
 
-  function stop(): void {
-    stopped = true;
+  stop(): void {
+    this.stopped = true;
   }
-  return { fence, leftMs, stop };
+}
+
+export function createLease(duty: string, ledger: Ledger, peers: Peers, clock: Clock, rng: Rng, log: Log): Lease {
+  return new MajorityLease(duty, ledger, peers, clock, rng, log);
 }
--- a/src/coordination/ledger/ledger.ts
+++ b/src/coordination/ledger/ledger.ts
@@ -5,6 +5,7 @@
  * holds, stands in docs/consistency.md.
  */
 import { createEvents } from '../../base/events.js';
+import type { Events } from '../../base/events.js';
 import { ok } from '../../base/result.js';
 import type { Result } from '../../base/result.js';
 import type { Message, SlotBatch } from '../../protocol/messages.js';
@@ -21,22 +22,30 @@
 import type { Address } from '../../transport/wire.js';
 import type { Peers } from '../members/peers.js';
 import { createClosedOrdersFetch } from './closed-orders-fetch.js';
+import type { ClosedOrdersFetch } from './closed-orders-fetch.js';
 import { createCatchUp } from './catch-up.js';
 import { createMemberStatuses, MEMBER_STATUS_MS } from './member-statuses.js';
-import type { HeardMemberStatus } from './member-statuses.js';
+import type { HeardMemberStatus, MemberStatuses } from './member-statuses.js';
 import { createMembershipChanges } from './membership-changes.js';
+import type { MembershipChanges } from './membership-changes.js';
 import { createOperatorBootstrap } from './operator-bootstrap.js';
 import type { Bootstrap } from './operator-bootstrap.js';
 import type { AskMember } from './poll.js';
 import type { Agreed, Draft, ProposeFault } from './proposal.js';
 import { createProposer } from './proposer.js';
+import type { Proposer } from './proposer.js';
 import { createReplica } from './replica.js';
+import type { Replica } from './replica.js';
 import { createSelfBootstrap } from './self-bootstrap.js';
+import type { SelfBootstrap } from './self-bootstrap.js';
 import { createSettledRead } from './settled-read.js';
 import type { SnapshotGiver } from './snapshot-giver.js';
 import { openStore } from './store.js';
 import type { Store } from './store.js';
 import { createVoter } from './voter.js';
+import type { Voter } from './voter.js';
+import type { RecentSlot } from '../../state/recent-slots.js';
+import type { CatchUp } from './catch-up.js';
 
 export type LedgerEvents = {
   readonly folded: { readonly slot: number; readonly batch: Batch; readonly outcomes: readonly Outcome[] };
@@ -44,28 +53,28 @@
   readonly heard: HeardMemberStatus;
 };
 
-export type Ledger = {
-  readonly controlState: () => ControlState;
+export interface Ledger {
+  controlState(): ControlState;
   readonly events: { readonly on: <K extends keyof LedgerEvents>(name: K, fn: (e: LedgerEvents[K]) => void) => void };
   /** Agrees one entry. `noMajority` says that it was given up: it may still come to be agreed, once at most. */
-  readonly propose: (draft: Draft, waitMs: number) => Promise<Result<Agreed, ProposeFault>>;
+  propose(draft: Draft, waitMs: number): Promise<Result<Agreed, ProposeFault>>;
   /** True once the state is no older than anything confirmed before the call. */
-  readonly settle: (waitMs: number) => Promise<boolean>;
+  settle(waitMs: number): Promise<boolean>;
   /** The orders that were closed, as far as this controller knows them. */
   readonly closedOrders: Pick<ClosedOrders, 'all' | 'lacking'>;
-  readonly since: (from: number) => readonly SlotBatch[] | null;
+  since(from: number): readonly SlotBatch[] | null;
   /** What nodes that lag are told: the kept slots page by page, or a snapshot. */
   readonly history: LedgerHistory;
   readonly bootstrap: Bootstrap;
-  readonly isMember: () => boolean;
-  readonly writable: () => boolean;
-  readonly top: () => number;
-  readonly heardAt: (id: string) => number | null;
-  readonly askMemberStatuses: () => void;
+  isMember(): boolean;
+  writable(): boolean;
+  top(): number;
+  heardAt(id: string): number | null;
+  askMemberStatuses(): void;
   readonly self: Member;
-  readonly leave: () => Promise<void>;
-  readonly stop: () => void;
-};
+  leave(): Promise<void>;
+  stop(): void;
+}
 
 export type LedgerHistory = SnapshotGiver & Pick<Store, 'page' | 'bytesSince'>;
 
@@ -95,10 +104,7 @@
 const RECORD_ROOM = 4_096;
 
 export async function createLedger(deps: LedgerDeps): Promise<Result<Ledger, RingFault>> {
-  const { clock, rng, peers, log, self } = deps;
   const events = createEvents<LedgerEvents>();
-  let stopped = false;
-
   function onFold(slot: number, batch: Batch, outcomes: readonly Outcome[]): void {
     events.emit('folded', { slot, batch, outcomes });
   }
@@ -108,147 +114,253 @@
   const opened = await openStore(deps.disk, deps.shape, onFold, onAdopt);
   if (!opened.ok) return opened;
   const store = opened.value;
-  const replica = createReplica(store, self, clock, log);
-  const { controlState, isMember, learn } = replica;
-  const closedFetch = createClosedOrdersFetch({
-    peers,
-    clock,
-    log,
-    self,
-    controlState,
-    closed: store.closed,
-    put: store.put,
-  });
-  const { from: catchUp, snapshots } = createCatchUp({ peers, clock, log, store, controlState, learn });
-  const voter = createVoter({ clock, peers, replica, catchUp, bootstrapBallot });
-  const mostBytes = deps.shape.fileBytes - RECORD_ROOM;
-  const proposer = createProposer({ clock, rng, peers, replica, askerUntil, catchUp, mostBytes });
-  const { propose } = proposer;
-  const settle = createSettledRead({ clock, replica, proposer, askerUntil, catchUp });
-  const bootstrapsItself = deps.bootstrapMembers !== null;
-  const bootstrap = createOperatorBootstrap({ clock, rng, peers, replica, bootstrapsItself });
-
-  function bootstrapBallot(): string | null {
-    return selfBootstrap.ballotOf;
+  return ok(createLedgerOn(deps, store, events));
+}
+
+class ReplicatedLedger implements Ledger {
+  private stopped = false;
+  private readonly replica: Replica;
+  private readonly closedFetch: ClosedOrdersFetch;
+  private readonly voter: Voter;
+  private readonly proposer: Proposer;
+
+  readonly settle: (waitMs: number) => Promise<boolean>;
+
+  readonly bootstrap: Bootstrap;
+  private openSince: number | null = null;
+  private watching = false;
+  private readonly memberStatuses: MemberStatuses;
+  private readonly membershipChanges: MembershipChanges;
+  private readonly selfBootstrap: SelfBootstrap;
+  private readonly beating: Timer;
+  readonly closedOrders: ClosedOrders;
+  readonly history: LedgerHistory;
+  readonly self: Member;
+  private readonly catchUp: CatchUp;
+
+  constructor(
+    private readonly deps: LedgerDeps,
+    private readonly store: Store,
+    readonly events: Events<LedgerEvents>,
+  ) {
+    this.self = deps.self;
+    this.replica = createReplica(this.store, this.deps.self, this.deps.clock, this.deps.log);
+    this.closedFetch = createClosedOrdersFetch({
+      peers: this.deps.peers,
+      clock: this.deps.clock,
+      log: this.deps.log,
+      self: this.deps.self,
+      controlState: () => this.replica.controlState(),
+      closed: this.store.closed,
+      put: (command) => this.store.put(command),
+    });
+
+    this.catchUp = createCatchUp({
+      peers: this.deps.peers,
+      clock: this.deps.clock,
+      log: this.deps.log,
+      store: this.store,
+      controlState: () => this.replica.controlState(),
+      learn: (slot, batch) => this.replica.learn(slot, batch),
+    });
+    this.voter = createVoter({
+      clock: this.deps.clock,
+      peers: this.deps.peers,
+      replica: this.replica,
+      catchUp: (address) => this.catchUp.from(address),
+      bootstrapBallot: () => this.bootstrapBallot(),
+    });
+
+    const mostBytes = this.deps.shape.fileBytes - RECORD_ROOM;
+    this.proposer = createProposer({
+      clock: this.deps.clock,
+      rng: this.deps.rng,
+      peers: this.deps.peers,
+      replica: this.replica,
+      askerUntil: (until) => this.askerUntil(until),
+      catchUp: (address) => this.catchUp.from(address),
+      mostBytes,
+    });
+    this.settle = createSettledRead({
+      clock: this.deps.clock,
+      replica: this.replica,
+      proposer: this.proposer,
+      askerUntil: (until) => this.askerUntil(until),
+      catchUp: (address) => this.catchUp.from(address),
+    });
+
+    const bootstrapsItself = this.deps.bootstrapMembers !== null;
+    this.bootstrap = createOperatorBootstrap({
+      clock: this.deps.clock,
+      rng: this.deps.rng,
+      peers: this.deps.peers,
+      replica: this.replica,
+      bootstrapsItself,
+    });
+    this.memberStatuses = createMemberStatuses({
+      clock: this.deps.clock,
+      peers: this.deps.peers,
+      self: this.deps.self,
+      controlState: () => this.replica.controlState(),
+      top: () => this.store.top(),
+      writable: () => this.store.writable(),
+      onHeard: (heard) => this.onHeard(heard),
+    });
+
+    this.deps.peers.on('memberStatusAsk', () => this.memberStatuses.own());
+    this.membershipChanges = createMembershipChanges({
+      clock: this.deps.clock,
+      rng: this.deps.rng,
+      peers: this.deps.peers,
+      log: this.deps.log,
+      self: this.deps.self,
+      contacts: this.deps.contacts,
+      seeds: this.deps.seeds,
+      controlState: () => this.replica.controlState(),
+      memberStatuses: this.memberStatuses,
+      propose: (draft, waitMs) => this.proposer.propose(draft, waitMs),
+      settle: this.settle,
+      catchUp: (address) => this.catchUp.from(address),
+      renew: this.deps.renew,
+      wasMember: this.deps.wasMember,
+      noteMember: this.deps.noteMember,
+      mayShrinkOdd: !this.deps.keepsClaims,
+    });
+    this.selfBootstrap = createSelfBootstrap({
+      clock: this.deps.clock,
+      rng: this.deps.rng,
+      peers: this.deps.peers,
+      log: this.deps.log,
+      self: this.deps.self,
+      bootstrapMembers: this.deps.bootstrapMembers,
+      ledgerName: () => this.ledgerName(),
+      askVote: this.askerUntil(Infinity),
+      learnZero: (batch) => this.learnZero(batch),
+      seek: () => this.beat(),
+    });
+    this.beating = every(this.deps.clock, MEMBER_STATUS_MS, () => this.beat());
+
+    this.beat();
+    this.closedOrders = this.store.closed;
+    this.history = {
+      offer: (view, slot) => this.catchUp.snapshots.offer(view, slot),
+      page: (from, mostBytes) => this.store.page(from, mostBytes),
+      bytesSince: (from) => this.store.bytesSince(from),
+    };
+  }
+
+  controlState(): ControlState {
+    return this.replica.controlState();
+  }
+
+  isMember(): boolean {
+    return this.replica.isMember();
+  }
+
+  propose(draft: Draft, waitMs: number): Promise<Result<Agreed, ProposeFault>> {
+    return this.proposer.propose(draft, waitMs);
+  }
+
+  private bootstrapBallot(): string | null {
+    return this.selfBootstrap.ballotOf;
   }
 
   /** An answer counts for a member only under the identity that the ledger has of it: a blank disk answers as another one. */
-  function askerUntil(until: number): AskMember {
-    async function ask(member: Member, message: Message): Promise<Message | null> {
+  private askerUntil(until: number): AskMember {
+    const ask = async (member: Member, message: Message): Promise<Message | null> => {
       const id = memberId(member);
-      if (id === replica.id()) return ownAnswer(message);
-      const reply = await peers.call(member.address, message, Math.min(VOTE_WAIT_MS, until - clock.mono()));
+      if (id === this.replica.id()) return this.ownAnswer(message);
+      const reply = await this.deps.peers.call(
+        member.address,
+        message,
+        Math.min(VOTE_WAIT_MS, until - this.deps.clock.mono()),
+      );
       if (!reply.ok) return null;
       return 'voter' in reply.value && reply.value.voter !== id ? null : reply.value;
-    }
+    };
     return ask;
   }
-  function ownAnswer(message: Message): Promise<Message> | Message {
-    return message.kind === 'prepare' || message.kind === 'accept' ? voter.onVote(message) : memberStatuses.own();
-  }
-
-  function isSettled(): boolean {
-    return store.top() <= controlState().slot;
-  }
-  let openSince: number | null = null;
-  async function watch(): Promise<void> {
-    await replica.mend();
-    await membershipChanges.turn();
-    const now = clock.mono();
-    if (!isMember() || isSettled()) openSince = null;
-    else openSince ??= now;
-    if (openSince === null || now - openSince <= DANGLING_MS) return;
-    openSince = null;
-    await proposer.finish(now + VOTE_WAIT_MS, isSettled);
-  }
-  let watching = false;
-  async function watchOnce(): Promise<void> {
-    if (watching) return;
-    watching = true;
-    await watch();
-    watching = false;
-  }
-
-  function beat(): void {
-    if (stopped) return;
-    memberStatuses.ask();
-    void watchOnce();
-  }
-  function onHeard(heard: HeardMemberStatus): void {
-    if (heard.memberStatus.learned > controlState().slot) void catchUp(heard.memberStatus.address);
-    events.emit('heard', heard);
-  }
-  const memberStatuses = createMemberStatuses({
-    clock,
-    peers,
-    self,
-    controlState,
-    top: store.top,
-    writable: store.writable,
-    onHeard,
-  });
-  peers.on('memberStatusAsk', memberStatuses.own);
-  const membershipChanges = createMembershipChanges({
-    clock,
-    rng,
-    peers,
-    log,
-    self,
-    contacts: deps.contacts,
-    seeds: deps.seeds,
-    controlState,
-    memberStatuses,
-    propose,
-    settle,
-    catchUp,
-    renew: deps.renew,
-    wasMember: deps.wasMember,
-    noteMember: deps.noteMember,
-    mayShrinkOdd: !deps.keepsClaims,
-  });
-  function ledgerName(): string {
-    return controlState().ledger;
-  }
-  function learnZero(batch: Batch): Promise<void> {
-    return learn(0, batch);
-  }
-  const selfBootstrap = createSelfBootstrap({
-    clock,
-    rng,
-    peers,
-    log,
-    self,
-    bootstrapMembers: deps.bootstrapMembers,
-    ledgerName,
-    askVote: askerUntil(Infinity),
-    learnZero,
-    seek: beat,
-  });
-  const beating: Timer = every(clock, MEMBER_STATUS_MS, beat);
-  beat();
-
-  function stop(): void {
-    stopped = true;
-    selfBootstrap.stop();
-    beating.cancel();
-    closedFetch.stop();
-  }
-  return ok({
-    controlState,
-    events,
-    propose,
-    settle,
-    closedOrders: store.closed,
-    since: store.recent,
-    history: { ...snapshots, page: store.page, bytesSince: store.bytesSince },
-    bootstrap,
-    isMember,
-    writable: store.writable,
-    top: store.top,
-    heardAt: memberStatuses.heardAt,
-    askMemberStatuses: memberStatuses.ask,
-    self,
-    leave: membershipChanges.leave,
-    stop,
-  });
+
+  private ownAnswer(message: Message): Promise<Message> | Message {
+    return message.kind === 'prepare' || message.kind === 'accept'
+      ? this.voter.onVote(message)
+      : this.memberStatuses.own();
+  }
+
+  private isSettled(): boolean {
+    return this.store.top() <= this.replica.controlState().slot;
+  }
+
+  private async watch(): Promise<void> {
+    await this.replica.mend();
+    await this.membershipChanges.turn();
+    const now = this.deps.clock.mono();
+    if (!this.replica.isMember() || this.isSettled()) this.openSince = null;
+    else this.openSince ??= now;
+    if (this.openSince === null || now - this.openSince <= DANGLING_MS) return;
+    this.openSince = null;
+    await this.proposer.finish(now + VOTE_WAIT_MS, () => this.isSettled());
+  }
+
+  private async watchOnce(): Promise<void> {
+    if (this.watching) return;
+    this.watching = true;
+    await this.watch();
+    this.watching = false;
+  }
+
+  private beat(): void {
+    if (this.stopped) return;
+    this.memberStatuses.ask();
+    void this.watchOnce();
+  }
+
+  private onHeard(heard: HeardMemberStatus): void {
+    if (heard.memberStatus.learned > this.replica.controlState().slot)
+      void this.catchUp.from(heard.memberStatus.address);
+    this.events.emit('heard', heard);
+  }
+
+  private ledgerName(): string {
+    return this.replica.controlState().ledger;
+  }
+
+  private learnZero(batch: Batch): Promise<void> {
+    return this.replica.learn(0, batch);
+  }
+
+  stop(): void {
+    this.stopped = true;
+    this.selfBootstrap.stop();
+    this.beating.cancel();
+    this.closedFetch.stop();
+  }
+
+  since(from: number): readonly RecentSlot[] | null {
+    return this.store.recent(from);
+  }
+
+  writable(): boolean {
+    return this.store.writable();
+  }
+
+  top(): number {
+    return this.store.top();
+  }
+
+  heardAt(id: string): number | null {
+    return this.memberStatuses.heardAt(id);
+  }
+
+  askMemberStatuses(): void {
+    this.memberStatuses.ask();
+  }
+
+  leave(): Promise<void> {
+    return this.membershipChanges.leave();
+  }
+}
+
+function createLedgerOn(deps: LedgerDeps, store: Store, events: Events<LedgerEvents>): Ledger {
+  return new ReplicatedLedger(deps, store, events);
 }
--- a/src/coordination/ledger/majority-contact.ts
+++ b/src/coordination/ledger/majority-contact.ts
@@ -5,20 +5,20 @@
  * comes back attested proves contact as of the moment it was sent. After a standstill of the process what was
  * sent before counts no more.
  */
-export type MajorityContact = {
-  readonly nextNonce: () => number;
+export interface MajorityContact {
+  nextNonce(): number;
   /** When an attested number was sent; null if it is unknown, or from before the newest standstill. */
-  readonly sentAt: (nonce: number) => number | null;
+  sentAt(nonce: number): number | null;
   /** Notes contact as of then; false if none newer than what is known. */
-  readonly note: (sentAt: number) => boolean;
+  note(sentAt: number): boolean;
   /** To be called whenever the process runs: it notices a standstill, and tells `onStandstill`. */
-  readonly noteTurn: () => void;
+  noteTurn(): void;
   /** Whether there was contact since the process began, or since it last stood still. */
-  readonly isKnown: () => boolean;
+  isKnown(): boolean;
   /** Whether the newest contact is too long ago. */
-  readonly isLost: () => boolean;
-  readonly wokeAt: () => number;
-};
+  isLost(): boolean;
+  wokeAt(): number;
+}
 
 const NONCES_KEPT = 16;
 /** Turns come each 100 ms; a gap this long is a machine that was frozen or starved. */
@@ -26,47 +26,63 @@
 /** Two beats and the way of the next one. */
 const LOST_MS = 2_500;
 
-export function createMajorityContact(clock: Clock, onStandstill: (gapMs: number) => void): MajorityContact {
-  const nonces = new Map<number, number>();
-  let nonce = 0;
-  let firstCounted = 1;
-  let contactAt: number | null = null;
-  let lastTurn = clock.mono();
-  let wokeAt = lastTurn;
+class NonceMajorityContact implements MajorityContact {
+  private readonly nonces = new Map<number, number>();
+  private nonce = 0;
+  private firstCounted = 1;
+  private contactAt: number | null = null;
+  private lastTurn: number;
+  private currentWokeAt: number;
+
+  constructor(
+    private readonly clock: Clock,
+    private readonly onStandstill: (gapMs: number) => void,
+  ) {
+    this.lastTurn = this.clock.mono();
+    this.currentWokeAt = this.lastTurn;
+  }
 
-  function nextNonce(): number {
-    nonce += 1;
-    nonces.set(nonce, clock.mono());
-    for (const old of nonces.keys()) if (nonces.size > NONCES_KEPT) nonces.delete(old);
-    return nonce;
+  nextNonce(): number {
+    this.nonce += 1;
+    this.nonces.set(this.nonce, this.clock.mono());
+    for (const old of this.nonces.keys()) if (this.nonces.size > NONCES_KEPT) this.nonces.delete(old);
+    return this.nonce;
   }
-  function sentAt(attested: number): number | null {
-    return attested >= firstCounted ? (nonces.get(attested) ?? null) : null;
+
+  sentAt(attested: number): number | null {
+    return attested >= this.firstCounted ? (this.nonces.get(attested) ?? null) : null;
   }
-  function note(at: number): boolean {
-    if (contactAt !== null && at <= contactAt) return false;
-    contactAt = at;
+
+  note(at: number): boolean {
+    if (this.contactAt !== null && at <= this.contactAt) return false;
+    this.contactAt = at;
     return true;
   }
 
-  function noteTurn(): void {
-    const now = clock.mono();
-    const gap = now - lastTurn;
-    lastTurn = now;
+  noteTurn(): void {
+    const now = this.clock.mono();
+    const gap = now - this.lastTurn;
+    this.lastTurn = now;
     if (gap <= STANDSTILL_MS) return;
-    contactAt = null;
-    firstCounted = nonce + 1;
-    wokeAt = now;
-    onStandstill(gap);
+    this.contactAt = null;
+    this.firstCounted = this.nonce + 1;
+    this.currentWokeAt = now;
+    this.onStandstill(gap);
   }
-  function isKnown(): boolean {
-    return contactAt !== null;
+
+  isKnown(): boolean {
+    return this.contactAt !== null;
   }
-  function isLost(): boolean {
-    return contactAt !== null && clock.mono() - contactAt > LOST_MS;
+
+  isLost(): boolean {
+    return this.contactAt !== null && this.clock.mono() - this.contactAt > LOST_MS;
   }
-  function newestWaking(): number {
-    return wokeAt;
+
+  wokeAt(): number {
+    return this.currentWokeAt;
   }
-  return { nextNonce, sentAt, note, noteTurn, isKnown, isLost, wokeAt: newestWaking };
+}
+
+export function createMajorityContact(clock: Clock, onStandstill: (gapMs: number) => void): MajorityContact {
+  return new NonceMajorityContact(clock, onStandstill);
 }
--- a/src/coordination/ledger/member-statuses.ts
+++ b/src/coordination/ledger/member-statuses.ts
@@ -9,14 +9,14 @@
 import type { Clock } from '../../transport/clock.js';
 import type { Peers } from '../members/peers.js';
 
-export type MemberStatuses = {
-  readonly own: () => MessageOf<'memberStatus'>;
-  readonly ask: () => void;
-  readonly heardAt: (id: string) => number | null;
-  readonly hears: (id: string) => boolean;
-  readonly unheardMs: (id: string) => number;
-  readonly mostUnheard: (id: string) => boolean;
-};
+export interface MemberStatuses {
+  own(): MessageOf<'memberStatus'>;
+  ask(): void;
+  heardAt(id: string): number | null;
+  hears(id: string): boolean;
+  unheardMs(id: string): number;
+  mostUnheard(id: string): boolean;
+}
 
 export type MemberStatusesDeps = {
   readonly clock: Clock;
@@ -42,82 +42,91 @@
 const FRESH_MS = 1_600;
 const STOOD_STILL_MS = 1_500;
 
-export function createMemberStatuses(deps: MemberStatusesDeps): MemberStatuses {
-  const { clock, peers, self } = deps;
-  const heard = new Map<string, Heard>();
-  let lastTurn = clock.mono();
-  let since = lastTurn;
-
-  function noteTurn(): void {
-    const now = clock.mono();
-    if (now - lastTurn > STOOD_STILL_MS) {
-      since = now;
-      heard.clear();
+class PolledMemberStatuses implements MemberStatuses {
+  private readonly heard = new Map<string, Heard>();
+  private lastTurn: number;
+  private since: number;
+
+  constructor(private readonly deps: MemberStatusesDeps) {
+    this.lastTurn = this.deps.clock.mono();
+    this.since = this.lastTurn;
+  }
+
+  private noteTurn(): void {
+    const now = this.deps.clock.mono();
+    if (now - this.lastTurn > STOOD_STILL_MS) {
+      this.since = now;
+      this.heard.clear();
     }
-    lastTurn = now;
+    this.lastTurn = now;
   }
 
-  function others(): Member[] {
+  private others(): Member[] {
     const out: Member[] = [];
-    for (const m of deps.controlState().members) if (memberId(m) !== memberId(self)) out.push(m);
+    for (const m of this.deps.controlState().members) if (memberId(m) !== memberId(this.deps.self)) out.push(m);
     return out;
   }
 
-  function heardAt(id: string): number | null {
-    return heard.get(id)?.at ?? null;
+  heardAt(id: string): number | null {
+    return this.heard.get(id)?.at ?? null;
   }
-  function unheardMs(id: string): number {
-    return clock.mono() - (heardAt(id) ?? since);
+
+  unheardMs(id: string): number {
+    return this.deps.clock.mono() - (this.heardAt(id) ?? this.since);
   }
-  function hears(id: string): boolean {
-    const at = heardAt(id);
-    return at !== null && clock.mono() - at < FRESH_MS;
+
+  hears(id: string): boolean {
+    const at = this.heardAt(id);
+    return at !== null && this.deps.clock.mono() - at < FRESH_MS;
   }
 
-  function own(): MessageOf<'memberStatus'> {
-    const b = deps.controlState();
+  own(): MessageOf<'memberStatus'> {
+    const b = this.deps.controlState();
     const unheard: string[] = [];
-    for (const m of others()) if (unheardMs(memberId(m)) > UNHEARD_MS) unheard.push(memberId(m));
+    for (const m of this.others()) if (this.unheardMs(memberId(m)) > UNHEARD_MS) unheard.push(memberId(m));
     return {
       kind: 'memberStatus',
       ledger: b.ledger,
-      voter: memberId(self),
-      address: self.address,
+      voter: memberId(this.deps.self),
+      address: this.deps.self.address,
       learned: b.slot,
-      top: deps.top(),
-      wall: clock.wall(),
+      top: this.deps.top(),
+      wall: this.deps.clock.wall(),
       ...(unheard.length > 0 ? { unheard } : {}),
-      ...(deps.writable() ? {} : { cannotWrite: true }),
+      ...(this.deps.writable() ? {} : { cannotWrite: true }),
     };
   }
 
-  function mostUnheard(id: string): boolean {
-    let n = unheardMs(id) > UNHEARD_MS ? 1 : 0;
-    for (const m of others()) {
+  mostUnheard(id: string): boolean {
+    let n = this.unheardMs(id) > UNHEARD_MS ? 1 : 0;
+    for (const m of this.others()) {
       const other = memberId(m);
-      if (other !== id && hears(other) && heard.get(other)?.unheard.includes(id)) n += 1;
+      if (other !== id && this.hears(other) && this.heard.get(other)?.unheard.includes(id)) n += 1;
     }
-    return n >= majorityOf(deps.controlState().members);
+    return n >= majorityOf(this.deps.controlState().members);
   }
 
-  async function askOne(m: Member): Promise<void> {
-    const askedAt = clock.mono();
-    const got = await peers.call(m.address, { kind: 'memberStatusAsk' }, ASK_MS);
+  private async askOne(m: Member): Promise<void> {
+    const askedAt = this.deps.clock.mono();
+    const got = await this.deps.peers.call(m.address, { kind: 'memberStatusAsk' }, ASK_MS);
     if (!got.ok || got.value.kind !== 'memberStatus' || got.value.voter !== memberId(m)) return;
-    if (askedAt < since) return;
-    heard.set(memberId(m), { at: askedAt, unheard: got.value.unheard ?? [] });
-    if (got.value.ledger === deps.controlState().ledger) deps.onHeard({ member: m, askedAt, memberStatus: got.value });
+    if (askedAt < this.since) return;
+    this.heard.set(memberId(m), { at: askedAt, unheard: got.value.unheard ?? [] });
+    if (got.value.ledger === this.deps.controlState().ledger)
+      this.deps.onHeard({ member: m, askedAt, memberStatus: got.value });
   }
 
-  function ask(): void {
-    noteTurn();
+  ask(): void {
+    this.noteTurn();
     const asked = new Set<string>();
-    for (const m of others()) {
+    for (const m of this.others()) {
       asked.add(memberId(m));
-      void askOne(m);
+      void this.askOne(m);
     }
-    for (const id of heard.keys()) if (!asked.has(id)) heard.delete(id);
+    for (const id of this.heard.keys()) if (!asked.has(id)) this.heard.delete(id);
   }
+}
 
-  return { own, ask, heardAt, hears, unheardMs, mostUnheard };
+export function createMemberStatuses(deps: MemberStatusesDeps): MemberStatuses {
+  return new PolledMemberStatuses(deps);
 }
--- a/src/coordination/ledger/membership-changes.ts
+++ b/src/coordination/ledger/membership-changes.ts
@@ -20,7 +20,10 @@
 import type { Agreed, Draft, ProposeFault } from './proposal.js';
 import type { MemberStatuses } from './member-statuses.js';
 
-export type MembershipChanges = { readonly turn: () => Promise<void>; readonly leave: () => Promise<void> };
+export interface MembershipChanges {
+  turn(): Promise<void>;
+  leave(): Promise<void>;
+}
 
 export type MembershipChangesDeps = {
   readonly clock: Clock;
@@ -53,202 +56,223 @@
 const HAND_OVER_MS = 2_000;
 const HAND_OVER_PAUSE_MS = 30;
 
-export function createMembershipChanges(deps: MembershipChangesDeps): MembershipChanges {
-  const { clock, rng, peers, log, self, controlState, memberStatuses, propose } = deps;
+class LedgerMembershipChanges implements MembershipChanges {
   // To know a ledger is not to have been a member of it: one that ended while its joining was agreed must keep its identity.
-  let former = deps.wasMember ?? controlState().ledger !== '';
-  let isNoted = deps.wasMember === true;
+  private former: boolean;
+  private isNoted: boolean;
+
+  constructor(private readonly deps: MembershipChangesDeps) {
+    this.former = this.deps.wasMember ?? this.deps.controlState().ledger !== '';
+    this.isNoted = this.deps.wasMember === true;
+
+    this.deps.peers.on('rejoin', (m) => this.onRejoin(m));
+  }
 
-  function held(): Member | null {
-    for (const m of controlState().members) if (memberId(m) === memberId(self)) return m;
+  private held(): Member | null {
+    for (const m of this.deps.controlState().members) if (memberId(m) === memberId(this.deps.self)) return m;
     return null;
   }
 
-  async function agree(cause: string, act: Act): Promise<boolean> {
-    const got = await propose({ cause, act }, AGREE_MS);
+  private async agree(cause: string, act: Act): Promise<boolean> {
+    const got = await this.deps.propose({ cause, act }, AGREE_MS);
     return got.ok && got.value.outcome.tag === 'applied';
   }
 
-  async function answers(m: Member): Promise<boolean> {
-    if (memberId(m) === memberId(self)) return true;
-    const got = await peers.call(m.address, { kind: 'memberStatusAsk' }, ASK_MS);
+  private async answers(m: Member): Promise<boolean> {
+    if (memberId(m) === memberId(this.deps.self)) return true;
+    const got = await this.deps.peers.call(m.address, { kind: 'memberStatusAsk' }, ASK_MS);
     return got.ok && got.value.kind === 'memberStatus' && got.value.voter === memberId(m);
   }
-  async function silentNow(): Promise<Member[]> {
-    const members = controlState().members;
-    const heard = await Promise.all(members.map(answers));
+
+  private async silentNow(): Promise<Member[]> {
+    const members = this.deps.controlState().members;
+    const heard = await Promise.all(members.map((m) => this.answers(m)));
     const out: Member[] = [];
     for (let i = 0; i < members.length; i += 1) if (!heard[i]) out.push(members[i] as Member);
     return out;
   }
 
-  async function admission(joiner: Member): Promise<Act | null> {
-    for (const old of controlState().members)
+  private async admission(joiner: Member): Promise<Act | null> {
+    for (const old of this.deps.controlState().members)
       if (old.name === joiner.name) return { tag: 'memberReplaced', old: memberId(old), member: joiner };
-    for (const old of controlState().members)
+    for (const old of this.deps.controlState().members)
       if (old.address === joiner.address) return { tag: 'memberReplaced', old: memberId(old), member: joiner };
-    const silent = await silentNow();
+    const silent = await this.silentNow();
     if (silent.length === 0)
-      return controlState().members.length < MOST_MEMBERS ? { tag: 'memberAdded', member: joiner } : null;
+      return this.deps.controlState().members.length < MOST_MEMBERS ? { tag: 'memberAdded', member: joiner } : null;
     for (const old of silent)
-      if (memberStatuses.mostUnheard(memberId(old)))
+      if (this.deps.memberStatuses.mostUnheard(memberId(old)))
         return { tag: 'memberReplaced', old: memberId(old), member: joiner };
     return null;
   }
 
-  async function onRejoin(m: MessageOf<'rejoin'>): Promise<Message> {
-    if (m.ledger !== controlState().ledger || !held()) return { kind: 'done', agreed: false };
-    for (const old of controlState().members)
+  private async onRejoin(m: MessageOf<'rejoin'>): Promise<Message> {
+    if (m.ledger !== this.deps.controlState().ledger || !this.held()) return { kind: 'done', agreed: false };
+    for (const old of this.deps.controlState().members)
       if (memberId(old) === memberId(m.member) && old.address === m.member.address)
         return { kind: 'done', agreed: true };
-    const act = await admission(m.member);
+    const act = await this.admission(m.member);
     if (!act) return { kind: 'done', agreed: false };
     const cause =
       act.tag === 'memberAdded' ? `${m.member.name} joined.` : `${m.member.name} came new, or at a new address.`;
-    return { kind: 'done', agreed: await agree(cause, act) };
+    return { kind: 'done', agreed: await this.agree(cause, act) };
   }
-  peers.on('rejoin', onRejoin);
 
-  async function tellOwnAddress(): Promise<void> {
+  private async tellOwnAddress(): Promise<void> {
     if (
-      await agree(`${self.name} serves at a new address.`, {
+      await this.agree(`${this.deps.self.name} serves at a new address.`, {
         tag: 'memberReplaced',
-        old: memberId(self),
-        member: { ...self },
+        old: memberId(this.deps.self),
+        member: { ...this.deps.self },
       })
     )
-      log.info(`Known at ${self.address}.`);
+      this.deps.log.info(`Known at ${this.deps.self.address}.`);
   }
 
-  async function memberStatusesOf(targets: Iterable<Address>): Promise<MessageOf<'memberStatus'>[]> {
+  private async memberStatusesOf(targets: Iterable<Address>): Promise<MessageOf<'memberStatus'>[]> {
     const out: MessageOf<'memberStatus'>[] = [];
-    async function one(to: Address): Promise<void> {
-      const got = await peers.call(to, { kind: 'memberStatusAsk' }, ASK_MS);
-      if (!got.ok || got.value.kind !== 'memberStatus' || got.value.ledger === '') return;
-      if (controlState().ledger === '' || got.value.ledger === controlState().ledger) out.push(got.value);
-      else log.error(`${to} belongs to another ledger; it is ignored.`);
-    }
     const asks: Promise<void>[] = [];
+
+    const one = async (to: Address): Promise<void> => {
+      const got = await this.deps.peers.call(to, { kind: 'memberStatusAsk' }, ASK_MS);
+      if (!got.ok || got.value.kind !== 'memberStatus' || got.value.ledger === '') return;
+      if (this.deps.controlState().ledger === '' || got.value.ledger === this.deps.controlState().ledger)
+        out.push(got.value);
+      else this.deps.log.error(`${to} belongs to another ledger; it is ignored.`);
+    };
     for (const to of targets) asks.push(one(to));
     await Promise.all(asks);
-    return out.sort(furthestFirst);
+    return out.sort((a, b) => this.furthestFirst(a, b));
   }
-  function furthestFirst(a: MessageOf<'memberStatus'>, b: MessageOf<'memberStatus'>): number {
+
+  private furthestFirst(a: MessageOf<'memberStatus'>, b: MessageOf<'memberStatus'>): number {
     return b.learned - a.learned;
   }
 
-  async function seek(): Promise<void> {
-    const targets = new Set<Address>(deps.contacts());
-    for (const m of controlState().members) targets.add(m.address);
-    targets.delete(self.address);
-    const heard = await memberStatusesOf(targets);
+  private async seek(): Promise<void> {
+    const targets = new Set<Address>(this.deps.contacts());
+    for (const m of this.deps.controlState().members) targets.add(m.address);
+    targets.delete(this.deps.self.address);
+    const heard = await this.memberStatusesOf(targets);
     const best = heard[0];
     if (!best) return;
-    if (controlState().ledger === '' && !heard.some(isSeed))
-      log.warn(`No seed answers; found the core at ${best.address}, known from nodes that contacted this one.`);
-    if (best.learned > controlState().slot) await deps.catchUp(best.address);
-    if (held()?.address === self.address) return;
-    if (former && !held()) {
-      if (!(await deps.renew())) return;
-      former = false;
-      isNoted = false;
-      log.info(`No longer a member; joins anew as ${memberId(self)}.`);
+    if (this.deps.controlState().ledger === '' && !heard.some((status) => this.isSeed(status)))
+      this.deps.log.warn(
+        `No seed answers; found the core at ${best.address}, known from nodes that contacted this one.`,
+      );
+    if (best.learned > this.deps.controlState().slot) await this.deps.catchUp(best.address);
+    if (this.held()?.address === this.deps.self.address) return;
+    if (this.former && !this.held()) {
+      if (!(await this.deps.renew())) return;
+      this.former = false;
+      this.isNoted = false;
+      this.deps.log.info(`No longer a member; joins anew as ${memberId(this.deps.self)}.`);
     }
     const addresses: Address[] = [];
-    for (const m of controlState().members)
+    for (const m of this.deps.controlState().members)
       for (const h of heard) if (h.address === m.address) addresses.push(m.address);
-    for (const to of shuffled(rng, addresses).slice(0, 2)) {
-      const asked = await peers.call(
+    for (const to of shuffled(this.deps.rng, addresses).slice(0, 2)) {
+      const asked = await this.deps.peers.call(
         to,
-        { kind: 'rejoin', ledger: controlState().ledger, member: { ...self } },
+        { kind: 'rejoin', ledger: this.deps.controlState().ledger, member: { ...this.deps.self } },
         ADMIT_MS,
       );
       if (!asked.ok || asked.value.kind !== 'done' || !asked.value.agreed) continue;
-      await deps.catchUp(to);
-      if (held()?.address === self.address) log.info(`Joined the ledger as ${memberId(self)}.`);
+      await this.deps.catchUp(to);
+      if (this.held()?.address === this.deps.self.address)
+        this.deps.log.info(`Joined the ledger as ${memberId(this.deps.self)}.`);
       return;
     }
   }
 
-  function isSeed(status: MessageOf<'memberStatus'>): boolean {
-    return deps.seeds.includes(status.address);
+  private isSeed(status: MessageOf<'memberStatus'>): boolean {
+    return this.deps.seeds.includes(status.address);
   }
 
-  function turnOf(): number {
+  private turnOf(): number {
     let n = 0;
-    for (const m of controlState().members) {
-      if (memberId(m) === memberId(self)) return n;
-      if (memberStatuses.hears(memberId(m))) n += 1;
+    for (const m of this.deps.controlState().members) {
+      if (memberId(m) === memberId(this.deps.self)) return n;
+      if (this.deps.memberStatuses.hears(memberId(m))) n += 1;
     }
     return n;
   }
 
-  function isDead(m: Member): boolean {
+  private isDead(m: Member): boolean {
     const id = memberId(m);
     return (
-      id !== memberId(self) &&
-      memberStatuses.unheardMs(id) >= DEAD_MS + IN_TURN_MS * turnOf() &&
-      memberStatuses.mostUnheard(id)
+      id !== memberId(this.deps.self) &&
+      this.deps.memberStatuses.unheardMs(id) >= DEAD_MS + IN_TURN_MS * this.turnOf() &&
+      this.deps.memberStatuses.mostUnheard(id)
     );
   }
 
   // An even group bears as many losses with one member fewer, and an odd one bears one more with two dead ones fewer. But a
   // run-once claim that three of five hold may then be held by one of three only; where claims are kept, an odd group stays.
-  async function shedDead(): Promise<void> {
-    const members = controlState().members;
-    const dead = members.filter(isDead);
+  private async shedDead(): Promise<void> {
+    const members = this.deps.controlState().members;
+    const dead = members.filter((m) => this.isDead(m));
     const isEven = members.length % 2 === 0;
     const needed = isEven ? 1 : 2;
     const [first] = dead;
-    if (!first || dead.length < needed || !(isEven || deps.mayShrinkOdd)) return;
+    if (!first || dead.length < needed || !(isEven || this.deps.mayShrinkOdd)) return;
     const cause = `${first.name} has been dead, and ${members.length} members bear no more than without ${needed === 1 ? 'it' : 'the two that are'}.`;
-    if (await agree(cause, { tag: 'memberRemoved', old: memberId(first) }))
-      log.info(`${memberId(first)} is no longer a member.`);
+    if (await this.agree(cause, { tag: 'memberRemoved', old: memberId(first) }))
+      this.deps.log.info(`${memberId(first)} is no longer a member.`);
   }
 
-  function inTouch(): boolean {
+  private inTouch(): boolean {
     let n = 1;
-    for (const m of controlState().members)
-      if (memberId(m) !== memberId(self) && memberStatuses.hears(memberId(m))) n += 1;
-    return 2 * n > controlState().members.length;
+    for (const m of this.deps.controlState().members)
+      if (memberId(m) !== memberId(this.deps.self) && this.deps.memberStatuses.hears(memberId(m))) n += 1;
+    return 2 * n > this.deps.controlState().members.length;
   }
 
-  async function turn(): Promise<void> {
-    const mine = held();
-    if (mine) former = true;
-    if (mine && !isNoted) isNoted = await deps.noteMember();
-    if (mine && mine.address !== self.address && (await deps.settle(AGREE_MS)) && held()) await tellOwnAddress();
-    if (held()?.address === self.address && inTouch()) await shedDead();
-    else await seek();
+  async turn(): Promise<void> {
+    const mine = this.held();
+    if (mine) this.former = true;
+    if (mine && !this.isNoted) this.isNoted = await this.deps.noteMember();
+    if (mine && mine.address !== this.deps.self.address && (await this.deps.settle(AGREE_MS)) && this.held())
+      await this.tellOwnAddress();
+    if (this.held()?.address === this.deps.self.address && this.inTouch()) await this.shedDead();
+    else await this.seek();
   }
 
-  async function leave(): Promise<void> {
-    if (!held()) return;
-    if (controlState().members.length % 2 === 0)
-      await propose(
-        { cause: `${self.name} was told to end.`, act: { tag: 'memberRemoved', old: memberId(self) } },
+  async leave(): Promise<void> {
+    if (!this.held()) return;
+    if (this.deps.controlState().members.length % 2 === 0)
+      await this.deps.propose(
+        {
+          cause: `${this.deps.self.name} was told to end.`,
+          act: { tag: 'memberRemoved', old: memberId(this.deps.self) },
+        },
         LEAVE_MS,
       );
-    await handOver();
+    await this.handOver();
   }
 
   // Waits until a majority of the members, without this one, have learned all that it knows, so that no copy leaves with it.
-  async function handOver(): Promise<void> {
-    const until = clock.mono() + HAND_OVER_MS;
-    while (clock.mono() < until) {
-      const members = controlState().members;
-      const learned = await Promise.all(members.map(learnedBy));
-      if (learned.filter(isAllKnown).length >= majorityOf(members)) return;
-      await pause(clock, HAND_OVER_PAUSE_MS);
+  private async handOver(): Promise<void> {
+    const until = this.deps.clock.mono() + HAND_OVER_MS;
+    while (this.deps.clock.mono() < until) {
+      const members = this.deps.controlState().members;
+      const learned = await Promise.all(members.map((m) => this.learnedBy(m)));
+      if (learned.filter((slot) => this.isAllKnown(slot)).length >= majorityOf(members)) return;
+      await pause(this.deps.clock, HAND_OVER_PAUSE_MS);
     }
   }
-  async function learnedBy(m: Member): Promise<number> {
-    if (memberId(m) === memberId(self)) return -1;
-    const got = await peers.call(m.address, { kind: 'memberStatusAsk' }, ASK_MS);
+
+  private async learnedBy(m: Member): Promise<number> {
+    if (memberId(m) === memberId(this.deps.self)) return -1;
+    const got = await this.deps.peers.call(m.address, { kind: 'memberStatusAsk' }, ASK_MS);
     return got.ok && got.value.kind === 'memberStatus' && got.value.voter === memberId(m) ? got.value.learned : -1;
   }
-  function isAllKnown(slot: number): boolean {
-    return slot >= controlState().slot;
+
+  private isAllKnown(slot: number): boolean {
+    return slot >= this.deps.controlState().slot;
   }
-  return { turn, leave };
+}
+
+export function createMembershipChanges(deps: MembershipChangesDeps): MembershipChanges {
+  return new LedgerMembershipChanges(deps);
 }
--- a/src/coordination/ledger/proposer.ts
+++ b/src/coordination/ledger/proposer.ts
@@ -7,6 +7,7 @@
  * whose votes count by identity; an entry keeps its id over all its ballots, so it is folded once at most.
  */
 import { createLine } from '../../base/line.js';
+import type { Line } from '../../base/line.js';
 import { err, ok } from '../../base/result.js';
 import type { Result } from '../../base/result.js';
 import { majorityOf, memberId, operationOf } from '../../state/control-state.js';
@@ -22,12 +23,12 @@
 import type { Replica } from './replica.js';
 import { runRound } from './round.js';
 
-export type Proposer = {
+export interface Proposer {
   /** Agrees one entry; `noMajority` after `waitMs` says that it may still come to be agreed, once at most. */
-  readonly propose: (draft: Draft, waitMs: number) => Promise<Result<Agreed, ProposeFault>>;
+  propose(draft: Draft, waitMs: number): Promise<Result<Agreed, ProposeFault>>;
   /** Ballots what others left open (with an empty batch of its own) until `isDone`. */
-  readonly finish: (until: number, isDone: () => boolean) => Promise<void>;
-};
+  finish(until: number, isDone: () => boolean): Promise<void>;
+}
 
 export type ProposerDeps = {
   readonly clock: Clock;
@@ -50,115 +51,137 @@
 const WINNER_ROUNDS = 1.5;
 const MOST_BACKOFF = 3;
 
-export function createProposer(deps: ProposerDeps): Proposer {
-  const { clock, rng, peers, replica, askerUntil, catchUp, mostBytes } = deps;
-  const { controlState, self } = replica;
+class BatchingProposer implements Proposer {
+  private readonly line: Line<Proposal, Result<Agreed, ProposeFault>>;
+
+  constructor(private readonly deps: ProposerDeps) {
+    this.line = createLine((proposals) => this.work(proposals));
+  }
 
-  function tellLearned(slot: number, batch: Batch): void {
-    const { ledger, members } = controlState();
+  private tellLearned(slot: number, batch: Batch): void {
+    const { ledger, members } = this.deps.replica.controlState();
     for (const m of members) {
-      if (memberId(m) === replica.id()) continue;
-      void peers.tell(m.address, { kind: 'learned', ledger, slot, batch: batch.id, at: self.address });
+      if (memberId(m) === this.deps.replica.id()) continue;
+      void this.deps.peers.tell(m.address, {
+        kind: 'learned',
+        ledger,
+        slot,
+        batch: batch.id,
+        at: this.deps.replica.self.address,
+      });
     }
   }
 
-  async function catchUpFrom(ahead: readonly Member[]): Promise<void> {
+  private async catchUpFrom(ahead: readonly Member[]): Promise<void> {
     const asks: Promise<void>[] = [];
-    for (const m of ahead) if (memberId(m) !== replica.id()) asks.push(catchUp(m.address));
+    for (const m of ahead) if (memberId(m) !== this.deps.replica.id()) asks.push(this.deps.catchUp(m.address));
     if (asks.length > 0) await Promise.race(asks);
   }
 
-  async function ballot(batch: Batch, until: number, isDone: () => boolean): Promise<Result<null, ProposeFault>> {
+  private async ballot(batch: Batch, until: number, isDone: () => boolean): Promise<Result<null, ProposeFault>> {
     let highestRound = 0;
     let longestMs = 0;
-    for (let tries = 0; clock.mono() < until; tries += 1) {
+    for (let tries = 0; this.deps.clock.mono() < until; tries += 1) {
       if (isDone()) return ok(null);
-      const { ledger, members, slot: folded } = controlState();
+      const { ledger, members, slot: folded } = this.deps.replica.controlState();
       const slot = folded + 1;
-      const from = clock.mono();
+      const from = this.deps.clock.mono();
       const electorate = { ledger, members, need: majorityOf(members) };
-      const own = { round: highestRound + 1, by: `${replica.id()}/${newId(rng, 'b')}` };
-      const end = await runRound(electorate, slot, own, batch, askerUntil(until));
+      const own = { round: highestRound + 1, by: `${this.deps.replica.id()}/${newId(this.deps.rng, 'b')}` };
+      const end = await runRound(electorate, slot, own, batch, this.deps.askerUntil(until));
       if (end.tag === 'chosen') {
-        await replica.learn(slot, end.batch);
-        tellLearned(slot, end.batch);
+        await this.deps.replica.learn(slot, end.batch);
+        this.tellLearned(slot, end.batch);
         highestRound = 0;
         continue;
       }
-      const fault = replica.blockedBy();
+      const fault = this.deps.replica.blockedBy();
       if (fault) return err({ tag: 'cannotWrite', fault });
       if (end.tag === 'behind') {
-        await catchUpFrom(end.ahead);
-        if (controlState().slot >= slot) highestRound = 0;
-        else await pause(clock, BEHIND_PAUSE_MS);
+        await this.catchUpFrom(end.ahead);
+        if (this.deps.replica.controlState().slot >= slot) highestRound = 0;
+        else await pause(this.deps.clock, BEHIND_PAUSE_MS);
         continue;
       }
       if (end.tag === 'outbid') highestRound = Math.max(highestRound, end.round);
-      longestMs = Math.max(longestMs, clock.mono() - from);
-      await replica.slotDone(slot, Math.min(until - clock.mono(), waitAfter(longestMs, tries)));
+      longestMs = Math.max(longestMs, this.deps.clock.mono() - from);
+      await this.deps.replica.slotDone(
+        slot,
+        Math.min(until - this.deps.clock.mono(), this.waitAfter(longestMs, tries)),
+      );
     }
     return isDone() ? ok(null) : err({ tag: 'noMajority' });
   }
-  function waitAfter(roundMs: number, tries: number): number {
-    const backoff = rng.next() * (roundMs + LEAST_WAIT_MS) * Math.min(MOST_BACKOFF, tries + 1);
+
+  private waitAfter(roundMs: number, tries: number): number {
+    const backoff = this.deps.rng.next() * (roundMs + LEAST_WAIT_MS) * Math.min(MOST_BACKOFF, tries + 1);
     return LEAST_WAIT_MS + WINNER_ROUNDS * roundMs + backoff;
   }
 
   /** Agrees all that wait in one batch; what no longer fits comes with the next one. */
-  async function work(proposals: readonly Proposal[]): Promise<readonly Result<Agreed, ProposeFault>[]> {
-    const now = clock.mono();
+  private async work(proposals: readonly Proposal[]): Promise<readonly Result<Agreed, ProposeFault>[]> {
+    const now = this.deps.clock.mono();
     const entries: Entry[] = [];
     let until = now;
     let total = 0;
     for (const p of proposals) {
-      if (p.until <= now || operationOf(controlState(), p.entry.id) || total + p.bytes > mostBytes) continue;
+      if (
+        p.until <= now ||
+        operationOf(this.deps.replica.controlState(), p.entry.id) ||
+        total + p.bytes > this.deps.mostBytes
+      )
+        continue;
       total += p.bytes;
       entries.push(p.entry);
       until = Math.min(now + SLICE_MS, Math.max(until, p.until));
     }
-    function allFolded(): boolean {
-      for (const e of entries) if (!operationOf(controlState(), e.id)) return false;
-      return true;
-    }
     let failed: ProposeFault = { tag: 'noMajority' };
+
+    const allFolded = (): boolean => {
+      for (const e of entries) if (!operationOf(this.deps.replica.controlState(), e.id)) return false;
+      return true;
+    };
     if (entries.length > 0) {
-      const decided = await ballot({ id: newId(rng, 'batch'), entries }, until, allFolded);
+      const decided = await this.ballot({ id: newId(this.deps.rng, 'batch'), entries }, until, allFolded);
       if (!decided.ok) failed = decided.fault;
     }
     const results: Result<Agreed, ProposeFault>[] = [];
     for (const p of proposals) {
-      const done = operationOf(controlState(), p.entry.id);
+      const done = operationOf(this.deps.replica.controlState(), p.entry.id);
       results.push(done ? ok({ slot: done.slot, outcome: done.outcome }) : err(failed));
     }
     return results;
   }
-  const line = createLine(work);
 
-  async function propose(draft: Draft, waitMs: number): Promise<Result<Agreed, ProposeFault>> {
-    const until = clock.mono() + waitMs;
-    if (!(await replica.knowsLedger(waitMs))) return err({ tag: 'notBootstrapped' });
+  async propose(draft: Draft, waitMs: number): Promise<Result<Agreed, ProposeFault>> {
+    const until = this.deps.clock.mono() + waitMs;
+    if (!(await this.deps.replica.knowsLedger(waitMs))) return err({ tag: 'notBootstrapped' });
     const entry: Entry = {
-      id: draft.id ?? newId(rng, 'op'),
-      author: self.name,
-      wall: clock.wall(),
+      id: draft.id ?? newId(this.deps.rng, 'op'),
+      author: this.deps.replica.self.name,
+      wall: this.deps.clock.wall(),
       cause: draft.cause,
       act: draft.act,
       ...(draft.fence === undefined ? {} : { fence: draft.fence }),
     };
     const bytes = Buffer.byteLength(JSON.stringify(entry));
-    if (bytes > mostBytes) return err({ tag: 'cannotWrite', fault: { tag: 'recordTooLarge', bytes } });
-    return agreedWithin(entry, bytes, until);
+    if (bytes > this.deps.mostBytes) return err({ tag: 'cannotWrite', fault: { tag: 'recordTooLarge', bytes } });
+    return this.agreedWithin(entry, bytes, until);
   }
-  async function agreedWithin(entry: Entry, bytes: number, until: number): Promise<Result<Agreed, ProposeFault>> {
+
+  private async agreedWithin(entry: Entry, bytes: number, until: number): Promise<Result<Agreed, ProposeFault>> {
     for (;;) {
-      const queued = line.put({ entry, bytes, until });
-      const end = (await within(clock, until - clock.mono(), queued)) ?? err({ tag: 'noMajority' });
-      if (end.ok || end.fault.tag !== 'noMajority' || clock.mono() >= until) return end;
+      const queued = this.line.put({ entry, bytes, until });
+      const end = (await within(this.deps.clock, until - this.deps.clock.mono(), queued)) ?? err({ tag: 'noMajority' });
+      if (end.ok || end.fault.tag !== 'noMajority' || this.deps.clock.mono() >= until) return end;
     }
   }
 
-  async function finish(until: number, isDone: () => boolean): Promise<void> {
-    await ballot({ id: newId(rng, 'batch'), entries: [] }, until, isDone);
+  async finish(until: number, isDone: () => boolean): Promise<void> {
+    await this.ballot({ id: newId(this.deps.rng, 'batch'), entries: [] }, until, isDone);
   }
-  return { propose, finish };
+}
+
+export function createProposer(deps: ProposerDeps): Proposer {
+  return new BatchingProposer(deps);
 }
--- a/src/coordination/ledger/replica.ts
+++ b/src/coordination/ledger/replica.ts
@@ -13,87 +13,97 @@
 import type { RingFault } from '../../transport/ring.js';
 import type { Store, StoreAnswer, StoreCommand } from './store.js';
 
-export type Replica = {
+export interface Replica {
   readonly store: Store;
   readonly self: Member;
-  readonly controlState: () => ControlState;
+  controlState(): ControlState;
   /** The identity under which this controller votes now; it changes when the controller joins anew. */
-  readonly id: () => string;
-  readonly isMember: () => boolean;
-  readonly put: (command: StoreCommand) => Promise<StoreAnswer>;
+  id(): string;
+  isMember(): boolean;
+  put(command: StoreCommand): Promise<StoreAnswer>;
   /** Folds a chosen batch into its slot, if that is the next one. */
-  readonly learn: (slot: number, batch: Batch) => Promise<void>;
+  learn(slot: number, batch: Batch): Promise<void>;
   /** Resolves once `slot` is folded, or after `waitMs`. */
-  readonly slotDone: (slot: number, waitMs: number) => Promise<void>;
+  slotDone(slot: number, waitMs: number): Promise<void>;
   /** Resolves true once the ledger is known: a blank controller learns it from the others in its first second. */
-  readonly knowsLedger: (waitMs: number) => Promise<boolean>;
+  knowsLedger(waitMs: number): Promise<boolean>;
   /** After a failed write: tries to write the whole state anew, so that this member votes again once its disk takes it. */
-  readonly mend: () => Promise<void>;
+  mend(): Promise<void>;
   /** Why the last vote or fold could not be written; null once something was written again. */
-  readonly blockedBy: () => RingFault | null;
-};
+  blockedBy(): RingFault | null;
+}
 
 const POLL_MS = 15;
 
-export function createReplica(store: Store, self: Member, clock: Clock, log: Log): Replica {
-  let blocked: RingFault | null = null;
+class StoreReplica implements Replica {
+  private blocked: RingFault | null = null;
+
+  constructor(
+    readonly store: Store,
+    readonly self: Member,
+    private readonly clock: Clock,
+    private readonly log: Log,
+  ) {}
 
-  function id(): string {
-    return memberId(self);
+  id(): string {
+    return memberId(this.self);
   }
-  function isMember(): boolean {
-    for (const m of store.controlState().members) if (memberId(m) === id()) return true;
+
+  isMember(): boolean {
+    for (const m of this.store.controlState().members) if (memberId(m) === this.id()) return true;
     return false;
   }
 
-  async function put(command: StoreCommand): Promise<StoreAnswer> {
-    const answer = await store.put(command);
+  async put(command: StoreCommand): Promise<StoreAnswer> {
+    const answer = await this.store.put(command);
     if (answer.tag === 'cannotWrite') {
-      if (!blocked) log.error(`Cannot write the ring (${answer.fault.tag}); nothing is acknowledged until it can.`);
-      blocked = answer.fault;
-    } else if (blocked && store.writable()) {
-      log.info('The ring can be written again.');
-      blocked = null;
+      if (!this.blocked)
+        this.log.error(`Cannot write the ring (${answer.fault.tag}); nothing is acknowledged until it can.`);
+      this.blocked = answer.fault;
+    } else if (this.blocked && this.store.writable()) {
+      this.log.info('The ring can be written again.');
+      this.blocked = null;
     }
     return answer;
   }
-  async function mend(): Promise<void> {
-    if (!store.writable()) await put({ tag: 'rewrite' });
+
+  async mend(): Promise<void> {
+    if (!this.store.writable()) await this.put({ tag: 'rewrite' });
   }
-  async function learn(slot: number, batch: Batch): Promise<void> {
-    await put({ tag: 'chosen', slot, batch });
+
+  async learn(slot: number, batch: Batch): Promise<void> {
+    await this.put({ tag: 'chosen', slot, batch });
   }
-  async function when(test: () => boolean, waitMs: number): Promise<boolean> {
-    const until = clock.mono() + waitMs;
-    while (!test() && clock.mono() < until) await pause(clock, Math.min(POLL_MS, until - clock.mono()));
+
+  private async when(test: () => boolean, waitMs: number): Promise<boolean> {
+    const until = this.clock.mono() + waitMs;
+    while (!test() && this.clock.mono() < until) await pause(this.clock, Math.min(POLL_MS, until - this.clock.mono()));
     return test();
   }
-  async function slotDone(slot: number, waitMs: number): Promise<void> {
-    function isDone(): boolean {
-      return store.controlState().slot >= slot;
-    }
-    await when(isDone, waitMs);
+
+  async slotDone(slot: number, waitMs: number): Promise<void> {
+    const isDone = (): boolean => {
+      return this.store.controlState().slot >= slot;
+    };
+    await this.when(isDone, waitMs);
   }
-  function knowsLedger(waitMs: number): Promise<boolean> {
-    function isKnown(): boolean {
-      return store.controlState().ledger !== '';
-    }
-    return when(isKnown, waitMs);
+
+  knowsLedger(waitMs: number): Promise<boolean> {
+    const isKnown = (): boolean => {
+      return this.store.controlState().ledger !== '';
+    };
+    return this.when(isKnown, waitMs);
+  }
+
+  blockedBy(): RingFault | null {
+    return this.blocked;
   }
-  function blockedBy(): RingFault | null {
-    return blocked;
+
+  controlState(): ControlState {
+    return this.store.controlState();
   }
-  return {
-    store,
-    self,
-    controlState: store.controlState,
-    id,
-    isMember,
-    put,
-    mend,
-    learn,
-    slotDone,
-    knowsLedger,
-    blockedBy,
-  };
+}
+
+export function createReplica(store: Store, self: Member, clock: Clock, log: Log): Replica {
+  return new StoreReplica(store, self, clock, log);
 }
--- a/src/coordination/ledger/self-bootstrap.ts
+++ b/src/coordination/ledger/self-bootstrap.ts
@@ -16,7 +16,10 @@
 import type { AskMember } from './poll.js';
 import { runRound } from './round.js';
 
-export type SelfBootstrap = { readonly ballotOf: string | null; readonly stop: () => void };
+export interface SelfBootstrap {
+  readonly ballotOf: string | null;
+  stop(): void;
+}
 
 export type SelfBootstrapDeps = {
   readonly clock: Clock;
@@ -60,96 +63,121 @@
   return `bootstrap-members-${sha256([...bootstrapMembers].sort().join()).slice(0, 16)}`;
 }
 
-export function createSelfBootstrap(deps: SelfBootstrapDeps): SelfBootstrap {
-  const { clock, rng, peers, log, self } = deps;
-  const bootstrapMembers = deps.bootstrapMembers ? [...deps.bootstrapMembers].sort() : [];
-  const mark = deps.bootstrapMembers ? markOf(bootstrapMembers) : null;
-  const need = Math.floor(bootstrapMembers.length / 2) + 1;
-  const openedAt = clock.mono();
-  let ableSince: number | null = null;
-  let round = 0;
-  let busy = false;
-
-  function onAsk(m: MessageOf<'bootstrapVoteAsk'>): MessageOf<'bootstrapVoteAnswer'> {
-    return { kind: 'bootstrapVoteAnswer', member: self, ledger: deps.ledgerName(), votes: m.bootstrapMembers === mark };
+class SeedBallotBootstrap implements SelfBootstrap {
+  private readonly bootstrapMembers: string[];
+  readonly ballotOf: string | null;
+  private readonly need: number;
+  private readonly openedAt: number;
+  private ableSince: number | null = null;
+  private round = 0;
+  private busy = false;
+  private readonly ticking: Timer | null;
+
+  constructor(private readonly deps: SelfBootstrapDeps) {
+    this.bootstrapMembers = this.deps.bootstrapMembers ? [...this.deps.bootstrapMembers].sort() : [];
+    this.ballotOf = this.deps.bootstrapMembers ? markOf(this.bootstrapMembers) : null;
+    this.need = Math.floor(this.bootstrapMembers.length / 2) + 1;
+    this.openedAt = this.deps.clock.mono();
+
+    this.deps.peers.on('bootstrapVoteAsk', (m) => this.onAsk(m));
+    this.ticking =
+      this.ballotOf && this.deps.ledgerName() === '' ? every(this.deps.clock, TURN_MS, () => this.tick()) : null;
+  }
+
+  private onAsk(m: MessageOf<'bootstrapVoteAsk'>): MessageOf<'bootstrapVoteAnswer'> {
+    return {
+      kind: 'bootstrapVoteAnswer',
+      member: this.deps.self,
+      ledger: this.deps.ledgerName(),
+      votes: m.bootstrapMembers === this.ballotOf,
+    };
   }
-  peers.on('bootstrapVoteAsk', onAsk);
 
-  async function ask(to: Address, of: string): Promise<Message | null> {
-    if (to === self.address) return onAsk({ kind: 'bootstrapVoteAsk', bootstrapMembers: of });
-    const got = await peers.call(to, { kind: 'bootstrapVoteAsk', bootstrapMembers: of }, ASK_MS);
+  private async ask(to: Address, of: string): Promise<Message | null> {
+    if (to === this.deps.self.address) return this.onAsk({ kind: 'bootstrapVoteAsk', bootstrapMembers: of });
+    const got = await this.deps.peers.call(to, { kind: 'bootstrapVoteAsk', bootstrapMembers: of }, ASK_MS);
     return got.ok ? got.value : null;
   }
 
-  async function turn(of: string): Promise<void> {
+  private async turn(of: string): Promise<void> {
     const asks: Promise<Message | null>[] = [];
-    for (const to of bootstrapMembers) asks.push(ask(to, of));
+    for (const to of this.bootstrapMembers) asks.push(this.ask(to, of));
     const blank: Member[] = [];
     let voters = 0;
     for (const got of await Promise.all(asks)) {
       if (got?.kind !== 'bootstrapVoteAnswer') continue;
       if (got.ledger !== '') {
-        deps.seek();
+        this.deps.seek();
         return;
       }
       blank.push(got.member);
       if (got.votes) voters += 1;
     }
-    const now = clock.mono();
-    const whole = blank.length === bootstrapMembers.length || now - openedAt > WITHOUT_ALL_MS;
-    if (!whole || voters < need || deps.ledgerName() !== '') {
-      ableSince = null;
+    const now = this.deps.clock.mono();
+    const whole = blank.length === this.bootstrapMembers.length || now - this.openedAt > WITHOUT_ALL_MS;
+    if (!whole || voters < this.need || this.deps.ledgerName() !== '') {
+      this.ableSince = null;
       return;
     }
-    ableSince ??= now;
-    if (now - ableSince < IN_TURN_MS * blank.findIndex(isSelf)) return;
+    this.ableSince ??= now;
+    if (now - this.ableSince < IN_TURN_MS * blank.findIndex((m) => this.isSelf(m))) return;
     const mine = bootstrapEntry(
-      self,
-      newId(rng, 'ledger'),
+      this.deps.self,
+      newId(this.deps.rng, 'ledger'),
       blank,
       'The first controllers bootstrapped the ledger at their first start.',
-      clock,
-      rng,
+      this.deps.clock,
+      this.deps.rng,
     );
     const end = await runRound(
-      { ledger: of, members: blank, need },
+      { ledger: of, members: blank, need: this.need },
       0,
-      { round: round + 1, by: `${memberId(self)}/${newId(rng, 'b')}` },
+      { round: this.round + 1, by: `${memberId(this.deps.self)}/${newId(this.deps.rng, 'b')}` },
       mine,
-      deps.askVote,
+      this.deps.askVote,
     );
     if (end.tag === 'outbid') {
-      round = end.round;
-      ableSince = clock.mono() + rng.next() * IN_TURN_MS;
+      this.round = end.round;
+      this.ableSince = this.deps.clock.mono() + this.deps.rng.next() * IN_TURN_MS;
     }
     if (end.tag !== 'chosen') return;
-    await deps.learnZero(end.batch);
+    await this.deps.learnZero(end.batch);
     for (const m of blank)
-      if (!isSelf(m))
-        void peers.tell(m.address, { kind: 'learned', ledger: of, slot: 0, batch: end.batch.id, at: self.address });
-    log.info(`Bootstrapped the ledger with ${blank.length} controllers.`);
+      if (!this.isSelf(m))
+        void this.deps.peers.tell(m.address, {
+          kind: 'learned',
+          ledger: of,
+          slot: 0,
+          batch: end.batch.id,
+          at: this.deps.self.address,
+        });
+    this.deps.log.info(`Bootstrapped the ledger with ${blank.length} controllers.`);
   }
-  function isSelf(m: Member): boolean {
-    return memberId(m) === memberId(self);
+
+  private isSelf(m: Member): boolean {
+    return memberId(m) === memberId(this.deps.self);
   }
 
-  async function turnOnce(of: string): Promise<void> {
-    busy = true;
-    await turn(of);
-    busy = false;
+  private async turnOnce(of: string): Promise<void> {
+    this.busy = true;
+    await this.turn(of);
+    this.busy = false;
   }
-  function tick(): void {
-    if (!mark) return;
-    if (deps.ledgerName() !== '') {
-      ticking?.cancel();
+
+  private tick(): void {
+    if (!this.ballotOf) return;
+    if (this.deps.ledgerName() !== '') {
+      this.ticking?.cancel();
       return;
     }
-    if (!busy) void turnOnce(mark);
+    if (!this.busy) void this.turnOnce(this.ballotOf);
   }
-  const ticking: Timer | null = mark && deps.ledgerName() === '' ? every(clock, TURN_MS, tick) : null;
 
-  function stop(): void {
-    ticking?.cancel();
+  stop(): void {
+    this.ticking?.cancel();
   }
-  return { ballotOf: mark, stop };
+}
+
+export function createSelfBootstrap(deps: SelfBootstrapDeps): SelfBootstrap {
+  return new SeedBallotBootstrap(deps);
 }
--- a/src/coordination/ledger/settled-read.ts
+++ b/src/coordination/ledger/settled-read.ts
@@ -8,6 +8,7 @@
  */
 import type { Message } from '../../protocol/messages.js';
 import { majorityOf, membersMark } from '../../state/control-state.js';
+import type { ControlState } from '../../state/control-state.js';
 import type { Member } from '../../state/entry.js';
 import { pause } from '../../transport/clock.js';
 import type { Clock } from '../../transport/clock.js';
@@ -36,7 +37,9 @@
 /** Makes the reading: true once the state is settled, false after `waitMs`. */
 export function createSettledRead(deps: SettledReadDeps): (waitMs: number) => Promise<boolean> {
   const { clock, replica, proposer, askerUntil, catchUp } = deps;
-  const { controlState } = replica;
+  function controlState(): ControlState {
+    return replica.controlState();
+  }
 
   /** The members must be the same at the end: a majority of former ones may hold a removed one and others that lag. */
   async function settle(waitMs: number): Promise<boolean> {
--- a/src/coordination/ledger/snapshot-giver.ts
+++ b/src/coordination/ledger/snapshot-giver.ts
@@ -12,10 +12,10 @@
  * it was made at, and stays what it is while it is being fetched, whatever is folded meanwhile; the slots
  * since then come as batches afterwards. Few are pinned at a time, and nodes that lag together share one.
  */
-export type SnapshotGiver = {
+export interface SnapshotGiver {
   /** A snapshot that holds that slot, to be fetched part by part with `snapshotAsk`; null if the state is over the bound. */
-  readonly offer: (view: SnapshotView, slot: number) => SnapshotOffer | null;
-};
+  offer(view: SnapshotView, slot: number): SnapshotOffer | null;
+}
 
 /** All that is replicated, or only what a proxy uses of it. */
 export type SnapshotView = 'controller' | 'proxy';
@@ -36,66 +36,71 @@
 /** One that is being fetched, and a newer one where the slots since then are no longer kept. */
 const MOST_PINNED_EACH = 2;
 
-export function createSnapshotGiver(deps: SnapshotGiverDeps): SnapshotGiver {
-  const { peers, clock, log, controlState } = deps;
-  let pinned: Pinned[] = [];
+class PinnedSnapshotGiver implements SnapshotGiver {
+  private pinned: Pinned[] = [];
+
+  constructor(private readonly deps: SnapshotGiverDeps) {
+    this.deps.peers.on('snapshotAsk', (m) => this.onAsk(m));
+  }
 
-  function isFresh(pin: Pinned): boolean {
-    return clock.mono() - pin.askedAt < PINNED_MS;
+  private isFresh(pin: Pinned): boolean {
+    return this.deps.clock.mono() - pin.askedAt < PINNED_MS;
   }
 
   /** One that stands already, if it holds the slot and all since then is kept as batches. */
-  function reusable(view: SnapshotView, slot: number): Pinned | null {
-    for (const pin of pinned) {
+  private reusable(view: SnapshotView, slot: number): Pinned | null {
+    for (const pin of this.pinned) {
       const held = pin.snapshot.offer.slot;
-      if (pin.view === view && held >= slot && deps.keepsFrom(held + 1)) return pin;
+      if (pin.view === view && held >= slot && this.deps.keepsFrom(held + 1)) return pin;
     }
     return null;
   }
 
-  function pin(view: SnapshotView): Pinned | null {
-    const state = controlState();
+  private pin(view: SnapshotView): Pinned | null {
+    const state = this.deps.controlState();
     const snapshot = snapshotOf(state.slot, JSON.stringify(view === 'proxy' ? proxyState(state) : state));
     if (!isBounded(snapshot.offer)) {
-      log.error(
+      this.deps.log.error(
         `The state is ${snapshot.offer.length} characters long, too many for a snapshot; nodes that lag can't be helped.`,
       );
       return null;
     }
-    const made: Pinned = { snapshot, view, askedAt: clock.mono() };
-    pinned = [made, ...othersBeside(view)];
+    const made: Pinned = { snapshot, view, askedAt: this.deps.clock.mono() };
+    this.pinned = [made, ...this.othersBeside(view)];
     return made;
   }
-  function othersBeside(view: SnapshotView): Pinned[] {
+
+  private othersBeside(view: SnapshotView): Pinned[] {
     let ofView = 1;
     const out: Pinned[] = [];
-    for (const pin of pinned) {
+    for (const pin of this.pinned) {
       if (pin.view === view) ofView += 1;
       if (pin.view !== view || ofView <= MOST_PINNED_EACH) out.push(pin);
     }
     return out;
   }
 
-  function offer(view: SnapshotView, slot: number): SnapshotOffer | null {
-    if (controlState().ledger === '' || slot > controlState().slot) return null;
-    pinned = pinned.filter(isFresh);
-    const offered = reusable(view, slot) ?? pin(view);
+  offer(view: SnapshotView, slot: number): SnapshotOffer | null {
+    if (this.deps.controlState().ledger === '' || slot > this.deps.controlState().slot) return null;
+    this.pinned = this.pinned.filter((pin) => this.isFresh(pin));
+    const offered = this.reusable(view, slot) ?? this.pin(view);
     if (!offered) return null;
-    offered.askedAt = clock.mono();
+    offered.askedAt = this.deps.clock.mono();
     return offered.snapshot.offer;
   }
 
-  function onAsk(m: MessageOf<'snapshotAsk'>): Message {
-    for (const pin of pinned) {
+  private onAsk(m: MessageOf<'snapshotAsk'>): Message {
+    for (const pin of this.pinned) {
       if (pin.snapshot.offer.digest !== m.digest) continue;
       const part = partOf(pin.snapshot, m.part);
       if (part === null) break;
-      pin.askedAt = clock.mono();
+      pin.askedAt = this.deps.clock.mono();
       return { kind: 'snapshotPart', digest: m.digest, part: m.part, text: part };
     }
     return { kind: 'snapshotGone', digest: m.digest };
   }
-  peers.on('snapshotAsk', onAsk);
+}
 
-  return { offer };
+export function createSnapshotGiver(deps: SnapshotGiverDeps): SnapshotGiver {
+  return new PinnedSnapshotGiver(deps);
 }
--- a/src/coordination/ledger/snapshot-taker.ts
+++ b/src/coordination/ledger/snapshot-taker.ts
@@ -13,10 +13,10 @@
  * fetch goes on where it stood with whoever offers the same snapshot (the same digest); any other offer
  * begins anew. A state is returned only if the digest of the whole is the one that was offered.
  */
-export type SnapshotTaker = {
-  readonly take: (from: Address, offer: SnapshotOffer) => Promise<SnapshotTake>;
-  readonly isTaking: () => boolean;
-};
+export interface SnapshotTaker {
+  take(from: Address, offer: SnapshotOffer): Promise<SnapshotTake>;
+  isTaking(): boolean;
+}
 
 export type SnapshotTake =
   | { readonly tag: 'whole'; readonly state: ControlState }
@@ -35,58 +35,71 @@
 const REFUSED: SnapshotTake = { tag: 'refused' };
 const JOINED: SnapshotTake = { tag: 'joined' };
 
-export function createSnapshotTaker(peers: Pick<Peers, 'call'>, clock: Clock, log: Log): SnapshotTaker {
-  let assembly: Assembly | null = null;
-  let underWay: Promise<SnapshotTake> | null = null;
+class ResumingSnapshotTaker implements SnapshotTaker {
+  private assembly: Assembly | null = null;
+  private underWay: Promise<SnapshotTake> | null = null;
+
   /** Counts the fetches begun. One that is no longer the newest adds nothing to the assembly. */
-  let newest = 0;
-  let partAt = 0;
+  private newest = 0;
+  private partAt = 0;
 
-  function isTaking(): boolean {
-    return underWay !== null;
+  constructor(
+    private readonly peers: Pick<Peers, 'call'>,
+    private readonly clock: Clock,
+    private readonly log: Log,
+  ) {}
+
+  isTaking(): boolean {
+    return this.underWay !== null;
   }
 
-  async function take(from: Address, offer: SnapshotOffer): Promise<SnapshotTake> {
-    if (underWay && clock.mono() - partAt < STALLED_MS) {
-      await underWay;
+  async take(from: Address, offer: SnapshotOffer): Promise<SnapshotTake> {
+    if (this.underWay && this.clock.mono() - this.partAt < STALLED_MS) {
+      await this.underWay;
       return JOINED;
     }
-    newest += 1;
-    partAt = clock.mono();
-    const own = newest;
-    underWay = fetchFrom(from, offer, own);
-    const ended = await underWay;
-    if (own !== newest) return JOINED;
-    underWay = null;
-    if (ended.tag !== 'interrupted') assembly = null;
+    this.newest += 1;
+    this.partAt = this.clock.mono();
+    const own = this.newest;
+    this.underWay = this.fetchFrom(from, offer, own);
+    const ended = await this.underWay;
+    if (own !== this.newest) return JOINED;
+    this.underWay = null;
+    if (ended.tag !== 'interrupted') this.assembly = null;
     return ended;
   }
 
-  async function fetchFrom(from: Address, offer: SnapshotOffer, own: number): Promise<SnapshotTake> {
+  private async fetchFrom(from: Address, offer: SnapshotOffer, own: number): Promise<SnapshotTake> {
     if (!isBounded(offer)) {
-      log.error(`${from} offers a snapshot of ${offer.length} characters, over the bound; it is not fetched.`);
+      this.log.error(`${from} offers a snapshot of ${offer.length} characters, over the bound; it is not fetched.`);
       return REFUSED;
     }
-    const held = assembly?.offer.digest === offer.digest ? assembly : createAssembly(offer);
-    assembly = held;
+    const held = this.assembly?.offer.digest === offer.digest ? this.assembly : createAssembly(offer);
+    this.assembly = held;
     for (let next = nextPart(held); next !== null; next = nextPart(held)) {
-      const reply = await peers.call(from, { kind: 'snapshotAsk', digest: offer.digest, part: next }, PART_WAIT_MS);
-      if (!reply.ok || own !== newest) return INTERRUPTED;
+      const reply = await this.peers.call(
+        from,
+        { kind: 'snapshotAsk', digest: offer.digest, part: next },
+        PART_WAIT_MS,
+      );
+      if (!reply.ok || own !== this.newest) return INTERRUPTED;
       const answer = reply.value;
       if (answer.kind !== 'snapshotPart' || answer.digest !== offer.digest || !addPart(held, answer.part, answer.text))
         return REFUSED;
-      partAt = clock.mono();
+      this.partAt = this.clock.mono();
     }
-    return stateIn(from, held);
+    return this.stateIn(from, held);
   }
 
-  function stateIn(from: Address, held: Assembly): SnapshotTake {
+  private stateIn(from: Address, held: Assembly): SnapshotTake {
     const text = assembled(held);
     const state = text.ok ? parsedJson(text.value) : null;
     if (text.ok && isControlState(state) && state.slot === held.offer.slot) return { tag: 'whole', state };
-    log.warn(`A snapshot from ${from} is not what was offered; it is not taken.`);
+    this.log.warn(`A snapshot from ${from} is not what was offered; it is not taken.`);
     return REFUSED;
   }
+}
 
-  return { take, isTaking };
+export function createSnapshotTaker(peers: Pick<Peers, 'call'>, clock: Clock, log: Log): SnapshotTaker {
+  return new ResumingSnapshotTaker(peers, clock, log);
 }
--- a/src/coordination/ledger/store.ts
+++ b/src/coordination/ledger/store.ts
@@ -1,6 +1,7 @@
 import { ok } from '../../base/result.js';
 import type { Result } from '../../base/result.js';
 import { createLine } from '../../base/line.js';
+import type { Line } from '../../base/line.js';
 import {
   accept,
   acceptedAt,
@@ -22,7 +23,7 @@
 import type { RecentSlot } from '../../state/recent-slots.js';
 import type { Disk } from '../../transport/disk.js';
 import { openRing } from '../../transport/ring.js';
-import type { RingFault, RingShape } from '../../transport/ring.js';
+import type { Opened, RingFault, RingShape } from '../../transport/ring.js';
 
 export type StoreCommand =
   | { readonly tag: 'prepare'; readonly slot: number; readonly ballot: Ballot }
@@ -52,19 +53,19 @@
  * - The snapshot on the disk is the state, the closed orders and these votes, as of one moment. Records written after it
  *   say the same again or more, so replaying one that the snapshot covers changes nothing.
  */
-export type Store = {
-  readonly put: (command: StoreCommand) => Promise<StoreAnswer>;
-  readonly controlState: () => ControlState;
+export interface Store {
+  put(command: StoreCommand): Promise<StoreAnswer>;
+  controlState(): ControlState;
   /** The chosen batches from that slot on; null if the first of them is no longer kept, empty if there is none yet. */
-  readonly recent: (from: number) => readonly RecentSlot[] | null;
+  recent(from: number): readonly RecentSlot[] | null;
   /** As many of these as fit the bound in bytes, but one at least. */
-  readonly page: (from: number, mostBytes: number) => readonly RecentSlot[] | null;
-  readonly bytesSince: (from: number) => number | null;
+  page(from: number, mostBytes: number): readonly RecentSlot[] | null;
+  bytesSince(from: number): number | null;
   readonly closed: ClosedOrders;
-  readonly top: () => number;
-  readonly accepted: (slot: number) => Batch | null;
-  readonly writable: () => boolean;
-};
+  top(): number;
+  accepted(slot: number): Batch | null;
+  writable(): boolean;
+}
 
 /** One record of the ring. */
 type Saved =
@@ -93,68 +94,87 @@
 ): Promise<Result<Store, RingFault>> {
   const opened = await openRing(disk, shape);
   if (!opened.ok) return opened;
-  const { ring, snapshot, records } = opened.value;
-  let controlState = emptyControlState();
-  let acc: Acceptor = createAcceptor(0);
-  const recent = createRecentSlots();
-  let saved: Snapshot | null = null;
-  let canWrite = true;
-
-  if (snapshot) {
-    saved = JSON.parse(snapshot.toString()) as Snapshot;
-    controlState = saved.controlState;
-    acc = createAcceptor(controlState.slot + 1);
-    for (const [slot, state] of saved.slots) restoreSlot(acc, slot, state);
-  }
-  const closed = createClosedOrders(shape.snapshotBytes * CLOSED_SHARE, saved ? saved.closed : null);
-  for (const rec of records) {
-    const record = JSON.parse(rec.toString()) as Saved;
-    if (record.t === 'slot') restoreSlot(acc, record.slot, record.state);
-    else if (record.slot === controlState.slot + 1) {
-      foldBatch(controlState, record.slot, record.batch);
-      keepClosed();
-      raiseFloor(acc, record.slot + 1);
-      recent.remember(record.slot, record.batch, rec.length);
+  return ok(createRingStore(opened.value, shape, onFold, onAdopt));
+}
+
+class RingStore implements Store {
+  private currentControlState = emptyControlState();
+  private acc: Acceptor = createAcceptor(0);
+  private readonly currentRecent = createRecentSlots();
+  private canWrite = true;
+  readonly closed: ClosedOrders;
+  private readonly line: Line<StoreCommand, StoreAnswer>;
+
+  constructor(
+    private readonly opened: Opened,
+    private readonly shape: RingShape,
+    private readonly onFold: (slot: number, batch: Batch, outcomes: readonly Outcome[]) => void,
+    private readonly onAdopt: () => void,
+  ) {
+    let saved: Snapshot | null = null;
+
+    if (this.opened.snapshot) {
+      saved = JSON.parse(this.opened.snapshot.toString()) as Snapshot;
+      this.currentControlState = saved.controlState;
+      this.acc = createAcceptor(this.currentControlState.slot + 1);
+      for (const [slot, state] of saved.slots) restoreSlot(this.acc, slot, state);
+    }
+    this.closed = createClosedOrders(this.shape.snapshotBytes * CLOSED_SHARE, saved ? saved.closed : null);
+
+    for (const rec of this.opened.records) {
+      const record = JSON.parse(rec.toString()) as Saved;
+      if (record.t === 'slot') restoreSlot(this.acc, record.slot, record.state);
+      else if (record.slot === this.currentControlState.slot + 1) {
+        foldBatch(this.currentControlState, record.slot, record.batch);
+        this.keepClosed();
+        raiseFloor(this.acc, record.slot + 1);
+        this.currentRecent.remember(record.slot, record.batch, rec.length);
+      }
     }
+    this.line = createLine((commands) => this.work(commands));
   }
 
-  function keepClosed(): void {
-    for (const order of controlState.closed) closed.add(order);
+  private keepClosed(): void {
+    for (const order of this.currentControlState.closed) this.closed.add(order);
   }
 
-  function decide(command: StoreCommand, write: (saved: Saved) => number): StoreAnswer {
+  private decide(command: StoreCommand, write: (saved: Saved) => number): StoreAnswer {
     switch (command.tag) {
       case 'prepare': {
-        const vote = prepare(acc, command.slot, command.ballot);
-        if (vote.tag === 'promised') write({ t: 'slot', slot: command.slot, state: slotOf(acc, command.slot) });
+        const vote = prepare(this.acc, command.slot, command.ballot);
+        if (vote.tag === 'promised') write({ t: 'slot', slot: command.slot, state: slotOf(this.acc, command.slot) });
         return { tag: 'vote', vote };
       }
       case 'accept': {
-        const vote = accept(acc, command.slot, command.ballot, command.batch);
-        if (vote.tag === 'accepted') write({ t: 'slot', slot: command.slot, state: slotOf(acc, command.slot) });
+        const vote = accept(this.acc, command.slot, command.ballot, command.batch);
+        if (vote.tag === 'accepted') write({ t: 'slot', slot: command.slot, state: slotOf(this.acc, command.slot) });
         return { tag: 'vote', vote };
       }
       case 'chosen': {
-        if (command.slot !== controlState.slot + 1) return { tag: 'outOfOrder' };
-        const outcomes = foldBatch(controlState, command.slot, command.batch);
-        keepClosed();
-        raiseFloor(acc, command.slot + 1);
-        recent.remember(command.slot, command.batch, write({ t: 'chosen', slot: command.slot, batch: command.batch }));
-        onFold(command.slot, command.batch, outcomes);
+        if (command.slot !== this.currentControlState.slot + 1) return { tag: 'outOfOrder' };
+        const outcomes = foldBatch(this.currentControlState, command.slot, command.batch);
+        this.keepClosed();
+        raiseFloor(this.acc, command.slot + 1);
+        this.currentRecent.remember(
+          command.slot,
+          command.batch,
+          write({ t: 'chosen', slot: command.slot, batch: command.batch }),
+        );
+        this.onFold(command.slot, command.batch, outcomes);
         return { tag: 'folded', outcomes };
       }
       case 'adopt': {
-        if (command.controlState.slot <= controlState.slot) return { tag: 'outOfOrder' };
-        closed.skip({ from: controlState.slot + 1, to: command.controlState.slot });
-        controlState = structuredClone(command.controlState);
-        keepClosed();
-        raiseFloor(acc, controlState.slot + 1);
-        recent.clear();
-        onAdopt();
+        if (command.controlState.slot <= this.currentControlState.slot) return { tag: 'outOfOrder' };
+        this.closed.skip({ from: this.currentControlState.slot + 1, to: command.controlState.slot });
+        this.currentControlState = structuredClone(command.controlState);
+        this.keepClosed();
+        raiseFloor(this.acc, this.currentControlState.slot + 1);
+        this.currentRecent.clear();
+        this.onAdopt();
         return { tag: 'folded', outcomes: [] };
       }
       case 'fillClosed': {
-        closed.fill(command.orders, command.whole);
+        this.closed.fill(command.orders, command.whole);
         return { tag: 'folded', outcomes: [] };
       }
       case 'rewrite':
@@ -162,11 +182,13 @@
     }
   }
 
-  async function compacted(): Promise<Result<null, RingFault>> {
-    return ring.compact(encoded({ controlState, closed: closed.saved(), slots: [...acc.slots] }));
+  private async compacted(): Promise<Result<null, RingFault>> {
+    return this.opened.ring.compact(
+      encoded({ controlState: this.currentControlState, closed: this.closed.saved(), slots: [...this.acc.slots] }),
+    );
   }
 
-  async function work(commands: readonly StoreCommand[]): Promise<readonly StoreAnswer[]> {
+  private async work(commands: readonly StoreCommand[]): Promise<readonly StoreAnswer[]> {
     const answers: StoreAnswer[] = [];
     const writes: Buffer[] = [];
     let whole = false;
@@ -176,18 +198,18 @@
       return record.length;
     }
     for (const command of commands) {
-      answers.push(decide(command, write));
+      answers.push(this.decide(command, write));
       if (command.tag === 'adopt' || command.tag === 'fillClosed' || command.tag === 'rewrite') whole = true;
     }
     let written: Result<null, RingFault> = ok(null);
-    if (whole) written = await compacted();
+    if (whole) written = await this.compacted();
     else if (writes.length > 0) {
-      if (ring.crowded()) written = await compacted();
-      if (written.ok) written = await ring.append(writes);
+      if (this.opened.ring.crowded()) written = await this.compacted();
+      if (written.ok) written = await this.opened.ring.append(writes);
       if (!written.ok && (written.fault.tag === 'ringFull' || written.fault.tag === 'ringBroken'))
-        written = await compacted();
+        written = await this.compacted();
     }
-    canWrite = written.ok;
+    this.canWrite = written.ok;
     if (written.ok) return answers;
     const fault = written.fault;
     function failed(): StoreAnswer {
@@ -196,38 +218,44 @@
     return answers.map(failed);
   }
 
-  const line = createLine(work);
+  controlState(): ControlState {
+    return this.currentControlState;
+  }
 
-  function currentControlState(): ControlState {
-    return controlState;
+  recent(from: number): readonly RecentSlot[] | null {
+    return from > this.currentControlState.slot ? [] : this.currentRecent.since(from);
   }
-  function since(from: number): readonly RecentSlot[] | null {
-    return from > controlState.slot ? [] : recent.since(from);
+
+  page(from: number, mostBytes: number): readonly RecentSlot[] | null {
+    return from > this.currentControlState.slot ? [] : this.currentRecent.page(from, mostBytes);
   }
-  function page(from: number, mostBytes: number): readonly RecentSlot[] | null {
-    return from > controlState.slot ? [] : recent.page(from, mostBytes);
+
+  bytesSince(from: number): number | null {
+    return from > this.currentControlState.slot ? 0 : this.currentRecent.bytesSince(from);
   }
-  function bytesSince(from: number): number | null {
-    return from > controlState.slot ? 0 : recent.bytesSince(from);
+
+  top(): number {
+    return Math.max(this.currentControlState.slot, highestAccepted(this.acc));
   }
-  function top(): number {
-    return Math.max(controlState.slot, highestAccepted(acc));
+
+  accepted(slot: number): Batch | null {
+    return acceptedAt(this.acc, slot)?.batch ?? null;
   }
-  function accepted(slot: number): Batch | null {
-    return acceptedAt(acc, slot)?.batch ?? null;
+
+  writable(): boolean {
+    return this.canWrite;
   }
-  function writable(): boolean {
-    return canWrite;
+
+  put(command: StoreCommand): Promise<StoreAnswer> {
+    return this.line.put(command);
   }
-  return ok({
-    put: line.put,
-    controlState: currentControlState,
-    recent: since,
-    page,
-    bytesSince,
-    closed,
-    top,
-    accepted,
-    writable,
-  });
+}
+
+function createRingStore(
+  opened: Opened,
+  shape: RingShape,
+  onFold: (slot: number, batch: Batch, outcomes: readonly Outcome[]) => void,
+  onAdopt: () => void,
+): Store {
+  return new RingStore(opened, shape, onFold, onAdopt);
 }
--- a/src/coordination/ledger/voter.ts
+++ b/src/coordination/ledger/voter.ts
@@ -17,7 +17,9 @@
 
 export type VoteAsk = MessageOf<'prepare'> | MessageOf<'accept'>;
 
-export type Voter = { readonly onVote: (ask: VoteAsk) => Promise<Message> };
+export interface Voter {
+  onVote(ask: VoteAsk): Promise<Message>;
+}
 
 export type VoterDeps = {
   readonly clock: Clock;
@@ -30,51 +32,56 @@
 
 const LEARN_WAIT_MS = 400;
 
-export function createVoter(deps: VoterDeps): Voter {
-  const { clock, peers, replica, catchUp } = deps;
-  const { controlState, store } = replica;
+class ReplicaVoter implements Voter {
+  constructor(private readonly deps: VoterDeps) {
+    this.deps.peers.on('prepare', (ask) => this.onVote(ask));
+
+    this.deps.peers.on('accept', (ask) => this.onVote(ask));
+
+    this.deps.peers.on('learned', (told) => this.onLearned(told));
+  }
 
   /** One that lags learns from the proposer what it lacks, so that its vote counts at once. */
-  async function learnUpTo(slot: number, ballot: Ballot): Promise<void> {
-    for (const member of controlState().members) {
+  private async learnUpTo(slot: number, ballot: Ballot): Promise<void> {
+    for (const member of this.deps.replica.controlState().members) {
       const id = memberId(member);
-      if (id === replica.id() || !ballot.by.startsWith(`${id}/`)) continue;
-      await within(clock, LEARN_WAIT_MS, catchUp(member.address));
-      if (controlState().slot < slot) await within(clock, LEARN_WAIT_MS, catchUp(member.address));
+      if (id === this.deps.replica.id() || !ballot.by.startsWith(`${id}/`)) continue;
+      await within(this.deps.clock, LEARN_WAIT_MS, this.deps.catchUp(member.address));
+      if (this.deps.replica.controlState().slot < slot)
+        await within(this.deps.clock, LEARN_WAIT_MS, this.deps.catchUp(member.address));
     }
   }
 
-  function mayVote(ask: VoteAsk): boolean {
-    if (ask.slot > controlState().slot + 1) return false;
-    if (ask.ledger === deps.bootstrapBallot()) return ask.slot === 0;
-    return ask.ledger === controlState().ledger && replica.isMember();
+  private mayVote(ask: VoteAsk): boolean {
+    if (ask.slot > this.deps.replica.controlState().slot + 1) return false;
+    if (ask.ledger === this.deps.bootstrapBallot()) return ask.slot === 0;
+    return ask.ledger === this.deps.replica.controlState().ledger && this.deps.replica.isMember();
   }
 
-  async function onVote(ask: VoteAsk): Promise<Message> {
-    if (ask.ledger === controlState().ledger && ask.slot > controlState().slot + 1)
-      await learnUpTo(ask.slot - 1, ask.ballot);
-    if (!mayVote(ask)) return { kind: 'cannotVote' };
+  async onVote(ask: VoteAsk): Promise<Message> {
+    if (ask.ledger === this.deps.replica.controlState().ledger && ask.slot > this.deps.replica.controlState().slot + 1)
+      await this.learnUpTo(ask.slot - 1, ask.ballot);
+    if (!this.mayVote(ask)) return { kind: 'cannotVote' };
     const { slot, ballot } = ask;
-    const answer = await replica.put(
+    const answer = await this.deps.replica.put(
       ask.kind === 'prepare' ? { tag: 'prepare', slot, ballot } : { tag: 'accept', slot, ballot, batch: ask.batch },
     );
-    return answer.tag === 'vote' ? messageOf(answer.vote, replica.id()) : { kind: 'cannotVote' };
+    return answer.tag === 'vote' ? messageOf(answer.vote, this.deps.replica.id()) : { kind: 'cannotVote' };
   }
 
-  function onLearned(told: MessageOf<'learned'>): null {
-    const { ledger, slot } = controlState();
-    const isSlotZero = ledger === '' && told.slot === 0 && told.ledger === deps.bootstrapBallot();
+  private onLearned(told: MessageOf<'learned'>): null {
+    const { ledger, slot } = this.deps.replica.controlState();
+    const isSlotZero = ledger === '' && told.slot === 0 && told.ledger === this.deps.bootstrapBallot();
     if (!isSlotZero && (told.ledger !== ledger || told.slot <= slot)) return null;
-    const accepted = store.accepted(told.slot);
-    if (told.slot === slot + 1 && accepted?.id === told.batch) void replica.learn(told.slot, accepted);
-    else void catchUp(told.at);
+    const accepted = this.deps.replica.store.accepted(told.slot);
+    if (told.slot === slot + 1 && accepted?.id === told.batch) void this.deps.replica.learn(told.slot, accepted);
+    else void this.deps.catchUp(told.at);
     return null;
   }
+}
 
-  peers.on('prepare', onVote);
-  peers.on('accept', onVote);
-  peers.on('learned', onLearned);
-  return { onVote };
+export function createVoter(deps: VoterDeps): Voter {
+  return new ReplicaVoter(deps);
 }
 
 function messageOf(vote: Vote, voter: string): Message {
