--- a/src/coordination/members/membership.ts
+++ b/src/coordination/members/membership.ts
@@ -8,7 +8,7 @@
 import { briefNews, isUp, mergeNode, sumOf, wholeNews } from '../../state/members.js';
 import type { Members } from '../../state/members.js';
 import { every } from '../../transport/clock.js';
-import type { Clock } from '../../transport/clock.js';
+import type { Clock, Timer } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
 import { shuffled } from '../../transport/rng.js';
 import type { Rng } from '../../transport/rng.js';
@@ -17,15 +17,15 @@
 
 export type MembershipEvents = { readonly changed: { readonly node: NodeInfo } };
 
-export type Membership = {
-  readonly all: () => readonly NodeInfo[];
-  readonly get: (name: string) => NodeInfo | null;
+export interface Membership {
+  all(): readonly NodeInfo[];
+  get(name: string): NodeInfo | null;
   readonly events: {
     readonly on: <K extends keyof MembershipEvents>(name: K, fn: (e: MembershipEvents[K]) => void) => void;
   };
-  readonly leave: () => void;
-  readonly stop: () => void;
-};
+  leave(): void;
+  stop(): void;
+}
 
 const PERIOD_MS = 500;
 const DIRECT_MS = 250;
@@ -40,89 +40,102 @@
 const COMPARE_MS = 10_000;
 const FORGET_MS = 600_000;
 
-export function createMembership(
-  self: NodeInfo,
-  contacts: () => Iterable<Address>,
-  peers: Peers,
-  clock: Clock,
-  rng: Rng,
-  log: Log,
-): Membership {
-  const events = createEvents<MembershipEvents>();
-  const members: Members = new Map([[self.name, self]]);
-  const shares = new Map<string, number>();
-  const suspectAt = new Map<string, number>();
-  const goneAt = new Map<string, number>();
-  const rounds: Record<'near' | 'far', string[]> = { near: [], far: [] };
-  let turns = 0;
-  let introduced = false;
-  let sum: number | null = null;
-  let comparedAt = clock.mono();
-
-  function own(): NodeInfo {
-    return members.get(self.name) ?? self;
+class SwimMembership implements Membership {
+  readonly events = createEvents<MembershipEvents>();
+  private readonly members: Members;
+  private readonly shares = new Map<string, number>();
+  private readonly suspectAt = new Map<string, number>();
+  private readonly goneAt = new Map<string, number>();
+  private readonly rounds: Record<'near' | 'far', string[]> = { near: [], far: [] };
+  private turns = 0;
+  private introduced = false;
+  private sum: number | null = null;
+  private comparedAt: number;
+  private readonly ticking: Timer;
+
+  constructor(
+    private readonly self: NodeInfo,
+    private readonly contacts: () => Iterable<Address>,
+    private readonly peers: Peers,
+    private readonly clock: Clock,
+    private readonly rng: Rng,
+    private readonly log: Log,
+  ) {
+    this.members = new Map([[this.self.name, this.self]]);
+    this.comparedAt = this.clock.mono();
+
+    this.peers.on('probe', (m) => this.onProbe(m));
+
+    this.peers.on('probeFor', (m) => this.onProbeFor(m));
+    this.ticking = every(this.clock, PERIOD_MS, () => this.tick());
+
+    this.tick();
+  }
+
+  private own(): NodeInfo {
+    return this.members.get(this.self.name) ?? this.self;
   }
 
-  function take(news: readonly (NodeInfo | NodeNews)[], all = false): void {
+  private take(news: readonly (NodeInfo | NodeNews)[], all = false): void {
     for (const told of news) {
-      const n = wholeNews(members, self.name, told);
-      if (!n || (!isUp(n) && !members.has(n.name) && !(all && n.status === 'dead'))) continue;
-      const step = mergeNode(members, self.name, n);
-      if (step.refuted) log.warn(`Was held for ${n.status}; refutes it.`);
+      const n = wholeNews(this.members, this.self.name, told);
+      if (!n || (!isUp(n) && !this.members.has(n.name) && !(all && n.status === 'dead'))) continue;
+      const step = mergeNode(this.members, this.self.name, n);
+      if (step.refuted) this.log.warn(`Was held for ${n.status}; refutes it.`);
       if (!step.changed) continue;
-      noteStatus(members.get(n.name) as NodeInfo, !all);
+      this.noteStatus(this.members.get(n.name) as NodeInfo, !all);
     }
   }
 
-  function noteStatus(node: NodeInfo, spread = true): void {
-    sum = null;
-    if (spread) shares.set(node.name, 0);
+  private noteStatus(node: NodeInfo, spread = true): void {
+    this.sum = null;
+    if (spread) this.shares.set(node.name, 0);
     if (node.status === 'suspect') {
-      if (!suspectAt.has(node.name)) suspectAt.set(node.name, clock.mono());
-    } else suspectAt.delete(node.name);
-    if (isUp(node)) goneAt.delete(node.name);
-    else goneAt.set(node.name, clock.mono());
-    if (node.name !== self.name) log.info(`${node.name} is ${node.status}.`);
-    events.emit('changed', { node });
+      if (!this.suspectAt.has(node.name)) this.suspectAt.set(node.name, this.clock.mono());
+    } else this.suspectAt.delete(node.name);
+    if (isUp(node)) this.goneAt.delete(node.name);
+    else this.goneAt.set(node.name, this.clock.mono());
+    if (node.name !== this.self.name) this.log.info(`${node.name} is ${node.status}.`);
+    this.events.emit('changed', { node });
   }
 
-  function news(): (NodeInfo | NodeNews)[] {
-    const names = [...shares.keys()].sort(fewestFirst);
+  private news(): (NodeInfo | NodeNews)[] {
+    const fewestFirst = (a: string, b: string): number => {
+      return (this.shares.get(a) ?? 0) - (this.shares.get(b) ?? 0);
+    };
+    const names = [...this.shares.keys()].sort(fewestFirst);
     const out: (NodeInfo | NodeNews)[] = [];
     let bytes = 0;
     for (const name of names) {
-      const node = members.get(name);
+      const node = this.members.get(name);
       const told = node?.status === 'alive' ? node : node && briefNews(node);
       bytes += told ? JSON.stringify(told).length : 0;
       if (bytes > NEWS_BYTES) break;
-      const n = (shares.get(name) ?? 0) + 1;
-      if (n >= TIMES_TOLD) shares.delete(name);
-      else shares.set(name, n);
+      const n = (this.shares.get(name) ?? 0) + 1;
+      if (n >= TIMES_TOLD) this.shares.delete(name);
+      else this.shares.set(name, n);
       if (told) out.push(told);
     }
     return out;
-    function fewestFirst(a: string, b: string): number {
-      return (shares.get(a) ?? 0) - (shares.get(b) ?? 0);
-    }
   }
 
-  function everything(): NodeInfo[] {
-    return [...members.values()];
+  all(): NodeInfo[] {
+    return [...this.members.values()];
   }
 
-  function onProbe(m: MessageOf<'probe'>): Message {
-    take(m.news, m.all === true && m.news.length > 1);
-    take([m.from]);
-    const held = members.get(m.from.name);
+  private onProbe(m: MessageOf<'probe'>): Message {
+    this.take(m.news, m.all === true && m.news.length > 1);
+    this.take([m.from]);
+    const held = this.members.get(m.from.name);
     const stranger = held?.run !== m.from.run;
-    const out = m.all === true ? everything() : news();
+    const out = m.all === true ? this.all() : this.news();
     if (held && (held.status !== 'alive' || stranger)) out.push(held);
-    if (m.all !== true && (stranger || m.news.some(introduces))) out.push(own());
+    if (m.all !== true && (stranger || m.news.some(introduces))) out.push(this.own());
     return {
       kind: 'probeAnswer',
       reached: true,
-      from: briefNews(own()),
-      sum: ownSum(),
+      from: briefNews(this.own()),
+      sum: this.ownSum(),
       ...(stranger ? { stranger } : {}),
       news: out,
     };
@@ -130,173 +143,203 @@
       return n.name === m.from.name && 'address' in n;
     }
   }
-  async function onProbeFor(m: MessageOf<'probeFor'>): Promise<Message> {
-    take(m.news);
-    const node = members.get(m.target);
-    const reached = node ? await probe(node.address, DIRECT_MS) : false;
-    return { kind: 'probeAnswer', reached, news: news() };
+
+  private async onProbeFor(m: MessageOf<'probeFor'>): Promise<Message> {
+    this.take(m.news);
+    const node = this.members.get(m.target);
+    const reached = node ? await this.probe(node.address, DIRECT_MS) : false;
+    return { kind: 'probeAnswer', reached, news: this.news() };
   }
-  peers.on('probe', onProbe);
-  peers.on('probeFor', onProbeFor);
 
-  async function probe(to: Address, waitMs: number): Promise<boolean> {
-    const all = introduced ? {} : { all: true };
-    const got = await peers.call(
+  private async probe(to: Address, waitMs: number): Promise<boolean> {
+    const all = this.introduced ? {} : { all: true };
+    const got = await this.peers.call(
       to,
-      { kind: 'probe', from: briefNews(own()), ...all, news: introduced ? news() : [own(), ...news()] },
+      {
+        kind: 'probe',
+        from: briefNews(this.own()),
+        ...all,
+        news: this.introduced ? this.news() : [this.own(), ...this.news()],
+      },
       waitMs,
     );
     if (!got.ok || got.value.kind !== 'probeAnswer') return false;
-    take(got.value.news, !introduced);
-    introduced = true;
-    if (got.value.from) take([got.value.from]);
-    const unknown = got.value.from !== undefined && members.get(got.value.from.name)?.run !== got.value.from.run;
-    if (got.value.stranger === true || unknown) void introduce(to);
+    this.take(got.value.news, !this.introduced);
+    this.introduced = true;
+    if (got.value.from) this.take([got.value.from]);
+    const unknown = got.value.from !== undefined && this.members.get(got.value.from.name)?.run !== got.value.from.run;
+    if (got.value.stranger === true || unknown) void this.introduce(to);
     else if (
       got.value.sum !== undefined &&
-      got.value.sum !== ownSum() &&
-      shares.size === 0 &&
-      clock.mono() - comparedAt > COMPARE_MS
+      got.value.sum !== this.ownSum() &&
+      this.shares.size === 0 &&
+      this.clock.mono() - this.comparedAt > COMPARE_MS
     )
-      void compare(to);
+      void this.compare(to);
     return true;
   }
-  function ownSum(): number {
-    sum ??= sumOf(members);
-    return sum;
+
+  private ownSum(): number {
+    this.sum ??= sumOf(this.members);
+    return this.sum;
   }
-  async function compare(to: Address): Promise<void> {
-    comparedAt = clock.mono();
-    const got = await peers.call(
+
+  private async compare(to: Address): Promise<void> {
+    this.comparedAt = this.clock.mono();
+    const got = await this.peers.call(
       to,
-      { kind: 'probe', from: briefNews(own()), all: true, news: everything() },
+      { kind: 'probe', from: briefNews(this.own()), all: true, news: this.all() },
       INDIRECT_MS,
     );
-    if (got.ok && got.value.kind === 'probeAnswer') take(got.value.news, true);
+    if (got.ok && got.value.kind === 'probeAnswer') this.take(got.value.news, true);
   }
-  async function introduce(to: Address): Promise<void> {
-    const got = await peers.call(to, { kind: 'probe', from: briefNews(own()), news: [own()] }, 2 * DIRECT_MS);
-    if (got.ok && got.value.kind === 'probeAnswer') take(got.value.news);
+
+  private async introduce(to: Address): Promise<void> {
+    const got = await this.peers.call(
+      to,
+      { kind: 'probe', from: briefNews(this.own()), news: [this.own()] },
+      2 * DIRECT_MS,
+    );
+    if (got.ok && got.value.kind === 'probeAnswer') this.take(got.value.news);
   }
 
-  async function askHelpers(target: NodeInfo): Promise<boolean> {
+  private async askHelpers(target: NodeInfo): Promise<boolean> {
     const others: NodeInfo[] = [];
-    for (const n of members.values())
-      if (n.name !== self.name && n.name !== target.name && n.status === 'alive') others.push(n);
+    for (const n of this.members.values())
+      if (n.name !== this.self.name && n.name !== target.name && n.status === 'alive') others.push(n);
     let reached = false;
-    async function one(helper: NodeInfo): Promise<void> {
-      const got = await peers.call(
+    const asks: Promise<void>[] = [];
+
+    const one = async (helper: NodeInfo): Promise<void> => {
+      const got = await this.peers.call(
         helper.address,
-        { kind: 'probeFor', target: target.name, news: news() },
+        { kind: 'probeFor', target: target.name, news: this.news() },
         INDIRECT_MS,
       );
       if (got.ok && got.value.kind === 'probeAnswer') {
-        take(got.value.news);
+        this.take(got.value.news);
         if (got.value.reached) reached = true;
       }
-    }
-    const asks: Promise<void>[] = [];
-    for (const helper of shuffled(rng, others).slice(0, HELPERS)) asks.push(one(helper));
+    };
+    for (const helper of shuffled(this.rng, others).slice(0, HELPERS)) asks.push(one(helper));
     await Promise.all(asks);
     return reached;
   }
 
-  function nextTarget(): NodeInfo | null {
-    const order = turns % FAR_EACH === 0 ? (['far', 'near'] as const) : (['near', 'far'] as const);
+  private nextTarget(): NodeInfo | null {
+    const order = this.turns % FAR_EACH === 0 ? (['far', 'near'] as const) : (['near', 'far'] as const);
     for (const which of order) {
-      const node = nextOf(which);
+      const node = this.nextOf(which);
       if (node) return node;
     }
     return null;
   }
-  function nextOf(which: 'near' | 'far'): NodeInfo | null {
-    function isOf(n: NodeInfo): boolean {
-      return n.name !== self.name && isUp(n) && (n.region === self.region) === (which === 'near');
-    }
-    for (let name = rounds[which].pop(); name !== undefined; name = rounds[which].pop()) {
-      const node = members.get(name);
+
+  private nextOf(which: 'near' | 'far'): NodeInfo | null {
+    const isOf = (n: NodeInfo): boolean => {
+      return n.name !== this.self.name && isUp(n) && (n.region === this.self.region) === (which === 'near');
+    };
+    for (let name = this.rounds[which].pop(); name !== undefined; name = this.rounds[which].pop()) {
+      const node = this.members.get(name);
       if (node && isOf(node)) return node;
     }
     const up: string[] = [];
-    for (const n of members.values()) if (isOf(n)) up.push(n.name);
-    rounds[which] = shuffled(rng, up);
-    const name = rounds[which].pop();
-    return name === undefined ? null : (members.get(name) ?? null);
+    for (const n of this.members.values()) if (isOf(n)) up.push(n.name);
+    this.rounds[which] = shuffled(this.rng, up);
+    const name = this.rounds[which].pop();
+    return name === undefined ? null : (this.members.get(name) ?? null);
   }
 
-  function expire(): void {
-    const now = clock.mono();
-    for (const [name, at] of suspectAt) {
-      const node = members.get(name);
+  private expire(): void {
+    const now = this.clock.mono();
+    for (const [name, at] of this.suspectAt) {
+      const node = this.members.get(name);
       if (!node || now - at < SUSPECT_MS) continue;
       const dead: NodeInfo = { ...node, status: 'dead' };
-      members.set(name, dead);
-      noteStatus(dead);
+      this.members.set(name, dead);
+      this.noteStatus(dead);
     }
-    for (const [name, at] of goneAt) {
+    for (const [name, at] of this.goneAt) {
       if (now - at < FORGET_MS) continue;
-      members.delete(name);
-      sum = null;
-      goneAt.delete(name);
-      shares.delete(name);
+      this.members.delete(name);
+      this.sum = null;
+      this.goneAt.delete(name);
+      this.shares.delete(name);
     }
   }
 
-  async function turn(): Promise<void> {
-    expire();
-    turns += 1;
-    if (turns % SEED_EACH === 1) void greetSeed();
-    if (turns % GONE_EACH === 0) void greetGone();
-    const target = nextTarget();
+  private async turn(): Promise<void> {
+    this.expire();
+    this.turns += 1;
+    if (this.turns % SEED_EACH === 1) void this.greetSeed();
+    if (this.turns % GONE_EACH === 0) void this.greetGone();
+    const target = this.nextTarget();
     if (!target) return;
-    if (await probe(target.address, DIRECT_MS)) return;
-    if (await askHelpers(target)) return;
-    const held = members.get(target.name);
+    if (await this.probe(target.address, DIRECT_MS)) return;
+    if (await this.askHelpers(target)) return;
+    const held = this.members.get(target.name);
     if (!held || held.status !== 'alive' || held.incarnation !== target.incarnation) return;
     const suspect: NodeInfo = { ...held, status: 'suspect' };
-    members.set(target.name, suspect);
-    noteStatus(suspect);
+    this.members.set(target.name, suspect);
+    this.noteStatus(suspect);
   }
 
-  async function greetSeed(): Promise<void> {
+  private async greetSeed(): Promise<void> {
     const known = new Set<Address>();
-    for (const n of members.values()) if (n.status === 'alive') known.add(n.address);
-    for (const contact of contacts())
-      if (!known.has(contact) && contact !== self.address) await probe(contact, 2 * DIRECT_MS);
-    await greetOne(isDead);
+    for (const n of this.members.values()) if (n.status === 'alive') known.add(n.address);
+    for (const contact of this.contacts())
+      if (!known.has(contact) && contact !== this.self.address) await this.probe(contact, 2 * DIRECT_MS);
+    await this.greetOne((n) => this.isDead(n));
   }
+
   // A controller that was cut off while the others were replaced knows none of those that are there now: they have to greet it.
-  async function greetGone(): Promise<void> {
-    if (self.role === 'controller') await greetOne(isDeadController);
+  private async greetGone(): Promise<void> {
+    if (this.self.role === 'controller') await this.greetOne((n) => this.isDeadController(n));
   }
-  async function greetOne(isWanted: (n: NodeInfo) => boolean): Promise<void> {
+
+  private async greetOne(isWanted: (n: NodeInfo) => boolean): Promise<void> {
     const gone: NodeInfo[] = [];
-    for (const n of members.values()) if (isWanted(n)) gone.push(n);
-    const again = shuffled(rng, gone)[0];
-    if (again) await probe(again.address, DIRECT_MS);
+    for (const n of this.members.values()) if (isWanted(n)) gone.push(n);
+    const again = shuffled(this.rng, gone)[0];
+    if (again) await this.probe(again.address, DIRECT_MS);
   }
-  function isDead(n: NodeInfo): boolean {
+
+  private isDead(n: NodeInfo): boolean {
     return n.status === 'dead';
   }
-  function isDeadController(n: NodeInfo): boolean {
-    return n.role === 'controller' && isDead(n);
+
+  private isDeadController(n: NodeInfo): boolean {
+    return n.role === 'controller' && this.isDead(n);
   }
 
-  function tick(): void {
-    void turn();
+  private tick(): void {
+    void this.turn();
   }
-  const ticking = every(clock, PERIOD_MS, tick);
-  tick();
 
-  function get(name: string): NodeInfo | null {
-    return members.get(name) ?? null;
+  get(name: string): NodeInfo | null {
+    return this.members.get(name) ?? null;
   }
-  function leave(): void {
-    const gone: NodeInfo = { ...own(), status: 'left' };
-    for (const n of members.values()) {
-      if (n.name !== self.name && isUp(n))
-        void peers.tell(n.address, { kind: 'probe', from: briefNews(gone), news: [] });
+
+  leave(): void {
+    const gone: NodeInfo = { ...this.own(), status: 'left' };
+    for (const n of this.members.values()) {
+      if (n.name !== this.self.name && isUp(n))
+        void this.peers.tell(n.address, { kind: 'probe', from: briefNews(gone), news: [] });
     }
   }
-  return { all: everything, get, events, leave, stop: ticking.cancel };
+
+  stop(): void {
+    this.ticking.cancel();
+  }
+}
+
+export function createMembership(
+  self: NodeInfo,
+  contacts: () => Iterable<Address>,
+  peers: Peers,
+  clock: Clock,
+  rng: Rng,
+  log: Log,
+): Membership {
+  return new SwimMembership(self, contacts, peers, clock, rng, log);
 }
--- a/src/coordination/scaling/cloud-client.ts
+++ b/src/coordination/scaling/cloud-client.ts
@@ -20,22 +20,29 @@
   | { readonly tag: 'cloudSilent' }
   | { readonly tag: 'cloudNonsense'; readonly detail: string };
 
-export type CloudClient = {
-  readonly place: (order: CloudOrder) => Promise<Result<Machine, CloudFault>>;
-  readonly machines: (owner: string) => Promise<Result<Machine[], CloudFault>>;
-  readonly release: (machine: string) => Promise<Result<null, CloudFault>>;
-  readonly prices: () => Promise<Result<Record<string, Price>, CloudFault>>;
-};
+export interface CloudClient {
+  place(order: CloudOrder): Promise<Result<Machine, CloudFault>>;
+  machines(owner: string): Promise<Result<Machine[], CloudFault>>;
+  release(machine: string): Promise<Result<null, CloudFault>>;
+  prices(): Promise<Result<Record<string, Price>, CloudFault>>;
+}
 
-export type PlatformClient = { readonly workers: () => Promise<Result<Listed[], CloudFault>> };
+export interface PlatformClient {
+  workers(): Promise<Result<Listed[], CloudFault>>;
+}
 
 const WAIT_MS = 2_000;
 
-export function createCloudClient(httpClient: HttpClient, address: Address): CloudClient {
-  async function place(order: CloudOrder): Promise<Result<Machine, CloudFault>> {
-    const got = await httpClient.call({
+class HttpCloudClient implements CloudClient {
+  constructor(
+    private readonly httpClient: HttpClient,
+    private readonly address: Address,
+  ) {}
+
+  async place(order: CloudOrder): Promise<Result<Machine, CloudFault>> {
+    const got = await this.httpClient.call({
       method: 'POST',
-      address,
+      address: this.address,
       path: MACHINES_PATH,
       body: order,
       timeoutMs: WAIT_MS,
@@ -48,10 +55,11 @@
       return err({ tag: 'cloudNonsense', detail: 'the machine bears another key' });
     return ok(read.value.machine);
   }
-  async function machines(owner: string): Promise<Result<Machine[], CloudFault>> {
-    const got = await httpClient.call({
+
+  async machines(owner: string): Promise<Result<Machine[], CloudFault>> {
+    const got = await this.httpClient.call({
       method: 'GET',
-      address,
+      address: this.address,
       path: `${MACHINES_PATH}?owner=${encodeURIComponent(owner)}`,
       timeoutMs: WAIT_MS,
     });
@@ -59,10 +67,11 @@
     const read = readMachines(got.value.body);
     return read.ok ? ok(read.value.machines) : err({ tag: 'cloudNonsense', detail: read.fault.detail });
   }
-  async function release(machine: string): Promise<Result<null, CloudFault>> {
-    const got = await httpClient.call({
+
+  async release(machine: string): Promise<Result<null, CloudFault>> {
+    const got = await this.httpClient.call({
       method: 'DELETE',
-      address,
+      address: this.address,
       path: `${MACHINES_PATH}/${encodeURIComponent(machine)}`,
       timeoutMs: WAIT_MS,
     });
@@ -71,8 +80,14 @@
       ? ok(null)
       : err({ tag: 'cloudNonsense', detail: `status ${got.value.status}` });
   }
-  async function prices(): Promise<Result<Record<string, Price>, CloudFault>> {
-    const got = await httpClient.call({ method: 'GET', address, path: PRICES_PATH, timeoutMs: WAIT_MS });
+
+  async prices(): Promise<Result<Record<string, Price>, CloudFault>> {
+    const got = await this.httpClient.call({
+      method: 'GET',
+      address: this.address,
+      path: PRICES_PATH,
+      timeoutMs: WAIT_MS,
+    });
     if (!got.ok) return err({ tag: 'cloudSilent' });
     const read = readPrices(got.value.body);
     if (!read.ok) return err({ tag: 'cloudNonsense', detail: read.fault.detail });
@@ -80,15 +95,31 @@
     for (const p of read.value.prices) out[p.zone] = { spot: p.spot, onDemand: p.onDemand };
     return ok(out);
   }
-  return { place, machines, release, prices };
 }
 
-export function createPlatformClient(httpClient: HttpClient, address: Address): PlatformClient {
-  async function workers(): Promise<Result<Listed[], CloudFault>> {
-    const got = await httpClient.call({ method: 'GET', address, path: WORKERS_PATH, timeoutMs: 900 });
+export function createCloudClient(httpClient: HttpClient, address: Address): CloudClient {
+  return new HttpCloudClient(httpClient, address);
+}
+
+class HttpPlatformClient implements PlatformClient {
+  constructor(
+    private readonly httpClient: HttpClient,
+    private readonly address: Address,
+  ) {}
+
+  async workers(): Promise<Result<Listed[], CloudFault>> {
+    const got = await this.httpClient.call({
+      method: 'GET',
+      address: this.address,
+      path: WORKERS_PATH,
+      timeoutMs: 900,
+    });
     if (!got.ok) return err({ tag: 'cloudSilent' });
     const read = readWorkerList(got.value.body);
     return read.ok ? ok(read.value.workers) : err({ tag: 'cloudNonsense', detail: read.fault.detail });
   }
-  return { workers };
+}
+
+export function createPlatformClient(httpClient: HttpClient, address: Address): PlatformClient {
+  return new HttpPlatformClient(httpClient, address);
 }
--- a/src/coordination/scaling/list-duty.ts
+++ b/src/coordination/scaling/list-duty.ts
@@ -10,7 +10,7 @@
 import type { Address } from '../../transport/wire.js';
 import type { ListFeed, ListFeedEvents, ListReader } from '../edge/list-feed.js';
 import { createListNews, LIST_PACE, STOOD_STILL_MS } from '../edge/list-news.js';
-import type { ListMessage, ListPace } from '../edge/list-news.js';
+import type { ListMessage, ListPace, ListNews } from '../edge/list-news.js';
 import { readWithin } from '../edge/read-within.js';
 import type { Peer, Peers } from '../members/peers.js';
 
@@ -25,197 +25,247 @@
   readonly pace?: ListPace;
 };
 
-export type ListDuty = { readonly feed: ListFeed; readonly reading: () => boolean; readonly stop: () => void };
+export interface ListDuty {
+  readonly feed: ListFeed;
+  reading(): boolean;
+  stop(): void;
+}
 
 const FOLLOWER_KEPT_MS = 12_000;
 const RETRY_MS = 2_000;
 const MARK_LENGTH = 6;
 const SLOW_SHARE = 0.4;
 
-export function createListDuty(deps: ListDutyDeps): ListDuty {
-  const { self, reader, peers, clock, rng, log } = deps;
-  const pace = deps.pace ?? LIST_PACE;
-  const mark = `${self}/${newId(rng, '').slice(1, 1 + MARK_LENGTH)}`;
-  const news = createListNews(peers, clock, pace);
-  const { book } = news;
-  const events = createEvents<ListFeedEvents>();
-  const followers = new Map<Peer, number>();
-  let highest = 0;
-  let heardOfAt: number | null = null;
-  let reading = false;
-  let stopped = false;
-  let busy = false;
-  let asking = false;
-  let next: Timer | null = null;
-
-  function arm(ms: number): void {
-    next?.cancel();
-    if (!stopped) next = clock.timer(Math.max(0, ms), tick);
-  }
-  function tick(): void {
-    void turn();
-  }
-  function others(): Address[] {
-    const out = new Set<Address>(deps.heads());
-    out.delete(self);
+class ElectedListReader implements ListDuty {
+  private readonly pace: ListPace;
+  private readonly mark: string;
+  private readonly news: ListNews;
+  private readonly events = createEvents<ListFeedEvents>();
+  private readonly followers = new Map<Peer, number>();
+  private highest = 0;
+  private heardOfAt: number | null = null;
+  private currentReading = false;
+  private stopped = false;
+  private busy = false;
+  private asking = false;
+  private next: Timer | null = null;
+  readonly feed: ListFeed;
+
+  constructor(private readonly deps: ListDutyDeps) {
+    this.pace = this.deps.pace ?? LIST_PACE;
+    this.mark = `${this.deps.self}/${newId(this.deps.rng, '').slice(1, 1 + MARK_LENGTH)}`;
+    this.news = createListNews(this.deps.peers, this.deps.clock, this.pace);
+
+    this.news.events.on('taken', (e) => this.onTaken(e));
+
+    this.news.events.on('missed', (e) => this.onMissed(e));
+
+    this.news.events.on('outrun', (e) => this.onOutrun(e));
+
+    this.news.events.on('woke', (e) => this.onWoke(e));
+
+    this.deps.peers.on('listFollow', (m, peer) => this.onFollow(m, peer));
+
+    this.arm(this.rankMs());
+    this.feed = {
+      entries: this.news.book.entries,
+      asOf: this.news.book.asOf,
+      events: this.events,
+      stop: () => this.stop(),
+    };
+  }
+
+  private arm(ms: number): void {
+    this.next?.cancel();
+    if (!this.stopped) this.next = this.deps.clock.timer(Math.max(0, ms), () => this.tick());
+  }
+
+  private tick(): void {
+    void this.turn();
+  }
+
+  private others(): Address[] {
+    const out = new Set<Address>(this.deps.heads());
+    out.delete(this.deps.self);
     return [...out];
   }
-  function rankMs(): number {
-    const reads = book.number()?.[1] ?? '';
+
+  private rankMs(): number {
+    const reads = this.news.book.number()?.[1] ?? '';
     let n = 0;
-    for (const a of others()) if (a < self && !reads.startsWith(`${a}/`)) n += 1;
-    return n * pace.staggerMs;
+    for (const a of this.others()) if (a < this.deps.self && !reads.startsWith(`${a}/`)) n += 1;
+    return n * this.pace.staggerMs;
   }
-  function armTakeover(): void {
-    arm(Math.max(0, pace.freshMs - news.heardMs()) + 1 + rankMs());
+
+  private armTakeover(): void {
+    this.arm(Math.max(0, this.pace.freshMs - this.news.heardMs()) + 1 + this.rankMs());
   }
 
-  function tellAll(m: ListMessage): void {
-    for (const to of others()) void peers.tell(to, m);
-    tellFollowers(m);
+  private tellAll(m: ListMessage): void {
+    for (const to of this.others()) void this.deps.peers.tell(to, m);
+    this.tellFollowers(m);
   }
-  function tellFollowers(m: ListMessage): void {
-    for (const [peer, at] of followers) {
-      if (clock.mono() - at > FOLLOWER_KEPT_MS) followers.delete(peer);
+
+  private tellFollowers(m: ListMessage): void {
+    for (const [peer, at] of this.followers) {
+      if (this.deps.clock.mono() - at > FOLLOWER_KEPT_MS) this.followers.delete(peer);
       else peer.tell(m);
     }
   }
 
-  function onTaken(e: { readonly message: ListMessage; readonly contents: boolean }): void {
+  private onTaken(e: { readonly message: ListMessage; readonly contents: boolean }): void {
     const m = e.message;
     if (m.number === null) return;
-    highest = Math.max(highest, m.number[0]);
-    if (reading && m.number[1] !== mark) {
-      reading = false;
-      log.info(`${m.number[1]} reads the list now.`);
+    this.highest = Math.max(this.highest, m.number[0]);
+    if (this.currentReading && m.number[1] !== this.mark) {
+      this.currentReading = false;
+      this.deps.log.info(`${m.number[1]} reads the list now.`);
     }
-    tellFollowers(m.kind === 'listBeat' && m.ageMs === null ? m : { ...m, ageMs: news.ageMs() });
-    if (e.contents) events.emit('changed', { entries: book.entries() });
-    if (!reading && !busy && m.ageMs !== null) armTakeover();
-  }
-  function onMissed(e: { readonly number: ListNumber }): void {
-    highest = Math.max(highest, e.number[0]);
-    heardOfAt = clock.mono();
-    void askAround();
-  }
-  function onOutrun(e: { readonly peer: Peer }): void {
-    e.peer.tell({ kind: 'listBeat', number: book.number(), ageMs: null });
-  }
-  function onWoke(e: { readonly afterMs: number }): void {
-    log.warn(`Stood still for ${Math.round(e.afterMs)} ms; another may read the list by now.`);
-    reading = false;
-    if (!busy) arm(0);
-  }
-  news.events.on('taken', onTaken);
-  news.events.on('missed', onMissed);
-  news.events.on('outrun', onOutrun);
-  news.events.on('woke', onWoke);
-
-  function answerTo(number: ListNumber | null): Message {
-    const held = book.number();
-    const silent = news.toldSilent();
+    this.tellFollowers(m.kind === 'listBeat' && m.ageMs === null ? m : { ...m, ageMs: this.news.ageMs() });
+    if (e.contents) this.events.emit('changed', { entries: this.news.book.entries() });
+    if (!this.currentReading && !this.busy && m.ageMs !== null) this.armTakeover();
+  }
+
+  private onMissed(e: { readonly number: ListNumber }): void {
+    this.highest = Math.max(this.highest, e.number[0]);
+    this.heardOfAt = this.deps.clock.mono();
+    void this.askAround();
+  }
+
+  private onOutrun(e: { readonly peer: Peer }): void {
+    e.peer.tell({ kind: 'listBeat', number: this.news.book.number(), ageMs: null });
+  }
+
+  private onWoke(e: { readonly afterMs: number }): void {
+    this.deps.log.warn(`Stood still for ${Math.round(e.afterMs)} ms; another may read the list by now.`);
+    this.currentReading = false;
+    if (!this.busy) this.arm(0);
+  }
+
+  private answerTo(number: ListNumber | null): Message {
+    const held = this.news.book.number();
+    const silent = this.news.toldSilent();
     if (held === null) return { kind: 'listBeat', number: null, ageMs: null, silent };
-    const ageMs = news.ageMs();
-    const sinceMs = Math.min(news.heardMs(), Number.MAX_SAFE_INTEGER);
+    const ageMs = this.news.ageMs();
+    const sinceMs = Math.min(this.news.heardMs(), Number.MAX_SAFE_INTEGER);
     if (number !== null && compareNumbers(number, held) >= 0)
       return { kind: 'listBeat', number: held, ageMs, sinceMs, silent };
-    return { kind: 'listWhole', number: held, ageMs, sinceMs, entries: [...book.entries()] };
+    return { kind: 'listWhole', number: held, ageMs, sinceMs, entries: [...this.news.book.entries()] };
   }
 
-  function onFollow(m: MessageOf<'listFollow'>, peer: Peer): Message {
-    news.noteTurn();
-    const known = followers.has(peer);
-    followers.set(peer, clock.mono());
+  private onFollow(m: MessageOf<'listFollow'>, peer: Peer): Message {
+    this.news.noteTurn();
+    const known = this.followers.has(peer);
+    this.followers.set(peer, this.deps.clock.mono());
+
+    const gone = (): void => {
+      this.followers.delete(peer);
+    };
     if (!known) peer.onClosed(gone);
-    if (m.number !== null) highest = Math.max(highest, m.number[0]);
-    const held = book.number();
-    if (reading && m.number !== null && held && compareNumbers(m.number, held) > 0) renumber(held);
-    return answerTo(m.number);
-    function gone(): void {
-      followers.delete(peer);
-    }
+    if (m.number !== null) this.highest = Math.max(this.highest, m.number[0]);
+    const held = this.news.book.number();
+    if (this.currentReading && m.number !== null && held && compareNumbers(m.number, held) > 0) this.renumber(held);
+    return this.answerTo(m.number);
   }
-  peers.on('listFollow', onFollow);
 
-  async function askAround(): Promise<void> {
-    if (asking) return;
-    asking = true;
+  private async askAround(): Promise<void> {
+    if (this.asking) return;
+    this.asking = true;
     const asks: Promise<unknown>[] = [];
-    for (const to of others()) asks.push(news.ask(to));
+    for (const to of this.others()) asks.push(this.news.ask(to));
     await Promise.all(asks);
-    asking = false;
+    this.asking = false;
   }
 
-  function renumber(base: ListNumber): void {
-    publish({ kind: 'listChange', number: [highest + 1, mark, 0], base, ageMs: news.ageMs(), told: [], gone: [] });
+  private renumber(base: ListNumber): void {
+    this.publish({
+      kind: 'listChange',
+      number: [this.highest + 1, this.mark, 0],
+      base,
+      ageMs: this.news.ageMs(),
+      told: [],
+      gone: [],
+    });
   }
 
-  function publish(m: ListMessage): void {
-    const asOf = clock.mono() - (m.ageMs ?? 0);
-    if (m.kind === 'listWhole') book.takeWhole(m.number, m.entries, asOf);
-    else if (m.kind === 'listChange') book.takeChange(m.number, m.base, m, asOf);
-    else if (m.number !== null && m.ageMs !== null) book.confirm(m.number, asOf);
-    if (m.number !== null) highest = Math.max(highest, m.number[0]);
-    if (m.ageMs !== null) news.noteHeard();
-    tellAll(m);
+  private publish(m: ListMessage): void {
+    const asOf = this.deps.clock.mono() - (m.ageMs ?? 0);
+    if (m.kind === 'listWhole') this.news.book.takeWhole(m.number, m.entries, asOf);
+    else if (m.kind === 'listChange') this.news.book.takeChange(m.number, m.base, m, asOf);
+    else if (m.number !== null && m.ageMs !== null) this.news.book.confirm(m.number, asOf);
+    if (m.number !== null) this.highest = Math.max(this.highest, m.number[0]);
+    if (m.ageMs !== null) this.news.noteHeard();
+    this.tellAll(m);
   }
 
-  function onRead(entries: readonly WorkerEntry[], from: number): void {
-    const base = book.number();
-    const ageMs = clock.mono() - from;
-    const change = book.differenceTo(entries, from);
-    const goesOn = reading && base !== null && base[1] === mark;
-    const number: ListNumber = goesOn ? [base[0], mark, base[2] + 1] : [highest + 1, mark, 0];
-    if (!reading) log.info(`Reads the list for all, as ${mark} in term ${number[0]}.`);
-    reading = true;
-    if (base === null) publish({ kind: 'listWhole', number, ageMs, entries: [...entries] });
-    else if (goesOn && isEmptyChange(change)) publish({ kind: 'listBeat', number: base, ageMs });
-    else publish({ kind: 'listChange', number, base, ageMs, told: [...change.told], gone: [...change.gone] });
-    if (base === null || !isEmptyChange(change)) events.emit('changed', { entries: book.entries() });
+  private onRead(entries: readonly WorkerEntry[], from: number): void {
+    const base = this.news.book.number();
+    const ageMs = this.deps.clock.mono() - from;
+    const change = this.news.book.differenceTo(entries, from);
+    const goesOn = this.currentReading && base !== null && base[1] === this.mark;
+    const number: ListNumber = goesOn ? [base[0], this.mark, base[2] + 1] : [this.highest + 1, this.mark, 0];
+    if (!this.currentReading) this.deps.log.info(`Reads the list for all, as ${this.mark} in term ${number[0]}.`);
+    this.currentReading = true;
+    if (base === null) this.publish({ kind: 'listWhole', number, ageMs, entries: [...entries] });
+    else if (goesOn && isEmptyChange(change)) this.publish({ kind: 'listBeat', number: base, ageMs });
+    else this.publish({ kind: 'listChange', number, base, ageMs, told: [...change.told], gone: [...change.gone] });
+    if (base === null || !isEmptyChange(change)) this.events.emit('changed', { entries: this.news.book.entries() });
   }
 
-  function tellSilent(): void {
-    if (reading) tellAll({ kind: 'listBeat', number: book.number(), ageMs: null, silent: true });
+  private tellSilent(): void {
+    if (this.currentReading)
+      this.tellAll({ kind: 'listBeat', number: this.news.book.number(), ageMs: null, silent: true });
   }
 
-  async function readOnce(): Promise<void> {
-    const from = clock.mono();
-    const was = reading;
-    const waiting = clock.timer(pace.readMs * SLOW_SHARE, tellSilent);
-    const got = await readWithin(reader, clock, pace.readMs);
+  private async readOnce(): Promise<void> {
+    const from = this.deps.clock.mono();
+    const was = this.currentReading;
+    const waiting = this.deps.clock.timer(this.pace.readMs * SLOW_SHARE, () => this.tellSilent());
+    const got = await readWithin(this.deps.reader, this.deps.clock, this.pace.readMs);
     waiting.cancel();
-    news.noteTurn();
-    if (stopped) return;
-    if (clock.mono() - from > STOOD_STILL_MS || reading !== was || (!was && news.fresh())) return armTakeover();
-    if (got?.ok) onRead(got.value, from);
+    this.news.noteTurn();
+    if (this.stopped) return;
+    if (this.deps.clock.mono() - from > STOOD_STILL_MS || this.currentReading !== was || (!was && this.news.fresh()))
+      return this.armTakeover();
+    if (got?.ok) this.onRead(got.value, from);
     else {
-      if (got?.fault.tag === 'listNonsense') log.warn(`The platform's list made no sense: ${got.fault.detail}.`);
-      tellSilent();
+      if (got?.fault.tag === 'listNonsense')
+        this.deps.log.warn(`The platform's list made no sense: ${got.fault.detail}.`);
+      this.tellSilent();
     }
-    arm(reading ? from + pace.everyMs - clock.mono() : RETRY_MS * (1 + rng.next()));
+    this.arm(
+      this.currentReading ? from + this.pace.everyMs - this.deps.clock.mono() : RETRY_MS * (1 + this.deps.rng.next()),
+    );
   }
 
-  async function turn(): Promise<void> {
-    if (stopped || busy) return;
-    busy = true;
-    news.noteTurn();
-    if (!reading) await askAround();
-    if (stopped) return;
-    if (!reading && news.fresh()) armTakeover();
-    else if (!reading && heardOfAt !== null && clock.mono() - heardOfAt < pace.freshMs) arm(pace.askMs);
-    else await readOnce();
-    busy = false;
+  private async turn(): Promise<void> {
+    if (this.stopped || this.busy) return;
+    this.busy = true;
+    this.news.noteTurn();
+    if (!this.currentReading) await this.askAround();
+    if (this.stopped) return;
+    if (!this.currentReading && this.news.fresh()) this.armTakeover();
+    else if (
+      !this.currentReading &&
+      this.heardOfAt !== null &&
+      this.deps.clock.mono() - this.heardOfAt < this.pace.freshMs
+    )
+      this.arm(this.pace.askMs);
+    else await this.readOnce();
+    this.busy = false;
   }
-  arm(rankMs());
 
-  function stop(): void {
-    stopped = true;
-    next?.cancel();
-    news.stop();
+  stop(): void {
+    this.stopped = true;
+    this.next?.cancel();
+    this.news.stop();
   }
-  function isReading(): boolean {
-    return reading;
+
+  reading(): boolean {
+    return this.currentReading;
   }
-  const feed: ListFeed = { entries: book.entries, asOf: book.asOf, events, stop };
-  return { feed, reading: isReading, stop };
+}
+
+export function createListDuty(deps: ListDutyDeps): ListDuty {
+  return new ElectedListReader(deps);
 }
--- a/src/coordination/scaling/observer.ts
+++ b/src/coordination/scaling/observer.ts
@@ -12,6 +12,7 @@
 import type { Ledger } from '../ledger/ledger.js';
 import type { Push } from '../ledger/push.js';
 import { createRateWatch, REPORT_FRESH_MS } from './rate-watch.js';
+import type { RateWatch } from './rate-watch.js';
 
 export type ObserverDeps = {
   readonly ledger: Ledger;
@@ -24,7 +25,9 @@
   readonly log: Log;
 };
 
-export type Observer = { readonly stop: () => void };
+export interface Observer {
+  stop(): void;
+}
 
 const TICK_MS = 1_000;
 const LIST_OLD_MS = 3_000;
@@ -36,36 +39,42 @@
 
 type Unfit = { readonly since: number; readonly last: number };
 
-export function createObserver(deps: ObserverDeps): Observer {
-  const { ledger, lease, push, feed, clock, rng, log } = deps;
-  const rates = createRateWatch(ledger, push, clock);
-  const unfit = new Map<string, Unfit>();
-  const planned = new Set<string>();
-  let memory = new Map<string, ObservedMemory>();
-  let ownFence: number | null = null;
-  let blind = false;
-  let stopped = false;
-
-  function mayAct(fence: number): boolean {
-    return lease.fence() === fence && lease.leftMs() > 0;
+class ListObserver implements Observer {
+  private readonly rates: RateWatch;
+  private readonly unfit = new Map<string, Unfit>();
+  private readonly planned = new Set<string>();
+  private memory = new Map<string, ObservedMemory>();
+  private ownFence: number | null = null;
+  private blind = false;
+  private stopped = false;
+
+  constructor(private readonly deps: ObserverDeps) {
+    this.rates = createRateWatch(this.deps.ledger, this.deps.push, this.deps.clock);
+
+    void this.run();
   }
-  function nextOrderId(): string {
-    return newId(rng, 'order');
+
+  private mayAct(fence: number): boolean {
+    return this.deps.lease.fence() === fence && this.deps.lease.leftMs() > 0;
   }
 
-  function notePlanned(list: readonly WorkerEntry[]): void {
+  private nextOrderId(): string {
+    return newId(this.deps.rng, 'order');
+  }
+
+  private notePlanned(list: readonly WorkerEntry[]): void {
     const held = new Set<string | null>();
-    for (const order of Object.values(ledger.controlState().orders)) held.add(order.machine);
-    for (const id of planned) if (!held.has(id)) planned.delete(id);
-    for (const w of list) if (w.leaving && w.remainingMs === null && held.has(w.id)) planned.add(w.id);
+    for (const order of Object.values(this.deps.ledger.controlState().orders)) held.add(order.machine);
+    for (const id of this.planned) if (!held.has(id)) this.planned.delete(id);
+    for (const w of list) if (w.leaving && w.remainingMs === null && held.has(w.id)) this.planned.add(w.id);
   }
 
-  function deadWorkers(list: readonly WorkerEntry[]): Set<string> {
-    const now = clock.mono();
+  private deadWorkers(list: readonly WorkerEntry[]): Set<string> {
+    const now = this.deps.clock.mono();
     let reporters = 0;
     const votes = new Map<string, number>();
-    for (const r of push.reports().values()) {
-      const at = push.heardAt(r.reporter);
+    for (const r of this.deps.push.reports().values()) {
+      const at = this.deps.push.heardAt(r.reporter);
       if (at === null || now - at > REPORT_FRESH_MS) continue;
       reporters += 1;
       for (const [id, verdict] of Object.entries(r.health))
@@ -76,75 +85,85 @@
     for (const w of list) {
       listed.add(w.id);
       const n = votes.get(w.id) ?? 0;
-      const before = unfit.get(w.id);
-      if (n > 0 && n >= reporters * UNFIT_SHARE) unfit.set(w.id, { since: before?.since ?? now, last: now });
-      else if (before && now - before.last > UNFIT_KEPT_MS) unfit.delete(w.id);
-      const held = unfit.get(w.id);
+      const before = this.unfit.get(w.id);
+      if (n > 0 && n >= reporters * UNFIT_SHARE) this.unfit.set(w.id, { since: before?.since ?? now, last: now });
+      else if (before && now - before.last > UNFIT_KEPT_MS) this.unfit.delete(w.id);
+      const held = this.unfit.get(w.id);
       if (held && now - held.since > DEAD_MS) out.add(w.id);
     }
-    for (const id of unfit.keys()) if (!listed.has(id)) unfit.delete(id);
+    for (const id of this.unfit.keys()) if (!listed.has(id)) this.unfit.delete(id);
     return out;
   }
 
-  function seenList(): readonly WorkerEntry[] | null {
-    const at = feed.asOf();
-    const old = at === null || clock.mono() - at > LIST_OLD_MS;
-    if (old !== blind)
-      log.warn(old ? "The platform's list is old; nothing is decided on it." : "The platform's list is fresh again.");
-    blind = old;
-    return old ? null : feed.entries();
+  private seenList(): readonly WorkerEntry[] | null {
+    const at = this.deps.feed.asOf();
+    const old = at === null || this.deps.clock.mono() - at > LIST_OLD_MS;
+    if (old !== this.blind)
+      this.deps.log.warn(
+        old ? "The platform's list is old; nothing is decided on it." : "The platform's list is fresh again.",
+      );
+    this.blind = old;
+    return old ? null : this.deps.feed.entries();
   }
 
-  function decide(list: readonly WorkerEntry[]): Step[] {
-    const controlState = ledger.controlState();
-    const dead = deadWorkers(list);
-    const rules = observedRules(controlState.configuration, deps.zones);
+  private decide(list: readonly WorkerEntry[]): Step[] {
+    const controlState = this.deps.ledger.controlState();
+    const dead = this.deadWorkers(list);
+    const rules = observedRules(controlState.configuration, this.deps.zones);
     const configured = new Set<string>();
     for (const rule of rules) configured.add(rule.model);
     const steps = decideRetired(controlState, configured, list);
     for (const rule of rules) {
-      const kept = memory.get(rule.model) ?? observedMemory();
-      memory.set(rule.model, kept);
-      const rate = rates.rate(rule.model, rule.values.windowS * 1_000);
+      const kept = this.memory.get(rule.model) ?? observedMemory();
+      this.memory.set(rule.model, kept);
+      const rate = this.rates.rate(rule.model, rule.values.windowS * 1_000);
       steps.push(
-        ...decideObserved(rule, controlState, { now: clock.mono(), list, rate, dead, planned }, kept, nextOrderId),
+        ...decideObserved(
+          rule,
+          controlState,
+          { now: this.deps.clock.mono(), list, rate, dead, planned: this.planned },
+          kept,
+          () => this.nextOrderId(),
+        ),
       );
     }
     return steps;
   }
 
-  async function turn(fence: number): Promise<void> {
-    rates.observe();
-    const list = seenList();
-    if (!list || ledger.controlState().configuration.serving === undefined) return;
-    const steps = decide(list);
+  private async turn(fence: number): Promise<void> {
+    this.rates.observe();
+    const list = this.seenList();
+    if (!list || this.deps.ledger.controlState().configuration.serving === undefined) return;
+    const steps = this.decide(list);
     const [first] = steps;
-    if (!first || !mayAct(fence)) return;
+    if (!first || !this.mayAct(fence)) return;
     const cause = steps.length === 1 ? first.cause : `${steps.length} decisions: ${first.cause}`.slice(0, CAUSE_LENGTH);
-    const got = await ledger.propose({ cause, act: { tag: 'decided', steps }, fence }, PROPOSE_MS);
-    if (got.ok && got.value.outcome.tag === 'applied') log.info(cause);
-    else if (got.ok) log.warn(`Decisions did not count (${got.value.outcome.tag}).`);
+    const got = await this.deps.ledger.propose({ cause, act: { tag: 'decided', steps }, fence }, PROPOSE_MS);
+    if (got.ok && got.value.outcome.tag === 'applied') this.deps.log.info(cause);
+    else if (got.ok) this.deps.log.warn(`Decisions did not count (${got.value.outcome.tag}).`);
   }
 
-  async function run(): Promise<void> {
-    while (!stopped) {
-      await pause(clock, TICK_MS);
-      if (stopped) return;
-      notePlanned(feed.entries());
-      const fence = lease.fence();
-      if (fence !== ownFence) {
-        ownFence = fence;
-        memory = new Map();
-        unfit.clear();
-        rates.reset();
+  private async run(): Promise<void> {
+    while (!this.stopped) {
+      await pause(this.deps.clock, TICK_MS);
+      if (this.stopped) return;
+      this.notePlanned(this.deps.feed.entries());
+      const fence = this.deps.lease.fence();
+      if (fence !== this.ownFence) {
+        this.ownFence = fence;
+        this.memory = new Map();
+        this.unfit.clear();
+        this.rates.reset();
       }
-      if (fence !== null) await turn(fence);
+      if (fence !== null) await this.turn(fence);
     }
   }
-  void run();
 
-  function stop(): void {
-    stopped = true;
+  stop(): void {
+    this.stopped = true;
   }
-  return { stop };
+}
+
+export function createObserver(deps: ObserverDeps): Observer {
+  return new ListObserver(deps);
 }
--- a/src/coordination/scaling/rate-watch.ts
+++ b/src/coordination/scaling/rate-watch.ts
@@ -3,21 +3,44 @@
 import type { Clock } from '../../transport/clock.js';
 import type { Ledger } from '../ledger/ledger.js';
 import type { Push } from '../ledger/push.js';
+import type { Rate } from '../../state/target.js';
 
 export const REPORT_FRESH_MS = 4_000;
 
-export type RateWatch = { readonly observe: () => void; readonly rate: RateWindow['rate']; readonly reset: () => void };
+export interface RateWatch {
+  observe(): void;
+  readonly rate: RateWindow['rate'];
+  reset(): void;
+}
 
-export function createRateWatch(ledger: Ledger, push: Pick<Push, 'reports' | 'heardAt'>, clock: Clock): RateWatch {
-  const rates = createRateWindow();
-  function observe(): void {
-    const now = clock.mono();
+class ReportRateWatch implements RateWatch {
+  private readonly rates = createRateWindow();
+
+  constructor(
+    private readonly ledger: Ledger,
+    private readonly push: Pick<Push, 'reports' | 'heardAt'>,
+    private readonly clock: Clock,
+  ) {}
+
+  observe(): void {
+    const now = this.clock.mono();
     let whole = true;
-    for (const name of Object.keys(ledger.controlState().proxies)) {
-      const at = push.heardAt(name);
+    for (const name of Object.keys(this.ledger.controlState().proxies)) {
+      const at = this.push.heardAt(name);
       if (at === null || now - at > REPORT_FRESH_MS) whole = false;
     }
-    rates.observe(now, push.reports().values(), whole);
+    this.rates.observe(now, this.push.reports().values(), whole);
+  }
+
+  rate(model: string, windowMs: number): Rate | null {
+    return this.rates.rate(model, windowMs);
   }
-  return { observe, rate: rates.rate, reset: rates.reset };
+
+  reset(): void {
+    this.rates.reset();
+  }
+}
+
+export function createRateWatch(ledger: Ledger, push: Pick<Push, 'reports' | 'heardAt'>, clock: Clock): RateWatch {
+  return new ReportRateWatch(ledger, push, clock);
 }
--- a/src/coordination/scaling/scaler.ts
+++ b/src/coordination/scaling/scaler.ts
@@ -23,8 +23,11 @@
 import type { Ledger } from '../ledger/ledger.js';
 import type { Push } from '../ledger/push.js';
 import { createRateWatch, REPORT_FRESH_MS } from './rate-watch.js';
+import type { RateWatch } from './rate-watch.js';
 
-export type Scaler = { readonly stop: () => void };
+export interface Scaler {
+  stop(): void;
+}
 
 export type ScalerDeps = {
   readonly ledger: Ledger;
@@ -45,110 +48,115 @@
 const ACTION_LEFT_MS = 2_200;
 const MOST_SEEN = 10_000;
 
-export function createScaler(deps: ScalerDeps): Scaler {
-  const { ledger, lease, push, cloud, platform, httpClient, clock, rng, log } = deps;
-  const rates = createRateWatch(ledger, push, clock);
-  let memory: ScalerMemory = new Map();
-  let prices: Record<string, Price> = {};
-  let pricesAt: number | null = null;
-  const unfitSince = new Map<string, number>();
-  const orphanSince = new Map<string, number>();
-  let drainSince = new Map<string, number>();
-  let ownFence: number | null = null;
-  const seenBefore = new Set<string>();
-  let stopped = false;
-  let ageNoted = false;
+class LeasedScaler implements Scaler {
+  private readonly rates: RateWatch;
+  private memory: ScalerMemory = new Map();
+  private prices: Record<string, Price> = {};
+  private pricesAt: number | null = null;
+  private readonly unfitSince = new Map<string, number>();
+  private readonly orphanSince = new Map<string, number>();
+  private drainSince = new Map<string, number>();
+  private ownFence: number | null = null;
+  private readonly seenBefore = new Set<string>();
+  private stopped = false;
+  private ageNoted = false;
+  private failedZones: { readonly model: string; readonly zone: string }[] = [];
 
-  async function agree(fence: number, drafts: readonly Decision[]): Promise<boolean> {
+  constructor(private readonly deps: ScalerDeps) {
+    this.rates = createRateWatch(this.deps.ledger, this.deps.push, this.deps.clock);
+
+    void this.run();
+  }
+
+  private async agree(fence: number, drafts: readonly Decision[]): Promise<boolean> {
     let all = true;
-    async function one(d: Decision): Promise<void> {
-      const got = await ledger.propose({ cause: d.cause, act: d.act, fence }, 3_000);
-      if (!got.ok || got.value.outcome.tag !== 'applied') all = false;
-    }
     const proposals: Promise<void>[] = [];
+
+    const one = async (d: Decision): Promise<void> => {
+      const got = await this.deps.ledger.propose({ cause: d.cause, act: d.act, fence }, 3_000);
+      if (!got.ok || got.value.outcome.tag !== 'applied') all = false;
+    };
     for (const d of drafts) proposals.push(one(d));
     await Promise.all(proposals);
     return all;
   }
 
-  function record(fence: number, cause: string, act: Act): Promise<boolean> {
-    return agree(fence, [{ cause, act }]);
+  private record(fence: number, cause: string, act: Act): Promise<boolean> {
+    return this.agree(fence, [{ cause, act }]);
   }
 
-  function mayAct(fence: number): boolean {
-    return lease.fence() === fence && lease.leftMs() > 0;
+  private mayAct(fence: number): boolean {
+    return this.deps.lease.fence() === fence && this.deps.lease.leftMs() > 0;
   }
 
-  async function pollPrices(): Promise<void> {
-    if (pricesAt !== null && clock.mono() - pricesAt < PRICES_MS) return;
-    const got = await cloud.prices();
+  private async pollPrices(): Promise<void> {
+    if (this.pricesAt !== null && this.deps.clock.mono() - this.pricesAt < PRICES_MS) return;
+    const got = await this.deps.cloud.prices();
     if (!got.ok) {
-      log.warn(`Prices were not to be had (${got.fault.tag}); the last ones stand.`);
+      this.deps.log.warn(`Prices were not to be had (${got.fault.tag}); the last ones stand.`);
       return;
     }
-    prices = got.value;
-    pricesAt = clock.mono();
+    this.prices = got.value;
+    this.pricesAt = this.deps.clock.mono();
   }
 
-  function deadMachines(workers: readonly Listed[] | null): Set<string> {
-    const now = clock.mono();
+  private deadMachines(workers: readonly Listed[] | null): Set<string> {
+    const now = this.deps.clock.mono();
     const out = new Set<string>();
     for (const w of workers ?? []) {
       let fit = 0;
       let unfit = 0;
-      for (const r of push.reports().values()) {
-        const at = push.heardAt(r.reporter);
+      for (const r of this.deps.push.reports().values()) {
+        const at = this.deps.push.heardAt(r.reporter);
         if (at === null || now - at > REPORT_FRESH_MS) continue;
         if (r.health[w.id] === 'fit') fit += 1;
         if (r.health[w.id] === 'unfit') unfit += 1;
       }
       if (fit > 0 || unfit === 0) {
-        unfitSince.delete(w.id);
+        this.unfitSince.delete(w.id);
         continue;
       }
-      const since = unfitSince.get(w.id) ?? now;
-      unfitSince.set(w.id, since);
+      const since = this.unfitSince.get(w.id) ?? now;
+      this.unfitSince.set(w.id, since);
       if (now - since > DEAD_MS) out.add(w.machine);
     }
     return out;
   }
 
-  function nextOrderId(): string {
-    return newId(rng, 'order');
+  private nextOrderId(): string {
+    return newId(this.deps.rng, 'order');
   }
 
-  async function settleIntended(fence: number, machines: readonly SeenMachine[] | null): Promise<void> {
+  private async settleIntended(fence: number, machines: readonly SeenMachine[] | null): Promise<void> {
     const work: Promise<void>[] = [];
-    for (const order of Object.values(ledger.controlState().orders))
-      if (order.status === 'intended') work.push(settleOne(order));
-    await Promise.all(work);
 
-    async function settleOne(order: Order): Promise<void> {
+    const settleOne = async (order: Order): Promise<void> => {
       const had = machineByKey(machines, order.id);
       if (had) {
-        await record(fence, 'The cloud already holds a machine for this order.', {
+        await this.record(fence, 'The cloud already holds a machine for this order.', {
           tag: 'orderPlaced',
           order: order.id,
           machine: had.id,
         });
         return;
       }
-      if (ledger.controlState().evacuated[order.zone] !== undefined) {
-        if (machines) await record(fence, `${order.zone} is being evacuated.`, { tag: 'orderFailed', order: order.id });
+      if (this.deps.ledger.controlState().evacuated[order.zone] !== undefined) {
+        if (machines)
+          await this.record(fence, `${order.zone} is being evacuated.`, { tag: 'orderFailed', order: order.id });
         return;
       }
-      for (const accelerator of acceleratorsOf(order)) {
-        if (!mayAct(fence) || lease.leftMs() < ACTION_LEFT_MS) return;
-        const got = await cloud.place({
+      for (const accelerator of this.acceleratorsOf(order)) {
+        if (!this.mayAct(fence) || this.deps.lease.leftMs() < ACTION_LEFT_MS) return;
+        const got = await this.deps.cloud.place({
           key: order.id,
-          owner: ledger.controlState().ledger,
+          owner: this.deps.ledger.controlState().ledger,
           model: order.model,
           zone: order.zone,
           kind: order.kind,
           accelerator,
         });
         if (got.ok) {
-          await record(fence, `The cloud took the order (${accelerator}).`, {
+          await this.record(fence, `The cloud took the order (${accelerator}).`, {
             tag: 'orderPlaced',
             order: order.id,
             machine: got.value.id,
@@ -156,42 +164,37 @@
           return;
         }
         if (got.fault.tag !== 'noCapacity') {
-          log.warn(`Order ${order.id} has no answer yet (${got.fault.tag}); it is asked again.`);
+          this.deps.log.warn(`Order ${order.id} has no answer yet (${got.fault.tag}); it is asked again.`);
           return;
         }
       }
-      noteLaunchFailed(memory, order.model, order.kind, order.zone, clock.mono());
-      await agree(fence, failedLaunch(order));
-    }
+      noteLaunchFailed(this.memory, order.model, order.kind, order.zone, this.deps.clock.mono());
+      await this.agree(fence, this.failedLaunch(order));
+    };
+    for (const order of Object.values(this.deps.ledger.controlState().orders))
+      if (order.status === 'intended') work.push(settleOne(order));
+    await Promise.all(work);
   }
 
-  function failedLaunch(order: Order): Decision[] {
+  private failedLaunch(order: Order): Decision[] {
     const out: Decision[] = [
       { cause: `No ${order.kind} capacity in ${order.zone}.`, act: { tag: 'orderFailed', order: order.id } },
     ];
-    if (order.kind === 'spot') failedZones.push({ model: order.model, zone: order.zone });
+    if (order.kind === 'spot') this.failedZones.push({ model: order.model, zone: order.zone });
     return out;
   }
-  let failedZones: { readonly model: string; readonly zone: string }[] = [];
 
-  async function finishDraining(fence: number, workers: readonly Listed[] | null): Promise<void> {
-    const now = clock.mono();
+  private async finishDraining(fence: number, workers: readonly Listed[] | null): Promise<void> {
+    const now = this.deps.clock.mono();
     const still = new Map<string, number>();
     const work: Promise<void>[] = [];
-    for (const order of Object.values(ledger.controlState().orders)) {
-      if (order.status !== 'draining') continue;
-      still.set(order.id, drainSince.get(order.id) ?? now);
-      work.push(finishOne(order));
-    }
-    drainSince = still;
-    await Promise.all(work);
 
-    async function finishOne(order: Order): Promise<void> {
+    const finishOne = async (order: Order): Promise<void> => {
       const since = still.get(order.id) ?? now;
       if (now - since < 2 * TICK_MS) return;
       const worker = workerOf(workers, order.machine);
-      if (worker && now - since < drainLimitMs(order.model)) {
-        const got = await httpClient.call({
+      if (worker && now - since < this.drainLimitMs(order.model)) {
+        const got = await this.deps.httpClient.call({
           method: 'GET',
           address: worker.address,
           path: HEALTH_PATH,
@@ -200,129 +203,149 @@
         const fit = got.ok ? readHealth(got.value.body) : null;
         if (fit?.ok && fit.value.running > 0) return;
       }
-      if (!mayAct(fence) || lease.leftMs() < ACTION_LEFT_MS) return;
-      const released = order.machine === null ? null : await cloud.release(order.machine);
+      if (!this.mayAct(fence) || this.deps.lease.leftMs() < ACTION_LEFT_MS) return;
+      const released = order.machine === null ? null : await this.deps.cloud.release(order.machine);
       if (released && !released.ok) return;
-      await record(fence, 'Drained; the machine is given back.', { tag: 'orderReleased', order: order.id });
+      await this.record(fence, 'Drained; the machine is given back.', { tag: 'orderReleased', order: order.id });
+    };
+    for (const order of Object.values(this.deps.ledger.controlState().orders)) {
+      if (order.status !== 'draining') continue;
+      still.set(order.id, this.drainSince.get(order.id) ?? now);
+      work.push(finishOne(order));
     }
+    this.drainSince = still;
+    await Promise.all(work);
   }
 
-  function valuesOf(model: string): Resolved | null {
-    for (const rm of resolveAll(ledger.controlState().configuration)) if (rm.model === model) return rm.values;
+  private valuesOf(model: string): Resolved | null {
+    for (const rm of resolveAll(this.deps.ledger.controlState().configuration))
+      if (rm.model === model) return rm.values;
     return null;
   }
-  function drainLimitMs(model: string): number {
-    return (valuesOf(model)?.drainS ?? 0) * 1_000;
+
+  private drainLimitMs(model: string): number {
+    return (this.valuesOf(model)?.drainS ?? 0) * 1_000;
   }
-  function acceleratorsOf(order: Order): readonly string[] {
-    const listed = valuesOf(order.model)?.accelerators ?? [];
+
+  private acceleratorsOf(order: Order): readonly string[] {
+    const listed = this.valuesOf(order.model)?.accelerators ?? [];
     return listed.length > 0 ? listed : [order.accelerator];
   }
 
-  async function releaseOrphans(fence: number, machines: readonly Machine[] | null): Promise<void> {
+  private async releaseOrphans(fence: number, machines: readonly Machine[] | null): Promise<void> {
     if (!machines) return;
-    const now = clock.mono();
+    const now = this.deps.clock.mono();
     const open = new Set<string>();
-    for (const order of Object.values(ledger.controlState().orders)) if (isOpen(order.status)) open.add(order.id);
+    for (const order of Object.values(this.deps.ledger.controlState().orders))
+      if (isOpen(order.status)) open.add(order.id);
     for (const m of machines) {
       if (m.state === 'gone' || m.state === 'reclaiming' || open.has(m.key)) {
-        orphanSince.delete(m.id);
+        this.orphanSince.delete(m.id);
         continue;
       }
-      const since = orphanSince.get(m.id) ?? now;
-      orphanSince.set(m.id, since);
-      if (now - since < ORPHAN_GRACE_MS || !mayAct(fence) || lease.leftMs() < ACTION_LEFT_MS) continue;
-      const released = await cloud.release(m.id);
+      const since = this.orphanSince.get(m.id) ?? now;
+      this.orphanSince.set(m.id, since);
+      if (now - since < ORPHAN_GRACE_MS || !this.mayAct(fence) || this.deps.lease.leftMs() < ACTION_LEFT_MS) continue;
+      const released = await this.deps.cloud.release(m.id);
       if (!released.ok) continue;
-      orphanSince.delete(m.id);
-      log.warn(`Machine ${m.id} belonged to no open order; it is given back.`);
-      await record(fence, `No open order holds the machine (key ${m.key}).`, { tag: 'orphanReleased', machine: m.id });
+      this.orphanSince.delete(m.id);
+      this.deps.log.warn(`Machine ${m.id} belonged to no open order; it is given back.`);
+      await this.record(fence, `No open order holds the machine (key ${m.key}).`, {
+        tag: 'orphanReleased',
+        machine: m.id,
+      });
     }
   }
 
-  async function turn(fence: number): Promise<void> {
-    rates.observe();
-    await pollPrices();
-    const owner = ledger.controlState().ledger;
-    const asOf = ledger.controlState().slot;
-    const [seenMachines, seenWorkers] = await Promise.all([cloud.machines(owner), platform.workers()]);
+  private async turn(fence: number): Promise<void> {
+    this.rates.observe();
+    await this.pollPrices();
+    const owner = this.deps.ledger.controlState().ledger;
+    const asOf = this.deps.ledger.controlState().slot;
+    const [seenMachines, seenWorkers] = await Promise.all([
+      this.deps.cloud.machines(owner),
+      this.deps.platform.workers(),
+    ]);
     const machines = seenMachines.ok ? seenMachines.value : null;
     const workers = seenWorkers.ok ? seenWorkers.value : null;
     const blind = machines === null || workers === null;
-    if (blind !== ageNoted) {
-      log.warn(
+    if (blind !== this.ageNoted) {
+      this.deps.log.warn(
         blind
           ? 'The cloud or the platform does not answer; what it told last grows old.'
           : 'The cloud and the platform answer again.',
       );
     }
-    ageNoted = blind;
-    if (!mayAct(fence)) return;
-    await settleIntended(fence, machines);
-    await finishDraining(fence, workers);
-    await releaseOrphans(fence, machines);
-    if (!mayAct(fence)) return;
+    this.ageNoted = blind;
+    if (!this.mayAct(fence)) return;
+    await this.settleIntended(fence, machines);
+    await this.finishDraining(fence, workers);
+    await this.releaseOrphans(fence, machines);
+    if (!this.mayAct(fence)) return;
 
     const wanted: Decision[] = [];
-    const dead = deadMachines(workers);
-    const failures = failedZones;
-    failedZones = [];
-    for (const rm of resolveAll(ledger.controlState().configuration)) {
+    const dead = this.deadMachines(workers);
+    const failures = this.failedZones;
+    this.failedZones = [];
+    for (const rm of resolveAll(this.deps.ledger.controlState().configuration)) {
       if (!rm.values.scaled) continue;
-      const rate: Rate | null = rates.rate(rm.model, rm.values.windowS * 1_000);
+      const rate: Rate | null = this.rates.rate(rm.model, rm.values.windowS * 1_000);
       const failedIn: string[] = [];
       for (const f of failures) if (f.model === rm.model) failedIn.push(f.zone);
       const sight: Sight = {
-        now: clock.mono(),
+        now: this.deps.clock.mono(),
         workers,
         machines,
-        prices,
+        prices: this.prices,
         rates: { [rm.model]: rate },
         deadMachines: dead,
         failedIn,
         asOf,
-        seenBefore,
+        seenBefore: this.seenBefore,
       };
-      for (const d of decideModel(rm, ledger.controlState(), sight, memory, nextOrderId)) wanted.push(d);
+      for (const d of decideModel(rm, this.deps.ledger.controlState(), sight, this.memory, () => this.nextOrderId()))
+        wanted.push(d);
     }
-    if (wanted.length > 0) await agree(fence, wanted);
-    if (wanted.some(isIntent)) await settleIntended(fence, machines);
-    noteSeen(machines);
+    if (wanted.length > 0) await this.agree(fence, wanted);
+    if (wanted.some(isIntent)) await this.settleIntended(fence, machines);
+    this.noteSeen(machines);
   }
 
-  function noteSeen(machines: readonly SeenMachine[] | null): void {
-    for (const m of machines ?? []) seenBefore.add(m.id);
-    if (seenBefore.size < MOST_SEEN) return;
+  private noteSeen(machines: readonly SeenMachine[] | null): void {
+    for (const m of machines ?? []) this.seenBefore.add(m.id);
+    if (this.seenBefore.size < MOST_SEEN) return;
     const held = new Set<string | null>();
-    for (const order of Object.values(ledger.controlState().orders)) held.add(order.machine);
-    for (const id of seenBefore) if (!held.has(id)) seenBefore.delete(id);
+    for (const order of Object.values(this.deps.ledger.controlState().orders)) held.add(order.machine);
+    for (const id of this.seenBefore) if (!held.has(id)) this.seenBefore.delete(id);
   }
 
-  async function run(): Promise<void> {
-    while (!stopped) {
-      await pause(clock, TICK_MS);
-      const fence = lease.fence();
+  private async run(): Promise<void> {
+    while (!this.stopped) {
+      await pause(this.deps.clock, TICK_MS);
+      const fence = this.deps.lease.fence();
       if (fence === null) {
-        ownFence = null;
+        this.ownFence = null;
         continue;
       }
-      if (ownFence !== fence) {
-        ownFence = fence;
-        memory = new Map();
-        unfitSince.clear();
-        seenBefore.clear();
-        orphanSince.clear();
-        rates.reset();
+      if (this.ownFence !== fence) {
+        this.ownFence = fence;
+        this.memory = new Map();
+        this.unfitSince.clear();
+        this.seenBefore.clear();
+        this.orphanSince.clear();
+        this.rates.reset();
       }
-      await turn(fence);
+      await this.turn(fence);
     }
   }
-  void run();
 
-  function stop(): void {
-    stopped = true;
+  stop(): void {
+    this.stopped = true;
   }
-  return { stop };
+}
+
+export function createScaler(deps: ScalerDeps): Scaler {
+  return new LeasedScaler(deps);
 }
 
 function isIntent(d: Decision): boolean {
