--- a/src/coordination/edge/answer-reader.ts
+++ b/src/coordination/edge/answer-reader.ts
@@ -12,107 +12,118 @@
 import { numberIn } from './relayed-request.js';
 import type { RelayedRequest } from './relayed-request.js';
 
-export type AnswerReader = {
+export interface AnswerReader {
   /** Each returns the outcome as soon as it is known, else null. */
-  readonly head: (
+  head(
     status: number,
     headers: RawHeaders,
     get: (name: string) => string | null,
     freshConnection: boolean,
-  ) => AttemptOutcome | null;
-  readonly data: (chunk: Buffer) => AttemptOutcome | null;
+  ): AttemptOutcome | null;
+  data(chunk: Buffer): AttemptOutcome | null;
   /** The answer has ended as it should. */
-  readonly end: () => AttemptOutcome;
+  end(): AttemptOutcome;
   /** The connection ended, or spoke nonsense, in the middle of the answer or before it. */
-  readonly broken: (how: 'reset' | 'garbled') => AttemptOutcome;
+  broken(how: 'reset' | 'garbled'): AttemptOutcome;
   /** The answer that was held, once `end` told that there is one. */
-  readonly held: () => HeldAnswer;
-  readonly status: () => number;
-};
+  held(): HeldAnswer;
+  status(): number;
+}
 
 const WRONG_WORKER = 421;
 const DEFAULT_RETRY_AFTER_S = 0.2;
 /** A worker's whole answer is held in memory up to this size. */
 const MOST_HELD_BYTES = 1_048_576;
 
-export function createAnswerReader(words: OpenWords, request: RelayedRequest, answers: CallerAnswers): AnswerReader {
-  let status = 0;
-  let headers: RawHeaders = [];
-  let chunks: Buffer[] = [];
-  let size = 0;
-  let splitter: EventSplitter | null = null;
-  let refusal: AttemptOutcome | null = null;
+class CheckedAnswerReader implements AnswerReader {
+  private currentStatus = 0;
+  private headers: RawHeaders = [];
+  private chunks: Buffer[] = [];
+  private size = 0;
+  private splitter: EventSplitter | null = null;
+  private refusal: AttemptOutcome | null = null;
 
-  function isSuccess(): boolean {
-    return status >= 200 && status < 300;
+  constructor(
+    private readonly words: OpenWords,
+    private readonly request: RelayedRequest,
+    private readonly answers: CallerAnswers,
+  ) {}
+
+  private isSuccess(): boolean {
+    return this.currentStatus >= 200 && this.currentStatus < 300;
   }
 
   /** A refusal without an id is ours only where no other answer can be due: on a new connection. */
-  function isOurs(id: string | null, refused: boolean, freshConnection: boolean): boolean {
-    return id === request.id || (id === null && refused && freshConnection);
+  private isOurs(id: string | null, refused: boolean, freshConnection: boolean): boolean {
+    return id === this.request.id || (id === null && refused && freshConnection);
   }
 
-  function head(
+  head(
     given: number,
     raw: RawHeaders,
     get: (name: string) => string | null,
     freshConnection: boolean,
   ): AttemptOutcome | null {
-    status = given;
-    headers = raw;
-    const refused = status === WRONG_WORKER || get(words.notRun) !== null;
-    if (!isOurs(get(words.attemptId), refused, freshConnection)) return { tag: 'garbled' };
+    this.currentStatus = given;
+    this.headers = raw;
+    const refused = this.currentStatus === WRONG_WORKER || get(this.words.notRun) !== null;
+    if (!this.isOurs(get(this.words.attemptId), refused, freshConnection)) return { tag: 'garbled' };
     if (get('content-encoding') !== null) return { tag: 'garbled' };
     if (refused) {
       const retryAfterS = numberIn(get('retry-after')) ?? DEFAULT_RETRY_AFTER_S;
-      refusal = { tag: status === WRONG_WORKER ? 'wrongWorker' : 'notExecuted', retryAfterS };
+      this.refusal = { tag: this.currentStatus === WRONG_WORKER ? 'wrongWorker' : 'notExecuted', retryAfterS };
       return null;
     }
-    if (isSuccess() && get(words.seal) === null) return { tag: 'garbled' };
-    if (isSuccess() && request.stream) splitter = createEventSplitter();
+    if (this.isSuccess() && get(this.words.seal) === null) return { tag: 'garbled' };
+    if (this.isSuccess() && this.request.stream) this.splitter = createEventSplitter();
     return null;
   }
 
-  function data(chunk: Buffer): AttemptOutcome | null {
-    if (splitter) return passEvents(splitter, chunk);
-    size += chunk.length;
-    chunks.push(chunk);
-    return size > MOST_HELD_BYTES ? { tag: 'garbled' } : null;
+  data(chunk: Buffer): AttemptOutcome | null {
+    if (this.splitter) return this.passEvents(this.splitter, chunk);
+    this.size += chunk.length;
+    this.chunks.push(chunk);
+    return this.size > MOST_HELD_BYTES ? { tag: 'garbled' } : null;
   }
 
-  function passEvents(from: EventSplitter, chunk: Buffer): AttemptOutcome | null {
+  private passEvents(from: EventSplitter, chunk: Buffer): AttemptOutcome | null {
     const events = from.take(chunk);
-    if (events.length > 0) answers.begin(request, status, headers);
+    if (events.length > 0) this.answers.begin(this.request, this.currentStatus, this.headers);
     for (const event of events) {
-      if (event.id === null) request.unnumbered = request.unnumbered || !isComment(event.bytes);
-      else if (request.lastEvent !== null && event.id <= request.lastEvent) return { tag: 'garbled' };
-      else request.lastEvent = event.id;
-      request.incoming.answerer.write(event.bytes);
+      if (event.id === null) this.request.unnumbered = this.request.unnumbered || !isComment(event.bytes);
+      else if (this.request.lastEvent !== null && event.id <= this.request.lastEvent) return { tag: 'garbled' };
+      else this.request.lastEvent = event.id;
+      this.request.incoming.answerer.write(event.bytes);
     }
     return null;
   }
 
-  function end(): AttemptOutcome {
-    if (refusal) return refusal;
-    if (!isSuccess()) return { tag: 'workerFailed' };
-    if (!splitter) return { tag: 'answered' };
-    if (splitter.rest().length > 0) return { tag: 'garbled' };
-    answers.begin(request, status, headers);
+  end(): AttemptOutcome {
+    if (this.refusal) return this.refusal;
+    if (!this.isSuccess()) return { tag: 'workerFailed' };
+    if (!this.splitter) return { tag: 'answered' };
+    if (this.splitter.rest().length > 0) return { tag: 'garbled' };
+    this.answers.begin(this.request, this.currentStatus, this.headers);
     return { tag: 'answered' };
   }
 
-  function broken(how: 'reset' | 'garbled'): AttemptOutcome {
-    if (refusal) return refusal;
-    if (status > 0) return { tag: 'answerCut' };
+  broken(how: 'reset' | 'garbled'): AttemptOutcome {
+    if (this.refusal) return this.refusal;
+    if (this.currentStatus > 0) return { tag: 'answerCut' };
     return how === 'reset' ? { tag: 'resetWritten' } : { tag: 'garbled' };
   }
-  function held(): HeldAnswer {
-    const body = Buffer.concat(chunks);
-    chunks = [];
-    return { status, headers, body };
+
+  held(): HeldAnswer {
+    const body = Buffer.concat(this.chunks);
+    this.chunks = [];
+    return { status: this.currentStatus, headers: this.headers, body };
   }
-  function statusSoFar(): number {
-    return status;
+
+  status(): number {
+    return this.currentStatus;
   }
-  return { head, data, end, broken, held, status: statusSoFar };
+}
+
+export function createAnswerReader(words: OpenWords, request: RelayedRequest, answers: CallerAnswers): AnswerReader {
+  return new CheckedAnswerReader(words, request, answers);
 }
--- a/src/coordination/edge/caller-answers.ts
+++ b/src/coordination/edge/caller-answers.ts
@@ -7,57 +7,65 @@
 /** A worker's answer, held until its end was seen. */
 export type HeldAnswer = { readonly status: number; readonly headers: RawHeaders; readonly body: Buffer };
 
-export type CallerAnswers = {
+export interface CallerAnswers {
   /** Answers with a failure of the relay's own; a 503 tells when to come back. */
-  readonly refuse: (incoming: OpenRequest, status: number, tag: string, retryAfterS: number | null) => void;
+  refuse(incoming: OpenRequest, status: number, tag: string, retryAfterS: number | null): void;
   /** Passes a worker's whole answer on. */
-  readonly passOn: (request: RelayedRequest, answer: HeldAnswer) => void;
+  passOn(request: RelayedRequest, answer: HeldAnswer): void;
   /** Passes the head of a stream on, if none has been. */
-  readonly begin: (request: RelayedRequest, status: number, headers: RawHeaders) => void;
-};
+  begin(request: RelayedRequest, status: number, headers: RawHeaders): void;
+}
 
 /** Statuses by which a proxy promises that a request has not run and never will. */
 const PROMISES: ReadonlySet<number> = new Set([503, 429, 408, 421]);
 const CONTENT_TOO_LARGE = 413;
 const BAD_GATEWAY = 502;
 
-export function createCallerAnswers(words: OpenWords, closing: () => boolean): CallerAnswers {
-  function refuse(incoming: OpenRequest, status: number, tag: string, retryAfterS: number | null): void {
+class HttpCallerAnswers implements CallerAnswers {
+  constructor(
+    private readonly words: OpenWords,
+    private readonly closing: () => boolean,
+  ) {}
+
+  refuse(incoming: OpenRequest, status: number, tag: string, retryAfterS: number | null): void {
     const body = Buffer.from(JSON.stringify({ error: { tag } }));
     const head = ['Content-Type', 'application/json', 'Content-Length', String(body.length)];
     if (retryAfterS !== null) head.push('Retry-After', retryAfterS.toFixed(2));
-    if (closing() || status === CONTENT_TOO_LARGE) head.push('Connection', 'close');
+    if (this.closing() || status === CONTENT_TOO_LARGE) head.push('Connection', 'close');
     incoming.answerer.head(status, head);
     incoming.answerer.write(body);
     incoming.answerer.end();
   }
 
-  function lastOnConnection(): string[] {
-    return closing() ? ['Connection', 'close'] : [];
+  private lastOnConnection(): string[] {
+    return this.closing() ? ['Connection', 'close'] : [];
   }
 
   /**
    * A worker's own status that would be a promise is passed on as 502, and then without the seal, which
    * stands for the worker's answer as it was.
    */
-  function passOn(request: RelayedRequest, answer: HeldAnswer): void {
+  passOn(request: RelayedRequest, answer: HeldAnswer): void {
     const { answerer } = request.incoming;
     const promises = PROMISES.has(answer.status);
     const headers = answerHeaders(answer.headers);
     answerer.head(promises ? BAD_GATEWAY : answer.status, [
-      ...(promises ? withoutHeader(headers, words.seal) : headers),
+      ...(promises ? withoutHeader(headers, this.words.seal) : headers),
       'Content-Length',
       String(answer.body.length),
-      ...lastOnConnection(),
+      ...this.lastOnConnection(),
     ]);
     answerer.write(answer.body);
     answerer.end();
   }
 
-  function begin(request: RelayedRequest, status: number, headers: RawHeaders): void {
+  begin(request: RelayedRequest, status: number, headers: RawHeaders): void {
     if (request.answerBegun) return;
     request.answerBegun = true;
-    request.incoming.answerer.head(status, [...answerHeaders(headers), ...lastOnConnection()]);
+    request.incoming.answerer.head(status, [...answerHeaders(headers), ...this.lastOnConnection()]);
   }
-  return { refuse, passOn, begin };
+}
+
+export function createCallerAnswers(words: OpenWords, closing: () => boolean): CallerAnswers {
+  return new HttpCallerAnswers(words, closing);
 }
--- a/src/coordination/edge/claim-client.ts
+++ b/src/coordination/edge/claim-client.ts
@@ -1,4 +1,5 @@
 import { createLine } from '../../base/line.js';
+import type { Line } from '../../base/line.js';
 import type { Claim, ClaimAnswer, ClaimEnd } from '../../state/claim.js';
 import { majorityOf, memberId, membersMark } from '../../state/control-state.js';
 import type { ControlState } from '../../state/control-state.js';
@@ -15,19 +16,31 @@
   | { readonly tag: 'tooOld' }
   | { readonly tag: 'taken'; readonly answered: boolean };
 
-export type ClaimClient = {
-  readonly claim: (key: RunKey, by: string) => Promise<ClaimOutcome>;
-  readonly end: (key: RunKey, by: string, outcome: 'released' | 'answered') => void;
-};
+export interface ClaimClient {
+  claim(key: RunKey, by: string): Promise<ClaimOutcome>;
+  end(key: RunKey, by: string, outcome: 'released' | 'answered'): void;
+}
 
 const WAIT_MS = 1_500;
 const PATIENCE_MS = 250;
 const ENDS_TRIED = 12;
 const ENDS_PAUSE_MS = 30_000;
 
-export function createClaimClient(currentControlState: () => ControlState, peers: Peers, clock: Clock): ClaimClient {
-  async function work(claims: readonly Claim[]): Promise<readonly Promise<ClaimOutcome>[]> {
-    const b = currentControlState();
+class MajorityClaimClient implements ClaimClient {
+  private readonly line: Line<{ key: string; by: string; born: number }, Promise<ClaimOutcome>>;
+  private readonly endings: Line<{ key: string; by: string; born: number; outcome: 'answered' | 'released' }, null>;
+
+  constructor(
+    private readonly currentControlState: () => ControlState,
+    private readonly peers: Peers,
+    private readonly clock: Clock,
+  ) {
+    this.line = createLine((claims) => this.work(claims));
+    this.endings = createLine((ends) => this.spread(ends));
+  }
+
+  private async work(claims: readonly Claim[]): Promise<readonly Promise<ClaimOutcome>[]> {
+    const b = this.currentControlState();
     const need = majorityOf(b.members);
     const out: Promise<ClaimOutcome>[] = [];
     const settle: ((o: ClaimOutcome) => void)[] = [];
@@ -37,11 +50,11 @@
       }
       out.push(new Promise(keep));
     }
-    void collect(b, need, claims, settle);
+    void this.collect(b, need, claims, settle);
     return out;
   }
 
-  async function collect(
+  private async collect(
     b: ControlState,
     need: number,
     claims: readonly Claim[],
@@ -79,8 +92,14 @@
       }
       open.clear();
     }
-    async function ask(m: Member): Promise<void> {
-      const answer = await peers.call(
+
+    const settleTaken = (): void => {
+      let contested = false;
+      for (const i of open) if (tally(i).no) contested = true;
+      if (contested) this.clock.timer(PATIENCE_MS, finish);
+    };
+    const ask = async (m: Member): Promise<void> => {
+      const answer = await this.peers.call(
         m.address,
         { kind: 'claim', ledger: b.ledger, members: membersMark(b.members), claims: [...claims] },
         WAIT_MS,
@@ -96,47 +115,46 @@
         settleTaken();
       }
       weigh();
-    }
-    function settleTaken(): void {
-      let contested = false;
-      for (const i of open) if (tally(i).no) contested = true;
-      if (contested) clock.timer(PATIENCE_MS, finish);
-    }
+    };
     for (const m of b.members) void ask(m);
   }
 
-  const line = createLine(work);
-
-  async function claim(key: RunKey, by: string): Promise<ClaimOutcome> {
-    const pending = line.put({ key: key.text, by, born: key.born });
-    const outcome = await pending.then(unwrap);
-    if (outcome.tag !== 'claimed') end(key, by, 'released');
+  async claim(key: RunKey, by: string): Promise<ClaimOutcome> {
+    const pending = this.line.put({ key: key.text, by, born: key.born });
+    const outcome = await pending.then((inner) => this.unwrap(inner));
+    if (outcome.tag !== 'claimed') this.end(key, by, 'released');
     return outcome;
   }
-  function unwrap(inner: Promise<ClaimOutcome>): Promise<ClaimOutcome> {
+
+  private unwrap(inner: Promise<ClaimOutcome>): Promise<ClaimOutcome> {
     return inner;
   }
 
-  async function deliver(address: string, ledger: string, ends: readonly ClaimEnd[]): Promise<void> {
+  private async deliver(address: string, ledger: string, ends: readonly ClaimEnd[]): Promise<void> {
     for (let n = 0; n < ENDS_TRIED; n += 1) {
-      const got = await peers.call(address, { kind: 'claimEnds', ledger, ends: [...ends] }, WAIT_MS);
+      const got = await this.peers.call(address, { kind: 'claimEnds', ledger, ends: [...ends] }, WAIT_MS);
       if (got.ok && got.value.kind === 'done' && got.value.agreed) return;
-      await pause(clock, Math.min(ENDS_PAUSE_MS, 500 * 2 ** n));
+      await pause(this.clock, Math.min(ENDS_PAUSE_MS, 500 * 2 ** n));
     }
   }
-  async function spread(ends: readonly ClaimEnd[]): Promise<readonly null[]> {
-    const b = currentControlState();
-    for (const m of b.members) void deliver(m.address, b.ledger, ends);
-    return ends.map(nothing);
+
+  private async spread(ends: readonly ClaimEnd[]): Promise<readonly null[]> {
+    const b = this.currentControlState();
+    for (const m of b.members) void this.deliver(m.address, b.ledger, ends);
+    return ends.map(() => this.nothing());
   }
-  function nothing(): null {
+
+  private nothing(): null {
     return null;
   }
-  const endings = createLine(spread);
-  function end(key: RunKey, by: string, outcome: 'released' | 'answered'): void {
-    void endings.put({ key: key.text, by, born: key.born, outcome });
+
+  end(key: RunKey, by: string, outcome: 'released' | 'answered'): void {
+    void this.endings.put({ key: key.text, by, born: key.born, outcome });
   }
-  return { claim, end };
+}
+
+export function createClaimClient(currentControlState: () => ControlState, peers: Peers, clock: Clock): ClaimClient {
+  return new MajorityClaimClient(currentControlState, peers, clock);
 }
 
 function weightOf(a: ClaimAnswer): number {
--- a/src/coordination/edge/directory.ts
+++ b/src/coordination/edge/directory.ts
@@ -137,7 +137,9 @@
 
 export type Told = { readonly reports: () => Reports; readonly heardAt: (name: string) => number | null };
 
-export type Directory = { readonly addressesFor: (caller: Caller) => Found };
+export interface Directory {
+  addressesFor(caller: Caller): Found;
+}
 
 /** The settings in force, as far as the controller knows them. */
 export type ServingInForce = () => Serving | null;
@@ -162,24 +164,21 @@
   return counted[0];
 }
 
-/**
- * The directory of one controller. One that has just come up hears its proxies one after another; it names none until
- * all had time to tell. A caller whose own region has none left is led to a home of the host that it asks for, so that
- * what may be handled there alone isn't sent past it.
- */
-export function createDirectory(
-  told: Told,
-  serving: ServingInForce,
-  region: string,
-  clock: Clock,
-  tuning: DirectoryTuning = DIRECTORY_TUNING,
-): Directory {
-  let firstAt: number | null = null;
+class ReportedDirectory implements Directory {
+  private firstAt: number | null = null;
+
+  constructor(
+    private readonly told: Told,
+    private readonly serving: ServingInForce,
+    private readonly region: string,
+    private readonly clock: Clock,
+    private readonly tuning: DirectoryTuning = DIRECTORY_TUNING,
+  ) {}
 
-  function rows(now: number): ToldProxy[] {
+  private rows(now: number): ToldProxy[] {
     const out: ToldProxy[] = [];
-    for (const r of told.reports().values()) {
-      const at = told.heardAt(r.reporter);
+    for (const r of this.told.reports().values()) {
+      const at = this.told.heardAt(r.reporter);
       if (at !== null)
         out.push({
           name: r.reporter,
@@ -193,17 +192,33 @@
     }
     return out;
   }
-  function forCaller(caller: Caller): Found {
-    const now = clock.mono();
-    const proxies = rows(now);
-    if (proxies.length > 0) firstAt ??= now;
-    for (const s of proxies) if (firstAt !== null) firstAt = Math.min(firstAt, now - s.heardAgoMs);
-    if (firstAt === null || now - firstAt < tuning.warmMs) return { addresses: [], lasting: false };
-    return addressesFor(proxies, caller, nextRegions(caller), tuning);
+
+  addressesFor(caller: Caller): Found {
+    const now = this.clock.mono();
+    const proxies = this.rows(now);
+    if (proxies.length > 0) this.firstAt ??= now;
+    for (const s of proxies) if (this.firstAt !== null) this.firstAt = Math.min(this.firstAt, now - s.heardAgoMs);
+    if (this.firstAt === null || now - this.firstAt < this.tuning.warmMs) return { addresses: [], lasting: false };
+    return addressesFor(proxies, caller, this.nextRegions(caller), this.tuning);
   }
-  function nextRegions(caller: Caller): NextRegions {
-    const homes = homesOf(serving(), caller.host);
-    return { homes: homes.includes(region) ? [region, ...homes] : homes, near: [region] };
+
+  private nextRegions(caller: Caller): NextRegions {
+    const homes = homesOf(this.serving(), caller.host);
+    return { homes: homes.includes(this.region) ? [this.region, ...homes] : homes, near: [this.region] };
   }
-  return { addressesFor: forCaller };
+}
+
+/**
+ * The directory of one controller. One that has just come up hears its proxies one after another; it names none until
+ * all had time to tell. A caller whose own region has none left is led to a home of the host that it asks for, so that
+ * what may be handled there alone isn't sent past it.
+ */
+export function createDirectory(
+  told: Told,
+  serving: ServingInForce,
+  region: string,
+  clock: Clock,
+  tuning: DirectoryTuning = DIRECTORY_TUNING,
+): Directory {
+  return new ReportedDirectory(told, serving, region, clock, tuning);
 }
--- a/src/coordination/edge/dispatcher.ts
+++ b/src/coordination/edge/dispatcher.ts
@@ -13,19 +13,20 @@
 import type { WorkerRow } from '../../state/worker-row.js';
 import type { WorkerTable } from '../../state/worker-table.js';
 import { every } from '../../transport/clock.js';
-import type { Clock } from '../../transport/clock.js';
+import type { Clock, Timer } from '../../transport/clock.js';
 import type { HttpClient } from '../../transport/http.js';
 import type { Log } from '../../transport/log.js';
 import { newId } from '../../transport/rng.js';
 import type { Rng } from '../../transport/rng.js';
 import type { ClaimClient, ClaimOutcome } from './claim-client.js';
 import { createFlights } from './flights.js';
+import type { Flights } from './flights.js';
 import { shed } from './placer.js';
 import type { Placer } from './placer.js';
 import { createSeatQueue } from './seat-queue.js';
-import type { Seat } from './seat-queue.js';
+import type { Seat, SeatQueue } from './seat-queue.js';
 import { createWorkerCalls } from './worker-call.js';
-import type { AnswerLine, WorkerCallEnd } from './worker-call.js';
+import type { AnswerLine, WorkerCallEnd, WorkerCall } from './worker-call.js';
 
 export type { AnswerLine } from './worker-call.js';
 
@@ -45,16 +46,16 @@
   readonly inFlight: number;
 };
 
-export type Dispatcher = {
+export interface Dispatcher {
   /** Serves a request whose ticket was checked; `key` is set for one that may run once. */
-  readonly submit: (ticket: Ticket, body: Submit, key: RunKey | null, gone: () => boolean) => Promise<Submission>;
-  readonly countRequest: (model: string) => void;
-  readonly countShed: () => void;
-  readonly wake: () => void;
-  readonly tally: () => Tally;
-  readonly stopTaking: () => void;
-  readonly stop: () => void;
-};
+  submit(ticket: Ticket, body: Submit, key: RunKey | null, gone: () => boolean): Promise<Submission>;
+  countRequest(model: string): void;
+  countShed(): void;
+  wake(): void;
+  tally(): Tally;
+  stopTaking(): void;
+  stop(): void;
+}
 
 export type DispatcherDeps = {
   readonly ready: () => boolean;
@@ -90,42 +91,62 @@
 const RETRY_AFTER_S = 1;
 const LOOK_MS = 100;
 
-export function createDispatcher(deps: DispatcherDeps): Dispatcher {
-  const { ready, placer, table, claims, httpClient, clock, rng, log } = deps;
-  const budget = createRetryBudget();
-  const flights = createFlights(table, clock);
-  const queue = createSeatQueue({ ready, placer, table, clock });
-  const callWorker = createWorkerCalls({ table, flights, httpClient, clock, log, leave: queue.leave, onCut });
-  const requests: Record<string, number> = {};
-  let shedCount = 0;
-  let attempted = 0;
-  let retried = 0;
-  let cut = 0;
-  const ticking = every(clock, LOOK_MS, look);
-
-  function look(): void {
-    flights.endLost();
-    queue.wake();
+class TicketDispatcher implements Dispatcher {
+  private readonly budget = createRetryBudget();
+  private readonly flights: Flights;
+  private readonly queue: SeatQueue;
+  private readonly callWorker: (call: WorkerCall) => Promise<WorkerCallEnd>;
+  private readonly requests: Record<string, number> = {};
+  private shedCount = 0;
+  private attempted = 0;
+  private retried = 0;
+  private cut = 0;
+  private readonly ticking: Timer;
+
+  constructor(private readonly deps: DispatcherDeps) {
+    this.flights = createFlights(this.deps.table, this.deps.clock);
+    this.queue = createSeatQueue({
+      ready: this.deps.ready,
+      placer: this.deps.placer,
+      table: this.deps.table,
+      clock: this.deps.clock,
+    });
+    this.callWorker = createWorkerCalls({
+      table: this.deps.table,
+      flights: this.flights,
+      httpClient: this.deps.httpClient,
+      clock: this.deps.clock,
+      log: this.deps.log,
+      leave: (row) => this.queue.leave(row),
+      onCut: () => this.onCut(),
+    });
+    this.ticking = every(this.deps.clock, LOOK_MS, () => this.look());
   }
-  function onCut(): void {
-    cut += 1;
+
+  private look(): void {
+    this.flights.endLost();
+    this.queue.wake();
   }
 
-  function failed(failure: Failure, retryAfterS = RETRY_AFTER_S): Submission {
-    if (failure.tag === 'shed') shedCount += 1;
+  private onCut(): void {
+    this.cut += 1;
+  }
+
+  private failed(failure: Failure, retryAfterS = RETRY_AFTER_S): Submission {
+    if (failure.tag === 'shed') this.shedCount += 1;
     return { tag: 'failed', failure, retryAfterS };
   }
 
-  async function submit(ticket: Ticket, body: Submit, key: RunKey | null, gone: () => boolean): Promise<Submission> {
-    const resolved = placer.resolved(ticket.model);
-    if (!resolved) return failed({ tag: 'unknownModel' });
+  async submit(ticket: Ticket, body: Submit, key: RunKey | null, gone: () => boolean): Promise<Submission> {
+    const resolved = this.deps.placer.resolved(ticket.model);
+    if (!resolved) return this.failed({ tag: 'unknownModel' });
     const { values } = resolved;
-    const now = clock.mono();
+    const now = this.deps.clock.mono();
     const deadlineAt = now + values.requestDeadlineMs;
     const waitUntil = Math.min(deadlineAt, now + values.lineWaitMs);
     const parts: string[] = [];
     for (const part of body.parts) parts.push(part.hash);
-    return run({
+    return this.run({
       ticket,
       body,
       key,
@@ -142,73 +163,75 @@
   }
 
   /** One worker after the other, until nothing more may follow. */
-  async function run(job: Job): Promise<Submission> {
+  private async run(job: Job): Promise<Submission> {
     for (;;) {
-      const seat = await queue.seat(job);
-      if (seat.tag === 'none') return notRun(job, shed(seat.reason), Math.ceil(seat.comeBackMs / 1_000));
+      const seat = await this.queue.seat(job);
+      if (seat.tag === 'none') return this.notRun(job, shed(seat.reason), Math.ceil(seat.comeBackMs / 1_000));
       if (job.key !== null && !job.claimed) {
-        const refusal = await claim(job, job.key, seat);
+        const refusal = await this.claim(job, job.key, seat);
         if (refusal) return refusal;
-        if (!stillGood(seat.row)) {
-          queue.leave(seat.row);
+        if (!this.stillGood(seat.row)) {
+          this.queue.leave(seat.row);
           continue;
         }
       }
-      if (job.gone() || clock.mono() >= job.deadlineAt) {
-        queue.leave(seat.row);
-        return notRun(job, shed('lineWaitOver'), RETRY_AFTER_S);
+      if (job.gone() || this.deps.clock.mono() >= job.deadlineAt) {
+        this.queue.leave(seat.row);
+        return this.notRun(job, shed('lineWaitOver'), RETRY_AFTER_S);
       }
-      const end = await send(job, seat);
-      if (end.tag !== 'failed') return served(job, seat, end);
+      const end = await this.send(job, seat);
+      if (end.tag !== 'failed') return this.served(job, seat, end);
       job.avoid.add(seat.candidate.ix);
-      if (!mayGoOn(job, end)) return ended(job, end);
+      if (!this.mayGoOn(job, end)) return this.ended(job, end);
     }
   }
 
   /** Claims the key of a run-once request, once; a submission is what the caller gets if that failed. */
-  async function claim(job: Job, key: RunKey, seat: TakenSeat): Promise<Submission | null> {
-    const outcome = await claims.claim(key, job.ticket.id);
+  private async claim(job: Job, key: RunKey, seat: TakenSeat): Promise<Submission | null> {
+    const outcome = await this.deps.claims.claim(key, job.ticket.id);
     if (outcome.tag !== 'claimed') {
-      queue.leave(seat.row);
-      return claimRefused(outcome);
+      this.queue.leave(seat.row);
+      return this.claimRefused(outcome);
     }
     job.claimed = true;
     return null;
   }
-  function claimRefused(outcome: Exclude<ClaimOutcome, { tag: 'claimed' }>): Submission {
+
+  private claimRefused(outcome: Exclude<ClaimOutcome, { tag: 'claimed' }>): Submission {
     switch (outcome.tag) {
       case 'noMajority':
-        return failed(shed('noMajority'));
+        return this.failed(shed('noMajority'));
       case 'full':
-        return failed(shed('keysFull'), KEYS_FULL_S);
+        return this.failed(shed('keysFull'), KEYS_FULL_S);
       case 'tooOld':
-        return failed({ tag: 'keyTooOld' });
+        return this.failed({ tag: 'keyTooOld' });
       case 'taken':
-        return failed({ tag: outcome.answered ? 'alreadyAnswered' : 'outcomeUnknown' });
+        return this.failed({ tag: outcome.answered ? 'alreadyAnswered' : 'outcomeUnknown' });
     }
   }
 
-  function stillGood(row: WorkerRow): boolean {
-    return ready() && table.isCurrent(row) && row.present && !row.leaving && row.silences === 0;
+  private stillGood(row: WorkerRow): boolean {
+    return this.deps.ready() && this.deps.table.isCurrent(row) && row.present && !row.leaving && row.silences === 0;
   }
 
-  function send(job: Job, { candidate, row }: TakenSeat): Promise<WorkerCallEnd> {
-    if (job.attempts > 0) retried += 1;
-    else budget.noteAttempt(job.values.retryShare);
+  private send(job: Job, { candidate, row }: TakenSeat): Promise<WorkerCallEnd> {
+    if (job.attempts > 0) this.retried += 1;
+    else this.budget.noteAttempt(job.values.retryShare);
     job.attempts += 1;
-    attempted += 1;
+    this.attempted += 1;
     const run: Run = {
       requestId: job.ticket.requestId,
-      attemptId: newId(rng, 'd'),
+      attemptId: newId(this.deps.rng, 'd'),
       model: job.ticket.model,
       parts: job.body.parts,
       outputTokens: job.body.outputTokens,
       stream: job.body.stream,
     };
-    function sealed(): void {
-      markAnswered(job);
-    }
-    return callWorker({
+
+    const sealed = (): void => {
+      this.markAnswered(job);
+    };
+    return this.callWorker({
       candidate,
       row,
       run,
@@ -219,14 +242,14 @@
     });
   }
 
-  function served(job: Job, { candidate }: TakenSeat, end: Exclude<WorkerCallEnd, { tag: 'failed' }>): Submission {
-    table.served(candidate.ix);
-    table.prefixes.learn(table.modelIx(job.ticket.model), job.parts, candidate.ix);
-    if (end.tag === 'whole') markAnswered(job);
+  private served(job: Job, { candidate }: TakenSeat, end: Exclude<WorkerCallEnd, { tag: 'failed' }>): Submission {
+    this.deps.table.served(candidate.ix);
+    this.deps.table.prefixes.learn(this.deps.table.modelIx(job.ticket.model), job.parts, candidate.ix);
+    if (end.tag === 'whole') this.markAnswered(job);
     return end;
   }
 
-  function mayGoOn(job: Job, end: Extract<WorkerCallEnd, { tag: 'failed' }>): boolean {
+  private mayGoOn(job: Job, end: Extract<WorkerCallEnd, { tag: 'failed' }>): boolean {
     const earlier = job.ranAndBroke !== null;
     if (mayHaveRun(end.outcome)) job.ranAndBroke = job.key === null ? end.failure : { tag: 'outcomeUnknown' };
     const decision = decide(end.outcome, {
@@ -234,43 +257,61 @@
       answerBegun: false,
       canResume: false,
       mayHaveRun: earlier,
-      leftMs: job.deadlineAt - clock.mono(),
-      takeAttempt: budget.spend,
+      leftMs: job.deadlineAt - this.deps.clock.mono(),
+      takeAttempt: () => this.budget.spend(),
     });
     return decision.tag === 'repeat';
   }
 
-  function ended(job: Job, end: Extract<WorkerCallEnd, { tag: 'failed' }>): Submission {
+  private ended(job: Job, end: Extract<WorkerCallEnd, { tag: 'failed' }>): Submission {
     const retryAfterS = end.outcome.tag === 'notExecuted' ? end.outcome.retryAfterS : RETRY_AFTER_S;
-    return notRun(job, shed('workersShed'), retryAfterS);
+    return this.notRun(job, shed('workersShed'), retryAfterS);
   }
 
   /** The last word: that it was not run, and the claim released, unless an attempt may have run. */
-  function notRun(job: Job, failure: Failure, retryAfterS: number): Submission {
-    if (job.ranAndBroke) return failed(job.ranAndBroke);
-    if (job.claimed && job.key !== null) claims.end(job.key, job.ticket.id, 'released');
-    return failed(failure, retryAfterS);
+  private notRun(job: Job, failure: Failure, retryAfterS: number): Submission {
+    if (job.ranAndBroke) return this.failed(job.ranAndBroke);
+    if (job.claimed && job.key !== null) this.deps.claims.end(job.key, job.ticket.id, 'released');
+    return this.failed(failure, retryAfterS);
   }
-  function markAnswered(job: Job): void {
-    if (job.key !== null) claims.end(job.key, job.ticket.id, 'answered');
+
+  private markAnswered(job: Job): void {
+    if (job.key !== null) this.deps.claims.end(job.key, job.ticket.id, 'answered');
   }
 
-  function countRequest(model: string): void {
-    requests[model] = (requests[model] ?? 0) + 1;
+  countRequest(model: string): void {
+    this.requests[model] = (this.requests[model] ?? 0) + 1;
   }
-  function countShed(): void {
-    shedCount += 1;
+
+  countShed(): void {
+    this.shedCount += 1;
   }
-  function tally(): Tally {
+
+  tally(): Tally {
     return {
-      requests: { ...requests },
-      shed: shedCount,
-      attempted,
-      retried,
-      cut,
-      waiting: queue.waiting(),
-      inFlight: flights.open(),
+      requests: { ...this.requests },
+      shed: this.shedCount,
+      attempted: this.attempted,
+      retried: this.retried,
+      cut: this.cut,
+      waiting: this.queue.waiting(),
+      inFlight: this.flights.open(),
     };
   }
-  return { submit, countRequest, countShed, wake: queue.wake, tally, stopTaking: queue.close, stop: ticking.cancel };
+
+  wake(): void {
+    this.queue.wake();
+  }
+
+  stopTaking(): void {
+    this.queue.close();
+  }
+
+  stop(): void {
+    this.ticking.cancel();
+  }
+}
+
+export function createDispatcher(deps: DispatcherDeps): Dispatcher {
+  return new TicketDispatcher(deps);
 }
--- a/src/coordination/edge/flights.ts
+++ b/src/coordination/edge/flights.ts
@@ -8,12 +8,12 @@
   readonly heard: () => void;
 };
 
-export type Flights = {
-  readonly takeOff: (row: WorkerRow, pieceWaitMs: number) => Flight;
-  readonly land: (flight: Flight) => boolean;
-  readonly endLost: () => void;
-  readonly open: () => number;
-};
+export interface Flights {
+  takeOff(row: WorkerRow, pieceWaitMs: number): Flight;
+  land(flight: Flight): boolean;
+  endLost(): void;
+  open(): number;
+}
 
 type Watched = {
   readonly flight: Flight;
@@ -28,28 +28,33 @@
 const DARK_MS = 2_000;
 const SILENCES_DARK = 2;
 
-export function createFlights(table: WorkerTable, clock: Clock): Flights {
-  const watched = new Map<Flight, Watched>();
+class WatchedFlights implements Flights {
+  private readonly watched = new Map<Flight, Watched>();
 
-  function takeOff(row: WorkerRow, pieceWaitMs: number): Flight {
+  constructor(
+    private readonly table: WorkerTable,
+    private readonly clock: Clock,
+  ) {}
+
+  takeOff(row: WorkerRow, pieceWaitMs: number): Flight {
+    const heard = (): void => {
+      w.lastAt = this.clock.mono();
+      w.pieces = true;
+    };
     const flight: Flight = { row, stop: new AbortController(), heard };
-    const w: Watched = { flight, pieceWaitMs, pieces: false, lastAt: clock.mono(), goneAt: null };
-    watched.set(flight, w);
+    const w: Watched = { flight, pieceWaitMs, pieces: false, lastAt: this.clock.mono(), goneAt: null };
+    this.watched.set(flight, w);
     return flight;
-    function heard(): void {
-      w.lastAt = clock.mono();
-      w.pieces = true;
-    }
   }
 
-  function land(flight: Flight): boolean {
-    return watched.delete(flight);
+  land(flight: Flight): boolean {
+    return this.watched.delete(flight);
   }
 
-  function isLost(w: Watched, now: number): boolean {
+  private isLost(w: Watched, now: number): boolean {
     const { row } = w.flight;
     if (row.leaveBy !== null && now > row.leaveBy + LEAVE_SLACK_MS) return true;
-    if (!table.isCurrent(row)) return true;
+    if (!this.table.isCurrent(row)) return true;
     if (row.present) w.goneAt = null;
     else w.goneAt ??= now;
     if (w.goneAt !== null && now - w.goneAt > GONE_MS) return true;
@@ -58,13 +63,16 @@
     return w.pieces && quietMs > w.pieceWaitMs;
   }
 
-  function endLost(): void {
-    const now = clock.mono();
-    for (const w of watched.values()) if (isLost(w, now)) w.flight.stop.abort();
+  endLost(): void {
+    const now = this.clock.mono();
+    for (const w of this.watched.values()) if (this.isLost(w, now)) w.flight.stop.abort();
   }
 
-  function open(): number {
-    return watched.size;
+  open(): number {
+    return this.watched.size;
   }
-  return { takeOff, land, endLost, open };
+}
+
+export function createFlights(table: WorkerTable, clock: Clock): Flights {
+  return new WatchedFlights(table, clock);
 }
--- a/src/coordination/edge/list-feed.ts
+++ b/src/coordination/edge/list-feed.ts
@@ -2,7 +2,7 @@
 import type { Result } from '../../base/result.js';
 import type { WorkerEntry } from '../../state/worker-entry.js';
 import { every } from '../../transport/clock.js';
-import type { Clock } from '../../transport/clock.js';
+import type { Clock, Timer } from '../../transport/clock.js';
 
 export type ListFeedEvents = { readonly changed: { readonly entries: readonly WorkerEntry[] } };
 
@@ -10,43 +10,61 @@
 
 export type ListReader = { readonly read: () => Promise<Result<readonly WorkerEntry[], ListFault>> };
 
-export type ListFeed = {
-  readonly entries: () => readonly WorkerEntry[];
-  readonly asOf: () => number | null;
+export interface ListFeed {
+  entries(): readonly WorkerEntry[];
+  asOf(): number | null;
   readonly events: {
     readonly on: <K extends keyof ListFeedEvents>(name: K, fn: (e: ListFeedEvents[K]) => void) => void;
   };
-  readonly stop: () => void;
-};
+  stop(): void;
+}
 
-export function createPolledFeed(reader: ListReader, clock: Clock, everyMs: number): ListFeed {
-  const events = createEvents<ListFeedEvents>();
-  let list: readonly WorkerEntry[] = [];
-  let at: number | null = null;
-  let asking = false;
-
-  async function poll(): Promise<void> {
-    if (asking) return;
-    asking = true;
-    const from = clock.mono();
-    const got = await reader.read();
-    asking = false;
+class PolledListFeed implements ListFeed {
+  readonly events = createEvents<ListFeedEvents>();
+  private list: readonly WorkerEntry[] = [];
+  private at: number | null = null;
+  private asking = false;
+  private readonly polling: Timer;
+
+  constructor(
+    private readonly reader: ListReader,
+    private readonly clock: Clock,
+    private readonly everyMs: number,
+  ) {
+    this.polling = every(this.clock, this.everyMs, () => this.tick());
+
+    this.tick();
+  }
+
+  private async poll(): Promise<void> {
+    if (this.asking) return;
+    this.asking = true;
+    const from = this.clock.mono();
+    const got = await this.reader.read();
+    this.asking = false;
     if (!got.ok) return;
-    list = got.value;
-    at = from;
-    events.emit('changed', { entries: list });
+    this.list = got.value;
+    this.at = from;
+    this.events.emit('changed', { entries: this.list });
   }
-  function tick(): void {
-    void poll();
+
+  private tick(): void {
+    void this.poll();
   }
-  const polling = every(clock, everyMs, tick);
-  tick();
 
-  function entries(): readonly WorkerEntry[] {
-    return list;
+  entries(): readonly WorkerEntry[] {
+    return this.list;
   }
-  function asOf(): number | null {
-    return at;
+
+  asOf(): number | null {
+    return this.at;
+  }
+
+  stop(): void {
+    this.polling.cancel();
   }
-  return { entries, asOf, events, stop: polling.cancel };
+}
+
+export function createPolledFeed(reader: ListReader, clock: Clock, everyMs: number): ListFeed {
+  return new PolledListFeed(reader, clock, everyMs);
 }
--- a/src/coordination/edge/list-news.ts
+++ b/src/coordination/edge/list-news.ts
@@ -3,7 +3,7 @@
 import { compareNumbers, createListBook } from '../../state/list-book.js';
 import type { ListBook, ListNumber, Taken } from '../../state/list-book.js';
 import { every } from '../../transport/clock.js';
-import type { Clock } from '../../transport/clock.js';
+import type { Clock, Timer } from '../../transport/clock.js';
 import type { Address } from '../../transport/wire.js';
 import type { Peer, Peers } from '../members/peers.js';
 
@@ -38,20 +38,20 @@
   renewMs: 4_000,
 };
 
-export type ListNews = {
+export interface ListNews {
   readonly book: ListBook;
   readonly events: {
     readonly on: <K extends keyof ListNewsEvents>(name: K, fn: (e: ListNewsEvents[K]) => void) => void;
   };
-  readonly ageMs: () => number;
-  readonly heardMs: () => number;
-  readonly noteHeard: () => void;
-  readonly fresh: () => boolean;
-  readonly toldSilent: () => boolean;
-  readonly ask: (to: Address) => Promise<Asked>;
-  readonly noteTurn: () => void;
-  readonly stop: () => void;
-};
+  ageMs(): number;
+  heardMs(): number;
+  noteHeard(): void;
+  fresh(): boolean;
+  toldSilent(): boolean;
+  ask(to: Address): Promise<Asked>;
+  noteTurn(): void;
+  stop(): void;
+}
 
 export const STOOD_STILL_MS = 1_500;
 const TURN_MS = 500;
@@ -59,94 +59,118 @@
 const SILENCE_KEPT_MS = 3_000;
 const NEVER = Number.POSITIVE_INFINITY;
 
-export function createListNews(peers: Peers, clock: Clock, pace: ListPace): ListNews {
-  const events = createEvents<ListNewsEvents>();
-  const book = createListBook();
-  let trusting = false;
-  let heardAt: number | null = null;
-  let silentAt: number | null = null;
-  let lastTurn = clock.mono();
-
-  function since(at: number | null): number {
-    return at === null ? NEVER : clock.mono() - at;
+class PeerListNews implements ListNews {
+  readonly events = createEvents<ListNewsEvents>();
+  readonly book = createListBook();
+  private trusting = false;
+  private heardAt: number | null = null;
+  private silentAt: number | null = null;
+  private lastTurn: number;
+  private readonly turning: Timer;
+
+  constructor(
+    private readonly peers: Peers,
+    private readonly clock: Clock,
+    private readonly pace: ListPace,
+  ) {
+    this.lastTurn = this.clock.mono();
+    this.turning = every(this.clock, TURN_MS, () => this.noteTurn());
+
+    this.peers.on('listWhole', (m, peer) => this.onNews(m, peer));
+
+    this.peers.on('listChange', (m, peer) => this.onNews(m, peer));
+
+    this.peers.on('listBeat', (m, peer) => this.onNews(m, peer));
   }
-  function ageMs(): number {
-    return since(book.asOf());
+
+  private since(at: number | null): number {
+    return at === null ? NEVER : this.clock.mono() - at;
+  }
+
+  ageMs(): number {
+    return this.since(this.book.asOf());
   }
-  function heardMs(): number {
-    return since(heardAt);
+
+  heardMs(): number {
+    return this.since(this.heardAt);
   }
-  function fresh(): boolean {
-    return heardMs() <= pace.freshMs;
+
+  fresh(): boolean {
+    return this.heardMs() <= this.pace.freshMs;
   }
-  function toldSilent(): boolean {
-    return since(silentAt) < SILENCE_KEPT_MS;
+
+  toldSilent(): boolean {
+    return this.since(this.silentAt) < SILENCE_KEPT_MS;
   }
-  function noteHeard(): void {
-    heardAt = clock.mono();
+
+  noteHeard(): void {
+    this.heardAt = this.clock.mono();
   }
 
-  function noteTurn(): void {
-    const gap = since(lastTurn);
-    lastTurn = clock.mono();
+  noteTurn(): void {
+    const gap = this.since(this.lastTurn);
+    this.lastTurn = this.clock.mono();
     if (gap <= STOOD_STILL_MS) return;
-    trusting = false;
-    heardAt = null;
-    events.emit('woke', { afterMs: gap });
+    this.trusting = false;
+    this.heardAt = null;
+    this.events.emit('woke', { afterMs: gap });
   }
-  const turning = every(clock, TURN_MS, noteTurn);
 
-  function apply(m: ListMessage, now: number): Taken {
-    if (m.kind === 'listWhole') return book.takeWhole(m.number, m.entries, now - m.ageMs);
-    if (m.kind === 'listChange') return book.takeChange(m.number, m.base, m, now - m.ageMs);
+  private apply(m: ListMessage, now: number): Taken {
+    if (m.kind === 'listWhole') return this.book.takeWhole(m.number, m.entries, now - m.ageMs);
+    if (m.kind === 'listChange') return this.book.takeChange(m.number, m.base, m, now - m.ageMs);
     if (m.number === null) return 'old';
-    return book.confirm(m.number, m.ageMs === null ? Number.NEGATIVE_INFINITY : now - m.ageMs);
+    return this.book.confirm(m.number, m.ageMs === null ? Number.NEGATIVE_INFINITY : now - m.ageMs);
   }
 
-  function take(m: ListMessage, now: number): Taken {
-    const before = book.number();
-    const readBefore = book.asOf() ?? Number.NEGATIVE_INFINITY;
-    const end = apply(m, now);
+  private take(m: ListMessage, now: number): Taken {
+    const before = this.book.number();
+    const readBefore = this.book.asOf() ?? Number.NEGATIVE_INFINITY;
+    const end = this.apply(m, now);
     if (end === 'gap') return end;
     const silent = m.kind === 'listBeat' && m.silent === true;
-    const silentNews = silent && since(silentAt) > pace.everyMs / 2;
-    if (silent) silentAt = clock.mono();
+    const silentNews = silent && this.since(this.silentAt) > this.pace.everyMs / 2;
+    if (silent) this.silentAt = this.clock.mono();
     if (end === 'old') return end;
-    const after = book.number();
+    const after = this.book.number();
     const contents = before === null || (after !== null && compareNumbers(before, after) !== 0);
-    const advanced = (book.asOf() ?? 0) - readBefore > pace.everyMs / 2;
+    const advanced = (this.book.asOf() ?? 0) - readBefore > this.pace.everyMs / 2;
     if (m.ageMs !== null && m.kind !== 'listChange' && m.sinceMs !== undefined)
-      heardAt = Math.max(heardAt ?? Number.NEGATIVE_INFINITY, now - m.sinceMs);
-    else if (contents || advanced) heardAt = clock.mono();
-    if (contents || advanced || silentNews) events.emit('taken', { message: m, contents });
+      this.heardAt = Math.max(this.heardAt ?? Number.NEGATIVE_INFINITY, now - m.sinceMs);
+    else if (contents || advanced) this.heardAt = this.clock.mono();
+    if (contents || advanced || silentNews) this.events.emit('taken', { message: m, contents });
     return end;
   }
 
-  function onNews(m: ListMessage, peer: Peer): null {
-    noteTurn();
+  private onNews(m: ListMessage, peer: Peer): null {
+    this.noteTurn();
     if (m.number === null) return null;
-    if (heardMs() > DISTRUST_MS) trusting = false;
-    const held = book.number();
+    if (this.heardMs() > DISTRUST_MS) this.trusting = false;
+    const held = this.book.number();
     if (held && compareNumbers(m.number, held) < 0) {
-      if (m.number[1] !== held[1]) events.emit('outrun', { number: m.number, peer });
+      if (m.number[1] !== held[1]) this.events.emit('outrun', { number: m.number, peer });
       return null;
     }
-    if (!trusting || take(m, clock.mono()) === 'gap') events.emit('missed', { number: m.number });
+    if (!this.trusting || this.take(m, this.clock.mono()) === 'gap') this.events.emit('missed', { number: m.number });
     return null;
   }
-  peers.on('listWhole', onNews);
-  peers.on('listChange', onNews);
-  peers.on('listBeat', onNews);
-
-  async function ask(to: Address): Promise<Asked> {
-    const from = clock.mono();
-    const got = await peers.call(to, { kind: 'listFollow', number: book.number() }, pace.askMs);
-    noteTurn();
-    if (!got.ok || !isNews(got.value) || clock.mono() - from > STOOD_STILL_MS) return 'silent';
-    if (take(got.value, from) === 'taken') trusting = true;
-    return fresh() ? 'fresh' : 'stale';
+
+  async ask(to: Address): Promise<Asked> {
+    const from = this.clock.mono();
+    const got = await this.peers.call(to, { kind: 'listFollow', number: this.book.number() }, this.pace.askMs);
+    this.noteTurn();
+    if (!got.ok || !isNews(got.value) || this.clock.mono() - from > STOOD_STILL_MS) return 'silent';
+    if (this.take(got.value, from) === 'taken') this.trusting = true;
+    return this.fresh() ? 'fresh' : 'stale';
+  }
+
+  stop(): void {
+    this.turning.cancel();
   }
-  return { book, events, ageMs, heardMs, noteHeard, fresh, toldSilent, ask, noteTurn, stop: turning.cancel };
+}
+
+export function createListNews(peers: Peers, clock: Clock, pace: ListPace): ListNews {
+  return new PeerListNews(peers, clock, pace);
 }
 
 function isNews(m: Message): m is ListMessage {
--- a/src/coordination/edge/list-source.ts
+++ b/src/coordination/edge/list-source.ts
@@ -12,7 +12,9 @@
 
 export type SeenList = { readonly workers: readonly Listed[]; readonly ageMs: number; readonly secondHand: boolean };
 
-export type ListSource = { readonly read: () => Promise<Result<SeenList, CloudFault>> };
+export interface ListSource {
+  read(): Promise<Result<SeenList, CloudFault>>;
+}
 
 export type ListSourceDeps = {
   readonly name: string;
@@ -31,38 +33,42 @@
   return w.remainingMs === undefined ? w : { ...w, remainingMs: Math.max(0, w.remainingMs - ms) };
 }
 
-export function createListSource(deps: ListSourceDeps): ListSource {
-  const { name, platform, membership, peers, clock, rng } = deps;
-  let own: { readonly workers: readonly Listed[]; readonly at: number } | null = null;
+class PlatformListSource implements ListSource {
+  private own: { readonly workers: readonly Listed[]; readonly at: number } | null = null;
 
-  function onAsk(): Message {
-    const ageMs = own === null ? null : clock.mono() - own.at;
-    if (own === null || ageMs === null || ageMs > OLDEST_MS) return { kind: 'listTold', ageMs: null, workers: [] };
-    return { kind: 'listTold', ageMs, workers: [...own.workers] };
+  constructor(private readonly deps: ListSourceDeps) {
+    this.deps.peers.on('listAsk', () => this.onAsk());
   }
-  peers.on('listAsk', onAsk);
 
-  async function read(): Promise<Result<SeenList, CloudFault>> {
-    const from = clock.mono();
-    const got = await platform.workers();
-    if (!got.ok) return askOthers(got.fault);
-    own = { workers: got.value, at: from };
-    return ok({ workers: got.value, ageMs: clock.mono() - from, secondHand: false });
+  private onAsk(): Message {
+    const ageMs = this.own === null ? null : this.deps.clock.mono() - this.own.at;
+    if (this.own === null || ageMs === null || ageMs > OLDEST_MS) return { kind: 'listTold', ageMs: null, workers: [] };
+    return { kind: 'listTold', ageMs, workers: [...this.own.workers] };
   }
 
-  async function askOthers(fault: CloudFault): Promise<Result<SeenList, CloudFault>> {
+  async read(): Promise<Result<SeenList, CloudFault>> {
+    const from = this.deps.clock.mono();
+    const got = await this.deps.platform.workers();
+    if (!got.ok) return this.askOthers(got.fault);
+    this.own = { workers: got.value, at: from };
+    return ok({ workers: got.value, ageMs: this.deps.clock.mono() - from, secondHand: false });
+  }
+
+  private async askOthers(fault: CloudFault): Promise<Result<SeenList, CloudFault>> {
     const others: NodeInfo[] = [];
-    for (const n of membership.all()) if (n.role === 'proxy' && n.status === 'alive' && n.name !== name) others.push(n);
+    for (const n of this.deps.membership.all())
+      if (n.role === 'proxy' && n.status === 'alive' && n.name !== this.deps.name) others.push(n);
     let best: SeenList | null = null;
-    async function one(n: NodeInfo): Promise<void> {
-      const from = clock.mono();
-      const got = await peers.call(n.address, { kind: 'listAsk' }, ASK_WAIT_MS);
+    const asks: Promise<void>[] = [];
+
+    const one = async (n: NodeInfo): Promise<void> => {
+      const from = this.deps.clock.mono();
+      const got = await this.deps.peers.call(n.address, { kind: 'listAsk' }, ASK_WAIT_MS);
       if (!got.ok || got.value.kind !== 'listTold' || got.value.ageMs === null) return;
-      const ageMs = got.value.ageMs + (clock.mono() - from);
+      const ageMs = got.value.ageMs + (this.deps.clock.mono() - from);
       if (!best || ageMs < best.ageMs) best = { workers: got.value.workers, ageMs, secondHand: true };
-    }
-    const asks: Promise<void>[] = [];
-    for (const n of shuffled(rng, others).slice(0, ASKED)) asks.push(one(n));
+    };
+    for (const n of shuffled(this.deps.rng, others).slice(0, ASKED)) asks.push(one(n));
     await Promise.all(asks);
     const told = best as SeenList | null;
     if (!told) return err(fault);
@@ -70,5 +76,8 @@
     for (const w of told.workers) workers.push(aged(w, told.ageMs));
     return ok({ ...told, workers });
   }
-  return { read };
+}
+
+export function createListSource(deps: ListSourceDeps): ListSource {
+  return new PlatformListSource(deps);
 }
--- a/src/coordination/edge/open-proxy.ts
+++ b/src/coordination/edge/open-proxy.ts
@@ -163,7 +163,7 @@
   feed.events.on('changed', onList);
   onMoved();
 
-  const httpServer = await deps.httpServer.open(id.front, relay.handle);
+  const httpServer = await deps.httpServer.open(id.front, (req) => relay.handle(req));
   if (!httpServer.ok) {
     await peers.close();
     return err(httpServer.fault);
@@ -284,5 +284,5 @@
     await peers.close();
     log.info('Stopped.');
   }
-  return ok({ front: front.address, ready, tally: relay.tally, drain, stop });
+  return ok({ front: front.address, ready, tally: () => relay.tally(), drain, stop });
 }
--- a/src/coordination/edge/placer.ts
+++ b/src/coordination/edge/placer.ts
@@ -26,12 +26,12 @@
   readonly avoid: ReadonlySet<number>;
 };
 
-export type Placer = {
-  readonly place: (ask: PlaceAsk) => Result<Placed, Failure>;
-  readonly choose: (where: Where) => Choice;
-  readonly resolved: (model: string) => ResolvedModel | null;
-  readonly homesOf: (model: string, bound: Bound) => readonly string[] | null;
-};
+export interface Placer {
+  place(ask: PlaceAsk): Result<Placed, Failure>;
+  choose(where: Where): Choice;
+  resolved(model: string): ResolvedModel | null;
+  homesOf(model: string, bound: Bound): readonly string[] | null;
+}
 
 export type ProxySelf = {
   readonly name: string;
@@ -66,108 +66,115 @@
   return n.status === 'alive';
 }
 
-export function createPlacer(deps: PlacerDeps): Placer {
-  const { self, ready, follower, membership, table, policies, clock, rng } = deps;
-  let models = new Map<string, ResolvedModel>();
-  let modelsAt = -1;
+/** The proxies that membership has as up. */
+type Ups = {
+  readonly all: readonly NodeInfo[];
+  readonly byZone: ReadonlyMap<string, readonly NodeInfo[]>;
+  readonly zones: ReadonlySet<string>;
+};
+
+class PolicyPlacer implements Placer {
+  private models = new Map<string, ResolvedModel>();
+  private modelsAt = -1;
+  private ups: Ups | null = null;
+  private readonly roomy: Policy[] = [];
+
+  constructor(private readonly deps: PlacerDeps) {
+    this.deps.membership.events.on('changed', () => this.onChanged());
 
-  function resolved(model: string): ResolvedModel | null {
-    const b = follower.controlState();
-    if (modelsAt !== b.version) {
-      models = new Map();
-      for (const rm of resolveAll(b.configuration)) models.set(rm.model, rm);
-      modelsAt = b.version;
+    for (const p of this.deps.policies) if (p.name !== 'room') this.roomy.push(p);
+  }
+
+  resolved(model: string): ResolvedModel | null {
+    const b = this.deps.follower.controlState();
+    if (this.modelsAt !== b.version) {
+      this.models = new Map();
+      for (const rm of resolveAll(b.configuration)) this.models.set(rm.model, rm);
+      this.modelsAt = b.version;
     }
-    return models.get(model) ?? null;
+    return this.models.get(model) ?? null;
   }
 
-  type Ups = {
-    readonly all: readonly NodeInfo[];
-    readonly byZone: ReadonlyMap<string, readonly NodeInfo[]>;
-    readonly zones: ReadonlySet<string>;
-  };
-  let ups: Ups | null = null;
-  function onChanged(): void {
-    ups = null;
+  private onChanged(): void {
+    this.ups = null;
   }
-  membership.events.on('changed', onChanged);
 
-  function proxiesUp(): Ups {
-    if (ups) return ups;
+  private proxiesUp(): Ups {
+    if (this.ups) return this.ups;
     const all: NodeInfo[] = [];
     const byZone = new Map<string, NodeInfo[]>();
-    for (const n of membership.all()) {
+    for (const n of this.deps.membership.all()) {
       if (n.role !== 'proxy' || !isUp(n)) continue;
       all.push(n);
       byZone.set(n.zone, [...(byZone.get(n.zone) ?? []), n]);
     }
-    ups = { all, byZone, zones: new Set(byZone.keys()) };
-    return ups;
+    this.ups = { all, byZone, zones: new Set(byZone.keys()) };
+    return this.ups;
   }
 
-  function contextOf(where: Where, all: readonly Candidate[]): PlaceContext {
+  private contextOf(where: Where, all: readonly Candidate[]): PlaceContext {
     let share = 0;
     for (const c of all) share += Math.min(1, c.running / c.limit);
     return {
-      ...callerOf(where),
-      ownRegion: self.region,
+      ...this.callerOf(where),
+      ownRegion: this.deps.self.region,
       homes: where.homes,
-      partitioned: follower.partitioned(),
-      seed: seedOf(where),
+      partitioned: this.deps.follower.partitioned(),
+      seed: this.seedOf(where),
       avoid: where.avoid,
       meanShare: all.length === 0 ? 0 : share / all.length,
     };
   }
 
-  function callerOf(where: Where): { readonly zone: string; readonly region: string } {
-    const told = where.from === undefined ? undefined : follower.controlState().configuration.zones[where.from];
+  private callerOf(where: Where): { readonly zone: string; readonly region: string } {
+    const told =
+      where.from === undefined ? undefined : this.deps.follower.controlState().configuration.zones[where.from];
     return told && where.from !== undefined
       ? { zone: where.from, region: told.region }
-      : { zone: self.zone, region: self.region };
+      : { zone: this.deps.self.zone, region: this.deps.self.region };
   }
 
-  function seedOf(where: Where): string {
-    return where.parts[0] ?? newId(rng, 's');
+  private seedOf(where: Where): string {
+    return where.parts[0] ?? newId(this.deps.rng, 's');
   }
 
-  function candidatesOf(where: Where, whole: boolean): Candidate[] {
-    const rm = resolved(where.model);
+  private candidatesOf(where: Where, whole: boolean): Candidate[] {
+    const rm = this.resolved(where.model);
     if (!rm) return [];
     const { model, parts, homes } = where;
-    return table.candidates({
+    return this.deps.table.candidates({
       model,
       parts,
       homes,
       values: rm.values,
-      zone: self.zone,
-      near: callerOf(where).zone,
-      zonesWithProxy: proxiesUp().zones,
-      now: clock.mono(),
-      seed: seedOf(where),
+      zone: this.deps.self.zone,
+      near: this.callerOf(where).zone,
+      zonesWithProxy: this.proxiesUp().zones,
+      now: this.deps.clock.mono(),
+      seed: this.seedOf(where),
       whole,
     });
   }
 
-  function among(where: Where, given: readonly Policy[]): Choice {
-    const few = candidatesOf(where, false);
-    const choice = placeAmong(few, contextOf(where, few), given);
+  private among(where: Where, given: readonly Policy[]): Choice {
+    const few = this.candidatesOf(where, false);
+    const choice = placeAmong(few, this.contextOf(where, few), given);
     if (choice.tag === 'chosen' || choice.stoppedBy === 'room') return choice;
-    const all = candidatesOf(where, true);
-    return placeAmong(all, contextOf(where, all), given);
+    const all = this.candidatesOf(where, true);
+    return placeAmong(all, this.contextOf(where, all), given);
   }
 
-  function choose(where: Where): Choice {
-    return among(where, policies);
+  choose(where: Where): Choice {
+    return this.among(where, this.deps.policies);
   }
 
-  const roomy: Policy[] = [];
-  for (const p of policies) if (p.name !== 'room') roomy.push(p);
-
-  function homesOf(model: string, bound: Bound): readonly string[] | null {
+  homesOf(model: string, bound: Bound): readonly string[] | null {
     const mapped =
-      bound.mapping === null ? undefined : follower.controlState().configuration.mappings?.[bound.mapping]?.kind;
+      bound.mapping === null
+        ? undefined
+        : this.deps.follower.controlState().configuration.mappings?.[bound.mapping]?.kind;
     const kind = mapped ?? bound.kind;
-    const allowed = kind === null ? undefined : resolved(model)?.values.homes[kind];
+    const allowed = kind === null ? undefined : this.resolved(model)?.values.homes[kind];
     if (!allowed) return bound.asked;
     if (!bound.asked) return allowed;
     const both: string[] = [];
@@ -175,18 +182,18 @@
     return both;
   }
 
-  function pickProxy(
+  private pickProxy(
     worker: Candidate,
     homes: readonly string[] | null,
     without: readonly string[],
     seed: string,
   ): NodeInfo | null {
-    const { all, byZone } = proxiesUp();
+    const { all, byZone } = this.proxiesUp();
     const near = (byZone.get(worker.zone) ?? []).filter(isAlive);
-    return bestProxy(near, worker, homes, without, seed) ?? bestProxy(all, worker, homes, without, seed);
+    return this.bestProxy(near, worker, homes, without, seed) ?? this.bestProxy(all, worker, homes, without, seed);
   }
 
-  function bestProxy(
+  private bestProxy(
     among: readonly NodeInfo[],
     worker: Candidate,
     homes: readonly string[] | null,
@@ -200,7 +207,7 @@
       let score = n.status === 'alive' ? 0 : -2;
       if (n.zone === worker.zone) score += 3;
       else if (n.region === worker.region) score += 2;
-      score += (n.name === self.name ? 0.99 : hash32(`${seed}|${n.name}`) / 4294967296) * 0.5;
+      score += (n.name === this.deps.self.name ? 0.99 : hash32(`${seed}|${n.name}`) / 4294967296) * 0.5;
       if (score > top) {
         best = n;
         top = score;
@@ -209,16 +216,16 @@
     return best;
   }
 
-  function place(ask: PlaceAsk): Result<Placed, Failure> {
-    const b = follower.controlState();
-    if (!ready()) return err(shed('notReady'));
+  place(ask: PlaceAsk): Result<Placed, Failure> {
+    const b = this.deps.follower.controlState();
+    if (!this.deps.ready()) return err(shed('notReady'));
     const mapping = ask.mapping === undefined ? null : (b.configuration.mappings?.[ask.mapping] ?? null);
     if (ask.mapping !== undefined && !mapping) return err({ tag: 'unknownModel' });
     const model = mapping?.model ?? ask.model ?? '';
-    const rm = resolved(model);
+    const rm = this.resolved(model);
     if (!rm) return err({ tag: 'unknownModel' });
     const bound: Bound = { mapping: ask.mapping ?? null, kind: ask.kind ?? null, asked: ask.homes ?? null };
-    const homes = homesOf(model, bound);
+    const homes = this.homesOf(model, bound);
     if (homes !== null && homes.length === 0) return err(shed('outsideHomes'));
     const where: Where = {
       model,
@@ -227,21 +234,21 @@
       avoid: new Set(),
       ...(ask.zone === undefined ? {} : { from: ask.zone }),
     };
-    const first = among(where, policies);
-    const choice = first.tag === 'none' && first.stoppedBy === 'room' ? among(where, roomy) : first;
+    const first = this.among(where, this.deps.policies);
+    const choice = first.tag === 'none' && first.stoppedBy === 'room' ? this.among(where, this.roomy) : first;
     if (choice.tag === 'none') return err(shed('noWorker'));
-    const requestId = newId(rng, 'req');
-    const node = pickProxy(choice.candidate, homes, ask.without ?? [], requestId);
+    const requestId = newId(this.deps.rng, 'req');
+    const node = this.pickProxy(choice.candidate, homes, ask.without ?? [], requestId);
     if (!node) return err(shed('noWorker'));
     const ticket: Ticket = {
-      id: newId(rng, 'ticket'),
+      id: newId(this.deps.rng, 'ticket'),
       requestId,
       proxy: proxyId(node),
       model,
       region: node.region,
       bound,
       repeatable: ask.repeatable,
-      expiresAt: follower.sharedNow() + TICKET_LIFE_MS,
+      expiresAt: this.deps.follower.sharedNow() + TICKET_LIFE_MS,
     };
     return ok({
       proxy: node.name,
@@ -251,6 +258,8 @@
       expiresInMs: TICKET_LIFE_MS,
     });
   }
+}
 
-  return { place, choose, resolved, homesOf };
+export function createPlacer(deps: PlacerDeps): Placer {
+  return new PolicyPlacer(deps);
 }
--- a/src/coordination/edge/proxy.ts
+++ b/src/coordination/edge/proxy.ts
@@ -89,7 +89,7 @@
     httpClient,
     clock,
     log: logs.part('workers'),
-    onChange: dispatcher.wake,
+    onChange: () => dispatcher.wake(),
   });
 
   function ready(): boolean {
@@ -238,9 +238,9 @@
   return ok({
     wire: opened.value.address,
     http: served.address,
-    tally: dispatcher.tally,
+    tally: () => dispatcher.tally(),
     view,
-    place: placer.place,
+    place: (ask) => placer.place(ask),
     stop,
   });
 }
--- a/src/coordination/edge/pushed-list.ts
+++ b/src/coordination/edge/pushed-list.ts
@@ -7,7 +7,7 @@
 import type { Peers } from '../members/peers.js';
 import type { ListFeed, ListFeedEvents, ListReader } from './list-feed.js';
 import { createListNews, LIST_PACE, STOOD_STILL_MS } from './list-news.js';
-import type { ListPace } from './list-news.js';
+import type { ListPace, ListNews } from './list-news.js';
 import { readWithin } from './read-within.js';
 
 export type ListFeedDeps = {
@@ -28,143 +28,165 @@
 const OWN_SPREAD_MS = 4_000;
 const OWN_JITTER_MS = 350;
 
-export function createListFeed(deps: ListFeedDeps): ListFeed {
-  const { reader, peers, clock, rng, log } = deps;
-  const pace = deps.pace ?? LIST_PACE;
-  const news = createListNews(peers, clock, pace);
-  const { book } = news;
-  const events = createEvents<ListFeedEvents>();
-  let own: OwnReading | null = null;
-  let source: Address | null = null;
-  let turns = 0;
-  let renewedAt = 0;
-  let ownDue = clock.mono() + pace.ownMs * (1 + rng.next());
-  let ownPauseMs = OWN_PAUSE_MS;
-  let readsItself = false;
-  let spread = false;
-  let asking = false;
-  let stopped = false;
-  let next: Timer | null = null;
-
-  function pushedNewest(): boolean {
-    const at = book.asOf();
-    return own === null || (at !== null && at >= own.at);
-  }
-  function entries(): readonly WorkerEntry[] {
-    return own !== null && !pushedNewest() ? own.entries : book.entries();
-  }
-  function asOf(): number | null {
-    return own !== null && !pushedNewest() ? own.at : book.asOf();
-  }
-  function tellChanged(): void {
-    events.emit('changed', { entries: entries() });
-  }
-
-  function arm(): void {
-    next?.cancel();
-    if (stopped) return;
-    const now = clock.mono();
-    const askDue = news.fresh()
-      ? Math.min(now + pace.freshMs - news.heardMs(), renewedAt + pace.renewMs)
+class PushedListFeed implements ListFeed {
+  private readonly pace: ListPace;
+  private readonly news: ListNews;
+  readonly events = createEvents<ListFeedEvents>();
+  private own: OwnReading | null = null;
+  private source: Address | null = null;
+  private turns = 0;
+  private renewedAt = 0;
+  private ownDue: number;
+  private ownPauseMs = OWN_PAUSE_MS;
+  private readsItself = false;
+  private spread = false;
+  private asking = false;
+  private stopped = false;
+  private next: Timer | null = null;
+
+  constructor(private readonly deps: ListFeedDeps) {
+    this.pace = this.deps.pace ?? LIST_PACE;
+    this.news = createListNews(this.deps.peers, this.deps.clock, this.pace);
+    this.ownDue = this.deps.clock.mono() + this.pace.ownMs * (1 + this.deps.rng.next());
+
+    this.news.events.on('taken', (e) => this.onTaken(e));
+
+    this.news.events.on('missed', () => this.onMissed());
+
+    this.news.events.on('woke', (e) => this.onWoke(e));
+
+    this.tick();
+  }
+
+  private pushedNewest(): boolean {
+    const at = this.news.book.asOf();
+    return this.own === null || (at !== null && at >= this.own.at);
+  }
+
+  entries(): readonly WorkerEntry[] {
+    return this.own !== null && !this.pushedNewest() ? this.own.entries : this.news.book.entries();
+  }
+
+  asOf(): number | null {
+    return this.own !== null && !this.pushedNewest() ? this.own.at : this.news.book.asOf();
+  }
+
+  private tellChanged(): void {
+    this.events.emit('changed', { entries: this.entries() });
+  }
+
+  private arm(): void {
+    this.next?.cancel();
+    if (this.stopped) return;
+    const now = this.deps.clock.mono();
+    const askDue = this.news.fresh()
+      ? Math.min(now + this.pace.freshMs - this.news.heardMs(), this.renewedAt + this.pace.renewMs)
       : now + ASK_PAUSE_MS;
-    next = clock.timer(Math.max(1, Math.min(askDue, ownDue) - now), tick);
+    this.next = this.deps.clock.timer(Math.max(1, Math.min(askDue, this.ownDue) - now), () => this.tick());
   }
-  function tick(): void {
-    void turn();
+
+  private tick(): void {
+    void this.turn();
   }
 
-  function onTaken(e: { readonly contents: boolean }): void {
-    const replaced = own !== null && pushedNewest();
-    if (replaced) own = null;
-    if ((e.contents && own === null) || replaced) tellChanged();
-    if (news.fresh()) onFresh();
-    else if (news.toldSilent() && !spread) {
-      spread = true;
-      ownDue = Math.max(ownDue, clock.mono() + OWN_SPREAD_MS * (0.5 + rng.next()));
+  private onTaken(e: { readonly contents: boolean }): void {
+    const replaced = this.own !== null && this.pushedNewest();
+    if (replaced) this.own = null;
+    if ((e.contents && this.own === null) || replaced) this.tellChanged();
+    if (this.news.fresh()) this.onFresh();
+    else if (this.news.toldSilent() && !this.spread) {
+      this.spread = true;
+      this.ownDue = Math.max(this.ownDue, this.deps.clock.mono() + OWN_SPREAD_MS * (0.5 + this.deps.rng.next()));
     }
-    if (!asking) arm();
-  }
-  function onFresh(): void {
-    ownDue = clock.mono() - news.heardMs() + pace.ownMs + OWN_JITTER_MS * rng.next();
-    ownPauseMs = OWN_PAUSE_MS;
-    spread = false;
-    if (readsItself) log.info('Hears the list from a controller again.');
-    readsItself = false;
-  }
-  function onMissed(): void {
-    void askRound();
-  }
-  function onWoke(e: { readonly afterMs: number }): void {
-    log.warn(`Stood still for ${Math.round(e.afterMs)} ms; the list is asked for anew.`);
-    ownDue = Math.min(ownDue, clock.mono() + pace.askMs + OWN_JITTER_MS * rng.next());
-    if (!asking) arm();
-  }
-  news.events.on('taken', onTaken);
-  news.events.on('missed', onMissed);
-  news.events.on('woke', onWoke);
-
-  async function askRound(): Promise<void> {
-    if (asking) return;
-    asking = true;
-    const heads = [...deps.heads()];
+    if (!this.asking) this.arm();
+  }
+
+  private onFresh(): void {
+    this.ownDue = this.deps.clock.mono() - this.news.heardMs() + this.pace.ownMs + OWN_JITTER_MS * this.deps.rng.next();
+    this.ownPauseMs = OWN_PAUSE_MS;
+    this.spread = false;
+    if (this.readsItself) this.deps.log.info('Hears the list from a controller again.');
+    this.readsItself = false;
+  }
+
+  private onMissed(): void {
+    void this.askRound();
+  }
+
+  private onWoke(e: { readonly afterMs: number }): void {
+    this.deps.log.warn(`Stood still for ${Math.round(e.afterMs)} ms; the list is asked for anew.`);
+    this.ownDue = Math.min(
+      this.ownDue,
+      this.deps.clock.mono() + this.pace.askMs + OWN_JITTER_MS * this.deps.rng.next(),
+    );
+    if (!this.asking) this.arm();
+  }
+
+  private async askRound(): Promise<void> {
+    if (this.asking) return;
+    this.asking = true;
+    const heads = [...this.deps.heads()];
     const picked = new Set<Address>();
-    if (source !== null && heads.includes(source)) picked.add(source);
-    if (news.fresh()) {
+    if (this.source !== null && heads.includes(this.source)) picked.add(this.source);
+    if (this.news.fresh()) {
       if (heads[0] !== undefined) picked.add(heads[0]);
-    } else if (heads.length > 0) picked.add(heads[turns % heads.length] as Address);
-    turns += 1;
-    renewedAt = clock.mono();
+    } else if (heads.length > 0) picked.add(heads[this.turns % heads.length] as Address);
+    this.turns += 1;
+    this.renewedAt = this.deps.clock.mono();
     const answered: Address[] = [];
-    async function one(to: Address): Promise<void> {
-      if ((await news.ask(to)) === 'fresh') answered.push(to);
-    }
     const asks: Promise<void>[] = [];
+
+    const one = async (to: Address): Promise<void> => {
+      if ((await this.news.ask(to)) === 'fresh') answered.push(to);
+    };
     for (const to of picked) asks.push(one(to));
     await Promise.all(asks);
-    asking = false;
-    source = nearest(heads, answered);
-    arm();
+    this.asking = false;
+    this.source = this.nearest(heads, answered);
+    this.arm();
   }
 
-  function nearest(heads: readonly Address[], answered: readonly Address[]): Address | null {
+  private nearest(heads: readonly Address[], answered: readonly Address[]): Address | null {
     for (const h of heads) if (answered.includes(h)) return h;
-    return source;
-  }
-
-  async function readItself(): Promise<void> {
-    const from = clock.mono();
-    ownDue = from + pace.readMs + OWN_PAUSE_MS;
-    if (!readsItself) log.warn('Hears no list from any controller; reads it from the platform.');
-    readsItself = true;
-    const got = await readWithin(reader, clock, pace.readMs);
-    news.noteTurn();
-    if (stopped) return;
-    const good = got?.ok === true && clock.mono() - from <= STOOD_STILL_MS;
-    ownPauseMs = good ? OWN_PAUSE_MS : Math.min(OWN_PAUSE_MOST_MS, ownPauseMs * 2);
-    if (!news.fresh()) ownDue = from + ownPauseMs * (1 + 0.3 * rng.next());
-    if (good && got.ok) onOwnReading(got.value, from);
-    arm();
-  }
-
-  function onOwnReading(read: readonly WorkerEntry[], from: number): void {
-    const shownAt = asOf();
+    return this.source;
+  }
+
+  private async readItself(): Promise<void> {
+    const from = this.deps.clock.mono();
+    this.ownDue = from + this.pace.readMs + OWN_PAUSE_MS;
+    if (!this.readsItself) this.deps.log.warn('Hears no list from any controller; reads it from the platform.');
+    this.readsItself = true;
+    const got = await readWithin(this.deps.reader, this.deps.clock, this.pace.readMs);
+    this.news.noteTurn();
+    if (this.stopped) return;
+    const good = got?.ok === true && this.deps.clock.mono() - from <= STOOD_STILL_MS;
+    this.ownPauseMs = good ? OWN_PAUSE_MS : Math.min(OWN_PAUSE_MOST_MS, this.ownPauseMs * 2);
+    if (!this.news.fresh()) this.ownDue = from + this.ownPauseMs * (1 + 0.3 * this.deps.rng.next());
+    if (good && got.ok) this.onOwnReading(got.value, from);
+    this.arm();
+  }
+
+  private onOwnReading(read: readonly WorkerEntry[], from: number): void {
+    const shownAt = this.asOf();
     if (shownAt !== null && shownAt >= from) return;
-    own = { entries: read, at: from };
-    tellChanged();
+    this.own = { entries: read, at: from };
+    this.tellChanged();
   }
 
-  async function turn(): Promise<void> {
-    news.noteTurn();
-    if (clock.mono() >= ownDue && !news.fresh()) void readItself();
-    else if (clock.mono() >= ownDue) ownDue = clock.mono() + pace.ownMs;
-    await askRound();
+  private async turn(): Promise<void> {
+    this.news.noteTurn();
+    if (this.deps.clock.mono() >= this.ownDue && !this.news.fresh()) void this.readItself();
+    else if (this.deps.clock.mono() >= this.ownDue) this.ownDue = this.deps.clock.mono() + this.pace.ownMs;
+    await this.askRound();
   }
-  tick();
 
-  function stop(): void {
-    stopped = true;
-    next?.cancel();
-    news.stop();
+  stop(): void {
+    this.stopped = true;
+    this.next?.cancel();
+    this.news.stop();
   }
-  return { entries, asOf, events, stop };
+}
+
+export function createListFeed(deps: ListFeedDeps): ListFeed {
+  return new PushedListFeed(deps);
 }
--- a/src/coordination/edge/relay.test.ts
+++ b/src/coordination/edge/relay.test.ts
@@ -151,7 +151,7 @@
       },
     };
   }
-  every(clock, 250, relay.turn);
+  every(clock, 250, () => relay.turn());
   /** Runs what came while the process was frozen, each with its own microtasks, as an event loop does. */
   async function thaw(): Promise<void> {
     proc.host.frozen = false;
--- a/src/coordination/edge/relay.ts
+++ b/src/coordination/edge/relay.ts
@@ -17,14 +17,16 @@
 import type { ConnectionPool, OpenRequest } from '../../transport/open-http.js';
 import type { Rng } from '../../transport/rng.js';
 import { createAttempt } from './attempt.js';
-import type { AttemptEnd } from './attempt.js';
+import type { AttemptEnd, Attempt } from './attempt.js';
 import { createCallerAnswers } from './caller-answers.js';
+import type { CallerAnswers } from './caller-answers.js';
 import { createLastAnswers } from './last-answers.js';
+import type { LastAnswers } from './last-answers.js';
 import { createRelayedRequest, expectedEnd } from './relayed-request.js';
 import type { RelayedRequest } from './relayed-request.js';
 import { createSilenceWatch } from './silence-watch.js';
 import { createWorkerQueue } from './worker-queue.js';
-import type { HeldWorker } from './worker-queue.js';
+import type { HeldWorker, WorkerQueue } from './worker-queue.js';
 
 export type RelayDeps = {
   readonly words: OpenWords;
@@ -52,21 +54,20 @@
   waiting: number;
 };
 
-export type Relay = {
-  readonly handle: (req: OpenRequest) => void;
+export interface Relay {
+  handle(req: OpenRequest): void;
   /** To be called when workers, zones or places changed: whoever waits is looked at again. */
-  readonly wake: () => void;
+  wake(): void;
   /** To be called at least each 250 ms, so that a standstill of the process is noticed. */
-  readonly turn: () => void;
-  readonly tally: () => RelayTally;
-};
+  turn(): void;
+  tally(): RelayTally;
+}
 
 /** A proxy that has just started looks this often whether it knows its routes by now. */
 const OPENING_LOOK_MS = 20;
 
-export function createRelay(deps: RelayDeps): Relay {
-  const { words, tuning, book, budget, connectionPool, clock, rng, log } = deps;
-  const counts: RelayTally = {
+class OpaqueRelay implements Relay {
+  private readonly counts: RelayTally = {
     requests: {},
     shed: 0,
     attempted: 0,
@@ -76,97 +77,119 @@
     open: 0,
     waiting: 0,
   };
-  const standstill = createStandstill();
-  const answers = createCallerAnswers(words, deps.closing);
-  const last = createLastAnswers({ answers, tuning, rng, onRefused, onCut });
-  const queue = createWorkerQueue({ registry: book, tuning, clock, standstill, askOf });
-  const watch = createSilenceWatch({
-    book,
-    connectionPool,
-    clock,
-    log,
-    silentMs: tuning.silentMs,
-    onReached: queue.wake,
-  });
-  const attempt = createAttempt({
-    words,
-    registry: book,
-    connectionPool,
-    watch,
-    standstill,
-    answers,
-    clock,
-    log,
-    leavesSilent,
-    onEnd: queue.wake,
-  });
 
-  function onRefused(): void {
-    counts.shed += 1;
+  private readonly standstill = createStandstill();
+  private readonly answers: CallerAnswers;
+  private readonly last: LastAnswers;
+  private readonly queue: WorkerQueue;
+  private readonly attempt: Attempt;
+
+  constructor(private readonly deps: RelayDeps) {
+    this.answers = createCallerAnswers(this.deps.words, this.deps.closing);
+    this.last = createLastAnswers({
+      answers: this.answers,
+      tuning: this.deps.tuning,
+      rng: this.deps.rng,
+      onRefused: () => this.onRefused(),
+      onCut: () => this.onCut(),
+    });
+    this.queue = createWorkerQueue({
+      registry: this.deps.book,
+      tuning: this.deps.tuning,
+      clock: this.deps.clock,
+      standstill: this.standstill,
+      askOf: (request) => this.askOf(request),
+    });
+
+    const watch = createSilenceWatch({
+      book: this.deps.book,
+      connectionPool: this.deps.connectionPool,
+      clock: this.deps.clock,
+      log: this.deps.log,
+      silentMs: this.deps.tuning.silentMs,
+      onReached: () => this.queue.wake(),
+    });
+    this.attempt = createAttempt({
+      words: this.deps.words,
+      registry: this.deps.book,
+      connectionPool: this.deps.connectionPool,
+      watch,
+      standstill: this.standstill,
+      answers: this.answers,
+      clock: this.deps.clock,
+      log: this.deps.log,
+      leavesSilent: (request) => this.leavesSilent(request),
+      onEnd: () => this.queue.wake(),
+    });
   }
-  function onCut(): void {
-    counts.cut += 1;
+
+  private onRefused(): void {
+    this.counts.shed += 1;
+  }
+
+  private onCut(): void {
+    this.counts.cut += 1;
   }
 
-  function handle(incoming: OpenRequest): void {
-    void serve(incoming);
+  handle(incoming: OpenRequest): void {
+    void this.serve(incoming);
   }
 
-  async function serve(incoming: OpenRequest): Promise<void> {
-    const cameAt = clock.mono();
-    const table = deps.table() ?? (await whenOpen(incoming));
+  private async serve(incoming: OpenRequest): Promise<void> {
+    const cameAt = this.deps.clock.mono();
+    const table = this.deps.table() ?? (await this.whenOpen(incoming));
     if (!table) {
-      last.notReady(incoming);
+      this.last.notReady(incoming);
       return;
     }
     const route = table.match(incoming.get('host') ?? '', incoming.target.split('?', 1)[0] ?? '/');
     const body = await incoming.body(table.serving.limits.bodyBytes);
     if (!body.ok) {
-      if (body.fault.tag === 'bodyTooLarge') answers.refuse(incoming, 413, 'bodyTooLarge', null);
+      if (body.fault.tag === 'bodyTooLarge') this.answers.refuse(incoming, 413, 'bodyTooLarge', null);
       return;
     }
-    await serveBody(incoming, route, body.value, cameAt);
+    await this.serveBody(incoming, route, body.value, cameAt);
   }
 
-  async function serveBody(
+  private async serveBody(
     incoming: OpenRequest,
     route: MatchedRoute | null,
     body: Buffer,
     cameAt: number,
   ): Promise<void> {
-    const id = incoming.get(words.attemptId);
-    if (!route) answers.refuse(incoming, 404, 'noMapping', null);
-    else if (id === null || id === '') answers.refuse(incoming, 400, 'noAttemptId', null);
+    const id = incoming.get(this.deps.words.attemptId);
+    if (!route) this.answers.refuse(incoming, 404, 'noMapping', null);
+    else if (id === null || id === '') this.answers.refuse(incoming, 400, 'noAttemptId', null);
     else {
-      const request = createRelayedRequest(words, rng, incoming, route, id, body, cameAt);
-      const lastEndAt = deps.lastEndAt();
-      if (lastEndAt !== null && expectedEnd(request, clock.mono()) > lastEndAt) {
-        last.leaving(incoming);
+      const request = createRelayedRequest(this.deps.words, this.deps.rng, incoming, route, id, body, cameAt);
+      const lastEndAt = this.deps.lastEndAt();
+      if (lastEndAt !== null && expectedEnd(request, this.deps.clock.mono()) > lastEndAt) {
+        this.last.leaving(incoming);
         return;
       }
-      counts.requests[request.model] = (counts.requests[request.model] ?? 0) + 1;
-      counts.open += 1;
-      budget.arrived(request.model, clock.mono());
-      await run(request);
-      release(request);
-      counts.open -= 1;
+      this.counts.requests[request.model] = (this.counts.requests[request.model] ?? 0) + 1;
+      this.counts.open += 1;
+      this.deps.budget.arrived(request.model, this.deps.clock.mono());
+      await this.run(request);
+      this.release(request);
+      this.counts.open -= 1;
     }
   }
 
-  async function whenOpen(incoming: OpenRequest): Promise<RouteTable | null> {
-    const until = clock.mono() + tuning.openingMs;
-    while (clock.mono() < until && !incoming.answerer.gone()) {
-      await pause(clock, OPENING_LOOK_MS);
-      const table = deps.table();
+  private async whenOpen(incoming: OpenRequest): Promise<RouteTable | null> {
+    const until = this.deps.clock.mono() + this.deps.tuning.openingMs;
+    while (this.deps.clock.mono() < until && !incoming.answerer.gone()) {
+      await pause(this.deps.clock, OPENING_LOOK_MS);
+      const table = this.deps.table();
       if (table) return table;
     }
     return null;
   }
 
-  function askOf(request: RelayedRequest): PlaceAsk {
+  private askOf(request: RelayedRequest): PlaceAsk {
     const { homes, pinned } = request.route.mapping;
     const { model, parts, tokens, outTokens, avoid } = request;
-    const traits = deps.table()?.traits(model) ?? null;
+    const traits = this.deps.table()?.traits(model) ?? null;
     return {
       model,
       traits,
@@ -177,85 +200,100 @@
       homes,
       pinned,
       avoid,
-      now: clock.mono(),
+      now: this.deps.clock.mono(),
     };
   }
 
   /** One worker after the other, until nothing more may follow. */
-  async function run(request: RelayedRequest): Promise<void> {
+  private async run(request: RelayedRequest): Promise<void> {
     for (;;) {
-      await settled();
+      await this.settled();
       if (request.incoming.answerer.gone()) return;
-      const held = await queue.place(request);
+      const held = await this.queue.place(request);
       if (request.incoming.answerer.gone()) {
         held?.hold.end();
         return;
       }
       if (!held) {
-        last.unplaced(request, queue.noneInReach(request), request.deadlineAt - clock.mono());
+        this.last.unplaced(request, this.queue.noneInReach(request), request.deadlineAt - this.deps.clock.mono());
         return;
       }
-      const end = await send(request, held);
-      const decision = decide(end.outcome, situationOf(request));
+      const end = await this.send(request, held);
+      const decision = decide(end.outcome, this.situationOf(request));
       if (decision.tag !== 'repeat') {
-        last.decided(request, end, decision);
+        this.last.decided(request, end, decision);
         return;
       }
       if (end.outcome.tag !== 'withheld') request.avoid.add(held.row.entry.id);
-      if (decision.resume && mayHaveRun(end.outcome)) counts.resumed += 1;
+      if (decision.resume && mayHaveRun(end.outcome)) this.counts.resumed += 1;
     }
   }
 
-  async function send(request: RelayedRequest, held: HeldWorker): Promise<AttemptEnd> {
-    counts.attempted += 1;
-    if (request.attempts > 0) counts.retried += 1;
-    const end = await attempt(request, held);
+  private async send(request: RelayedRequest, held: HeldWorker): Promise<AttemptEnd> {
+    this.counts.attempted += 1;
+    if (request.attempts > 0) this.counts.retried += 1;
+    const end = await this.attempt(request, held);
     request.mayHaveRun = request.mayHaveRun || mayHaveRun(end.outcome);
     return end;
   }
 
-  function situationOf(request: RelayedRequest): RequestSituation {
-    function takeAttempt(): boolean {
-      return request.attempts < request.route.mapping.attempts && reserve(request);
-    }
+  private situationOf(request: RelayedRequest): RequestSituation {
+    const takeAttempt = (): boolean => {
+      return request.attempts < request.route.mapping.attempts && this.reserve(request);
+    };
     return {
       repeatability: request.repeatability,
       answerBegun: request.answerBegun,
       canResume: !request.unnumbered,
       mayHaveRun: request.mayHaveRun,
-      leftMs: request.deadlineAt - clock.mono(),
+      leftMs: request.deadlineAt - this.deps.clock.mono(),
       takeAttempt,
     };
   }
-  function leavesSilent(request: RelayedRequest): boolean {
-    return decide({ tag: 'silent' }, situationOf(request)).tag === 'repeat';
+
+  private leavesSilent(request: RelayedRequest): boolean {
+    return decide({ tag: 'silent' }, this.situationOf(request)).tag === 'repeat';
   }
 
   /**
    * A further attempt is taken from the budget when it is decided, not when it is sent: many requests may
    * fail at one moment, and each decides before the next is asked.
    */
-  function reserve(request: RelayedRequest): boolean {
-    request.reserved = request.reserved || budget.take(request.model, clock.mono());
+  private reserve(request: RelayedRequest): boolean {
+    request.reserved = request.reserved || this.deps.budget.take(request.model, this.deps.clock.mono());
     return request.reserved;
   }
-  function release(request: RelayedRequest): void {
-    if (request.reserved) budget.giveBack(request.model);
+
+  private release(request: RelayedRequest): void {
+    if (request.reserved) this.deps.budget.giveBack(request.model);
     request.reserved = false;
   }
 
   /** Waits, after a standstill, until what callers and workers did meanwhile has been read. */
-  async function settled(): Promise<void> {
-    for (let until = standstill.observe(clock.mono()); until !== null; until = standstill.observe(clock.mono())) {
-      await pause(clock, until - clock.mono());
+  private async settled(): Promise<void> {
+    for (
+      let until = this.standstill.observe(this.deps.clock.mono());
+      until !== null;
+      until = this.standstill.observe(this.deps.clock.mono())
+    ) {
+      await pause(this.deps.clock, until - this.deps.clock.mono());
     }
   }
-  function turn(): void {
-    standstill.observe(clock.mono());
+
+  turn(): void {
+    this.standstill.observe(this.deps.clock.mono());
   }
-  function tally(): RelayTally {
-    counts.waiting = queue.waiting();
-    return counts;
+
+  tally(): RelayTally {
+    this.counts.waiting = this.queue.waiting();
+    return this.counts;
   }
-  return { handle, wake: queue.wake, turn, tally };
+
+  wake(): void {
+    this.queue.wake();
+  }
+}
+
+export function createRelay(deps: RelayDeps): Relay {
+  return new OpaqueRelay(deps);
 }
--- a/src/coordination/edge/seat-queue.ts
+++ b/src/coordination/edge/seat-queue.ts
@@ -29,15 +29,15 @@
   readonly gone: () => boolean;
 };
 
-export type SeatQueue = {
-  readonly seat: (ask: SeatAsk) => Promise<Seat>;
+export interface SeatQueue {
+  seat(ask: SeatAsk): Promise<Seat>;
   /** Gives a place back. */
-  readonly leave: (row: WorkerRow) => void;
-  readonly wake: () => void;
-  readonly waiting: () => number;
+  leave(row: WorkerRow): void;
+  wake(): void;
+  waiting(): number;
   /** From now on everyone is refused. */
-  readonly close: () => void;
-};
+  close(): void;
+}
 
 export type SeatQueueDeps = {
   readonly ready: () => boolean;
@@ -50,104 +50,113 @@
 
 const COME_BACK_MS = 1_000;
 
-export function createSeatQueue(deps: SeatQueueDeps): SeatQueue {
-  const { ready, placer, table, clock } = deps;
-  const waiters = new Set<Waiter>();
-  const lengths = new Map<string, number>();
-  const paces = new Map<string, LinePace>();
-  let open = true;
+class ModelSeatQueue implements SeatQueue {
+  private readonly waiters = new Set<Waiter>();
+  private readonly lengths = new Map<string, number>();
+  private readonly paces = new Map<string, LinePace>();
+  private open = true;
+
+  constructor(private readonly deps: SeatQueueDeps) {}
 
-  function none(reason: ShedReason, comeBackMs = COME_BACK_MS): Seat {
+  private none(reason: ShedReason, comeBackMs = COME_BACK_MS): Seat {
     return { tag: 'none', reason, comeBackMs };
   }
-  function lengthOf(model: string): number {
-    return lengths.get(model) ?? 0;
+
+  private lengthOf(model: string): number {
+    return this.lengths.get(model) ?? 0;
   }
-  function paceOf(model: string): LinePace {
-    const pace = paces.get(model) ?? createLinePace();
-    paces.set(model, pace);
+
+  private paceOf(model: string): LinePace {
+    const pace = this.paces.get(model) ?? createLinePace();
+    this.paces.set(model, pace);
     return pace;
   }
 
   /** A seat, a refusal, or null where only room is lacking. */
-  function look(ask: SeatAsk): Seat | null {
+  private look(ask: SeatAsk): Seat | null {
     const { ticket, parts, avoid } = ask;
-    const choice = placer.choose({
+    const choice = this.deps.placer.choose({
       model: ticket.model,
       parts,
-      homes: placer.homesOf(ticket.model, ticket.bound),
+      homes: this.deps.placer.homesOf(ticket.model, ticket.bound),
       avoid,
     });
     if (choice.tag !== 'chosen')
-      return choice.stoppedBy === 'room' ? null : none(avoid.size > 0 ? 'workersShed' : 'noWorker');
-    const row = table.begin(choice.candidate.ix);
-    if (!row) return none('noWorker');
-    paceOf(ticket.model).note(clock.mono());
+      return choice.stoppedBy === 'room' ? null : this.none(avoid.size > 0 ? 'workersShed' : 'noWorker');
+    const row = this.deps.table.begin(choice.candidate.ix);
+    if (!row) return this.none('noWorker');
+    this.paceOf(ticket.model).note(this.deps.clock.mono());
     return { tag: 'seat', candidate: choice.candidate, row };
   }
 
-  function whyNot(ask: SeatAsk): Seat | null {
-    if (!open) return none('stopping');
-    if (!ready()) return none('notReady');
-    return ask.gone() ? none('lineWaitOver') : null;
+  private whyNot(ask: SeatAsk): Seat | null {
+    if (!this.open) return this.none('stopping');
+    if (!this.deps.ready()) return this.none('notReady');
+    return ask.gone() ? this.none('lineWaitOver') : null;
   }
 
-  async function seat(ask: SeatAsk): Promise<Seat> {
+  async seat(ask: SeatAsk): Promise<Seat> {
     const { model } = ask.ticket;
-    const atOnce = whyNot(ask) ?? (lengthOf(model) === 0 ? look(ask) : null);
+    const atOnce = this.whyNot(ask) ?? (this.lengthOf(model) === 0 ? this.look(ask) : null);
     if (atOnce) return atOnce;
-    const now = clock.mono();
-    const ahead = lengthOf(model);
-    const expected = paceOf(model).expectedWaitMs(ahead, now);
+    const now = this.deps.clock.mono();
+    const ahead = this.lengthOf(model);
+    const expected = this.paceOf(model).expectedWaitMs(ahead, now);
     if (ahead >= ask.values.lineLimit || (expected !== null && now + expected > ask.waitUntil))
-      return none('lineFull', expected ?? ask.values.lineWaitMs);
-    lengths.set(model, ahead + 1);
-    const end = await wait(ask);
-    lengths.set(model, lengthOf(model) - 1);
+      return this.none('lineFull', expected ?? ask.values.lineWaitMs);
+    this.lengths.set(model, ahead + 1);
+    const end = await this.wait(ask);
+    this.lengths.set(model, this.lengthOf(model) - 1);
     return end;
   }
 
-  async function wait(ask: SeatAsk): Promise<Seat> {
+  private async wait(ask: SeatAsk): Promise<Seat> {
     const { model } = ask.ticket;
     for (;;) {
-      const now = clock.mono();
+      const now = this.deps.clock.mono();
       if (now >= ask.waitUntil)
-        return none('lineWaitOver', paceOf(model).expectedWaitMs(lengthOf(model), now) ?? COME_BACK_MS);
-      await nextPoke(ask.waitUntil - now);
-      const end = whyNot(ask) ?? look(ask);
+        return this.none('lineWaitOver', this.paceOf(model).expectedWaitMs(this.lengthOf(model), now) ?? COME_BACK_MS);
+      await this.nextPoke(ask.waitUntil - now);
+      const end = this.whyNot(ask) ?? this.look(ask);
       if (end) return end;
     }
   }
 
-  function nextPoke(ms: number): Promise<void> {
-    function start(resolve: () => void): void {
-      const waiter: Waiter = { poke };
-      const timer: Timer = clock.timer(ms, poke);
-      waiters.add(waiter);
-      function poke(): void {
+  private nextPoke(ms: number): Promise<void> {
+    const start = (resolve: () => void): void => {
+      const poke = (): void => {
         timer.cancel();
-        waiters.delete(waiter);
+        this.waiters.delete(waiter);
         resolve();
-      }
-    }
+      };
+      const waiter: Waiter = { poke };
+      const timer: Timer = this.deps.clock.timer(ms, poke);
+      this.waiters.add(waiter);
+    };
     return new Promise(start);
   }
 
-  function wake(): void {
-    for (const waiter of [...waiters]) waiter.poke();
+  wake(): void {
+    for (const waiter of [...this.waiters]) waiter.poke();
   }
-  function leave(row: WorkerRow): void {
-    table.end(row);
-    wake();
+
+  leave(row: WorkerRow): void {
+    this.deps.table.end(row);
+    this.wake();
   }
-  function waiting(): number {
+
+  waiting(): number {
     let sum = 0;
-    for (const length of lengths.values()) sum += length;
+    for (const length of this.lengths.values()) sum += length;
     return sum;
   }
-  function close(): void {
-    open = false;
-    wake();
+
+  close(): void {
+    this.open = false;
+    this.wake();
   }
-  return { seat, leave, wake, waiting, close };
+}
+
+export function createSeatQueue(deps: SeatQueueDeps): SeatQueue {
+  return new ModelSeatQueue(deps);
 }
--- a/src/coordination/edge/silence-watch.ts
+++ b/src/coordination/edge/silence-watch.ts
@@ -5,12 +5,12 @@
 
 export type WatchedFlight = { readonly sentAt: number; heardAt: number; readonly onSilent: () => void };
 
-export type SilenceWatch = {
-  readonly begin: (row: BookRow, flight: WatchedFlight) => void;
-  readonly end: (row: BookRow, flight: WatchedFlight) => void;
-  readonly unreached: (row: BookRow) => void;
-  readonly stop: () => void;
-};
+export interface SilenceWatch {
+  begin(row: BookRow, flight: WatchedFlight): void;
+  end(row: BookRow, flight: WatchedFlight): void;
+  unreached(row: BookRow): void;
+  stop(): void;
+}
 
 export type SilenceWatchDeps = {
   readonly book: WorkerRegistry;
@@ -24,103 +24,118 @@
 const LOOK_MS = 100;
 const RECHECK_MS = 1_500;
 
-export function createSilenceWatch(deps: SilenceWatchDeps): SilenceWatch {
-  const { book, connectionPool, clock, log } = deps;
-  const flights = new Map<BookRow, Set<WatchedFlight>>();
-  const checking = new Set<BookRow>();
-  const spokenFor = new Map<BookRow, number>();
-
-  function begin(row: BookRow, flight: WatchedFlight): void {
-    const of = flights.get(row) ?? new Set<WatchedFlight>();
-    flights.set(row, of);
+class DiallingSilenceWatch implements SilenceWatch {
+  private readonly flights = new Map<BookRow, Set<WatchedFlight>>();
+  private readonly checking = new Set<BookRow>();
+  private readonly spokenFor = new Map<BookRow, number>();
+  private looking = false;
+  private stopped = false;
+
+  constructor(private readonly deps: SilenceWatchDeps) {}
+
+  begin(row: BookRow, flight: WatchedFlight): void {
+    const of = this.flights.get(row) ?? new Set<WatchedFlight>();
+    this.flights.set(row, of);
     of.add(flight);
-    arm();
+    this.arm();
   }
-  function end(row: BookRow, flight: WatchedFlight): void {
-    const of = flights.get(row);
+
+  end(row: BookRow, flight: WatchedFlight): void {
+    const of = this.flights.get(row);
     of?.delete(flight);
     if (of?.size === 0) {
-      flights.delete(row);
-      spokenFor.delete(row);
+      this.flights.delete(row);
+      this.spokenFor.delete(row);
     }
   }
 
-  function quietMs(of: ReadonlySet<WatchedFlight>, now: number): number {
+  private quietMs(of: ReadonlySet<WatchedFlight>, now: number): number {
     let least = Infinity;
     for (const f of of) least = Math.min(least, now - Math.max(f.sentAt, f.heardAt));
     return least;
   }
 
-  function check(row: BookRow): void {
-    if (checking.has(row)) return;
-    checking.add(row);
-    function done(reached: boolean): void {
-      checking.delete(row);
-      const now = clock.mono();
+  private check(row: BookRow): void {
+    if (this.checking.has(row)) return;
+    this.checking.add(row);
+
+    const done = (reached: boolean): void => {
+      this.checking.delete(row);
+      const now = this.deps.clock.mono();
       if (reached) {
-        spokenFor.set(row, now);
+        this.spokenFor.set(row, now);
         if (row.unproven) {
-          book.reached(row, now);
-          deps.onReached();
+          this.deps.book.reached(row, now);
+          this.deps.onReached();
         }
         return;
       }
       const first = !row.unproven;
-      book.silent(row, now);
-      arm();
+      this.deps.book.silent(row, now);
+      this.arm();
       if (!first) return;
-      log.warn(`${row.entry.id} in ${row.entry.zone} can't be reached.`);
-      suspectZone(row);
-      for (const f of [...(flights.get(row) ?? [])]) f.onSilent();
-    }
-    connectionPool.check(row.entry.address, book.connectMs(row), done);
+      this.deps.log.warn(`${row.entry.id} in ${row.entry.zone} can't be reached.`);
+      this.suspectZone(row);
+      for (const f of [...(this.flights.get(row) ?? [])]) f.onSilent();
+    };
+    this.deps.connectionPool.check(row.entry.address, this.deps.book.connectMs(row), done);
   }
 
-  function suspectZone(row: BookRow): void {
-    for (const other of book.rows()) {
+  private suspectZone(row: BookRow): void {
+    for (const other of this.deps.book.rows()) {
       if (other === row || other.unproven || !other.present || other.entry.zone !== row.entry.zone) continue;
-      if (!book.fewSharers() && other.running === 0 && connectionPool.open(other.entry.address) === 0) continue;
-      const of = flights.get(other);
-      if (of && quietMs(of, clock.mono()) < deps.silentMs / 2) continue;
+      if (
+        !this.deps.book.fewSharers() &&
+        other.running === 0 &&
+        this.deps.connectionPool.open(other.entry.address) === 0
+      )
+        continue;
+      const of = this.flights.get(other);
+      if (of && this.quietMs(of, this.deps.clock.mono()) < this.deps.silentMs / 2) continue;
       other.unproven = true;
-      check(other);
+      this.check(other);
     }
   }
 
-  function unreached(row: BookRow): void {
+  unreached(row: BookRow): void {
     const first = !row.unproven;
-    book.silent(row, clock.mono());
-    if (first) suspectZone(row);
-    arm();
+    this.deps.book.silent(row, this.deps.clock.mono());
+    if (first) this.suspectZone(row);
+    this.arm();
   }
 
-  function look(): void {
-    const now = clock.mono();
-    for (const [row, of] of flights) {
-      if (quietMs(of, now) < deps.silentMs || now - (spokenFor.get(row) ?? -RECHECK_MS) < RECHECK_MS) continue;
-      if (!row.unproven) check(row);
+  private look(): void {
+    const now = this.deps.clock.mono();
+    for (const [row, of] of this.flights) {
+      if (this.quietMs(of, now) < this.deps.silentMs || now - (this.spokenFor.get(row) ?? -RECHECK_MS) < RECHECK_MS)
+        continue;
+      if (!row.unproven) this.check(row);
     }
-    let open = flights.size > 0;
-    for (const row of book.rows()) {
+    let open = this.flights.size > 0;
+    for (const row of this.deps.book.rows()) {
       if (!row.unproven || !row.present) continue;
       open = true;
-      if (row.badUntil <= now) check(row);
+      if (row.badUntil <= now) this.check(row);
     }
-    if (open) arm();
+    if (open) this.arm();
   }
-  let looking = false;
-  let stopped = false;
-  function turn(): void {
-    looking = false;
-    if (!stopped) look();
+
+  private turn(): void {
+    this.looking = false;
+    if (!this.stopped) this.look();
   }
-  function arm(): void {
-    if (looking) return;
-    looking = true;
-    clock.timer(LOOK_MS, turn);
+
+  private arm(): void {
+    if (this.looking) return;
+    this.looking = true;
+    this.deps.clock.timer(LOOK_MS, () => this.turn());
   }
-  function stop(): void {
-    stopped = true;
+
+  stop(): void {
+    this.stopped = true;
   }
-  return { begin, end, unreached, stop };
+}
+
+export function createSilenceWatch(deps: SilenceWatchDeps): SilenceWatch {
+  return new DiallingSilenceWatch(deps);
 }
--- a/src/coordination/edge/worker-queue.ts
+++ b/src/coordination/edge/worker-queue.ts
@@ -12,15 +12,15 @@
 /** A worker with one of its places held. */
 export type HeldWorker = { readonly row: BookRow; readonly hold: Hold };
 
-export type WorkerQueue = {
+export interface WorkerQueue {
   /** A worker, or null when the wait was over, the queue full or the caller gone. */
-  readonly place: (request: RelayedRequest) => Promise<HeldWorker | null>;
+  place(request: RelayedRequest): Promise<HeldWorker | null>;
   /** True if no worker at all is in reach of this request, busy or not. */
-  readonly noneInReach: (request: RelayedRequest) => boolean;
+  noneInReach(request: RelayedRequest): boolean;
   /** Looks again for everyone who waits. */
-  readonly wake: () => void;
-  readonly waiting: () => number;
-};
+  wake(): void;
+  waiting(): number;
+}
 
 export type WorkerQueueDeps = {
   readonly registry: WorkerRegistry;
@@ -40,95 +40,106 @@
 const REPEAT_WAIT_MS = 400;
 const DEFAULT_AIM_MS = 2_000;
 
-export function createWorkerQueue(deps: WorkerQueueDeps): WorkerQueue {
-  const { registry, tuning, clock, standstill, askOf } = deps;
-  const waiters: Waiter[] = [];
-  let waking = false;
-  let looking = false;
-
-  function take(request: RelayedRequest): HeldWorker | 'busy' | 'none' {
-    const ask = askOf(request);
-    const found = registry.place(ask);
-    return found.tag === 'row' ? { row: found.row, hold: registry.begin(found.row, ask) } : found.tag;
+class RankedWorkerQueue implements WorkerQueue {
+  private readonly waiters: Waiter[] = [];
+  private waking = false;
+  private looking = false;
+
+  constructor(private readonly deps: WorkerQueueDeps) {}
+
+  private take(request: RelayedRequest): HeldWorker | 'busy' | 'none' {
+    const ask = this.deps.askOf(request);
+    const found = this.deps.registry.place(ask);
+    return found.tag === 'row' ? { row: found.row, hold: this.deps.registry.begin(found.row, ask) } : found.tag;
   }
 
-  function takeAtOnce(request: RelayedRequest): HeldWorker | null {
-    const first = waiters.length === 0 ? take(request) : null;
+  private takeAtOnce(request: RelayedRequest): HeldWorker | null {
+    const first = this.waiters.length === 0 ? this.take(request) : null;
     if (first !== null && typeof first === 'object') return first;
     if (first !== 'none' || request.avoid.size === 0) return null;
     request.avoid.clear();
-    const second = take(request);
+    const second = this.take(request);
     return typeof second === 'object' ? second : null;
   }
 
-  function waitUntil(request: RelayedRequest, now: number): number {
+  private waitUntil(request: RelayedRequest, now: number): number {
     const aimMs = request.route.mapping.aimMs ?? DEFAULT_AIM_MS;
     const untried = request.attempts === 0 && !request.answerBegun;
-    const until = untried ? Math.max(request.cameAt + aimMs * tuning.lineShare, now) : now + REPEAT_WAIT_MS;
+    const until = untried ? Math.max(request.cameAt + aimMs * this.deps.tuning.lineShare, now) : now + REPEAT_WAIT_MS;
     return Math.min(request.deadlineAt - BEFORE_DEADLINE_MS, until);
   }
 
-  function place(request: RelayedRequest): Promise<HeldWorker | null> {
-    const held = takeAtOnce(request);
-    if (held || waiters.length >= tuning.lineMost) return Promise.resolve(held);
-    function start(resolve: (held: HeldWorker | null) => void): void {
-      enqueue(request, resolve);
-    }
+  place(request: RelayedRequest): Promise<HeldWorker | null> {
+    const held = this.takeAtOnce(request);
+    if (held || this.waiters.length >= this.deps.tuning.lineMost) return Promise.resolve(held);
+
+    const start = (resolve: (held: HeldWorker | null) => void): void => {
+      this.enqueue(request, resolve);
+    };
     return new Promise(start);
   }
 
-  function enqueue(request: RelayedRequest, resolve: (held: HeldWorker | null) => void): void {
-    const now = clock.mono();
-    const waiter: Waiter = { request, go, timer: clock.timer(Math.max(0, waitUntil(request, now) - now), giveUp) };
-    function go(held: HeldWorker | null): void {
+  private enqueue(request: RelayedRequest, resolve: (held: HeldWorker | null) => void): void {
+    const go = (held: HeldWorker | null): void => {
       waiter.timer.cancel();
-      const i = waiters.indexOf(waiter);
-      if (i >= 0) waiters.splice(i, 1);
+      const i = this.waiters.indexOf(waiter);
+      if (i >= 0) this.waiters.splice(i, 1);
       resolve(held);
-    }
+    };
+    const now = this.deps.clock.mono();
+    const waiter: Waiter = {
+      request,
+      go,
+      timer: this.deps.clock.timer(Math.max(0, this.waitUntil(request, now) - now), giveUp),
+    };
     function giveUp(): void {
       go(null);
     }
-    waiters.splice(positionOf(request), 0, waiter);
-    lookLater();
+    this.waiters.splice(this.positionOf(request), 0, waiter);
+    this.lookLater();
     request.incoming.answerer.onGone(giveUp);
-    wake();
+    this.wake();
   }
 
-  function positionOf(request: RelayedRequest): number {
+  private positionOf(request: RelayedRequest): number {
     const rank = rankOf(request);
-    let at = waiters.length;
-    while (at > 0 && rankOf((waiters[at - 1] as Waiter).request) > rank) at -= 1;
+    let at = this.waiters.length;
+    while (at > 0 && rankOf((this.waiters[at - 1] as Waiter).request) > rank) at -= 1;
     return at;
   }
 
-  function wake(): void {
-    if (waking || standstill.observe(clock.mono()) !== null) return;
-    waking = true;
-    for (const waiter of [...waiters]) {
-      const held = take(waiter.request);
+  wake(): void {
+    if (this.waking || this.deps.standstill.observe(this.deps.clock.mono()) !== null) return;
+    this.waking = true;
+    for (const waiter of [...this.waiters]) {
+      const held = this.take(waiter.request);
       if (typeof held === 'object') waiter.go(held);
     }
-    waking = false;
+    this.waking = false;
   }
 
-  function look(): void {
-    looking = false;
-    if (waiters.length === 0) return;
-    wake();
-    lookLater();
+  private look(): void {
+    this.looking = false;
+    if (this.waiters.length === 0) return;
+    this.wake();
+    this.lookLater();
   }
-  function lookLater(): void {
-    if (looking) return;
-    looking = true;
-    clock.timer(LOOK_MS, look);
+
+  private lookLater(): void {
+    if (this.looking) return;
+    this.looking = true;
+    this.deps.clock.timer(LOOK_MS, () => this.look());
   }
 
-  function noneInReach(request: RelayedRequest): boolean {
-    return registry.place(askOf(request)).tag === 'none';
+  noneInReach(request: RelayedRequest): boolean {
+    return this.deps.registry.place(this.deps.askOf(request)).tag === 'none';
   }
-  function waiting(): number {
-    return waiters.length;
+
+  waiting(): number {
+    return this.waiters.length;
   }
-  return { place, noneInReach, wake, waiting };
+}
+
+export function createWorkerQueue(deps: WorkerQueueDeps): WorkerQueue {
+  return new RankedWorkerQueue(deps);
 }
--- a/src/coordination/ledger/ledger.ts
+++ b/src/coordination/ledger/ledger.ts
@@ -123,9 +123,7 @@
   private readonly closedFetch: ClosedOrdersFetch;
   private readonly voter: Voter;
   private readonly proposer: Proposer;
-
   readonly settle: (waitMs: number) => Promise<boolean>;
-
   readonly bootstrap: Bootstrap;
   private openSince: number | null = null;
   private watching = false;
--- a/src/coordination/scaling/list-duty.ts
+++ b/src/coordination/scaling/list-duty.ts
@@ -68,8 +68,8 @@
 
     this.arm(this.rankMs());
     this.feed = {
-      entries: this.news.book.entries,
-      asOf: this.news.book.asOf,
+      entries: () => this.news.book.entries(),
+      asOf: () => this.news.book.asOf(),
       events: this.events,
       stop: () => this.stop(),
     };
--- a/src/sim/edge-day.ts
+++ b/src/sim/edge-day.ts
@@ -117,7 +117,7 @@
     closing: never,
     lastEndAt: nothing,
   });
-  every(clock, 250, relay.turn);
+  every(clock, 250, () => relay.turn());
   function theTable(): RouteTable {
     return table;
   }
--- a/src/state/attempt-budget.ts
+++ b/src/state/attempt-budget.ts
@@ -5,53 +5,64 @@
  */
 
 /** Counts first attempts, and takes or gives back further ones; `sharers` tells how many proxies share the slack. */
-export type AttemptBudget = {
-  readonly arrived: (model: string, now: number) => void;
-  readonly may: (model: string, now: number) => boolean;
+export interface AttemptBudget {
+  arrived(model: string, now: number): void;
+  may(model: string, now: number): boolean;
   /** Takes one further dispatch from the budget, or tells that there is none left. */
-  readonly take: (model: string, now: number) => boolean;
+  take(model: string, now: number): boolean;
   /** Returns one that was taken and then not sent. */
-  readonly giveBack: (model: string) => void;
-  readonly sharers: (n: number) => void;
-};
+  giveBack(model: string): void;
+  sharers(n: number): void;
+}
 
 /** The rule: share, slack and window. */
 export type BudgetBounds = { readonly ratio: number; readonly slack: number; readonly windowMs: number };
 
 const GUARD = 0.85;
 
-/** No attempts yet. */
-export function createAttemptBudget(bounds: BudgetBounds): AttemptBudget {
-  const first = new Map<string, number[]>();
-  const further = new Map<string, number[]>();
-  let sharing = 1;
+class WindowAttemptBudget implements AttemptBudget {
+  private readonly first = new Map<string, number[]>();
+  private readonly further = new Map<string, number[]>();
+  private sharing = 1;
+
+  constructor(private readonly bounds: BudgetBounds) {}
 
-  function recent(of: Map<string, number[]>, model: string, now: number): number[] {
+  private recent(of: Map<string, number[]>, model: string, now: number): number[] {
     let list = of.get(model);
     if (!list) {
       list = [];
       of.set(model, list);
     }
-    while (list.length > 0 && now - (list[0] as number) > bounds.windowMs) list.shift();
+    while (list.length > 0 && now - (list[0] as number) > this.bounds.windowMs) list.shift();
     return list;
   }
-  function arrived(model: string, now: number): void {
-    recent(first, model, now).push(now);
+
+  arrived(model: string, now: number): void {
+    this.recent(this.first, model, now).push(now);
   }
-  function may(model: string, now: number): boolean {
-    const room = GUARD * (bounds.ratio * recent(first, model, now).length + bounds.slack / sharing);
-    return recent(further, model, now).length + 1 <= room;
+
+  may(model: string, now: number): boolean {
+    const room =
+      GUARD * (this.bounds.ratio * this.recent(this.first, model, now).length + this.bounds.slack / this.sharing);
+    return this.recent(this.further, model, now).length + 1 <= room;
   }
-  function take(model: string, now: number): boolean {
-    if (!may(model, now)) return false;
-    recent(further, model, now).push(now);
+
+  take(model: string, now: number): boolean {
+    if (!this.may(model, now)) return false;
+    this.recent(this.further, model, now).push(now);
     return true;
   }
-  function giveBack(model: string): void {
-    further.get(model)?.pop();
+
+  giveBack(model: string): void {
+    this.further.get(model)?.pop();
   }
-  function sharers(n: number): void {
-    sharing = Math.max(1, n);
+
+  sharers(n: number): void {
+    this.sharing = Math.max(1, n);
   }
-  return { arrived, may, take, giveBack, sharers };
+}
+
+/** No attempts yet. */
+export function createAttemptBudget(bounds: BudgetBounds): AttemptBudget {
+  return new WindowAttemptBudget(bounds);
 }
--- a/src/state/claim-table.ts
+++ b/src/state/claim-table.ts
@@ -6,19 +6,19 @@
 export type ClaimStep = { readonly answer: ClaimAnswer; readonly record: Buffer | null };
 export type ClaimPage = { readonly records: Buffer; readonly next: number };
 
-export type ClaimTable = {
-  readonly claim: (claim: Claim, uptime: number) => ClaimStep;
-  readonly end: (end: ClaimEnd, uptime: number) => Buffer | null;
-  readonly replay: (record: Buffer, uptime: number) => void;
-  readonly merge: (records: Buffer, uptime: number) => void;
-  readonly forgetBefore: (uptime: number) => void;
-  readonly addForgotten: (ranges: readonly HourRange[]) => void;
-  readonly forgotten: () => readonly HourRange[];
-  readonly size: () => number;
-  readonly bytes: () => number;
-  readonly page: (from: number, most: number) => ClaimPage;
-  readonly packed: () => Buffer;
-};
+export interface ClaimTable {
+  claim(claim: Claim, uptime: number): ClaimStep;
+  end(end: ClaimEnd, uptime: number): Buffer | null;
+  replay(record: Buffer, uptime: number): void;
+  merge(records: Buffer, uptime: number): void;
+  forgetBefore(uptime: number): void;
+  addForgotten(ranges: readonly HourRange[]): void;
+  forgotten(): readonly HourRange[];
+  size(): number;
+  bytes(): number;
+  page(from: number, most: number): ClaimPage;
+  packed(): Buffer;
+}
 
 export const CLAIM_RECORD = 28;
 export const HOUR_MS = 3_600_000;
@@ -52,13 +52,15 @@
   return record.readUIntBE(HOUR_AT, 3);
 }
 
-export function createClaimTable(most: number): ClaimTable {
-  const buckets = new Map<number, Bucket>();
-  const forgotten = createHourRanges();
-  let held = 0;
+class HourlyClaimTable implements ClaimTable {
+  private readonly buckets = new Map<number, Bucket>();
+  private readonly currentForgotten = createHourRanges();
+  private held = 0;
+
+  constructor(private readonly most: number) {}
 
-  function bucketOf(hour: number, uptime: number): Bucket {
-    const have = buckets.get(hour);
+  private bucketOf(hour: number, uptime: number): Bucket {
+    const have = this.buckets.get(hour);
     if (have) return have;
     const made: Bucket = {
       hour,
@@ -67,11 +69,11 @@
       count: 0,
       lastAt: uptime,
     };
-    buckets.set(hour, made);
+    this.buckets.set(hour, made);
     return made;
   }
 
-  function slotOf(b: Bucket, key: Buffer): number {
+  private slotOf(b: Bucket, key: Buffer): number {
     const mask = b.index.length - 1;
     let at = key.readUInt32LE(0) & mask;
     for (;;) {
@@ -82,42 +84,42 @@
     }
   }
 
-  function rowOf(b: Bucket, key: Buffer): Buffer | null {
-    const row = (b.index[slotOf(b, key)] as number) - 1;
+  private rowOf(b: Bucket, key: Buffer): Buffer | null {
+    const row = (b.index[this.slotOf(b, key)] as number) - 1;
     return row < 0 ? null : b.rows.subarray(row * CLAIM_RECORD, (row + 1) * CLAIM_RECORD);
   }
 
-  function grow(b: Bucket): void {
+  private grow(b: Bucket): void {
     const rows = Buffer.alloc(b.rows.length * 2);
     b.rows.copy(rows);
     b.rows = rows;
     b.index = new Int32Array(b.index.length * 2);
     for (let i = 0; i < b.count; i += 1)
-      b.index[slotOf(b, rows.subarray(i * CLAIM_RECORD, i * CLAIM_RECORD + KEY_BYTES))] = i + 1;
+      b.index[this.slotOf(b, rows.subarray(i * CLAIM_RECORD, i * CLAIM_RECORD + KEY_BYTES))] = i + 1;
   }
 
-  function insert(record: Buffer, uptime: number): void {
-    const b = bucketOf(hourOf(record), uptime);
-    if ((b.count + 1) * CLAIM_RECORD > b.rows.length) grow(b);
-    b.index[slotOf(b, record)] = b.count + 1;
+  private insert(record: Buffer, uptime: number): void {
+    const b = this.bucketOf(hourOf(record), uptime);
+    if ((b.count + 1) * CLAIM_RECORD > b.rows.length) this.grow(b);
+    b.index[this.slotOf(b, record)] = b.count + 1;
     record.copy(b.rows, b.count * CLAIM_RECORD);
     b.count += 1;
     b.lastAt = Math.max(b.lastAt, uptime);
-    held += 1;
+    this.held += 1;
   }
 
-  function find(key: Buffer, hour: number): Buffer | null {
-    const b = buckets.get(hour);
-    return b ? rowOf(b, key) : null;
+  private find(key: Buffer, hour: number): Buffer | null {
+    const b = this.buckets.get(hour);
+    return b ? this.rowOf(b, key) : null;
   }
 
-  function claim(c: Claim, uptime: number): ClaimStep {
+  claim(c: Claim, uptime: number): ClaimStep {
     const hour = Math.floor(c.born / HOUR_MS);
-    if (forgotten.has(hour)) return { answer: { tag: 'tooOld' }, record: null };
+    if (this.currentForgotten.has(hour)) return { answer: { tag: 'tooOld' }, record: null };
     const key = digest(c.key, KEY_BYTES);
     const by = digest(c.by, BY_BYTES);
-    const row = find(key, hour);
-    if (!row && held >= most) return { answer: { tag: 'full' }, record: null };
+    const row = this.find(key, hour);
+    if (!row && this.held >= this.most) return { answer: { tag: 'full' }, record: null };
     const mine = row !== null && row.subarray(KEY_BYTES, HOUR_AT).equals(by);
     const state = row ? row[STATE_AT] : RELEASED;
     if (row && mine && state === HELD) return { answer: { tag: 'claimed' }, record: null };
@@ -125,20 +127,20 @@
       return { answer: { tag: 'taken', answered: state === ANSWERED }, record: null };
     const record = recordOf(key, by, hour, HELD);
     if (row) record.copy(row);
-    else insert(record, uptime);
+    else this.insert(record, uptime);
     return { answer: { tag: 'claimed' }, record };
   }
 
-  function end(e: ClaimEnd, uptime: number): Buffer | null {
+  end(e: ClaimEnd, uptime: number): Buffer | null {
     const hour = Math.floor(e.born / HOUR_MS);
-    if (forgotten.has(hour)) return null;
+    if (this.currentForgotten.has(hour)) return null;
     const key = digest(e.key, KEY_BYTES);
     const by = digest(e.by, BY_BYTES);
-    const row = find(key, hour);
+    const row = this.find(key, hour);
     const record = recordOf(key, by, hour, e.outcome === 'answered' ? ANSWERED : RELEASED);
     if (!row) {
-      if (held >= most) return null;
-      insert(record, uptime);
+      if (this.held >= this.most) return null;
+      this.insert(record, uptime);
       return record;
     }
     if (row[STATE_AT] === ANSWERED) return null;
@@ -148,45 +150,47 @@
     return record;
   }
 
-  function replay(record: Buffer, uptime: number): void {
+  replay(record: Buffer, uptime: number): void {
     const hour = hourOf(record);
-    if (forgotten.has(hour)) return;
-    const row = find(record, hour);
+    if (this.currentForgotten.has(hour)) return;
+    const row = this.find(record, hour);
     if (row) record.copy(row);
-    else insert(record, uptime);
+    else this.insert(record, uptime);
   }
 
-  function merge(records: Buffer, uptime: number): void {
+  merge(records: Buffer, uptime: number): void {
     for (let at = 0; at + CLAIM_RECORD <= records.length; at += CLAIM_RECORD) {
       const record = records.subarray(at, at + CLAIM_RECORD);
-      const row = find(record, hourOf(record));
-      if (!row || record[STATE_AT] === ANSWERED || row[STATE_AT] === RELEASED) replay(record, uptime);
+      const row = this.find(record, hourOf(record));
+      if (!row || record[STATE_AT] === ANSWERED || row[STATE_AT] === RELEASED) this.replay(record, uptime);
     }
   }
 
-  function forgetBefore(uptime: number): void {
-    for (const b of buckets.values()) {
+  forgetBefore(uptime: number): void {
+    for (const b of this.buckets.values()) {
       if (b.lastAt >= uptime) continue;
-      drop(b);
-      forgotten.add([b.hour, b.hour]);
+      this.drop(b);
+      this.currentForgotten.add([b.hour, b.hour]);
     }
   }
-  function drop(b: Bucket): void {
-    buckets.delete(b.hour);
-    held -= b.count;
+
+  private drop(b: Bucket): void {
+    this.buckets.delete(b.hour);
+    this.held -= b.count;
   }
-  function addForgotten(ranges: readonly HourRange[]): void {
-    for (const r of ranges) forgotten.add(r);
-    for (const b of buckets.values()) if (forgotten.has(b.hour)) drop(b);
+
+  addForgotten(ranges: readonly HourRange[]): void {
+    for (const r of ranges) this.currentForgotten.add(r);
+    for (const b of this.buckets.values()) if (this.currentForgotten.has(b.hour)) this.drop(b);
   }
 
-  function ordered(): Bucket[] {
-    return [...buckets.values()].sort(byHour);
+  private ordered(): Bucket[] {
+    return [...this.buckets.values()].sort(byHour);
   }
 
-  function page(from: number, most: number): ClaimPage {
+  page(from: number, most: number): ClaimPage {
     const fromHour = Math.floor(from / POSITIONS);
-    for (const b of ordered()) {
+    for (const b of this.ordered()) {
       if (b.hour < fromHour) continue;
       const first = b.hour === fromHour ? from % POSITIONS : 0;
       if (first >= b.count) continue;
@@ -199,9 +203,9 @@
     return { records: Buffer.alloc(0), next: -1 };
   }
 
-  function packed(): Buffer {
+  packed(): Buffer {
     const parts: Buffer[] = [];
-    for (const b of ordered()) {
+    for (const b of this.ordered()) {
       const head = Buffer.alloc(HEAD_BYTES);
       head.writeUInt32BE(b.hour, 0);
       head.writeUInt32BE(b.count, 4);
@@ -211,15 +215,23 @@
     return Buffer.concat(parts);
   }
 
-  function size(): number {
-    return held;
+  size(): number {
+    return this.held;
   }
-  function bytes(): number {
+
+  bytes(): number {
     let n = 0;
-    for (const b of buckets.values()) n += b.rows.length + b.index.byteLength;
+    for (const b of this.buckets.values()) n += b.rows.length + b.index.byteLength;
     return n;
   }
-  return { claim, end, replay, merge, forgetBefore, addForgotten, forgotten: forgotten.all, size, bytes, page, packed };
+
+  forgotten(): readonly HourRange[] {
+    return this.currentForgotten.all();
+  }
+}
+
+export function createClaimTable(most: number): ClaimTable {
+  return new HourlyClaimTable(most);
 }
 
 function byHour(a: Bucket, b: Bucket): number {
--- a/src/state/closed-orders.ts
+++ b/src/state/closed-orders.ts
@@ -8,18 +8,18 @@
  * these here as it folds, writes them with its own snapshot, and asks others for those it did not fold itself.
  * Bounded in number and in bytes, the oldest first; sorted by the slot that closed them, then by id.
  */
-export type ClosedOrders = {
-  readonly add: (order: Order) => void;
+export interface ClosedOrders {
+  add(order: Order): void;
   /** Notes that these slots were not folded here, so that orders closed in them may be lacking. */
-  readonly skip: (slots: SlotRange) => void;
+  skip(slots: SlotRange): void;
   /** Slots whose closed orders may be lacking here; null while all are known. */
-  readonly lacking: () => SlotRange | null;
+  lacking(): SlotRange | null;
   /** Takes what another controller told of the lacking slots; `whole` if that was all that there is. */
-  readonly fill: (texts: readonly string[], whole: boolean) => void;
-  readonly page: (slots: SlotRange, after: ClosedCursor | null, mostLength: number) => ClosedPage;
-  readonly all: () => Order[];
-  readonly saved: () => SavedClosedOrders;
-};
+  fill(texts: readonly string[], whole: boolean): void;
+  page(slots: SlotRange, after: ClosedCursor | null, mostLength: number): ClosedPage;
+  all(): Order[];
+  saved(): SavedClosedOrders;
+}
 
 export type SlotRange = { readonly from: number; readonly to: number };
 
@@ -62,63 +62,77 @@
   return closed.slot >= slots.from && closed.slot <= slots.to;
 }
 
-export function createClosedOrders(mostBytes: number, before: SavedClosedOrders | null): ClosedOrders {
-  let list: ClosedOrder[] = before ? [...before.orders] : [];
-  let lacking = before ? before.lacking : null;
-  let length = 0;
-  for (const closed of list) length += closed.text.length;
-
-  function insert(closed: ClosedOrder): void {
-    let at = list.length;
-    while (at > 0 && compare(list[at - 1] as ClosedOrder, closed) > 0) at -= 1;
-    if (at > 0 && compare(list[at - 1] as ClosedOrder, closed) === 0) return;
-    list.splice(at, 0, closed);
-    length += closed.text.length;
+class BoundedClosedOrders implements ClosedOrders {
+  private list: ClosedOrder[];
+  private currentLacking: SlotRange | null;
+  private length = 0;
+
+  constructor(
+    private readonly mostBytes: number,
+    private readonly before: SavedClosedOrders | null,
+  ) {
+    this.list = this.before ? [...this.before.orders] : [];
+    this.currentLacking = this.before ? this.before.lacking : null;
+
+    for (const closed of this.list) this.length += closed.text.length;
+  }
+
+  private insert(closed: ClosedOrder): void {
+    let at = this.list.length;
+    while (at > 0 && compare(this.list[at - 1] as ClosedOrder, closed) > 0) at -= 1;
+    if (at > 0 && compare(this.list[at - 1] as ClosedOrder, closed) === 0) return;
+    this.list.splice(at, 0, closed);
+    this.length += closed.text.length;
   }
 
   /** Orders older than the oldest that has room are nobody's to ask for any more. */
-  function trim(): void {
+  private trim(): void {
     let dropped = 0;
-    while (list.length - dropped > MOST_CLOSED || length > mostBytes) {
-      length -= (list[dropped] as ClosedOrder).text.length;
+    while (this.list.length - dropped > MOST_CLOSED || this.length > this.mostBytes) {
+      this.length -= (this.list[dropped] as ClosedOrder).text.length;
       dropped += 1;
     }
     if (dropped === 0) return;
-    list = list.slice(dropped);
-    const oldest = list[0];
-    if (lacking && (!oldest || lacking.to < oldest.slot)) lacking = null;
+    this.list = this.list.slice(dropped);
+    const oldest = this.list[0];
+    if (this.currentLacking && (!oldest || this.currentLacking.to < oldest.slot)) this.currentLacking = null;
   }
 
-  function add(order: Order): void {
+  add(order: Order): void {
     const closed = closedOf(order, JSON.stringify(order));
-    if (closed) insert(closed);
-    trim();
+    if (closed) this.insert(closed);
+    this.trim();
   }
-  function skip(slots: SlotRange): void {
-    lacking = lacking ? { from: Math.min(lacking.from, slots.from), to: Math.max(lacking.to, slots.to) } : slots;
+
+  skip(slots: SlotRange): void {
+    this.currentLacking = this.currentLacking
+      ? { from: Math.min(this.currentLacking.from, slots.from), to: Math.max(this.currentLacking.to, slots.to) }
+      : slots;
   }
-  function lackingSlots(): SlotRange | null {
-    return lacking;
+
+  lacking(): SlotRange | null {
+    return this.currentLacking;
   }
 
-  function fill(texts: readonly string[], whole: boolean): void {
-    const slots = lacking;
+  fill(texts: readonly string[], whole: boolean): void {
+    const slots = this.currentLacking;
     if (!slots) return;
     for (const text of texts) {
       const order = parsedOrder(text);
       const closed = order && closedOf(order, text);
-      if (closed && isWithin(closed, slots)) insert(closed);
+      if (closed && isWithin(closed, slots)) this.insert(closed);
     }
-    if (whole) lacking = null;
-    trim();
+    if (whole) this.currentLacking = null;
+    this.trim();
   }
 
-  function page(slots: SlotRange, after: ClosedCursor | null, mostLength: number): ClosedPage {
+  page(slots: SlotRange, after: ClosedCursor | null, mostLength: number): ClosedPage {
     const orders: string[] = [];
     let size = 0;
     let last: ClosedOrder | null = null;
-    const isLacking = lacking !== null && lacking.from <= slots.to && slots.from <= lacking.to;
-    for (const closed of list) {
+    const isLacking =
+      this.currentLacking !== null && this.currentLacking.from <= slots.to && slots.from <= this.currentLacking.to;
+    for (const closed of this.list) {
       if (!isWithin(closed, slots) || (after && compare(closed, after) <= 0)) continue;
       size += closed.text.length;
       if (last && size > mostLength) return { orders, next: { slot: last.slot, id: last.id }, lacking: isLacking };
@@ -128,13 +142,17 @@
     return { orders, next: null, lacking: isLacking };
   }
 
-  function all(): Order[] {
+  all(): Order[] {
     const out: Order[] = [];
-    for (const closed of list) out.push(JSON.parse(closed.text) as Order);
+    for (const closed of this.list) out.push(JSON.parse(closed.text) as Order);
     return out;
   }
-  function saved(): SavedClosedOrders {
-    return { orders: list, lacking };
+
+  saved(): SavedClosedOrders {
+    return { orders: this.list, lacking: this.currentLacking };
   }
-  return { add, skip, lacking: lackingSlots, fill, page, all, saved };
+}
+
+export function createClosedOrders(mostBytes: number, before: SavedClosedOrders | null): ClosedOrders {
+  return new BoundedClosedOrders(mostBytes, before);
 }
--- a/src/state/event-splitter.ts
+++ b/src/state/event-splitter.ts
@@ -1,36 +1,44 @@
 export type StreamEvent = { readonly id: number | null; readonly bytes: Buffer };
 
-export type EventSplitter = { readonly take: (chunk: Buffer) => readonly StreamEvent[]; readonly rest: () => Buffer };
+export interface EventSplitter {
+  take(chunk: Buffer): readonly StreamEvent[];
+  rest(): Buffer;
+}
 
 const LF = 10;
 const CR = 13;
 
-export function createEventSplitter(): EventSplitter {
-  let held: Buffer = Buffer.alloc(0);
+class LineEventSplitter implements EventSplitter {
+  private held: Buffer = Buffer.alloc(0);
 
-  function boundary(from: number): number {
-    for (let i = held.indexOf(LF, from); i >= 0; i = held.indexOf(LF, i + 1)) {
-      if (held[i + 1] === LF) return i + 2;
-      if (held[i + 1] === CR && held[i + 2] === LF) return i + 3;
+  private boundary(from: number): number {
+    for (let i = this.held.indexOf(LF, from); i >= 0; i = this.held.indexOf(LF, i + 1)) {
+      if (this.held[i + 1] === LF) return i + 2;
+      if (this.held[i + 1] === CR && this.held[i + 2] === LF) return i + 3;
     }
     return -1;
   }
-  function take(chunk: Buffer): readonly StreamEvent[] {
-    held = held.length === 0 ? chunk : Buffer.concat([held, chunk]);
+
+  take(chunk: Buffer): readonly StreamEvent[] {
+    this.held = this.held.length === 0 ? chunk : Buffer.concat([this.held, chunk]);
     const out: StreamEvent[] = [];
     let start = 0;
-    for (let end = boundary(0); end >= 0; end = boundary(start)) {
-      const bytes = held.subarray(start, end);
+    for (let end = this.boundary(0); end >= 0; end = this.boundary(start)) {
+      const bytes = this.held.subarray(start, end);
       out.push({ id: idOf(bytes), bytes });
       start = end;
     }
-    if (start > 0) held = held.subarray(start);
+    if (start > 0) this.held = this.held.subarray(start);
     return out;
   }
-  function rest(): Buffer {
-    return held;
+
+  rest(): Buffer {
+    return this.held;
   }
-  return { take, rest };
+}
+
+export function createEventSplitter(): EventSplitter {
+  return new LineEventSplitter();
 }
 
 function idOf(bytes: Buffer): number | null {
--- a/src/state/fleet-load.ts
+++ b/src/state/fleet-load.ts
@@ -17,32 +17,38 @@
 
 type Held = { readonly told: ToldUsage; readonly at: number };
 
-export type FleetLoad = {
-  readonly take: (told: ToldUsage, now: number) => boolean;
-  readonly sums: (now: number) => UsageRows;
-};
+export interface FleetLoad {
+  take(told: ToldUsage, now: number): boolean;
+  sums(now: number): UsageRows;
+}
 
-export function createFleetLoad(staleMs: number): FleetLoad {
-  const held = new Map<string, Held>();
+class ReportedFleetLoad implements FleetLoad {
+  private readonly held = new Map<string, Held>();
 
-  function take(told: ToldUsage, now: number): boolean {
-    const have = held.get(told.name);
+  constructor(private readonly staleMs: number) {}
+
+  take(told: ToldUsage, now: number): boolean {
+    const have = this.held.get(told.name);
     if (have && have.told.run === told.run && have.told.count >= told.count) return false;
-    held.set(told.name, { told, at: now });
+    this.held.set(told.name, { told, at: now });
     return true;
   }
-  function sums(now: number): UsageRows {
+
+  sums(now: number): UsageRows {
     const out: UsageRows = {};
-    for (const [name, h] of held) {
-      if (now - h.at > staleMs) {
-        held.delete(name);
+    for (const [name, h] of this.held) {
+      if (now - h.at > this.staleMs) {
+        this.held.delete(name);
         continue;
       }
       for (const [id, row] of Object.entries(h.told.rows)) addTo(out, id, row);
     }
     return out;
   }
-  return { take, sums };
+}
+
+export function createFleetLoad(staleMs: number): FleetLoad {
+  return new ReportedFleetLoad(staleMs);
 }
 
 export type UsageRow = UsageRows[string];
--- a/src/state/hour-ranges.ts
+++ b/src/state/hour-ranges.ts
@@ -7,25 +7,25 @@
 export type HourRange = readonly [number, number];
 
 /** Adds ranges and tells what they cover. */
-export type HourRanges = {
-  readonly has: (hour: number) => boolean;
-  readonly add: (range: HourRange) => void;
-  readonly all: () => readonly HourRange[];
-};
+export interface HourRanges {
+  has(hour: number): boolean;
+  add(range: HourRange): void;
+  all(): readonly HourRange[];
+}
 
 const GAP = 3;
 const MOST = 500;
 
-/** An empty set. */
-export function createHourRanges(): HourRanges {
-  let ranges: HourRange[] = [];
+class MergedHourRanges implements HourRanges {
+  private ranges: HourRange[] = [];
 
-  function has(hour: number): boolean {
-    for (const [from, to] of ranges) if (hour >= from && hour <= to) return true;
+  has(hour: number): boolean {
+    for (const [from, to] of this.ranges) if (hour >= from && hour <= to) return true;
     return false;
   }
-  function add(range: HourRange): void {
-    const sorted = [...ranges, range].sort(byStart);
+
+  add(range: HourRange): void {
+    const sorted = [...this.ranges, range].sort(byStart);
     const merged: HourRange[] = [];
     for (const r of sorted) {
       const last = merged[merged.length - 1];
@@ -36,12 +36,17 @@
       const [a, b] = merged as [HourRange, HourRange];
       merged.splice(0, 2, [a[0], b[1]]);
     }
-    ranges = merged;
+    this.ranges = merged;
   }
-  function all(): readonly HourRange[] {
-    return ranges;
+
+  all(): readonly HourRange[] {
+    return this.ranges;
   }
-  return { has, add, all };
+}
+
+/** An empty set. */
+export function createHourRanges(): HourRanges {
+  return new MergedHourRanges();
 }
 
 function byStart(a: HourRange, b: HourRange): number {
--- a/src/state/indices.ts
+++ b/src/state/indices.ts
@@ -4,32 +4,39 @@
  */
 
 /** `of` gives a new name a number; `find` does not. */
-export type Indices = {
-  readonly of: (name: string) => number;
-  readonly find: (name: string) => number | null;
-  readonly nameOf: (ix: number) => string;
-  readonly size: () => number;
-};
+export interface Indices {
+  of(name: string): number;
+  find(name: string): number | null;
+  nameOf(ix: number): string;
+  size(): number;
+}
 
-/** No names yet. */
-export function createIndices(): Indices {
-  const byName = new Map<string, number>();
-  const names: string[] = [];
-  function of(name: string): number {
-    const have = byName.get(name);
+class GrowingIndices implements Indices {
+  private readonly byName = new Map<string, number>();
+  private readonly names: string[] = [];
+
+  of(name: string): number {
+    const have = this.byName.get(name);
     if (have !== undefined) return have;
-    byName.set(name, names.length);
-    names.push(name);
-    return names.length - 1;
+    this.byName.set(name, this.names.length);
+    this.names.push(name);
+    return this.names.length - 1;
   }
-  function find(name: string): number | null {
-    return byName.get(name) ?? null;
+
+  find(name: string): number | null {
+    return this.byName.get(name) ?? null;
   }
-  function nameOf(ix: number): string {
-    return names[ix] ?? '';
+
+  nameOf(ix: number): string {
+    return this.names[ix] ?? '';
   }
-  function size(): number {
-    return names.length;
+
+  size(): number {
+    return this.names.length;
   }
-  return { of, find, nameOf, size };
+}
+
+/** No names yet. */
+export function createIndices(): Indices {
+  return new GrowingIndices();
 }
--- a/src/state/line-pace.ts
+++ b/src/state/line-pace.ts
@@ -4,30 +4,33 @@
  */
 
 /** Notes each place that became free, and expects the wait behind `ahead` others. */
-export type LinePace = {
-  readonly note: (now: number) => void;
-  readonly expectedWaitMs: (ahead: number, now: number) => number | null;
-};
+export interface LinePace {
+  note(now: number): void;
+  expectedWaitMs(ahead: number, now: number): number | null;
+}
 
 const KEPT = 32;
 const ENOUGH = 8;
 const FRESH_MS = 10_000;
 
-/** Expects nothing (null) before eight places became free within ten seconds. */
-export function createLinePace(): LinePace {
-  let seats: number[] = [];
+class RecentLinePace implements LinePace {
+  private seats: number[] = [];
 
-  function note(now: number): void {
-    seats.push(now);
-    if (seats.length > KEPT) seats = seats.slice(-KEPT);
+  note(now: number): void {
+    this.seats.push(now);
+    if (this.seats.length > KEPT) this.seats = this.seats.slice(-KEPT);
   }
 
-  function expectedWaitMs(ahead: number, now: number): number | null {
+  expectedWaitMs(ahead: number, now: number): number | null {
     const fresh: number[] = [];
-    for (const at of seats) if (now - at < FRESH_MS) fresh.push(at);
+    for (const at of this.seats) if (now - at < FRESH_MS) fresh.push(at);
     const first = fresh[0];
     if (first === undefined || fresh.length < ENOUGH) return null;
     return ((ahead + 1) * (now - first)) / (fresh.length - 1);
   }
-  return { note, expectedWaitMs };
+}
+
+/** Expects nothing (null) before eight places became free within ten seconds. */
+export function createLinePace(): LinePace {
+  return new RecentLinePace();
 }
--- a/src/state/list-book.ts
+++ b/src/state/list-book.ts
@@ -13,15 +13,15 @@
 
 export type Taken = 'taken' | 'old' | 'gap';
 
-export type ListBook = {
-  readonly number: () => ListNumber | null;
-  readonly asOf: () => number | null;
-  readonly entries: () => readonly WorkerEntry[];
-  readonly takeWhole: (number: ListNumber, entries: readonly WorkerEntry[], asOf: number) => Taken;
-  readonly takeChange: (number: ListNumber, base: ListNumber, change: ListChange, asOf: number) => Taken;
-  readonly confirm: (number: ListNumber, asOf: number) => Taken;
-  readonly differenceTo: (entries: readonly WorkerEntry[], asOf: number) => ListChange;
-};
+export interface ListBook {
+  number(): ListNumber | null;
+  asOf(): number | null;
+  entries(): readonly WorkerEntry[];
+  takeWhole(number: ListNumber, entries: readonly WorkerEntry[], asOf: number): Taken;
+  takeChange(number: ListNumber, base: ListNumber, change: ListChange, asOf: number): Taken;
+  confirm(number: ListNumber, asOf: number): Taken;
+  differenceTo(entries: readonly WorkerEntry[], asOf: number): ListChange;
+}
 
 type Row = { readonly entry: WorkerEntry; readonly at: number };
 
@@ -52,77 +52,86 @@
   return JSON.stringify({ ...a, remainingMs: 0, coldMs: 0 }) === JSON.stringify({ ...b, remainingMs: 0, coldMs: 0 });
 }
 
-export function createListBook(): ListBook {
-  let rows = new Map<string, Row>();
-  let held: ListNumber | null = null;
-  let at: number | null = null;
-  let shown: { readonly at: number; readonly entries: readonly WorkerEntry[] } | null = null;
+class NumberedListBook implements ListBook {
+  private rows = new Map<string, Row>();
+  private held: ListNumber | null = null;
+  private at: number | null = null;
+  private shown: { readonly at: number; readonly entries: readonly WorkerEntry[] } | null = null;
 
-  function later(asOf: number): number {
-    return at === null ? asOf : Math.max(at, asOf);
+  private later(asOf: number): number {
+    return this.at === null ? asOf : Math.max(this.at, asOf);
   }
-  function put(into: Map<string, Row>, entries: readonly WorkerEntry[], asOf: number): void {
-    const older = at !== null && asOf < at;
+
+  private put(into: Map<string, Row>, entries: readonly WorkerEntry[], asOf: number): void {
+    const older = this.at !== null && asOf < this.at;
     for (const entry of entries) {
-      const before = rows.get(entry.id);
+      const before = this.rows.get(entry.id);
       into.set(entry.id, older && before?.entry.leaving ? before : { entry, at: asOf });
     }
   }
-  function moved(number: ListNumber, asOf: number): Taken {
-    held = number;
-    at = later(asOf);
-    shown = null;
+
+  private moved(number: ListNumber, asOf: number): Taken {
+    this.held = number;
+    this.at = this.later(asOf);
+    this.shown = null;
     return 'taken';
   }
 
-  function takeWhole(number: ListNumber, entries: readonly WorkerEntry[], asOf: number): Taken {
-    if (held && compareNumbers(number, held) <= 0) return confirm(number, asOf);
+  takeWhole(number: ListNumber, entries: readonly WorkerEntry[], asOf: number): Taken {
+    if (this.held && compareNumbers(number, this.held) <= 0) return this.confirm(number, asOf);
     const fresh = new Map<string, Row>();
-    put(fresh, entries, asOf);
-    rows = fresh;
-    return moved(number, asOf);
+    this.put(fresh, entries, asOf);
+    this.rows = fresh;
+    return this.moved(number, asOf);
   }
-  function takeChange(number: ListNumber, base: ListNumber, change: ListChange, asOf: number): Taken {
-    if (held && compareNumbers(number, held) <= 0) return confirm(number, asOf);
-    if (!held || compareNumbers(base, held) !== 0) return 'gap';
-    for (const id of change.gone) rows.delete(id);
-    put(rows, change.told, asOf);
-    return moved(number, asOf);
+
+  takeChange(number: ListNumber, base: ListNumber, change: ListChange, asOf: number): Taken {
+    if (this.held && compareNumbers(number, this.held) <= 0) return this.confirm(number, asOf);
+    if (!this.held || compareNumbers(base, this.held) !== 0) return 'gap';
+    for (const id of change.gone) this.rows.delete(id);
+    this.put(this.rows, change.told, asOf);
+    return this.moved(number, asOf);
   }
-  function confirm(number: ListNumber, asOf: number): Taken {
-    const order = held ? compareNumbers(number, held) : 1;
+
+  confirm(number: ListNumber, asOf: number): Taken {
+    const order = this.held ? compareNumbers(number, this.held) : 1;
     if (order > 0) return 'gap';
     if (order < 0) return 'old';
-    at = later(asOf);
+    this.at = this.later(asOf);
     return 'taken';
   }
 
-  function differenceTo(entries: readonly WorkerEntry[], asOf: number): ListChange {
+  differenceTo(entries: readonly WorkerEntry[], asOf: number): ListChange {
     const told: WorkerEntry[] = [];
     const gone: string[] = [];
     const ids = new Set<string>();
     for (const e of entries) {
       ids.add(e.id);
-      const row = rows.get(e.id);
+      const row = this.rows.get(e.id);
       if (!row || !sameEntry(agedEntry(row.entry, asOf - row.at), e)) told.push(e);
     }
-    for (const id of rows.keys()) if (!ids.has(id)) gone.push(id);
+    for (const id of this.rows.keys()) if (!ids.has(id)) gone.push(id);
     return { told, gone };
   }
 
-  function entries(): readonly WorkerEntry[] {
-    if (at === null) return [];
-    if (shown?.at === at) return shown.entries;
+  entries(): readonly WorkerEntry[] {
+    if (this.at === null) return [];
+    if (this.shown?.at === this.at) return this.shown.entries;
     const out: WorkerEntry[] = [];
-    for (const row of rows.values()) out.push(agedEntry(row.entry, at - row.at));
-    shown = { at, entries: out };
+    for (const row of this.rows.values()) out.push(agedEntry(row.entry, this.at - row.at));
+    this.shown = { at: this.at, entries: out };
     return out;
   }
-  function number(): ListNumber | null {
-    return held;
+
+  number(): ListNumber | null {
+    return this.held;
   }
-  function asOf(): number | null {
-    return at;
+
+  asOf(): number | null {
+    return this.at;
   }
-  return { number, asOf, entries, takeWhole, takeChange, confirm, differenceTo };
+}
+
+export function createListBook(): ListBook {
+  return new NumberedListBook();
 }
--- a/src/state/placement-cost.ts
+++ b/src/state/placement-cost.ts
@@ -34,73 +34,82 @@
 };
 
 /** Costs of workers as one proxy sees them; `took` notes how long connecting to a worker took. */
-export type PlacementCost = {
-  readonly cost: (row: BookRow, ask: PlaceAsk, home: BookRow | null) => number;
-  readonly awayMs: (row: BookRow) => number;
-  readonly took: (row: BookRow, ms: number) => void;
-};
+export interface PlacementCost {
+  cost(row: BookRow, ask: PlaceAsk, home: BookRow | null): number;
+  awayMs(row: BookRow): number;
+  took(row: BookRow, ms: number): void;
+}
 
-/** Costs by the tuning; `isPreemptive` tells zones where spot machines were lately taken back. */
-export function createPlacementCost(
-  self: BookSelf,
-  tuning: EdgeTuning,
-  isPreemptive: (model: string, zone: string) => boolean,
-): PlacementCost {
-  const away = new Map<string, number>();
+class TunedPlacementCost implements PlacementCost {
+  private readonly away = new Map<string, number>();
+
+  constructor(
+    private readonly self: BookSelf,
+    private readonly tuning: EdgeTuning,
+    private readonly isPreemptive: (model: string, zone: string) => boolean,
+  ) {}
 
   /** Reading the prompt, after what waits there already. */
-  function readingMs(row: BookRow, ask: PlaceAsk, known: number): number {
+  private readingMs(row: BookRow, ask: PlaceAsk, known: number): number {
     const unread = Math.max(0, ask.tokens - known);
     const backlog = row.unread + row.others.unread;
-    let ms = (unread + backlog) / tuning.tokensPerMs;
+    let ms = (unread + backlog) / this.tuning.tokensPerMs;
     if (ask.tokens <= 0) return ms;
-    ms += Math.max(0, sharedTokens(ask.parts) - known) * tuning.sharedMs;
-    if (unread + backlog > tuning.stallTokens) ms += (row.running + row.others.running) * tuning.stallMs;
+    ms += Math.max(0, sharedTokens(ask.parts) - known) * this.tuning.sharedMs;
+    if (unread + backlog > this.tuning.stallTokens) ms += (row.running + row.others.running) * this.tuning.stallMs;
     const kvTokens = ask.traits?.engine?.kvTokens ?? 0;
     const kv = row.kv + row.others.kv + ask.tokens + ask.outTokens;
-    if (kvTokens > 0 && kv > kvTokens * tuning.kvShare) ms += tuning.kvMs * (kv / kvTokens);
+    if (kvTokens > 0 && kv > kvTokens * this.tuning.kvShare) ms += this.tuning.kvMs * (kv / kvTokens);
     return ms;
   }
 
   /** Being one more among those that run there. */
-  function crowdingMs(row: BookRow): number {
+  private crowdingMs(row: BookRow): number {
     const running = row.running + row.others.running;
     const over = running + 1 - row.entry.places;
-    if (row.entry.places > 0 && over > 0) return tuning.overMs * (1 + over);
-    return (running / Math.max(1, row.entry.places)) ** 2 * tuning.crowdedMs;
+    if (row.entry.places > 0 && over > 0) return this.tuning.overMs * (1 + over);
+    return (running / Math.max(1, row.entry.places)) ** 2 * this.tuning.crowdedMs;
   }
 
   /** The way there and back. */
-  function wayMs(row: BookRow, ask: PlaceAsk): number {
-    let ms = self.held(row.entry.address) === 0 ? tuning.dialMs : 0;
-    if (row.entry.region !== self.region)
-      ms += awayMs(row) + (ask.bytes + ask.outTokens * tuning.bytesPerToken) / tuning.bytesPerMs;
-    else if (row.entry.zone !== self.zone) ms += tuning.crossZoneMs;
+  private wayMs(row: BookRow, ask: PlaceAsk): number {
+    let ms = this.self.held(row.entry.address) === 0 ? this.tuning.dialMs : 0;
+    if (row.entry.region !== this.self.region)
+      ms += this.awayMs(row) + (ask.bytes + ask.outTokens * this.tuning.bytesPerToken) / this.tuning.bytesPerMs;
+    else if (row.entry.zone !== this.self.zone) ms += this.tuning.crossZoneMs;
     return ms;
   }
 
   /** What its state and its answers so far make likely. */
-  function doubtMs(row: BookRow, ask: PlaceAsk): number {
-    let ms = row.fails * tuning.failMs + spoilShare(row, ask.now, tuning.spoiltLeast) * tuning.spoiltMs;
-    if (row.coldUntil > ask.now) ms += tuning.coldMs;
-    if (row.doubtUntil > ask.now) ms += tuning.doubtMs;
-    if (isPreemptive(ask.model, row.entry.zone)) ms += tuning.preemptiveMs;
+  private doubtMs(row: BookRow, ask: PlaceAsk): number {
+    let ms = row.fails * this.tuning.failMs + spoilShare(row, ask.now, this.tuning.spoiltLeast) * this.tuning.spoiltMs;
+    if (row.coldUntil > ask.now) ms += this.tuning.coldMs;
+    if (row.doubtUntil > ask.now) ms += this.tuning.doubtMs;
+    if (this.isPreemptive(ask.model, row.entry.zone)) ms += this.tuning.preemptiveMs;
     return ms;
   }
 
-  function cost(row: BookRow, ask: PlaceAsk, home: BookRow | null): number {
+  cost(row: BookRow, ask: PlaceAsk, home: BookRow | null): number {
     const known = ask.pinned ? Math.max(row.kept.known(ask.parts), row === home ? sharedTokens(ask.parts) : 0) : 0;
-    return readingMs(row, ask, known) + crowdingMs(row) + wayMs(row, ask) + doubtMs(row, ask);
+    return this.readingMs(row, ask, known) + this.crowdingMs(row) + this.wayMs(row, ask) + this.doubtMs(row, ask);
   }
 
-  function awayMs(row: BookRow): number {
-    return away.get(row.entry.region) ?? tuning.farMs;
+  awayMs(row: BookRow): number {
+    return this.away.get(row.entry.region) ?? this.tuning.farMs;
   }
-  function took(row: BookRow, ms: number): void {
+
+  took(row: BookRow, ms: number): void {
     const { region } = row.entry;
-    const had = away.get(region);
-    away.set(region, had === undefined ? ms : Math.min(had * 1.02, ms));
+    const had = this.away.get(region);
+    this.away.set(region, had === undefined ? ms : Math.min(had * 1.02, ms));
   }
+}
 
-  return { cost, awayMs, took };
+/** Costs by the tuning; `isPreemptive` tells zones where spot machines were lately taken back. */
+export function createPlacementCost(
+  self: BookSelf,
+  tuning: EdgeTuning,
+  isPreemptive: (model: string, zone: string) => boolean,
+): PlacementCost {
+  return new TunedPlacementCost(self, tuning, isPreemptive);
 }
--- a/src/state/prefix-cache.ts
+++ b/src/state/prefix-cache.ts
@@ -4,44 +4,51 @@
 export type Part = { readonly id: string; readonly tokens: number };
 
 /** Tells how many leading tokens are known, and notes what was run. */
-export type PrefixCache = {
-  readonly known: (parts: readonly Part[]) => number;
-  readonly note: (parts: readonly Part[]) => void;
-  readonly clear: () => void;
-};
+export interface PrefixCache {
+  known(parts: readonly Part[]): number;
+  note(parts: readonly Part[]): void;
+  clear(): void;
+}
 
-/** An empty cache that holds at most `most` tokens. */
-export function createPrefixCache(most: number): PrefixCache {
-  const kept = new Map<string, number>();
-  let sum = 0;
+class LruPrefixCache implements PrefixCache {
+  private readonly kept = new Map<string, number>();
+  private sum = 0;
 
-  function known(parts: readonly Part[]): number {
+  constructor(private readonly most: number) {}
+
+  known(parts: readonly Part[]): number {
     let n = 0;
     for (const p of parts) {
-      if (!kept.has(p.id)) break;
+      if (!this.kept.has(p.id)) break;
       n += p.tokens;
     }
     return n;
   }
-  function note(parts: readonly Part[]): void {
+
+  note(parts: readonly Part[]): void {
     for (const p of parts) {
-      const had = kept.get(p.id);
+      const had = this.kept.get(p.id);
       if (had !== undefined) {
-        kept.delete(p.id);
-        sum -= had;
+        this.kept.delete(p.id);
+        this.sum -= had;
       }
-      kept.set(p.id, p.tokens);
-      sum += p.tokens;
+      this.kept.set(p.id, p.tokens);
+      this.sum += p.tokens;
     }
-    for (const [id, tokens] of kept) {
-      if (sum <= most) break;
-      kept.delete(id);
-      sum -= tokens;
+    for (const [id, tokens] of this.kept) {
+      if (this.sum <= this.most) break;
+      this.kept.delete(id);
+      this.sum -= tokens;
     }
   }
-  function clear(): void {
-    kept.clear();
-    sum = 0;
+
+  clear(): void {
+    this.kept.clear();
+    this.sum = 0;
   }
-  return { known, note, clear };
+}
+
+/** An empty cache that holds at most `most` tokens. */
+export function createPrefixCache(most: number): PrefixCache {
+  return new LruPrefixCache(most);
 }
--- a/src/state/rate-guard.ts
+++ b/src/state/rate-guard.ts
@@ -4,18 +4,28 @@
  */
 
 /** `room` asks whether one more fits, `take` counts it. */
-export type RateGuard = { readonly room: (now: number, most: number) => boolean; readonly take: (now: number) => void };
+export interface RateGuard {
+  room(now: number, most: number): boolean;
+  take(now: number): void;
+}
 
-/** A window of `windowMs` without starts. */
-export function createRateGuard(windowMs: number): RateGuard {
-  let at: number[] = [];
-  function room(now: number, most: number): boolean {
-    while (at.length > 0 && now - (at[0] as number) >= windowMs) at.shift();
-    return at.length + 1 <= most;
+class SlidingRateGuard implements RateGuard {
+  private at: number[] = [];
+
+  constructor(private readonly windowMs: number) {}
+
+  room(now: number, most: number): boolean {
+    while (this.at.length > 0 && now - (this.at[0] as number) >= this.windowMs) this.at.shift();
+    return this.at.length + 1 <= most;
   }
-  function take(now: number): void {
-    at.push(now);
-    if (at.length > 4_096) at = at.slice(-2_048);
+
+  take(now: number): void {
+    this.at.push(now);
+    if (this.at.length > 4_096) this.at = this.at.slice(-2_048);
   }
-  return { room, take };
+}
+
+/** A window of `windowMs` without starts. */
+export function createRateGuard(windowMs: number): RateGuard {
+  return new SlidingRateGuard(windowMs);
 }
--- a/src/state/rates.ts
+++ b/src/state/rates.ts
@@ -10,47 +10,46 @@
 type Seen = { readonly incarnation: number; readonly last: Readonly<Record<string, number>> };
 
 /** Takes all reports at a moment, and tells rates per second; null before a whole window was seen. */
-export type RateWindow = {
-  readonly observe: (at: number, reports: Iterable<Report>, whole: boolean) => void;
-  readonly rate: (model: string, windowMs: number) => Rate | null;
-  readonly reset: () => void;
-};
+export interface RateWindow {
+  observe(at: number, reports: Iterable<Report>, whole: boolean): void;
+  rate(model: string, windowMs: number): Rate | null;
+  reset(): void;
+}
 
 const KEPT_MS = 3_660_000;
 
-/** No samples yet; an hour of them is kept. */
-export function createRateWindow(): RateWindow {
-  let samples: Sample[] = [];
-  let seen = new Map<string, Seen>();
-  let running: Record<string, number> = {};
+class SampledRateWindow implements RateWindow {
+  private samples: Sample[] = [];
+  private seen = new Map<string, Seen>();
+  private running: Record<string, number> = {};
 
-  function observe(at: number, reports: Iterable<Report>, whole: boolean): void {
-    const first = samples.length === 0;
-    const next: Record<string, number> = { ...running };
+  observe(at: number, reports: Iterable<Report>, whole: boolean): void {
+    const first = this.samples.length === 0;
+    const next: Record<string, number> = { ...this.running };
     for (const r of reports) {
-      const before = seen.get(r.reporter);
+      const before = this.seen.get(r.reporter);
       const restarted = before !== undefined && before.incarnation !== r.incarnation;
       for (const [model, n] of Object.entries(r.requests)) {
         const base = restarted ? 0 : before ? (before.last[model] ?? 0) : first ? n : 0;
         next[model] = (next[model] ?? 0) + Math.max(0, n - base);
       }
-      seen.set(r.reporter, { incarnation: r.incarnation, last: r.requests });
+      this.seen.set(r.reporter, { incarnation: r.incarnation, last: r.requests });
     }
-    running = next;
-    samples.push({ at, totals: next, whole });
-    if (samples.length % 256 === 0) samples = samples.filter(fresh);
+    this.running = next;
+    this.samples.push({ at, totals: next, whole });
+    if (this.samples.length % 256 === 0) this.samples = this.samples.filter(fresh);
     function fresh(s: Sample): boolean {
       return s.at >= at - KEPT_MS;
     }
   }
 
-  function rate(model: string, windowMs: number): Rate | null {
-    const last = samples[samples.length - 1];
+  rate(model: string, windowMs: number): Rate | null {
+    const last = this.samples[this.samples.length - 1];
     if (!last) return null;
     let from: Sample | null = null;
     let complete = true;
-    for (let i = samples.length - 1; i >= 0; i -= 1) {
-      const s = samples[i] as Sample;
+    for (let i = this.samples.length - 1; i >= 0; i -= 1) {
+      const s = this.samples[i] as Sample;
       if (!s.whole) complete = false;
       if (last.at - s.at >= windowMs) {
         from = s;
@@ -62,10 +61,14 @@
     return { perSecond: (n * 1_000) / (last.at - from.at), complete };
   }
 
-  function reset(): void {
-    samples = [];
-    seen = new Map();
-    running = {};
+  reset(): void {
+    this.samples = [];
+    this.seen = new Map();
+    this.running = {};
   }
-  return { observe, rate, reset };
+}
+
+/** No samples yet; an hour of them is kept. */
+export function createRateWindow(): RateWindow {
+  return new SampledRateWindow();
 }
--- a/src/state/recent-slots.ts
+++ b/src/state/recent-slots.ts
@@ -7,52 +7,54 @@
  * The newest slots of the ledger, kept as batches so that a node which lags a little is told just what it
  * lacks. Bounded in number and in bytes; whoever lags further takes a snapshot. Slots are consecutive.
  */
-export type RecentSlots = {
-  readonly remember: (slot: number, batch: Batch, bytes: number) => void;
-  readonly clear: () => void;
+export interface RecentSlots {
+  remember(slot: number, batch: Batch, bytes: number): void;
+  clear(): void;
   /** All slots from this one on; null if the first of them is no longer kept. */
-  readonly since: (from: number) => readonly RecentSlot[] | null;
+  since(from: number): readonly RecentSlot[] | null;
   /** As many of these as fit the bound, but one at least. */
-  readonly page: (from: number, mostBytes: number) => readonly RecentSlot[] | null;
+  page(from: number, mostBytes: number): readonly RecentSlot[] | null;
   /** Bytes of all slots from this one on; null if the first of them is no longer kept. */
-  readonly bytesSince: (from: number) => number | null;
-};
+  bytesSince(from: number): number | null;
+}
 
 const MOST_SLOTS = 2_048;
 const MOST_BYTES = 2 * 1_048_576;
 
 type Kept = RecentSlot & { readonly bytes: number };
 
-export function createRecentSlots(): RecentSlots {
-  let kept: Kept[] = [];
-  let bytes = 0;
+class BoundedRecentSlots implements RecentSlots {
+  private kept: Kept[] = [];
+  private bytes = 0;
 
   /** Down to half of the bound at a time, so that the list is not copied for each slot. */
-  function trim(): void {
+  private trim(): void {
     let dropped = 0;
-    while (kept.length - dropped > 1 && (kept.length - dropped > MOST_SLOTS || bytes > MOST_BYTES / 2)) {
-      bytes -= (kept[dropped] as Kept).bytes;
+    while (this.kept.length - dropped > 1 && (this.kept.length - dropped > MOST_SLOTS || this.bytes > MOST_BYTES / 2)) {
+      this.bytes -= (this.kept[dropped] as Kept).bytes;
       dropped += 1;
     }
-    kept = kept.slice(dropped);
+    this.kept = this.kept.slice(dropped);
   }
 
-  function remember(slot: number, batch: Batch, size: number): void {
-    kept.push({ slot, batch, bytes: size });
-    bytes += size;
-    if (kept.length > 2 * MOST_SLOTS || bytes > MOST_BYTES) trim();
+  remember(slot: number, batch: Batch, size: number): void {
+    this.kept.push({ slot, batch, bytes: size });
+    this.bytes += size;
+    if (this.kept.length > 2 * MOST_SLOTS || this.bytes > MOST_BYTES) this.trim();
   }
-  function clear(): void {
-    kept = [];
-    bytes = 0;
+
+  clear(): void {
+    this.kept = [];
+    this.bytes = 0;
   }
 
-  function keptSince(from: number): readonly Kept[] | null {
-    const first = kept[0];
-    return first && first.slot <= from ? kept.slice(from - first.slot) : null;
+  private keptSince(from: number): readonly Kept[] | null {
+    const first = this.kept[0];
+    return first && first.slot <= from ? this.kept.slice(from - first.slot) : null;
   }
-  function page(from: number, mostBytes: number): readonly RecentSlot[] | null {
-    const all = keptSince(from);
+
+  page(from: number, mostBytes: number): readonly RecentSlot[] | null {
+    const all = this.keptSince(from);
     if (!all) return null;
     const out: RecentSlot[] = [];
     let size = 0;
@@ -63,15 +65,20 @@
     }
     return out;
   }
-  function since(from: number): readonly RecentSlot[] | null {
-    return page(from, Infinity);
+
+  since(from: number): readonly RecentSlot[] | null {
+    return this.page(from, Infinity);
   }
-  function bytesSince(from: number): number | null {
-    const all = keptSince(from);
+
+  bytesSince(from: number): number | null {
+    const all = this.keptSince(from);
     if (!all) return null;
     let size = 0;
     for (const k of all) size += k.bytes;
     return size;
   }
-  return { remember, clear, since, page, bytesSince };
+}
+
+export function createRecentSlots(): RecentSlots {
+  return new BoundedRecentSlots();
 }
--- a/src/state/retry-budget.ts
+++ b/src/state/retry-budget.ts
@@ -4,27 +4,33 @@
  */
 
 /** Earns, spends and tells the tokens. */
-export type RetryBudget = {
-  readonly noteAttempt: (share: number) => void;
-  readonly spend: () => boolean;
-  readonly tokens: () => number;
-};
+export interface RetryBudget {
+  noteAttempt(share: number): void;
+  spend(): boolean;
+  tokens(): number;
+}
 
 const MOST_TOKENS = 10;
 
-/** An empty bucket that holds at most ten. */
-export function createRetryBudget(): RetryBudget {
-  let tokens = 0;
-  function noteAttempt(share: number): void {
-    tokens = Math.min(MOST_TOKENS, tokens + share);
+class TokenRetryBudget implements RetryBudget {
+  private currentTokens = 0;
+
+  noteAttempt(share: number): void {
+    this.currentTokens = Math.min(MOST_TOKENS, this.currentTokens + share);
   }
-  function spend(): boolean {
-    if (tokens < 1) return false;
-    tokens -= 1;
+
+  spend(): boolean {
+    if (this.currentTokens < 1) return false;
+    this.currentTokens -= 1;
     return true;
   }
-  function left(): number {
-    return tokens;
+
+  tokens(): number {
+    return this.currentTokens;
   }
-  return { noteAttempt, spend, tokens: left };
+}
+
+/** An empty bucket that holds at most ten. */
+export function createRetryBudget(): RetryBudget {
+  return new TokenRetryBudget();
 }
--- a/src/state/route-table.ts
+++ b/src/state/route-table.ts
@@ -9,24 +9,26 @@
 export type MatchedRoute = { readonly name: string; readonly mapping: RouteMapping };
 
 /** Finds routes, and the traits of models. */
-export type RouteTable = {
+export interface RouteTable {
   readonly serving: Serving;
-  readonly match: (host: string, path: string) => MatchedRoute | null;
-  readonly traits: (model: string) => ModelTraits | null;
-};
+  match(host: string, path: string): MatchedRoute | null;
+  traits(model: string): ModelTraits | null;
+}
 
-/** The table of one configuration. */
-export function createRouteTable(serving: Serving): RouteTable {
-  const hosts = new Map<string, Map<string, MatchedRoute>>();
-  for (const [name, mapping] of Object.entries(serving.mappings)) {
-    const host = mapping.host.toLowerCase();
-    const of = hosts.get(host) ?? new Map<string, MatchedRoute>();
-    hosts.set(host, of);
-    of.set(mapping.prefix, { name, mapping });
+class PrefixRouteTable implements RouteTable {
+  private readonly hosts = new Map<string, Map<string, MatchedRoute>>();
+
+  constructor(readonly serving: Serving) {
+    for (const [name, mapping] of Object.entries(this.serving.mappings)) {
+      const host = mapping.host.toLowerCase();
+      const of = this.hosts.get(host) ?? new Map<string, MatchedRoute>();
+      this.hosts.set(host, of);
+      of.set(mapping.prefix, { name, mapping });
+    }
   }
 
-  function match(host: string, path: string): MatchedRoute | null {
-    const of = hosts.get(bare(host));
+  match(host: string, path: string): MatchedRoute | null {
+    const of = this.hosts.get(bare(host));
     if (!of) return null;
     for (let cut = path.lastIndexOf('/'); cut >= 0; cut = cut === 0 ? -1 : path.lastIndexOf('/', cut - 1)) {
       const found = of.get(path.slice(0, cut + 1));
@@ -34,10 +36,15 @@
     }
     return null;
   }
-  function traits(model: string): ModelTraits | null {
-    return Object.hasOwn(serving.models, model) ? (serving.models[model] as ModelTraits) : null;
+
+  traits(model: string): ModelTraits | null {
+    return Object.hasOwn(this.serving.models, model) ? (this.serving.models[model] as ModelTraits) : null;
   }
-  return { serving, match, traits };
+}
+
+/** The table of one configuration. */
+export function createRouteTable(serving: Serving): RouteTable {
+  return new PrefixRouteTable(serving);
 }
 
 function bare(host: string): string {
--- a/src/state/run-counts.ts
+++ b/src/state/run-counts.ts
@@ -4,38 +4,48 @@
  */
 
 /** Notes runs and tells recent counts. */
-export type RunCounts = {
-  readonly note: (now: number, bad: boolean) => void;
-  readonly bad: (now: number) => number;
-  readonly ran: (now: number) => number;
-};
+export interface RunCounts {
+  note(now: number, bad: boolean): void;
+  bad(now: number): number;
+  ran(now: number): number;
+}
 
 type Bucket = { at: number; bad: number; ran: number };
 
-/** No runs yet. */
-export function createRunCounts(spanMs: number): RunCounts {
-  const half = spanMs / 2;
-  let now0: Bucket = { at: 0, bad: 0, ran: 0 };
-  let before: Bucket = { at: -1, bad: 0, ran: 0 };
-
-  function turn(now: number): void {
-    const at = Math.floor(now / half);
-    if (at === now0.at) return;
-    before = at === now0.at + 1 ? now0 : { at: at - 1, bad: 0, ran: 0 };
-    now0 = { at, bad: 0, ran: 0 };
+class TwoSpanRunCounts implements RunCounts {
+  private readonly half: number;
+  private current: Bucket = { at: 0, bad: 0, ran: 0 };
+  private before: Bucket = { at: -1, bad: 0, ran: 0 };
+
+  constructor(private readonly spanMs: number) {
+    this.half = this.spanMs / 2;
   }
-  function note(now: number, isBad: boolean): void {
-    turn(now);
-    now0.ran += 1;
-    if (isBad) now0.bad += 1;
+
+  private turn(now: number): void {
+    const at = Math.floor(now / this.half);
+    if (at === this.current.at) return;
+    this.before = at === this.current.at + 1 ? this.current : { at: at - 1, bad: 0, ran: 0 };
+    this.current = { at, bad: 0, ran: 0 };
   }
-  function bad(now: number): number {
-    turn(now);
-    return now0.bad + before.bad;
+
+  note(now: number, isBad: boolean): void {
+    this.turn(now);
+    this.current.ran += 1;
+    if (isBad) this.current.bad += 1;
   }
-  function ran(now: number): number {
-    turn(now);
-    return now0.ran + before.ran;
+
+  bad(now: number): number {
+    this.turn(now);
+    return this.current.bad + this.before.bad;
   }
-  return { note, bad, ran };
+
+  ran(now: number): number {
+    this.turn(now);
+    return this.current.ran + this.before.ran;
+  }
+}
+
+/** No runs yet. */
+export function createRunCounts(spanMs: number): RunCounts {
+  return new TwoSpanRunCounts(spanMs);
 }
--- a/src/state/shared-time.ts
+++ b/src/state/shared-time.ts
@@ -4,29 +4,35 @@
  */
 
 /** Hears others' wall clocks and tells the shared time, in Unix milliseconds. */
-export type SharedTime = {
-  readonly hear: (from: string, wall: number, mono: number) => void;
-  readonly keepOnly: (names: ReadonlySet<string>) => void;
-  readonly now: (mono: number, ownWall: number) => number;
-};
+export interface SharedTime {
+  hear(from: string, wall: number, mono: number): void;
+  keepOnly(names: ReadonlySet<string>): void;
+  now(mono: number, ownWall: number): number;
+}
 
-/** Knows nobody yet; until then the own wall clock is told. */
-export function createSharedTime(): SharedTime {
-  const offsets = new Map<string, number>();
+class MedianSharedTime implements SharedTime {
+  private readonly offsets = new Map<string, number>();
 
-  function hear(from: string, wall: number, mono: number): void {
-    offsets.set(from, wall - mono);
+  hear(from: string, wall: number, mono: number): void {
+    this.offsets.set(from, wall - mono);
   }
-  function keepOnly(names: ReadonlySet<string>): void {
-    for (const name of offsets.keys()) if (!names.has(name)) offsets.delete(name);
+
+  keepOnly(names: ReadonlySet<string>): void {
+    for (const name of this.offsets.keys()) if (!names.has(name)) this.offsets.delete(name);
   }
-  function ascending(a: number, b: number): number {
+
+  private ascending(a: number, b: number): number {
     return a - b;
   }
-  function now(mono: number, ownWall: number): number {
-    const sorted = [...offsets.values()].sort(ascending);
+
+  now(mono: number, ownWall: number): number {
+    const sorted = [...this.offsets.values()].sort((a, b) => this.ascending(a, b));
     const middle = sorted[Math.floor((sorted.length - 1) / 2)];
     return middle === undefined ? ownWall : mono + middle;
   }
-  return { hear, keepOnly, now };
+}
+
+/** Knows nobody yet; until then the own wall clock is told. */
+export function createSharedTime(): SharedTime {
+  return new MedianSharedTime();
 }
--- a/src/state/standstill.ts
+++ b/src/state/standstill.ts
@@ -3,10 +3,10 @@
  * What the network told meanwhile, such as callers that have left, is read only afterwards and in any
  * order, so whoever is about to send something first waits until that has been read.
  */
-export type Standstill = {
+export interface Standstill {
   /** To be called at least each 250 ms, and before a send: the moment to wait for, or null. */
-  readonly observe: (now: number) => number | null;
-};
+  observe(now: number): number | null;
+}
 
 /**
  * No turn of the event loop for so long is a standstill. A caller that left half a second ago must not be
@@ -16,14 +16,17 @@
 /** By then what waited at the sockets has been read: one turn reads them all, an ended connection takes two more. */
 const SETTLE_MS = 40;
 
-export function createStandstill(): Standstill {
-  let last: number | null = null;
-  let holdUntil = 0;
+class GapStandstill implements Standstill {
+  private last: number | null = null;
+  private holdUntil = 0;
 
-  function observe(now: number): number | null {
-    if (last !== null && now - last > GAP_MS) holdUntil = now + SETTLE_MS;
-    last = now;
-    return now < holdUntil ? holdUntil : null;
+  observe(now: number): number | null {
+    if (this.last !== null && now - this.last > GAP_MS) this.holdUntil = now + SETTLE_MS;
+    this.last = now;
+    return now < this.holdUntil ? this.holdUntil : null;
   }
-  return { observe };
+}
+
+export function createStandstill(): Standstill {
+  return new GapStandstill();
 }
--- a/src/state/ticket.ts
+++ b/src/state/ticket.ts
@@ -44,24 +44,32 @@
 }
 
 /** Tickets that were used; `burn` is false for one used before. */
-export type BurntTickets = { readonly burn: (ticket: Ticket, mono: number) => boolean; readonly size: () => number };
+export interface BurntTickets {
+  burn(ticket: Ticket, mono: number): boolean;
+  size(): number;
+}
 
 const BURNT_KEPT_MS = 600_000;
 
-/** An empty record; it forgets a ticket after ten minutes, long past its life. */
-export function createBurntTickets(): BurntTickets {
-  const burnt = new Map<string, number>();
-  function burn(ticket: Ticket, mono: number): boolean {
-    if (burnt.has(ticket.id)) return false;
-    burnt.set(ticket.id, mono);
-    for (const [id, at] of burnt) {
+class TimedBurntTickets implements BurntTickets {
+  private readonly burnt = new Map<string, number>();
+
+  burn(ticket: Ticket, mono: number): boolean {
+    if (this.burnt.has(ticket.id)) return false;
+    this.burnt.set(ticket.id, mono);
+    for (const [id, at] of this.burnt) {
       if (mono - at < BURNT_KEPT_MS) break;
-      burnt.delete(id);
+      this.burnt.delete(id);
     }
     return true;
   }
-  function size(): number {
-    return burnt.size;
+
+  size(): number {
+    return this.burnt.size;
   }
-  return { burn, size };
+}
+
+/** An empty record; it forgets a ticket after ten minutes, long past its life. */
+export function createBurntTickets(): BurntTickets {
+  return new TimedBurntTickets();
 }
--- a/src/state/worker-owners.ts
+++ b/src/state/worker-owners.ts
@@ -8,38 +8,43 @@
 import type { BookRow, Sharer } from './registry-row.js';
 
 /** Knows the proxies that share, and names the owners of a worker. */
-export type WorkerOwners = {
+export interface WorkerOwners {
   /** How many proxies share, this one included; at least 1. */
-  readonly sharing: () => number;
-  readonly sharers: (known: Readonly<Record<string, Sharer>>) => void;
+  sharing(): number;
+  sharers(known: Readonly<Record<string, Sharer>>): void;
   /** Names of at most `most` owners of a worker. */
-  readonly ownersOf: (row: BookRow, most: number) => readonly string[];
-};
+  ownersOf(row: BookRow, most: number): readonly string[];
+}
 
-/** Shares with nobody until told. */
-export function createWorkerOwners(): WorkerOwners {
-  let proxies: Readonly<Record<string, Sharer>> = {};
-  let count = 1;
+class RendezvousWorkerOwners implements WorkerOwners {
+  private proxies: Readonly<Record<string, Sharer>> = {};
+  private count = 1;
 
-  function sharing(): number {
-    return count;
+  sharing(): number {
+    return this.count;
   }
-  function sharers(known: Readonly<Record<string, Sharer>>): void {
-    proxies = { ...known };
-    count = Math.max(1, Object.keys(known).length);
+
+  sharers(known: Readonly<Record<string, Sharer>>): void {
+    this.proxies = { ...known };
+    this.count = Math.max(1, Object.keys(known).length);
   }
-  function ownersOf(row: BookRow, most: number): readonly string[] {
-    if (row.owners && row.owners.of === proxies && row.owners.most === most) return row.owners.names;
+
+  ownersOf(row: BookRow, most: number): readonly string[] {
+    if (row.owners && row.owners.of === this.proxies && row.owners.most === most) return row.owners.names;
     const ranks: { readonly name: string; readonly near: boolean; readonly hash: number }[] = [];
-    for (const [name, s] of Object.entries(proxies))
+    for (const [name, s] of Object.entries(this.proxies))
       ranks.push({ name, near: s.region === row.entry.region, hash: hash32(`${row.entry.id}|${name}`) });
     ranks.sort(nearFirst);
     const names: string[] = [];
     for (const r of ranks.slice(0, most)) names.push(r.name);
-    row.owners = { of: proxies, most, names };
+    row.owners = { of: this.proxies, most, names };
     return names;
   }
-  return { sharing, sharers, ownersOf };
+}
+
+/** Shares with nobody until told. */
+export function createWorkerOwners(): WorkerOwners {
+  return new RendezvousWorkerOwners();
 }
 
 function nearFirst(
--- a/src/state/worker-pools.ts
+++ b/src/state/worker-pools.ts
@@ -11,11 +11,11 @@
 
 export type Picked = { readonly row: WorkerRow; readonly agreed: boolean };
 
-export type WorkerPools = {
-  readonly rebuild: (rows: Iterable<WorkerRow>) => void;
-  readonly all: (model: string) => readonly Picked[];
-  readonly few: (ask: PoolAsk) => readonly Picked[] | null;
-};
+export interface WorkerPools {
+  rebuild(rows: Iterable<WorkerRow>): void;
+  all(model: string): readonly Picked[];
+  few(ask: PoolAsk): readonly Picked[] | null;
+}
 
 type Ring = { readonly at: number[]; readonly rows: WorkerRow[]; cursor: number };
 
@@ -24,45 +24,45 @@
 const NEAR = 24;
 const ANYWHERE = 24;
 
-export function createWorkerPools(): WorkerPools {
-  let byModel = new Map<string, WorkerRow[]>();
-  let rings = new Map<string, Map<string, Ring>>();
-  let zones = new Map<string, Ring>();
+class RingWorkerPools implements WorkerPools {
+  private byModel = new Map<string, WorkerRow[]>();
+  private rings = new Map<string, Map<string, Ring>>();
+  private zones = new Map<string, Ring>();
 
-  function ringOf(rows: readonly WorkerRow[]): Ring {
+  private ringOf(rows: readonly WorkerRow[]): Ring {
     const sorted = rows.map(placed).sort(byHash);
     return { at: sorted.map(hashOf), rows: sorted.map(rowOf), cursor: 0 };
   }
 
-  function rebuild(rows: Iterable<WorkerRow>): void {
-    byModel = new Map();
+  rebuild(rows: Iterable<WorkerRow>): void {
+    this.byModel = new Map();
     const regions = new Map<string, Map<string, WorkerRow[]>>();
     const near = new Map<string, WorkerRow[]>();
     for (const row of rows) {
       const { model, region, zone } = row.listed;
-      push(byModel, model, row);
+      push(this.byModel, model, row);
       const of = regions.get(model) ?? new Map<string, WorkerRow[]>();
       regions.set(model, of);
       push(of, region, row);
       push(near, `${model}|${zone}`, row);
     }
-    rings = new Map();
-    zones = new Map();
+    this.rings = new Map();
+    this.zones = new Map();
     for (const [model, of] of regions) {
-      if ((byModel.get(model)?.length ?? 0) <= LOOKED_AT) continue;
+      if ((this.byModel.get(model)?.length ?? 0) <= LOOKED_AT) continue;
       const made = new Map<string, Ring>();
-      for (const [region, list] of of) made.set(region, ringOf(list));
-      rings.set(model, made);
+      for (const [region, list] of of) made.set(region, this.ringOf(list));
+      this.rings.set(model, made);
     }
-    for (const [key, list] of near) if (list.length > 0) zones.set(key, { at: [], rows: list, cursor: 0 });
+    for (const [key, list] of near) if (list.length > 0) this.zones.set(key, { at: [], rows: list, cursor: 0 });
   }
 
-  function all(model: string): readonly Picked[] {
-    return (byModel.get(model) ?? []).map(agreedOn);
+  all(model: string): readonly Picked[] {
+    return (this.byModel.get(model) ?? []).map(agreedOn);
   }
 
-  function few(ask: PoolAsk): readonly Picked[] | null {
-    const of = rings.get(ask.model);
+  few(ask: PoolAsk): readonly Picked[] | null {
+    const of = this.rings.get(ask.model);
     if (!of) return null;
     const regions: Ring[] = [];
     for (const [region, ring] of of) if (ask.homes === null || ask.homes.includes(region)) regions.push(ring);
@@ -72,20 +72,23 @@
     const hash = hash32(ask.seed);
     const each = Math.ceil(AGREED / regions.length);
     for (const ring of regions) take(agreed, ring.rows, firstFrom(ring.at, hash), each);
-    const near = zones.get(`${ask.model}|${ask.zone}`);
-    if (near) turn(rest, near, NEAR);
-    for (const ring of regions) turn(rest, ring, Math.ceil(ANYWHERE / regions.length));
+    const near = this.zones.get(`${ask.model}|${ask.zone}`);
+    if (near) this.turn(rest, near, NEAR);
+    for (const ring of regions) this.turn(rest, ring, Math.ceil(ANYWHERE / regions.length));
     const out: Picked[] = [];
     for (const row of agreed) out.push({ row, agreed: true });
     for (const row of rest) if (!agreed.has(row)) out.push({ row, agreed: false });
     return out;
   }
 
-  function turn(into: Set<WorkerRow>, ring: Ring, n: number): void {
+  private turn(into: Set<WorkerRow>, ring: Ring, n: number): void {
     take(into, ring.rows, ring.cursor, n);
     ring.cursor = (ring.cursor + n) % ring.rows.length;
   }
-  return { rebuild, all, few };
+}
+
+export function createWorkerPools(): WorkerPools {
+  return new RingWorkerPools();
 }
 
 function push(into: Map<string, WorkerRow[]>, key: string, row: WorkerRow): void {
--- a/src/state/worker-registry.ts
+++ b/src/state/worker-registry.ts
@@ -9,7 +9,7 @@
 import type { UsageRows } from './fleet-load.js';
 import { homeAmong } from './home-worker.js';
 import { createPlacementCost } from './placement-cost.js';
-import type { BookSelf, PlaceAsk } from './placement-cost.js';
+import type { BookSelf, PlaceAsk, PlacementCost } from './placement-cost.js';
 import { beyond, freshRow, NO_USAGE } from './registry-row.js';
 import type { BookRow, Sharer } from './registry-row.js';
 import type { ModelTraits } from './serving.js';
@@ -29,57 +29,63 @@
 export type Hold = { readonly read: () => void; readonly end: () => void };
 
 /** The registry of one proxy. */
-export type WorkerRegistry = {
-  readonly takeList: (list: readonly WorkerEntry[], now: number) => void;
-  readonly takeZones: (
+export interface WorkerRegistry {
+  takeList(list: readonly WorkerEntry[], now: number): void;
+  takeZones(
     evacuated: Readonly<Record<string, number>>,
     preemptive: (model: string) => readonly string[],
     now: number,
     coldMs: (model: string) => number,
-  ) => void;
-  readonly place: (ask: PlaceAsk) => Placed;
-  readonly begin: (row: BookRow, ask: PlaceAsk) => Hold;
-  readonly failed: (row: BookRow, now: number) => void;
-  readonly spoilt: (row: BookRow, now: number) => void;
-  readonly silent: (row: BookRow, now: number) => void;
-  readonly reached: (row: BookRow, now: number) => void;
-  readonly served: (row: BookRow, now: number) => void;
-  readonly connectMs: (row: BookRow) => number;
-  readonly fewSharers: () => boolean;
-  readonly full: (row: BookRow, now: number, forMs: number) => void;
-  readonly moved: (row: BookRow) => void;
-  readonly cold: (row: BookRow, now: number, ms: number) => void;
-  readonly rows: () => Iterable<BookRow>;
-  readonly sharers: (proxies: Readonly<Record<string, Sharer>>) => void;
-  readonly usage: (now: number) => UsageRows;
-  readonly takeFleetLoad: (rows: UsageRows, now: number) => void;
-  readonly took: (row: BookRow, ms: number) => void;
-};
+  ): void;
+  place(ask: PlaceAsk): Placed;
+  begin(row: BookRow, ask: PlaceAsk): Hold;
+  failed(row: BookRow, now: number): void;
+  spoilt(row: BookRow, now: number): void;
+  silent(row: BookRow, now: number): void;
+  reached(row: BookRow, now: number): void;
+  served(row: BookRow, now: number): void;
+  connectMs(row: BookRow): number;
+  fewSharers(): boolean;
+  full(row: BookRow, now: number, forMs: number): void;
+  moved(row: BookRow): void;
+  cold(row: BookRow, now: number, ms: number): void;
+  rows(): Iterable<BookRow>;
+  sharers(proxies: Readonly<Record<string, Sharer>>): void;
+  usage(now: number): UsageRows;
+  takeFleetLoad(rows: UsageRows, now: number): void;
+  took(row: BookRow, ms: number): void;
+}
 
 const LEAST_SHARE = 2;
 
-/** An empty registry; nothing is `none` before the first list was taken. */
-export function createWorkerRegistry(self: BookSelf, tuning: EdgeTuning): WorkerRegistry {
-  const rows = new Map<string, BookRow>();
-  let byModel = new Map<string, BookRow[]>();
-  let evacuated: Readonly<Record<string, number>> = {};
-  let preemptiveOf: (model: string) => readonly string[] = none;
-  let listed = false;
-  const owners = createWorkerOwners();
-  const { cost, awayMs, took } = createPlacementCost(self, tuning, isPreemptive);
-
-  function isPreemptive(model: string, zone: string): boolean {
-    return preemptiveOf(model).includes(zone);
+class CostedWorkerRegistry implements WorkerRegistry {
+  private readonly currentRows = new Map<string, BookRow>();
+  private byModel = new Map<string, BookRow[]>();
+  private evacuated: Readonly<Record<string, number>> = {};
+  private preemptiveOf: (model: string) => readonly string[] = none;
+  private listed = false;
+  private readonly owners = createWorkerOwners();
+  private readonly placementCost: PlacementCost;
+
+  constructor(
+    private readonly self: BookSelf,
+    private readonly tuning: EdgeTuning,
+  ) {
+    this.placementCost = createPlacementCost(self, tuning, (model, zone) => this.isPreemptive(model, zone));
   }
 
-  function takeList(list: readonly WorkerEntry[], now: number): void {
+  private isPreemptive(model: string, zone: string): boolean {
+    return this.preemptiveOf(model).includes(zone);
+  }
+
+  takeList(list: readonly WorkerEntry[], now: number): void {
     const seen = new Set<string>();
     for (const entry of list) {
       seen.add(entry.id);
-      let row = rows.get(entry.id);
+      let row = this.currentRows.get(entry.id);
       if (!row) {
-        row = freshRow(entry, tuning);
-        rows.set(entry.id, row);
+        row = freshRow(entry, this.tuning);
+        this.currentRows.set(entry.id, row);
       }
       row.entry = entry;
       row.present = true;
@@ -87,92 +93,94 @@
       if (entry.remainingMs !== null) row.leaveBy = Math.min(row.leaveBy ?? Infinity, now + entry.remainingMs);
       if (entry.coldMs > 0) row.coldUntil = Math.max(row.coldUntil, now + entry.coldMs + 200);
     }
-    for (const [id, row] of rows) {
+    for (const [id, row] of this.currentRows) {
       if (seen.has(id)) continue;
       row.present = false;
-      if (row.running === 0) rows.delete(id);
+      if (row.running === 0) this.currentRows.delete(id);
     }
-    byModel = new Map();
-    for (const row of rows.values()) {
+    this.byModel = new Map();
+    for (const row of this.currentRows.values()) {
       if (!row.present) continue;
-      const of = byModel.get(row.entry.model);
+      const of = this.byModel.get(row.entry.model);
       if (of) of.push(row);
-      else byModel.set(row.entry.model, [row]);
+      else this.byModel.set(row.entry.model, [row]);
     }
-    listed = true;
+    this.listed = true;
   }
 
-  function takeZones(
+  takeZones(
     next: Readonly<Record<string, number>>,
     preemptive: (model: string) => readonly string[],
     now: number,
     coldMs: (model: string) => number,
   ): void {
-    for (const zone of Object.keys(evacuated)) {
+    for (const zone of Object.keys(this.evacuated)) {
       if (next[zone] !== undefined) continue;
-      for (const row of rows.values())
+      for (const row of this.currentRows.values())
         if (row.entry.zone === zone) row.coldUntil = Math.max(row.coldUntil, now + coldMs(row.entry.model));
     }
-    evacuated = { ...next };
-    preemptiveOf = preemptive;
+    this.evacuated = { ...next };
+    this.preemptiveOf = preemptive;
   }
 
-  function usable(row: BookRow, ask: PlaceAsk): boolean {
-    if (row.leaving || !row.present || evacuated[row.entry.zone] !== undefined) return false;
+  private usable(row: BookRow, ask: PlaceAsk): boolean {
+    if (row.leaving || !row.present || this.evacuated[row.entry.zone] !== undefined) return false;
     if (ask.homes.length > 0 && !ask.homes.includes(row.entry.region)) return false;
     return !ask.avoid.has(row.entry.id);
   }
 
-  function coldRoom(row: BookRow, ask: PlaceAsk): boolean {
+  private coldRoom(row: BookRow, ask: PlaceAsk): boolean {
     if (row.coldUntil <= ask.now || !ask.traits || ask.traits.coldRateS <= 0) return true;
-    return row.cold.room(ask.now, coldShare(row, ask.traits));
+    return row.cold.room(ask.now, this.coldShare(row, ask.traits));
   }
-  function coldShare(row: BookRow, t: ModelTraits): number {
-    const sharing = owners.sharing();
-    const whole = Math.floor((t.coldRateS * tuning.coldOver + tuning.coldSlack) * tuning.coldGuard);
+
+  private coldShare(row: BookRow, t: ModelTraits): number {
+    const sharing = this.owners.sharing();
+    const whole = Math.floor((t.coldRateS * this.tuning.coldOver + this.tuning.coldSlack) * this.tuning.coldGuard);
     if (whole >= LEAST_SHARE * sharing) return Math.max(1, Math.floor(whole / sharing));
-    const names = owners.ownersOf(row, Math.max(1, Math.floor(whole / LEAST_SHARE)));
-    return names.includes(self.name) ? Math.max(1, Math.floor(whole / names.length)) : 0;
+    const names = this.owners.ownersOf(row, Math.max(1, Math.floor(whole / LEAST_SHARE)));
+    return names.includes(this.self.name) ? Math.max(1, Math.floor(whole / names.length)) : 0;
   }
-  function placesOf(row: BookRow, ask: PlaceAsk): number {
+
+  private placesOf(row: BookRow, ask: PlaceAsk): number {
     const batch = row.entry.places > 0 ? row.entry.places : (ask.traits?.engine?.batch ?? 1);
     const connections =
       ask.traits && ask.traits.maxConns > 0
-        ? Math.max(1, Math.floor((ask.traits.maxConns * tuning.connectionGuard) / owners.sharing()))
+        ? Math.max(1, Math.floor((ask.traits.maxConns * this.tuning.connectionGuard) / this.owners.sharing()))
         : Infinity;
     return Math.min(batch, connections);
   }
 
-  function place(ask: PlaceAsk): Placed {
-    const list = byModel.get(ask.model) ?? [];
-    const home = ask.pinned ? homeOf(list, ask) : null;
+  place(ask: PlaceAsk): Placed {
+    const list = this.byModel.get(ask.model) ?? [];
+    const home = ask.pinned ? this.homeOf(list, ask) : null;
     let found: BookRow | null = null;
     let least = Infinity;
     let any = false;
     for (const row of list) {
-      if (!usable(row, ask)) continue;
+      if (!this.usable(row, ask)) continue;
       if (!row.unproven) any = true;
       if (row.unproven || row.badUntil > ask.now || row.fullUntil > ask.now) continue;
       if (row.fails > 0 && row.running > 0) continue;
-      if (row.running >= placesOf(row, ask) || !coldRoom(row, ask)) continue;
-      const ms = cost(row, ask, home);
+      if (row.running >= this.placesOf(row, ask) || !this.coldRoom(row, ask)) continue;
+      const ms = this.placementCost.cost(row, ask, home);
       if (ms < least) {
         least = ms;
         found = row;
       }
     }
     if (found) return { tag: 'row', row: found, waitMs: least };
-    return any || !listed ? { tag: 'busy' } : { tag: 'none' };
+    return any || !this.listed ? { tag: 'busy' } : { tag: 'none' };
   }
 
-  function homeOf(list: readonly BookRow[], ask: PlaceAsk): BookRow | null {
+  private homeOf(list: readonly BookRow[], ask: PlaceAsk): BookRow | null {
     if (ask.parts.length < 2) return null;
     const open: BookRow[] = [];
-    for (const row of list) if (usable(row, ask) && !row.unproven && row.badUntil <= ask.now) open.push(row);
-    return homeAmong(open, ask.parts, tuning);
+    for (const row of list) if (this.usable(row, ask) && !row.unproven && row.badUntil <= ask.now) open.push(row);
+    return homeAmong(open, ask.parts, this.tuning);
   }
 
-  function begin(row: BookRow, ask: PlaceAsk): Hold {
+  begin(row: BookRow, ask: PlaceAsk): Hold {
     const known = ask.pinned ? row.kept.known(ask.parts) : 0;
     const unread = Math.max(0, ask.tokens - known);
     const kv = ask.tokens + ask.outTokens;
@@ -197,55 +205,68 @@
     return { read, end };
   }
 
-  function failed(row: BookRow, now: number): void {
+  failed(row: BookRow, now: number): void {
     row.fails += 1;
     row.badUntil = now + Math.min(4_000, 125 * 2 ** row.fails);
     row.kept.clear();
   }
-  function silent(row: BookRow, now: number): void {
+
+  silent(row: BookRow, now: number): void {
     row.fails += 1;
     if (!row.unproven || row.silentSince === 0) row.silentSince = now;
     row.unproven = true;
-    row.badUntil = now + Math.min(redialMs(row), 250 * 2 ** row.fails);
+    row.badUntil = now + Math.min(this.redialMs(row), 250 * 2 ** row.fails);
   }
-  function fewSharers(): boolean {
-    return owners.sharing() <= tuning.redialers;
+
+  fewSharers(): boolean {
+    return this.owners.sharing() <= this.tuning.redialers;
   }
-  function redialMs(row: BookRow): number {
-    if (fewSharers() || owners.ownersOf(row, tuning.redialers).includes(self.name)) return tuning.redialMs;
-    return (tuning.redialMs * owners.sharing()) / tuning.redialers;
+
+  private redialMs(row: BookRow): number {
+    if (this.fewSharers() || this.owners.ownersOf(row, this.tuning.redialers).includes(this.self.name))
+      return this.tuning.redialMs;
+    return (this.tuning.redialMs * this.owners.sharing()) / this.tuning.redialers;
   }
-  function reached(row: BookRow, now: number): void {
-    if (row.silentSince > 0 && now - row.silentSince > tuning.doubtFromMs) row.doubtUntil = now + tuning.doubtForMs;
+
+  reached(row: BookRow, now: number): void {
+    if (row.silentSince > 0 && now - row.silentSince > this.tuning.doubtFromMs)
+      row.doubtUntil = now + this.tuning.doubtForMs;
     row.silentSince = 0;
     row.unproven = false;
     row.badUntil = 0;
     row.fails = 0;
   }
-  function spoilt(row: BookRow, now: number): void {
+
+  spoilt(row: BookRow, now: number): void {
     row.runs.note(now, true);
-    failed(row, now);
+    this.failed(row, now);
   }
-  function served(row: BookRow, now: number): void {
+
+  served(row: BookRow, now: number): void {
     row.runs.note(now, false);
     row.fails = 0;
   }
-  function connectMs(row: BookRow): number {
-    const way = row.entry.region === self.region ? 5 : awayMs(row);
-    return Math.min(tuning.connectMs, tuning.connectLeastMs + 3 * way);
+
+  connectMs(row: BookRow): number {
+    const way = row.entry.region === this.self.region ? 5 : this.placementCost.awayMs(row);
+    return Math.min(this.tuning.connectMs, this.tuning.connectLeastMs + 3 * way);
   }
-  function full(row: BookRow, now: number, forMs: number): void {
+
+  full(row: BookRow, now: number, forMs: number): void {
     row.fullUntil = Math.max(row.fullUntil, now + forMs);
   }
-  function moved(row: BookRow): void {
+
+  moved(row: BookRow): void {
     row.leaving = true;
   }
-  function cold(row: BookRow, now: number, ms: number): void {
+
+  cold(row: BookRow, now: number, ms: number): void {
     row.coldUntil = Math.max(row.coldUntil, now + ms);
   }
-  function usage(now: number): UsageRows {
+
+  usage(now: number): UsageRows {
     const out: UsageRows = {};
-    for (const row of rows.values()) {
+    for (const row of this.currentRows.values()) {
       row.told = {
         running: row.running,
         unread: rounded(row.unread, 100),
@@ -258,8 +279,9 @@
     }
     return out;
   }
-  function takeFleetLoad(sums: UsageRows, now: number): void {
-    for (const row of rows.values()) {
+
+  takeFleetLoad(sums: UsageRows, now: number): void {
+    for (const row of this.currentRows.values()) {
       const sum = sums[row.entry.id];
       const before = row.others;
       row.others = sum ? beyond(sum, row.told) : NO_USAGE;
@@ -267,30 +289,23 @@
         row.badUntil = Math.min(row.badUntil, now);
     }
   }
-  function all(): Iterable<BookRow> {
-    return rows.values();
+
+  rows(): Iterable<BookRow> {
+    return this.currentRows.values();
+  }
+
+  sharers(known: Readonly<Record<string, Sharer>>): void {
+    this.owners.sharers(known);
+  }
+
+  took(row: BookRow, ms: number): void {
+    this.placementCost.took(row, ms);
   }
-  return {
-    takeList,
-    takeZones,
-    place,
-    begin,
-    failed,
-    spoilt,
-    silent,
-    reached,
-    served,
-    connectMs,
-    fewSharers,
-    full,
-    moved,
-    cold,
-    rows: all,
-    sharers: owners.sharers,
-    took,
-    usage,
-    takeFleetLoad,
-  };
+}
+
+/** An empty registry; nothing is `none` before the first list was taken. */
+export function createWorkerRegistry(self: BookSelf, tuning: EdgeTuning): WorkerRegistry {
+  return new CostedWorkerRegistry(self, tuning);
 }
 
 function rounded(n: number, step: number): number {
