--- a/src/state/worker-table.ts
+++ b/src/state/worker-table.ts
@@ -12,22 +12,22 @@
 import { freshRow, WIDEST } from './worker-row.js';
 import type { WorkerRow } from './worker-row.js';
 
-export type WorkerTable = {
-  readonly takeList: (list: readonly Listed[], now: number) => void;
-  readonly takeHealth: (id: string, health: Health, now: number) => void;
-  readonly takeSilence: (id: string) => void;
-  readonly takeControlState: (controlState: ControlState) => void;
-  readonly rows: () => readonly WorkerRow[];
-  readonly row: (ix: number) => WorkerRow | null;
-  readonly begin: (ix: number) => WorkerRow | null;
-  readonly end: (row: WorkerRow) => void;
-  readonly isCurrent: (row: WorkerRow) => boolean;
-  readonly refused: (ix: number) => void;
-  readonly served: (ix: number) => void;
-  readonly candidates: (ask: CandidateAsk) => Candidate[];
+export interface WorkerTable {
+  takeList(list: readonly Listed[], now: number): void;
+  takeHealth(id: string, health: Health, now: number): void;
+  takeSilence(id: string): void;
+  takeControlState(controlState: ControlState): void;
+  rows(): readonly WorkerRow[];
+  row(ix: number): WorkerRow | null;
+  begin(ix: number): WorkerRow | null;
+  end(row: WorkerRow): void;
+  isCurrent(row: WorkerRow): boolean;
+  refused(ix: number): void;
+  served(ix: number): void;
+  candidates(ask: CandidateAsk): Candidate[];
   readonly prefixes: PrefixTable;
-  readonly modelIx: (model: string) => number;
-};
+  modelIx(model: string): number;
+}
 
 export type CandidateAsk = {
   readonly model: string;
@@ -45,56 +45,56 @@
 const SILENCES_UNFIT = 2;
 const NARROWED_BY = 0.7;
 
-export function createWorkerTable(): WorkerTable {
-  const names = createIndices();
-  const models = createIndices();
-  const table = new Map<number, WorkerRow>();
-  const prefixes = createPrefixTable();
-  const pools = createWorkerPools();
-  let orders = new Map<string, Order>();
-  let departed = new Set<string>();
-  let evacuated: Readonly<Record<string, number>> = {};
-
-  function takeList(list: readonly Listed[], now: number): void {
+class ProbedWorkerTable implements WorkerTable {
+  private readonly names = createIndices();
+  private readonly models = createIndices();
+  private readonly table = new Map<number, WorkerRow>();
+  readonly prefixes = createPrefixTable();
+  private readonly pools = createWorkerPools();
+  private orders = new Map<string, Order>();
+  private departed = new Set<string>();
+  private evacuated: Readonly<Record<string, number>> = {};
+
+  takeList(list: readonly Listed[], now: number): void {
     const seen = new Set<number>();
     for (const listed of list) {
-      const ix = names.of(listed.id);
+      const ix = this.names.of(listed.id);
       seen.add(ix);
-      const row = table.get(ix);
+      const row = this.table.get(ix);
       if (!row || row.listed.machine !== listed.machine) {
-        if (row) prefixes.forget(ix);
-        table.set(ix, freshRow(ix, listed));
+        if (row) this.prefixes.forget(ix);
+        this.table.set(ix, freshRow(ix, listed));
       } else {
         row.listed = listed;
         row.present = true;
       }
-      const held = table.get(ix) as WorkerRow;
-      if (listed.state === 'draining') markLeaving(held, listed.remainingMs, now);
+      const held = this.table.get(ix) as WorkerRow;
+      if (listed.state === 'draining') this.markLeaving(held, listed.remainingMs, now);
     }
-    for (const row of table.values()) {
+    for (const row of this.table.values()) {
       if (seen.has(row.ix)) continue;
       row.present = false;
       if (row.inFlight === 0) {
-        table.delete(row.ix);
-        prefixes.forget(row.ix);
+        this.table.delete(row.ix);
+        this.prefixes.forget(row.ix);
       }
     }
-    pools.rebuild(table.values());
-    applyControlState();
+    this.pools.rebuild(this.table.values());
+    this.applyControlState();
   }
 
-  function markLeaving(row: WorkerRow, remainingMs: number | undefined, now: number): void {
+  private markLeaving(row: WorkerRow, remainingMs: number | undefined, now: number): void {
     row.leaving = true;
     if (remainingMs === undefined) return;
     const by = now + remainingMs;
     if (row.leaveBy === null || by < row.leaveBy) row.leaveBy = by;
   }
 
-  function takeHealth(id: string, health: Health, now: number): void {
-    const row = rowOf(id);
+  takeHealth(id: string, health: Health, now: number): void {
+    const row = this.rowOf(id);
     if (!row) return;
     if (row.incarnation !== health.incarnation) {
-      if (row.incarnation !== null) prefixes.forget(row.ix);
+      if (row.incarnation !== null) this.prefixes.forget(row.ix);
       row.incarnation = health.incarnation;
     }
     row.answeredAt = now;
@@ -103,61 +103,62 @@
     row.readyAt = now - health.readyForMs;
     row.reported = health.running;
     row.others = Math.max(0, health.running - row.inFlight);
-    if (health.state === 'draining') markLeaving(row, health.remainingMs, now);
+    if (health.state === 'draining') this.markLeaving(row, health.remainingMs, now);
   }
 
-  function takeSilence(id: string): void {
-    const row = rowOf(id);
+  takeSilence(id: string): void {
+    const row = this.rowOf(id);
     if (row) row.silences += 1;
   }
 
-  function rowOf(id: string): WorkerRow | null {
-    const ix = names.find(id);
-    return ix === null ? null : (table.get(ix) ?? null);
+  private rowOf(id: string): WorkerRow | null {
+    const ix = this.names.find(id);
+    return ix === null ? null : (this.table.get(ix) ?? null);
   }
 
-  function takeControlState(controlState: ControlState): void {
-    orders = new Map();
+  takeControlState(controlState: ControlState): void {
+    this.orders = new Map();
     for (const order of Object.values(controlState.orders))
-      if (order.machine !== null) orders.set(order.machine, order);
-    departed = new Set(controlState.departed);
-    evacuated = controlState.evacuated;
-    applyControlState();
+      if (order.machine !== null) this.orders.set(order.machine, order);
+    this.departed = new Set(controlState.departed);
+    this.evacuated = controlState.evacuated;
+    this.applyControlState();
   }
 
-  function applyControlState(): void {
-    for (const row of table.values()) {
-      const order = orders.get(row.listed.machine);
-      if (departed.has(row.listed.machine) || order?.status === 'draining') row.leaving = true;
+  private applyControlState(): void {
+    for (const row of this.table.values()) {
+      const order = this.orders.get(row.listed.machine);
+      if (this.departed.has(row.listed.machine) || order?.status === 'draining') row.leaving = true;
     }
   }
 
-  function handedOver(row: WorkerRow): boolean {
-    return row.listed.kind === 'fixed' || orders.get(row.listed.machine)?.status === 'ready';
+  private handedOver(row: WorkerRow): boolean {
+    return row.listed.kind === 'fixed' || this.orders.get(row.listed.machine)?.status === 'ready';
   }
 
-  function usageOf(row: WorkerRow): number {
+  private usageOf(row: WorkerRow): number {
     return row.others + row.inFlight;
   }
 
-  function picked(ask: CandidateAsk, model: number): readonly Picked[] {
-    if (ask.whole) return pools.all(ask.model);
+  private picked(ask: CandidateAsk, model: number): readonly Picked[] {
+    if (ask.whole) return this.pools.all(ask.model);
     const holders: WorkerRow[] = [];
-    for (const ix of prefixes.holders(model, ask.parts)) {
-      const row = table.get(ix);
+    for (const ix of this.prefixes.holders(model, ask.parts)) {
+      const row = this.table.get(ix);
       if (row?.listed.model === ask.model) holders.push(row);
     }
     return (
-      pools.few({ model: ask.model, zone: ask.near, homes: ask.homes, seed: ask.seed, holders }) ?? pools.all(ask.model)
+      this.pools.few({ model: ask.model, zone: ask.near, homes: ask.homes, seed: ask.seed, holders }) ??
+      this.pools.all(ask.model)
     );
   }
 
-  function candidates(ask: CandidateAsk): Candidate[] {
+  candidates(ask: CandidateAsk): Candidate[] {
     const out: Candidate[] = [];
-    const model = models.of(ask.model);
-    for (const { row, agreed } of picked(ask, model)) {
+    const model = this.models.of(ask.model);
+    for (const { row, agreed } of this.picked(ask, model)) {
       const { listed } = row;
-      if (!row.present || !handedOver(row)) continue;
+      if (!row.present || !this.handedOver(row)) continue;
       const answers =
         row.answeredAt !== null && ask.now - row.answeredAt < row.freshMs && row.silences < SILENCES_UNFIT;
       const warm = ask.values.rampS === 0 ? 1 : (ask.now - row.readyAt) / (ask.values.rampS * 1_000);
@@ -172,57 +173,55 @@
         zone: listed.zone,
         region: listed.region,
         leaving: row.leaving || listed.state === 'draining',
-        evacuated: evacuated[listed.zone] !== undefined,
+        evacuated: this.evacuated[listed.zone] !== undefined,
         fit: answers && row.ready,
         answersUs: answers,
-        running: row.inFlight >= Math.floor(row.window) ? Math.max(usageOf(row), limit) : usageOf(row),
+        running: row.inFlight >= Math.floor(row.window) ? Math.max(this.usageOf(row), limit) : this.usageOf(row),
         limit,
         agreed,
-        knownShare: ask.parts.length === 0 ? 0 : prefixes.knownParts(model, ask.parts, row.ix) / ask.parts.length,
+        knownShare: ask.parts.length === 0 ? 0 : this.prefixes.knownParts(model, ask.parts, row.ix) / ask.parts.length,
       });
     }
     return out;
   }
 
-  function begin(ix: number): WorkerRow | null {
-    const row = table.get(ix) ?? null;
+  begin(ix: number): WorkerRow | null {
+    const row = this.table.get(ix) ?? null;
     if (row) row.inFlight += 1;
     return row;
   }
-  function end(row: WorkerRow): void {
+
+  end(row: WorkerRow): void {
     row.inFlight -= 1;
   }
-  function isCurrent(row: WorkerRow): boolean {
-    return table.get(row.ix) === row;
+
+  isCurrent(row: WorkerRow): boolean {
+    return this.table.get(row.ix) === row;
   }
-  function refused(ix: number): void {
-    const row = table.get(ix);
+
+  refused(ix: number): void {
+    const row = this.table.get(ix);
     if (row) row.window = Math.max(1, Math.min(row.window, row.inFlight) * NARROWED_BY);
   }
-  function served(ix: number): void {
-    const row = table.get(ix);
+
+  served(ix: number): void {
+    const row = this.table.get(ix);
     if (row) row.window = Math.min(WIDEST, row.window + 1 / row.window);
   }
-  function rows(): readonly WorkerRow[] {
-    return [...table.values()];
-  }
-  function row(ix: number): WorkerRow | null {
-    return table.get(ix) ?? null;
-  }
-  return {
-    takeList,
-    takeHealth,
-    takeSilence,
-    takeControlState,
-    rows,
-    row,
-    begin,
-    end,
-    isCurrent,
-    refused,
-    served,
-    candidates,
-    prefixes,
-    modelIx: models.of,
-  };
+
+  rows(): readonly WorkerRow[] {
+    return [...this.table.values()];
+  }
+
+  row(ix: number): WorkerRow | null {
+    return this.table.get(ix) ?? null;
+  }
+
+  modelIx(name: string): number {
+    return this.models.of(name);
+  }
+}
+
+export function createWorkerTable(): WorkerTable {
+  return new ProbedWorkerTable();
 }
--- a/src/transport/meters.ts
+++ b/src/transport/meters.ts
@@ -6,41 +6,46 @@
 import { Counter, Gauge, Registry } from 'prom-client';
 
 /** `set` gives a gauge its value and `count` a counter its total; `text` renders all, and forgets gauges not set again. */
-export type Meters = {
-  readonly set: (name: string, help: string, value: number, labels?: Readonly<Record<string, string>>) => void;
-  readonly count: (name: string, help: string, total: number, labels?: Readonly<Record<string, string>>) => void;
-  readonly text: () => Promise<string>;
-};
+export interface Meters {
+  set(name: string, help: string, value: number, labels?: Readonly<Record<string, string>>): void;
+  count(name: string, help: string, total: number, labels?: Readonly<Record<string, string>>): void;
+  text(): Promise<string>;
+}
 
 type Labels = Readonly<Record<string, string>>;
 
-/** An empty registry. */
-export function createMeters(): Meters {
-  const registry = new Registry();
-  const gauges = new Map<string, Gauge>();
-  const counters = new Map<string, Counter>();
+class PrometheusMeters implements Meters {
+  private readonly registry = new Registry();
+  private readonly gauges = new Map<string, Gauge>();
+  private readonly counters = new Map<string, Counter>();
 
-  function set(name: string, help: string, value: number, labels: Labels = {}): void {
-    let gauge = gauges.get(name);
+  set(name: string, help: string, value: number, labels: Labels = {}): void {
+    let gauge = this.gauges.get(name);
     if (!gauge) {
-      gauge = new Gauge({ name, help, labelNames: Object.keys(labels), registers: [registry] });
-      gauges.set(name, gauge);
+      gauge = new Gauge({ name, help, labelNames: Object.keys(labels), registers: [this.registry] });
+      this.gauges.set(name, gauge);
     }
     gauge.set({ ...labels }, value);
   }
-  function count(name: string, help: string, total: number, labels: Labels = {}): void {
-    let counter = counters.get(name);
+
+  count(name: string, help: string, total: number, labels: Labels = {}): void {
+    let counter = this.counters.get(name);
     if (!counter) {
-      counter = new Counter({ name, help, labelNames: Object.keys(labels), registers: [registry] });
-      counters.set(name, counter);
+      counter = new Counter({ name, help, labelNames: Object.keys(labels), registers: [this.registry] });
+      this.counters.set(name, counter);
     }
     counter.remove({ ...labels });
     counter.inc({ ...labels }, total);
   }
-  async function text(): Promise<string> {
-    const out = await registry.metrics();
-    for (const gauge of gauges.values()) gauge.reset();
+
+  async text(): Promise<string> {
+    const out = await this.registry.metrics();
+    for (const gauge of this.gauges.values()) gauge.reset();
     return out;
   }
-  return { set, count, text };
+}
+
+/** An empty registry. */
+export function createMeters(): Meters {
+  return new PrometheusMeters();
 }
