--- a/src/client/client.ts
+++ b/src/client/client.ts
@@ -80,13 +80,13 @@
 
 export function createClientOver(settings: ClientSettings, httpClient: HttpClient, clock: Clock): Client {
   const edges = createEdgeWatch(httpClient, clock);
-  const silentAt = new Map<Address, number>();
+  const unresponsiveAt = new Map<Address, number>();
 
   function inTurn(): readonly Address[] {
     const good: Address[] = [];
     const silent: Address[] = [];
     for (const s of settings.proxies)
-      (clock.mono() - (silentAt.get(s) ?? -SILENT_REST_MS) < SILENT_REST_MS ? silent : good).push(s);
+      (clock.mono() - (unresponsiveAt.get(s) ?? -SILENT_REST_MS) < SILENT_REST_MS ? silent : good).push(s);
     return [...good, ...silent];
   }
 
@@ -129,10 +129,10 @@
         timeoutMs: settings.placeWaitMs ?? 2_000,
       });
       if (!got.ok) {
-        silentAt.set(address, clock.mono());
+        unresponsiveAt.set(address, clock.mono());
         continue;
       }
-      silentAt.delete(address);
+      unresponsiveAt.delete(address);
       const placed = readPlaced(got.value.body);
       if (got.value.status === 200 && placed.ok) return ok(placed.value);
       const failed = failureOf(got.value, null);
--- a/src/client/edge-watch.ts
+++ b/src/client/edge-watch.ts
@@ -4,7 +4,7 @@
 import type { HttpClient } from '../transport/http.js';
 import type { Address } from '../transport/wire.js';
 
-export type EdgeWatch = { readonly follow: (proxy: Address, onDark: () => void) => () => void };
+export type EdgeWatch = { readonly follow: (proxy: Address, onDown: () => void) => () => void };
 
 const LOOK_MS = 1_000;
 const SILENCES_DARK = 3;
@@ -13,29 +13,29 @@
   const followers = new Map<Address, Set<() => void>>();
 
   async function look(proxy: Address, set: Set<() => void>): Promise<void> {
-    let silences = 0;
+    let missedProbes = 0;
     for (;;) {
       await pause(clock, LOOK_MS);
       if (set.size === 0) break;
       const got = await httpClient.call({ method: 'GET', address: proxy, path: EDGE_HEALTH_PATH, timeoutMs: LOOK_MS });
-      silences = got.ok ? 0 : silences + 1;
-      if (silences < SILENCES_DARK) continue;
+      missedProbes = got.ok ? 0 : missedProbes + 1;
+      if (missedProbes < SILENCES_DARK) continue;
       for (const fn of [...set]) fn();
       break;
     }
     if (followers.get(proxy) === set) followers.delete(proxy);
   }
 
-  function follow(proxy: Address, onDark: () => void): () => void {
+  function follow(proxy: Address, onDown: () => void): () => void {
     const have = followers.get(proxy);
     const set = have ?? new Set<() => void>();
-    set.add(onDark);
+    set.add(onDown);
     if (!have) {
       followers.set(proxy, set);
       void look(proxy, set);
     }
     function leave(): void {
-      set.delete(onDark);
+      set.delete(onDown);
     }
     return leave;
   }
--- a/src/coordination/controller-status.ts
+++ b/src/coordination/controller-status.ts
@@ -41,7 +41,7 @@
     const rows: Record<string, unknown> = {};
     for (const name of Object.keys(this.deps.ledger.controlState().proxies)) {
       const report = this.deps.push.reports().get(name);
-      const at = this.deps.push.heardAt(name);
+      const at = this.deps.push.lastContactAt(name);
       rows[name] = {
         slot: this.deps.push.confirmedSlot(name),
         heardMs: at === null ? null : Math.round(this.deps.clock.mono() - at),
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -16,7 +16,7 @@
 import type { Identity, IdentityFault } from './ledger/identity.js';
 import { createLease } from './ledger/lease.js';
 import type { Lease } from './ledger/lease.js';
-import { nextLife } from './ledger/life.js';
+import { nextIncarnation } from './ledger/life.js';
 import { createLedger } from './ledger/ledger.js';
 import type { Ledger } from './ledger/ledger.js';
 import { createMembership } from './members/membership.js';
@@ -24,7 +24,7 @@
 import { isUp } from '../state/members.js';
 import { metricsRoute } from './metrics-http-server.js';
 import type { NodeDeps, NodeIdentity } from './node.js';
-import { followMovedHeads } from './members/moved-heads.js';
+import { followRelocatedControllers } from './members/moved-heads.js';
 import { operatorRoutes } from './ledger/operator-http-server.js';
 import { createPeers } from './members/peers.js';
 import { createFleetLoadRelay } from './ledger/fleet-load-relay.js';
@@ -41,7 +41,7 @@
 export type Controller = {
   readonly wire: Address;
   readonly http: Address;
-  readonly push: Pick<Push, 'reports' | 'heardAt' | 'quorate'>;
+  readonly push: Pick<Push, 'reports' | 'lastContactAt' | 'quorate'>;
   readonly ledger: Ledger;
   readonly claimsReady: () => boolean;
   readonly holdsScaler: () => boolean;
@@ -91,7 +91,7 @@
     name: id.name,
     role: 'controller',
     run: id.run,
-    incarnation: await nextLife(disk, log),
+    incarnation: await nextIncarnation(disk, log),
     address: id.advertised,
     http: id.http,
     zone: id.zone,
@@ -179,14 +179,22 @@
   }
   const membership = createMembership(node, contacts, peers, clock, rng, logs.part('members'));
   nodes = membership;
-  followMovedHeads(membership, () => ledger.controlState(), peers);
-  function heads(): Set<Address> {
+  followRelocatedControllers(membership, () => ledger.controlState(), peers);
+  function controllers(): Set<Address> {
     const out = new Set<Address>(ledger.controlState().members.length > 0 ? [] : id.seeds);
     for (const m of ledger.controlState().members) out.add(m.address);
     return out;
   }
   const list = deps.listReader
-    ? createListDuty({ self: id.advertised, reader: deps.listReader, heads, peers, clock, rng, log: logs.part('list') })
+    ? createListDuty({
+        self: id.advertised,
+        reader: deps.listReader,
+        controllers,
+        peers,
+        clock,
+        rng,
+        log: logs.part('list'),
+      })
     : null;
   const scaler = lease && id.cloud !== null ? startScaler(lease, id.cloud) : null;
   const observer =
--- a/src/coordination/edge/attempt.ts
+++ b/src/coordination/edge/attempt.ts
@@ -14,7 +14,7 @@
 import type { CallerAnswers, HeldAnswer } from './caller-answers.js';
 import { hasBody, requestHeaders } from './forwarded-headers.js';
 import type { RelayedRequest } from './relayed-request.js';
-import type { SilenceWatch, WatchedFlight } from './silence-watch.js';
+import type { UnresponsiveWorkerWatch, WatchedFlight } from './silence-watch.js';
 import type { HeldWorker } from './worker-queue.js';
 
 /** How an attempt ended; `answer` is set for a held answer, be it a success or a failure. */
@@ -24,13 +24,13 @@
   readonly words: OpenWords;
   readonly registry: WorkerRegistry;
   readonly connectionPool: ConnectionPool;
-  readonly watch: SilenceWatch;
+  readonly watch: UnresponsiveWorkerWatch;
   readonly standstill: Standstill;
   readonly answers: CallerAnswers;
   readonly clock: Clock;
   readonly log: Log;
   /** True if an attempt whose worker can't be reached is to be given up for another one. */
-  readonly leavesSilent: (request: RelayedRequest) => boolean;
+  readonly abandonsUnresponsive: (request: RelayedRequest) => boolean;
   /** Told at the end of each attempt, when its place is free again. */
   readonly onEnd: () => void;
 };
@@ -55,7 +55,7 @@
   function run(request: RelayedRequest, { row, hold }: HeldWorker, resolve: (end: AttemptEnd) => void): void {
     const { incoming } = request;
     const reader = createAnswerReader(words, request, deps.answers);
-    const flight: WatchedFlight = { sentAt: clock.mono(), heardAt: 0, onSilent };
+    const flight: WatchedFlight = { sentAt: clock.mono(), lastEventAt: 0, onUnresponsive };
     const leftMs = request.deadlineAt - clock.mono();
     let sent: Sent | null = null;
     let written = false;
@@ -85,15 +85,15 @@
       if (over) return;
       if (written)
         log.warn(
-          lateText(request, row, leftMs, reader.status(), clock.mono() - Math.max(flight.heardAt, flight.sentAt)),
+          lateText(request, row, leftMs, reader.status(), clock.mono() - Math.max(flight.lastEventAt, flight.sentAt)),
         );
       giveUp(written ? { tag: 'deadline' } : { tag: 'withheld' });
     }
     function callerGone(): void {
       giveUp({ tag: 'callerGone' });
     }
-    function onSilent(): void {
-      if (!over && written && deps.leavesSilent(request)) giveUp({ tag: 'silent' });
+    function onUnresponsive(): void {
+      if (!over && written && deps.abandonsUnresponsive(request)) giveUp({ tag: 'silent' });
     }
 
     /** Called when the connection is up. Null holds the request back; else it counts as sent from here. */
@@ -120,7 +120,7 @@
     }
     function data(chunk: Buffer): void {
       if (over) return;
-      flight.heardAt = clock.mono();
+      flight.lastEventAt = clock.mono();
       const outcome = reader.data(chunk);
       if (request.answerBegun) hold.read();
       if (outcome) giveUp(outcome);
--- a/src/coordination/edge/directory.test.ts
+++ b/src/coordination/edge/directory.test.ts
@@ -4,9 +4,9 @@
 import { DEFAULT_LIMITS } from '../../state/serving.js';
 import type { RouteMapping, Serving } from '../../state/serving.js';
 import { addressesFor, createDirectory, DIRECTORY_TUNING, homesOf } from './directory.js';
-import type { ToldProxy } from './directory.js';
+import type { ProxyStatus } from './directory.js';
 
-function proxy(name: string, zone: string, more: Partial<ToldProxy> = {}): ToldProxy {
+function proxy(name: string, zone: string, more: Partial<ProxyStatus> = {}): ProxyStatus {
   return {
     name,
     zone,
@@ -14,7 +14,7 @@
     http: name,
     ready: true,
     draining: false,
-    heardAgoMs: 300,
+    sinceContactMs: 300,
     ...more,
   };
 }
@@ -25,10 +25,10 @@
   proxy('c1', 'south-a'),
   proxy('d1', 'west-a'),
 ];
-function without(names: readonly string[], how: Partial<ToldProxy>): ToldProxy[] {
+function without(names: readonly string[], how: Partial<ProxyStatus>): ProxyStatus[] {
   return FLEET.map((s) => (names.includes(s.name) ? { ...s, ...how } : s));
 }
-function answer(told: readonly ToldProxy[], zone = 'north-a', near: readonly string[] = []): string {
+function answer(told: readonly ProxyStatus[], zone = 'north-a', near: readonly string[] = []): string {
   return addressesFor(told, { host: 'h.example', zone, region: zone.split('-')[0] as string }, { homes: [], near })
     .addresses.sort()
     .join(' ');
@@ -42,7 +42,7 @@
 
   test.each([
     ['not ready', { ready: false }],
-    ['unheard', { heardAgoMs: 2_100 }],
+    ['unheard', { sinceContactMs: 2_100 }],
   ])(
     'one that is %s is left out; a zone with none is filled by its region, a region with none by the next',
     (_why, how) => {
@@ -58,7 +58,7 @@
     const more = [...FLEET, proxy('a3', 'north-a')];
     const lost = more.map((s) => (s.name === 'a1' || s.name === 'a2' ? { ...s, ready: false } : s));
     expect(answer(lost)).toBe('a3 b1');
-    expect(answer(lost.map((s) => (s.ready ? s : { ...s, heardAgoMs: 31_000 })))).toBe('a3');
+    expect(answer(lost.map((s) => (s.ready ? s : { ...s, sinceContactMs: 31_000 })))).toBe('a3');
   });
 
   test('an unknown zone is served by its region, an unknown region by all', () => {
@@ -67,13 +67,13 @@
   });
 
   test('when none is heard, those last told as ready; when none ever was, nothing', () => {
-    expect(answer(FLEET.map((s) => ({ ...s, heardAgoMs: 9_000 })))).toBe('a1 a2');
+    expect(answer(FLEET.map((s) => ({ ...s, sinceContactMs: 9_000 })))).toBe('a1 a2');
     expect(answer(FLEET.map((s) => ({ ...s, ready: false })))).toBe('');
     expect(answer([])).toBe('');
   });
 
   test('of many each host has its own 64, the same at each asking, and all are used alike', () => {
-    const many: ToldProxy[] = [];
+    const many: ProxyStatus[] = [];
     for (let i = 0; i < 200; i += 1) many.push(proxy(`s${i}`, 'north-a'));
     const uses = new Map<string, number>();
     for (let h = 0; h < 300; h += 1) {
@@ -138,7 +138,7 @@
       }
     }
     const directory = createDirectory(
-      { reports: () => reports, heardAt: () => clock.mono() },
+      { reports: () => reports, lastContactAt: () => clock.mono() },
       () => serving,
       controllerRegion,
       clock,
@@ -168,7 +168,8 @@
     const told = FLEET.map((s) => (s.zone === 'west-a' ? s : { ...s, ready: false }));
     const httpClient = { host: 'bound.example', zone: 'north-a', region: 'north' };
     const next = { homes: HOMES, near: ['west'] };
-    const with1 = (name: string, how: Partial<ToldProxy>) => told.map((s) => (s.name === name ? { ...s, ...how } : s));
+    const with1 = (name: string, how: Partial<ProxyStatus>) =>
+      told.map((s) => (s.name === name ? { ...s, ...how } : s));
     expect(addressesFor(with1('b1', stopping), httpClient, next)).toEqual({ addresses: ['b1'], lasting: false });
     expect(addressesFor(with1('c1', stopping), httpClient, next)).toEqual({ addresses: ['c1'], lasting: false });
     expect(
@@ -178,7 +179,7 @@
         next,
       ),
     ).toEqual({ addresses: ['c1'], lasting: false });
-    expect(addressesFor(with1('b1', { ...stopping, heardAgoMs: 2_100 }), httpClient, next)).toEqual({
+    expect(addressesFor(with1('b1', { ...stopping, sinceContactMs: 2_100 }), httpClient, next)).toEqual({
       addresses: [],
       lasting: false,
     });
@@ -213,11 +214,11 @@
 describe('while all proxies of the homes of a host restart in order', () => {
   const AT_HOME = ['a1', 'a2', 'b1', 'c1'];
   const stopped = without(AT_HOME, { ready: false });
-  function sentTo(told: readonly ToldProxy[], homes: readonly string[] = ['north', 'south']): string {
+  function sentTo(told: readonly ProxyStatus[], homes: readonly string[] = ['north', 'south']): string {
     const caller = { host: 'bound.example', zone: 'north-a', region: 'north' };
     return addressesFor(told, caller, { homes, near: ['west'] }).addresses.join(' ');
   }
-  function withOne(name: string, how: Partial<ToldProxy>): ToldProxy[] {
+  function withOne(name: string, how: Partial<ProxyStatus>): ProxyStatus[] {
     return stopped.map((s) => (s.name === name ? { ...s, ...how } : s));
   }
 
@@ -232,15 +233,15 @@
   });
 
   test('one that is gone without having said so lets the caller go on, until it is forgotten', () => {
-    expect(sentTo(withOne('a2', { ready: true, heardAgoMs: 2_100 }))).toBe('d1');
-    expect(sentTo(withOne('c1', { ready: true, heardAgoMs: 2_100 }))).toBe('d1');
-    expect(sentTo(withOne('a2', { ready: true, heardAgoMs: 30_100 }))).toBe('');
+    expect(sentTo(withOne('a2', { ready: true, sinceContactMs: 2_100 }))).toBe('d1');
+    expect(sentTo(withOne('c1', { ready: true, sinceContactMs: 2_100 }))).toBe('d1');
+    expect(sentTo(withOne('a2', { ready: true, sinceContactMs: 30_100 }))).toBe('');
   });
 
   test('those that do not come back in time are not waited for', () => {
-    const late = stopped.map((s) => (s.ready ? s : { ...s, heardAgoMs: DIRECTORY_TUNING.restartMs + 100 }));
+    const late = stopped.map((s) => (s.ready ? s : { ...s, sinceContactMs: DIRECTORY_TUNING.restartMs + 100 }));
     expect(sentTo(late)).toBe('d1');
-    expect(sentTo(late.map((s) => (s.name === 'b1' ? { ...s, heardAgoMs: 4_900 } : s)))).toBe('');
+    expect(sentTo(late.map((s) => (s.name === 'b1' ? { ...s, sinceContactMs: 4_900 } : s)))).toBe('');
   });
 
   test('a caller of a region whose proxies are all gone is not kept waiting', () => {
--- a/src/coordination/edge/directory.ts
+++ b/src/coordination/edge/directory.ts
@@ -4,41 +4,41 @@
 import type { Clock } from '../../transport/clock.js';
 import type { Address } from '../../transport/wire.js';
 
-export type ToldProxy = {
+export type ProxyStatus = {
   readonly name: string;
   readonly zone: string;
   readonly region: string;
   readonly http: Address;
   readonly ready: boolean;
   readonly draining: boolean;
-  readonly heardAgoMs: number;
+  readonly sinceContactMs: number;
 };
 
 export type Caller = { readonly host: string; readonly zone: string; readonly region: string };
 
 export type DirectoryTuning = {
-  readonly unheardMs: number;
+  readonly sinceContactMs: number;
   readonly forgottenMs: number;
   /** How long after its last report a proxy that was told to stop is expected back. */
   readonly restartMs: number;
   readonly warmMs: number;
   readonly most: number;
-  readonly fewestShare: number;
+  readonly minFraction: number;
 };
 
 export const DIRECTORY_TUNING: DirectoryTuning = {
-  unheardMs: 2_000,
+  sinceContactMs: 2_000,
   forgottenMs: 30_000,
   restartMs: 5_000,
   warmMs: 700,
   most: 64,
-  fewestShare: 0.5,
+  minFraction: 0.5,
 };
 
 type Ranked = { readonly http: Address; readonly rank: number };
 
 /** Addresses for a caller; `lasting` if they are where it belongs, so that it needn't ask again soon. */
-export type Found = { readonly addresses: Address[]; readonly lasting: boolean };
+export type DirectoryAnswer = { readonly addresses: Address[]; readonly lasting: boolean };
 
 /** Where a caller is led when its own region has no ready proxy. */
 export type NextRegions = {
@@ -55,75 +55,75 @@
  * again; it is led past its homes only if a proxy there is gone without having said so, or none is left there.
  */
 export function addressesFor(
-  told: readonly ToldProxy[],
+  reported: readonly ProxyStatus[],
   caller: Caller,
   next: NextRegions,
   tuning: DirectoryTuning = DIRECTORY_TUNING,
-): Found {
-  const heard = told.filter(isHeard);
-  const serving = heard.length > 0 ? heard : told.filter(isReady);
+): DirectoryAnswer {
+  const reachable = reported.filter(isReachable);
+  const serving = reachable.length > 0 ? reachable : reported.filter(isReady);
   const found = nearest();
   const lasting = found.length > 0 && found.every(isLasting);
   return { addresses: someOf(found, caller, tuning.most), lasting };
 
-  function isLasting(s: ToldProxy): boolean {
+  function isLasting(s: ProxyStatus): boolean {
     return s.ready && s.region === caller.region;
   }
 
-  function isReady(s: ToldProxy): boolean {
+  function isReady(s: ProxyStatus): boolean {
     return s.ready;
   }
-  function isHeard(s: ToldProxy): boolean {
-    return s.ready && s.heardAgoMs <= tuning.unheardMs;
+  function isReachable(s: ProxyStatus): boolean {
+    return s.ready && s.sinceContactMs <= tuning.sinceContactMs;
   }
-  function inZone(s: ToldProxy): boolean {
+  function inZone(s: ProxyStatus): boolean {
     return s.zone === caller.zone && s.region === caller.region;
   }
-  function isMissed(s: ToldProxy): boolean {
-    return inZone(s) && s.heardAgoMs <= tuning.forgottenMs;
+  function isMissed(s: ProxyStatus): boolean {
+    return inZone(s) && s.sinceContactMs <= tuning.forgottenMs;
   }
-  function nearest(): readonly ToldProxy[] {
+  function nearest(): readonly ProxyStatus[] {
     const zone = serving.filter(inZone);
-    if (zone.length > 0 && zone.length >= tuning.fewestShare * told.filter(isMissed).length) return zone;
+    if (zone.length > 0 && zone.length >= tuning.minFraction * reported.filter(isMissed).length) return zone;
     const allowed = [caller.region, ...next.homes];
     const atHome = firstRegion(serving, allowed);
     if (atHome) return atHome;
     if (next.homes.length > 0) {
-      const draining = firstRegion(told.filter(isDraining), allowed);
+      const draining = firstRegion(reported.filter(isDraining), allowed);
       if (draining) return draining;
       if (restartInOrder(allowed)) return [];
     }
     return firstRegion(serving, next.near) ?? serving;
   }
   function restartInOrder(regions: readonly string[]): boolean {
-    const known = told.filter(isKnown);
+    const known = reported.filter(isKnown);
     return known.some(isExpectedBack) && !known.some(isLost);
 
-    function isKnown(s: ToldProxy): boolean {
-      return regions.includes(s.region) && s.heardAgoMs <= tuning.forgottenMs;
+    function isKnown(s: ProxyStatus): boolean {
+      return regions.includes(s.region) && s.sinceContactMs <= tuning.forgottenMs;
     }
   }
-  function isExpectedBack(s: ToldProxy): boolean {
-    return !s.ready && s.heardAgoMs <= tuning.restartMs;
+  function isExpectedBack(s: ProxyStatus): boolean {
+    return !s.ready && s.sinceContactMs <= tuning.restartMs;
   }
-  function isLost(s: ToldProxy): boolean {
-    return s.ready && s.heardAgoMs > tuning.unheardMs;
+  function isLost(s: ProxyStatus): boolean {
+    return s.ready && s.sinceContactMs > tuning.sinceContactMs;
   }
-  function isDraining(s: ToldProxy): boolean {
-    return s.draining && s.heardAgoMs <= tuning.unheardMs;
+  function isDraining(s: ProxyStatus): boolean {
+    return s.draining && s.sinceContactMs <= tuning.sinceContactMs;
   }
 }
 
-function firstRegion(proxies: readonly ToldProxy[], regions: readonly string[]): readonly ToldProxy[] | null {
+function firstRegion(proxies: readonly ProxyStatus[], regions: readonly string[]): readonly ProxyStatus[] | null {
   for (const region of regions) {
-    const found: ToldProxy[] = [];
+    const found: ProxyStatus[] = [];
     for (const proxy of proxies) if (proxy.region === region) found.push(proxy);
     if (found.length > 0) return found;
   }
   return null;
 }
 
-function someOf(proxies: readonly ToldProxy[], caller: Caller, most: number): Address[] {
+function someOf(proxies: readonly ProxyStatus[], caller: Caller, most: number): Address[] {
   const ranked: Ranked[] = [];
   for (const s of proxies) ranked.push({ http: s.http, rank: hash32(`${caller.host} ${caller.zone} ${s.name}`) });
   ranked.sort(byRank);
@@ -135,10 +135,10 @@
   return a.rank - b.rank;
 }
 
-export type Told = { readonly reports: () => Reports; readonly heardAt: (name: string) => number | null };
+export type ProxyReports = { readonly reports: () => Reports; readonly lastContactAt: (name: string) => number | null };
 
 export interface Directory {
-  addressesFor(caller: Caller): Found;
+  addressesFor(caller: Caller): DirectoryAnswer;
 }
 
 /** The settings in force, as far as the controller knows them. */
@@ -168,17 +168,17 @@
   private firstAt: number | null = null;
 
   constructor(
-    private readonly told: Told,
+    private readonly reported: ProxyReports,
     private readonly serving: ServingInForce,
     private readonly region: string,
     private readonly clock: Clock,
     private readonly tuning: DirectoryTuning = DIRECTORY_TUNING,
   ) {}
 
-  private rows(now: number): ToldProxy[] {
-    const out: ToldProxy[] = [];
-    for (const r of this.told.reports().values()) {
-      const at = this.told.heardAt(r.reporter);
+  private rows(now: number): ProxyStatus[] {
+    const out: ProxyStatus[] = [];
+    for (const r of this.reported.reports().values()) {
+      const at = this.reported.lastContactAt(r.reporter);
       if (at !== null)
         out.push({
           name: r.reporter,
@@ -187,17 +187,17 @@
           http: r.http,
           ready: r.ready,
           draining: r.draining === true,
-          heardAgoMs: now - at,
+          sinceContactMs: now - at,
         });
     }
     return out;
   }
 
-  addressesFor(caller: Caller): Found {
+  addressesFor(caller: Caller): DirectoryAnswer {
     const now = this.clock.mono();
     const proxies = this.rows(now);
     if (proxies.length > 0) this.firstAt ??= now;
-    for (const s of proxies) if (this.firstAt !== null) this.firstAt = Math.min(this.firstAt, now - s.heardAgoMs);
+    for (const s of proxies) if (this.firstAt !== null) this.firstAt = Math.min(this.firstAt, now - s.sinceContactMs);
     if (this.firstAt === null || now - this.firstAt < this.tuning.warmMs) return { addresses: [], lasting: false };
     return addressesFor(proxies, caller, this.nextRegions(caller), this.tuning);
   }
@@ -214,11 +214,11 @@
  * what may be handled there alone isn't sent past it.
  */
 export function createDirectory(
-  told: Told,
+  reported: ProxyReports,
   serving: ServingInForce,
   region: string,
   clock: Clock,
   tuning: DirectoryTuning = DIRECTORY_TUNING,
 ): Directory {
-  return new ReportedDirectory(told, serving, region, clock, tuning);
+  return new ReportedDirectory(reported, serving, region, clock, tuning);
 }
--- a/src/coordination/edge/dispatcher.ts
+++ b/src/coordination/edge/dispatcher.ts
@@ -211,7 +211,7 @@
   }
 
   private stillGood(row: WorkerRow): boolean {
-    return this.deps.ready() && this.deps.table.isCurrent(row) && row.present && !row.leaving && row.silences === 0;
+    return this.deps.ready() && this.deps.table.isCurrent(row) && row.present && !row.leaving && row.missedProbes === 0;
   }
 
   private send(job: Job, { candidate, row }: TakenSeat): Promise<WorkerCallEnd> {
--- a/src/coordination/edge/flights.ts
+++ b/src/coordination/edge/flights.ts
@@ -5,7 +5,7 @@
 export type Flight = {
   readonly row: WorkerRow;
   readonly stop: AbortController;
-  readonly heard: () => void;
+  readonly onEvent: () => void;
 };
 
 export interface Flights {
@@ -37,11 +37,11 @@
   ) {}
 
   takeOff(row: WorkerRow, pieceWaitMs: number): Flight {
-    const heard = (): void => {
+    const onEvent = (): void => {
       w.lastAt = this.clock.mono();
       w.pieces = true;
     };
-    const flight: Flight = { row, stop: new AbortController(), heard };
+    const flight: Flight = { row, stop: new AbortController(), onEvent };
     const w: Watched = { flight, pieceWaitMs, pieces: false, lastAt: this.clock.mono(), goneAt: null };
     this.watched.set(flight, w);
     return flight;
@@ -59,7 +59,7 @@
     else w.goneAt ??= now;
     if (w.goneAt !== null && now - w.goneAt > GONE_MS) return true;
     const quietMs = now - w.lastAt;
-    if (row.silences >= SILENCES_DARK && quietMs > DARK_MS) return true;
+    if (row.missedProbes >= SILENCES_DARK && quietMs > DARK_MS) return true;
     return w.pieces && quietMs > w.pieceWaitMs;
   }
 
--- a/src/coordination/edge/list-news.ts
+++ b/src/coordination/edge/list-news.ts
@@ -44,12 +44,12 @@
     readonly on: <K extends keyof ListNewsEvents>(name: K, fn: (e: ListNewsEvents[K]) => void) => void;
   };
   ageMs(): number;
-  heardMs(): number;
-  noteHeard(): void;
-  fresh(): boolean;
-  toldSilent(): boolean;
+  sinceContactMs(): number;
+  recordContact(): void;
+  isFresh(): boolean;
+  reportedUnresponsive(): boolean;
   ask(to: Address): Promise<Asked>;
-  noteTurn(): void;
+  detectStandstill(): void;
   stop(): void;
 }
 
@@ -63,9 +63,9 @@
   readonly events = createEvents<ListNewsEvents>();
   readonly book = createListBook();
   private trusting = false;
-  private heardAt: number | null = null;
-  private silentAt: number | null = null;
-  private lastTurn: number;
+  private lastContactAt: number | null = null;
+  private unresponsiveAt: number | null = null;
+  private lastTickAt: number;
   private readonly turning: Timer;
 
   constructor(
@@ -73,8 +73,8 @@
     private readonly clock: Clock,
     private readonly pace: ListPace,
   ) {
-    this.lastTurn = this.clock.mono();
-    this.turning = every(this.clock, TURN_MS, () => this.noteTurn());
+    this.lastTickAt = this.clock.mono();
+    this.turning = every(this.clock, TURN_MS, () => this.detectStandstill());
 
     this.peers.on('listWhole', (m, peer) => this.onNews(m, peer));
 
@@ -91,28 +91,28 @@
     return this.since(this.book.asOf());
   }
 
-  heardMs(): number {
-    return this.since(this.heardAt);
+  sinceContactMs(): number {
+    return this.since(this.lastContactAt);
   }
 
-  fresh(): boolean {
-    return this.heardMs() <= this.pace.freshMs;
+  isFresh(): boolean {
+    return this.sinceContactMs() <= this.pace.freshMs;
   }
 
-  toldSilent(): boolean {
-    return this.since(this.silentAt) < SILENCE_KEPT_MS;
+  reportedUnresponsive(): boolean {
+    return this.since(this.unresponsiveAt) < SILENCE_KEPT_MS;
   }
 
-  noteHeard(): void {
-    this.heardAt = this.clock.mono();
+  recordContact(): void {
+    this.lastContactAt = this.clock.mono();
   }
 
-  noteTurn(): void {
-    const gap = this.since(this.lastTurn);
-    this.lastTurn = this.clock.mono();
+  detectStandstill(): void {
+    const gap = this.since(this.lastTickAt);
+    this.lastTickAt = this.clock.mono();
     if (gap <= STOOD_STILL_MS) return;
     this.trusting = false;
-    this.heardAt = null;
+    this.lastContactAt = null;
     this.events.emit('woke', { afterMs: gap });
   }
 
@@ -129,23 +129,23 @@
     const end = this.apply(m, now);
     if (end === 'gap') return end;
     const silent = m.kind === 'listBeat' && m.silent === true;
-    const silentNews = silent && this.since(this.silentAt) > this.pace.everyMs / 2;
-    if (silent) this.silentAt = this.clock.mono();
+    const unresponsiveUpdate = silent && this.since(this.unresponsiveAt) > this.pace.everyMs / 2;
+    if (silent) this.unresponsiveAt = this.clock.mono();
     if (end === 'old') return end;
     const after = this.book.number();
     const contents = before === null || (after !== null && compareNumbers(before, after) !== 0);
     const advanced = (this.book.asOf() ?? 0) - readBefore > this.pace.everyMs / 2;
     if (m.ageMs !== null && m.kind !== 'listChange' && m.sinceMs !== undefined)
-      this.heardAt = Math.max(this.heardAt ?? Number.NEGATIVE_INFINITY, now - m.sinceMs);
-    else if (contents || advanced) this.heardAt = this.clock.mono();
-    if (contents || advanced || silentNews) this.events.emit('taken', { message: m, contents });
+      this.lastContactAt = Math.max(this.lastContactAt ?? Number.NEGATIVE_INFINITY, now - m.sinceMs);
+    else if (contents || advanced) this.lastContactAt = this.clock.mono();
+    if (contents || advanced || unresponsiveUpdate) this.events.emit('taken', { message: m, contents });
     return end;
   }
 
   private onNews(m: ListMessage, peer: Peer): null {
-    this.noteTurn();
+    this.detectStandstill();
     if (m.number === null) return null;
-    if (this.heardMs() > DISTRUST_MS) this.trusting = false;
+    if (this.sinceContactMs() > DISTRUST_MS) this.trusting = false;
     const held = this.book.number();
     if (held && compareNumbers(m.number, held) < 0) {
       if (m.number[1] !== held[1]) this.events.emit('outrun', { number: m.number, peer });
@@ -158,10 +158,10 @@
   async ask(to: Address): Promise<Asked> {
     const from = this.clock.mono();
     const got = await this.peers.call(to, { kind: 'listFollow', number: this.book.number() }, this.pace.askMs);
-    this.noteTurn();
+    this.detectStandstill();
     if (!got.ok || !isNews(got.value) || this.clock.mono() - from > STOOD_STILL_MS) return 'silent';
     if (this.take(got.value, from) === 'taken') this.trusting = true;
-    return this.fresh() ? 'fresh' : 'stale';
+    return this.isFresh() ? 'fresh' : 'stale';
   }
 
   stop(): void {
--- a/src/coordination/edge/open-proxy.ts
+++ b/src/coordination/edge/open-proxy.ts
@@ -16,9 +16,9 @@
 import type { Rng } from '../../transport/rng.js';
 import type { Address, Wire, WireFault } from '../../transport/wire.js';
 import { createFollower } from '../ledger/follower.js';
-import { nextLife } from '../ledger/life.js';
+import { nextIncarnation } from '../ledger/life.js';
 import { createMembership } from '../members/membership.js';
-import { followMovedHeads } from '../members/moved-heads.js';
+import { followRelocatedControllers } from '../members/moved-heads.js';
 import { createPeers } from '../members/peers.js';
 import type { Peers } from '../members/peers.js';
 import type { ListFeed } from './list-feed.js';
@@ -76,7 +76,7 @@
   const { clock, rng, logs, tuning } = deps;
   const log = logs.part('proxy');
   const peers = createPeers(deps.wire, clock, logs.part('peers'));
-  const life = await nextLife(null, log);
+  const life = await nextIncarnation(null, log);
   const follower = await createFollower(id, id.seeds, peers, clock, null, logs.part('follow'));
   const opened = await peers.open(id.listen);
   if (!opened.ok) return opened;
@@ -92,7 +92,7 @@
     status: 'alive',
   };
   const membership = createMembership(node, () => follower.controllers(), peers, clock, rng, logs.part('members'));
-  followMovedHeads(membership, () => follower.controlState(), peers);
+  followRelocatedControllers(membership, () => follower.controlState(), peers);
   const book = createWorkerRegistry(
     { name: id.name, zone: id.zone, region: id.region, held: deps.connectionPool.idle },
     tuning,
@@ -206,14 +206,14 @@
       region: id.region,
       ...(closing && mayBeNamed ? { draining: true } : {}),
     };
-    follower.tellAll({ kind: 'reports', reports: [told] });
+    follower.sendToController({ kind: 'reports', reports: [told] });
   }
   const reporting = every(clock, REPORT_MS, report);
   let told = 0;
   let toldAt = 0;
   let lastTold = '';
   let quiet = true;
-  function tellUsage(): void {
+  function sendLoad(): void {
     const rows = book.usage(clock.mono());
     const nothing = Object.keys(rows).length === 0;
     const text = JSON.stringify(rows);
@@ -223,9 +223,9 @@
     lastTold = text;
     toldAt = now;
     told += 1;
-    follower.tellAll({ kind: 'usage', told: { name: id.name, run: id.run, count: told, rows } });
+    follower.sendToController({ kind: 'usage', told: { name: id.name, run: id.run, count: told, rows } });
   }
-  const telling = every(clock, USAGE_MS, tellUsage);
+  const telling = every(clock, USAGE_MS, sendLoad);
   function onFleetLoad(m: MessageOf<'fleetLoad'>): null {
     book.takeFleetLoad(m.rows, clock.mono());
     relay.wake();
--- a/src/coordination/edge/proxy.ts
+++ b/src/coordination/edge/proxy.ts
@@ -13,13 +13,13 @@
 import { createDispatcher } from './dispatcher.js';
 import type { Tally } from './dispatcher.js';
 import { createFollower } from '../ledger/follower.js';
-import { nextLife } from '../ledger/life.js';
+import { nextIncarnation } from '../ledger/life.js';
 import type { Meters } from '../../transport/meters.js';
 import { createMembership } from '../members/membership.js';
 import { metricsRoute } from '../metrics-http-server.js';
 import type { NodeDeps, NodeIdentity } from '../node.js';
 import { createListSource } from './list-source.js';
-import { followMovedHeads, spotsOf } from '../members/moved-heads.js';
+import { followRelocatedControllers, locationsOf } from '../members/moved-heads.js';
 import { createPeers } from '../members/peers.js';
 import { createPlacer } from './placer.js';
 import type { Placer, ProxySelf } from './placer.js';
@@ -52,7 +52,7 @@
   const log = logs.part('proxy');
   const peers = createPeers(deps.wire, clock, logs.part('peers'));
   const table = createWorkerTable();
-  const life = await nextLife(deps.disk, log);
+  const life = await nextIncarnation(deps.disk, log);
   const follower = await createFollower(id, id.seeds, peers, clock, deps.disk, logs.part('follow'));
   const opened = await peers.open(id.listen);
   if (!opened.ok) return opened;
@@ -60,8 +60,8 @@
   const self: ProxySelf = { name: id.name, run: id.run, zone: id.zone, region: id.region, http: id.http };
   const node: NodeInfo = { ...self, role: 'proxy', incarnation: life, address: id.advertised, status: 'alive' };
   const membership = createMembership(node, () => follower.controllers(), peers, clock, rng, logs.part('members'));
-  followMovedHeads(membership, () => follower.controlState(), peers);
-  follower.knowSpots(spotsOf(membership));
+  followRelocatedControllers(membership, () => follower.controlState(), peers);
+  follower.setTopology(locationsOf(membership));
   const placer = createPlacer({ self, ready, follower, membership, table, policies: deps.policies, clock, rng });
   const claims = createClaimClient(() => follower.controlState(), peers, clock);
   const dispatcher = createDispatcher({
@@ -133,9 +133,9 @@
       zone: id.zone,
       region: id.region,
     };
-    follower.tellAll({ kind: 'reports', reports: [told] });
+    follower.sendToController({ kind: 'reports', reports: [told] });
     if (count % COUNTS_EVERY === 0)
-      follower.tellAll({ kind: 'counts', reporter: id.name, incarnation, totals: counts });
+      follower.sendToController({ kind: 'counts', reporter: id.name, incarnation, totals: counts });
   }
   const reporting = every(clock, REPORT_MS, report);
 
@@ -150,7 +150,7 @@
         state: r.listed.state,
         leaving: r.leaving,
         ready: r.ready,
-        silences: r.silences,
+        silences: r.missedProbes,
         inFlight: r.inFlight,
         reported: r.reported,
       });
--- a/src/coordination/edge/pushed-list.ts
+++ b/src/coordination/edge/pushed-list.ts
@@ -12,7 +12,7 @@
 
 export type ListFeedDeps = {
   readonly reader: ListReader;
-  readonly heads: () => Iterable<Address>;
+  readonly controllers: () => Iterable<Address>;
   readonly peers: Peers;
   readonly clock: Clock;
   readonly rng: Rng;
@@ -71,7 +71,7 @@
     return this.own !== null && !this.pushedNewest() ? this.own.at : this.news.book.asOf();
   }
 
-  private tellChanged(): void {
+  private emitChanged(): void {
     this.events.emit('changed', { entries: this.entries() });
   }
 
@@ -79,8 +79,8 @@
     this.next?.cancel();
     if (this.stopped) return;
     const now = this.deps.clock.mono();
-    const askDue = this.news.fresh()
-      ? Math.min(now + this.pace.freshMs - this.news.heardMs(), this.renewedAt + this.pace.renewMs)
+    const askDue = this.news.isFresh()
+      ? Math.min(now + this.pace.freshMs - this.news.sinceContactMs(), this.renewedAt + this.pace.renewMs)
       : now + ASK_PAUSE_MS;
     this.next = this.deps.clock.timer(Math.max(1, Math.min(askDue, this.ownDue) - now), () => this.tick());
   }
@@ -92,9 +92,9 @@
   private onTaken(e: { readonly contents: boolean }): void {
     const replaced = this.own !== null && this.pushedNewest();
     if (replaced) this.own = null;
-    if ((e.contents && this.own === null) || replaced) this.tellChanged();
-    if (this.news.fresh()) this.onFresh();
-    else if (this.news.toldSilent() && !this.spread) {
+    if ((e.contents && this.own === null) || replaced) this.emitChanged();
+    if (this.news.isFresh()) this.onFresh();
+    else if (this.news.reportedUnresponsive() && !this.spread) {
       this.spread = true;
       this.ownDue = Math.max(this.ownDue, this.deps.clock.mono() + OWN_SPREAD_MS * (0.5 + this.deps.rng.next()));
     }
@@ -102,7 +102,8 @@
   }
 
   private onFresh(): void {
-    this.ownDue = this.deps.clock.mono() - this.news.heardMs() + this.pace.ownMs + OWN_JITTER_MS * this.deps.rng.next();
+    this.ownDue =
+      this.deps.clock.mono() - this.news.sinceContactMs() + this.pace.ownMs + OWN_JITTER_MS * this.deps.rng.next();
     this.ownPauseMs = OWN_PAUSE_MS;
     this.spread = false;
     if (this.readsItself) this.deps.log.info('Hears the list from a controller again.');
@@ -125,12 +126,12 @@
   private async askRound(): Promise<void> {
     if (this.asking) return;
     this.asking = true;
-    const heads = [...this.deps.heads()];
+    const controllers = [...this.deps.controllers()];
     const picked = new Set<Address>();
-    if (this.source !== null && heads.includes(this.source)) picked.add(this.source);
-    if (this.news.fresh()) {
-      if (heads[0] !== undefined) picked.add(heads[0]);
-    } else if (heads.length > 0) picked.add(heads[this.turns % heads.length] as Address);
+    if (this.source !== null && controllers.includes(this.source)) picked.add(this.source);
+    if (this.news.isFresh()) {
+      if (controllers[0] !== undefined) picked.add(controllers[0]);
+    } else if (controllers.length > 0) picked.add(controllers[this.turns % controllers.length] as Address);
     this.turns += 1;
     this.renewedAt = this.deps.clock.mono();
     const answered: Address[] = [];
@@ -142,12 +143,12 @@
     for (const to of picked) asks.push(one(to));
     await Promise.all(asks);
     this.asking = false;
-    this.source = this.nearest(heads, answered);
+    this.source = this.nearest(controllers, answered);
     this.arm();
   }
 
-  private nearest(heads: readonly Address[], answered: readonly Address[]): Address | null {
-    for (const h of heads) if (answered.includes(h)) return h;
+  private nearest(controllers: readonly Address[], answered: readonly Address[]): Address | null {
+    for (const h of controllers) if (answered.includes(h)) return h;
     return this.source;
   }
 
@@ -157,11 +158,11 @@
     if (!this.readsItself) this.deps.log.warn('Hears no list from any controller; reads it from the platform.');
     this.readsItself = true;
     const got = await readWithin(this.deps.reader, this.deps.clock, this.pace.readMs);
-    this.news.noteTurn();
+    this.news.detectStandstill();
     if (this.stopped) return;
     const good = got?.ok === true && this.deps.clock.mono() - from <= STOOD_STILL_MS;
     this.ownPauseMs = good ? OWN_PAUSE_MS : Math.min(OWN_PAUSE_MOST_MS, this.ownPauseMs * 2);
-    if (!this.news.fresh()) this.ownDue = from + this.ownPauseMs * (1 + 0.3 * this.deps.rng.next());
+    if (!this.news.isFresh()) this.ownDue = from + this.ownPauseMs * (1 + 0.3 * this.deps.rng.next());
     if (good && got.ok) this.onOwnReading(got.value, from);
     this.arm();
   }
@@ -170,12 +171,12 @@
     const shownAt = this.asOf();
     if (shownAt !== null && shownAt >= from) return;
     this.own = { entries: read, at: from };
-    this.tellChanged();
+    this.emitChanged();
   }
 
   private async turn(): Promise<void> {
-    this.news.noteTurn();
-    if (this.deps.clock.mono() >= this.ownDue && !this.news.fresh()) void this.readItself();
+    this.news.detectStandstill();
+    if (this.deps.clock.mono() >= this.ownDue && !this.news.isFresh()) void this.readItself();
     else if (this.deps.clock.mono() >= this.ownDue) this.ownDue = this.deps.clock.mono() + this.pace.ownMs;
     await this.askRound();
   }
--- a/src/coordination/edge/relay.ts
+++ b/src/coordination/edge/relay.ts
@@ -24,7 +24,7 @@
 import type { LastAnswers } from './last-answers.js';
 import { createRelayedRequest, expectedEnd } from './relayed-request.js';
 import type { RelayedRequest } from './relayed-request.js';
-import { createSilenceWatch } from './silence-watch.js';
+import { createUnresponsiveWorkerWatch } from './silence-watch.js';
 import { createWorkerQueue } from './worker-queue.js';
 import type { HeldWorker, WorkerQueue } from './worker-queue.js';
 
@@ -101,12 +101,12 @@
       askOf: (request) => this.askOf(request),
     });
 
-    const watch = createSilenceWatch({
+    const watch = createUnresponsiveWorkerWatch({
       book: this.deps.book,
       connectionPool: this.deps.connectionPool,
       clock: this.deps.clock,
       log: this.deps.log,
-      silentMs: this.deps.tuning.silentMs,
+      responseTimeoutMs: this.deps.tuning.responseTimeoutMs,
       onReached: () => this.queue.wake(),
     });
     this.attempt = createAttempt({
@@ -118,7 +118,7 @@
       answers: this.answers,
       clock: this.deps.clock,
       log: this.deps.log,
-      leavesSilent: (request) => this.leavesSilent(request),
+      abandonsUnresponsive: (request) => this.abandonsUnresponsive(request),
       onEnd: () => this.queue.wake(),
     });
   }
@@ -251,7 +251,7 @@
     };
   }
 
-  private leavesSilent(request: RelayedRequest): boolean {
+  private abandonsUnresponsive(request: RelayedRequest): boolean {
     return decide({ tag: 'silent' }, this.situationOf(request)).tag === 'repeat';
   }
 
--- a/src/coordination/edge/silence-watch.ts
+++ b/src/coordination/edge/silence-watch.ts
@@ -3,35 +3,35 @@
 import type { Log } from '../../transport/log.js';
 import type { ConnectionPool } from '../../transport/open-http.js';
 
-export type WatchedFlight = { readonly sentAt: number; heardAt: number; readonly onSilent: () => void };
+export type WatchedFlight = { readonly sentAt: number; lastEventAt: number; readonly onUnresponsive: () => void };
 
-export interface SilenceWatch {
+export interface UnresponsiveWorkerWatch {
   begin(row: BookRow, flight: WatchedFlight): void;
   end(row: BookRow, flight: WatchedFlight): void;
   unreached(row: BookRow): void;
   stop(): void;
 }
 
-export type SilenceWatchDeps = {
+export type UnresponsiveWorkerWatchDeps = {
   readonly book: WorkerRegistry;
   readonly connectionPool: ConnectionPool;
   readonly clock: Clock;
   readonly log: Log;
-  readonly silentMs: number;
+  readonly responseTimeoutMs: number;
   readonly onReached: () => void;
 };
 
 const LOOK_MS = 100;
 const RECHECK_MS = 1_500;
 
-class DiallingSilenceWatch implements SilenceWatch {
+class DiallingWorkerWatch implements UnresponsiveWorkerWatch {
   private readonly flights = new Map<BookRow, Set<WatchedFlight>>();
   private readonly checking = new Set<BookRow>();
   private readonly spokenFor = new Map<BookRow, number>();
   private looking = false;
   private stopped = false;
 
-  constructor(private readonly deps: SilenceWatchDeps) {}
+  constructor(private readonly deps: UnresponsiveWorkerWatchDeps) {}
 
   begin(row: BookRow, flight: WatchedFlight): void {
     const of = this.flights.get(row) ?? new Set<WatchedFlight>();
@@ -51,7 +51,7 @@
 
   private quietMs(of: ReadonlySet<WatchedFlight>, now: number): number {
     let least = Infinity;
-    for (const f of of) least = Math.min(least, now - Math.max(f.sentAt, f.heardAt));
+    for (const f of of) least = Math.min(least, now - Math.max(f.sentAt, f.lastEventAt));
     return least;
   }
 
@@ -76,7 +76,7 @@
       if (!first) return;
       this.deps.log.warn(`${row.entry.id} in ${row.entry.zone} can't be reached.`);
       this.suspectZone(row);
-      for (const f of [...(this.flights.get(row) ?? [])]) f.onSilent();
+      for (const f of [...(this.flights.get(row) ?? [])]) f.onUnresponsive();
     };
     this.deps.connectionPool.check(row.entry.address, this.deps.book.connectMs(row), done);
   }
@@ -91,7 +91,7 @@
       )
         continue;
       const of = this.flights.get(other);
-      if (of && this.quietMs(of, this.deps.clock.mono()) < this.deps.silentMs / 2) continue;
+      if (of && this.quietMs(of, this.deps.clock.mono()) < this.deps.responseTimeoutMs / 2) continue;
       other.unproven = true;
       this.check(other);
     }
@@ -107,7 +107,10 @@
   private look(): void {
     const now = this.deps.clock.mono();
     for (const [row, of] of this.flights) {
-      if (this.quietMs(of, now) < this.deps.silentMs || now - (this.spokenFor.get(row) ?? -RECHECK_MS) < RECHECK_MS)
+      if (
+        this.quietMs(of, now) < this.deps.responseTimeoutMs ||
+        now - (this.spokenFor.get(row) ?? -RECHECK_MS) < RECHECK_MS
+      )
         continue;
       if (!row.unproven) this.check(row);
     }
@@ -136,6 +139,6 @@
   }
 }
 
-export function createSilenceWatch(deps: SilenceWatchDeps): SilenceWatch {
-  return new DiallingSilenceWatch(deps);
+export function createUnresponsiveWorkerWatch(deps: UnresponsiveWorkerWatchDeps): UnresponsiveWorkerWatch {
+  return new DiallingWorkerWatch(deps);
 }
--- a/src/coordination/edge/worker-call.ts
+++ b/src/coordination/edge/worker-call.ts
@@ -80,7 +80,7 @@
   }
 
   function faultEnd(candidate: Candidate, fault: HttpFault): WorkerCallEnd {
-    if (fault.tag === 'neverSent') table.takeSilence(candidate.id);
+    if (fault.tag === 'neverSent') table.recordMissedProbe(candidate.id);
     return { tag: 'failed', outcome: outcomeOf(fault), failure: WORKER_FAILED };
   }
 
@@ -116,7 +116,7 @@
 
     async function heard(): Promise<NextLine> {
       const next = await nextLine(lines, check);
-      flight.heard();
+      flight.onEvent();
       return next;
     }
 
--- a/src/coordination/edge/worker-watch.ts
+++ b/src/coordination/edge/worker-watch.ts
@@ -81,7 +81,7 @@
     const read = got.ok ? readHealth(got.value.body) : null;
     if (read?.ok && read.value.id === listed.id)
       this.deps.table.takeHealth(listed.id, read.value, this.deps.clock.mono());
-    else this.deps.table.takeSilence(listed.id);
+    else this.deps.table.recordMissedProbe(listed.id);
     this.deps.onChange();
   }
 
@@ -133,7 +133,7 @@
     const out: Record<string, 'fit' | 'unfit'> = {};
     for (const row of this.deps.table.rows()) {
       if (!row.present || row.listed.state !== 'ready') continue;
-      if (row.silences >= 2) out[row.listed.id] = 'unfit';
+      if (row.missedProbes >= 2) out[row.listed.id] = 'unfit';
       else if (row.answeredAt !== null && row.ready) out[row.listed.id] = 'fit';
     }
     return out;
--- a/src/coordination/ledger/aim-keeper.ts
+++ b/src/coordination/ledger/aim-keeper.ts
@@ -49,7 +49,7 @@
     this.book.hear(m.reporter, m.incarnation, m.totals, this.minute());
     if (m.by === undefined)
       for (const to of this.ledger.controlState().members)
-        if (to.name !== this.ledger.self.name) void this.peers.tell(to.address, { ...m, by: this.ledger.self.name });
+        if (to.name !== this.ledger.self.name) void this.peers.send(to.address, { ...m, by: this.ledger.self.name });
     return null;
   }
 
--- a/src/coordination/ledger/claims.ts
+++ b/src/coordination/ledger/claims.ts
@@ -115,7 +115,7 @@
     ({ tag: 'claimed' } | { tag: 'taken'; answered: boolean } | { tag: 'full' } | { tag: 'tooOld' })[] | null
   >;
 
-  private readonly beating: Timer;
+  private readonly heartbeatTimer: Timer;
   private readonly forgetting: Timer;
 
   constructor(
@@ -149,7 +149,7 @@
     this.peers.on('claimEnds', (m) => this.onEnds(m));
 
     this.peers.on('claimsAsk', (m) => this.onAsk(m));
-    this.beating = every(this.clock, 1_000, () => this.beat());
+    this.heartbeatTimer = every(this.clock, 1_000, () => this.heartbeat());
     this.forgetting = every(this.clock, FORGET_EVERY_MS, () => this.forget());
   }
 
@@ -309,7 +309,7 @@
     this.rebuilding = false;
   }
 
-  private beat(): void {
+  private heartbeat(): void {
     void this.rebuild();
   }
 
@@ -322,7 +322,7 @@
   }
 
   stop(): void {
-    this.beating.cancel();
+    this.heartbeatTimer.cancel();
     this.forgetting.cancel();
   }
 }
--- a/src/coordination/ledger/controller-choice.ts
+++ b/src/coordination/ledger/controller-choice.ts
@@ -1,6 +1,6 @@
 import type { Message } from '../../protocol/messages.js';
 import { ranked, steps } from '../../state/candidates.js';
-import type { Candidate, Spot } from '../../state/candidates.js';
+import type { Candidate, Location } from '../../state/candidates.js';
 import type { Member } from '../../state/entry.js';
 import type { Clock } from '../../transport/clock.js';
 import type { Address } from '../../transport/wire.js';
@@ -13,21 +13,21 @@
  */
 export interface ControllerChoice {
   followed(): Address | null;
-  isAsked(address: Address): boolean;
-  tellAsked(m: Message): void;
+  isSubscribed(address: Address): boolean;
+  sendToSubscribed(m: Message): void;
   /** An attested beat came from this controller. */
-  noteAttested(from: Address): void;
-  noteLost(address: Address): void;
+  onAttested(from: Address): void;
+  onDisconnected(address: Address): void;
   /** The process stood still: silence before now says nothing. */
-  noteStandstill(): void;
+  onStandstill(): void;
   turn(): void;
   /** All known controllers, the followed one first. */
   all(): readonly Address[];
-  knowSpots(spotOf: SpotOf): void;
+  setTopology(locationOf: LocationOf): void;
   stop(): void;
 }
 
-export type SpotOf = (name: string) => Spot | null;
+export type LocationOf = (name: string) => Location | null;
 
 export type ControllerChoiceDeps = {
   readonly self: { readonly name: string; readonly zone: string; readonly region: string };
@@ -36,7 +36,7 @@
   readonly links: ControllerLinks;
   readonly clock: Clock;
   readonly followMessage: () => Message;
-  readonly attendMessage: () => Message;
+  readonly heartbeatMessage: () => Message;
 };
 
 /** The followed one is told a number at least this often, beside one after each attested beat. */
@@ -49,12 +49,12 @@
 const REDIAL_MS = 150;
 const NEARER_MS = 5_000;
 
-type Times = { attested: number; touched: number; sought: number; attended: number; looked: number };
+type Times = { attested: number; touched: number; soughtAt: number; attended: number; looked: number };
 
 class NearestControllerChoice implements ControllerChoice {
-  private readonly asked = new Set<Address>();
+  private readonly subscribed = new Set<Address>();
   private readonly at: Times;
-  private spotOf: SpotOf = nowhere;
+  private locationOf: LocationOf = nowhere;
   private currentFollowed: Address | null = null;
   private standby: Address | null = null;
   private nearer: Address | null = null;
@@ -64,7 +64,7 @@
     this.at = {
       attested: this.deps.clock.mono(),
       touched: this.deps.clock.mono(),
-      sought: this.deps.clock.mono(),
+      soughtAt: this.deps.clock.mono(),
       attended: 0,
       looked: 0,
     };
@@ -80,7 +80,7 @@
       out.push({
         address,
         name,
-        spot: name === null ? null : this.spotOf(name),
+        location: name === null ? null : this.locationOf(name),
         failed: this.deps.links.hasFailed(address),
       });
     };
@@ -89,7 +89,7 @@
     return ranked(this.deps.self, out);
   }
 
-  noteLost(address: Address): void {
+  onDisconnected(address: Address): void {
     if (address === this.currentFollowed) this.turnOnFailure();
   }
 
@@ -99,15 +99,15 @@
   }
 
   private async ask(to: Address): Promise<void> {
-    this.asked.add(to);
+    this.subscribed.add(to);
     const peer = await this.deps.links.dial(to);
-    if (this.stopped || !this.asked.has(to)) return;
-    if (peer) peer.tell(this.deps.followMessage());
+    if (this.stopped || !this.subscribed.has(to)) return;
+    if (peer) peer.send(this.deps.followMessage());
     else if (to === this.currentFollowed) this.turnOnFailure();
   }
 
   private turnAway(): void {
-    if (this.currentFollowed !== null) this.deps.links.noteFailed(this.currentFollowed);
+    if (this.currentFollowed !== null) this.deps.links.recordFailure(this.currentFollowed);
     this.nearer = null;
     this.at.attested = this.deps.clock.mono();
     const order = this.candidates();
@@ -129,65 +129,66 @@
       break;
     }
     if (this.standby !== null) void this.deps.links.dial(this.standby);
-    if (was !== null && was !== this.standby) this.letGo(was);
+    if (was !== null && was !== this.standby) this.release(was);
   }
 
-  private letGo(address: Address): void {
+  private release(address: Address): void {
     if (
       address === this.currentFollowed ||
       address === this.standby ||
       address === this.nearer ||
-      this.asked.has(address)
+      this.subscribed.has(address)
     )
       return;
-    this.deps.links.letGo(address);
+    this.deps.links.release(address);
   }
 
   private unfollow(address: Address): void {
-    this.asked.delete(address);
-    this.deps.links.tell(address, { kind: 'unfollow', name: this.deps.self.name });
-    this.letGo(address);
+    this.subscribed.delete(address);
+    this.deps.links.send(address, { kind: 'unfollow', name: this.deps.self.name });
+    this.release(address);
   }
 
-  private settleOn(address: Address): void {
+  private follow(address: Address): void {
     this.currentFollowed = address;
     this.nearer = null;
-    this.deps.links.noteWorks(address);
-    for (const other of [...this.asked]) if (other !== address) this.unfollow(other);
+    this.deps.links.recordSuccess(address);
+    for (const other of [...this.subscribed]) if (other !== address) this.unfollow(other);
     this.chooseStandby();
   }
 
-  private attend(): void {
+  private sendHeartbeat(): void {
     this.at.attended = this.deps.clock.mono();
-    this.tellAsked(this.deps.attendMessage());
+    this.sendToSubscribed(this.deps.heartbeatMessage());
   }
 
-  tellAsked(m: Message): void {
-    for (const to of this.asked) this.deps.links.tell(to, m);
+  sendToSubscribed(m: Message): void {
+    for (const to of this.subscribed) this.deps.links.send(to, m);
   }
 
   private isConnected(): boolean {
-    for (const to of this.asked) if (this.deps.links.isHeld(to)) return true;
+    for (const to of this.subscribed) if (this.deps.links.isConnected(to)) return true;
     return false;
   }
 
   private mustSeek(now: number): boolean {
-    if (!this.isConnected()) return now - this.at.sought >= REDIAL_MS;
-    return now - this.at.touched > LOST_MS && now - this.at.sought >= SEEK_MS;
+    if (!this.isConnected()) return now - this.at.soughtAt >= REDIAL_MS;
+    return now - this.at.touched > LOST_MS && now - this.at.soughtAt >= SEEK_MS;
   }
 
   private seekAnyone(): void {
-    this.at.sought = this.deps.clock.mono();
+    this.at.soughtAt = this.deps.clock.mono();
     for (const c of this.candidates())
-      if (!this.asked.has(c.address) || !this.deps.links.isHeld(c.address)) void this.ask(c.address);
+      if (!this.subscribed.has(c.address) || !this.deps.links.isConnected(c.address)) void this.ask(c.address);
   }
 
   private seekNearer(): void {
     this.at.looked = this.deps.clock.mono();
     const [best] = this.candidates();
     const now = this.nameOf(this.currentFollowed);
-    if (!best || best.failed || best.spot?.up !== true || best.address === this.currentFollowed || now === null) return;
-    if (steps(this.deps.self, best.spot) >= steps(this.deps.self, this.spotOf(now))) return;
+    if (!best || best.failed || best.location?.up !== true || best.address === this.currentFollowed || now === null)
+      return;
+    if (steps(this.deps.self, best.location) >= steps(this.deps.self, this.locationOf(now))) return;
     this.nearer = best.address;
     void this.ask(this.nearer);
   }
@@ -197,29 +198,29 @@
     return null;
   }
 
-  noteAttested(from: Address): void {
+  onAttested(from: Address): void {
     this.at.touched = this.deps.clock.mono();
-    this.takeAttested(from);
-    this.attend();
+    this.recordAttested(from);
+    this.sendHeartbeat();
   }
 
-  private takeAttested(from: Address): void {
+  private recordAttested(from: Address): void {
     const now = this.deps.clock.mono();
     if (from === this.currentFollowed) {
       this.at.attested = now;
-      if (this.nearer === null && this.asked.size > 1) this.settleOn(from);
+      if (this.nearer === null && this.subscribed.size > 1) this.follow(from);
       return;
     }
-    const isHeard =
+    const isFollowedReachable =
       this.currentFollowed !== null &&
-      this.deps.links.isHeld(this.currentFollowed) &&
+      this.deps.links.isConnected(this.currentFollowed) &&
       now - this.at.attested <= SILENT_MS / 2;
-    if (from !== this.nearer && isHeard) return;
+    if (from !== this.nearer && isFollowedReachable) return;
     this.at.attested = now;
-    this.settleOn(from);
+    this.follow(from);
   }
 
-  noteStandstill(): void {
+  onStandstill(): void {
     this.at.attested = this.deps.clock.mono();
   }
 
@@ -227,7 +228,7 @@
     const now = this.deps.clock.mono();
     if (this.currentFollowed === null || now - this.at.attested > SILENT_MS) this.turnAway();
     if (this.mustSeek(now)) this.seekAnyone();
-    if (now - this.at.attended >= ATTEND_MS) this.attend();
+    if (now - this.at.attended >= ATTEND_MS) this.sendHeartbeat();
     if (now - this.at.looked < NEARER_MS) return;
     this.nearer = null;
     this.seekNearer();
@@ -238,8 +239,8 @@
     return this.currentFollowed;
   }
 
-  isAsked(address: Address): boolean {
-    return this.asked.has(address);
+  isSubscribed(address: Address): boolean {
+    return this.subscribed.has(address);
   }
 
   all(): readonly Address[] {
@@ -248,8 +249,8 @@
     return [...out];
   }
 
-  knowSpots(of: SpotOf): void {
-    this.spotOf = of;
+  setTopology(of: LocationOf): void {
+    this.locationOf = of;
   }
 
   stop(): void {
--- a/src/coordination/ledger/controller-links.ts
+++ b/src/coordination/ledger/controller-links.ts
@@ -12,35 +12,35 @@
 export interface ControllerLinks {
   /** The held connection, or null if it can't be made. A dial that is under way is waited for. */
   dial(to: Address): Promise<Peer | null>;
-  isHeld(address: Address): boolean;
-  letGo(address: Address): void;
+  isConnected(address: Address): boolean;
+  release(address: Address): void;
   addressOf(peer: Peer): Address | null;
-  tell(to: Address, m: Message): void;
+  send(to: Address, m: Message): void;
   /** Tells reports as differences to what this controller was told before. */
-  tellReports(to: Address, reports: readonly Report[]): void;
+  sendReports(to: Address, reports: readonly Report[]): void;
   /** The controller lacks what these reports differ from: they are told whole next time. */
   forgetReports(to: Address, reporters: readonly string[]): void;
   hasFailed(address: Address): boolean;
-  noteFailed(address: Address): void;
-  noteWorks(address: Address): void;
+  recordFailure(address: Address): void;
+  recordSuccess(address: Address): void;
 }
 
 const FAILED_MS = 10_000;
 
 class DialledControllerLinks implements ControllerLinks {
-  private readonly held = new Map<Address, Peer>();
+  private readonly connections = new Map<Address, Peer>();
   private readonly dialling = new Map<Address, Promise<Peer | null>>();
   private readonly failedAt = new Map<Address, number>();
-  private readonly told = new Map<Address, Map<string, Report>>();
+  private readonly sentReports = new Map<Address, Map<string, Report>>();
 
   constructor(
-    private readonly peers: Pick<Peers, 'hold'>,
+    private readonly peers: Pick<Peers, 'connect'>,
     private readonly clock: Clock,
     private readonly onLost: (address: Address) => void,
   ) {}
 
   dial(to: Address): Promise<Peer | null> {
-    const have = this.held.get(to);
+    const have = this.connections.get(to);
     if (have) return Promise.resolve(have);
     const underWay = this.dialling.get(to) ?? this.dialled(to);
     this.dialling.set(to, underWay);
@@ -48,54 +48,54 @@
   }
 
   private async dialled(to: Address): Promise<Peer | null> {
-    const made = await this.peers.hold(to);
+    const made = await this.peers.connect(to);
     this.dialling.delete(to);
     if (!made.ok) {
-      this.noteFailed(to);
+      this.recordFailure(to);
       return null;
     }
-    this.held.set(to, made.value);
+    this.connections.set(to, made.value);
 
     const gone = (): void => {
-      this.letGo(to);
-      this.noteFailed(to);
+      this.release(to);
+      this.recordFailure(to);
       this.onLost(to);
     };
     made.value.onClosed(gone);
     return made.value;
   }
 
-  isHeld(address: Address): boolean {
-    return this.held.has(address);
+  isConnected(address: Address): boolean {
+    return this.connections.has(address);
   }
 
-  letGo(address: Address): void {
-    this.held.delete(address);
-    this.told.delete(address);
+  release(address: Address): void {
+    this.connections.delete(address);
+    this.sentReports.delete(address);
   }
 
   addressOf(peer: Peer): Address | null {
-    for (const [address, p] of this.held) if (p === peer) return address;
+    for (const [address, p] of this.connections) if (p === peer) return address;
     return null;
   }
 
-  tell(to: Address, m: Message): void {
-    this.held.get(to)?.tell(m);
+  send(to: Address, m: Message): void {
+    this.connections.get(to)?.send(m);
   }
 
-  tellReports(to: Address, reports: readonly Report[]): void {
-    const before = this.told.get(to) ?? new Map<string, Report>();
-    this.told.set(to, before);
+  sendReports(to: Address, reports: readonly Report[]): void {
+    const before = this.sentReports.get(to) ?? new Map<string, Report>();
+    this.sentReports.set(to, before);
     const out: Report[] = [];
     for (const report of reports) {
       out.push(differenceTo(before.get(report.reporter), report));
       before.set(report.reporter, report);
     }
-    this.tell(to, { kind: 'reports', reports: out });
+    this.send(to, { kind: 'reports', reports: out });
   }
 
   forgetReports(to: Address, reporters: readonly string[]): void {
-    for (const name of reporters) this.told.get(to)?.delete(name);
+    for (const name of reporters) this.sentReports.get(to)?.delete(name);
   }
 
   hasFailed(address: Address): boolean {
@@ -103,17 +103,17 @@
     return at !== undefined && this.clock.mono() - at < FAILED_MS;
   }
 
-  noteFailed(address: Address): void {
+  recordFailure(address: Address): void {
     this.failedAt.set(address, this.clock.mono());
   }
 
-  noteWorks(address: Address): void {
+  recordSuccess(address: Address): void {
     this.failedAt.delete(address);
   }
 }
 
 export function createControllerLinks(
-  peers: Pick<Peers, 'hold'>,
+  peers: Pick<Peers, 'connect'>,
   clock: Clock,
   onLost: (address: Address) => void,
 ): ControllerLinks {
--- a/src/coordination/ledger/core-chaos.test.ts
+++ b/src/coordination/ledger/core-chaos.test.ts
@@ -5,7 +5,7 @@
 
 const SYNC_MS = 4_000;
 
-type Run = { readonly core: SimCore; running: string[]; serial: number; readonly acked: string[] };
+type Run = { readonly core: SimCore; running: string[]; serial: number; readonly acknowledged: string[] };
 
 async function anOrder(r: Run, limitMs: number): Promise<void> {
   const { core } = r;
@@ -15,7 +15,7 @@
     const zone = `z${r.serial}`;
     const got = await core.order(name, zone);
     if (got.result?.ok && got.result.value.outcome.tag === 'applied') {
-      r.acked.push(zone);
+      r.acknowledged.push(zone);
       r.serial += 1;
       return;
     }
@@ -78,13 +78,14 @@
     'through ten troubles one after another nothing acknowledged is lost (seed %i)',
     async (seed) => {
       const core = createSimCore(7_000 + seed, { controllers, seeds, regionMs: 20 });
-      const r: Run = { core, running: core.nodes.map((n) => n.name), serial: 0, acked: [] };
+      const r: Run = { core, running: core.nodes.map((n) => n.name), serial: 0, acknowledged: [] };
       core.startAll();
       expect(await core.until(5_000, () => core.whole(r.running))).toBe(true);
       for (let n = 0; n < 10; n += 1) {
         await anOrder(r, 2_000);
         await trouble(r);
-        for (const name of r.running) expect(await core.evacuatedAt(name)).toEqual(expect.arrayContaining(r.acked));
+        for (const name of r.running)
+          expect(await core.evacuatedAt(name)).toEqual(expect.arrayContaining(r.acknowledged));
       }
       expect(core.broken).toEqual([]);
     },
--- a/src/coordination/ledger/core-health-watch.ts
+++ b/src/coordination/ledger/core-health-watch.ts
@@ -18,7 +18,7 @@
 import { createCoreHealthLog } from './core-health-log.js';
 import type { CoreHealthLog } from './core-health-log.js';
 import type { Ledger } from './ledger.js';
-import type { HeardMemberStatus } from './member-statuses.js';
+import type { ReceivedMemberStatus } from './member-statuses.js';
 
 export type CoreHealthReport = {
   /** Health of the members that agree on the ledger. */
@@ -42,7 +42,7 @@
 };
 
 /** A member's answer, or that its claims are whole, by the time at which it was asked. */
-type Heard = { readonly askedAt: number; readonly memberStatus: MessageOf<'memberStatus'> };
+type Contact = { readonly askedAt: number; readonly memberStatus: MessageOf<'memberStatus'> };
 type KnownSlot = { readonly at: number; readonly slot: number };
 
 /** How often the health is judged; the members are asked as often. */
@@ -56,24 +56,24 @@
 const ASK_MS = 1_000;
 
 class PollingHealthWatch implements CoreHealthWatch {
-  private readonly heard = new Map<string, Heard>();
-  private readonly claimsWhole = new Map<string, number>();
+  private readonly contacts = new Map<string, Contact>();
+  private readonly claimsCompleteAt = new Map<string, number>();
   private readonly ledgerLog: CoreHealthLog;
   private readonly claimsLog: CoreHealthLog;
   private known: KnownSlot[] = [];
-  private lastTurn: number;
+  private lastTickAt: number;
   private readonly turning: Timer;
 
   constructor(private readonly deps: CoreHealthWatchDeps) {
     this.ledgerLog = createCoreHealthLog('ledger', this.deps.clock, this.deps.log);
     this.claimsLog = createCoreHealthLog('claims', this.deps.clock, this.deps.log);
-    this.lastTurn = this.deps.clock.mono();
+    this.lastTickAt = this.deps.clock.mono();
 
     this.deps.ledger.events.on('heard', ({ member, askedAt, memberStatus }) =>
-      this.onHeard({ member, askedAt, memberStatus }),
+      this.onMemberStatus({ member, askedAt, memberStatus }),
     );
 
-    this.deps.peers.on('claimsWholeAsk', () => this.onClaimsWholeAsk());
+    this.deps.peers.on('claimsWholeAsk', () => this.onClaimsStatusRequest());
     this.turning = every(this.deps.clock, TURN_MS, () => this.turn());
   }
 
@@ -85,18 +85,18 @@
     return at !== undefined && this.deps.clock.mono() - at < IN_TOUCH_MS;
   }
 
-  private onHeard({ member, askedAt, memberStatus }: HeardMemberStatus): void {
-    this.heard.set(memberId(member), { askedAt, memberStatus });
+  private onMemberStatus({ member, askedAt, memberStatus }: ReceivedMemberStatus): void {
+    this.contacts.set(memberId(member), { askedAt, memberStatus });
   }
 
   private newestKnown(): number {
     let newest = this.deps.ledger.controlState().slot;
-    for (const { memberStatus } of this.heard.values()) newest = Math.max(newest, memberStatus.learned);
+    for (const { memberStatus } of this.contacts.values()) newest = Math.max(newest, memberStatus.learned);
     return newest;
   }
 
   private stoodStill(): boolean {
-    return this.deps.clock.mono() - this.lastTurn > STOOD_STILL_MS;
+    return this.deps.clock.mono() - this.lastTickAt > STOOD_STILL_MS;
   }
 
   /** The newest slot that was known some time ago; without so long a memory, the newest one of all. */
@@ -122,7 +122,7 @@
         unheard: [],
       };
     }
-    const answer = this.heard.get(id);
+    const answer = this.contacts.get(id);
     const learned = answer?.memberStatus.learned ?? -1;
     return {
       id,
@@ -138,7 +138,7 @@
 
   private holdsClaims(view: MemberView): boolean {
     if (view.id === this.me()) return this.deps.claims?.ready() ?? false;
-    return this.isRecent(this.claimsWhole.get(view.id));
+    return this.isRecent(this.claimsCompleteAt.get(view.id));
   }
 
   current(): CoreHealthReport {
@@ -156,7 +156,7 @@
     };
   }
 
-  private onClaimsWholeAsk(): Message {
+  private onClaimsStatusRequest(): Message {
     return { kind: 'claimsWhole', voter: this.me(), whole: this.deps.claims?.ready() ?? false };
   }
 
@@ -164,30 +164,30 @@
     const askedAt = this.deps.clock.mono();
     const answer = await this.deps.peers.call(member.address, { kind: 'claimsWholeAsk' }, ASK_MS);
     if (!answer.ok || answer.value.kind !== 'claimsWhole' || answer.value.voter !== memberId(member)) return;
-    if (answer.value.whole) this.claimsWhole.set(memberId(member), askedAt);
-    else this.claimsWhole.delete(memberId(member));
+    if (answer.value.whole) this.claimsCompleteAt.set(memberId(member), askedAt);
+    else this.claimsCompleteAt.delete(memberId(member));
   }
 
   private forgetFormerMembers(): void {
     const ids = new Set(this.deps.ledger.controlState().members.map(memberId));
-    for (const id of this.heard.keys()) if (!ids.has(id)) this.heard.delete(id);
-    for (const id of this.claimsWhole.keys()) if (!ids.has(id)) this.claimsWhole.delete(id);
+    for (const id of this.contacts.keys()) if (!ids.has(id)) this.contacts.delete(id);
+    for (const id of this.claimsCompleteAt.keys()) if (!ids.has(id)) this.claimsCompleteAt.delete(id);
   }
 
-  private hearsMajority(): boolean {
+  private hasMajorityContact(): boolean {
     const { members } = this.deps.ledger.controlState();
     let inTouch = 0;
     for (const member of members) {
       const id = memberId(member);
-      if (id === this.me() || this.isRecent(this.heard.get(id)?.askedAt)) inTouch += 1;
+      if (id === this.me() || this.isRecent(this.contacts.get(id)?.askedAt)) inTouch += 1;
     }
     return inTouch >= majorityOf(members);
   }
 
   private noteKnownSlot(): void {
     const now = this.deps.clock.mono();
-    if (this.stoodStill() || !this.hearsMajority()) this.known = [];
-    this.lastTurn = now;
+    if (this.stoodStill() || !this.hasMajorityContact()) this.known = [];
+    this.lastTickAt = now;
     this.known.push({ at: now, slot: this.newestKnown() });
     while (this.known.length > 1 && now - (this.known[1] as KnownSlot).at >= SETTLED_MS) this.known.shift();
   }
--- a/src/coordination/ledger/fleet-load-relay.ts
+++ b/src/coordination/ledger/fleet-load-relay.ts
@@ -71,13 +71,13 @@
       this.count += 1;
       const told = { name: this.ledger.self.name, run: this.run, count: this.count, rows: mine };
       for (const m of this.ledger.controlState().members)
-        if (memberId(m) !== memberId(this.ledger.self)) void this.peers.tell(m.address, { kind: 'usages', told });
+        if (memberId(m) !== memberId(this.ledger.self)) void this.peers.send(m.address, { kind: 'usages', told });
     }
     const rows = sumOf(mine, this.others.sums(now));
     const whole = JSON.stringify(rows);
     if (whole === this.lastSums) return;
     this.lastSums = whole;
-    for (const peer of this.tellers.values()) peer.tell({ kind: 'fleetLoad', rows });
+    for (const peer of this.tellers.values()) peer.send({ kind: 'fleetLoad', rows });
   }
 
   stop(): void {
--- a/src/coordination/ledger/follower.test.ts
+++ b/src/coordination/ledger/follower.test.ts
@@ -18,7 +18,7 @@
   const told: Message[] = [];
   let offered: Snapshot | null = null;
   const peer: Peer = {
-    tell: (m) => {
+    send: (m) => {
       told.push(m);
     },
     onClosed: () => undefined,
@@ -38,9 +38,9 @@
             }
           : { ok: false, fault: { tag: 'peerSilent', address: to } },
       ),
-    tell: () => Promise.resolve(true),
-    hold: () => Promise.resolve({ ok: true, value: peer }),
-    knownAt: () => undefined,
+    send: () => Promise.resolve(true),
+    connect: () => Promise.resolve({ ok: true, value: peer }),
+    relocate: () => undefined,
     close: () => Promise.resolve(),
   };
   const follower = await createFollower(
@@ -61,7 +61,7 @@
     hear({ kind: 'changes', ledger: 'l1', snapshot: offered.offer, batches: [] });
     await world.advance(1);
   }
-  function beat(top: number, echo: number): void {
+  function heartbeat(top: number, echo: number): void {
     hear({
       kind: 'beat',
       from: 'h1',
@@ -76,7 +76,7 @@
   function newestNonce(): number {
     return Math.max(...told.map((m) => ('nonce' in m ? m.nonce : 0)));
   }
-  return { world, host, follower, believe, beat, newestNonce };
+  return { world, host, follower, believe, beat: heartbeat, newestNonce };
 }
 
 test('news of an older slot never takes the place of newer news', async () => {
@@ -87,28 +87,28 @@
 });
 
 test('an attestation counts only once all that it attests has been folded', async () => {
-  const { follower, believe, beat, newestNonce } = await rig();
+  const { follower, believe, beat: heartbeat, newestNonce } = await rig();
   await believe(3, []);
-  beat(5, newestNonce());
+  heartbeat(5, newestNonce());
   expect(follower.fresh()).toBe(false);
   await believe(5, ['z9']);
-  beat(5, newestNonce());
+  heartbeat(5, newestNonce());
   expect(follower.fresh()).toBe(true);
 });
 
 test('after a freeze an attestation that was asked for before it makes nothing fresh', async () => {
-  const { world, host, follower, believe, beat, newestNonce } = await rig();
+  const { world, host, follower, believe, beat: heartbeat, newestNonce } = await rig();
   await believe(3, []);
   const before = newestNonce();
-  beat(3, before);
+  heartbeat(3, before);
   expect(follower.fresh()).toBe(true);
   world.freeze(host);
   await world.advance(2_000);
   world.thaw(host);
   await world.advance(1);
-  beat(3, before);
+  heartbeat(3, before);
   expect(follower.fresh()).toBe(false);
   await world.advance(200);
-  beat(3, newestNonce());
+  heartbeat(3, newestNonce());
   expect(follower.fresh()).toBe(true);
 });
--- a/src/coordination/ledger/follower.ts
+++ b/src/coordination/ledger/follower.ts
@@ -1,6 +1,6 @@
 import { createEvents } from '../../base/events.js';
 import type { Message, MessageOf } from '../../protocol/messages.js';
-import type { Spot } from '../../state/candidates.js';
+import type { Location } from '../../state/candidates.js';
 import { foldBatch } from '../../state/control-state.js';
 import type { ControlState } from '../../state/control-state.js';
 import type { SnapshotOffer } from '../../state/snapshot-parts.js';
@@ -12,7 +12,7 @@
 import type { Address } from '../../transport/wire.js';
 import type { Peer, Peers } from '../members/peers.js';
 import { createControllerChoice } from './controller-choice.js';
-import type { ControllerChoice, SpotOf } from './controller-choice.js';
+import type { ControllerChoice, LocationOf } from './controller-choice.js';
 import { createControllerLinks } from './controller-links.js';
 import type { ControllerLinks } from './controller-links.js';
 import { createControlStateKeeper, loadControlState } from './kept-control-state.js';
@@ -40,9 +40,9 @@
   };
   controllers(): readonly Address[];
   followed(): Address | null;
-  knowSpots(spotOf: (name: string) => Spot | null): void;
+  setTopology(locationOf: (name: string) => Location | null): void;
   /** Tells the followed controller; reports go as differences to what it was told before. */
-  tellAll(m: Message): void;
+  sendToController(m: Message): void;
   stop(): void;
 }
 
@@ -95,7 +95,7 @@
       links: this.links,
       clock: this.clock,
       followMessage: () => this.followMessage(),
-      attendMessage: () => this.attendMessage(),
+      heartbeatMessage: () => this.heartbeatMessage(),
     });
     this.keeper = createControlStateKeeper(this.disk, this.clock, this.log, () => this.controlState());
     this.ticking = every(this.clock, TICK_MS, () => this.tick());
@@ -104,7 +104,7 @@
 
     this.peers.on('changes', (m, peer) => this.onChanges(m, peer));
 
-    this.peers.on('beat', (m, peer) => this.onBeat(m, peer));
+    this.peers.on('beat', (m, peer) => this.onHeartbeat(m, peer));
 
     this.peers.on('reportsAsk', (m, peer) => this.onReportsAsk(m, peer));
   }
@@ -123,23 +123,23 @@
     return { kind: 'follow', name, zone, region, ledger, from: slot + 1, nonce: this.contact.nextNonce() };
   }
 
-  private attendMessage(): MessageOf<'attend'> {
+  private heartbeatMessage(): MessageOf<'attend'> {
     return { kind: 'attend', name: this.self.name, nonce: this.contact.nextNonce() };
   }
 
   private onLost(address: Address): void {
-    this.choice.noteLost(address);
+    this.choice.onDisconnected(address);
   }
 
   private onStandstill(gapMs: number): void {
     this.log.warn(`Stood still for ${Math.round(gapMs)} ms; serves again once it has fresh news.`);
     this.wasPartitioned = false;
-    this.choice.noteStandstill();
-    this.choice.tellAsked(this.followMessage());
+    this.choice.onStandstill();
+    this.choice.sendToSubscribed(this.followMessage());
   }
 
   private tick(): void {
-    this.contact.noteTurn();
+    this.contact.detectStandstill();
     this.choice.turn();
     const alone = this.partitioned();
     if (alone !== this.wasPartitioned)
@@ -162,8 +162,8 @@
       if (gap) break;
       foldBatch(this.currentControlState, b.slot, b.batch);
     }
-    if (gap && !this.taker.isTaking()) peer.tell(this.followMessage());
-    if (this.currentControlState.slot > before) this.noteMoved();
+    if (gap && !this.taker.isTaking()) peer.send(this.followMessage());
+    if (this.currentControlState.slot > before) this.onAdvanced();
     return null;
   }
 
@@ -175,31 +175,31 @@
     if (this.stopped || taken.tag === 'interrupted' || taken.tag === 'refused') return;
     if (taken.tag === 'whole' && taken.state.slot > this.currentControlState.slot && this.accepts(taken.state.ledger)) {
       this.currentControlState = taken.state;
-      this.noteMoved();
+      this.onAdvanced();
     }
-    peer.tell(this.followMessage());
+    peer.send(this.followMessage());
   }
 
-  private noteMoved(): void {
+  private onAdvanced(): void {
     const names = new Set<string>();
     for (const m of this.currentControlState.members) names.add(m.name);
-    this.time.keepOnly(names);
+    this.time.retainOnly(names);
     this.events.emit('moved', { slot: this.currentControlState.slot });
-    this.choice.tellAsked({ kind: 'followed', name: this.self.name, slot: this.currentControlState.slot });
+    this.choice.sendToSubscribed({ kind: 'followed', name: this.self.name, slot: this.currentControlState.slot });
     this.keeper.keepFloor();
   }
 
-  private onBeat(m: MessageOf<'beat'>, peer: Peer): null {
-    this.contact.noteTurn();
+  private onHeartbeat(m: MessageOf<'beat'>, peer: Peer): null {
+    this.contact.detectStandstill();
     const from = this.links.addressOf(peer);
-    if (from === null || !this.choice.isAsked(from)) {
-      peer.tell({ kind: 'unfollow', name: this.self.name });
+    if (from === null || !this.choice.isSubscribed(from)) {
+      peer.send({ kind: 'unfollow', name: this.self.name });
       return null;
     }
     if (!this.accepts(m.ledger) || m.ledger === '') return null;
-    this.time.hear(m.from, m.wall, this.clock.mono());
-    if (m.slot > this.currentControlState.slot && !this.taker.isTaking()) peer.tell(this.followMessage());
-    if (this.holdsAllOf(m) && this.isNewContact(m.echo)) this.choice.noteAttested(from);
+    this.time.record(m.from, m.wall, this.clock.mono());
+    if (m.slot > this.currentControlState.slot && !this.taker.isTaking()) peer.send(this.followMessage());
+    if (this.holdsAllOf(m) && this.isNewContact(m.echo)) this.choice.onAttested(from);
     return null;
   }
 
@@ -213,7 +213,7 @@
 
   private isNewContact(echo: number): boolean {
     const sentAt = this.contact.sentAt(echo);
-    return sentAt !== null && this.contact.note(sentAt);
+    return sentAt !== null && this.contact.recordContact(sentAt);
   }
 
   private onReportsAsk(m: MessageOf<'reportsAsk'>, peer: Peer): null {
@@ -223,17 +223,17 @@
   }
 
   fresh(): boolean {
-    this.contact.noteTurn();
+    this.contact.detectStandstill();
     return this.contact.isKnown() && this.currentControlState.slot >= this.kept.floor;
   }
 
   partitioned(): boolean {
-    this.contact.noteTurn();
+    this.contact.detectStandstill();
     return this.contact.isLost();
   }
 
   wokeAt(): number {
-    this.contact.noteTurn();
+    this.contact.detectStandstill();
     return this.contact.wokeAt();
   }
 
@@ -241,11 +241,11 @@
     return this.time.now(this.clock.mono(), this.clock.wall());
   }
 
-  tellAll(m: Message): void {
+  sendToController(m: Message): void {
     const to = this.choice.followed();
     if (to === null) return;
-    if (m.kind === 'reports' && m.by === undefined) this.links.tellReports(to, m.reports);
-    else this.links.tell(to, m);
+    if (m.kind === 'reports' && m.by === undefined) this.links.sendReports(to, m.reports);
+    else this.links.send(to, m);
   }
 
   stop(): void {
@@ -263,8 +263,8 @@
     return this.choice.followed();
   }
 
-  knowSpots(spotOf: SpotOf): void {
-    this.choice.knowSpots(spotOf);
+  setTopology(locationOf: LocationOf): void {
+    this.choice.setTopology(locationOf);
   }
 }
 
--- a/src/coordination/ledger/following-start.test.ts
+++ b/src/coordination/ledger/following-start.test.ts
@@ -35,7 +35,7 @@
     null,
     log,
   );
-  follower.knowSpots((of) => {
+  follower.setTopology((of) => {
     const node = core.nodes.find((n) => n.name === of);
     return node ? { zone: node.host.zone, region: node.host.zone, up: true } : null;
   });
--- a/src/coordination/ledger/following.test.ts
+++ b/src/coordination/ledger/following.test.ts
@@ -26,7 +26,7 @@
   const peers = createPeers(wire, clock, log);
   const seeds = core.nodes.map((n) => n.wire);
   const follower = await createFollower({ name, zone, region: zone }, seeds, peers, clock, null, log);
-  follower.knowSpots((of) => {
+  follower.setTopology((of) => {
     const node = core.nodes.find((n) => n.name === of);
     return node ? { zone: node.host.zone, region: node.host.zone, up: true } : null;
   });
--- a/src/coordination/ledger/lease.ts
+++ b/src/coordination/ledger/lease.ts
@@ -156,7 +156,7 @@
     };
     for (const m of b.members) {
       if (memberId(m) === this.me()) this.onDrop(drop);
-      else void this.peers.tell(m.address, drop);
+      else void this.peers.send(m.address, drop);
     }
   }
 
--- a/src/coordination/ledger/ledger.ts
+++ b/src/coordination/ledger/ledger.ts
@@ -25,7 +25,7 @@
 import type { ClosedOrdersFetch } from './closed-orders-fetch.js';
 import { createCatchUp } from './catch-up.js';
 import { createMemberStatuses, MEMBER_STATUS_MS } from './member-statuses.js';
-import type { HeardMemberStatus, MemberStatuses } from './member-statuses.js';
+import type { ReceivedMemberStatus, MemberStatuses } from './member-statuses.js';
 import { createMembershipChanges } from './membership-changes.js';
 import type { MembershipChanges } from './membership-changes.js';
 import { createOperatorBootstrap } from './operator-bootstrap.js';
@@ -50,7 +50,7 @@
 export type LedgerEvents = {
   readonly folded: { readonly slot: number; readonly batch: Batch; readonly outcomes: readonly Outcome[] };
   readonly adopted: { readonly slot: number };
-  readonly heard: HeardMemberStatus;
+  readonly heard: ReceivedMemberStatus;
 };
 
 export interface Ledger {
@@ -69,7 +69,7 @@
   isMember(): boolean;
   writable(): boolean;
   top(): number;
-  heardAt(id: string): number | null;
+  lastContactAt(id: string): number | null;
   askMemberStatuses(): void;
   readonly self: Member;
   leave(): Promise<void>;
@@ -130,7 +130,7 @@
   private readonly memberStatuses: MemberStatuses;
   private readonly membershipChanges: MembershipChanges;
   private readonly selfBootstrap: SelfBootstrap;
-  private readonly beating: Timer;
+  private readonly heartbeatTimer: Timer;
   readonly closedOrders: ClosedOrders;
   readonly history: LedgerHistory;
   readonly self: Member;
@@ -202,7 +202,7 @@
       controlState: () => this.replica.controlState(),
       top: () => this.store.top(),
       writable: () => this.store.writable(),
-      onHeard: (heard) => this.onHeard(heard),
+      onMemberStatus: (heard) => this.onMemberStatus(heard),
     });
 
     this.deps.peers.on('memberStatusAsk', () => this.memberStatuses.own());
@@ -234,11 +234,11 @@
       ledgerName: () => this.ledgerName(),
       askVote: this.askerUntil(Infinity),
       learnZero: (batch) => this.learnZero(batch),
-      seek: () => this.beat(),
+      seek: () => this.heartbeat(),
     });
-    this.beating = every(this.deps.clock, MEMBER_STATUS_MS, () => this.beat());
+    this.heartbeatTimer = every(this.deps.clock, MEMBER_STATUS_MS, () => this.heartbeat());
 
-    this.beat();
+    this.heartbeat();
     this.closedOrders = this.store.closed;
     this.history = {
       offer: (view, slot) => this.catchUp.snapshots.offer(view, slot),
@@ -307,13 +307,13 @@
     this.watching = false;
   }
 
-  private beat(): void {
+  private heartbeat(): void {
     if (this.stopped) return;
     this.memberStatuses.ask();
     void this.watchOnce();
   }
 
-  private onHeard(heard: HeardMemberStatus): void {
+  private onMemberStatus(heard: ReceivedMemberStatus): void {
     if (heard.memberStatus.learned > this.replica.controlState().slot)
       void this.catchUp.from(heard.memberStatus.address);
     this.events.emit('heard', heard);
@@ -330,7 +330,7 @@
   stop(): void {
     this.stopped = true;
     this.selfBootstrap.stop();
-    this.beating.cancel();
+    this.heartbeatTimer.cancel();
     this.closedFetch.stop();
   }
 
@@ -346,8 +346,8 @@
     return this.store.top();
   }
 
-  heardAt(id: string): number | null {
-    return this.memberStatuses.heardAt(id);
+  lastContactAt(id: string): number | null {
+    return this.memberStatuses.lastContactAt(id);
   }
 
   askMemberStatuses(): void {
--- a/src/coordination/ledger/life.ts
+++ b/src/coordination/ledger/life.ts
@@ -6,7 +6,7 @@
 const LIFE_FILE = 'life.json';
 const STEPS_IN_A_LIFE = 4_096;
 
-export async function nextLife(disk: Disk | null, log: Log): Promise<number> {
+export async function nextIncarnation(disk: Disk | null, log: Log): Promise<number> {
   if (!disk) return 0;
   const kept = await disk.load(LIFE_FILE);
   const read = kept.ok && kept.value ? parsedJson(kept.value.toString()) : null;
--- a/src/coordination/ledger/majority-contact.ts
+++ b/src/coordination/ledger/majority-contact.ts
@@ -10,9 +10,9 @@
   /** When an attested number was sent; null if it is unknown, or from before the newest standstill. */
   sentAt(nonce: number): number | null;
   /** Notes contact as of then; false if none newer than what is known. */
-  note(sentAt: number): boolean;
+  recordContact(sentAt: number): boolean;
   /** To be called whenever the process runs: it notices a standstill, and tells `onStandstill`. */
-  noteTurn(): void;
+  detectStandstill(): void;
   /** Whether there was contact since the process began, or since it last stood still. */
   isKnown(): boolean;
   /** Whether the newest contact is too long ago. */
@@ -31,15 +31,15 @@
   private nonce = 0;
   private firstCounted = 1;
   private contactAt: number | null = null;
-  private lastTurn: number;
+  private lastTickAt: number;
   private currentWokeAt: number;
 
   constructor(
     private readonly clock: Clock,
     private readonly onStandstill: (gapMs: number) => void,
   ) {
-    this.lastTurn = this.clock.mono();
-    this.currentWokeAt = this.lastTurn;
+    this.lastTickAt = this.clock.mono();
+    this.currentWokeAt = this.lastTickAt;
   }
 
   nextNonce(): number {
@@ -53,16 +53,16 @@
     return attested >= this.firstCounted ? (this.nonces.get(attested) ?? null) : null;
   }
 
-  note(at: number): boolean {
+  recordContact(at: number): boolean {
     if (this.contactAt !== null && at <= this.contactAt) return false;
     this.contactAt = at;
     return true;
   }
 
-  noteTurn(): void {
+  detectStandstill(): void {
     const now = this.clock.mono();
-    const gap = now - this.lastTurn;
-    this.lastTurn = now;
+    const gap = now - this.lastTickAt;
+    this.lastTickAt = now;
     if (gap <= STANDSTILL_MS) return;
     this.contactAt = null;
     this.firstCounted = this.nonce + 1;
--- a/src/coordination/ledger/member-statuses.ts
+++ b/src/coordination/ledger/member-statuses.ts
@@ -12,10 +12,10 @@
 export interface MemberStatuses {
   own(): MessageOf<'memberStatus'>;
   ask(): void;
-  heardAt(id: string): number | null;
-  hears(id: string): boolean;
-  unheardMs(id: string): number;
-  mostUnheard(id: string): boolean;
+  lastContactAt(id: string): number | null;
+  isReachable(id: string): boolean;
+  sinceContactMs(id: string): number;
+  majorityLostContact(id: string): boolean;
 }
 
 export type MemberStatusesDeps = {
@@ -25,16 +25,16 @@
   readonly controlState: () => ControlState;
   readonly top: () => number;
   readonly writable: () => boolean;
-  readonly onHeard: (heard: HeardMemberStatus) => void;
+  readonly onMemberStatus: (contacts: ReceivedMemberStatus) => void;
 };
 
-export type HeardMemberStatus = {
+export type ReceivedMemberStatus = {
   readonly member: Member;
   readonly askedAt: number;
   readonly memberStatus: MessageOf<'memberStatus'>;
 };
 
-type Heard = { readonly at: number; readonly unheard: readonly string[] };
+type Contact = { readonly at: number; readonly unheard: readonly string[] };
 
 export const MEMBER_STATUS_MS = 500;
 const ASK_MS = 1_000;
@@ -43,22 +43,22 @@
 const STOOD_STILL_MS = 1_500;
 
 class PolledMemberStatuses implements MemberStatuses {
-  private readonly heard = new Map<string, Heard>();
-  private lastTurn: number;
+  private readonly contacts = new Map<string, Contact>();
+  private lastTickAt: number;
   private since: number;
 
   constructor(private readonly deps: MemberStatusesDeps) {
-    this.lastTurn = this.deps.clock.mono();
-    this.since = this.lastTurn;
+    this.lastTickAt = this.deps.clock.mono();
+    this.since = this.lastTickAt;
   }
 
-  private noteTurn(): void {
+  private detectStandstill(): void {
     const now = this.deps.clock.mono();
-    if (now - this.lastTurn > STOOD_STILL_MS) {
+    if (now - this.lastTickAt > STOOD_STILL_MS) {
       this.since = now;
-      this.heard.clear();
+      this.contacts.clear();
     }
-    this.lastTurn = now;
+    this.lastTickAt = now;
   }
 
   private others(): Member[] {
@@ -67,23 +67,23 @@
     return out;
   }
 
-  heardAt(id: string): number | null {
-    return this.heard.get(id)?.at ?? null;
+  lastContactAt(id: string): number | null {
+    return this.contacts.get(id)?.at ?? null;
   }
 
-  unheardMs(id: string): number {
-    return this.deps.clock.mono() - (this.heardAt(id) ?? this.since);
+  sinceContactMs(id: string): number {
+    return this.deps.clock.mono() - (this.lastContactAt(id) ?? this.since);
   }
 
-  hears(id: string): boolean {
-    const at = this.heardAt(id);
+  isReachable(id: string): boolean {
+    const at = this.lastContactAt(id);
     return at !== null && this.deps.clock.mono() - at < FRESH_MS;
   }
 
   own(): MessageOf<'memberStatus'> {
     const b = this.deps.controlState();
     const unheard: string[] = [];
-    for (const m of this.others()) if (this.unheardMs(memberId(m)) > UNHEARD_MS) unheard.push(memberId(m));
+    for (const m of this.others()) if (this.sinceContactMs(memberId(m)) > UNHEARD_MS) unheard.push(memberId(m));
     return {
       kind: 'memberStatus',
       ledger: b.ledger,
@@ -97,11 +97,11 @@
     };
   }
 
-  mostUnheard(id: string): boolean {
-    let n = this.unheardMs(id) > UNHEARD_MS ? 1 : 0;
+  majorityLostContact(id: string): boolean {
+    let n = this.sinceContactMs(id) > UNHEARD_MS ? 1 : 0;
     for (const m of this.others()) {
       const other = memberId(m);
-      if (other !== id && this.hears(other) && this.heard.get(other)?.unheard.includes(id)) n += 1;
+      if (other !== id && this.isReachable(other) && this.contacts.get(other)?.unheard.includes(id)) n += 1;
     }
     return n >= majorityOf(this.deps.controlState().members);
   }
@@ -111,19 +111,19 @@
     const got = await this.deps.peers.call(m.address, { kind: 'memberStatusAsk' }, ASK_MS);
     if (!got.ok || got.value.kind !== 'memberStatus' || got.value.voter !== memberId(m)) return;
     if (askedAt < this.since) return;
-    this.heard.set(memberId(m), { at: askedAt, unheard: got.value.unheard ?? [] });
+    this.contacts.set(memberId(m), { at: askedAt, unheard: got.value.unheard ?? [] });
     if (got.value.ledger === this.deps.controlState().ledger)
-      this.deps.onHeard({ member: m, askedAt, memberStatus: got.value });
+      this.deps.onMemberStatus({ member: m, askedAt, memberStatus: got.value });
   }
 
   ask(): void {
-    this.noteTurn();
+    this.detectStandstill();
     const asked = new Set<string>();
     for (const m of this.others()) {
       asked.add(memberId(m));
       void this.askOne(m);
     }
-    for (const id of this.heard.keys()) if (!asked.has(id)) this.heard.delete(id);
+    for (const id of this.contacts.keys()) if (!asked.has(id)) this.contacts.delete(id);
   }
 }
 
--- a/src/coordination/ledger/membership-changes.ts
+++ b/src/coordination/ledger/membership-changes.ts
@@ -84,7 +84,7 @@
     return got.ok && got.value.kind === 'memberStatus' && got.value.voter === memberId(m);
   }
 
-  private async silentNow(): Promise<Member[]> {
+  private async unresponsiveMembers(): Promise<Member[]> {
     const members = this.deps.controlState().members;
     const heard = await Promise.all(members.map((m) => this.answers(m)));
     const out: Member[] = [];
@@ -97,11 +97,11 @@
       if (old.name === joiner.name) return { tag: 'memberReplaced', old: memberId(old), member: joiner };
     for (const old of this.deps.controlState().members)
       if (old.address === joiner.address) return { tag: 'memberReplaced', old: memberId(old), member: joiner };
-    const silent = await this.silentNow();
+    const silent = await this.unresponsiveMembers();
     if (silent.length === 0)
       return this.deps.controlState().members.length < MOST_MEMBERS ? { tag: 'memberAdded', member: joiner } : null;
     for (const old of silent)
-      if (this.deps.memberStatuses.mostUnheard(memberId(old)))
+      if (this.deps.memberStatuses.majorityLostContact(memberId(old)))
         return { tag: 'memberReplaced', old: memberId(old), member: joiner };
     return null;
   }
@@ -118,7 +118,7 @@
     return { kind: 'done', agreed: await this.agree(cause, act) };
   }
 
-  private async tellOwnAddress(): Promise<void> {
+  private async publishOwnAddress(): Promise<void> {
     if (
       await this.agree(`${this.deps.self.name} serves at a new address.`, {
         tag: 'memberReplaced',
@@ -193,7 +193,7 @@
     let n = 0;
     for (const m of this.deps.controlState().members) {
       if (memberId(m) === memberId(this.deps.self)) return n;
-      if (this.deps.memberStatuses.hears(memberId(m))) n += 1;
+      if (this.deps.memberStatuses.isReachable(memberId(m))) n += 1;
     }
     return n;
   }
@@ -202,8 +202,8 @@
     const id = memberId(m);
     return (
       id !== memberId(this.deps.self) &&
-      this.deps.memberStatuses.unheardMs(id) >= DEAD_MS + IN_TURN_MS * this.turnOf() &&
-      this.deps.memberStatuses.mostUnheard(id)
+      this.deps.memberStatuses.sinceContactMs(id) >= DEAD_MS + IN_TURN_MS * this.turnOf() &&
+      this.deps.memberStatuses.majorityLostContact(id)
     );
   }
 
@@ -224,7 +224,7 @@
   private inTouch(): boolean {
     let n = 1;
     for (const m of this.deps.controlState().members)
-      if (memberId(m) !== memberId(this.deps.self) && this.deps.memberStatuses.hears(memberId(m))) n += 1;
+      if (memberId(m) !== memberId(this.deps.self) && this.deps.memberStatuses.isReachable(memberId(m))) n += 1;
     return 2 * n > this.deps.controlState().members.length;
   }
 
@@ -233,7 +233,7 @@
     if (mine) this.former = true;
     if (mine && !this.isNoted) this.isNoted = await this.deps.noteMember();
     if (mine && mine.address !== this.deps.self.address && (await this.deps.settle(AGREE_MS)) && this.held())
-      await this.tellOwnAddress();
+      await this.publishOwnAddress();
     if (this.held()?.address === this.deps.self.address && this.inTouch()) await this.shedDead();
     else await this.seek();
   }
--- a/src/coordination/ledger/proposer.ts
+++ b/src/coordination/ledger/proposer.ts
@@ -33,7 +33,7 @@
 export type ProposerDeps = {
   readonly clock: Clock;
   readonly rng: Rng;
-  readonly peers: Pick<Peers, 'tell'>;
+  readonly peers: Pick<Peers, 'send'>;
   readonly replica: Replica;
   readonly askerUntil: (until: number) => AskMember;
   readonly catchUp: (from: Address) => Promise<void>;
@@ -58,11 +58,11 @@
     this.line = createLine((proposals) => this.work(proposals));
   }
 
-  private tellLearned(slot: number, batch: Batch): void {
+  private sendLearned(slot: number, batch: Batch): void {
     const { ledger, members } = this.deps.replica.controlState();
     for (const m of members) {
       if (memberId(m) === this.deps.replica.id()) continue;
-      void this.deps.peers.tell(m.address, {
+      void this.deps.peers.send(m.address, {
         kind: 'learned',
         ledger,
         slot,
@@ -91,7 +91,7 @@
       const end = await runRound(electorate, slot, own, batch, this.deps.askerUntil(until));
       if (end.tag === 'chosen') {
         await this.deps.replica.learn(slot, end.batch);
-        this.tellLearned(slot, end.batch);
+        this.sendLearned(slot, end.batch);
         highestRound = 0;
         continue;
       }
--- a/src/coordination/ledger/push.ts
+++ b/src/coordination/ledger/push.ts
@@ -15,7 +15,7 @@
 
 export interface Push {
   reports(): Reports;
-  heardAt(name: string): number | null;
+  lastContactAt(name: string): number | null;
   confirmedSlot(name: string): number;
   unconfirmed(slot: number): string[];
   confirm(slot: number, waitMs: number): Promise<string[]>;
@@ -23,16 +23,16 @@
   stop(): void;
 }
 
-type Asked = { readonly nonce: number; readonly at: number };
+type ReceivedNonce = { readonly nonce: number; readonly at: number };
 type Follower = {
   readonly name: string;
   readonly zone: string;
   readonly region: string;
   readonly peer: Peer;
-  asked: Asked[];
+  nonces: ReceivedNonce[];
   attested: number;
-  heardAt: number;
-  beatAt: number;
+  lastContactAt: number;
+  lastHeartbeatAt: number;
   sent: number;
 };
 
@@ -45,16 +45,16 @@
 
 class ChangePush implements Push {
   private readonly followers = new Map<string, Follower>();
-  private readonly acked = new Map<string, number>();
-  private readonly heard = new Map<string, number>();
+  private readonly acknowledged = new Map<string, number>();
+  private readonly lastContacts = new Map<string, number>();
   private readonly currentReports: Reports = new Map();
-  private readonly noting = new Set<string>();
-  private readonly told = new Map<string, Map<string, Report>>();
-  private readonly due = new Map<string, Set<string>>();
+  private readonly proposing = new Set<string>();
+  private readonly sentReports = new Map<string, Map<string, Report>>();
+  private readonly pendingRelays = new Map<string, Set<string>>();
   private confirmed: Record<string, number> = {};
-  private confirming = false;
+  private relayScheduled = false;
   private relays = 0;
-  private readonly beating: Timer;
+  private readonly heartbeatTimer: Timer;
   private readonly gossiping: Timer;
 
   constructor(
@@ -64,8 +64,8 @@
     private readonly clock: Clock,
     private readonly log: Log,
   ) {
-    this.quorumAttestation.events.on('told', () => this.onTold());
-    this.beating = every(this.clock, BEAT_MS, () => this.beat());
+    this.quorumAttestation.events.on('attested', () => this.onAttestation());
+    this.heartbeatTimer = every(this.clock, BEAT_MS, () => this.heartbeat());
     this.gossiping = every(this.clock, GOSSIP_MS, () => this.gossip());
 
     this.ledger.events.on('folded', () => this.onFolded());
@@ -74,7 +74,7 @@
 
     this.peers.on('follow', (m, peer) => this.onFollow(m, peer));
 
-    this.peers.on('attend', (m, peer) => this.onAttend(m, peer));
+    this.peers.on('attend', (m, peer) => this.onFollowerHeartbeat(m, peer));
 
     this.peers.on('unfollow', (m, peer) => this.onUnfollow(m, peer));
 
@@ -97,26 +97,26 @@
     if (b.ledger === '' || f.sent >= b.slot) return;
     const snapshot = snapshotInstead(this.ledger.history, f.sent + 1, (slot) => this.offerToProxy(slot));
     if (snapshot) {
-      f.peer.tell({ kind: 'changes', ledger: b.ledger, snapshot, batches: [] });
+      f.peer.send({ kind: 'changes', ledger: b.ledger, snapshot, batches: [] });
       f.sent = snapshot.slot;
     }
     while (f.sent < b.slot) {
       const batches = this.ledger.history.page(f.sent + 1, PAGE_BYTES);
       if (!batches || batches.length === 0) return;
-      f.peer.tell({ kind: 'changes', ledger: b.ledger, batches: [...batches] });
+      f.peer.send({ kind: 'changes', ledger: b.ledger, batches: [...batches] });
       f.sent += batches.length;
     }
   }
 
-  private async note(m: Pick<Follower, 'name' | 'zone' | 'region'>): Promise<void> {
+  private async recordProxy(m: Pick<Follower, 'name' | 'zone' | 'region'>): Promise<void> {
     const known = this.ledger.controlState().proxies[m.name];
     if (
       (known && known.zone === m.zone && known.region === m.region) ||
-      this.noting.has(m.name) ||
+      this.proposing.has(m.name) ||
       !this.ledger.isMember()
     )
       return;
-    this.noting.add(m.name);
+    this.proposing.add(m.name);
     await this.ledger.propose(
       {
         cause: `${m.name} asked to follow.`,
@@ -124,7 +124,7 @@
       },
       3_000,
     );
-    this.noting.delete(m.name);
+    this.proposing.delete(m.name);
   }
 
   private onFollow(m: MessageOf<'follow'>, peer: Peer): null {
@@ -137,19 +137,19 @@
     }
     const before = this.followers.get(m.name);
     const now = this.clock.mono();
-    const asked = before?.peer === peer ? [...before.asked] : [];
+    const nonces = before?.peer === peer ? [...before.nonces] : [];
     const f: Follower = {
       name: m.name,
       zone: m.zone,
       region: m.region,
       peer,
-      asked: asked.slice(-NONCES_KEPT),
+      nonces: nonces.slice(-NONCES_KEPT),
       attested: 0,
-      heardAt: now,
-      beatAt: 0,
+      lastContactAt: now,
+      lastHeartbeatAt: 0,
       sent: m.ledger === '' ? -1 : m.from - 1,
     };
-    f.asked.push({ nonce: m.nonce, at: now });
+    f.nonces.push({ nonce: m.nonce, at: now });
     this.followers.set(m.name, f);
 
     const gone = (): void => {
@@ -158,15 +158,15 @@
     if (before?.peer !== peer) peer.onClosed(gone);
     this.serve(f);
     this.quorumAttestation.askSoon();
-    void this.note(m);
+    void this.recordProxy(m);
     return null;
   }
 
-  private onAttend(m: MessageOf<'attend'>, peer: Peer): null {
+  private onFollowerHeartbeat(m: MessageOf<'attend'>, peer: Peer): null {
     const f = this.followers.get(m.name);
     if (!f || f.peer !== peer) return null;
-    f.heardAt = this.clock.mono();
-    f.asked = [...f.asked.slice(-NONCES_KEPT), { nonce: m.nonce, at: f.heardAt }];
+    f.lastContactAt = this.clock.mono();
+    f.nonces = [...f.nonces.slice(-NONCES_KEPT), { nonce: m.nonce, at: f.lastContactAt }];
     return null;
   }
 
@@ -175,29 +175,29 @@
     return null;
   }
 
-  private noteConfirmed(name: string, slot: number): boolean {
-    if ((this.acked.get(name) ?? -1) >= slot) return false;
-    this.acked.set(name, slot);
+  private recordAcknowledged(name: string, slot: number): boolean {
+    if ((this.acknowledged.get(name) ?? -1) >= slot) return false;
+    this.acknowledged.set(name, slot);
     return true;
   }
 
   private onFollowed(m: MessageOf<'followed'>): null {
-    if (!this.noteConfirmed(m.name, m.slot)) return null;
+    if (!this.recordAcknowledged(m.name, m.slot)) return null;
     this.confirmed[m.name] = m.slot;
-    if (!this.confirming) this.clock.timer(CONFIRMED_MS, () => this.relayConfirmed());
-    this.confirming = true;
+    if (!this.relayScheduled) this.clock.timer(CONFIRMED_MS, () => this.relayConfirmed());
+    this.relayScheduled = true;
     return null;
   }
 
   private relayConfirmed(): void {
-    this.confirming = false;
+    this.relayScheduled = false;
     const slots = this.confirmed;
     this.confirmed = {};
-    for (const m of this.others()) void this.peers.tell(m.address, { kind: 'confirmed', slots });
+    for (const m of this.others()) void this.peers.send(m.address, { kind: 'confirmed', slots });
   }
 
   private onConfirmed(m: MessageOf<'confirmed'>): null {
-    for (const [name, slot] of Object.entries(m.slots)) this.noteConfirmed(name, slot);
+    for (const [name, slot] of Object.entries(m.slots)) this.recordAcknowledged(name, slot);
     return null;
   }
 
@@ -213,36 +213,36 @@
       const have = this.currentReports.get(r.reporter);
       const step = mergeReport(this.currentReports, r);
       if (step === 'merged') {
-        this.heard.set(r.reporter, this.clock.mono());
-        if (m.by === undefined) this.markDue(r.reporter, this.others());
-        else this.markDue(r.reporter, this.relayTo(m.by));
+        this.lastContacts.set(r.reporter, this.clock.mono());
+        if (m.by === undefined) this.scheduleRelay(r.reporter, this.others());
+        else this.scheduleRelay(r.reporter, this.relayTo(m.by));
       } else if (step === 'gap') missed.push(r.reporter);
       else if (have && have.run !== r.run && have.incarnation >= r.incarnation)
-        peer.tell({ kind: 'outlived', reporter: r.reporter, incarnation: have.incarnation });
+        peer.send({ kind: 'outlived', reporter: r.reporter, incarnation: have.incarnation });
     }
-    if (missed.length > 0) peer.tell({ kind: 'reportsAsk', by: this.ledger.self.name, reporters: missed });
+    if (missed.length > 0) peer.send({ kind: 'reportsAsk', by: this.ledger.self.name, reporters: missed });
     return null;
   }
 
   private relayTo(by: string): Member[] {
-    const rest: Member[] = [];
-    for (const m of this.others()) if (m.name !== by) rest.push(m);
-    const one = rest[this.relays % Math.max(1, rest.length)];
+    const others: Member[] = [];
+    for (const m of this.others()) if (m.name !== by) others.push(m);
+    const one = others[this.relays % Math.max(1, others.length)];
     return one ? [one] : [];
   }
 
-  private markDue(reporter: string, to: readonly Member[]): void {
+  private scheduleRelay(reporter: string, to: readonly Member[]): void {
     for (const m of to) {
-      const names = this.due.get(m.name) ?? new Set<string>();
+      const names = this.pendingRelays.get(m.name) ?? new Set<string>();
       names.add(reporter);
-      this.due.set(m.name, names);
+      this.pendingRelays.set(m.name, names);
     }
   }
 
   private onReportsAsk(m: MessageOf<'reportsAsk'>): null {
     for (const name of m.reporters) {
-      this.told.get(m.by)?.delete(name);
-      for (const to of this.others()) if (to.name === m.by) this.markDue(name, [to]);
+      this.sentReports.get(m.by)?.delete(name);
+      for (const to of this.others()) if (to.name === m.by) this.scheduleRelay(name, [to]);
     }
     return null;
   }
@@ -250,16 +250,16 @@
   private attestedOf(f: Follower): { readonly echo: number; readonly top: number } {
     const a = this.quorumAttestation.newest();
     let echo = 0;
-    for (const q of f.asked) if (a && q.at <= a.asOf) echo = Math.max(echo, q.nonce);
+    for (const q of f.nonces) if (a && q.at <= a.asOf) echo = Math.max(echo, q.nonce);
     return { echo, top: a?.top ?? this.ledger.top() };
   }
 
-  private tellBeat(f: Follower): void {
+  private sendHeartbeat(f: Follower): void {
     const b = this.ledger.controlState();
     const { echo, top } = this.attestedOf(f);
     f.attested = echo;
-    f.beatAt = this.clock.mono();
-    f.peer.tell({
+    f.lastHeartbeatAt = this.clock.mono();
+    f.peer.send({
       kind: 'beat',
       from: this.ledger.self.name,
       ledger: b.ledger,
@@ -271,45 +271,45 @@
     });
   }
 
-  private onTold(): void {
-    for (const f of this.followers.values()) if (f.attested === 0 && this.attestedOf(f).echo > 0) this.tellBeat(f);
+  private onAttestation(): void {
+    for (const f of this.followers.values()) if (f.attested === 0 && this.attestedOf(f).echo > 0) this.sendHeartbeat(f);
   }
 
   quorate(): boolean {
     if (!this.ledger.isMember() || !this.ledger.writable()) return false;
     let n = 0;
     for (const m of this.ledger.controlState().members) {
-      const at = this.ledger.heardAt(memberId(m));
+      const at = this.ledger.lastContactAt(memberId(m));
       if (memberId(m) === memberId(this.ledger.self) || (at !== null && this.clock.mono() - at < QUORATE_MS)) n += 1;
     }
     return n >= majorityOf(this.ledger.controlState().members);
   }
 
-  private beat(): void {
+  private heartbeat(): void {
     const now = this.clock.mono();
     for (const f of [...this.followers.values()]) {
-      if (now - f.heardAt > FOLLOWER_SILENT_MS) {
+      if (now - f.lastContactAt > FOLLOWER_SILENT_MS) {
         this.followers.delete(f.name);
         continue;
       }
       this.serve(f);
-      this.tellBeat(f);
-      void this.note(f);
+      this.sendHeartbeat(f);
+      void this.recordProxy(f);
     }
   }
 
   private gossip(): void {
     this.relays += 1;
     for (const m of this.others()) {
-      const names = this.due.get(m.name);
-      if (names && names.size > 0) void this.tellRows(m, names);
-      this.due.delete(m.name);
+      const names = this.pendingRelays.get(m.name);
+      if (names && names.size > 0) void this.relayReports(m, names);
+      this.pendingRelays.delete(m.name);
     }
   }
 
-  private async tellRows(m: Member, names: ReadonlySet<string>): Promise<void> {
-    const before = this.told.get(m.name) ?? new Map<string, Report>();
-    this.told.set(m.name, before);
+  private async relayReports(m: Member, names: ReadonlySet<string>): Promise<void> {
+    const before = this.sentReports.get(m.name) ?? new Map<string, Report>();
+    this.sentReports.set(m.name, before);
     const rows: Report[] = [];
     for (const name of names) {
       const row = this.currentReports.get(name);
@@ -317,13 +317,13 @@
       rows.push(differenceTo(before.get(name), row));
       before.set(name, row);
     }
-    if (!(await this.peers.tell(m.address, { kind: 'reports', by: this.ledger.self.name, reports: rows })))
-      this.told.delete(m.name);
+    if (!(await this.peers.send(m.address, { kind: 'reports', by: this.ledger.self.name, reports: rows })))
+      this.sentReports.delete(m.name);
   }
 
   private onFolded(): void {
     for (const f of this.followers.values()) this.serve(f);
-    this.onTold();
+    this.onAttestation();
   }
 
   unconfirmed(slot: number): string[] {
@@ -334,7 +334,7 @@
   }
 
   confirmedSlot(name: string): number {
-    return Math.max(this.acked.get(name) ?? -1, this.currentReports.get(name)?.slot ?? -1);
+    return Math.max(this.acknowledged.get(name) ?? -1, this.currentReports.get(name)?.slot ?? -1);
   }
 
   async confirm(slot: number, waitMs: number): Promise<string[]> {
@@ -351,12 +351,12 @@
     return this.currentReports;
   }
 
-  heardAt(name: string): number | null {
-    return this.heard.get(name) ?? null;
+  lastContactAt(name: string): number | null {
+    return this.lastContacts.get(name) ?? null;
   }
 
   stop(): void {
-    this.beating.cancel();
+    this.heartbeatTimer.cancel();
     this.gossiping.cancel();
   }
 }
--- a/src/coordination/ledger/quorum-attestation.ts
+++ b/src/coordination/ledger/quorum-attestation.ts
@@ -9,7 +9,7 @@
 import { every } from '../../transport/clock.js';
 import type { Clock, Timer } from '../../transport/clock.js';
 import type { Ledger } from './ledger.js';
-import type { HeardMemberStatus } from './member-statuses.js';
+import type { ReceivedMemberStatus } from './member-statuses.js';
 
 export type Attestation = { readonly asOf: number; readonly top: number };
 
@@ -17,19 +17,19 @@
   newest(): Attestation | null;
   askSoon(): void;
   sharedNow(): number;
-  readonly events: { readonly on: (name: 'told', fn: () => void) => void };
+  readonly events: { readonly on: (name: 'attested', fn: () => void) => void };
   stop(): void;
 }
 
-type Told = { readonly askedAt: number; readonly top: number };
+type Answer = { readonly askedAt: number; readonly top: number };
 
 const TURN_MS = 500;
 const TOGETHER_MS = 5;
 const OLDEST_MS = 1_000;
 
 class PolledQuorumAttestation implements QuorumAttestation {
-  readonly events = createEvents<{ readonly told: null }>();
-  private readonly told = new Map<string, Told>();
+  readonly events = createEvents<{ readonly attested: null }>();
+  private readonly answers = new Map<string, Answer>();
   private readonly time = createSharedTime();
   private soon = false;
   private readonly turning: Timer;
@@ -38,7 +38,7 @@
     private readonly ledger: Ledger,
     private readonly clock: Clock,
   ) {
-    this.ledger.events.on('heard', (e) => this.onHeard(e));
+    this.ledger.events.on('heard', (e) => this.onMemberStatus(e));
     this.turning = every(this.clock, TURN_MS, () => this.turn());
   }
 
@@ -46,13 +46,13 @@
     return id === memberId(this.ledger.self);
   }
 
-  private onHeard(e: HeardMemberStatus): void {
+  private onMemberStatus(e: ReceivedMemberStatus): void {
     const { member, askedAt, memberStatus } = e;
-    if (memberStatus.wall !== undefined) this.time.hear(member.name, memberStatus.wall, this.clock.mono());
-    const have = this.told.get(memberId(member));
+    if (memberStatus.wall !== undefined) this.time.record(member.name, memberStatus.wall, this.clock.mono());
+    const have = this.answers.get(memberId(member));
     if (have && have.askedAt >= askedAt) return;
-    this.told.set(memberId(member), { askedAt, top: memberStatus.top });
-    this.events.emit('told', null);
+    this.answers.set(memberId(member), { askedAt, top: memberStatus.top });
+    this.events.emit('attested', null);
   }
 
   private turn(): void {
@@ -62,10 +62,10 @@
       names.add(m.name);
       ids.add(memberId(m));
     }
-    this.time.keepOnly(names);
-    this.time.hear(this.ledger.self.name, this.clock.wall(), this.clock.mono());
-    for (const id of this.told.keys()) if (!ids.has(id)) this.told.delete(id);
-    if (ids.size === 1) this.events.emit('told', null);
+    this.time.retainOnly(names);
+    this.time.record(this.ledger.self.name, this.clock.wall(), this.clock.mono());
+    for (const id of this.answers.keys()) if (!ids.has(id)) this.answers.delete(id);
+    if (ids.size === 1) this.events.emit('attested', null);
   }
 
   askSoon(): void {
@@ -83,17 +83,17 @@
   newest(): Attestation | null {
     const b = this.ledger.controlState();
     if (!this.ledger.isMember() || !this.ledger.writable()) return null;
-    const known: Told[] = [];
+    const known: Answer[] = [];
     for (const m of b.members) {
       const t = this.isOwn(memberId(m))
         ? { askedAt: this.clock.mono(), top: this.ledger.top() }
-        : this.told.get(memberId(m));
+        : this.answers.get(memberId(m));
       if (t && t.top <= b.slot) known.push(t);
     }
     const need = majorityOf(b.members);
     if (known.length < need) return null;
     const most = known.sort(latestFirst).slice(0, need);
-    const { askedAt } = most[need - 1] as Told;
+    const { askedAt } = most[need - 1] as Answer;
     if (this.clock.mono() - askedAt > OLDEST_MS) return null;
     let top = -1;
     for (const t of most) top = Math.max(top, t.top);
@@ -113,6 +113,6 @@
   return new PolledQuorumAttestation(ledger, clock);
 }
 
-function latestFirst(a: Told, b: Told): number {
+function latestFirst(a: Answer, b: Answer): number {
   return b.askedAt - a.askedAt;
 }
--- a/src/coordination/ledger/self-bootstrap.ts
+++ b/src/coordination/ledger/self-bootstrap.ts
@@ -144,7 +144,7 @@
     await this.deps.learnZero(end.batch);
     for (const m of blank)
       if (!this.isSelf(m))
-        void this.deps.peers.tell(m.address, {
+        void this.deps.peers.send(m.address, {
           kind: 'learned',
           ledger: of,
           slot: 0,
--- a/src/coordination/ledger/snapshots.test.ts
+++ b/src/coordination/ledger/snapshots.test.ts
@@ -8,6 +8,7 @@
 import { pause } from '../../transport/clock.js';
 import { createQuietLog } from '../../transport/log.js';
 import { createSnapshotGiver } from './snapshot-giver.js';
+import type { SnapshotView } from './snapshot-giver.js';
 import { createSnapshotTaker } from './snapshot-taker.js';
 import type { SnapshotTake } from './snapshot-taker.js';
 
@@ -45,7 +46,11 @@
       controlState: () => state,
       keepsFrom: (slot) => slot >= kept,
     });
-    return { ...made, become: (next: ControlState) => (state = next), keepFrom: (slot: number) => (kept = slot) };
+    return {
+      offer: (view: SnapshotView, slot: number) => made.offer(view, slot),
+      become: (next: ControlState) => (state = next),
+      keepFrom: (slot: number) => (kept = slot),
+    };
   }
   const taker = createSnapshotTaker(
     {
--- a/src/coordination/members/membership.ts
+++ b/src/coordination/members/membership.ts
@@ -4,8 +4,8 @@
  */
 import { createEvents } from '../../base/events.js';
 import type { Message, MessageOf } from '../../protocol/messages.js';
-import type { NodeInfo, NodeNews } from '../../state/node-info.js';
-import { briefNews, isUp, mergeNode, sumOf, wholeNews } from '../../state/members.js';
+import type { NodeInfo, NodeUpdate } from '../../state/node-info.js';
+import { briefUpdate, isUp, mergeNode, sumOf, fullUpdate } from '../../state/members.js';
 import type { Members } from '../../state/members.js';
 import { every } from '../../transport/clock.js';
 import type { Clock, Timer } from '../../transport/clock.js';
@@ -43,7 +43,7 @@
 class SwimMembership implements Membership {
   readonly events = createEvents<MembershipEvents>();
   private readonly members: Members;
-  private readonly shares = new Map<string, number>();
+  private readonly sendCounts = new Map<string, number>();
   private readonly suspectAt = new Map<string, number>();
   private readonly goneAt = new Map<string, number>();
   private readonly rounds: Record<'near' | 'far', string[]> = { near: [], far: [] };
@@ -76,20 +76,20 @@
     return this.members.get(this.self.name) ?? this.self;
   }
 
-  private take(news: readonly (NodeInfo | NodeNews)[], all = false): void {
-    for (const told of news) {
-      const n = wholeNews(this.members, this.self.name, told);
+  private applyUpdates(updates: readonly (NodeInfo | NodeUpdate)[], all = false): void {
+    for (const update of updates) {
+      const n = fullUpdate(this.members, this.self.name, update);
       if (!n || (!isUp(n) && !this.members.has(n.name) && !(all && n.status === 'dead'))) continue;
       const step = mergeNode(this.members, this.self.name, n);
       if (step.refuted) this.log.warn(`Was held for ${n.status}; refutes it.`);
       if (!step.changed) continue;
-      this.noteStatus(this.members.get(n.name) as NodeInfo, !all);
+      this.onStatusChanged(this.members.get(n.name) as NodeInfo, !all);
     }
   }
 
-  private noteStatus(node: NodeInfo, spread = true): void {
+  private onStatusChanged(node: NodeInfo, spread = true): void {
     this.sum = null;
-    if (spread) this.shares.set(node.name, 0);
+    if (spread) this.sendCounts.set(node.name, 0);
     if (node.status === 'suspect') {
       if (!this.suspectAt.has(node.name)) this.suspectAt.set(node.name, this.clock.mono());
     } else this.suspectAt.delete(node.name);
@@ -99,22 +99,22 @@
     this.events.emit('changed', { node });
   }
 
-  private news(): (NodeInfo | NodeNews)[] {
+  private updates(): (NodeInfo | NodeUpdate)[] {
     const fewestFirst = (a: string, b: string): number => {
-      return (this.shares.get(a) ?? 0) - (this.shares.get(b) ?? 0);
+      return (this.sendCounts.get(a) ?? 0) - (this.sendCounts.get(b) ?? 0);
     };
-    const names = [...this.shares.keys()].sort(fewestFirst);
-    const out: (NodeInfo | NodeNews)[] = [];
+    const names = [...this.sendCounts.keys()].sort(fewestFirst);
+    const out: (NodeInfo | NodeUpdate)[] = [];
     let bytes = 0;
     for (const name of names) {
       const node = this.members.get(name);
-      const told = node?.status === 'alive' ? node : node && briefNews(node);
-      bytes += told ? JSON.stringify(told).length : 0;
+      const update = node?.status === 'alive' ? node : node && briefUpdate(node);
+      bytes += update ? JSON.stringify(update).length : 0;
       if (bytes > NEWS_BYTES) break;
-      const n = (this.shares.get(name) ?? 0) + 1;
-      if (n >= TIMES_TOLD) this.shares.delete(name);
-      else this.shares.set(name, n);
-      if (told) out.push(told);
+      const n = (this.sendCounts.get(name) ?? 0) + 1;
+      if (n >= TIMES_TOLD) this.sendCounts.delete(name);
+      else this.sendCounts.set(name, n);
+      if (update) out.push(update);
     }
     return out;
   }
@@ -124,31 +124,31 @@
   }
 
   private onProbe(m: MessageOf<'probe'>): Message {
-    this.take(m.news, m.all === true && m.news.length > 1);
-    this.take([m.from]);
-    const held = this.members.get(m.from.name);
-    const stranger = held?.run !== m.from.run;
-    const out = m.all === true ? this.all() : this.news();
-    if (held && (held.status !== 'alive' || stranger)) out.push(held);
+    this.applyUpdates(m.news, m.all === true && m.news.length > 1);
+    this.applyUpdates([m.from]);
+    const known = this.members.get(m.from.name);
+    const stranger = known?.run !== m.from.run;
+    const out = m.all === true ? this.all() : this.updates();
+    if (known && (known.status !== 'alive' || stranger)) out.push(known);
     if (m.all !== true && (stranger || m.news.some(introduces))) out.push(this.own());
     return {
       kind: 'probeAnswer',
       reached: true,
-      from: briefNews(this.own()),
+      from: briefUpdate(this.own()),
       sum: this.ownSum(),
       ...(stranger ? { stranger } : {}),
       news: out,
     };
-    function introduces(n: NodeInfo | NodeNews): boolean {
+    function introduces(n: NodeInfo | NodeUpdate): boolean {
       return n.name === m.from.name && 'address' in n;
     }
   }
 
   private async onProbeFor(m: MessageOf<'probeFor'>): Promise<Message> {
-    this.take(m.news);
+    this.applyUpdates(m.news);
     const node = this.members.get(m.target);
     const reached = node ? await this.probe(node.address, DIRECT_MS) : false;
-    return { kind: 'probeAnswer', reached, news: this.news() };
+    return { kind: 'probeAnswer', reached, news: this.updates() };
   }
 
   private async probe(to: Address, waitMs: number): Promise<boolean> {
@@ -157,22 +157,22 @@
       to,
       {
         kind: 'probe',
-        from: briefNews(this.own()),
+        from: briefUpdate(this.own()),
         ...all,
-        news: this.introduced ? this.news() : [this.own(), ...this.news()],
+        news: this.introduced ? this.updates() : [this.own(), ...this.updates()],
       },
       waitMs,
     );
     if (!got.ok || got.value.kind !== 'probeAnswer') return false;
-    this.take(got.value.news, !this.introduced);
+    this.applyUpdates(got.value.news, !this.introduced);
     this.introduced = true;
-    if (got.value.from) this.take([got.value.from]);
+    if (got.value.from) this.applyUpdates([got.value.from]);
     const unknown = got.value.from !== undefined && this.members.get(got.value.from.name)?.run !== got.value.from.run;
     if (got.value.stranger === true || unknown) void this.introduce(to);
     else if (
       got.value.sum !== undefined &&
       got.value.sum !== this.ownSum() &&
-      this.shares.size === 0 &&
+      this.sendCounts.size === 0 &&
       this.clock.mono() - this.comparedAt > COMPARE_MS
     )
       void this.compare(to);
@@ -188,19 +188,19 @@
     this.comparedAt = this.clock.mono();
     const got = await this.peers.call(
       to,
-      { kind: 'probe', from: briefNews(this.own()), all: true, news: this.all() },
+      { kind: 'probe', from: briefUpdate(this.own()), all: true, news: this.all() },
       INDIRECT_MS,
     );
-    if (got.ok && got.value.kind === 'probeAnswer') this.take(got.value.news, true);
+    if (got.ok && got.value.kind === 'probeAnswer') this.applyUpdates(got.value.news, true);
   }
 
   private async introduce(to: Address): Promise<void> {
     const got = await this.peers.call(
       to,
-      { kind: 'probe', from: briefNews(this.own()), news: [this.own()] },
+      { kind: 'probe', from: briefUpdate(this.own()), news: [this.own()] },
       2 * DIRECT_MS,
     );
-    if (got.ok && got.value.kind === 'probeAnswer') this.take(got.value.news);
+    if (got.ok && got.value.kind === 'probeAnswer') this.applyUpdates(got.value.news);
   }
 
   private async askHelpers(target: NodeInfo): Promise<boolean> {
@@ -213,11 +213,11 @@
     const one = async (helper: NodeInfo): Promise<void> => {
       const got = await this.peers.call(
         helper.address,
-        { kind: 'probeFor', target: target.name, news: this.news() },
+        { kind: 'probeFor', target: target.name, news: this.updates() },
         INDIRECT_MS,
       );
       if (got.ok && got.value.kind === 'probeAnswer') {
-        this.take(got.value.news);
+        this.applyUpdates(got.value.news);
         if (got.value.reached) reached = true;
       }
     };
@@ -257,47 +257,47 @@
       if (!node || now - at < SUSPECT_MS) continue;
       const dead: NodeInfo = { ...node, status: 'dead' };
       this.members.set(name, dead);
-      this.noteStatus(dead);
+      this.onStatusChanged(dead);
     }
     for (const [name, at] of this.goneAt) {
       if (now - at < FORGET_MS) continue;
       this.members.delete(name);
       this.sum = null;
       this.goneAt.delete(name);
-      this.shares.delete(name);
+      this.sendCounts.delete(name);
     }
   }
 
   private async turn(): Promise<void> {
     this.expire();
     this.turns += 1;
-    if (this.turns % SEED_EACH === 1) void this.greetSeed();
-    if (this.turns % GONE_EACH === 0) void this.greetGone();
+    if (this.turns % SEED_EACH === 1) void this.contactSeeds();
+    if (this.turns % GONE_EACH === 0) void this.contactLostControllers();
     const target = this.nextTarget();
     if (!target) return;
     if (await this.probe(target.address, DIRECT_MS)) return;
     if (await this.askHelpers(target)) return;
-    const held = this.members.get(target.name);
-    if (!held || held.status !== 'alive' || held.incarnation !== target.incarnation) return;
-    const suspect: NodeInfo = { ...held, status: 'suspect' };
+    const known = this.members.get(target.name);
+    if (!known || known.status !== 'alive' || known.incarnation !== target.incarnation) return;
+    const suspect: NodeInfo = { ...known, status: 'suspect' };
     this.members.set(target.name, suspect);
-    this.noteStatus(suspect);
+    this.onStatusChanged(suspect);
   }
 
-  private async greetSeed(): Promise<void> {
+  private async contactSeeds(): Promise<void> {
     const known = new Set<Address>();
     for (const n of this.members.values()) if (n.status === 'alive') known.add(n.address);
     for (const contact of this.contacts())
       if (!known.has(contact) && contact !== this.self.address) await this.probe(contact, 2 * DIRECT_MS);
-    await this.greetOne((n) => this.isDead(n));
+    await this.contactOne((n) => this.isDead(n));
   }
 
   // A controller that was cut off while the others were replaced knows none of those that are there now: they have to greet it.
-  private async greetGone(): Promise<void> {
-    if (this.self.role === 'controller') await this.greetOne((n) => this.isDeadController(n));
+  private async contactLostControllers(): Promise<void> {
+    if (this.self.role === 'controller') await this.contactOne((n) => this.isDeadController(n));
   }
 
-  private async greetOne(isWanted: (n: NodeInfo) => boolean): Promise<void> {
+  private async contactOne(isWanted: (n: NodeInfo) => boolean): Promise<void> {
     const gone: NodeInfo[] = [];
     for (const n of this.members.values()) if (isWanted(n)) gone.push(n);
     const again = shuffled(this.rng, gone)[0];
@@ -324,7 +324,7 @@
     const gone: NodeInfo = { ...this.own(), status: 'left' };
     for (const n of this.members.values()) {
       if (n.name !== this.self.name && isUp(n))
-        void this.peers.tell(n.address, { kind: 'probe', from: briefNews(gone), news: [] });
+        void this.peers.send(n.address, { kind: 'probe', from: briefUpdate(gone), news: [] });
     }
   }
 
--- a/src/coordination/members/peers.ts
+++ b/src/coordination/members/peers.ts
@@ -15,7 +15,7 @@
   | { readonly tag: 'peerSilent'; readonly address: Address };
 
 export type Peer = {
-  readonly tell: (m: Message) => void;
+  readonly send: (m: Message) => void;
   readonly onClosed: (fn: () => void) => void;
   readonly close: () => void;
 };
@@ -26,9 +26,9 @@
   open(address: Address): Promise<Result<Listener, WireFault>>;
   on<K extends MessageKind>(kind: K, handler: Handler<K>): void;
   call(to: Address, m: Message, waitMs: number): Promise<Result<Message, PeerFault>>;
-  tell(to: Address, m: Message): Promise<boolean>;
-  hold(to: Address): Promise<Result<Peer, PeerFault>>;
-  knownAt(old: Address, now: Address): void;
+  send(to: Address, m: Message): Promise<boolean>;
+  connect(to: Address): Promise<Result<Peer, PeerFault>>;
+  relocate(old: Address, now: Address): void;
   close(): Promise<void>;
 }
 
@@ -39,7 +39,7 @@
   readonly waiting: Map<number, Waiting>;
   readonly owe: () => void;
   closed: boolean;
-  held: boolean;
+  isKept: boolean;
 };
 
 export const SILENT_MS = 1_200;
@@ -52,7 +52,7 @@
   private readonly handlers = new Map<MessageKind, Handler<MessageKind>>();
   private readonly links = new Map<Address, Promise<Link | null>>();
   private readonly live = new Map<Address, Link>();
-  private readonly movedTo = new Map<Address, Address>();
+  private readonly relocatedTo = new Map<Address, Address>();
   private readonly inbound = new Set<Link>();
   private listener: Listener | null = null;
   private nextId = 1;
@@ -65,13 +65,13 @@
   ) {}
 
   private linkOf(connection: Connection, idleMs: number, onGone: () => void): Link {
-    const heard = (): void => {
+    const onBytes = (): void => {
       usedAt = this.clock.mono();
       owedSince = null;
-      silence?.cancel();
+      responseTimer?.cancel();
     };
 
-    const checkSilence = (): void => {
+    const checkTimeout = (): void => {
       if (owedSince === null || link.closed) return;
       if (this.clock.mono() - owedSince < SILENT_MS + STOOD_STILL_MS) {
         connection.close();
@@ -84,18 +84,18 @@
       usedAt = this.clock.mono();
       if (owedSince !== null) return;
       owedSince = usedAt;
-      silence = this.clock.timer(SILENT_MS, checkSilence);
+      responseTimer = this.clock.timer(SILENT_MS, checkTimeout);
     };
     const watchers: (() => void)[] = [];
     const waiting = new Map<number, Waiting>();
     let owedSince: number | null = null;
-    let silence: Timer | null = null;
+    let responseTimer: Timer | null = null;
     let usedAt = this.clock.mono();
 
     const checkIdle = (): void => {
       if (link.closed) return;
       const left = usedAt + idleMs - this.clock.mono();
-      if (left <= 0 && !link.held) connection.close();
+      if (left <= 0 && !link.isKept) connection.close();
       else idle = this.clock.timer(Math.max(1_000, left), checkIdle);
     };
     let idle: Timer = this.clock.timer(idleMs, checkIdle);
@@ -104,22 +104,22 @@
       else watchers.push(fn);
     }
 
-    const tell = (m: Message): void => {
+    const send = (m: Message): void => {
       usedAt = this.clock.mono();
       connection.send({ t: 'tell', m });
     };
     const link: Link = {
       connection,
-      peer: { tell, onClosed, close: connection.close },
+      peer: { send, onClosed, close: connection.close },
       waiting,
       owe,
       closed: false,
-      held: false,
+      isKept: false,
     };
     function closed(): void {
       if (link.closed) return;
       link.closed = true;
-      silence?.cancel();
+      responseTimer?.cancel();
       idle.cancel();
       onGone();
       for (const w of waiting.values()) {
@@ -135,7 +135,7 @@
     }
 
     const frame = (body: unknown): void => {
-      heard();
+      onBytes();
       const f = readFrame(body);
       if (!f) {
         this.log.warn(`Connection to ${connection.peer} ended: a frame had no known shape.`);
@@ -155,12 +155,12 @@
       const given = handler(f.m, link.peer);
       if (f.t === 'call') void answer(f.id, given);
     };
-    connection.attach({ frame, closed, heard });
+    connection.attach({ frame, closed, heard: onBytes });
     return link;
   }
 
-  private async connect(to: Address): Promise<Link | null> {
-    const dialled = await this.wire.dial(this.movedTo.get(to) ?? to);
+  private async dialLink(to: Address): Promise<Link | null> {
+    const dialled = await this.wire.dial(this.relocatedTo.get(to) ?? to);
     if (!dialled.ok || this.stopped) {
       if (dialled.ok) dialled.value.close();
       this.links.delete(to);
@@ -179,7 +179,7 @@
   private linkTo(to: Address): Promise<Link | null> {
     const have = this.links.get(to);
     if (have) return have;
-    const made = this.connect(to);
+    const made = this.dialLink(to);
     this.links.set(to, made);
     return made;
   }
@@ -228,17 +228,17 @@
     return got ? ok(got) : err({ tag: 'peerSilent', address: to });
   }
 
-  async tell(to: Address, m: Message): Promise<boolean> {
+  async send(to: Address, m: Message): Promise<boolean> {
     const link = await this.linkTo(to);
     if (!link || link.closed) return false;
-    link.peer.tell(m);
+    link.peer.send(m);
     return true;
   }
 
-  async hold(to: Address): Promise<Result<Peer, PeerFault>> {
+  async connect(to: Address): Promise<Result<Peer, PeerFault>> {
     const link = await this.linkTo(to);
     if (!link || link.closed) return err({ tag: 'peerUnreachable', address: to });
-    link.held = true;
+    link.isKept = true;
     return ok(link.peer);
   }
 
@@ -268,10 +268,10 @@
     await this.listener?.close();
   }
 
-  knownAt(old: Address, now: Address): void {
-    if ((this.movedTo.get(old) ?? old) === now) return;
-    if (old === now) this.movedTo.delete(old);
-    else this.movedTo.set(old, now);
+  relocate(old: Address, now: Address): void {
+    if ((this.relocatedTo.get(old) ?? old) === now) return;
+    if (old === now) this.relocatedTo.delete(old);
+    else this.relocatedTo.set(old, now);
     this.live.get(old)?.connection.close();
   }
 }
--- a/src/coordination/scaling/list-duty.test.ts
+++ b/src/coordination/scaling/list-duty.test.ts
@@ -25,7 +25,7 @@
 type Room = {
   readonly world: World;
   readonly net: SimNet;
-  readonly heads: Head[];
+  readonly controllers: Head[];
   readonly edges: Edge[];
   readonly calls: { readonly at: number; readonly by: string; readonly good: boolean }[];
   readonly platform: { down: boolean; listings: Listing[]; readonly host: Host };
@@ -49,7 +49,7 @@
   };
 }
 
-function createRoom(seed: number, heads: number, edges: number): Room {
+function createRoom(seed: number, controllers: number, edges: number): Room {
   const world = createWorld(seed);
   const net = createSimNet(world);
   for (const [a, b] of [
@@ -65,9 +65,9 @@
   };
   world.begin(platform.host);
   const calls: { at: number; by: string; good: boolean }[] = [];
-  const room: Room = { world, net, heads: [], edges: [], calls, platform, startHead, startEdge };
-  for (let i = 0; i < heads; i += 1)
-    room.heads.push({ host: world.host(`head-${i}`, `z${i % 3}`), address: `10.0.0.${i + 1}:1`, duty: null });
+  const room: Room = { world, net, controllers: [], edges: [], calls, platform, startHead, startEdge };
+  for (let i = 0; i < controllers; i += 1)
+    room.controllers.push({ host: world.host(`head-${i}`, `z${i % 3}`), address: `10.0.0.${i + 1}:1`, duty: null });
   for (let i = 0; i < edges; i += 1)
     room.edges.push({ host: world.host(`edge-${i}`, `z${i % 3}`), address: `10.1.0.${i}:1`, feed: null, seen: 0 });
 
@@ -102,7 +102,7 @@
     h.duty = createListDuty({
       self: h.address,
       reader: readerOf(proc),
-      heads: () => room.heads.map((x) => x.address),
+      controllers: () => room.controllers.map((x) => x.address),
       peers: peersOf(proc, h.address),
       clock,
       rng: createRng(seed * 31 + h.host.life * 7 + Number(h.host.name.slice(5))),
@@ -111,12 +111,12 @@
   }
   function startEdge(e: Edge): void {
     const proc = world.begin(e.host);
-    const near = [...room.heads].sort(
+    const near = [...room.controllers].sort(
       (a, b) => Number(a.host.zone !== e.host.zone) - Number(b.host.zone !== e.host.zone),
     );
     const feed = createListFeed({
       reader: readerOf(proc),
-      heads: () => near.map((x) => x.address),
+      controllers: () => near.map((x) => x.address),
       peers: peersOf(proc, e.address),
       clock: world.clockOf(proc),
       rng: createRng(seed * 17 + e.host.life * 5 + Number(e.host.name.slice(5)) * 3),
@@ -127,9 +127,9 @@
   }
   return room;
 }
-async function started(seed: number, heads = 3, edges = 6): Promise<Room> {
-  const room = createRoom(seed, heads, edges);
-  for (const h of room.heads) room.startHead(h);
+async function started(seed: number, controllers = 3, edges = 6): Promise<Room> {
+  const room = createRoom(seed, controllers, edges);
+  for (const h of room.controllers) room.startHead(h);
   for (const e of room.edges) room.startEdge(e);
   await room.world.advance(6_000);
   return room;
@@ -140,14 +140,14 @@
   return at + LAG_MS;
 }
 function reader(room: Room): Head {
-  const all = room.heads.filter((h) => h.duty?.reading() === true && h.host.running && !h.host.frozen);
+  const all = room.controllers.filter((h) => h.duty?.reading() === true && h.host.running && !h.host.frozen);
   expect(all.map((h) => h.host.name)).toHaveLength(1);
   return all[0] as Head;
 }
-function callsSince(room: Room, at: number): { heads: number; edges: number; readers: number } {
+function callsSince(room: Room, at: number): { controllers: number; edges: number; readers: number } {
   const since = room.calls.filter((c) => c.at >= at);
   return {
-    heads: since.filter((c) => c.by.startsWith('head')).length,
+    controllers: since.filter((c) => c.by.startsWith('head')).length,
     edges: since.filter((c) => c.by.startsWith('edge')).length,
     readers: new Set(since.map((c) => c.by)).size,
   };
@@ -185,7 +185,7 @@
     await room.world.advance(10_000);
     reader(room);
     expect(callsSince(room, at).edges).toBe(0);
-    expect(callsSince(room, at).heads).toBeLessThan(16);
+    expect(callsSince(room, at).controllers).toBeLessThan(16);
   });
 
   test.each([
@@ -263,7 +263,7 @@
     room.world.freeze(old.host);
     await room.world.advance(4_000);
     const now = reader(room);
-    for (const h of room.heads) if (h !== old) room.world.cut(old.host.name, h.host.name);
+    for (const h of room.controllers) if (h !== old) room.world.cut(old.host.name, h.host.name);
     const thawed = room.world.now();
     room.world.thaw(old.host);
     await room.world.advance(800);
@@ -280,7 +280,7 @@
     await room.world.advance(2_000);
     list(room, DRAINED);
     await room.world.advance(200);
-    for (const h of room.heads) cutBoth(room, h.host, edge.host);
+    for (const h of room.controllers) cutBoth(room, h.host, edge.host);
     await room.world.advance(3_000);
     const wokeAt = room.world.now();
     room.world.thaw(edge.host);
@@ -293,7 +293,7 @@
   test('a proxy that hears no controller reads the platform itself, at most once a second, until it hears one again', async () => {
     const room = await started(11);
     const edge = room.edges[1] as Edge;
-    for (const h of room.heads) cutBoth(room, h.host, edge.host);
+    for (const h of room.controllers) cutBoth(room, h.host, edge.host);
     const from = room.world.now();
     await room.world.advance(10_000);
     const own = callsSince(room, from).edges;
@@ -315,7 +315,7 @@
     const from = room.world.now();
     await room.world.advance(20_000);
     const seen = callsSince(room, from);
-    expect(seen.heads / 20).toBeLessThan(2.5);
+    expect(seen.controllers / 20).toBeLessThan(2.5);
     expect(seen.edges / 20).toBeLessThan(12);
     const perSecond = new Map<number, number>();
     for (const c of room.calls)
@@ -350,9 +350,9 @@
       room.startHead(killed);
       await room.world.advance(3_000);
     }
-    for (const h of room.heads) room.world.kill(h.host);
+    for (const h of room.controllers) room.world.kill(h.host);
     await room.world.advance(900);
-    for (const h of room.heads) room.startHead(h);
+    for (const h of room.controllers) room.startHead(h);
     const shownAt = list(room, DRAINED);
     expect(await msUntilAllSee(room, 'w2', shownAt)).toBeLessThan(2_000);
     await room.world.advance(3_000);
--- a/src/coordination/scaling/list-duty.ts
+++ b/src/coordination/scaling/list-duty.ts
@@ -17,7 +17,7 @@
 export type ListDutyDeps = {
   readonly self: Address;
   readonly reader: ListReader;
-  readonly heads: () => Iterable<Address>;
+  readonly controllers: () => Iterable<Address>;
   readonly peers: Peers;
   readonly clock: Clock;
   readonly rng: Rng;
@@ -43,7 +43,7 @@
   private readonly events = createEvents<ListFeedEvents>();
   private readonly followers = new Map<Peer, number>();
   private highest = 0;
-  private heardOfAt: number | null = null;
+  private newerSeenAt: number | null = null;
   private currentReading = false;
   private stopped = false;
   private busy = false;
@@ -85,7 +85,7 @@
   }
 
   private others(): Address[] {
-    const out = new Set<Address>(this.deps.heads());
+    const out = new Set<Address>(this.deps.controllers());
     out.delete(this.deps.self);
     return [...out];
   }
@@ -98,18 +98,18 @@
   }
 
   private armTakeover(): void {
-    this.arm(Math.max(0, this.pace.freshMs - this.news.heardMs()) + 1 + this.rankMs());
+    this.arm(Math.max(0, this.pace.freshMs - this.news.sinceContactMs()) + 1 + this.rankMs());
   }
 
-  private tellAll(m: ListMessage): void {
-    for (const to of this.others()) void this.deps.peers.tell(to, m);
-    this.tellFollowers(m);
+  private sendToController(m: ListMessage): void {
+    for (const to of this.others()) void this.deps.peers.send(to, m);
+    this.sendToFollowers(m);
   }
 
-  private tellFollowers(m: ListMessage): void {
+  private sendToFollowers(m: ListMessage): void {
     for (const [peer, at] of this.followers) {
       if (this.deps.clock.mono() - at > FOLLOWER_KEPT_MS) this.followers.delete(peer);
-      else peer.tell(m);
+      else peer.send(m);
     }
   }
 
@@ -121,19 +121,19 @@
       this.currentReading = false;
       this.deps.log.info(`${m.number[1]} reads the list now.`);
     }
-    this.tellFollowers(m.kind === 'listBeat' && m.ageMs === null ? m : { ...m, ageMs: this.news.ageMs() });
+    this.sendToFollowers(m.kind === 'listBeat' && m.ageMs === null ? m : { ...m, ageMs: this.news.ageMs() });
     if (e.contents) this.events.emit('changed', { entries: this.news.book.entries() });
     if (!this.currentReading && !this.busy && m.ageMs !== null) this.armTakeover();
   }
 
   private onMissed(e: { readonly number: ListNumber }): void {
     this.highest = Math.max(this.highest, e.number[0]);
-    this.heardOfAt = this.deps.clock.mono();
+    this.newerSeenAt = this.deps.clock.mono();
     void this.askAround();
   }
 
   private onOutrun(e: { readonly peer: Peer }): void {
-    e.peer.tell({ kind: 'listBeat', number: this.news.book.number(), ageMs: null });
+    e.peer.send({ kind: 'listBeat', number: this.news.book.number(), ageMs: null });
   }
 
   private onWoke(e: { readonly afterMs: number }): void {
@@ -144,17 +144,17 @@
 
   private answerTo(number: ListNumber | null): Message {
     const held = this.news.book.number();
-    const silent = this.news.toldSilent();
+    const silent = this.news.reportedUnresponsive();
     if (held === null) return { kind: 'listBeat', number: null, ageMs: null, silent };
     const ageMs = this.news.ageMs();
-    const sinceMs = Math.min(this.news.heardMs(), Number.MAX_SAFE_INTEGER);
+    const sinceMs = Math.min(this.news.sinceContactMs(), Number.MAX_SAFE_INTEGER);
     if (number !== null && compareNumbers(number, held) >= 0)
       return { kind: 'listBeat', number: held, ageMs, sinceMs, silent };
     return { kind: 'listWhole', number: held, ageMs, sinceMs, entries: [...this.news.book.entries()] };
   }
 
   private onFollow(m: MessageOf<'listFollow'>, peer: Peer): Message {
-    this.news.noteTurn();
+    this.news.detectStandstill();
     const known = this.followers.has(peer);
     this.followers.set(peer, this.deps.clock.mono());
 
@@ -194,8 +194,8 @@
     else if (m.kind === 'listChange') this.news.book.takeChange(m.number, m.base, m, asOf);
     else if (m.number !== null && m.ageMs !== null) this.news.book.confirm(m.number, asOf);
     if (m.number !== null) this.highest = Math.max(this.highest, m.number[0]);
-    if (m.ageMs !== null) this.news.noteHeard();
-    this.tellAll(m);
+    if (m.ageMs !== null) this.news.recordContact();
+    this.sendToController(m);
   }
 
   private onRead(entries: readonly WorkerEntry[], from: number): void {
@@ -212,26 +212,26 @@
     if (base === null || !isEmptyChange(change)) this.events.emit('changed', { entries: this.news.book.entries() });
   }
 
-  private tellSilent(): void {
+  private announceUnresponsive(): void {
     if (this.currentReading)
-      this.tellAll({ kind: 'listBeat', number: this.news.book.number(), ageMs: null, silent: true });
+      this.sendToController({ kind: 'listBeat', number: this.news.book.number(), ageMs: null, silent: true });
   }
 
   private async readOnce(): Promise<void> {
     const from = this.deps.clock.mono();
     const was = this.currentReading;
-    const waiting = this.deps.clock.timer(this.pace.readMs * SLOW_SHARE, () => this.tellSilent());
+    const waiting = this.deps.clock.timer(this.pace.readMs * SLOW_SHARE, () => this.announceUnresponsive());
     const got = await readWithin(this.deps.reader, this.deps.clock, this.pace.readMs);
     waiting.cancel();
-    this.news.noteTurn();
+    this.news.detectStandstill();
     if (this.stopped) return;
-    if (this.deps.clock.mono() - from > STOOD_STILL_MS || this.currentReading !== was || (!was && this.news.fresh()))
+    if (this.deps.clock.mono() - from > STOOD_STILL_MS || this.currentReading !== was || (!was && this.news.isFresh()))
       return this.armTakeover();
     if (got?.ok) this.onRead(got.value, from);
     else {
       if (got?.fault.tag === 'listNonsense')
         this.deps.log.warn(`The platform's list made no sense: ${got.fault.detail}.`);
-      this.tellSilent();
+      this.announceUnresponsive();
     }
     this.arm(
       this.currentReading ? from + this.pace.everyMs - this.deps.clock.mono() : RETRY_MS * (1 + this.deps.rng.next()),
@@ -241,14 +241,14 @@
   private async turn(): Promise<void> {
     if (this.stopped || this.busy) return;
     this.busy = true;
-    this.news.noteTurn();
+    this.news.detectStandstill();
     if (!this.currentReading) await this.askAround();
     if (this.stopped) return;
-    if (!this.currentReading && this.news.fresh()) this.armTakeover();
+    if (!this.currentReading && this.news.isFresh()) this.armTakeover();
     else if (
       !this.currentReading &&
-      this.heardOfAt !== null &&
-      this.deps.clock.mono() - this.heardOfAt < this.pace.freshMs
+      this.newerSeenAt !== null &&
+      this.deps.clock.mono() - this.newerSeenAt < this.pace.freshMs
     )
       this.arm(this.pace.askMs);
     else await this.readOnce();
--- a/src/coordination/scaling/observer.test.ts
+++ b/src/coordination/scaling/observer.test.ts
@@ -268,7 +268,7 @@
       for (let i = 0; i < seconds * 2; i += 1) {
         n += perSecond / 2;
         for (const name of THREE)
-          void peers.tell(d.core.node(name).wire, {
+          void peers.send(d.core.node(name).wire, {
             kind: 'reports',
             reports: [report('proxy-1', i + 1, { requests: { m: n } })],
           });
@@ -303,7 +303,7 @@
         const reports = [...Array(9).keys()].map((k) =>
           report(`s${k}`, i, { health: k < saying ? { w4: 'unfit' } : {} }),
         );
-        for (const name of THREE) void peers.tell(d.core.node(name).wire, { kind: 'reports', reports });
+        for (const name of THREE) void peers.send(d.core.node(name).wire, { kind: 'reports', reports });
         await d.core.world.advance(500);
       }
       expect(controlState(d.core).closed.filter((o) => o.machine === 'w4' && o.status === 'lost')).toHaveLength(lost);
--- a/src/coordination/scaling/observer.ts
+++ b/src/coordination/scaling/observer.ts
@@ -17,7 +17,7 @@
 export type ObserverDeps = {
   readonly ledger: Ledger;
   readonly lease: Lease;
-  readonly push: Pick<Push, 'reports' | 'heardAt'>;
+  readonly push: Pick<Push, 'reports' | 'lastContactAt'>;
   readonly feed: Pick<ListFeed, 'entries' | 'asOf'>;
   readonly zones: readonly string[];
   readonly clock: Clock;
@@ -74,7 +74,7 @@
     let reporters = 0;
     const votes = new Map<string, number>();
     for (const r of this.deps.push.reports().values()) {
-      const at = this.deps.push.heardAt(r.reporter);
+      const at = this.deps.push.lastContactAt(r.reporter);
       if (at === null || now - at > REPORT_FRESH_MS) continue;
       reporters += 1;
       for (const [id, verdict] of Object.entries(r.health))
--- a/src/coordination/scaling/rate-watch.ts
+++ b/src/coordination/scaling/rate-watch.ts
@@ -18,7 +18,7 @@
 
   constructor(
     private readonly ledger: Ledger,
-    private readonly push: Pick<Push, 'reports' | 'heardAt'>,
+    private readonly push: Pick<Push, 'reports' | 'lastContactAt'>,
     private readonly clock: Clock,
   ) {}
 
@@ -26,7 +26,7 @@
     const now = this.clock.mono();
     let whole = true;
     for (const name of Object.keys(this.ledger.controlState().proxies)) {
-      const at = this.push.heardAt(name);
+      const at = this.push.lastContactAt(name);
       if (at === null || now - at > REPORT_FRESH_MS) whole = false;
     }
     this.rates.observe(now, this.push.reports().values(), whole);
@@ -41,6 +41,10 @@
   }
 }
 
-export function createRateWatch(ledger: Ledger, push: Pick<Push, 'reports' | 'heardAt'>, clock: Clock): RateWatch {
+export function createRateWatch(
+  ledger: Ledger,
+  push: Pick<Push, 'reports' | 'lastContactAt'>,
+  clock: Clock,
+): RateWatch {
   return new ReportRateWatch(ledger, push, clock);
 }
--- a/src/coordination/scaling/scaler.ts
+++ b/src/coordination/scaling/scaler.ts
@@ -107,7 +107,7 @@
       let fit = 0;
       let unfit = 0;
       for (const r of this.deps.push.reports().values()) {
-        const at = this.deps.push.heardAt(r.reporter);
+        const at = this.deps.push.lastContactAt(r.reporter);
         if (at === null || now - at > REPORT_FRESH_MS) continue;
         if (r.health[w.id] === 'fit') fit += 1;
         if (r.health[w.id] === 'unfit') unfit += 1;
--- a/src/programs/inspect-text.ts
+++ b/src/programs/inspect-text.ts
@@ -67,8 +67,8 @@
 function nodeRows(status: Status): string[] {
   const rows = ['nodes'];
   for (const node of [...status.nodes].sort(byName)) {
-    const place = `${pad(node.name, 14)}${pad(node.role, 12)}${pad(node.zone, 12)}`;
-    rows.push(`  ${place}${pad(node.status, 9)}${node.address}`);
+    const location = `${pad(node.name, 14)}${pad(node.role, 12)}${pad(node.zone, 12)}`;
+    rows.push(`  ${location}${pad(node.status, 9)}${node.address}`);
   }
   for (const [duty, lease] of Object.entries(status.leases))
     rows.push(`duty ${duty}: ${lease.holder}, fence ${lease.fence}`);
@@ -87,10 +87,10 @@
 function proxyRows(status: Status): string[] {
   const rows = ['proxies'];
   for (const [name, proxy] of Object.entries(status.proxies)) {
-    const heard = proxy.heardMs === null ? '-' : `${proxy.heardMs}ms`;
-    const news = `${pad(name, 14)} slot ${pad(proxy.slot, 7)} heard ${pad(heard, 8)}`;
+    const sinceContact = proxy.heardMs === null ? '-' : `${proxy.heardMs}ms`;
+    const status = `${pad(name, 14)} slot ${pad(proxy.slot, 7)} heard ${pad(sinceContact, 8)}`;
     const counts = `dispatched ${pad(proxy.attempted, 8)} retried ${pad(proxy.retried, 6)} shed ${proxy.shed ?? '-'}`;
-    rows.push(`  ${news} ${counts}`);
+    rows.push(`  ${status} ${counts}`);
   }
   return rows;
 }
--- a/src/protocol/messages.ts
+++ b/src/protocol/messages.ts
@@ -9,7 +9,7 @@
 import { BatchShape, MemberShape } from '../state/entry.js';
 import { ListNumberShape } from '../state/list-book.js';
 import { ListedShape } from '../state/listed.js';
-import { NodeNewsShape, NodeShape } from '../state/node-info.js';
+import { NodeUpdateShape, NodeShape } from '../state/node-info.js';
 import { ReportShape } from '../state/report.js';
 import { PART_LENGTH, SnapshotOfferShape } from '../state/snapshot-parts.js';
 import { WorkerEntryShape } from '../state/worker-entry.js';
@@ -26,7 +26,7 @@
 export const SlotBatchShape = Type.Object({ slot: Slot, batch: BatchShape });
 export type SlotBatch = Static<typeof SlotBatchShape>;
 
-const NewsShape = Type.Array(Type.Union([NodeShape, NodeNewsShape]));
+const UpdateShape = Type.Array(Type.Union([NodeShape, NodeUpdateShape]));
 
 export const MessageShape = Type.Union([
   Type.Object({ kind: Type.Literal('prepare'), ledger: Str, slot: Slot, ballot: BallotShape }),
@@ -182,18 +182,18 @@
   }),
   Type.Object({
     kind: Type.Literal('probe'),
-    from: NodeNewsShape,
+    from: NodeUpdateShape,
     all: Type.Optional(Type.Boolean()),
-    news: NewsShape,
+    news: UpdateShape,
   }),
-  Type.Object({ kind: Type.Literal('probeFor'), target: Str, news: NewsShape }),
+  Type.Object({ kind: Type.Literal('probeFor'), target: Str, news: UpdateShape }),
   Type.Object({
     kind: Type.Literal('probeAnswer'),
     reached: Type.Boolean(),
     stranger: Type.Optional(Type.Boolean()),
     sum: Type.Optional(Type.Integer()),
-    from: Type.Optional(NodeNewsShape),
-    news: NewsShape,
+    from: Type.Optional(NodeUpdateShape),
+    news: UpdateShape,
   }),
 ]);
 export type Message = Static<typeof MessageShape>;
--- a/src/sim/beat-watch.ts
+++ b/src/sim/beat-watch.ts
@@ -30,27 +30,27 @@
   let newest: number | null = null;
   let stopped = false;
 
-  function onBeat(beat: MessageOf<'beat'>): null {
-    const asOf = sentAt.get(beat.echo);
+  function onHeartbeat(heartbeat: MessageOf<'beat'>): null {
+    const asOf = sentAt.get(heartbeat.echo);
     if (asOf === undefined) return null;
     newest = Math.max(newest ?? 0, asOf);
     for (const c of confirmations) {
-      if (c.at < asOf && c.slot > beat.slot)
+      if (c.at < asOf && c.slot > heartbeat.slot)
         core.broken.push(
-          `${at} attests the number of ${Math.round(asOf)} with slot ${beat.slot}; slot ${c.slot} was confirmed at ${Math.round(c.at)}`,
+          `${at} attests the number of ${Math.round(asOf)} with slot ${heartbeat.slot}; slot ${c.slot} was confirmed at ${Math.round(c.at)}`,
         );
     }
     return null;
   }
-  peers.on('beat', onBeat);
-  const link = await core.finish(peers.hold(core.node(at).wire), HOLD_WAIT_MS);
+  peers.on('beat', onHeartbeat);
+  const link = await core.finish(peers.connect(core.node(at).wire), HOLD_WAIT_MS);
 
   function tell(): void {
     if (stopped || !link?.ok) return;
     nonce += 1;
     sentAt.set(nonce, core.world.now());
-    if (nonce === 1) link.value.tell({ kind: 'follow', name, zone: 'z', region: 'r', ledger: '', from: 0, nonce });
-    else link.value.tell({ kind: 'attend', name, nonce });
+    if (nonce === 1) link.value.send({ kind: 'follow', name, zone: 'z', region: 'r', ledger: '', from: 0, nonce });
+    else link.value.send({ kind: 'attend', name, nonce });
     lab.clock.timer(NONCE_EVERY_MS, tell);
   }
   tell();
--- a/src/sim/chaos-operators.ts
+++ b/src/sim/chaos-operators.ts
@@ -74,7 +74,7 @@
     if (answer !== 'confirmed') return;
     const version = versionOf(reply);
     watchers.won(base, version);
-    if (reply.status === 200) watchers.acked(version, value);
+    if (reply.status === 200) watchers.acknowledged(version, value);
     else watchers.agreed(version, value);
   }
   async function sendOnce(change: Change): Promise<ChangeAnswer> {
--- a/src/sim/core-scenarios.ts
+++ b/src/sim/core-scenarios.ts
@@ -355,7 +355,7 @@
     slowest = Math.max(slowest, fleet.world.now() - from);
     const whole = await amend(fleet, 2, versionOf(got), value + 100);
     s.expect('inForce', statusOf(whole) === 200, `${what}: once it is back, answered ${statusOf(whole)}`);
-    watchers.acked(versionOf(whole), value + 100);
+    watchers.acknowledged(versionOf(whole), value + 100);
     await fleet.world.advance(5_000, watchers.step);
   }
   s.told.recoverMs = Math.round(slowest);
--- a/src/sim/model/model-group.ts
+++ b/src/sim/model/model-group.ts
@@ -215,7 +215,7 @@
     const identity = identityOn(node);
     const kept = node.platter.files.get(IDENTITY_FILE);
     loseDisk(node.platter);
-    if (identity !== null) facts.votes.noteLost(identity);
+    if (identity !== null) facts.votes.onDisconnected(identity);
     if (sabotage.keepsIdentity && kept) node.platter.files.set(IDENTITY_FILE, kept);
   }
   function retire(node: ModelNode): void {
--- a/src/sim/model/vote-facts.ts
+++ b/src/sim/model/vote-facts.ts
@@ -16,7 +16,7 @@
 export type VoteFacts = {
   readonly noteVote: (request: VoteRequest, answer: VoteAnswer) => void;
   /** From now on no vote may come from this identity: its disk is gone. */
-  readonly noteLost: (identity: string) => void;
+  readonly onDisconnected: (identity: string) => void;
   /** An identity came back, with the newest slot that it holds something of. */
   readonly noteRestart: (identity: string, top: number) => void;
   /** How many of these identities accepted the batch under one ballot. */
@@ -84,7 +84,7 @@
     record.promised = later(record.promised, request.ballot);
     records.set(key, record);
   }
-  function noteLost(identity: string): void {
+  function onDisconnected(identity: string): void {
     lost.add(identity);
   }
   function noteRestart(identity: string, top: number): void {
@@ -102,5 +102,5 @@
     }
     return most;
   }
-  return { noteVote, noteLost, noteRestart, acceptedBy };
+  return { noteVote, onDisconnected, noteRestart, acceptedBy };
 }
--- a/src/sim/request-scenarios.ts
+++ b/src/sim/request-scenarios.ts
@@ -323,9 +323,8 @@
     for (let i = 0; i < 3; i += 1) {
       const status = await fleet.operator(i, 'GET', '/v1/status');
       const told = status.ok
-        ? (status.value.body as { readonly proxies: Record<string, { readonly heardMs: number | null }> }).proxies[
-            edge?.name ?? ''
-          ]?.heardMs
+        ? (status.value.body as { readonly proxies: Record<string, { readonly sinceContactMs: number | null }> })
+            .proxies[edge?.name ?? '']?.sinceContactMs
         : null;
       s.expect(
         'heard',
--- a/src/sim/sabotage.test.ts
+++ b/src/sim/sabotage.test.ts
@@ -173,11 +173,11 @@
     const w = watched([fresh, fresh]);
     const watchers = createWatchers(w.fleet);
     watchers.step();
-    watchers.acked(4, 50);
+    watchers.acknowledged(4, 50);
     over(w, watchers, 20_000);
     expect(w.fleet.violations).toEqual([]);
     w.set(0, { ...fresh, version: 3 });
-    watchers.acked(4, 50);
+    watchers.acknowledged(4, 50);
     expect(rules(w.fleet.violations)).toEqual(['inForce']);
     over(w, watchers, 200);
     expect(rules(w.fleet.violations)).toEqual(['inForce', 'noOlderVersion']);
@@ -211,7 +211,7 @@
     const whole = { deployment: { rampS: 3, lineLimit: 50 }, regions: { r: { models: { summary: {} } } } };
     watchers.won(1, 2);
     watchers.won(1, 2);
-    watchers.acked(2, 50);
+    watchers.acknowledged(2, 50);
     watchers.read('h', 2, 2, whole);
     watchers.read('h', 2, 3, { ...whole, deployment: { rampS: 3, lineLimit: 7 } });
     expect(w.fleet.violations).toEqual([]);
--- a/src/sim/stored-data.ts
+++ b/src/sim/stored-data.ts
@@ -6,7 +6,7 @@
 import { createFollower } from '../coordination/ledger/follower.js';
 import { openIdentity } from '../coordination/ledger/identity.js';
 import { loadControlState } from '../coordination/ledger/kept-control-state.js';
-import { nextLife } from '../coordination/ledger/life.js';
+import { nextIncarnation } from '../coordination/ledger/life.js';
 import { openStore } from '../coordination/ledger/store.js';
 import { createPeers } from '../coordination/members/peers.js';
 import { shapesFor } from '../coordination/controller.js';
@@ -185,7 +185,7 @@
   if (name === PROXY) return finish(loadControlState(disk, log));
   const shapes = shapesFor(DISK_BYTES);
   const identity = await finish(openIdentity(disk, createRng(1), null));
-  const incarnation = await finish(nextLife(disk, log));
+  const incarnation = await finish(nextIncarnation(disk, log));
   const store = await finish(openStore(disk, shapes.ledger, drop, drop));
   if (!store.ok || !identity.ok) return { store, identity };
   const state = store.value.controlState();
--- a/src/sim/watchers.ts
+++ b/src/sim/watchers.ts
@@ -6,7 +6,7 @@
   readonly refused: (value: number) => void;
   readonly won: (base: number, version: number) => void;
   readonly agreed: (version: number, value: number) => void;
-  readonly acked: (version: number, value: number) => void;
+  readonly acknowledged: (version: number, value: number) => void;
   readonly newest: () => number;
   readonly read: (who: string, floor: number, version: number, configuration: unknown) => void;
   readonly evacuated: (zone: string) => void;
@@ -194,7 +194,7 @@
     values.set(version, value);
     if (version > newestAgreed.version) newestAgreed = { version, at: world.now() };
   }
-  function acked(version: number, value: number): void {
+  function acknowledged(version: number, value: number): void {
     agreed(version, value);
     if (version > newest.version) newest = { version, at: world.now() };
     for (const n of seen())
@@ -293,7 +293,7 @@
   function watchedMs(): number {
     return watched;
   }
-  return { step, refused, won, agreed, acked, newest: newestVersion, read, evacuated, restored, end, watchedMs };
+  return { step, refused, won, agreed, acknowledged, newest: newestVersion, read, evacuated, restored, end, watchedMs };
 }
 
 type Settings = { readonly rampS?: number; readonly workerUsageLimit?: number };
--- a/src/standin/platform.ts
+++ b/src/standin/platform.ts
@@ -35,7 +35,7 @@
   const hidden = new Set<string>();
   let mode: 'none' | 'nonsense' | 'down' = 'none';
 
-  async function beat(req: HttpRequest): Promise<HttpReply> {
+  async function heartbeat(req: HttpRequest): Promise<HttpReply> {
     const read = readListed(req.body);
     if (!read.ok) return { status: 400, body: { error: read.fault } };
     held.set(read.value.id, { listed: read.value, at: clock.mono() });
@@ -100,7 +100,7 @@
   }
 
   const opened = await httpServer.open(address, [
-    { method: 'POST', path: '/lab/workers', handle: beat },
+    { method: 'POST', path: '/lab/workers', handle: heartbeat },
     { method: 'GET', path: WORKERS_PATH, handle: list },
     { method: 'POST', path: '/lab/workers/:id/drain', handle: drain },
     { method: 'POST', path: '/lab/drain', handle: drainMachine },
--- a/src/standin/worker.ts
+++ b/src/standin/worker.ts
@@ -115,7 +115,7 @@
       state = 'ready';
       readyAt = clock.mono();
       note('ready', null);
-      void beat();
+      void heartbeat();
     }
     clock.timer(s.loadMs, done);
   }
@@ -141,7 +141,7 @@
     return drainBy === null ? undefined : Math.max(0, drainBy - clock.mono());
   }
 
-  async function beat(): Promise<void> {
+  async function heartbeat(): Promise<void> {
     if (mode === 'silent') return;
     if (state === 'idle') {
       await httpClient.call({
@@ -285,7 +285,7 @@
     state = 'draining';
     drainBy = clock.mono() + (read.value.remainingMs ?? 60_000);
     note('draining', null, { remainingMs: read.value.remainingMs ?? null });
-    void beat();
+    void heartbeat();
     return { status: 200, body: {} };
   }
   async function onFault(req: HttpRequest): Promise<HttpReply> {
@@ -317,13 +317,13 @@
   if (s.fixedModel !== null) boot(`${s.id}-fixed`, s.fixedModel, 'fixed');
 
   function tick(): void {
-    void beat();
+    void heartbeat();
   }
-  const beating: Timer = every(clock, 500, tick);
+  const heartbeatTimer: Timer = every(clock, 500, tick);
   tick();
 
   async function stop(): Promise<void> {
-    beating.cancel();
+    heartbeatTimer.cancel();
     life += 1;
     await httpServer.close();
   }
--- a/src/state/candidates.test.ts
+++ b/src/state/candidates.test.ts
@@ -7,7 +7,7 @@
   return {
     address: `${name ?? 'seed'}:1`,
     name,
-    spot: { zone, region: zone.slice(0, 1), up: more.up ?? true },
+    location: { zone, region: zone.slice(0, 1), up: more.up ?? true },
     failed: more.failed ?? false,
   };
 }
--- a/src/state/candidates.ts
+++ b/src/state/candidates.ts
@@ -1,17 +1,17 @@
 import { sha256 } from '../base/digest.js';
 
-export type Spot = { readonly zone: string; readonly region: string; readonly up: boolean };
+export type Location = { readonly zone: string; readonly region: string; readonly up: boolean };
 
 export type Candidate = {
   readonly address: string;
   readonly name: string | null;
-  readonly spot: Spot | null;
+  readonly location: Location | null;
   readonly failed: boolean;
 };
 
-export function steps(own: { readonly zone: string; readonly region: string }, spot: Spot | null): number {
-  if (spot === null || spot.region !== own.region) return 2;
-  return spot.zone === own.zone ? 0 : 1;
+export function steps(own: { readonly zone: string; readonly region: string }, location: Location | null): number {
+  if (location === null || location.region !== own.region) return 2;
+  return location.zone === own.zone ? 0 : 1;
 }
 
 export function ranked(
@@ -20,9 +20,9 @@
 ): Candidate[] {
   const keys = new Map<Candidate, string>();
   for (const c of all) {
-    const sick = c.failed ? 2 : c.spot !== null && !c.spot.up ? 1 : 0;
+    const unhealthyRank = c.failed ? 2 : c.location !== null && !c.location.up ? 1 : 0;
     const unnamed = c.name === null ? 1 : 0;
-    keys.set(c, `${sick}${unnamed}${steps(own, c.spot)}${sha256(`${own.name} ${c.name ?? c.address}`)}`);
+    keys.set(c, `${unhealthyRank}${unnamed}${steps(own, c.location)}${sha256(`${own.name} ${c.name ?? c.address}`)}`);
   }
   return [...all].sort(byKey);
   function byKey(a: Candidate, b: Candidate): number {
--- a/src/state/edge-tuning.ts
+++ b/src/state/edge-tuning.ts
@@ -28,7 +28,7 @@
   readonly connectionGuard: number;
   readonly connectMs: number;
   readonly connectLeastMs: number;
-  readonly silentMs: number;
+  readonly responseTimeoutMs: number;
   readonly redialMs: number;
   readonly redialers: number;
   readonly retryMs: number;
@@ -74,7 +74,7 @@
   connectionGuard: 0.85,
   connectMs: 600,
   connectLeastMs: 240,
-  silentMs: 500,
+  responseTimeoutMs: 500,
   redialMs: 2_000,
   redialers: 8,
   retryMs: 250,
--- a/src/state/node-info.ts
+++ b/src/state/node-info.ts
@@ -17,5 +17,5 @@
 
 export type NodeInfo = Static<typeof NodeShape>;
 
-export const NodeNewsShape = Type.Pick(NodeShape, ['name', 'run', 'incarnation', 'status']);
-export type NodeNews = Static<typeof NodeNewsShape>;
+export const NodeUpdateShape = Type.Pick(NodeShape, ['name', 'run', 'incarnation', 'status']);
+export type NodeUpdate = Static<typeof NodeUpdateShape>;
--- a/src/state/registry-row.ts
+++ b/src/state/registry-row.ts
@@ -33,7 +33,7 @@
   fails: number;
   badUntil: number;
   unproven: boolean;
-  silentSince: number;
+  unresponsiveSince: number;
   doubtUntil: number;
   fullUntil: number;
   kept: PrefixCache;
@@ -76,7 +76,7 @@
     fails: 0,
     badUntil: 0,
     unproven: false,
-    silentSince: 0,
+    unresponsiveSince: 0,
     doubtUntil: 0,
     fullUntil: 0,
     kept: createPrefixCache(tuning.knownTokens),
--- a/src/state/shared-time.ts
+++ b/src/state/shared-time.ts
@@ -5,19 +5,19 @@
 
 /** Hears others' wall clocks and tells the shared time, in Unix milliseconds. */
 export interface SharedTime {
-  hear(from: string, wall: number, mono: number): void;
-  keepOnly(names: ReadonlySet<string>): void;
+  record(from: string, wall: number, mono: number): void;
+  retainOnly(names: ReadonlySet<string>): void;
   now(mono: number, ownWall: number): number;
 }
 
 class MedianSharedTime implements SharedTime {
   private readonly offsets = new Map<string, number>();
 
-  hear(from: string, wall: number, mono: number): void {
+  record(from: string, wall: number, mono: number): void {
     this.offsets.set(from, wall - mono);
   }
 
-  keepOnly(names: ReadonlySet<string>): void {
+  retainOnly(names: ReadonlySet<string>): void {
     for (const name of this.offsets.keys()) if (!names.has(name)) this.offsets.delete(name);
   }
 
--- a/src/state/worker-registry.ts
+++ b/src/state/worker-registry.ts
@@ -213,7 +213,7 @@
 
   silent(row: BookRow, now: number): void {
     row.fails += 1;
-    if (!row.unproven || row.silentSince === 0) row.silentSince = now;
+    if (!row.unproven || row.unresponsiveSince === 0) row.unresponsiveSince = now;
     row.unproven = true;
     row.badUntil = now + Math.min(this.redialMs(row), 250 * 2 ** row.fails);
   }
@@ -229,9 +229,9 @@
   }
 
   reached(row: BookRow, now: number): void {
-    if (row.silentSince > 0 && now - row.silentSince > this.tuning.doubtFromMs)
+    if (row.unresponsiveSince > 0 && now - row.unresponsiveSince > this.tuning.doubtFromMs)
       row.doubtUntil = now + this.tuning.doubtForMs;
-    row.silentSince = 0;
+    row.unresponsiveSince = 0;
     row.unproven = false;
     row.badUntil = 0;
     row.fails = 0;
--- a/src/state/worker-row.ts
+++ b/src/state/worker-row.ts
@@ -8,7 +8,7 @@
   leaveBy: number | null;
   incarnation: string | null;
   answeredAt: number | null;
-  silences: number;
+  missedProbes: number;
   freshMs: number;
   ready: boolean;
   readyAt: number;
@@ -30,7 +30,7 @@
     leaveBy: null,
     incarnation: null,
     answeredAt: null,
-    silences: 0,
+    missedProbes: 0,
     freshMs: ANSWER_FRESH_MS,
     ready: false,
     readyAt: 0,
--- a/src/state/worker-table.ts
+++ b/src/state/worker-table.ts
@@ -15,7 +15,7 @@
 export interface WorkerTable {
   takeList(list: readonly Listed[], now: number): void;
   takeHealth(id: string, health: Health, now: number): void;
-  takeSilence(id: string): void;
+  recordMissedProbe(id: string): void;
   takeControlState(controlState: ControlState): void;
   rows(): readonly WorkerRow[];
   row(ix: number): WorkerRow | null;
@@ -98,7 +98,7 @@
       row.incarnation = health.incarnation;
     }
     row.answeredAt = now;
-    row.silences = 0;
+    row.missedProbes = 0;
     row.ready = health.state === 'ready' && health.model === row.listed.model;
     row.readyAt = now - health.readyForMs;
     row.reported = health.running;
@@ -106,9 +106,9 @@
     if (health.state === 'draining') this.markLeaving(row, health.remainingMs, now);
   }
 
-  takeSilence(id: string): void {
+  recordMissedProbe(id: string): void {
     const row = this.rowOf(id);
-    if (row) row.silences += 1;
+    if (row) row.missedProbes += 1;
   }
 
   private rowOf(id: string): WorkerRow | null {
@@ -160,7 +160,7 @@
       const { listed } = row;
       if (!row.present || !this.handedOver(row)) continue;
       const answers =
-        row.answeredAt !== null && ask.now - row.answeredAt < row.freshMs && row.silences < SILENCES_UNFIT;
+        row.answeredAt !== null && ask.now - row.answeredAt < row.freshMs && row.missedProbes < SILENCES_UNFIT;
       const warm = ask.values.rampS === 0 ? 1 : (ask.now - row.readyAt) / (ask.values.rampS * 1_000);
       const ramping = warm < 1;
       const ramped = Math.max(1, Math.floor(ask.values.workerUsageLimit * Math.min(1, warm)));
--- a/src/transport/ring.test.ts
+++ b/src/transport/ring.test.ts
@@ -43,19 +43,19 @@
     async (seed) => {
       const world = createWorld(seed);
       const platter = createPlatter();
-      const acked: number[] = [];
+      const acknowledged: number[] = [];
       let next = 0;
       for (let life = 0; life < 12; life += 1) {
         const o = await opened(world, platter);
         const log = readLog(o);
-        expect(log.slice(0, acked.length)).toEqual(acked);
+        expect(log.slice(0, acknowledged.length)).toEqual(acknowledged);
         expect(log).toEqual([...log.keys()]);
-        acked.splice(0, acked.length, ...log);
+        acknowledged.splice(0, acknowledged.length, ...log);
         next = log.length;
         const lives = 5 + Math.floor(world.rng.next() * 30);
         for (let i = 0; i < lives; i += 1) {
           if (o.ring.crowded()) {
-            const snap = Buffer.from(JSON.stringify({ base: 0, items: [...acked] }));
+            const snap = Buffer.from(JSON.stringify({ base: 0, items: [...acknowledged] }));
             const compacting = o.ring.compact(snap);
             if (i === lives - 1 && world.rng.next() < 0.5) break;
             expect((await within(world, compacting)).ok).toBe(true);
@@ -68,12 +68,12 @@
             break;
           }
           expect((await within(world, writing)).ok).toBe(true);
-          acked.push(...batch);
+          acknowledged.push(...batch);
           next += count;
         }
         endLife(world, platter, true);
       }
-      expect(acked.length).toBeGreaterThan(50);
+      expect(acknowledged.length).toBeGreaterThan(50);
     },
   );
 
--- a/src/transport/wire.ts
+++ b/src/transport/wire.ts
@@ -49,7 +49,7 @@
 
 /** Counts frames and connections, for measurements. */
 export type WireMeter = {
-  readonly frame: (way: 'out' | 'in', peer: Address, dialled: boolean, bytes: number, body: unknown) => void;
+  readonly frame: (direction: 'out' | 'in', peer: Address, dialled: boolean, bytes: number, body: unknown) => void;
   readonly connections: (peer: Address, dialled: boolean, step: 1 | -1) => void;
 };
 
--- a/standin-platform/operator.ts
+++ b/standin-platform/operator.ts
@@ -45,9 +45,9 @@
   ): Promise<Reply | null> {
     let at = node;
     let to = path;
-    const silence = SILENCE_MS + body.length / 1_000;
+    const responseTimer = SILENCE_MS + body.length / 1_000;
     for (let hop = 0; hop <= 2; hop += 1) {
-      const reply = await ask(at, clock, method, to, silence, headers, body);
+      const reply = await ask(at, clock, method, to, responseTimer, headers, body);
       if (reply?.status !== 307) return reply;
       const target = /^http:\/\/([^/]+)(\/.*)$/.exec(reply.headers.get('location') ?? '');
       if (!target) return null;
