--- a/src/base/line.ts
+++ b/src/base/line.ts
@@ -5,12 +5,12 @@
  */
 
 /** Puts commands in the queue, each promise giving its own answer; `length` counts those not begun. */
-export type Line<C, A> = { readonly put: (command: C) => Promise<A>; readonly length: () => number };
+export type BatchQueue<C, A> = { readonly put: (command: C) => Promise<A>; readonly length: () => number };
 
 type Waiting<C, A> = { readonly command: C; readonly done: (answer: A) => void };
 
 /** A queue whose worker must give as many answers as it took commands, in their order. */
-export function createLine<C, A>(work: (commands: readonly C[]) => Promise<readonly A[]>): Line<C, A> {
+export function createBatchQueue<C, A>(work: (commands: readonly C[]) => Promise<readonly A[]>): BatchQueue<C, A> {
   let waiting: Waiting<C, A>[] = [];
   let busy = false;
 
--- a/src/client/client.ts
+++ b/src/client/client.ts
@@ -5,11 +5,11 @@
   readAnswer,
   readAnswerLine,
   readFailure,
-  readPlaced,
+  readPlacement,
   REQUESTS_PATH,
   TICKET_HEADER,
 } from '../protocol/caller-wire.js';
-import type { Failure, PlaceAsk, Placed } from '../protocol/caller-wire.js';
+import type { Failure, PlacementRequest, Placement } from '../protocol/caller-wire.js';
 import type { Part } from '../protocol/worker-wire.js';
 import { addPiece, checkSeal, startSeal } from '../state/seal.js';
 import { createGotHttpClient } from '../transport/http-client.js';
@@ -28,7 +28,7 @@
   readonly requestWaitMs?: number;
 };
 
-export type ClientAsk = {
+export type ClientRequest = {
   readonly model?: string;
   readonly mapping?: string;
   readonly kind?: string;
@@ -65,11 +65,11 @@
 export type ClientStream = { readonly requestId: string; readonly events: AsyncIterable<ClientEvent> };
 
 export type Client = {
-  readonly send: (ask: ClientAsk) => Promise<Result<ClientAnswer, ClientFault>>;
-  readonly stream: (ask: ClientAsk) => Promise<Result<ClientStream, ClientFault>>;
+  readonly send: (request: ClientRequest) => Promise<Result<ClientAnswer, ClientFault>>;
+  readonly stream: (request: ClientRequest) => Promise<Result<ClientStream, ClientFault>>;
 };
 
-type Opened = { readonly placed: Placed; readonly answer: HttpAnswer; readonly leave: () => void };
+type Opened = { readonly placement: Placement; readonly answer: HttpAnswer; readonly leave: () => void };
 
 const PLACINGS = 3;
 const SILENT_REST_MS = 5_000;
@@ -82,7 +82,7 @@
   const edges = createEdgeWatch(httpClient, clock);
   const unresponsiveAt = new Map<Address, number>();
 
-  function inTurn(): readonly Address[] {
+  function inOrder(): readonly Address[] {
     const good: Address[] = [];
     const silent: Address[] = [];
     for (const s of settings.proxies)
@@ -90,23 +90,23 @@
     return [...good, ...silent];
   }
 
-  function placeAsk(ask: ClientAsk, without: readonly string[]): PlaceAsk {
+  function placementRequest(request: ClientRequest, without: readonly string[]): PlacementRequest {
     let inputTokens = 0;
     const parts: string[] = [];
-    for (const p of ask.parts) {
+    for (const p of request.parts) {
       inputTokens += p.tokens;
       parts.push(p.hash);
     }
     return {
-      ...(ask.model === undefined ? {} : { model: ask.model }),
-      ...(ask.mapping === undefined ? {} : { mapping: ask.mapping }),
-      ...(ask.kind === undefined ? {} : { kind: ask.kind }),
-      ...(ask.homes === undefined ? {} : { homes: [...ask.homes] }),
+      ...(request.model === undefined ? {} : { model: request.model }),
+      ...(request.mapping === undefined ? {} : { mapping: request.mapping }),
+      ...(request.kind === undefined ? {} : { kind: request.kind }),
+      ...(request.homes === undefined ? {} : { homes: [...request.homes] }),
       ...(settings.zone === undefined ? {} : { zone: settings.zone }),
       inputTokens,
-      outputTokens: ask.outputTokens,
+      outputTokens: request.outputTokens,
       parts,
-      repeatable: ask.repeatable,
+      repeatable: request.repeatable,
       ...(without.length === 0 ? {} : { without: [...without] }),
     };
   }
@@ -118,14 +118,14 @@
     return { tag: 'failed', failure: read.value.error, retryAfterS: Number.isFinite(after) ? after : 0, requestId };
   }
 
-  async function place(ask: ClientAsk, without: readonly string[]): Promise<Result<Placed, ClientFault>> {
+  async function place(request: ClientRequest, without: readonly string[]): Promise<Result<Placement, ClientFault>> {
     let refusal: ClientFault = { tag: 'noProxy' };
-    for (const address of inTurn()) {
+    for (const address of inOrder()) {
       const got = await httpClient.call({
         method: 'POST',
         address,
         path: PLACE_PATH,
-        body: placeAsk(ask, without),
+        body: placementRequest(request, without),
         timeoutMs: settings.placeWaitMs ?? 2_000,
       });
       if (!got.ok) {
@@ -133,8 +133,8 @@
         continue;
       }
       unresponsiveAt.delete(address);
-      const placed = readPlaced(got.value.body);
-      if (got.value.status === 200 && placed.ok) return ok(placed.value);
+      const placement = readPlacement(got.value.body);
+      if (got.value.status === 200 && placement.ok) return ok(placement.value);
       const failed = failureOf(got.value, null);
       if (!failed) continue;
       refusal = failed;
@@ -150,12 +150,12 @@
     return reason === 'ticketForeign' || reason === 'ticketExpired' || reason === 'stopping' || reason === 'notReady';
   }
 
-  async function submit(ask: ClientAsk, stream: boolean): Promise<Result<Opened, ClientFault>> {
+  async function submit(request: ClientRequest, stream: boolean): Promise<Result<Opened, ClientFault>> {
     const silent: string[] = [];
     for (let tries = 1; ; tries += 1) {
-      const placed = await place(ask, silent);
-      if (!placed.ok) return placed;
-      const { address, ticket, requestId } = placed.value;
+      const placement = await place(request, silent);
+      if (!placement.ok) return placement;
+      const { address, ticket, requestId } = placement.value;
       const stop = new AbortController();
       const leave = edges.follow(address, stop.abort.bind(stop));
       const got = await httpClient.call({
@@ -166,31 +166,31 @@
         headers: { [TICKET_HEADER]: ticket },
         body: {
           requestId,
-          parts: ask.parts,
-          outputTokens: ask.outputTokens,
+          parts: request.parts,
+          outputTokens: request.outputTokens,
           stream,
-          ...(ask.key === undefined ? {} : { key: ask.key }),
+          ...(request.key === undefined ? {} : { key: request.key }),
         },
         timeoutMs: settings.requestWaitMs ?? 130_000,
         stream,
       });
       if (!got.ok || !stream || got.value.status !== 200) leave();
       if (!got.ok) {
-        silent.push(placed.value.proxy);
+        silent.push(placement.value.proxy);
         if (got.fault.tag === 'neverSent' && tries < PLACINGS) continue;
         return err(got.fault.tag === 'neverSent' ? { tag: 'noProxy' } : { tag: 'outcomeUnknown', requestId });
       }
-      if (got.value.status === 200) return ok({ placed: placed.value, answer: got.value, leave });
+      if (got.value.status === 200) return ok({ placement: placement.value, answer: got.value, leave });
       const failed = failureOf(got.value, requestId);
       if (worthAnother(failed) && tries < PLACINGS) continue;
       return err(failed ?? { tag: 'outcomeUnknown', requestId });
     }
   }
 
-  async function send(ask: ClientAsk): Promise<Result<ClientAnswer, ClientFault>> {
-    const opened = await submit(ask, false);
+  async function send(request: ClientRequest): Promise<Result<ClientAnswer, ClientFault>> {
+    const opened = await submit(request, false);
     if (!opened.ok) return opened;
-    const { requestId } = opened.value.placed;
+    const { requestId } = opened.value.placement;
     const read = readAnswer(opened.value.answer.body);
     if (!read.ok) return err({ tag: 'wrongSeal', requestId });
     const check = startSeal(requestId, null);
@@ -203,10 +203,10 @@
     return ok({ requestId, attemptId: read.value.seal.attemptId, text, pieces: read.value.pieces.length });
   }
 
-  async function stream(ask: ClientAsk): Promise<Result<ClientStream, ClientFault>> {
-    const opened = await submit(ask, true);
+  async function stream(request: ClientRequest): Promise<Result<ClientStream, ClientFault>> {
+    const opened = await submit(request, true);
     if (!opened.ok) return opened;
-    const { requestId } = opened.value.placed;
+    const { requestId } = opened.value.placement;
     return ok({ requestId, events: watched(requestId, opened.value) });
   }
 
@@ -220,12 +220,12 @@
 
   async function* eventsOf(requestId: string, answer: HttpAnswer): AsyncGenerator<ClientEvent> {
     const check = startSeal(requestId, null);
-    for await (const line of answer.lines) {
-      if (!line.ok) {
+    for await (const queue of answer.lines) {
+      if (!queue.ok) {
         yield { tag: 'fault', fault: { tag: 'outcomeUnknown', requestId } };
         return;
       }
-      const read = readAnswerLine(line.value);
+      const read = readAnswerLine(queue.value);
       if (!read.ok) {
         answer.abandon();
         yield { tag: 'fault', fault: { tag: 'wrongSeal', requestId } };
--- a/src/client/edge-watch.ts
+++ b/src/client/edge-watch.ts
@@ -12,7 +12,7 @@
 export function createEdgeWatch(httpClient: HttpClient, clock: Clock): EdgeWatch {
   const followers = new Map<Address, Set<() => void>>();
 
-  async function look(proxy: Address, set: Set<() => void>): Promise<void> {
+  async function probe(proxy: Address, set: Set<() => void>): Promise<void> {
     let missedProbes = 0;
     for (;;) {
       await pause(clock, LOOK_MS);
@@ -32,7 +32,7 @@
     set.add(onDown);
     if (!have) {
       followers.set(proxy, set);
-      void look(proxy, set);
+      void probe(proxy, set);
     }
     function leave(): void {
       set.delete(onDown);
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -33,7 +33,7 @@
 import { createCoreHealthWatch } from './ledger/core-health-watch.js';
 import { createPush } from './ledger/push.js';
 import type { Push } from './ledger/push.js';
-import { createListDuty } from './scaling/list-duty.js';
+import { createWorkerListRole } from './scaling/list-duty.js';
 import { createObserver } from './scaling/observer.js';
 import { createScaler } from './scaling/scaler.js';
 import type { Scaler } from './scaling/scaler.js';
@@ -186,7 +186,7 @@
     return out;
   }
   const list = deps.listReader
-    ? createListDuty({
+    ? createWorkerListRole({
         self: id.advertised,
         reader: deps.listReader,
         controllers,
--- a/src/coordination/cut-off-news.test.ts
+++ b/src/coordination/cut-off-news.test.ts
@@ -12,7 +12,7 @@
 import type { Clock } from '../transport/clock.js';
 import { createQuietLog } from '../transport/log.js';
 import { createDirectory } from './edge/directory.js';
-import type { ListFault, ListReader } from './edge/list-feed.js';
+import type { WorkerListFault, WorkerListReader } from './edge/list-feed.js';
 import { createPeers } from './members/peers.js';
 
 const VICTIM = 'controller-1';
@@ -162,8 +162,8 @@
   async function listing(seed: number): Promise<Listing> {
     let ids = ['before'];
     const unreachable = new Set<string>();
-    function listReader(clock: Clock, host: Host): ListReader {
-      async function read(): Promise<Result<readonly WorkerEntry[], ListFault>> {
+    function listReader(clock: Clock, host: Host): WorkerListReader {
+      async function read(): Promise<Result<readonly WorkerEntry[], WorkerListFault>> {
         if (!unreachable.has(host.name)) return ok(ids.map(worker));
         await pause(clock, 900);
         return err({ tag: 'listSilent' });
--- a/src/coordination/edge/answer-reader.ts
+++ b/src/coordination/edge/answer-reader.ts
@@ -3,12 +3,12 @@
  * be passed on. Events of a stream are passed as they come, each once and in order; every other answer is
  * held until its end was seen, so that a failed one can still be made good elsewhere.
  */
-import type { OpenWords } from '../../protocol/open-words.js';
+import type { HeaderNames } from '../../protocol/open-words.js';
 import type { AttemptOutcome } from '../../state/attempt-outcome.js';
 import { createEventSplitter, isComment } from '../../state/event-splitter.js';
 import type { EventSplitter } from '../../state/event-splitter.js';
 import type { RawHeaders } from '../../transport/open-http.js';
-import type { CallerAnswers, HeldAnswer } from './caller-answers.js';
+import type { CallerAnswers, BufferedResponse } from './caller-answers.js';
 import { numberIn } from './relayed-request.js';
 import type { RelayedRequest } from './relayed-request.js';
 
@@ -26,7 +26,7 @@
   /** The connection ended, or spoke nonsense, in the middle of the answer or before it. */
   broken(how: 'reset' | 'garbled'): AttemptOutcome;
   /** The answer that was held, once `end` told that there is one. */
-  held(): HeldAnswer;
+  buffered(): BufferedResponse;
   status(): number;
 }
 
@@ -44,7 +44,7 @@
   private refusal: AttemptOutcome | null = null;
 
   constructor(
-    private readonly words: OpenWords,
+    private readonly names: HeaderNames,
     private readonly request: RelayedRequest,
     private readonly answers: CallerAnswers,
   ) {}
@@ -59,22 +59,22 @@
   }
 
   head(
-    given: number,
+    received: number,
     raw: RawHeaders,
     get: (name: string) => string | null,
     freshConnection: boolean,
   ): AttemptOutcome | null {
-    this.currentStatus = given;
+    this.currentStatus = received;
     this.headers = raw;
-    const refused = this.currentStatus === WRONG_WORKER || get(this.words.notRun) !== null;
-    if (!this.isOurs(get(this.words.attemptId), refused, freshConnection)) return { tag: 'garbled' };
+    const refused = this.currentStatus === WRONG_WORKER || get(this.names.notRun) !== null;
+    if (!this.isOurs(get(this.names.attemptId), refused, freshConnection)) return { tag: 'garbled' };
     if (get('content-encoding') !== null) return { tag: 'garbled' };
     if (refused) {
       const retryAfterS = numberIn(get('retry-after')) ?? DEFAULT_RETRY_AFTER_S;
       this.refusal = { tag: this.currentStatus === WRONG_WORKER ? 'wrongWorker' : 'notExecuted', retryAfterS };
       return null;
     }
-    if (this.isSuccess() && get(this.words.seal) === null) return { tag: 'garbled' };
+    if (this.isSuccess() && get(this.names.seal) === null) return { tag: 'garbled' };
     if (this.isSuccess() && this.request.stream) this.splitter = createEventSplitter();
     return null;
   }
@@ -87,7 +87,7 @@
   }
 
   private passEvents(from: EventSplitter, chunk: Buffer): AttemptOutcome | null {
-    const events = from.take(chunk);
+    const events = from.push(chunk);
     if (events.length > 0) this.answers.begin(this.request, this.currentStatus, this.headers);
     for (const event of events) {
       if (event.id === null) this.request.unnumbered = this.request.unnumbered || !isComment(event.bytes);
@@ -102,7 +102,7 @@
     if (this.refusal) return this.refusal;
     if (!this.isSuccess()) return { tag: 'workerFailed' };
     if (!this.splitter) return { tag: 'answered' };
-    if (this.splitter.rest().length > 0) return { tag: 'garbled' };
+    if (this.splitter.remainder().length > 0) return { tag: 'garbled' };
     this.answers.begin(this.request, this.currentStatus, this.headers);
     return { tag: 'answered' };
   }
@@ -113,7 +113,7 @@
     return how === 'reset' ? { tag: 'resetWritten' } : { tag: 'garbled' };
   }
 
-  held(): HeldAnswer {
+  buffered(): BufferedResponse {
     const body = Buffer.concat(this.chunks);
     this.chunks = [];
     return { status: this.currentStatus, headers: this.headers, body };
@@ -124,6 +124,6 @@
   }
 }
 
-export function createAnswerReader(words: OpenWords, request: RelayedRequest, answers: CallerAnswers): AnswerReader {
-  return new CheckedAnswerReader(words, request, answers);
+export function createAnswerReader(names: HeaderNames, request: RelayedRequest, answers: CallerAnswers): AnswerReader {
+  return new CheckedAnswerReader(names, request, answers);
 }
--- a/src/coordination/edge/attempt.ts
+++ b/src/coordination/edge/attempt.ts
@@ -3,25 +3,25 @@
  * outcome. Whoever calls decides what follows. The attempt ends its connection whenever the outcome is
  * known before the answer's end, so that nothing of a late answer can meet another request.
  */
-import type { OpenWords } from '../../protocol/open-words.js';
+import type { HeaderNames } from '../../protocol/open-words.js';
 import type { AttemptOutcome } from '../../state/attempt-outcome.js';
 import type { Standstill } from '../../state/standstill.js';
-import type { BookRow, WorkerRegistry } from '../../state/worker-registry.js';
+import type { RegistryRow, WorkerRegistry } from '../../state/worker-registry.js';
 import type { Clock } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
 import type { ConnectionPool, RawHeaders, SendEvents, SendFault, Sending, Sent } from '../../transport/open-http.js';
 import { createAnswerReader } from './answer-reader.js';
-import type { CallerAnswers, HeldAnswer } from './caller-answers.js';
+import type { CallerAnswers, BufferedResponse } from './caller-answers.js';
 import { hasBody, requestHeaders } from './forwarded-headers.js';
 import type { RelayedRequest } from './relayed-request.js';
-import type { UnresponsiveWorkerWatch, WatchedFlight } from './silence-watch.js';
-import type { HeldWorker } from './worker-queue.js';
+import type { UnresponsiveWorkerWatch, WatchedAttempt } from './silence-watch.js';
+import type { ReservedWorker } from './worker-queue.js';
 
 /** How an attempt ended; `answer` is set for a held answer, be it a success or a failure. */
-export type AttemptEnd = { readonly outcome: AttemptOutcome; readonly answer: HeldAnswer | null };
+export type AttemptEnd = { readonly outcome: AttemptOutcome; readonly answer: BufferedResponse | null };
 
 export type AttemptDeps = {
-  readonly words: OpenWords;
+  readonly words: HeaderNames;
   readonly registry: WorkerRegistry;
   readonly connectionPool: ConnectionPool;
   readonly watch: UnresponsiveWorkerWatch;
@@ -35,7 +35,7 @@
   readonly onEnd: () => void;
 };
 
-export type Attempt = (request: RelayedRequest, held: HeldWorker) => Promise<AttemptEnd>;
+export type Attempt = (request: RelayedRequest, reserved: ReservedWorker) => Promise<AttemptEnd>;
 
 /** A worker that turned a request away is passed over for so long. */
 const FULL_MS = 60;
@@ -45,55 +45,59 @@
 export function createAttempt(deps: AttemptDeps): Attempt {
   const { words, registry, connectionPool, watch, standstill, clock, log } = deps;
 
-  function attempt(request: RelayedRequest, held: HeldWorker): Promise<AttemptEnd> {
+  function attempt(request: RelayedRequest, reserved: ReservedWorker): Promise<AttemptEnd> {
     function start(resolve: (end: AttemptEnd) => void): void {
-      run(request, held, resolve);
+      run(request, reserved, resolve);
     }
     return new Promise(start);
   }
 
-  function run(request: RelayedRequest, { row, hold }: HeldWorker, resolve: (end: AttemptEnd) => void): void {
+  function run(
+    request: RelayedRequest,
+    { row, reservation }: ReservedWorker,
+    resolve: (end: AttemptEnd) => void,
+  ): void {
     const { incoming } = request;
     const reader = createAnswerReader(words, request, deps.answers);
-    const flight: WatchedFlight = { sentAt: clock.mono(), lastEventAt: 0, onUnresponsive };
+    const call: WatchedAttempt = { sentAt: clock.mono(), lastEventAt: 0, onUnresponsive };
     const leftMs = request.deadlineAt - clock.mono();
     let sent: Sent | null = null;
     let written = false;
     let freshConnection = false;
     let over = false;
-    watch.begin(row, flight);
+    watch.begin(row, call);
     const deadline = clock.timer(Math.max(1, leftMs), late);
 
     function finish(outcome: AttemptOutcome): void {
       if (over) return;
       over = true;
       deadline.cancel();
-      watch.end(row, flight);
-      hold.end();
-      note(row, outcome, reader.status());
-      const answer = isHeld(request, outcome) ? reader.held() : null;
+      watch.end(row, call);
+      reservation.end();
+      recordOutcome(row, outcome, reader.status());
+      const answer = isBuffered(request, outcome) ? reader.buffered() : null;
       resolve({ outcome, answer });
       deps.onEnd();
     }
-    function giveUp(outcome: AttemptOutcome): void {
+    function abandon(outcome: AttemptOutcome): void {
       if (over) return;
       finish(outcome);
-      sent?.cut();
+      sent?.abort();
     }
 
     function late(): void {
       if (over) return;
       if (written)
         log.warn(
-          lateText(request, row, leftMs, reader.status(), clock.mono() - Math.max(flight.lastEventAt, flight.sentAt)),
+          lateText(request, row, leftMs, reader.status(), clock.mono() - Math.max(call.lastEventAt, call.sentAt)),
         );
-      giveUp(written ? { tag: 'deadline' } : { tag: 'withheld' });
+      abandon(written ? { tag: 'deadline' } : { tag: 'withheld' });
     }
     function callerGone(): void {
-      giveUp({ tag: 'callerGone' });
+      abandon({ tag: 'callerGone' });
     }
     function onUnresponsive(): void {
-      if (!over && written && deps.abandonsUnresponsive(request)) giveUp({ tag: 'silent' });
+      if (!over && written && deps.abandonsUnresponsive(request)) abandon({ tag: 'silent' });
     }
 
     /** Called when the connection is up. Null holds the request back; else it counts as sent from here. */
@@ -109,21 +113,21 @@
     }
     function connected(ms: number): void {
       freshConnection = true;
-      registry.took(row, ms);
+      registry.recordConnectTime(row, ms);
     }
     function head(status: number, raw: RawHeaders, get: (name: string) => string | null): void {
       if (over) return;
       const coldMs = Number(get(words.coldMs) ?? 0);
-      if (coldMs > 0) registry.cold(row, clock.mono(), coldMs);
+      if (coldMs > 0) registry.markCold(row, clock.mono(), coldMs);
       const outcome = reader.head(status, raw, get, freshConnection);
-      if (outcome) giveUp(outcome);
+      if (outcome) abandon(outcome);
     }
     function data(chunk: Buffer): void {
       if (over) return;
-      flight.lastEventAt = clock.mono();
+      call.lastEventAt = clock.mono();
       const outcome = reader.data(chunk);
-      if (request.answerBegun) hold.read();
-      if (outcome) giveUp(outcome);
+      if (request.answerBegun) reservation.read();
+      if (outcome) abandon(outcome);
     }
     function end(): void {
       if (!over) finish(reader.end());
@@ -144,32 +148,32 @@
     };
     const events: SendEvents = { connected, head, data, end, failed };
     sent = connectionPool.send(sending, events);
-    if (over) sent.cut();
+    if (over) sent.abort();
   }
 
   /** Tells the registry what the outcome says of the worker. */
-  function note(row: BookRow, outcome: AttemptOutcome, status: number): void {
+  function recordOutcome(row: RegistryRow, outcome: AttemptOutcome, status: number): void {
     const now = clock.mono();
     switch (outcome.tag) {
       case 'notConnected':
         watch.unreached(row);
         return;
       case 'wrongWorker':
-        registry.moved(row);
+        registry.markRelocated(row);
         return;
       case 'notExecuted':
-        registry.full(row, now, FULL_MS);
+        registry.markFull(row, now, FULL_MS);
         return;
       case 'answered':
-        registry.served(row, now);
+        registry.recordServed(row, now);
         return;
       case 'workerFailed':
-        if (status >= 500 && status !== GATEWAY_TIMEOUT) registry.spoilt(row, now);
+        if (status >= 500 && status !== GATEWAY_TIMEOUT) registry.recordSpoiled(row, now);
         return;
       case 'garbled':
       case 'answerCut':
       case 'resetWritten':
-        registry.spoilt(row, now);
+        registry.recordSpoiled(row, now);
         return;
       case 'withheld':
       case 'resetUnwritten':
@@ -182,11 +186,11 @@
   return attempt;
 }
 
-function isHeld(request: RelayedRequest, outcome: AttemptOutcome): boolean {
+function isBuffered(request: RelayedRequest, outcome: AttemptOutcome): boolean {
   return outcome.tag === 'workerFailed' || (outcome.tag === 'answered' && !request.stream);
 }
 
-function lateText(request: RelayedRequest, row: BookRow, leftMs: number, status: number, quietMs: number): string {
+function lateText(request: RelayedRequest, row: RegistryRow, leftMs: number, status: number, quietMs: number): string {
   const last = request.lastEvent ?? 'none';
   return `${row.entry.id} gave ${request.route.name} ${request.id} no end in ${Math.round(leftMs)} ms: status ${status}, last event ${last}, silent for ${Math.round(quietMs)} ms.`;
 }
--- a/src/coordination/edge/caller-answers.ts
+++ b/src/coordination/edge/caller-answers.ts
@@ -1,17 +1,17 @@
 /** What the relay tells callers: its own refusals and failures, and workers' answers passed on. */
-import type { OpenWords } from '../../protocol/open-words.js';
-import type { OpenRequest, RawHeaders } from '../../transport/open-http.js';
+import type { HeaderNames } from '../../protocol/open-words.js';
+import type { OpaqueRequest, RawHeaders } from '../../transport/open-http.js';
 import { answerHeaders, withoutHeader } from './forwarded-headers.js';
 import type { RelayedRequest } from './relayed-request.js';
 
 /** A worker's answer, held until its end was seen. */
-export type HeldAnswer = { readonly status: number; readonly headers: RawHeaders; readonly body: Buffer };
+export type BufferedResponse = { readonly status: number; readonly headers: RawHeaders; readonly body: Buffer };
 
 export interface CallerAnswers {
   /** Answers with a failure of the relay's own; a 503 tells when to come back. */
-  refuse(incoming: OpenRequest, status: number, tag: string, retryAfterS: number | null): void;
+  refuse(incoming: OpaqueRequest, status: number, tag: string, retryAfterS: number | null): void;
   /** Passes a worker's whole answer on. */
-  passOn(request: RelayedRequest, answer: HeldAnswer): void;
+  passOn(request: RelayedRequest, answer: BufferedResponse): void;
   /** Passes the head of a stream on, if none has been. */
   begin(request: RelayedRequest, status: number, headers: RawHeaders): void;
 }
@@ -23,11 +23,11 @@
 
 class HttpCallerAnswers implements CallerAnswers {
   constructor(
-    private readonly words: OpenWords,
+    private readonly headerNames: HeaderNames,
     private readonly closing: () => boolean,
   ) {}
 
-  refuse(incoming: OpenRequest, status: number, tag: string, retryAfterS: number | null): void {
+  refuse(incoming: OpaqueRequest, status: number, tag: string, retryAfterS: number | null): void {
     const body = Buffer.from(JSON.stringify({ error: { tag } }));
     const head = ['Content-Type', 'application/json', 'Content-Length', String(body.length)];
     if (retryAfterS !== null) head.push('Retry-After', retryAfterS.toFixed(2));
@@ -45,12 +45,12 @@
    * A worker's own status that would be a promise is passed on as 502, and then without the seal, which
    * stands for the worker's answer as it was.
    */
-  passOn(request: RelayedRequest, answer: HeldAnswer): void {
+  passOn(request: RelayedRequest, answer: BufferedResponse): void {
     const { answerer } = request.incoming;
     const promises = PROMISES.has(answer.status);
     const headers = answerHeaders(answer.headers);
     answerer.head(promises ? BAD_GATEWAY : answer.status, [
-      ...(promises ? withoutHeader(headers, this.words.seal) : headers),
+      ...(promises ? withoutHeader(headers, this.headerNames.seal) : headers),
       'Content-Length',
       String(answer.body.length),
       ...this.lastOnConnection(),
@@ -66,6 +66,6 @@
   }
 }
 
-export function createCallerAnswers(words: OpenWords, closing: () => boolean): CallerAnswers {
-  return new HttpCallerAnswers(words, closing);
+export function createCallerAnswers(headerNames: HeaderNames, closing: () => boolean): CallerAnswers {
+  return new HttpCallerAnswers(headerNames, closing);
 }
--- a/src/coordination/edge/claim-client.ts
+++ b/src/coordination/edge/claim-client.ts
@@ -1,5 +1,5 @@
-import { createLine } from '../../base/line.js';
-import type { Line } from '../../base/line.js';
+import { createBatchQueue } from '../../base/line.js';
+import type { BatchQueue } from '../../base/line.js';
 import type { Claim, ClaimAnswer, ClaimEnd } from '../../state/claim.js';
 import { majorityOf, memberId, membersMark } from '../../state/control-state.js';
 import type { ControlState } from '../../state/control-state.js';
@@ -27,30 +27,33 @@
 const ENDS_PAUSE_MS = 30_000;
 
 class MajorityClaimClient implements ClaimClient {
-  private readonly line: Line<{ key: string; by: string; born: number }, Promise<ClaimOutcome>>;
-  private readonly endings: Line<{ key: string; by: string; born: number; outcome: 'answered' | 'released' }, null>;
+  private readonly queue: BatchQueue<{ key: string; by: string; born: number }, Promise<ClaimOutcome>>;
+  private readonly endings: BatchQueue<
+    { key: string; by: string; born: number; outcome: 'answered' | 'released' },
+    null
+  >;
 
   constructor(
     private readonly currentControlState: () => ControlState,
     private readonly peers: Peers,
     private readonly clock: Clock,
   ) {
-    this.line = createLine((claims) => this.work(claims));
-    this.endings = createLine((ends) => this.spread(ends));
+    this.queue = createBatchQueue((claims) => this.work(claims));
+    this.endings = createBatchQueue((ends) => this.spread(ends));
   }
 
   private async work(claims: readonly Claim[]): Promise<readonly Promise<ClaimOutcome>[]> {
     const b = this.currentControlState();
     const need = majorityOf(b.members);
     const out: Promise<ClaimOutcome>[] = [];
-    const settle: ((o: ClaimOutcome) => void)[] = [];
+    const resolvers: ((o: ClaimOutcome) => void)[] = [];
     for (let i = 0; i < claims.length; i += 1) {
-      function keep(resolve: (o: ClaimOutcome) => void): void {
-        settle.push(resolve);
+      function addResolver(resolve: (o: ClaimOutcome) => void): void {
+        resolvers.push(resolve);
       }
-      out.push(new Promise(keep));
+      out.push(new Promise(addResolver));
     }
-    void this.collect(b, need, claims, settle);
+    void this.collect(b, need, claims, resolvers);
     return out;
   }
 
@@ -58,9 +61,9 @@
     b: ControlState,
     need: number,
     claims: readonly Claim[],
-    settle: readonly ((o: ClaimOutcome) => void)[],
+    resolvers: readonly ((o: ClaimOutcome) => void)[],
   ): Promise<void> {
-    const got: ClaimAnswer[][] = claims.map(none);
+    const answers: ClaimAnswer[][] = claims.map(none);
     const open = new Set<number>(claims.keys());
     let left = b.members.length;
     if (b.members.length === 0) finish();
@@ -68,10 +71,10 @@
     function none(): ClaimAnswer[] {
       return [];
     }
-    function tally(i: number): { yes: number; no: ClaimAnswer | null } {
+    function countVotes(i: number): { yes: number; no: ClaimAnswer | null } {
       let yes = 0;
       let no: ClaimAnswer | null = null;
-      for (const a of got[i] as ClaimAnswer[]) {
+      for (const a of answers[i] as ClaimAnswer[]) {
         if (a.tag === 'claimed') yes += 1;
         else if (!no || weightOf(a) > weightOf(no)) no = a;
       }
@@ -79,23 +82,23 @@
     }
     function weigh(): void {
       for (const i of open) {
-        if (tally(i).yes < need) continue;
+        if (countVotes(i).yes < need) continue;
         open.delete(i);
-        settle[i]?.({ tag: 'claimed' });
+        resolvers[i]?.({ tag: 'claimed' });
       }
       if (left === 0) finish();
     }
     function finish(): void {
       for (const i of open) {
-        const { no } = tally(i);
-        settle[i]?.(no && no.tag !== 'claimed' ? no : { tag: 'noMajority' });
+        const { no } = countVotes(i);
+        resolvers[i]?.(no && no.tag !== 'claimed' ? no : { tag: 'noMajority' });
       }
       open.clear();
     }
 
-    const settleTaken = (): void => {
+    const finishContested = (): void => {
       let contested = false;
-      for (const i of open) if (tally(i).no) contested = true;
+      for (const i of open) if (countVotes(i).no) contested = true;
       if (contested) this.clock.timer(PATIENCE_MS, finish);
     };
     const ask = async (m: Member): Promise<void> => {
@@ -111,8 +114,8 @@
         answer.value.voter === memberId(m) &&
         answer.value.answers.length === claims.length
       ) {
-        for (let i = 0; i < claims.length; i += 1) got[i]?.push(answer.value.answers[i] as ClaimAnswer);
-        settleTaken();
+        for (let i = 0; i < claims.length; i += 1) answers[i]?.push(answer.value.answers[i] as ClaimAnswer);
+        finishContested();
       }
       weigh();
     };
@@ -120,7 +123,7 @@
   }
 
   async claim(key: RunKey, by: string): Promise<ClaimOutcome> {
-    const pending = this.line.put({ key: key.text, by, born: key.born });
+    const pending = this.queue.put({ key: key.text, by, born: key.born });
     const outcome = await pending.then((inner) => this.unwrap(inner));
     if (outcome.tag !== 'claimed') this.end(key, by, 'released');
     return outcome;
@@ -132,8 +135,8 @@
 
   private async deliver(address: string, ledger: string, ends: readonly ClaimEnd[]): Promise<void> {
     for (let n = 0; n < ENDS_TRIED; n += 1) {
-      const got = await this.peers.call(address, { kind: 'claimEnds', ledger, ends: [...ends] }, WAIT_MS);
-      if (got.ok && got.value.kind === 'done' && got.value.agreed) return;
+      const answers = await this.peers.call(address, { kind: 'claimEnds', ledger, ends: [...ends] }, WAIT_MS);
+      if (answers.ok && answers.value.kind === 'done' && answers.value.agreed) return;
       await pause(this.clock, Math.min(ENDS_PAUSE_MS, 500 * 2 ** n));
     }
   }
--- a/src/coordination/edge/directory.test.ts
+++ b/src/coordination/edge/directory.test.ts
@@ -2,7 +2,7 @@
 import { createWorld } from '../../sim/world.js';
 import type { Report } from '../../state/report.js';
 import { DEFAULT_LIMITS } from '../../state/serving.js';
-import type { RouteMapping, Serving } from '../../state/serving.js';
+import type { RouteSettings, Serving } from '../../state/serving.js';
 import { addressesFor, createDirectory, DIRECTORY_TUNING, homesOf } from './directory.js';
 import type { ProxyStatus } from './directory.js';
 
@@ -91,7 +91,7 @@
 });
 
 function servingWith(homesByHost: readonly (readonly [string, readonly string[]])[]): Serving {
-  const mappings: Record<string, RouteMapping> = {};
+  const mappings: Record<string, RouteSettings> = {};
   homesByHost.forEach(([host, homes], i) => {
     mappings[`m${i}`] = {
       at: i,
--- a/src/coordination/edge/dispatcher.test.ts
+++ b/src/coordination/edge/dispatcher.test.ts
@@ -10,7 +10,7 @@
 import type { ClaimOutcome } from './claim-client.js';
 import { createDispatcher } from './dispatcher.js';
 import type { Submission } from './dispatcher.js';
-import type { Placer } from './placer.js';
+import type { PlacementService } from './placer.js';
 
 type Reply = HttpFault | { readonly status: number; readonly body: (call: HttpCall) => unknown };
 
@@ -42,7 +42,7 @@
     modelIx: () => 0,
     prefixes: { learn: () => undefined },
   } as unknown as WorkerTable;
-  const placer = {
+  const placement = {
     resolved: () => ({ values: VALUES }),
     homesOf: () => null,
     choose: ({ avoid }: { avoid: ReadonlySet<number> }) => {
@@ -51,10 +51,10 @@
         ? { tag: 'chosen', candidate: { ix: row.ix, id: `w${row.ix}`, address: `w${row.ix}` } }
         : { tag: 'none', stoppedBy: 'untried' };
     },
-  } as unknown as Placer;
+  } as unknown as PlacementService;
   const dispatcher = createDispatcher({
     ready: () => true,
-    placer,
+    placement,
     table,
     claims: {
       claim: () => {
--- a/src/coordination/edge/dispatcher.ts
+++ b/src/coordination/edge/dispatcher.ts
@@ -19,12 +19,12 @@
 import { newId } from '../../transport/rng.js';
 import type { Rng } from '../../transport/rng.js';
 import type { ClaimClient, ClaimOutcome } from './claim-client.js';
-import { createFlights } from './flights.js';
-import type { Flights } from './flights.js';
-import { shed } from './placer.js';
-import type { Placer } from './placer.js';
-import { createSeatQueue } from './seat-queue.js';
-import type { Seat, SeatQueue } from './seat-queue.js';
+import { createPendingCalls } from './flights.js';
+import type { PendingCalls } from './flights.js';
+import { rejection } from './placer.js';
+import type { PlacementService } from './placer.js';
+import { createWorkerSlotQueue } from './seat-queue.js';
+import type { WorkerSlot, WorkerSlotQueue } from './seat-queue.js';
 import { createWorkerCalls } from './worker-call.js';
 import type { AnswerLine, WorkerCallEnd, WorkerCall } from './worker-call.js';
 
@@ -50,7 +50,7 @@
   /** Serves a request whose ticket was checked; `key` is set for one that may run once. */
   submit(ticket: Ticket, body: Submit, key: RunKey | null, gone: () => boolean): Promise<Submission>;
   countRequest(model: string): void;
-  countShed(): void;
+  countRejected(): void;
   wake(): void;
   tally(): Tally;
   stopTaking(): void;
@@ -59,7 +59,7 @@
 
 export type DispatcherDeps = {
   readonly ready: () => boolean;
-  readonly placer: Placer;
+  readonly placement: PlacementService;
   readonly table: WorkerTable;
   readonly claims: ClaimClient;
   readonly httpClient: HttpClient;
@@ -85,7 +85,7 @@
   ranAndBroke: Failure | null;
 };
 
-type TakenSeat = Extract<Seat, { tag: 'seat' }>;
+type AcquiredSlot = Extract<WorkerSlot, { tag: 'seat' }>;
 
 const KEYS_FULL_S = 3_600;
 const RETRY_AFTER_S = 1;
@@ -93,52 +93,52 @@
 
 class TicketDispatcher implements Dispatcher {
   private readonly budget = createRetryBudget();
-  private readonly flights: Flights;
-  private readonly queue: SeatQueue;
+  private readonly pending: PendingCalls;
+  private readonly queue: WorkerSlotQueue;
   private readonly callWorker: (call: WorkerCall) => Promise<WorkerCallEnd>;
   private readonly requests: Record<string, number> = {};
-  private shedCount = 0;
+  private rejectedCount = 0;
   private attempted = 0;
   private retried = 0;
   private cut = 0;
   private readonly ticking: Timer;
 
   constructor(private readonly deps: DispatcherDeps) {
-    this.flights = createFlights(this.deps.table, this.deps.clock);
-    this.queue = createSeatQueue({
+    this.pending = createPendingCalls(this.deps.table, this.deps.clock);
+    this.queue = createWorkerSlotQueue({
       ready: this.deps.ready,
-      placer: this.deps.placer,
+      placement: this.deps.placement,
       table: this.deps.table,
       clock: this.deps.clock,
     });
     this.callWorker = createWorkerCalls({
       table: this.deps.table,
-      flights: this.flights,
+      pending: this.pending,
       httpClient: this.deps.httpClient,
       clock: this.deps.clock,
       log: this.deps.log,
-      leave: (row) => this.queue.leave(row),
-      onCut: () => this.onCut(),
+      leave: (row) => this.queue.release(row),
+      onCut: () => this.onTruncated(),
     });
-    this.ticking = every(this.deps.clock, LOOK_MS, () => this.look());
+    this.ticking = every(this.deps.clock, LOOK_MS, () => this.checkPending());
   }
 
-  private look(): void {
-    this.flights.endLost();
+  private checkPending(): void {
+    this.pending.endLost();
     this.queue.wake();
   }
 
-  private onCut(): void {
+  private onTruncated(): void {
     this.cut += 1;
   }
 
   private failed(failure: Failure, retryAfterS = RETRY_AFTER_S): Submission {
-    if (failure.tag === 'shed') this.shedCount += 1;
+    if (failure.tag === 'shed') this.rejectedCount += 1;
     return { tag: 'failed', failure, retryAfterS };
   }
 
   async submit(ticket: Ticket, body: Submit, key: RunKey | null, gone: () => boolean): Promise<Submission> {
-    const resolved = this.deps.placer.resolved(ticket.model);
+    const resolved = this.deps.placement.resolved(ticket.model);
     if (!resolved) return this.failed({ tag: 'unknownModel' });
     const { values } = resolved;
     const now = this.deps.clock.mono();
@@ -165,32 +165,32 @@
   /** One worker after the other, until nothing more may follow. */
   private async run(job: Job): Promise<Submission> {
     for (;;) {
-      const seat = await this.queue.seat(job);
-      if (seat.tag === 'none') return this.notRun(job, shed(seat.reason), Math.ceil(seat.comeBackMs / 1_000));
+      const slot = await this.queue.acquire(job);
+      if (slot.tag === 'none') return this.notRun(job, rejection(slot.reason), Math.ceil(slot.comeBackMs / 1_000));
       if (job.key !== null && !job.claimed) {
-        const refusal = await this.claim(job, job.key, seat);
+        const refusal = await this.claim(job, job.key, slot);
         if (refusal) return refusal;
-        if (!this.stillGood(seat.row)) {
-          this.queue.leave(seat.row);
+        if (!this.stillGood(slot.row)) {
+          this.queue.release(slot.row);
           continue;
         }
       }
       if (job.gone() || this.deps.clock.mono() >= job.deadlineAt) {
-        this.queue.leave(seat.row);
-        return this.notRun(job, shed('lineWaitOver'), RETRY_AFTER_S);
+        this.queue.release(slot.row);
+        return this.notRun(job, rejection('lineWaitOver'), RETRY_AFTER_S);
       }
-      const end = await this.send(job, seat);
-      if (end.tag !== 'failed') return this.served(job, seat, end);
-      job.avoid.add(seat.candidate.ix);
+      const end = await this.send(job, slot);
+      if (end.tag !== 'failed') return this.served(job, slot, end);
+      job.avoid.add(slot.candidate.ix);
       if (!this.mayGoOn(job, end)) return this.ended(job, end);
     }
   }
 
   /** Claims the key of a run-once request, once; a submission is what the caller gets if that failed. */
-  private async claim(job: Job, key: RunKey, seat: TakenSeat): Promise<Submission | null> {
+  private async claim(job: Job, key: RunKey, slot: AcquiredSlot): Promise<Submission | null> {
     const outcome = await this.deps.claims.claim(key, job.ticket.id);
     if (outcome.tag !== 'claimed') {
-      this.queue.leave(seat.row);
+      this.queue.release(slot.row);
       return this.claimRefused(outcome);
     }
     job.claimed = true;
@@ -200,9 +200,9 @@
   private claimRefused(outcome: Exclude<ClaimOutcome, { tag: 'claimed' }>): Submission {
     switch (outcome.tag) {
       case 'noMajority':
-        return this.failed(shed('noMajority'));
+        return this.failed(rejection('noMajority'));
       case 'full':
-        return this.failed(shed('keysFull'), KEYS_FULL_S);
+        return this.failed(rejection('keysFull'), KEYS_FULL_S);
       case 'tooOld':
         return this.failed({ tag: 'keyTooOld' });
       case 'taken':
@@ -214,9 +214,9 @@
     return this.deps.ready() && this.deps.table.isCurrent(row) && row.present && !row.leaving && row.missedProbes === 0;
   }
 
-  private send(job: Job, { candidate, row }: TakenSeat): Promise<WorkerCallEnd> {
+  private send(job: Job, { candidate, row }: AcquiredSlot): Promise<WorkerCallEnd> {
     if (job.attempts > 0) this.retried += 1;
-    else this.budget.noteAttempt(job.values.retryShare);
+    else this.budget.recordAttempt(job.values.retryShare);
     job.attempts += 1;
     this.attempted += 1;
     const run: Run = {
@@ -229,7 +229,7 @@
     };
 
     const sealed = (): void => {
-      this.markAnswered(job);
+      this.recordAnswered(job);
     };
     return this.callWorker({
       candidate,
@@ -242,10 +242,10 @@
     });
   }
 
-  private served(job: Job, { candidate }: TakenSeat, end: Exclude<WorkerCallEnd, { tag: 'failed' }>): Submission {
-    this.deps.table.served(candidate.ix);
+  private served(job: Job, { candidate }: AcquiredSlot, end: Exclude<WorkerCallEnd, { tag: 'failed' }>): Submission {
+    this.deps.table.recordServed(candidate.ix);
     this.deps.table.prefixes.learn(this.deps.table.modelIx(job.ticket.model), job.parts, candidate.ix);
-    if (end.tag === 'whole') this.markAnswered(job);
+    if (end.tag === 'whole') this.recordAnswered(job);
     return end;
   }
 
@@ -258,14 +258,14 @@
       canResume: false,
       mayHaveRun: earlier,
       leftMs: job.deadlineAt - this.deps.clock.mono(),
-      takeAttempt: () => this.budget.spend(),
+      acquireAttempt: () => this.budget.spend(),
     });
     return decision.tag === 'repeat';
   }
 
   private ended(job: Job, end: Extract<WorkerCallEnd, { tag: 'failed' }>): Submission {
     const retryAfterS = end.outcome.tag === 'notExecuted' ? end.outcome.retryAfterS : RETRY_AFTER_S;
-    return this.notRun(job, shed('workersShed'), retryAfterS);
+    return this.notRun(job, rejection('workersShed'), retryAfterS);
   }
 
   /** The last word: that it was not run, and the claim released, unless an attempt may have run. */
@@ -275,7 +275,7 @@
     return this.failed(failure, retryAfterS);
   }
 
-  private markAnswered(job: Job): void {
+  private recordAnswered(job: Job): void {
     if (job.key !== null) this.deps.claims.end(job.key, job.ticket.id, 'answered');
   }
 
@@ -283,19 +283,19 @@
     this.requests[model] = (this.requests[model] ?? 0) + 1;
   }
 
-  countShed(): void {
-    this.shedCount += 1;
+  countRejected(): void {
+    this.rejectedCount += 1;
   }
 
   tally(): Tally {
     return {
       requests: { ...this.requests },
-      shed: this.shedCount,
+      shed: this.rejectedCount,
       attempted: this.attempted,
       retried: this.retried,
       cut: this.cut,
       waiting: this.queue.waiting(),
-      inFlight: this.flights.open(),
+      inFlight: this.pending.open(),
     };
   }
 
--- a/src/coordination/edge/flights.ts
+++ b/src/coordination/edge/flights.ts
@@ -2,21 +2,21 @@
 import type { WorkerTable } from '../../state/worker-table.js';
 import type { Clock } from '../../transport/clock.js';
 
-export type Flight = {
+export type PendingCall = {
   readonly row: WorkerRow;
-  readonly stop: AbortController;
+  readonly abort: AbortController;
   readonly onEvent: () => void;
 };
 
-export interface Flights {
-  takeOff(row: WorkerRow, pieceWaitMs: number): Flight;
-  land(flight: Flight): boolean;
+export interface PendingCalls {
+  begin(row: WorkerRow, pieceWaitMs: number): PendingCall;
+  end(call: PendingCall): boolean;
   endLost(): void;
   open(): number;
 }
 
 type Watched = {
-  readonly flight: Flight;
+  readonly call: PendingCall;
   readonly pieceWaitMs: number;
   pieces: boolean;
   lastAt: number;
@@ -28,31 +28,31 @@
 const DARK_MS = 2_000;
 const SILENCES_DARK = 2;
 
-class WatchedFlights implements Flights {
-  private readonly watched = new Map<Flight, Watched>();
+class WatchedPendingCalls implements PendingCalls {
+  private readonly watched = new Map<PendingCall, Watched>();
 
   constructor(
     private readonly table: WorkerTable,
     private readonly clock: Clock,
   ) {}
 
-  takeOff(row: WorkerRow, pieceWaitMs: number): Flight {
+  begin(row: WorkerRow, pieceWaitMs: number): PendingCall {
     const onEvent = (): void => {
       w.lastAt = this.clock.mono();
       w.pieces = true;
     };
-    const flight: Flight = { row, stop: new AbortController(), onEvent };
-    const w: Watched = { flight, pieceWaitMs, pieces: false, lastAt: this.clock.mono(), goneAt: null };
-    this.watched.set(flight, w);
-    return flight;
+    const call: PendingCall = { row, abort: new AbortController(), onEvent };
+    const w: Watched = { call, pieceWaitMs, pieces: false, lastAt: this.clock.mono(), goneAt: null };
+    this.watched.set(call, w);
+    return call;
   }
 
-  land(flight: Flight): boolean {
-    return this.watched.delete(flight);
+  end(call: PendingCall): boolean {
+    return this.watched.delete(call);
   }
 
   private isLost(w: Watched, now: number): boolean {
-    const { row } = w.flight;
+    const { row } = w.call;
     if (row.leaveBy !== null && now > row.leaveBy + LEAVE_SLACK_MS) return true;
     if (!this.table.isCurrent(row)) return true;
     if (row.present) w.goneAt = null;
@@ -65,7 +65,7 @@
 
   endLost(): void {
     const now = this.clock.mono();
-    for (const w of this.watched.values()) if (this.isLost(w, now)) w.flight.stop.abort();
+    for (const w of this.watched.values()) if (this.isLost(w, now)) w.call.abort.abort();
   }
 
   open(): number {
@@ -73,6 +73,6 @@
   }
 }
 
-export function createFlights(table: WorkerTable, clock: Clock): Flights {
-  return new WatchedFlights(table, clock);
+export function createPendingCalls(table: WorkerTable, clock: Clock): PendingCalls {
+  return new WatchedPendingCalls(table, clock);
 }
--- a/src/coordination/edge/forwarded-headers.ts
+++ b/src/coordination/edge/forwarded-headers.ts
@@ -1,6 +1,6 @@
 /** Headers on their way through the relay: which go along, and which are the relay's own. */
-import type { OpenWords } from '../../protocol/open-words.js';
-import type { OpenRequest, RawHeaders } from '../../transport/open-http.js';
+import type { HeaderNames } from '../../protocol/open-words.js';
+import type { OpaqueRequest, RawHeaders } from '../../transport/open-http.js';
 import type { RelayedRequest } from './relayed-request.js';
 
 /** Headers that concern one connection only, and those that frame a body: each side sets its own. */
@@ -21,20 +21,30 @@
 const LEAST_URGENT = 9;
 
 /** The head of a request as its worker gets it, with what is left of its deadline. */
-export function requestHeaders(words: OpenWords, request: RelayedRequest, workerId: string, leftMs: number): string[] {
+export function requestHeaders(
+  headerNames: HeaderNames,
+  request: RelayedRequest,
+  workerId: string,
+  leftMs: number,
+): string[] {
   const out: string[] = [];
   const { headers } = request.incoming;
   for (let i = 0; i + 1 < headers.length; i += 2) {
     const name = (headers[i] as string).toLowerCase();
-    if (HOP_BY_HOP.has(name) || name === words.deadline || name === words.expectWorker || name === words.urgency)
+    if (
+      HOP_BY_HOP.has(name) ||
+      name === headerNames.deadline ||
+      name === headerNames.expectWorker ||
+      name === headerNames.urgency
+    )
       continue;
-    if (name === words.lastEvent && request.answerBegun) continue;
+    if (name === headerNames.lastEvent && request.answerBegun) continue;
     out.push(headers[i] as string, headers[i + 1] as string);
   }
-  out.push(words.deadline, String(Math.max(1, Math.floor(leftMs))), words.expectWorker, workerId);
-  const { rank } = request.route.mapping;
-  if (rank !== null) out.push(words.urgency, String(Math.max(0, Math.min(LEAST_URGENT, rank))));
-  if (request.answerBegun && request.lastEvent !== null) out.push(words.lastEvent, String(request.lastEvent));
+  out.push(headerNames.deadline, String(Math.max(1, Math.floor(leftMs))), headerNames.expectWorker, workerId);
+  const { rank } = request.route.settings;
+  if (rank !== null) out.push(headerNames.urgency, String(Math.max(0, Math.min(LEAST_URGENT, rank))));
+  if (request.answerBegun && request.lastEvent !== null) out.push(headerNames.lastEvent, String(request.lastEvent));
   return out;
 }
 
@@ -59,6 +69,6 @@
 }
 
 /** True if the caller framed a body, be it an empty one. */
-export function hasBody(incoming: OpenRequest): boolean {
+export function hasBody(incoming: OpaqueRequest): boolean {
   return incoming.get('content-length') !== null || incoming.get('transfer-encoding') !== null;
 }
--- a/src/coordination/edge/last-answers.ts
+++ b/src/coordination/edge/last-answers.ts
@@ -1,7 +1,7 @@
 /** The relay's last word on a request: what a decision, or the lack of a worker, means for its caller. */
 import type { AttemptOutcome, Decision } from '../../state/attempt-outcome.js';
 import type { EdgeTuning } from '../../state/edge-tuning.js';
-import type { OpenRequest } from '../../transport/open-http.js';
+import type { OpaqueRequest } from '../../transport/open-http.js';
 import type { Rng } from '../../transport/rng.js';
 import type { AttemptEnd } from './attempt.js';
 import type { CallerAnswers } from './caller-answers.js';
@@ -13,9 +13,9 @@
   /** No worker was found in time; `noneInReach` if there is none at all, busy or not. */
   unplaced(request: RelayedRequest, noneInReach: boolean, leftMs: number): void;
   /** The routes aren't known yet. */
-  notReady(incoming: OpenRequest): void;
+  notReady(incoming: OpaqueRequest): void;
   /** This process ends before the request would. */
-  leaving(incoming: OpenRequest): void;
+  leaving(incoming: OpaqueRequest): void;
 }
 
 export type LastAnswersDeps = {
@@ -23,7 +23,7 @@
   readonly tuning: EdgeTuning;
   readonly rng: Rng;
   readonly onRefused: () => void;
-  readonly onCut: () => void;
+  readonly onTruncated: () => void;
 };
 
 /** Shares of `tuning.backMs` after which a refused caller is asked to come back. */
@@ -65,33 +65,33 @@
       this.refuse(
         request.incoming,
         'noneInReach',
-        Math.max(this.backInS(BACK_SHARE.full), (this.deps.tuning.awayShare * leftMs) / 1_000),
+        Math.max(this.backInS(BACK_SHARE.full), (this.deps.tuning.awayFraction * leftMs) / 1_000),
       );
     else this.refuse(request.incoming, 'full', this.backInS(BACK_SHARE.full));
   }
 
-  notReady(incoming: OpenRequest): void {
+  notReady(incoming: OpaqueRequest): void {
     this.refuse(incoming, 'notReady', this.backInS(BACK_SHARE.notReady));
   }
 
-  leaving(incoming: OpenRequest): void {
+  leaving(incoming: OpaqueRequest): void {
     this.refuse(incoming, 'leaving', ELSEWHERE_S);
   }
 
-  private refuse(incoming: OpenRequest, tag: string, retryAfterS: number): void {
+  private refuse(incoming: OpaqueRequest, tag: string, retryAfterS: number): void {
     this.deps.onRefused();
     this.deps.answers.refuse(incoming, 503, tag, retryAfterS);
   }
 
   private failed(request: RelayedRequest): void {
     if (request.answerBegun) {
-      this.deps.onCut();
-      request.incoming.answerer.cut();
+      this.deps.onTruncated();
+      request.incoming.answerer.abort();
     } else this.deps.answers.refuse(request.incoming, 502, 'unknown', null);
   }
 
-  private backInS(share: number): number {
-    return (this.deps.tuning.backMs * share * (0.75 + 0.5 * this.deps.rng.next())) / 1_000;
+  private backInS(fraction: number): number {
+    return (this.deps.tuning.backMs * fraction * (0.75 + 0.5 * this.deps.rng.next())) / 1_000;
   }
 }
 
--- a/src/coordination/edge/list-feed.ts
+++ b/src/coordination/edge/list-feed.ts
@@ -4,30 +4,31 @@
 import { every } from '../../transport/clock.js';
 import type { Clock, Timer } from '../../transport/clock.js';
 
-export type ListFeedEvents = { readonly changed: { readonly entries: readonly WorkerEntry[] } };
+export type WorkerListFeedEvents = { readonly changed: { readonly entries: readonly WorkerEntry[] } };
 
-export type ListFault = { readonly tag: 'listSilent' } | { readonly tag: 'listNonsense'; readonly detail: string };
+export type WorkerListFault =
+  { readonly tag: 'listSilent' } | { readonly tag: 'listNonsense'; readonly detail: string };
 
-export type ListReader = { readonly read: () => Promise<Result<readonly WorkerEntry[], ListFault>> };
+export type WorkerListReader = { readonly read: () => Promise<Result<readonly WorkerEntry[], WorkerListFault>> };
 
-export interface ListFeed {
+export interface WorkerListFeed {
   entries(): readonly WorkerEntry[];
   asOf(): number | null;
   readonly events: {
-    readonly on: <K extends keyof ListFeedEvents>(name: K, fn: (e: ListFeedEvents[K]) => void) => void;
+    readonly on: <K extends keyof WorkerListFeedEvents>(name: K, fn: (e: WorkerListFeedEvents[K]) => void) => void;
   };
   stop(): void;
 }
 
-class PolledListFeed implements ListFeed {
-  readonly events = createEvents<ListFeedEvents>();
+class PolledListFeed implements WorkerListFeed {
+  readonly events = createEvents<WorkerListFeedEvents>();
   private list: readonly WorkerEntry[] = [];
   private at: number | null = null;
   private asking = false;
   private readonly polling: Timer;
 
   constructor(
-    private readonly reader: ListReader,
+    private readonly reader: WorkerListReader,
     private readonly clock: Clock,
     private readonly everyMs: number,
   ) {
@@ -65,6 +66,6 @@
   }
 }
 
-export function createPolledFeed(reader: ListReader, clock: Clock, everyMs: number): ListFeed {
+export function createPolledFeed(reader: WorkerListReader, clock: Clock, everyMs: number): WorkerListFeed {
   return new PolledListFeed(reader, clock, everyMs);
 }
--- a/src/coordination/edge/list-news.ts
+++ b/src/coordination/edge/list-news.ts
@@ -1,54 +1,54 @@
 import { createEvents } from '../../base/events.js';
 import type { Message, MessageOf } from '../../protocol/messages.js';
-import { compareNumbers, createListBook } from '../../state/list-book.js';
-import type { ListBook, ListNumber, Taken } from '../../state/list-book.js';
+import { compareVersions, createWorkerListTable } from '../../state/list-book.js';
+import type { WorkerListTable, WorkerListVersion, ApplyResult } from '../../state/list-book.js';
 import { every } from '../../transport/clock.js';
 import type { Clock, Timer } from '../../transport/clock.js';
 import type { Address } from '../../transport/wire.js';
 import type { Peer, Peers } from '../members/peers.js';
 
-export type ListMessage = MessageOf<'listWhole'> | MessageOf<'listChange'> | MessageOf<'listBeat'>;
+export type WorkerListMessage = MessageOf<'listWhole'> | MessageOf<'listChange'> | MessageOf<'listBeat'>;
 
-export type ListNewsEvents = {
-  readonly taken: { readonly message: ListMessage; readonly contents: boolean };
-  readonly missed: { readonly number: ListNumber };
-  readonly outrun: { readonly number: ListNumber; readonly peer: Peer };
+export type WorkerListUpdateEvents = {
+  readonly taken: { readonly message: WorkerListMessage; readonly contents: boolean };
+  readonly missed: { readonly number: WorkerListVersion };
+  readonly outrun: { readonly number: WorkerListVersion; readonly peer: Peer };
   readonly woke: { readonly afterMs: number };
 };
 
-export type Asked = 'fresh' | 'stale' | 'silent';
+export type QueryResult = 'fresh' | 'stale' | 'silent';
 
-export type ListPace = {
+export type WorkerListPace = {
   readonly everyMs: number;
   readonly freshMs: number;
   readonly staggerMs: number;
-  readonly askMs: number;
+  readonly queryTimeoutMs: number;
   readonly readMs: number;
   readonly ownMs: number;
   readonly renewMs: number;
 };
 
-export const LIST_PACE: ListPace = {
+export const WORKER_LIST_PACE: WorkerListPace = {
   everyMs: 1_000,
   freshMs: 1_250,
   staggerMs: 150,
-  askMs: 200,
+  queryTimeoutMs: 200,
   readMs: 1_000,
   ownMs: 1_650,
   renewMs: 4_000,
 };
 
-export interface ListNews {
-  readonly book: ListBook;
+export interface WorkerListUpdates {
+  readonly table: WorkerListTable;
   readonly events: {
-    readonly on: <K extends keyof ListNewsEvents>(name: K, fn: (e: ListNewsEvents[K]) => void) => void;
+    readonly on: <K extends keyof WorkerListUpdateEvents>(name: K, fn: (e: WorkerListUpdateEvents[K]) => void) => void;
   };
   ageMs(): number;
   sinceContactMs(): number;
   recordContact(): void;
   isFresh(): boolean;
   reportedUnresponsive(): boolean;
-  ask(to: Address): Promise<Asked>;
+  query(to: Address): Promise<QueryResult>;
   detectStandstill(): void;
   stop(): void;
 }
@@ -59,9 +59,9 @@
 const SILENCE_KEPT_MS = 3_000;
 const NEVER = Number.POSITIVE_INFINITY;
 
-class PeerListNews implements ListNews {
-  readonly events = createEvents<ListNewsEvents>();
-  readonly book = createListBook();
+class PeerWorkerListUpdates implements WorkerListUpdates {
+  readonly events = createEvents<WorkerListUpdateEvents>();
+  readonly table = createWorkerListTable();
   private trusting = false;
   private lastContactAt: number | null = null;
   private unresponsiveAt: number | null = null;
@@ -71,16 +71,16 @@
   constructor(
     private readonly peers: Peers,
     private readonly clock: Clock,
-    private readonly pace: ListPace,
+    private readonly pace: WorkerListPace,
   ) {
     this.lastTickAt = this.clock.mono();
     this.turning = every(this.clock, TURN_MS, () => this.detectStandstill());
 
-    this.peers.on('listWhole', (m, peer) => this.onNews(m, peer));
+    this.peers.on('listWhole', (m, peer) => this.onUpdate(m, peer));
 
-    this.peers.on('listChange', (m, peer) => this.onNews(m, peer));
+    this.peers.on('listChange', (m, peer) => this.onUpdate(m, peer));
 
-    this.peers.on('listBeat', (m, peer) => this.onNews(m, peer));
+    this.peers.on('listBeat', (m, peer) => this.onUpdate(m, peer));
   }
 
   private since(at: number | null): number {
@@ -88,7 +88,7 @@
   }
 
   ageMs(): number {
-    return this.since(this.book.asOf());
+    return this.since(this.table.asOf());
   }
 
   sinceContactMs(): number {
@@ -116,25 +116,26 @@
     this.events.emit('woke', { afterMs: gap });
   }
 
-  private apply(m: ListMessage, now: number): Taken {
-    if (m.kind === 'listWhole') return this.book.takeWhole(m.number, m.entries, now - m.ageMs);
-    if (m.kind === 'listChange') return this.book.takeChange(m.number, m.base, m, now - m.ageMs);
+  private apply(m: WorkerListMessage, now: number): ApplyResult {
+    if (m.kind === 'listWhole') return this.table.applySnapshot(m.number, m.entries, now - m.ageMs);
+    if (m.kind === 'listChange')
+      return this.table.applyChange(m.number, m.base, { changed: m.told, gone: m.gone }, now - m.ageMs);
     if (m.number === null) return 'old';
-    return this.book.confirm(m.number, m.ageMs === null ? Number.NEGATIVE_INFINITY : now - m.ageMs);
+    return this.table.confirm(m.number, m.ageMs === null ? Number.NEGATIVE_INFINITY : now - m.ageMs);
   }
 
-  private take(m: ListMessage, now: number): Taken {
-    const before = this.book.number();
-    const readBefore = this.book.asOf() ?? Number.NEGATIVE_INFINITY;
+  private applyUpdate(m: WorkerListMessage, now: number): ApplyResult {
+    const before = this.table.number();
+    const readBefore = this.table.asOf() ?? Number.NEGATIVE_INFINITY;
     const end = this.apply(m, now);
     if (end === 'gap') return end;
     const silent = m.kind === 'listBeat' && m.silent === true;
     const unresponsiveUpdate = silent && this.since(this.unresponsiveAt) > this.pace.everyMs / 2;
     if (silent) this.unresponsiveAt = this.clock.mono();
     if (end === 'old') return end;
-    const after = this.book.number();
-    const contents = before === null || (after !== null && compareNumbers(before, after) !== 0);
-    const advanced = (this.book.asOf() ?? 0) - readBefore > this.pace.everyMs / 2;
+    const after = this.table.number();
+    const contents = before === null || (after !== null && compareVersions(before, after) !== 0);
+    const advanced = (this.table.asOf() ?? 0) - readBefore > this.pace.everyMs / 2;
     if (m.ageMs !== null && m.kind !== 'listChange' && m.sinceMs !== undefined)
       this.lastContactAt = Math.max(this.lastContactAt ?? Number.NEGATIVE_INFINITY, now - m.sinceMs);
     else if (contents || advanced) this.lastContactAt = this.clock.mono();
@@ -142,25 +143,30 @@
     return end;
   }
 
-  private onNews(m: ListMessage, peer: Peer): null {
+  private onUpdate(m: WorkerListMessage, peer: Peer): null {
     this.detectStandstill();
     if (m.number === null) return null;
     if (this.sinceContactMs() > DISTRUST_MS) this.trusting = false;
-    const held = this.book.number();
-    if (held && compareNumbers(m.number, held) < 0) {
-      if (m.number[1] !== held[1]) this.events.emit('outrun', { number: m.number, peer });
+    const current = this.table.number();
+    if (current && compareVersions(m.number, current) < 0) {
+      if (m.number[1] !== current[1]) this.events.emit('outrun', { number: m.number, peer });
       return null;
     }
-    if (!this.trusting || this.take(m, this.clock.mono()) === 'gap') this.events.emit('missed', { number: m.number });
+    if (!this.trusting || this.applyUpdate(m, this.clock.mono()) === 'gap')
+      this.events.emit('missed', { number: m.number });
     return null;
   }
 
-  async ask(to: Address): Promise<Asked> {
+  async query(to: Address): Promise<QueryResult> {
     const from = this.clock.mono();
-    const got = await this.peers.call(to, { kind: 'listFollow', number: this.book.number() }, this.pace.askMs);
+    const got = await this.peers.call(
+      to,
+      { kind: 'listFollow', number: this.table.number() },
+      this.pace.queryTimeoutMs,
+    );
     this.detectStandstill();
-    if (!got.ok || !isNews(got.value) || this.clock.mono() - from > STOOD_STILL_MS) return 'silent';
-    if (this.take(got.value, from) === 'taken') this.trusting = true;
+    if (!got.ok || !isUpdate(got.value) || this.clock.mono() - from > STOOD_STILL_MS) return 'silent';
+    if (this.applyUpdate(got.value, from) === 'taken') this.trusting = true;
     return this.isFresh() ? 'fresh' : 'stale';
   }
 
@@ -169,10 +175,10 @@
   }
 }
 
-export function createListNews(peers: Peers, clock: Clock, pace: ListPace): ListNews {
-  return new PeerListNews(peers, clock, pace);
+export function createWorkerListUpdates(peers: Peers, clock: Clock, pace: WorkerListPace): WorkerListUpdates {
+  return new PeerWorkerListUpdates(peers, clock, pace);
 }
 
-function isNews(m: Message): m is ListMessage {
+function isUpdate(m: Message): m is WorkerListMessage {
   return m.kind === 'listWhole' || m.kind === 'listChange' || m.kind === 'listBeat';
 }
--- a/src/coordination/edge/list-source.ts
+++ b/src/coordination/edge/list-source.ts
@@ -10,13 +10,17 @@
 import type { Membership } from '../members/membership.js';
 import type { Peers } from '../members/peers.js';
 
-export type SeenList = { readonly workers: readonly Listed[]; readonly ageMs: number; readonly secondHand: boolean };
+export type WorkerListReading = {
+  readonly workers: readonly Listed[];
+  readonly ageMs: number;
+  readonly secondHand: boolean;
+};
 
-export interface ListSource {
-  read(): Promise<Result<SeenList, CloudFault>>;
+export interface WorkerListSource {
+  read(): Promise<Result<WorkerListReading, CloudFault>>;
 }
 
-export type ListSourceDeps = {
+export type WorkerListSourceDeps = {
   readonly name: string;
   readonly platform: PlatformClient;
   readonly membership: Membership;
@@ -33,32 +37,32 @@
   return w.remainingMs === undefined ? w : { ...w, remainingMs: Math.max(0, w.remainingMs - ms) };
 }
 
-class PlatformListSource implements ListSource {
+class PlatformListSource implements WorkerListSource {
   private own: { readonly workers: readonly Listed[]; readonly at: number } | null = null;
 
-  constructor(private readonly deps: ListSourceDeps) {
-    this.deps.peers.on('listAsk', () => this.onAsk());
+  constructor(private readonly deps: WorkerListSourceDeps) {
+    this.deps.peers.on('listAsk', () => this.onListRequest());
   }
 
-  private onAsk(): Message {
+  private onListRequest(): Message {
     const ageMs = this.own === null ? null : this.deps.clock.mono() - this.own.at;
     if (this.own === null || ageMs === null || ageMs > OLDEST_MS) return { kind: 'listTold', ageMs: null, workers: [] };
     return { kind: 'listTold', ageMs, workers: [...this.own.workers] };
   }
 
-  async read(): Promise<Result<SeenList, CloudFault>> {
+  async read(): Promise<Result<WorkerListReading, CloudFault>> {
     const from = this.deps.clock.mono();
     const got = await this.deps.platform.workers();
-    if (!got.ok) return this.askOthers(got.fault);
+    if (!got.ok) return this.queryPeers(got.fault);
     this.own = { workers: got.value, at: from };
     return ok({ workers: got.value, ageMs: this.deps.clock.mono() - from, secondHand: false });
   }
 
-  private async askOthers(fault: CloudFault): Promise<Result<SeenList, CloudFault>> {
+  private async queryPeers(fault: CloudFault): Promise<Result<WorkerListReading, CloudFault>> {
     const others: NodeInfo[] = [];
     for (const n of this.deps.membership.all())
       if (n.role === 'proxy' && n.status === 'alive' && n.name !== this.deps.name) others.push(n);
-    let best: SeenList | null = null;
+    let best: WorkerListReading | null = null;
     const asks: Promise<void>[] = [];
 
     const one = async (n: NodeInfo): Promise<void> => {
@@ -70,14 +74,14 @@
     };
     for (const n of shuffled(this.deps.rng, others).slice(0, ASKED)) asks.push(one(n));
     await Promise.all(asks);
-    const told = best as SeenList | null;
-    if (!told) return err(fault);
+    const reading = best as WorkerListReading | null;
+    if (!reading) return err(fault);
     const workers: Listed[] = [];
-    for (const w of told.workers) workers.push(aged(w, told.ageMs));
-    return ok({ ...told, workers });
+    for (const w of reading.workers) workers.push(aged(w, reading.ageMs));
+    return ok({ ...reading, workers });
   }
 }
 
-export function createListSource(deps: ListSourceDeps): ListSource {
+export function createWorkerListSource(deps: WorkerListSourceDeps): WorkerListSource {
   return new PlatformListSource(deps);
 }
--- a/src/coordination/edge/open-proxy.test.ts
+++ b/src/coordination/edge/open-proxy.test.ts
@@ -6,9 +6,9 @@
 import type { Report } from '../../state/report.js';
 import type { Serving } from '../../state/serving.js';
 import { createQuietLog } from '../../transport/log.js';
-import type { OpenRequest, ConnectionPool, SendEvents } from '../../transport/open-http.js';
+import type { OpaqueRequest, ConnectionPool, SendEvents } from '../../transport/open-http.js';
 import { createRng } from '../../transport/rng.js';
-import { startOpenProxy } from './open-proxy.js';
+import { startOpaqueProxy } from './open-proxy.js';
 
 const SERVING: Serving = {
   number: 1,
@@ -45,7 +45,7 @@
   const connectionPool: ConnectionPool = {
     send: (_what, events) => {
       sent.push(events);
-      return { cut: () => undefined };
+      return { abort: () => undefined };
     },
     check: () => undefined,
     open: () => 0,
@@ -54,11 +54,11 @@
     made: () => 0,
     stop: () => undefined,
   };
-  const httpServers: ((req: OpenRequest) => void)[] = [];
+  const httpServers: ((req: OpaqueRequest) => void)[] = [];
   const stoppedListening: number[] = [];
   let listed = true;
   let tellList = (): void => undefined;
-  const started = startOpenProxy(
+  const started = startOpaqueProxy(
     {
       name: 's1',
       run: 'run-1',
@@ -73,7 +73,7 @@
       rng: createRng(seed),
       wire,
       logs: createQuietLog(),
-      words: W,
+      headerNames: W,
       tuning: EDGE_TUNING,
       connectionPool,
       httpServer: {
@@ -141,7 +141,7 @@
         end: () => {
           answer.ended = true;
         },
-        cut: () => undefined,
+        abort: () => undefined,
         gone: () => false,
         onGone: () => undefined,
       },
--- a/src/coordination/edge/open-proxy.ts
+++ b/src/coordination/edge/open-proxy.ts
@@ -3,7 +3,7 @@
 import type { MessageOf } from '../../protocol/messages.js';
 import type { NodeInfo } from '../../state/node-info.js';
 import type { Report } from '../../state/report.js';
-import type { OpenWords } from '../../protocol/open-words.js';
+import type { HeaderNames } from '../../protocol/open-words.js';
 import { createAttemptBudget } from '../../state/attempt-budget.js';
 import { createRouteTable } from '../../state/route-table.js';
 import type { RouteTable } from '../../state/route-table.js';
@@ -12,7 +12,7 @@
 import { every, pause } from '../../transport/clock.js';
 import type { Clock } from '../../transport/clock.js';
 import type { LogRoot } from '../../transport/log.js';
-import type { OpenHttpServer, ConnectionPool } from '../../transport/open-http.js';
+import type { OpaqueHttpServer, ConnectionPool } from '../../transport/open-http.js';
 import type { Rng } from '../../transport/rng.js';
 import type { Address, Wire, WireFault } from '../../transport/wire.js';
 import { createFollower } from '../ledger/follower.js';
@@ -21,11 +21,11 @@
 import { followRelocatedControllers } from '../members/moved-heads.js';
 import { createPeers } from '../members/peers.js';
 import type { Peers } from '../members/peers.js';
-import type { ListFeed } from './list-feed.js';
+import type { WorkerListFeed } from './list-feed.js';
 import { createRelay } from './relay.js';
 import type { RelayTally } from './relay.js';
 
-export type OpenProxyIdentity = {
+export type OpaqueProxyIdentity = {
   readonly name: string;
   readonly run: string;
   readonly zone: string;
@@ -35,19 +35,19 @@
   readonly seeds: readonly Address[];
 };
 
-export type OpenProxyDeps = {
+export type OpaqueProxyDeps = {
   readonly clock: Clock;
   readonly rng: Rng;
   readonly wire: Wire;
-  readonly httpServer: OpenHttpServer;
+  readonly httpServer: OpaqueHttpServer;
   readonly connectionPool: ConnectionPool;
   readonly logs: LogRoot;
-  readonly words: OpenWords;
+  readonly headerNames: HeaderNames;
   readonly tuning: EdgeTuning;
-  readonly feed: (peers: Peers, controllers: () => readonly Address[]) => ListFeed;
+  readonly feed: (peers: Peers, controllers: () => readonly Address[]) => WorkerListFeed;
 };
 
-export type OpenProxy = {
+export type OpaqueProxy = {
   readonly front: Address;
   readonly ready: () => boolean;
   readonly tally: () => RelayTally;
@@ -69,14 +69,14 @@
 const LINGER_MS = 3_000;
 const LAST_CALL_MS = 1_500;
 
-export async function startOpenProxy(
-  id: OpenProxyIdentity,
-  deps: OpenProxyDeps,
-): Promise<Result<OpenProxy, WireFault>> {
+export async function startOpaqueProxy(
+  id: OpaqueProxyIdentity,
+  deps: OpaqueProxyDeps,
+): Promise<Result<OpaqueProxy, WireFault>> {
   const { clock, rng, logs, tuning } = deps;
   const log = logs.part('proxy');
   const peers = createPeers(deps.wire, clock, logs.part('peers'));
-  const life = await nextIncarnation(null, log);
+  const firstIncarnation = await nextIncarnation(null, log);
   const follower = await createFollower(id, id.seeds, peers, clock, null, logs.part('follow'));
   const opened = await peers.open(id.listen);
   if (!opened.ok) return opened;
@@ -87,14 +87,14 @@
     region: id.region,
     http: id.front,
     role: 'proxy',
-    incarnation: life,
+    incarnation: firstIncarnation,
     address: id.listen,
     status: 'alive',
   };
   const membership = createMembership(node, () => follower.controllers(), peers, clock, rng, logs.part('members'));
   followRelocatedControllers(membership, () => follower.controlState(), peers);
-  const book = createWorkerRegistry(
-    { name: id.name, zone: id.zone, region: id.region, held: deps.connectionPool.idle },
+  const registry = createWorkerRegistry(
+    { name: id.name, zone: id.zone, region: id.region, openConnections: deps.connectionPool.idle },
     tuning,
   );
   const budget = createAttemptBudget({
@@ -123,9 +123,9 @@
     return !closing && current() !== null;
   }
   const relay = createRelay({
-    words: deps.words,
+    words: deps.headerNames,
     tuning,
-    book,
+    registry,
     budget,
     connectionPool: deps.connectionPool,
     clock,
@@ -150,14 +150,14 @@
     function coldMs(model: string): number {
       return (table?.traits(model)?.coldS ?? 0) * 1_000;
     }
-    book.takeZones(b.evacuated, preemptive, clock.mono(), coldMs);
-    book.sharers(b.proxies);
-    budget.sharers(Object.keys(b.proxies).length);
+    registry.applyZones(b.evacuated, preemptive, clock.mono(), coldMs);
+    registry.setSharingProxies(b.proxies);
+    budget.setSharingProxies(Object.keys(b.proxies).length);
     relay.wake();
   }
   follower.events.on('moved', onMoved);
   function onList(): void {
-    book.takeList(feed.entries(), clock.mono());
+    registry.applyList(feed.entries(), clock.mono());
     relay.wake();
   }
   feed.events.on('changed', onList);
@@ -176,7 +176,7 @@
   limit();
 
   let count = 0;
-  let incarnation = life;
+  let incarnation = firstIncarnation;
   function onOutlived(m: MessageOf<'outlived'>): null {
     if (m.reporter === id.name && m.incarnation >= incarnation) incarnation = m.incarnation + 1;
     return null;
@@ -187,9 +187,9 @@
     count += 1;
     const health: Report['health'] = {};
     const now = clock.mono();
-    for (const row of book.rows())
+    for (const row of registry.rows())
       if (row.present && row.fails >= 3 && row.badUntil > now) health[row.entry.id] = 'unfit';
-    const told: Report = {
+    const sentLoads: Report = {
       reporter: id.name,
       run: id.run,
       incarnation,
@@ -206,34 +206,34 @@
       region: id.region,
       ...(closing && mayBeNamed ? { draining: true } : {}),
     };
-    follower.sendToController({ kind: 'reports', reports: [told] });
+    follower.sendToController({ kind: 'reports', reports: [sentLoads] });
   }
   const reporting = every(clock, REPORT_MS, report);
-  let told = 0;
-  let toldAt = 0;
-  let lastTold = '';
+  let loadsSent = 0;
+  let loadSentAt = 0;
+  let lastSentLoad = '';
   let quiet = true;
   function sendLoad(): void {
-    const rows = book.usage(clock.mono());
+    const rows = registry.load(clock.mono());
     const nothing = Object.keys(rows).length === 0;
     const text = JSON.stringify(rows);
     const now = clock.mono();
-    if ((nothing && quiet) || (text === lastTold && now - toldAt < USAGE_KEPT_MS)) return;
+    if ((nothing && quiet) || (text === lastSentLoad && now - loadSentAt < USAGE_KEPT_MS)) return;
     quiet = nothing;
-    lastTold = text;
-    toldAt = now;
-    told += 1;
-    follower.sendToController({ kind: 'usage', told: { name: id.name, run: id.run, count: told, rows } });
+    lastSentLoad = text;
+    loadSentAt = now;
+    loadsSent += 1;
+    follower.sendToController({ kind: 'usage', told: { name: id.name, run: id.run, count: loadsSent, rows } });
   }
   const telling = every(clock, USAGE_MS, sendLoad);
   function onFleetLoad(m: MessageOf<'fleetLoad'>): null {
-    book.takeFleetLoad(m.rows, clock.mono());
+    registry.applyFleetLoad(m.rows, clock.mono());
     relay.wake();
     return null;
   }
   peers.on('fleetLoad', onFleetLoad);
   let wasReady = false;
-  function look(): void {
+  function checkReadiness(): void {
     relay.turn();
     const now = ready();
     if (now !== wasReady) {
@@ -242,13 +242,13 @@
       report();
     }
   }
-  let looking = clock.timer(LOOK_OPENING_MS, lookAgain);
-  function lookAgain(): void {
-    look();
-    looking = clock.timer(wasReady ? LOOK_MS : LOOK_OPENING_MS, lookAgain);
+  let readinessTimer = clock.timer(LOOK_OPENING_MS, checkReadinessAgain);
+  function checkReadinessAgain(): void {
+    checkReadiness();
+    readinessTimer = clock.timer(wasReady ? LOOK_MS : LOOK_OPENING_MS, checkReadinessAgain);
   }
-  function stopLooking(): void {
-    looking.cancel();
+  function stopReadinessChecks(): void {
+    readinessTimer.cancel();
   }
   log.info(`Opaque server at ${id.front}, peers at ${opened.value.address}.`);
 
@@ -257,7 +257,7 @@
     closing = true;
     endsAt = from + longestMs;
     intakeUntil = from + INTAKE_MS;
-    look();
+    checkReadiness();
     report();
     membership.leave();
     for (;;) {
@@ -275,7 +275,7 @@
   async function stop(): Promise<void> {
     reporting.cancel();
     telling.cancel();
-    stopLooking();
+    stopReadinessChecks();
     feed.stop();
     membership.stop();
     follower.stop();
--- a/src/coordination/edge/placer.ts
+++ b/src/coordination/edge/placer.ts
@@ -2,9 +2,9 @@
 import { err, ok } from '../../base/result.js';
 import type { Result } from '../../base/result.js';
 import type { NodeInfo } from '../../state/node-info.js';
-import type { Failure, PlaceAsk, Placed, ShedReason } from '../../protocol/caller-wire.js';
-import type { Candidate, PlaceContext } from '../../state/candidate.js';
-import { placeAmong } from '../../state/policies.js';
+import type { Failure, PlacementRequest, Placement, RejectReason } from '../../protocol/caller-wire.js';
+import type { Candidate, SelectionContext } from '../../state/candidate.js';
+import { selectAmong } from '../../state/policies.js';
 import type { Choice, Policy } from '../../state/policies.js';
 import { resolveAll } from '../../state/settings-tree.js';
 import type { ResolvedModel } from '../../state/settings-tree.js';
@@ -26,8 +26,8 @@
   readonly avoid: ReadonlySet<number>;
 };
 
-export interface Placer {
-  place(ask: PlaceAsk): Result<Placed, Failure>;
+export interface PlacementService {
+  place(request: PlacementRequest): Result<Placement, Failure>;
   choose(where: Where): Choice;
   resolved(model: string): ResolvedModel | null;
   homesOf(model: string, bound: Bound): readonly string[] | null;
@@ -47,11 +47,11 @@
   return `${node.name}#${node.run}`;
 }
 
-export function shed(reason: ShedReason): Failure {
+export function rejection(reason: RejectReason): Failure {
   return { tag: 'shed', notRun: true, reason };
 }
 
-export type PlacerDeps = {
+export type PlacementServiceDeps = {
   readonly self: ProxySelf;
   readonly ready: () => boolean;
   readonly follower: Follower;
@@ -67,22 +67,22 @@
 }
 
 /** The proxies that membership has as up. */
-type Ups = {
+type UpProxies = {
   readonly all: readonly NodeInfo[];
   readonly byZone: ReadonlyMap<string, readonly NodeInfo[]>;
   readonly zones: ReadonlySet<string>;
 };
 
-class PolicyPlacer implements Placer {
+class PolicyPlacementService implements PlacementService {
   private models = new Map<string, ResolvedModel>();
   private modelsAt = -1;
-  private ups: Ups | null = null;
-  private readonly roomy: Policy[] = [];
+  private upProxies: UpProxies | null = null;
+  private readonly withoutCapacity: Policy[] = [];
 
-  constructor(private readonly deps: PlacerDeps) {
+  constructor(private readonly deps: PlacementServiceDeps) {
     this.deps.membership.events.on('changed', () => this.onChanged());
 
-    for (const p of this.deps.policies) if (p.name !== 'room') this.roomy.push(p);
+    for (const p of this.deps.policies) if (p.name !== 'room') this.withoutCapacity.push(p);
   }
 
   resolved(model: string): ResolvedModel | null {
@@ -96,11 +96,11 @@
   }
 
   private onChanged(): void {
-    this.ups = null;
+    this.upProxies = null;
   }
 
-  private proxiesUp(): Ups {
-    if (this.ups) return this.ups;
+  private proxiesUp(): UpProxies {
+    if (this.upProxies) return this.upProxies;
     const all: NodeInfo[] = [];
     const byZone = new Map<string, NodeInfo[]>();
     for (const n of this.deps.membership.all()) {
@@ -108,13 +108,13 @@
       all.push(n);
       byZone.set(n.zone, [...(byZone.get(n.zone) ?? []), n]);
     }
-    this.ups = { all, byZone, zones: new Set(byZone.keys()) };
-    return this.ups;
+    this.upProxies = { all, byZone, zones: new Set(byZone.keys()) };
+    return this.upProxies;
   }
 
-  private contextOf(where: Where, all: readonly Candidate[]): PlaceContext {
-    let share = 0;
-    for (const c of all) share += Math.min(1, c.running / c.limit);
+  private contextOf(where: Where, all: readonly Candidate[]): SelectionContext {
+    let loadSum = 0;
+    for (const c of all) loadSum += Math.min(1, c.running / c.limit);
     return {
       ...this.callerOf(where),
       ownRegion: this.deps.self.region,
@@ -122,15 +122,15 @@
       partitioned: this.deps.follower.partitioned(),
       seed: this.seedOf(where),
       avoid: where.avoid,
-      meanShare: all.length === 0 ? 0 : share / all.length,
+      meanLoad: all.length === 0 ? 0 : loadSum / all.length,
     };
   }
 
   private callerOf(where: Where): { readonly zone: string; readonly region: string } {
-    const told =
+    const configured =
       where.from === undefined ? undefined : this.deps.follower.controlState().configuration.zones[where.from];
-    return told && where.from !== undefined
-      ? { zone: where.from, region: told.region }
+    return configured && where.from !== undefined
+      ? { zone: where.from, region: configured.region }
       : { zone: this.deps.self.zone, region: this.deps.self.region };
   }
 
@@ -138,7 +138,7 @@
     return where.parts[0] ?? newId(this.deps.rng, 's');
   }
 
-  private candidatesOf(where: Where, whole: boolean): Candidate[] {
+  private candidatesOf(where: Where, complete: boolean): Candidate[] {
     const rm = this.resolved(where.model);
     if (!rm) return [];
     const { model, parts, homes } = where;
@@ -152,16 +152,16 @@
       zonesWithProxy: this.proxiesUp().zones,
       now: this.deps.clock.mono(),
       seed: this.seedOf(where),
-      whole,
+      complete,
     });
   }
 
-  private among(where: Where, given: readonly Policy[]): Choice {
+  private among(where: Where, policies: readonly Policy[]): Choice {
     const few = this.candidatesOf(where, false);
-    const choice = placeAmong(few, this.contextOf(where, few), given);
+    const choice = selectAmong(few, this.contextOf(where, few), policies);
     if (choice.tag === 'chosen' || choice.stoppedBy === 'room') return choice;
     const all = this.candidatesOf(where, true);
-    return placeAmong(all, this.contextOf(where, all), given);
+    return selectAmong(all, this.contextOf(where, all), policies);
   }
 
   choose(where: Where): Choice {
@@ -216,30 +216,30 @@
     return best;
   }
 
-  place(ask: PlaceAsk): Result<Placed, Failure> {
+  place(request: PlacementRequest): Result<Placement, Failure> {
     const b = this.deps.follower.controlState();
-    if (!this.deps.ready()) return err(shed('notReady'));
-    const mapping = ask.mapping === undefined ? null : (b.configuration.mappings?.[ask.mapping] ?? null);
-    if (ask.mapping !== undefined && !mapping) return err({ tag: 'unknownModel' });
-    const model = mapping?.model ?? ask.model ?? '';
+    if (!this.deps.ready()) return err(rejection('notReady'));
+    const mapping = request.mapping === undefined ? null : (b.configuration.mappings?.[request.mapping] ?? null);
+    if (request.mapping !== undefined && !mapping) return err({ tag: 'unknownModel' });
+    const model = mapping?.model ?? request.model ?? '';
     const rm = this.resolved(model);
     if (!rm) return err({ tag: 'unknownModel' });
-    const bound: Bound = { mapping: ask.mapping ?? null, kind: ask.kind ?? null, asked: ask.homes ?? null };
+    const bound: Bound = { mapping: request.mapping ?? null, kind: request.kind ?? null, asked: request.homes ?? null };
     const homes = this.homesOf(model, bound);
-    if (homes !== null && homes.length === 0) return err(shed('outsideHomes'));
+    if (homes !== null && homes.length === 0) return err(rejection('outsideHomes'));
     const where: Where = {
       model,
-      parts: ask.parts,
+      parts: request.parts,
       homes,
       avoid: new Set(),
-      ...(ask.zone === undefined ? {} : { from: ask.zone }),
+      ...(request.zone === undefined ? {} : { from: request.zone }),
     };
     const first = this.among(where, this.deps.policies);
-    const choice = first.tag === 'none' && first.stoppedBy === 'room' ? this.among(where, this.roomy) : first;
-    if (choice.tag === 'none') return err(shed('noWorker'));
+    const choice = first.tag === 'none' && first.stoppedBy === 'room' ? this.among(where, this.withoutCapacity) : first;
+    if (choice.tag === 'none') return err(rejection('noWorker'));
     const requestId = newId(this.deps.rng, 'req');
-    const node = this.pickProxy(choice.candidate, homes, ask.without ?? [], requestId);
-    if (!node) return err(shed('noWorker'));
+    const node = this.pickProxy(choice.candidate, homes, request.without ?? [], requestId);
+    if (!node) return err(rejection('noWorker'));
     const ticket: Ticket = {
       id: newId(this.deps.rng, 'ticket'),
       requestId,
@@ -247,7 +247,7 @@
       model,
       region: node.region,
       bound,
-      repeatable: ask.repeatable,
+      repeatable: request.repeatable,
       expiresAt: this.deps.follower.sharedNow() + TICKET_LIFE_MS,
     };
     return ok({
@@ -260,6 +260,6 @@
   }
 }
 
-export function createPlacer(deps: PlacerDeps): Placer {
-  return new PolicyPlacer(deps);
+export function createPlacementService(deps: PlacementServiceDeps): PlacementService {
+  return new PolicyPlacementService(deps);
 }
--- a/src/coordination/edge/proxy-http-server.ts
+++ b/src/coordination/edge/proxy-http-server.ts
@@ -1,13 +1,13 @@
-import type { Failure, PlaceAsk, Submit } from '../../protocol/caller-wire.js';
+import type { Failure, PlacementRequest, Submit } from '../../protocol/caller-wire.js';
 import {
   EDGE_HEALTH_PATH,
   PLACE_PATH,
-  readPlace,
+  readPlacementRequest,
   readSubmit,
   REQUESTS_PATH,
   TICKET_HEADER,
 } from '../../protocol/caller-wire.js';
-import { mappingSubject, noteIn } from '../../state/aim-counts.js';
+import { routeSubject, noteIn } from '../../state/aim-counts.js';
 import type { CountTable, Ended } from '../../state/aim-counts.js';
 import { readRunKey, runKey } from '../../state/run-key.js';
 import type { RunKey } from '../../state/run-key.js';
@@ -17,8 +17,8 @@
 import type { HttpReply, HttpRequest, Route } from '../../transport/http.js';
 import type { AnswerLine, Dispatcher } from './dispatcher.js';
 import type { Follower } from '../ledger/follower.js';
-import { shed, proxyId, TICKET_LIFE_MS } from './placer.js';
-import type { Placer, ProxySelf } from './placer.js';
+import { rejection, proxyId, TICKET_LIFE_MS } from './placer.js';
+import type { PlacementService, ProxySelf } from './placer.js';
 
 const STATUS: Readonly<Record<Failure['tag'], number>> = {
   shed: 503,
@@ -34,8 +34,8 @@
 };
 
 export function failureReply(failure: Failure, retryAfterS: number): HttpReply {
-  const ticketFault = failure.tag === 'shed' && failure.reason.startsWith('ticket');
-  const status = ticketFault ? 409 : STATUS[failure.tag];
+  const isTokenError = failure.tag === 'shed' && failure.reason.startsWith('ticket');
+  const status = isTokenError ? 409 : STATUS[failure.tag];
   const waits = status === 503 || status === 502;
   return { status, headers: waits ? { 'retry-after': String(retryAfterS) } : {}, body: { error: failure } };
 }
@@ -44,7 +44,7 @@
   readonly self: ProxySelf;
   readonly ready: () => boolean;
   readonly follower: Follower;
-  readonly placer: Placer;
+  readonly placement: PlacementService;
   readonly dispatcher: Dispatcher;
   readonly clock: Clock;
   readonly status: () => unknown;
@@ -52,21 +52,21 @@
 };
 
 export function proxyRoutes(deps: ProxyHttpServerDeps): Route[] {
-  const { self, ready, follower, placer, dispatcher, clock, status, counts } = deps;
+  const { self, ready, follower, placement, dispatcher, clock, status, counts } = deps;
   const burnt = createBurntTickets();
 
   async function place(req: HttpRequest): Promise<HttpReply> {
-    const ask = readPlace(req.body);
-    if (!ask.ok) return failureReply(ask.fault, 1);
-    if ((ask.value.model === undefined) === (ask.value.mapping === undefined)) {
+    const request = readPlacementRequest(req.body);
+    if (!request.ok) return failureReply(request.fault, 1);
+    if ((request.value.model === undefined) === (request.value.mapping === undefined)) {
       return failureReply({ tag: 'malformed', detail: 'name either a model or a mapping' }, 1);
     }
-    const placed = placer.place(ask.value);
+    const placed = placement.place(request.value);
     if (placed.ok) return { status: 200, body: placed.value };
     if (placed.fault.tag === 'shed') {
-      dispatcher.countShed();
-      if (ask.value.model !== undefined) dispatcher.countRequest(ask.value.model);
-      count(modelOf(ask.value), ask.value.mapping ?? null, { outcome: 'shed', firstMs: null, wholeMs: null });
+      dispatcher.countRejected();
+      if (request.value.model !== undefined) dispatcher.countRequest(request.value.model);
+      count(modelOf(request.value), request.value.mapping ?? null, { outcome: 'shed', firstMs: null, wholeMs: null });
     }
     return failureReply(placed.fault, 1);
   }
@@ -74,16 +74,16 @@
   function ticketOf(req: HttpRequest): Ticket | Failure {
     const text = req.headers[TICKET_HEADER];
     if (text === undefined) return { tag: 'malformed', detail: `the ${TICKET_HEADER} header is missing` };
-    if (!ready()) return shed('notReady');
+    if (!ready()) return rejection('notReady');
     const read = readTicket(text, follower.controlState().ticketKey, proxyId(self), follower.sharedNow());
-    if (typeof read === 'string') return shed(read);
-    const homes = placer.homesOf(read.model, read.bound);
-    if (homes !== null && !homes.includes(self.region)) return shed('outsideHomes');
+    if (typeof read === 'string') return rejection(read);
+    const homes = placement.homesOf(read.model, read.bound);
+    if (homes !== null && !homes.includes(self.region)) return rejection('outsideHomes');
     return read;
   }
 
   function mostBytes(ticket: Ticket): number {
-    return placer.resolved(ticket.model)?.values.maxBodyBytes ?? 0;
+    return placement.resolved(ticket.model)?.values.maxBodyBytes ?? 0;
   }
 
   function gate(req: HttpRequest): HttpReply | null {
@@ -109,10 +109,10 @@
   async function submit(req: HttpRequest): Promise<HttpReply> {
     const ticket = ticketOf(req);
     if ('tag' in ticket) return failureReply(ticket, 1);
-    if (!burnt.burn(ticket, clock.mono())) return failureReply(shed('ticketUsed'), 1);
+    if (!burnt.burn(ticket, clock.mono())) return failureReply(rejection('ticketUsed'), 1);
     const body = readSubmit(req.body);
     if (!body.ok) return failureReply(body.fault, 1);
-    if (body.value.requestId !== ticket.requestId) return failureReply(shed('ticketForeign'), 1);
+    if (body.value.requestId !== ticket.requestId) return failureReply(rejection('ticketForeign'), 1);
     const unsized = req.headers['content-length'] === undefined;
     if (unsized && JSON.stringify(body.value).length > mostBytes(ticket))
       return failureReply({ tag: 'bodyTooLarge' }, 1);
@@ -142,27 +142,29 @@
     ended: (outcome: Ended['outcome'], firstMs: number | null) => void,
   ): AsyncGenerator<AnswerLine> {
     let firstMs: number | null = null;
-    for await (const line of lines) {
-      if ('piece' in line) firstMs ??= clock.mono() - from;
-      else ended('seal' in line ? 'good' : 'failed', firstMs);
-      yield line;
+    for await (const queue of lines) {
+      if ('piece' in queue) firstMs ??= clock.mono() - from;
+      else ended('seal' in queue ? 'good' : 'failed', firstMs);
+      yield queue;
     }
   }
 
-  function modelOf(ask: PlaceAsk): string {
+  function modelOf(request: PlacementRequest): string {
     const mapped =
-      ask.mapping === undefined ? undefined : follower.controlState().configuration.mappings?.[ask.mapping]?.model;
-    return mapped ?? ask.model ?? '';
+      request.mapping === undefined
+        ? undefined
+        : follower.controlState().configuration.mappings?.[request.mapping]?.model;
+    return mapped ?? request.model ?? '';
   }
   function count(model: string, mapping: string | null, e: Ended): void {
     noteIn(counts, model, e);
-    if (mapping !== null) noteIn(counts, mappingSubject(mapping), e);
+    if (mapping !== null) noteIn(counts, routeSubject(mapping), e);
   }
 
   async function health(): Promise<HttpReply> {
     return { status: 200, body: { name: self.name, ready: ready() } };
   }
-  async function tell(): Promise<HttpReply> {
+  async function readStatus(): Promise<HttpReply> {
     return { status: 200, body: status() };
   }
 
@@ -170,6 +172,6 @@
     { method: 'POST', path: PLACE_PATH, handle: place },
     { method: 'POST', path: REQUESTS_PATH, maxBytes: 64 * 1_048_576, gate, handle: submit },
     { method: 'GET', path: EDGE_HEALTH_PATH, handle: health },
-    { method: 'GET', path: '/v1/status', handle: tell },
+    { method: 'GET', path: '/v1/status', handle: readStatus },
   ];
 }
--- a/src/coordination/edge/proxy.ts
+++ b/src/coordination/edge/proxy.ts
@@ -18,11 +18,11 @@
 import { createMembership } from '../members/membership.js';
 import { metricsRoute } from '../metrics-http-server.js';
 import type { NodeDeps, NodeIdentity } from '../node.js';
-import { createListSource } from './list-source.js';
+import { createWorkerListSource } from './list-source.js';
 import { followRelocatedControllers, locationsOf } from '../members/moved-heads.js';
 import { createPeers } from '../members/peers.js';
-import { createPlacer } from './placer.js';
-import type { Placer, ProxySelf } from './placer.js';
+import { createPlacementService } from './placer.js';
+import type { PlacementService, ProxySelf } from './placer.js';
 import { proxyRoutes } from './proxy-http-server.js';
 import { createWorkerWatch } from './worker-watch.js';
 
@@ -39,7 +39,7 @@
   readonly http: Address;
   readonly tally: () => Tally;
   readonly view: () => ProxyView;
-  readonly place: Placer['place'];
+  readonly place: PlacementService['place'];
   readonly stop: () => Promise<void>;
 };
 
@@ -62,11 +62,20 @@
   const membership = createMembership(node, () => follower.controllers(), peers, clock, rng, logs.part('members'));
   followRelocatedControllers(membership, () => follower.controlState(), peers);
   follower.setTopology(locationsOf(membership));
-  const placer = createPlacer({ self, ready, follower, membership, table, policies: deps.policies, clock, rng });
+  const placement = createPlacementService({
+    self,
+    ready,
+    follower,
+    membership,
+    table,
+    policies: deps.policies,
+    clock,
+    rng,
+  });
   const claims = createClaimClient(() => follower.controlState(), peers, clock);
   const dispatcher = createDispatcher({
     ready,
-    placer,
+    placement,
     table,
     claims,
     httpClient,
@@ -74,7 +83,7 @@
     rng,
     log: logs.part('attempt'),
   });
-  const source = createListSource({
+  const source = createWorkerListSource({
     name: id.name,
     platform: createPlatformClient(httpClient, id.platform),
     membership,
@@ -93,12 +102,12 @@
   });
 
   function ready(): boolean {
-    const asked = watch.askedAt();
+    const asked = watch.listReadAt();
     return follower.fresh() && asked !== null && asked >= follower.wokeAt();
   }
 
   function onMoved(): void {
-    table.takeControlState(follower.controlState());
+    table.applyControlState(follower.controlState());
     watch.probeStrangers();
     dispatcher.wake();
   }
@@ -194,7 +203,7 @@
   }
 
   const routes = [
-    ...proxyRoutes({ self, ready, follower, placer, dispatcher, clock, status, counts }),
+    ...proxyRoutes({ self, ready, follower, placement, dispatcher, clock, status, counts }),
     metricsRoute(deps.meters(), meter),
   ];
   const httpServer = await deps.httpServer.open(id.httpListen, routes);
@@ -240,7 +249,7 @@
     http: served.address,
     tally: () => dispatcher.tally(),
     view,
-    place: (ask) => placer.place(ask),
+    place: (ask) => placement.place(ask),
     stop,
   });
 }
--- a/src/coordination/edge/pushed-list.ts
+++ b/src/coordination/edge/pushed-list.ts
@@ -5,19 +5,19 @@
 import type { Rng } from '../../transport/rng.js';
 import type { Address } from '../../transport/wire.js';
 import type { Peers } from '../members/peers.js';
-import type { ListFeed, ListFeedEvents, ListReader } from './list-feed.js';
-import { createListNews, LIST_PACE, STOOD_STILL_MS } from './list-news.js';
-import type { ListPace, ListNews } from './list-news.js';
+import type { WorkerListFeed, WorkerListFeedEvents, WorkerListReader } from './list-feed.js';
+import { createWorkerListUpdates, WORKER_LIST_PACE, STOOD_STILL_MS } from './list-news.js';
+import type { WorkerListPace, WorkerListUpdates } from './list-news.js';
 import { readWithin } from './read-within.js';
 
-export type ListFeedDeps = {
-  readonly reader: ListReader;
+export type PushedListFeedDeps = {
+  readonly reader: WorkerListReader;
   readonly controllers: () => Iterable<Address>;
   readonly peers: Peers;
   readonly clock: Clock;
   readonly rng: Rng;
   readonly log: Log;
-  readonly pace?: ListPace;
+  readonly pace?: WorkerListPace;
 };
 
 type OwnReading = { readonly entries: readonly WorkerEntry[]; readonly at: number };
@@ -28,47 +28,47 @@
 const OWN_SPREAD_MS = 4_000;
 const OWN_JITTER_MS = 350;
 
-class PushedListFeed implements ListFeed {
-  private readonly pace: ListPace;
-  private readonly news: ListNews;
-  readonly events = createEvents<ListFeedEvents>();
+class PushedListFeed implements WorkerListFeed {
+  private readonly pace: WorkerListPace;
+  private readonly updates: WorkerListUpdates;
+  readonly events = createEvents<WorkerListFeedEvents>();
   private own: OwnReading | null = null;
   private source: Address | null = null;
   private turns = 0;
   private renewedAt = 0;
   private ownDue: number;
-  private ownPauseMs = OWN_PAUSE_MS;
+  private ownBackoffMs = OWN_PAUSE_MS;
   private readsItself = false;
   private spread = false;
   private asking = false;
   private stopped = false;
   private next: Timer | null = null;
 
-  constructor(private readonly deps: ListFeedDeps) {
-    this.pace = this.deps.pace ?? LIST_PACE;
-    this.news = createListNews(this.deps.peers, this.deps.clock, this.pace);
+  constructor(private readonly deps: PushedListFeedDeps) {
+    this.pace = this.deps.pace ?? WORKER_LIST_PACE;
+    this.updates = createWorkerListUpdates(this.deps.peers, this.deps.clock, this.pace);
     this.ownDue = this.deps.clock.mono() + this.pace.ownMs * (1 + this.deps.rng.next());
 
-    this.news.events.on('taken', (e) => this.onTaken(e));
+    this.updates.events.on('taken', (e) => this.onApplied(e));
 
-    this.news.events.on('missed', () => this.onMissed());
+    this.updates.events.on('missed', () => this.onMissed());
 
-    this.news.events.on('woke', (e) => this.onWoke(e));
+    this.updates.events.on('woke', (e) => this.onWoke(e));
 
     this.tick();
   }
 
   private pushedNewest(): boolean {
-    const at = this.news.book.asOf();
+    const at = this.updates.table.asOf();
     return this.own === null || (at !== null && at >= this.own.at);
   }
 
   entries(): readonly WorkerEntry[] {
-    return this.own !== null && !this.pushedNewest() ? this.own.entries : this.news.book.entries();
+    return this.own !== null && !this.pushedNewest() ? this.own.entries : this.updates.table.entries();
   }
 
   asOf(): number | null {
-    return this.own !== null && !this.pushedNewest() ? this.own.at : this.news.book.asOf();
+    return this.own !== null && !this.pushedNewest() ? this.own.at : this.updates.table.asOf();
   }
 
   private emitChanged(): void {
@@ -79,22 +79,22 @@
     this.next?.cancel();
     if (this.stopped) return;
     const now = this.deps.clock.mono();
-    const askDue = this.news.isFresh()
-      ? Math.min(now + this.pace.freshMs - this.news.sinceContactMs(), this.renewedAt + this.pace.renewMs)
+    const queryDue = this.updates.isFresh()
+      ? Math.min(now + this.pace.freshMs - this.updates.sinceContactMs(), this.renewedAt + this.pace.renewMs)
       : now + ASK_PAUSE_MS;
-    this.next = this.deps.clock.timer(Math.max(1, Math.min(askDue, this.ownDue) - now), () => this.tick());
+    this.next = this.deps.clock.timer(Math.max(1, Math.min(queryDue, this.ownDue) - now), () => this.tick());
   }
 
   private tick(): void {
     void this.turn();
   }
 
-  private onTaken(e: { readonly contents: boolean }): void {
+  private onApplied(e: { readonly contents: boolean }): void {
     const replaced = this.own !== null && this.pushedNewest();
     if (replaced) this.own = null;
     if ((e.contents && this.own === null) || replaced) this.emitChanged();
-    if (this.news.isFresh()) this.onFresh();
-    else if (this.news.reportedUnresponsive() && !this.spread) {
+    if (this.updates.isFresh()) this.onFresh();
+    else if (this.updates.reportedUnresponsive() && !this.spread) {
       this.spread = true;
       this.ownDue = Math.max(this.ownDue, this.deps.clock.mono() + OWN_SPREAD_MS * (0.5 + this.deps.rng.next()));
     }
@@ -103,33 +103,33 @@
 
   private onFresh(): void {
     this.ownDue =
-      this.deps.clock.mono() - this.news.sinceContactMs() + this.pace.ownMs + OWN_JITTER_MS * this.deps.rng.next();
-    this.ownPauseMs = OWN_PAUSE_MS;
+      this.deps.clock.mono() - this.updates.sinceContactMs() + this.pace.ownMs + OWN_JITTER_MS * this.deps.rng.next();
+    this.ownBackoffMs = OWN_PAUSE_MS;
     this.spread = false;
     if (this.readsItself) this.deps.log.info('Hears the list from a controller again.');
     this.readsItself = false;
   }
 
   private onMissed(): void {
-    void this.askRound();
+    void this.queryRound();
   }
 
   private onWoke(e: { readonly afterMs: number }): void {
     this.deps.log.warn(`Stood still for ${Math.round(e.afterMs)} ms; the list is asked for anew.`);
     this.ownDue = Math.min(
       this.ownDue,
-      this.deps.clock.mono() + this.pace.askMs + OWN_JITTER_MS * this.deps.rng.next(),
+      this.deps.clock.mono() + this.pace.queryTimeoutMs + OWN_JITTER_MS * this.deps.rng.next(),
     );
     if (!this.asking) this.arm();
   }
 
-  private async askRound(): Promise<void> {
+  private async queryRound(): Promise<void> {
     if (this.asking) return;
     this.asking = true;
     const controllers = [...this.deps.controllers()];
     const picked = new Set<Address>();
     if (this.source !== null && controllers.includes(this.source)) picked.add(this.source);
-    if (this.news.isFresh()) {
+    if (this.updates.isFresh()) {
       if (controllers[0] !== undefined) picked.add(controllers[0]);
     } else if (controllers.length > 0) picked.add(controllers[this.turns % controllers.length] as Address);
     this.turns += 1;
@@ -138,7 +138,7 @@
     const asks: Promise<void>[] = [];
 
     const one = async (to: Address): Promise<void> => {
-      if ((await this.news.ask(to)) === 'fresh') answered.push(to);
+      if ((await this.updates.query(to)) === 'fresh') answered.push(to);
     };
     for (const to of picked) asks.push(one(to));
     await Promise.all(asks);
@@ -158,11 +158,11 @@
     if (!this.readsItself) this.deps.log.warn('Hears no list from any controller; reads it from the platform.');
     this.readsItself = true;
     const got = await readWithin(this.deps.reader, this.deps.clock, this.pace.readMs);
-    this.news.detectStandstill();
+    this.updates.detectStandstill();
     if (this.stopped) return;
     const good = got?.ok === true && this.deps.clock.mono() - from <= STOOD_STILL_MS;
-    this.ownPauseMs = good ? OWN_PAUSE_MS : Math.min(OWN_PAUSE_MOST_MS, this.ownPauseMs * 2);
-    if (!this.news.isFresh()) this.ownDue = from + this.ownPauseMs * (1 + 0.3 * this.deps.rng.next());
+    this.ownBackoffMs = good ? OWN_PAUSE_MS : Math.min(OWN_PAUSE_MOST_MS, this.ownBackoffMs * 2);
+    if (!this.updates.isFresh()) this.ownDue = from + this.ownBackoffMs * (1 + 0.3 * this.deps.rng.next());
     if (good && got.ok) this.onOwnReading(got.value, from);
     this.arm();
   }
@@ -175,19 +175,19 @@
   }
 
   private async turn(): Promise<void> {
-    this.news.detectStandstill();
-    if (this.deps.clock.mono() >= this.ownDue && !this.news.isFresh()) void this.readItself();
+    this.updates.detectStandstill();
+    if (this.deps.clock.mono() >= this.ownDue && !this.updates.isFresh()) void this.readItself();
     else if (this.deps.clock.mono() >= this.ownDue) this.ownDue = this.deps.clock.mono() + this.pace.ownMs;
-    await this.askRound();
+    await this.queryRound();
   }
 
   stop(): void {
     this.stopped = true;
     this.next?.cancel();
-    this.news.stop();
+    this.updates.stop();
   }
 }
 
-export function createListFeed(deps: ListFeedDeps): ListFeed {
+export function createPushedListFeed(deps: PushedListFeedDeps): WorkerListFeed {
   return new PushedListFeed(deps);
 }
--- a/src/coordination/edge/relay.test.ts
+++ b/src/coordination/edge/relay.test.ts
@@ -5,17 +5,17 @@
 import { createRouteTable } from '../../state/route-table.js';
 import { EDGE_TUNING } from '../../state/edge-tuning.js';
 import { DEFAULT_LIMITS } from '../../state/serving.js';
-import type { RouteMapping, Serving } from '../../state/serving.js';
+import type { RouteSettings, Serving } from '../../state/serving.js';
 import { createWorkerRegistry } from '../../state/worker-registry.js';
 import type { WorkerEntry } from '../../state/worker-entry.js';
 import { createWorld } from '../../sim/world.js';
 import { every, turnOver } from '../../transport/clock.js';
 import { createQuietLog } from '../../transport/log.js';
-import type { OpenRequest, ConnectionPool, RawHeaders, SendEvents, Sending } from '../../transport/open-http.js';
+import type { OpaqueRequest, ConnectionPool, RawHeaders, SendEvents, Sending } from '../../transport/open-http.js';
 import { createRng } from '../../transport/rng.js';
 import { createRelay } from './relay.js';
 
-const MAPPING: RouteMapping = {
+const MAPPING: RouteSettings = {
   at: 0,
   host: 'a.example',
   prefix: '/x/',
@@ -52,7 +52,7 @@
 }
 
 async function rig(
-  mapping: Partial<RouteMapping>,
+  mapping: Partial<RouteSettings>,
   entries: readonly WorkerEntry[],
   bounds: BudgetBounds = { ratio: 0.2, slack: 50, windowMs: 10_000 },
 ) {
@@ -72,7 +72,7 @@
       sent.push(s);
       if (!dialling) connect(s);
       return {
-        cut: () => {
+        abort: () => {
           s.cut = true;
         },
       };
@@ -93,15 +93,15 @@
     models: { m: { at: 0, probePath: '/h', maxConns: 100, coldS: 3, coldRateS: 10, engine: null } },
   };
   const table = createRouteTable(serving);
-  const book = createWorkerRegistry({ name: 's0', zone: 'z1', region: 'r1', held: () => 1 }, EDGE_TUNING);
-  book.takeList(entries, clock.mono());
+  const book = createWorkerRegistry({ name: 's0', zone: 'z1', region: 'r1', openConnections: () => 1 }, EDGE_TUNING);
+  book.applyList(entries, clock.mono());
   const budget = createAttemptBudget(bounds);
   let closing = false;
   let lastEndAt: number | null = null;
   const relay = createRelay({
     words: W,
     tuning: EDGE_TUNING,
-    book,
+    registry: book,
     budget,
     connectionPool,
     clock,
@@ -116,7 +116,7 @@
     const watchers: (() => void)[] = [];
     let gone = false;
     const all: Record<string, string> = { host: 'a.example', [W.attemptId]: 'q1', ...headers };
-    const req: OpenRequest = {
+    const req: OpaqueRequest = {
       method: 'POST',
       target: '/x/1',
       headers: Object.entries(all).flat(),
@@ -133,7 +133,7 @@
         end: () => {
           answer.ended = true;
         },
-        cut: () => {
+        abort: () => {
           answer.cut = true;
         },
         gone: () => gone,
@@ -312,7 +312,7 @@
   const one = r.ask();
   await r.world.advance(1);
   expect(r.sent[0]!.what.address).toBe('10.0.0.1:3');
-  r.book.takeZones(
+  r.book.applyZones(
     { z3: 4 },
     () => [],
     0,
@@ -327,7 +327,7 @@
 
 test('a cold worker gets no more than its rate allows this proxy', async () => {
   const r = await rig({ aimMs: 100 }, [entry('w', 'z1', 'r1', { coldMs: 60_000, places: 500 })]);
-  r.book.sharers(Object.fromEntries(['s0', 's1', 's2', 's3'].map((n) => [n, { region: 'r1' }])));
+  r.book.setSharingProxies(Object.fromEntries(['s0', 's1', 's2', 's3'].map((n) => [n, { region: 'r1' }])));
   const asked = Array.from({ length: 30 }, () => r.ask());
   await r.world.advance(60);
   expect(r.sent.length).toBe(4);
--- a/src/coordination/edge/relay.ts
+++ b/src/coordination/edge/relay.ts
@@ -3,18 +3,18 @@
  * answer on, and go on elsewhere where `decide` allows it. A request that may run once is sent again only
  * if nothing was written or its worker said under its id that it did not run it (docs/repeats.md).
  */
-import type { OpenWords } from '../../protocol/open-words.js';
+import type { HeaderNames } from '../../protocol/open-words.js';
 import type { AttemptBudget } from '../../state/attempt-budget.js';
 import { decide, mayHaveRun } from '../../state/attempt-outcome.js';
 import type { RequestSituation } from '../../state/attempt-outcome.js';
 import type { EdgeTuning } from '../../state/edge-tuning.js';
 import type { MatchedRoute, RouteTable } from '../../state/route-table.js';
 import { createStandstill } from '../../state/standstill.js';
-import type { PlaceAsk, WorkerRegistry } from '../../state/worker-registry.js';
+import type { SelectionRequest, WorkerRegistry } from '../../state/worker-registry.js';
 import { pause } from '../../transport/clock.js';
 import type { Clock } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
-import type { ConnectionPool, OpenRequest } from '../../transport/open-http.js';
+import type { ConnectionPool, OpaqueRequest } from '../../transport/open-http.js';
 import type { Rng } from '../../transport/rng.js';
 import { createAttempt } from './attempt.js';
 import type { AttemptEnd, Attempt } from './attempt.js';
@@ -26,12 +26,12 @@
 import type { RelayedRequest } from './relayed-request.js';
 import { createUnresponsiveWorkerWatch } from './silence-watch.js';
 import { createWorkerQueue } from './worker-queue.js';
-import type { HeldWorker, WorkerQueue } from './worker-queue.js';
+import type { ReservedWorker, WorkerQueue } from './worker-queue.js';
 
 export type RelayDeps = {
-  readonly words: OpenWords;
+  readonly words: HeaderNames;
   readonly tuning: EdgeTuning;
-  readonly book: WorkerRegistry;
+  readonly registry: WorkerRegistry;
   readonly budget: AttemptBudget;
   readonly connectionPool: ConnectionPool;
   readonly clock: Clock;
@@ -55,7 +55,7 @@
 };
 
 export interface Relay {
-  handle(req: OpenRequest): void;
+  handle(req: OpaqueRequest): void;
   /** To be called when workers, zones or places changed: whoever waits is looked at again. */
   wake(): void;
   /** To be called at least each 250 ms, so that a standstill of the process is noticed. */
@@ -91,18 +91,18 @@
       tuning: this.deps.tuning,
       rng: this.deps.rng,
       onRefused: () => this.onRefused(),
-      onCut: () => this.onCut(),
+      onTruncated: () => this.onTruncated(),
     });
     this.queue = createWorkerQueue({
-      registry: this.deps.book,
+      registry: this.deps.registry,
       tuning: this.deps.tuning,
       clock: this.deps.clock,
       standstill: this.standstill,
-      askOf: (request) => this.askOf(request),
+      selectionFor: (request) => this.selectionFor(request),
     });
 
     const watch = createUnresponsiveWorkerWatch({
-      book: this.deps.book,
+      registry: this.deps.registry,
       connectionPool: this.deps.connectionPool,
       clock: this.deps.clock,
       log: this.deps.log,
@@ -111,7 +111,7 @@
     });
     this.attempt = createAttempt({
       words: this.deps.words,
-      registry: this.deps.book,
+      registry: this.deps.registry,
       connectionPool: this.deps.connectionPool,
       watch,
       standstill: this.standstill,
@@ -127,15 +127,15 @@
     this.counts.shed += 1;
   }
 
-  private onCut(): void {
+  private onTruncated(): void {
     this.counts.cut += 1;
   }
 
-  handle(incoming: OpenRequest): void {
+  handle(incoming: OpaqueRequest): void {
     void this.serve(incoming);
   }
 
-  private async serve(incoming: OpenRequest): Promise<void> {
+  private async serve(incoming: OpaqueRequest): Promise<void> {
     const cameAt = this.deps.clock.mono();
     const table = this.deps.table() ?? (await this.whenOpen(incoming));
     if (!table) {
@@ -152,7 +152,7 @@
   }
 
   private async serveBody(
-    incoming: OpenRequest,
+    incoming: OpaqueRequest,
     route: MatchedRoute | null,
     body: Buffer,
     cameAt: number,
@@ -176,7 +176,7 @@
     }
   }
 
-  private async whenOpen(incoming: OpenRequest): Promise<RouteTable | null> {
+  private async whenOpen(incoming: OpaqueRequest): Promise<RouteTable | null> {
     const until = this.deps.clock.mono() + this.deps.tuning.openingMs;
     while (this.deps.clock.mono() < until && !incoming.answerer.gone()) {
       await pause(this.deps.clock, OPENING_LOOK_MS);
@@ -186,8 +186,8 @@
     return null;
   }
 
-  private askOf(request: RelayedRequest): PlaceAsk {
-    const { homes, pinned } = request.route.mapping;
+  private selectionFor(request: RelayedRequest): SelectionRequest {
+    const { homes, pinned } = request.route.settings;
     const { model, parts, tokens, outTokens, avoid } = request;
     const traits = this.deps.table()?.traits(model) ?? null;
     return {
@@ -207,39 +207,39 @@
   /** One worker after the other, until nothing more may follow. */
   private async run(request: RelayedRequest): Promise<void> {
     for (;;) {
-      await this.settled();
+      await this.awaitStandstill();
       if (request.incoming.answerer.gone()) return;
-      const held = await this.queue.place(request);
+      const reserved = await this.queue.reserve(request);
       if (request.incoming.answerer.gone()) {
-        held?.hold.end();
+        reserved?.reservation.end();
         return;
       }
-      if (!held) {
+      if (!reserved) {
         this.last.unplaced(request, this.queue.noneInReach(request), request.deadlineAt - this.deps.clock.mono());
         return;
       }
-      const end = await this.send(request, held);
+      const end = await this.send(request, reserved);
       const decision = decide(end.outcome, this.situationOf(request));
       if (decision.tag !== 'repeat') {
         this.last.decided(request, end, decision);
         return;
       }
-      if (end.outcome.tag !== 'withheld') request.avoid.add(held.row.entry.id);
+      if (end.outcome.tag !== 'withheld') request.avoid.add(reserved.row.entry.id);
       if (decision.resume && mayHaveRun(end.outcome)) this.counts.resumed += 1;
     }
   }
 
-  private async send(request: RelayedRequest, held: HeldWorker): Promise<AttemptEnd> {
+  private async send(request: RelayedRequest, reserved: ReservedWorker): Promise<AttemptEnd> {
     this.counts.attempted += 1;
     if (request.attempts > 0) this.counts.retried += 1;
-    const end = await this.attempt(request, held);
+    const end = await this.attempt(request, reserved);
     request.mayHaveRun = request.mayHaveRun || mayHaveRun(end.outcome);
     return end;
   }
 
   private situationOf(request: RelayedRequest): RequestSituation {
-    const takeAttempt = (): boolean => {
-      return request.attempts < request.route.mapping.attempts && this.reserve(request);
+    const acquireAttempt = (): boolean => {
+      return request.attempts < request.route.settings.attempts && this.reserve(request);
     };
     return {
       repeatability: request.repeatability,
@@ -247,7 +247,7 @@
       canResume: !request.unnumbered,
       mayHaveRun: request.mayHaveRun,
       leftMs: request.deadlineAt - this.deps.clock.mono(),
-      takeAttempt,
+      acquireAttempt,
     };
   }
 
@@ -265,12 +265,12 @@
   }
 
   private release(request: RelayedRequest): void {
-    if (request.reserved) this.deps.budget.giveBack(request.model);
+    if (request.reserved) this.deps.budget.refund(request.model);
     request.reserved = false;
   }
 
   /** Waits, after a standstill, until what callers and workers did meanwhile has been read. */
-  private async settled(): Promise<void> {
+  private async awaitStandstill(): Promise<void> {
     for (
       let until = this.standstill.observe(this.deps.clock.mono());
       until !== null;
--- a/src/coordination/edge/relayed-request.ts
+++ b/src/coordination/edge/relayed-request.ts
@@ -2,17 +2,17 @@
  * One request as the relay holds it from its arrival to the last byte of its answer: what is fixed by the
  * caller and the route, and what changes from attempt to attempt.
  */
-import type { OpenWords } from '../../protocol/open-words.js';
+import type { HeaderNames } from '../../protocol/open-words.js';
 import type { Repeatability } from '../../state/attempt-outcome.js';
-import type { Part } from '../../state/prefix-cache.js';
+import type { PrefixBlock } from '../../state/prefix-cache.js';
 import type { MatchedRoute } from '../../state/route-table.js';
-import type { RouteMapping } from '../../state/serving.js';
-import type { OpenRequest } from '../../transport/open-http.js';
+import type { RouteSettings } from '../../state/serving.js';
+import type { OpaqueRequest } from '../../transport/open-http.js';
 import type { Rng } from '../../transport/rng.js';
 
 /** A request under way. Times are milliseconds of the process's monotonic clock. */
 export type RelayedRequest = {
-  readonly incoming: OpenRequest;
+  readonly incoming: OpaqueRequest;
   readonly route: MatchedRoute;
   readonly model: string;
   readonly body: Buffer;
@@ -22,7 +22,7 @@
   readonly id: string;
   readonly cameAt: number;
   readonly deadlineAt: number;
-  readonly parts: readonly Part[];
+  readonly parts: readonly PrefixBlock[];
   readonly tokens: number;
   readonly outTokens: number;
   /** Workers that were tried and are passed over while there are others. */
@@ -49,28 +49,28 @@
 
 /** Reads what the relay needs from a request whose body has come. */
 export function createRelayedRequest(
-  words: OpenWords,
+  headerNames: HeaderNames,
   rng: Rng,
-  incoming: OpenRequest,
+  incoming: OpaqueRequest,
   route: MatchedRoute,
   id: string,
   body: Buffer,
   cameAt: number,
 ): RelayedRequest {
-  const { mapping } = route;
-  const [tokens, outTokens] = tokensOf(incoming.get(words.tokens));
+  const { settings: mapping } = route;
+  const [tokens, outTokens] = tokensOf(incoming.get(headerNames.tokens));
   const stream = mapping.kind === 'stream';
   return {
     incoming,
     route,
-    model: modelByShare(mapping, rng),
+    model: weightedModel(mapping, rng),
     body,
     repeatability: mapping.kind === 'repeatable' ? 'repeatable' : stream && mapping.resumable ? 'resumable' : 'once',
     stream,
     id,
     cameAt,
-    deadlineAt: cameAt + deadlineOf(incoming.get(words.deadline), mapping.deadlineMs),
-    parts: partsOf(incoming.get(words.prefix)),
+    deadlineAt: cameAt + deadlineOf(incoming.get(headerNames.deadline), mapping.deadlineMs),
+    parts: partsOf(incoming.get(headerNames.prefix)),
     tokens,
     outTokens,
     avoid: new Set(),
@@ -79,19 +79,19 @@
     reserved: false,
     mayHaveRun: false,
     answerBegun: false,
-    lastEvent: numberIn(incoming.get(words.lastEvent)),
+    lastEvent: numberIn(incoming.get(headerNames.lastEvent)),
     unnumbered: false,
   };
 }
 
 /** The class of urgency, 0 first. */
 export function rankOf(request: RelayedRequest): number {
-  return request.route.mapping.rank ?? DEFAULT_RANK;
+  return request.route.settings.rank ?? DEFAULT_RANK;
 }
 
 /** When a request that begins now is over at the latest, as far as can be told beforehand. */
 export function expectedEnd(request: RelayedRequest, now: number): number {
-  const { aimMs } = request.route.mapping;
+  const { aimMs } = request.route.settings;
   const takes = request.stream ? STREAM_START_MS + STREAM_TOKEN_MS * request.outTokens : 2 * (aimMs ?? STREAM_START_MS);
   return Math.min(request.deadlineAt, now + takes);
 }
@@ -108,7 +108,7 @@
   return given !== null && given > 0 ? Math.min(routeMs, given) : routeMs;
 }
 
-function modelByShare(mapping: RouteMapping, rng: Rng): string {
+function weightedModel(mapping: RouteSettings, rng: Rng): string {
   let sum = 0;
   for (const share of mapping.shares) sum += share.share;
   let at = rng.next() * sum;
@@ -124,8 +124,8 @@
   return [numberIn(prompt ?? null) ?? 0, numberIn(out ?? null) ?? 0];
 }
 
-function partsOf(text: string | null): Part[] {
-  const parts: Part[] = [];
+function partsOf(text: string | null): PrefixBlock[] {
+  const parts: PrefixBlock[] = [];
   for (const piece of (text ?? '').split(',')) {
     const at = piece.lastIndexOf(':');
     const tokens = Number(piece.slice(at + 1));
--- a/src/coordination/edge/seat-queue.ts
+++ b/src/coordination/edge/seat-queue.ts
@@ -2,24 +2,24 @@
  * Finds a worker for a request with a ticket, or lets it wait in its model's bounded queue until one has
  * room. Refuses at once whoever would not get a worker in time at the pace of the queue.
  */
-import type { ShedReason } from '../../protocol/caller-wire.js';
+import type { RejectReason } from '../../protocol/caller-wire.js';
 import type { Candidate } from '../../state/candidate.js';
-import { createLinePace } from '../../state/line-pace.js';
-import type { LinePace } from '../../state/line-pace.js';
+import { createQueuePacer } from '../../state/line-pace.js';
+import type { QueuePacer } from '../../state/line-pace.js';
 import type { Resolved } from '../../state/settings-tree.js';
 import type { Ticket } from '../../state/ticket.js';
 import type { WorkerRow } from '../../state/worker-row.js';
 import type { WorkerTable } from '../../state/worker-table.js';
 import type { Clock, Timer } from '../../transport/clock.js';
-import type { Placer } from './placer.js';
+import type { PlacementService } from './placer.js';
 
 /** A worker with one of its places taken, or why there is none and when to come back. */
-export type Seat =
+export type WorkerSlot =
   | { readonly tag: 'seat'; readonly candidate: Candidate; readonly row: WorkerRow }
-  | { readonly tag: 'none'; readonly reason: ShedReason; readonly comeBackMs: number };
+  | { readonly tag: 'none'; readonly reason: RejectReason; readonly comeBackMs: number };
 
 /** What a request asks of the queue. */
-export type SeatAsk = {
+export type SlotRequest = {
   readonly ticket: Ticket;
   readonly parts: readonly string[];
   readonly values: Resolved;
@@ -29,19 +29,19 @@
   readonly gone: () => boolean;
 };
 
-export interface SeatQueue {
-  seat(ask: SeatAsk): Promise<Seat>;
+export interface WorkerSlotQueue {
+  acquire(request: SlotRequest): Promise<WorkerSlot>;
   /** Gives a place back. */
-  leave(row: WorkerRow): void;
+  release(row: WorkerRow): void;
   wake(): void;
   waiting(): number;
   /** From now on everyone is refused. */
   close(): void;
 }
 
-export type SeatQueueDeps = {
+export type WorkerSlotQueueDeps = {
   readonly ready: () => boolean;
-  readonly placer: Placer;
+  readonly placement: PlacementService;
   readonly table: WorkerTable;
   readonly clock: Clock;
 };
@@ -50,15 +50,15 @@
 
 const COME_BACK_MS = 1_000;
 
-class ModelSeatQueue implements SeatQueue {
+class ModelSlotQueue implements WorkerSlotQueue {
   private readonly waiters = new Set<Waiter>();
   private readonly lengths = new Map<string, number>();
-  private readonly paces = new Map<string, LinePace>();
+  private readonly paces = new Map<string, QueuePacer>();
   private open = true;
 
-  constructor(private readonly deps: SeatQueueDeps) {}
+  constructor(private readonly deps: WorkerSlotQueueDeps) {}
 
-  private none(reason: ShedReason, comeBackMs = COME_BACK_MS): Seat {
+  private none(reason: RejectReason, comeBackMs = COME_BACK_MS): WorkerSlot {
     return { tag: 'none', reason, comeBackMs };
   }
 
@@ -66,58 +66,58 @@
     return this.lengths.get(model) ?? 0;
   }
 
-  private paceOf(model: string): LinePace {
-    const pace = this.paces.get(model) ?? createLinePace();
+  private paceOf(model: string): QueuePacer {
+    const pace = this.paces.get(model) ?? createQueuePacer();
     this.paces.set(model, pace);
     return pace;
   }
 
   /** A seat, a refusal, or null where only room is lacking. */
-  private look(ask: SeatAsk): Seat | null {
-    const { ticket, parts, avoid } = ask;
-    const choice = this.deps.placer.choose({
+  private tryAcquire(request: SlotRequest): WorkerSlot | null {
+    const { ticket, parts, avoid } = request;
+    const choice = this.deps.placement.choose({
       model: ticket.model,
       parts,
-      homes: this.deps.placer.homesOf(ticket.model, ticket.bound),
+      homes: this.deps.placement.homesOf(ticket.model, ticket.bound),
       avoid,
     });
     if (choice.tag !== 'chosen')
       return choice.stoppedBy === 'room' ? null : this.none(avoid.size > 0 ? 'workersShed' : 'noWorker');
     const row = this.deps.table.begin(choice.candidate.ix);
     if (!row) return this.none('noWorker');
-    this.paceOf(ticket.model).note(this.deps.clock.mono());
+    this.paceOf(ticket.model).record(this.deps.clock.mono());
     return { tag: 'seat', candidate: choice.candidate, row };
   }
 
-  private whyNot(ask: SeatAsk): Seat | null {
+  private whyNot(request: SlotRequest): WorkerSlot | null {
     if (!this.open) return this.none('stopping');
     if (!this.deps.ready()) return this.none('notReady');
-    return ask.gone() ? this.none('lineWaitOver') : null;
+    return request.gone() ? this.none('lineWaitOver') : null;
   }
 
-  async seat(ask: SeatAsk): Promise<Seat> {
-    const { model } = ask.ticket;
-    const atOnce = this.whyNot(ask) ?? (this.lengthOf(model) === 0 ? this.look(ask) : null);
+  async acquire(request: SlotRequest): Promise<WorkerSlot> {
+    const { model } = request.ticket;
+    const atOnce = this.whyNot(request) ?? (this.lengthOf(model) === 0 ? this.tryAcquire(request) : null);
     if (atOnce) return atOnce;
     const now = this.deps.clock.mono();
     const ahead = this.lengthOf(model);
     const expected = this.paceOf(model).expectedWaitMs(ahead, now);
-    if (ahead >= ask.values.lineLimit || (expected !== null && now + expected > ask.waitUntil))
-      return this.none('lineFull', expected ?? ask.values.lineWaitMs);
+    if (ahead >= request.values.lineLimit || (expected !== null && now + expected > request.waitUntil))
+      return this.none('lineFull', expected ?? request.values.lineWaitMs);
     this.lengths.set(model, ahead + 1);
-    const end = await this.wait(ask);
+    const end = await this.wait(request);
     this.lengths.set(model, this.lengthOf(model) - 1);
     return end;
   }
 
-  private async wait(ask: SeatAsk): Promise<Seat> {
-    const { model } = ask.ticket;
+  private async wait(request: SlotRequest): Promise<WorkerSlot> {
+    const { model } = request.ticket;
     for (;;) {
       const now = this.deps.clock.mono();
-      if (now >= ask.waitUntil)
+      if (now >= request.waitUntil)
         return this.none('lineWaitOver', this.paceOf(model).expectedWaitMs(this.lengthOf(model), now) ?? COME_BACK_MS);
-      await this.nextPoke(ask.waitUntil - now);
-      const end = this.whyNot(ask) ?? this.look(ask);
+      await this.nextPoke(request.waitUntil - now);
+      const end = this.whyNot(request) ?? this.tryAcquire(request);
       if (end) return end;
     }
   }
@@ -140,7 +140,7 @@
     for (const waiter of [...this.waiters]) waiter.poke();
   }
 
-  leave(row: WorkerRow): void {
+  release(row: WorkerRow): void {
     this.deps.table.end(row);
     this.wake();
   }
@@ -157,6 +157,6 @@
   }
 }
 
-export function createSeatQueue(deps: SeatQueueDeps): SeatQueue {
-  return new ModelSeatQueue(deps);
+export function createWorkerSlotQueue(deps: WorkerSlotQueueDeps): WorkerSlotQueue {
+  return new ModelSlotQueue(deps);
 }
--- a/src/coordination/edge/silence-watch.ts
+++ b/src/coordination/edge/silence-watch.ts
@@ -1,19 +1,19 @@
-import type { BookRow, WorkerRegistry } from '../../state/worker-registry.js';
+import type { RegistryRow, WorkerRegistry } from '../../state/worker-registry.js';
 import type { Clock } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
 import type { ConnectionPool } from '../../transport/open-http.js';
 
-export type WatchedFlight = { readonly sentAt: number; lastEventAt: number; readonly onUnresponsive: () => void };
+export type WatchedAttempt = { readonly sentAt: number; lastEventAt: number; readonly onUnresponsive: () => void };
 
 export interface UnresponsiveWorkerWatch {
-  begin(row: BookRow, flight: WatchedFlight): void;
-  end(row: BookRow, flight: WatchedFlight): void;
-  unreached(row: BookRow): void;
+  begin(row: RegistryRow, call: WatchedAttempt): void;
+  end(row: RegistryRow, call: WatchedAttempt): void;
+  unreached(row: RegistryRow): void;
   stop(): void;
 }
 
 export type UnresponsiveWorkerWatchDeps = {
-  readonly book: WorkerRegistry;
+  readonly registry: WorkerRegistry;
   readonly connectionPool: ConnectionPool;
   readonly clock: Clock;
   readonly log: Log;
@@ -25,37 +25,37 @@
 const RECHECK_MS = 1_500;
 
 class DiallingWorkerWatch implements UnresponsiveWorkerWatch {
-  private readonly flights = new Map<BookRow, Set<WatchedFlight>>();
-  private readonly checking = new Set<BookRow>();
-  private readonly spokenFor = new Map<BookRow, number>();
+  private readonly pending = new Map<RegistryRow, Set<WatchedAttempt>>();
+  private readonly checking = new Set<RegistryRow>();
+  private readonly spokenFor = new Map<RegistryRow, number>();
   private looking = false;
   private stopped = false;
 
   constructor(private readonly deps: UnresponsiveWorkerWatchDeps) {}
 
-  begin(row: BookRow, flight: WatchedFlight): void {
-    const of = this.flights.get(row) ?? new Set<WatchedFlight>();
-    this.flights.set(row, of);
-    of.add(flight);
+  begin(row: RegistryRow, call: WatchedAttempt): void {
+    const of = this.pending.get(row) ?? new Set<WatchedAttempt>();
+    this.pending.set(row, of);
+    of.add(call);
     this.arm();
   }
 
-  end(row: BookRow, flight: WatchedFlight): void {
-    const of = this.flights.get(row);
-    of?.delete(flight);
+  end(row: RegistryRow, call: WatchedAttempt): void {
+    const of = this.pending.get(row);
+    of?.delete(call);
     if (of?.size === 0) {
-      this.flights.delete(row);
+      this.pending.delete(row);
       this.spokenFor.delete(row);
     }
   }
 
-  private quietMs(of: ReadonlySet<WatchedFlight>, now: number): number {
+  private quietMs(of: ReadonlySet<WatchedAttempt>, now: number): number {
     let least = Infinity;
     for (const f of of) least = Math.min(least, now - Math.max(f.sentAt, f.lastEventAt));
     return least;
   }
 
-  private check(row: BookRow): void {
+  private check(row: RegistryRow): void {
     if (this.checking.has(row)) return;
     this.checking.add(row);
 
@@ -65,48 +65,48 @@
       if (reached) {
         this.spokenFor.set(row, now);
         if (row.unproven) {
-          this.deps.book.reached(row, now);
+          this.deps.registry.markReachable(row, now);
           this.deps.onReached();
         }
         return;
       }
       const first = !row.unproven;
-      this.deps.book.silent(row, now);
+      this.deps.registry.markUnresponsive(row, now);
       this.arm();
       if (!first) return;
       this.deps.log.warn(`${row.entry.id} in ${row.entry.zone} can't be reached.`);
       this.suspectZone(row);
-      for (const f of [...(this.flights.get(row) ?? [])]) f.onUnresponsive();
+      for (const f of [...(this.pending.get(row) ?? [])]) f.onUnresponsive();
     };
-    this.deps.connectionPool.check(row.entry.address, this.deps.book.connectMs(row), done);
+    this.deps.connectionPool.check(row.entry.address, this.deps.registry.connectMs(row), done);
   }
 
-  private suspectZone(row: BookRow): void {
-    for (const other of this.deps.book.rows()) {
+  private suspectZone(row: RegistryRow): void {
+    for (const other of this.deps.registry.rows()) {
       if (other === row || other.unproven || !other.present || other.entry.zone !== row.entry.zone) continue;
       if (
-        !this.deps.book.fewSharers() &&
+        !this.deps.registry.hasFewSharingProxies() &&
         other.running === 0 &&
         this.deps.connectionPool.open(other.entry.address) === 0
       )
         continue;
-      const of = this.flights.get(other);
+      const of = this.pending.get(other);
       if (of && this.quietMs(of, this.deps.clock.mono()) < this.deps.responseTimeoutMs / 2) continue;
       other.unproven = true;
       this.check(other);
     }
   }
 
-  unreached(row: BookRow): void {
+  unreached(row: RegistryRow): void {
     const first = !row.unproven;
-    this.deps.book.silent(row, this.deps.clock.mono());
+    this.deps.registry.markUnresponsive(row, this.deps.clock.mono());
     if (first) this.suspectZone(row);
     this.arm();
   }
 
-  private look(): void {
+  private checkAll(): void {
     const now = this.deps.clock.mono();
-    for (const [row, of] of this.flights) {
+    for (const [row, of] of this.pending) {
       if (
         this.quietMs(of, now) < this.deps.responseTimeoutMs ||
         now - (this.spokenFor.get(row) ?? -RECHECK_MS) < RECHECK_MS
@@ -114,8 +114,8 @@
         continue;
       if (!row.unproven) this.check(row);
     }
-    let open = this.flights.size > 0;
-    for (const row of this.deps.book.rows()) {
+    let open = this.pending.size > 0;
+    for (const row of this.deps.registry.rows()) {
       if (!row.unproven || !row.present) continue;
       open = true;
       if (row.badUntil <= now) this.check(row);
@@ -125,7 +125,7 @@
 
   private turn(): void {
     this.looking = false;
-    if (!this.stopped) this.look();
+    if (!this.stopped) this.checkAll();
   }
 
   private arm(): void {
--- a/src/coordination/edge/worker-call.ts
+++ b/src/coordination/edge/worker-call.ts
@@ -15,7 +15,7 @@
 import type { Clock } from '../../transport/clock.js';
 import type { HttpAnswer, HttpClient, HttpFault } from '../../transport/http.js';
 import type { Log } from '../../transport/log.js';
-import type { Flight, Flights } from './flights.js';
+import type { PendingCall, PendingCalls } from './flights.js';
 
 /** A line of a stream as callers get it: pieces, and at the end exactly one seal or error. */
 export type AnswerLine = StreamLine | { readonly error: Failure };
@@ -39,7 +39,7 @@
 
 export type WorkerCallDeps = {
   readonly table: WorkerTable;
-  readonly flights: Flights;
+  readonly pending: PendingCalls;
   readonly httpClient: HttpClient;
   readonly clock: Clock;
   readonly log: Log;
@@ -59,11 +59,11 @@
 const BAD_SEAL: Failure = { tag: 'badSeal' };
 
 export function createWorkerCalls(deps: WorkerCallDeps): (call: WorkerCall) => Promise<WorkerCallEnd> {
-  const { table, flights, httpClient, clock, log } = deps;
+  const { table, pending, httpClient, clock, log } = deps;
 
   async function callWorker(call: WorkerCall): Promise<WorkerCallEnd> {
     const { candidate, run } = call;
-    const flight = flights.takeOff(call.row, call.pieceWaitMs);
+    const watched = pending.begin(call.row, call.pieceWaitMs);
     const got = await httpClient.call({
       method: 'POST',
       address: candidate.address,
@@ -71,10 +71,10 @@
       body: run,
       timeoutMs: call.deadlineAt - clock.mono(),
       stream: run.stream,
-      signal: flight.stop.signal,
+      signal: watched.abort.signal,
     });
-    if (got.ok && got.value.status === 200 && run.stream) return streamEnd(call, flight, got.value);
-    land(flight);
+    if (got.ok && got.value.status === 200 && run.stream) return streamEnd(call, watched, got.value);
+    end(watched);
     if (!got.ok) return faultEnd(candidate, got.fault);
     return got.value.status === 200 ? wholeEnd(call, got.value.body) : refusalEnd(call, got.value);
   }
@@ -88,7 +88,7 @@
     const notRun = readNotRun(answer.body);
     const ours = notRun.ok && notRun.value.requestId === run.requestId && notRun.value.attemptId === run.attemptId;
     if (answer.status === 503 && ours) {
-      table.refused(candidate.ix);
+      table.recordRefused(candidate.ix);
       return { tag: 'failed', outcome: { tag: 'notExecuted', retryAfterS: RETRY_AFTER_S }, failure: WORKER_FAILED };
     }
     answer.abandon();
@@ -103,12 +103,12 @@
     return { tag: 'failed', outcome: { tag: 'garbled' }, failure: BAD_SEAL };
   }
 
-  async function streamEnd(call: WorkerCall, flight: Flight, answer: HttpAnswer): Promise<WorkerCallEnd> {
+  async function streamEnd(call: WorkerCall, watched: PendingCall, answer: HttpAnswer): Promise<WorkerCallEnd> {
     const check = startSeal(call.run.requestId, call.run.attemptId);
     const lines = answer.lines[Symbol.asyncIterator]();
     const first = await heard();
     if (first.tag === 'fault') {
-      land(flight);
+      end(watched);
       answer.abandon();
       return { tag: 'failed', outcome: first.outcome, failure: first.failure };
     }
@@ -116,7 +116,7 @@
 
     async function heard(): Promise<NextLine> {
       const next = await nextLine(lines, check);
-      flight.onEvent();
+      watched.onEvent();
       return next;
     }
 
@@ -142,14 +142,14 @@
           if (call.gone()) return;
         }
       } finally {
-        land(flight);
+        end(watched);
         answer.abandon();
       }
     }
   }
 
-  function land(flight: Flight): void {
-    if (flights.land(flight)) deps.leave(flight.row);
+  function end(call: PendingCall): void {
+    if (pending.end(call)) deps.leave(call.row);
   }
   return callWorker;
 }
@@ -178,8 +178,8 @@
   if (next.done || !next.value.ok) return { tag: 'fault', outcome: { tag: 'answerCut' }, failure: WORKER_FAILED };
   const read = readStreamLine(next.value.value);
   if (!read.ok) return { tag: 'fault', outcome: { tag: 'garbled' }, failure: BAD_SEAL };
-  const line = read.value;
-  const fault = 'piece' in line ? addPiece(check, line.piece) : checkSeal(check, line.seal);
+  const queue = read.value;
+  const fault = 'piece' in queue ? addPiece(check, queue.piece) : checkSeal(check, queue.seal);
   if (fault) return { tag: 'fault', outcome: { tag: 'garbled' }, failure: BAD_SEAL };
-  return 'piece' in line ? { tag: 'piece', piece: line.piece } : { tag: 'seal', seal: line.seal };
+  return 'piece' in queue ? { tag: 'piece', piece: queue.piece } : { tag: 'seal', seal: queue.seal };
 }
--- a/src/coordination/edge/worker-queue.ts
+++ b/src/coordination/edge/worker-queue.ts
@@ -4,17 +4,17 @@
  */
 import type { EdgeTuning } from '../../state/edge-tuning.js';
 import type { Standstill } from '../../state/standstill.js';
-import type { BookRow, Hold, PlaceAsk, WorkerRegistry } from '../../state/worker-registry.js';
+import type { RegistryRow, Reservation, SelectionRequest, WorkerRegistry } from '../../state/worker-registry.js';
 import type { Clock, Timer } from '../../transport/clock.js';
 import { rankOf } from './relayed-request.js';
 import type { RelayedRequest } from './relayed-request.js';
 
 /** A worker with one of its places held. */
-export type HeldWorker = { readonly row: BookRow; readonly hold: Hold };
+export type ReservedWorker = { readonly row: RegistryRow; readonly reservation: Reservation };
 
 export interface WorkerQueue {
   /** A worker, or null when the wait was over, the queue full or the caller gone. */
-  place(request: RelayedRequest): Promise<HeldWorker | null>;
+  reserve(request: RelayedRequest): Promise<ReservedWorker | null>;
   /** True if no worker at all is in reach of this request, busy or not. */
   noneInReach(request: RelayedRequest): boolean;
   /** Looks again for everyone who waits. */
@@ -27,10 +27,14 @@
   readonly tuning: EdgeTuning;
   readonly clock: Clock;
   readonly standstill: Standstill;
-  readonly askOf: (request: RelayedRequest) => PlaceAsk;
+  readonly selectionFor: (request: RelayedRequest) => SelectionRequest;
 };
 
-type Waiter = { readonly request: RelayedRequest; readonly go: (held: HeldWorker | null) => void; timer: Timer };
+type Waiter = {
+  readonly request: RelayedRequest;
+  readonly resolve: (reserved: ReservedWorker | null) => void;
+  timer: Timer;
+};
 
 /** Time passes for cold workers and full ones without any event, so whoever waits looks so often. */
 const LOOK_MS = 25;
@@ -47,57 +51,61 @@
 
   constructor(private readonly deps: WorkerQueueDeps) {}
 
-  private take(request: RelayedRequest): HeldWorker | 'busy' | 'none' {
-    const ask = this.deps.askOf(request);
-    const found = this.deps.registry.place(ask);
-    return found.tag === 'row' ? { row: found.row, hold: this.deps.registry.begin(found.row, ask) } : found.tag;
+  private trySelect(request: RelayedRequest): ReservedWorker | 'busy' | 'none' {
+    const selection = this.deps.selectionFor(request);
+    const found = this.deps.registry.selectWorker(selection);
+    return found.tag === 'row'
+      ? { row: found.row, reservation: this.deps.registry.reserve(found.row, selection) }
+      : found.tag;
   }
 
-  private takeAtOnce(request: RelayedRequest): HeldWorker | null {
-    const first = this.waiters.length === 0 ? this.take(request) : null;
+  private selectNow(request: RelayedRequest): ReservedWorker | null {
+    const first = this.waiters.length === 0 ? this.trySelect(request) : null;
     if (first !== null && typeof first === 'object') return first;
     if (first !== 'none' || request.avoid.size === 0) return null;
     request.avoid.clear();
-    const second = this.take(request);
+    const second = this.trySelect(request);
     return typeof second === 'object' ? second : null;
   }
 
   private waitUntil(request: RelayedRequest, now: number): number {
-    const aimMs = request.route.mapping.aimMs ?? DEFAULT_AIM_MS;
+    const targetMs = request.route.settings.aimMs ?? DEFAULT_AIM_MS;
     const untried = request.attempts === 0 && !request.answerBegun;
-    const until = untried ? Math.max(request.cameAt + aimMs * this.deps.tuning.lineShare, now) : now + REPEAT_WAIT_MS;
+    const until = untried
+      ? Math.max(request.cameAt + targetMs * this.deps.tuning.queueTimeFraction, now)
+      : now + REPEAT_WAIT_MS;
     return Math.min(request.deadlineAt - BEFORE_DEADLINE_MS, until);
   }
 
-  place(request: RelayedRequest): Promise<HeldWorker | null> {
-    const held = this.takeAtOnce(request);
-    if (held || this.waiters.length >= this.deps.tuning.lineMost) return Promise.resolve(held);
+  reserve(request: RelayedRequest): Promise<ReservedWorker | null> {
+    const reserved = this.selectNow(request);
+    if (reserved || this.waiters.length >= this.deps.tuning.maxQueueLength) return Promise.resolve(reserved);
 
-    const start = (resolve: (held: HeldWorker | null) => void): void => {
+    const start = (resolve: (reserved: ReservedWorker | null) => void): void => {
       this.enqueue(request, resolve);
     };
     return new Promise(start);
   }
 
-  private enqueue(request: RelayedRequest, resolve: (held: HeldWorker | null) => void): void {
-    const go = (held: HeldWorker | null): void => {
+  private enqueue(request: RelayedRequest, resolve: (reserved: ReservedWorker | null) => void): void {
+    const finish = (reserved: ReservedWorker | null): void => {
       waiter.timer.cancel();
       const i = this.waiters.indexOf(waiter);
       if (i >= 0) this.waiters.splice(i, 1);
-      resolve(held);
+      resolve(reserved);
     };
     const now = this.deps.clock.mono();
     const waiter: Waiter = {
       request,
-      go,
-      timer: this.deps.clock.timer(Math.max(0, this.waitUntil(request, now) - now), giveUp),
+      resolve: finish,
+      timer: this.deps.clock.timer(Math.max(0, this.waitUntil(request, now) - now), abandon),
     };
-    function giveUp(): void {
-      go(null);
+    function abandon(): void {
+      finish(null);
     }
     this.waiters.splice(this.positionOf(request), 0, waiter);
     this.lookLater();
-    request.incoming.answerer.onGone(giveUp);
+    request.incoming.answerer.onGone(abandon);
     this.wake();
   }
 
@@ -112,8 +120,8 @@
     if (this.waking || this.deps.standstill.observe(this.deps.clock.mono()) !== null) return;
     this.waking = true;
     for (const waiter of [...this.waiters]) {
-      const held = this.take(waiter.request);
-      if (typeof held === 'object') waiter.go(held);
+      const reserved = this.trySelect(waiter.request);
+      if (typeof reserved === 'object') waiter.resolve(reserved);
     }
     this.waking = false;
   }
@@ -132,7 +140,7 @@
   }
 
   noneInReach(request: RelayedRequest): boolean {
-    return this.deps.registry.place(this.deps.askOf(request)).tag === 'none';
+    return this.deps.registry.selectWorker(this.deps.selectionFor(request)).tag === 'none';
   }
 
   waiting(): number {
--- a/src/coordination/edge/worker-watch.ts
+++ b/src/coordination/edge/worker-watch.ts
@@ -6,11 +6,11 @@
 import type { Clock, Timer } from '../../transport/clock.js';
 import type { HttpClient } from '../../transport/http.js';
 import type { Log } from '../../transport/log.js';
-import type { ListSource } from './list-source.js';
+import type { WorkerListSource } from './list-source.js';
 
 export interface WorkerWatch {
   listAgeMs(): number | null;
-  askedAt(): number | null;
+  listReadAt(): number | null;
   probeStrangers(): void;
   verdicts(): Record<string, 'fit' | 'unfit'>;
   stop(): void;
@@ -26,7 +26,7 @@
 export type WorkerWatchDeps = {
   readonly zone: string;
   readonly table: WorkerTable;
-  readonly source: ListSource;
+  readonly source: WorkerListSource;
   readonly httpClient: HttpClient;
   readonly clock: Clock;
   readonly log: Log;
@@ -54,7 +54,7 @@
       const asOf = this.deps.clock.mono() - got.value.ageMs;
       if (this.listedAt !== null && asOf < this.listedAt) return;
       this.listedAt = asOf;
-      this.deps.table.takeList(got.value.workers, this.deps.clock.mono());
+      this.deps.table.applyList(got.value.workers, this.deps.clock.mono());
       this.deps.onChange();
       this.probeStrangers();
     }
@@ -80,7 +80,7 @@
     this.probing.delete(listed.id);
     const read = got.ok ? readHealth(got.value.body) : null;
     if (read?.ok && read.value.id === listed.id)
-      this.deps.table.takeHealth(listed.id, read.value, this.deps.clock.mono());
+      this.deps.table.recordHealth(listed.id, read.value, this.deps.clock.mono());
     else this.deps.table.recordMissedProbe(listed.id);
     this.deps.onChange();
   }
@@ -125,7 +125,7 @@
     return this.listedAt === null ? null : this.deps.clock.mono() - this.listedAt;
   }
 
-  askedAt(): number | null {
+  listReadAt(): number | null {
     return this.listedAt;
   }
 
--- a/src/coordination/http-servers.test.ts
+++ b/src/coordination/http-servers.test.ts
@@ -27,18 +27,18 @@
 }
 const ask = { model: 'summary', inputTokens: 10, outputTokens: 8, parts: ['a'], repeatable: true };
 const submit = { parts: [{ hash: 'a', tokens: 10 }], outputTokens: 8, stream: false };
-type Placed = {
+type Placement = {
   readonly address: string;
   readonly ticket: string;
   readonly requestId: string;
   readonly proxy: string;
 };
-async function placed(over: object = {}): Promise<Placed> {
+async function placed(over: object = {}): Promise<Placement> {
   const got = await call(proxy(0), 'POST', '/v1/place', { ...ask, ...over });
   expect(got.status).toBe(200);
-  return got.body as Placed;
+  return got.body as Placement;
 }
-function send(p: Placed, over: object = {}, address = p.address): Promise<Got> {
+function send(p: Placement, over: object = {}, address = p.address): Promise<Got> {
   return call(
     address,
     'POST',
@@ -47,7 +47,7 @@
     { 'x-millfield-ticket': p.ticket },
   );
 }
-function shed(reason: string): unknown {
+function rejection(reason: string): unknown {
   return { error: { tag: 'shed', notRun: true, reason } };
 }
 
@@ -87,19 +87,19 @@
       kind: 'card',
       homes: ['romania'],
     });
-    expect([got.status, got.body]).toEqual([503, shed('outsideHomes')]);
+    expect([got.status, got.body]).toEqual([503, rejection('outsideHomes')]);
   });
 
   test('a ticket serves once, at its proxy, in its time', async () => {
     const p = await placed();
     const other = fleet.proxies.find((s) => s.http !== p.address)?.http ?? '';
-    expect(await send(p, {}, other)).toMatchObject({ status: 409, body: shed('ticketForeign') });
+    expect(await send(p, {}, other)).toMatchObject({ status: 409, body: rejection('ticketForeign') });
     expect((await send(p)).status).toBe(200);
-    expect(await send(p)).toMatchObject({ status: 409, body: shed('ticketUsed') });
+    expect(await send(p)).toMatchObject({ status: 409, body: rejection('ticketUsed') });
     const late = await placed();
     await fleet.run(31_000);
-    expect(await send(late)).toMatchObject({ status: 409, body: shed('ticketExpired') });
-    expect(await send({ ...p, ticket: 'rubbish' })).toMatchObject({ status: 409, body: shed('ticketForeign') });
+    expect(await send(late)).toMatchObject({ status: 409, body: rejection('ticketExpired') });
+    expect(await send({ ...p, ticket: 'rubbish' })).toMatchObject({ status: 409, body: rejection('ticketForeign') });
     const bare = await call(p.address, 'POST', '/v1/requests', { ...submit, requestId: p.requestId });
     expect(bare.status).toBe(400);
   });
@@ -108,7 +108,7 @@
     expect(await send(await placed(), { outputTokens: 'many' })).toMatchObject({ status: 400 });
     expect(await send(await placed(), { requestId: 'another' })).toMatchObject({
       status: 409,
-      body: shed('ticketForeign'),
+      body: rejection('ticketForeign'),
     });
     const parts = [{ hash: 'a', tokens: 10, text: 'x'.repeat(1_100_000) }];
     expect(await send(await placed(), { parts })).toMatchObject({
@@ -253,7 +253,7 @@
         .status,
     ).toBe(503);
     const p = await placed({ model: 'card-gateway', kind: 'card', repeatable: false });
-    expect(await send(p)).toMatchObject({ status: 503, body: shed('noMajority') });
+    expect(await send(p)).toMatchObject({ status: 503, body: rejection('noMajority') });
     expect((await send(await placed())).status).toBe(200);
   });
 });
--- a/src/coordination/ledger/claims.ts
+++ b/src/coordination/ledger/claims.ts
@@ -3,8 +3,8 @@
  * its own. A member that is new grants nothing until it has read the claims of so many others that any majority before it
  * is met (docs/design/claims.md; docs/consistency.md, section 3).
  */
-import { createLine } from '../../base/line.js';
-import type { Line } from '../../base/line.js';
+import { createBatchQueue } from '../../base/line.js';
+import type { BatchQueue } from '../../base/line.js';
 import { parsedJson } from '../../base/parsed-json.js';
 import { isTable } from '../../base/is-table.js';
 import { err, ok } from '../../base/result.js';
@@ -110,7 +110,7 @@
   private aheadOfDisk = false;
   private readonly openedAt: number;
 
-  private readonly line: Line<
+  private readonly queue: BatchQueue<
     Command,
     ({ tag: 'claimed' } | { tag: 'taken'; answered: boolean } | { tag: 'full' } | { tag: 'tooOld' })[] | null
   >;
@@ -132,7 +132,7 @@
 
     if (this.opened.snapshot) {
       const end = this.opened.snapshot.indexOf(NEW_LINE);
-      this.takeHead(this.opened.snapshot.subarray(0, end).toString());
+      this.applyHeader(this.opened.snapshot.subarray(0, end).toString());
       unpackClaims(this.table, this.opened.snapshot.subarray(end + 1));
     }
 
@@ -142,7 +142,7 @@
       this.table.replay(rec.subarray(9), at);
     }
     this.openedAt = this.clock.mono();
-    this.line = createLine((commands) => this.work(commands));
+    this.queue = createBatchQueue((commands) => this.work(commands));
 
     this.peers.on('claim', (m) => this.onClaim(m));
 
@@ -157,7 +157,7 @@
     return memberId(this.ledger.self);
   }
 
-  private takeHead(text: string): void {
+  private applyHeader(text: string): void {
     const head = parsedJson(text);
     if (!isTable(head)) return;
     if (typeof head['readyFor'] === 'string') this.readyFor = head['readyFor'];
@@ -244,13 +244,13 @@
       m.members !== membersMark(this.ledger.controlState().members)
     )
       return { kind: 'cannotVote' };
-    const answers = await this.line.put({ tag: 'claim', members: m.members, claims: m.claims });
+    const answers = await this.queue.put({ tag: 'claim', members: m.members, claims: m.claims });
     return answers ? { kind: 'claimAnswer', voter: this.me(), answers } : { kind: 'cannotVote' };
   }
 
   private async onEnds(m: MessageOf<'claimEnds'>): Promise<Message> {
     if (m.ledger !== this.ledger.controlState().ledger || !this.ready()) return { kind: 'cannotVote' };
-    return { kind: 'done', agreed: (await this.line.put({ tag: 'end', ends: m.ends })) !== null };
+    return { kind: 'done', agreed: (await this.queue.put({ tag: 'end', ends: m.ends })) !== null };
   }
 
   private onAsk(m: MessageOf<'claimsAsk'>): Message {
@@ -303,7 +303,7 @@
       forgotten.push(...told.forgotten);
       found.push(...told.records);
     }
-    if (answered >= need && (await this.line.put({ tag: 'rebuild', member: this.me(), forgotten, records: found }))) {
+    if (answered >= need && (await this.queue.put({ tag: 'rebuild', member: this.me(), forgotten, records: found }))) {
       this.log.info(`Claims were rebuilt from ${answered} others: ${this.table.size()} held.`);
     }
     this.rebuilding = false;
@@ -314,7 +314,7 @@
   }
 
   private forget(): void {
-    void this.line.put({ tag: 'forget' });
+    void this.queue.put({ tag: 'forget' });
   }
 
   size(): number {
--- a/src/coordination/ledger/configuration-service.test.ts
+++ b/src/coordination/ledger/configuration-service.test.ts
@@ -2,7 +2,7 @@
 import { err, ok } from '../../base/result.js';
 import { DEFAULT_LIMITS } from '../../state/serving.js';
 import { MAX_APPLIED_CHANGES } from '../../state/operator-history.js';
-import type { RouteMapping, Serving } from '../../state/serving.js';
+import type { RouteSettings, Serving } from '../../state/serving.js';
 import { withChanges } from '../../state/settings-tree.js';
 import { createSimLedger } from '../../sim/sim-ledger.js';
 import type { SimLedger } from '../../sim/sim-ledger.js';
@@ -10,7 +10,7 @@
 import { createConfigurationService } from './configuration-service.js';
 import type { ConfigurationService } from './configuration-service.js';
 
-const MAPPING: RouteMapping = {
+const MAPPING: RouteSettings = {
   at: 0,
   host: 'a.example',
   prefix: '/p/',
@@ -27,7 +27,7 @@
   homes: [],
 };
 function serving(number: number, mappings = 1): Serving {
-  const out: Record<string, RouteMapping> = {};
+  const out: Record<string, RouteSettings> = {};
   for (let i = 0; i < mappings; i += 1) out[`r-${i}`] = { ...MAPPING, at: i, prefix: `/p${i}/` };
   return {
     number,
--- a/src/coordination/ledger/configuration-service.ts
+++ b/src/coordination/ledger/configuration-service.ts
@@ -19,7 +19,7 @@
 } from '../../state/operator-history.js';
 import { EMPTY_SERVING } from '../../state/serving.js';
 import type { Serving } from '../../state/serving.js';
-import { withKeptOrder } from '../../state/serving-order.js';
+import { withPreservedOrder } from '../../state/serving-order.js';
 import { differences, withChanges } from '../../state/settings-tree.js';
 import type { Configuration } from '../../state/settings-tree.js';
 import { pause } from '../../transport/clock.js';
@@ -129,7 +129,7 @@
   const { number } = read.value;
   if (number <= before.number)
     return err({ tag: 'invalid', faults: [faultAt(['number'], `a number above ${before.number}`, number)] });
-  return ok(withKeptOrder(before, read.value));
+  return ok(withPreservedOrder(before, read.value));
 }
 
 /** Whether what is in force is just what this change makes of the base that it names: then it is the same change. */
--- a/src/coordination/ledger/core-health-log.ts
+++ b/src/coordination/ledger/core-health-log.ts
@@ -56,9 +56,9 @@
     this.seen = condition;
     if (condition === this.told || this.clock.mono() - this.since < LASTS_MS) return;
     this.told = condition;
-    const line = `${WORDS[condition]}: group=${this.group} ${figuresOf(health)}.`;
-    if (condition === 'spare') this.log.info(line);
-    else this.log.warn(line);
+    const queue = `${WORDS[condition]}: group=${this.group} ${figuresOf(health)}.`;
+    if (condition === 'spare') this.log.info(queue);
+    else this.log.warn(queue);
   }
 }
 
--- a/src/coordination/ledger/core-health-watch.test.ts
+++ b/src/coordination/ledger/core-health-watch.test.ts
@@ -362,8 +362,8 @@
   async function gauges(s: Stage, name: string): Promise<Record<string, string>> {
     const text = String((await get(s, name, '/metrics')).body);
     const out: Record<string, string> = {};
-    for (const line of text.split('\n')) {
-      const found = /^millfield_core_(\w+)\{group="ledger"\} (\S+)$/.exec(line);
+    for (const queue of text.split('\n')) {
+      const found = /^millfield_core_(\w+)\{group="ledger"\} (\S+)$/.exec(queue);
       if (found) out[found[1] as string] = found[2] as string;
     }
     return out;
--- a/src/coordination/ledger/damaged-ring.test.ts
+++ b/src/coordination/ledger/damaged-ring.test.ts
@@ -46,8 +46,8 @@
     damage(core.node('h2').platter, 'ledger-0');
     core.start('h2');
     expect(await core.until(6_000, () => core.whole(THREE) && incarnation(core, 'h2') !== before)).toBe(true);
-    expect(lines.filter((line) => line.includes('is damaged')).length).toBe(1);
-    expect(lines.find((line) => line.includes('is damaged'))).toContain(`h2#${incarnation(core, 'h2')}`);
+    expect(lines.filter((queue) => queue.includes('is damaged')).length).toBe(1);
+    expect(lines.find((queue) => queue.includes('is damaged'))).toContain(`h2#${incarnation(core, 'h2')}`);
     core.kill('h1');
     expect((await core.order('h2', 'd', 4_000)).result?.ok).toBe(true);
     expect(await core.evacuatedAt('h3')).toEqual(['a', 'b', 'c', 'd']);
@@ -72,7 +72,7 @@
     core.start('h2');
     await core.until(10_000, () => core.node('h2').controller !== null);
     expect(incarnation(core, 'h2')).not.toBe(before);
-    expect(lines.filter((line) => line.includes('claims-0 is damaged')).length).toBe(1);
+    expect(lines.filter((queue) => queue.includes('claims-0 is damaged')).length).toBe(1);
     expect(core.node('h2').controller?.claimsReady()).toBe(false);
     expect(
       await core.until(20_000, () => core.whole(THREE) && core.node('h2').controller?.claimsReady() === true),
@@ -142,7 +142,7 @@
     expect(await core.until(12_000, () => core.whole(THREE))).toBe(true);
     expect(incarnation(core, 'h3')).not.toBe(before);
     expect(await core.evacuatedAt('h3')).toEqual(['a']);
-    expect(lines.filter((line) => line.includes('No seed answers')).length).toBe(1);
+    expect(lines.filter((queue) => queue.includes('No seed answers')).length).toBe(1);
     expect(core.broken).toEqual([]);
   });
 });
--- a/src/coordination/ledger/fleet-load-relay.ts
+++ b/src/coordination/ledger/fleet-load-relay.ts
@@ -35,14 +35,14 @@
   ) {
     this.run = newId(this.rng, 'r');
 
-    this.peers.on('usage', (m, peer) => this.onUsage(m, peer));
+    this.peers.on('usage', (m, peer) => this.onLoad(m, peer));
 
-    this.peers.on('usages', (m) => this.onUsages(m));
+    this.peers.on('usages', (m) => this.onLoads(m));
     this.relaying = every(this.clock, RELAY_MS, () => this.relay());
   }
 
-  private onUsage(m: MessageOf<'usage'>, peer: Peer): null {
-    if (!this.own.take(m.told, this.clock.mono())) return null;
+  private onLoad(m: MessageOf<'usage'>, peer: Peer): null {
+    if (!this.own.record(m.told, this.clock.mono())) return null;
     const { name } = m.told;
     const before = this.tellers.get(name);
     this.tellers.set(name, peer);
@@ -54,8 +54,8 @@
     return null;
   }
 
-  private onUsages(m: MessageOf<'usages'>): null {
-    this.others.take(m.told, this.clock.mono());
+  private onLoads(m: MessageOf<'usages'>): null {
+    this.others.record(m.told, this.clock.mono());
     return null;
   }
 
--- a/src/coordination/ledger/lease.ts
+++ b/src/coordination/ledger/lease.ts
@@ -3,8 +3,8 @@
  * The holder counts from before it asked and stops a margin early, so two never hold it at once (monotonic clocks only).
  */
 import { majorityOf, memberId, membersMark } from '../../state/control-state.js';
-import { askGrant, createLeaseBook, dropGrant } from '../../state/lease-book.js';
-import type { LeaseBook } from '../../state/lease-book.js';
+import { requestGrant, createLeaseTable, dropGrant } from '../../state/lease-book.js';
+import type { LeaseTable } from '../../state/lease-book.js';
 import type { Message, MessageOf } from '../../protocol/messages.js';
 import type { Member } from '../../state/entry.js';
 import type { Clock } from '../../transport/clock.js';
@@ -33,7 +33,7 @@
 const RENEW_MS = 1_000;
 
 class MajorityLease implements Lease {
-  private readonly book: LeaseBook;
+  private readonly book: LeaseTable;
   private until = 0;
   private held: number | null = null;
   private stopped = false;
@@ -52,7 +52,7 @@
     private readonly rng: Rng,
     private readonly log: Log,
   ) {
-    this.book = createLeaseBook(this.clock.mono(), LEASE_TERM_MS);
+    this.book = createLeaseTable(this.clock.mono(), LEASE_TERM_MS);
     this.members = this.ledger.controlState().members;
 
     this.peers.on('leaseAsk', (m) => this.onAsk(m));
@@ -89,7 +89,7 @@
 
   private onAsk(m: MessageOf<'leaseAsk'>): Message {
     const mine = this.mayGrant(m);
-    return { kind: 'leaseAnswer', voter: this.me(), granted: mine && askGrant(this.book, m, this.clock.mono()) };
+    return { kind: 'leaseAnswer', voter: this.me(), granted: mine && requestGrant(this.book, m, this.clock.mono()) };
   }
 
   private onDrop(m: MessageOf<'leaseDrop'>): null {
--- a/src/coordination/ledger/membership-changes.ts
+++ b/src/coordination/ledger/membership-changes.ts
@@ -209,7 +209,7 @@
 
   // An even group bears as many losses with one member fewer, and an odd one bears one more with two dead ones fewer. But a
   // run-once claim that three of five hold may then be held by one of three only; where claims are kept, an odd group stays.
-  private async shedDead(): Promise<void> {
+  private async removeDead(): Promise<void> {
     const members = this.deps.controlState().members;
     const dead = members.filter((m) => this.isDead(m));
     const isEven = members.length % 2 === 0;
@@ -234,7 +234,7 @@
     if (mine && !this.isNoted) this.isNoted = await this.deps.noteMember();
     if (mine && mine.address !== this.deps.self.address && (await this.deps.settle(AGREE_MS)) && this.held())
       await this.publishOwnAddress();
-    if (this.held()?.address === this.deps.self.address && this.inTouch()) await this.shedDead();
+    if (this.held()?.address === this.deps.self.address && this.inTouch()) await this.removeDead();
     else await this.seek();
   }
 
--- a/src/coordination/ledger/proposer.ts
+++ b/src/coordination/ledger/proposer.ts
@@ -6,8 +6,8 @@
  * Invariants (docs/consistency.md, section 1): slot s is balloted only once s-1 is folded, among the members after s-1,
  * whose votes count by identity; an entry keeps its id over all its ballots, so it is folded once at most.
  */
-import { createLine } from '../../base/line.js';
-import type { Line } from '../../base/line.js';
+import { createBatchQueue } from '../../base/line.js';
+import type { BatchQueue } from '../../base/line.js';
 import { err, ok } from '../../base/result.js';
 import type { Result } from '../../base/result.js';
 import { majorityOf, memberId, operationOf } from '../../state/control-state.js';
@@ -52,10 +52,10 @@
 const MOST_BACKOFF = 3;
 
 class BatchingProposer implements Proposer {
-  private readonly line: Line<Proposal, Result<Agreed, ProposeFault>>;
+  private readonly queue: BatchQueue<Proposal, Result<Agreed, ProposeFault>>;
 
   constructor(private readonly deps: ProposerDeps) {
-    this.line = createLine((proposals) => this.work(proposals));
+    this.queue = createBatchQueue((proposals) => this.work(proposals));
   }
 
   private sendLearned(slot: number, batch: Batch): void {
@@ -171,7 +171,7 @@
 
   private async agreedWithin(entry: Entry, bytes: number, until: number): Promise<Result<Agreed, ProposeFault>> {
     for (;;) {
-      const queued = this.line.put({ entry, bytes, until });
+      const queued = this.queue.put({ entry, bytes, until });
       const end = (await within(this.deps.clock, until - this.deps.clock.mono(), queued)) ?? err({ tag: 'noMajority' });
       if (end.ok || end.fault.tag !== 'noMajority' || this.deps.clock.mono() >= until) return end;
     }
--- a/src/coordination/ledger/store.test.ts
+++ b/src/coordination/ledger/store.test.ts
@@ -117,9 +117,9 @@
       return;
     }
     opened.store = made.value;
-    for (const line of script) {
-      const answers = await Promise.all(line.map((command) => made.value.put(command)));
-      line.forEach((command, i) => note(answered, command, answers[i] as StoreAnswer));
+    for (const queue of script) {
+      const answers = await Promise.all(queue.map((command) => made.value.put(command)));
+      queue.forEach((command, i) => note(answered, command, answers[i] as StoreAnswer));
     }
     opened.ended = true;
   }
--- a/src/coordination/ledger/store.ts
+++ b/src/coordination/ledger/store.ts
@@ -1,7 +1,7 @@
 import { ok } from '../../base/result.js';
 import type { Result } from '../../base/result.js';
-import { createLine } from '../../base/line.js';
-import type { Line } from '../../base/line.js';
+import { createBatchQueue } from '../../base/line.js';
+import type { BatchQueue } from '../../base/line.js';
 import {
   accept,
   acceptedAt,
@@ -103,7 +103,7 @@
   private readonly currentRecent = createRecentSlots();
   private canWrite = true;
   readonly closed: ClosedOrders;
-  private readonly line: Line<StoreCommand, StoreAnswer>;
+  private readonly queue: BatchQueue<StoreCommand, StoreAnswer>;
 
   constructor(
     private readonly opened: Opened,
@@ -131,7 +131,7 @@
         this.currentRecent.remember(record.slot, record.batch, rec.length);
       }
     }
-    this.line = createLine((commands) => this.work(commands));
+    this.queue = createBatchQueue((commands) => this.work(commands));
   }
 
   private keepClosed(): void {
@@ -247,7 +247,7 @@
   }
 
   put(command: StoreCommand): Promise<StoreAnswer> {
-    return this.line.put(command);
+    return this.queue.put(command);
   }
 }
 
--- a/src/coordination/node.ts
+++ b/src/coordination/node.ts
@@ -6,7 +6,7 @@
 import type { Meters } from '../transport/meters.js';
 import type { Rng } from '../transport/rng.js';
 import type { Address, Wire } from '../transport/wire.js';
-import type { ListReader } from './edge/list-feed.js';
+import type { WorkerListReader } from './edge/list-feed.js';
 
 export type NodeDeps = {
   readonly clock: Clock;
@@ -18,7 +18,7 @@
   readonly logs: LogRoot;
   readonly policies: readonly Policy[];
   readonly meters: () => Meters;
-  readonly listReader?: ListReader | null;
+  readonly listReader?: WorkerListReader | null;
 };
 
 export type NodeIdentity = {
--- a/src/coordination/scaling/cloud-client.ts
+++ b/src/coordination/scaling/cloud-client.ts
@@ -21,7 +21,7 @@
   | { readonly tag: 'cloudNonsense'; readonly detail: string };
 
 export interface CloudClient {
-  place(order: CloudOrder): Promise<Result<Machine, CloudFault>>;
+  orderMachine(order: CloudOrder): Promise<Result<Machine, CloudFault>>;
   machines(owner: string): Promise<Result<Machine[], CloudFault>>;
   release(machine: string): Promise<Result<null, CloudFault>>;
   prices(): Promise<Result<Record<string, Price>, CloudFault>>;
@@ -39,7 +39,7 @@
     private readonly address: Address,
   ) {}
 
-  async place(order: CloudOrder): Promise<Result<Machine, CloudFault>> {
+  async orderMachine(order: CloudOrder): Promise<Result<Machine, CloudFault>> {
     const got = await this.httpClient.call({
       method: 'POST',
       address: this.address,
--- a/src/coordination/scaling/list-duty.test.ts
+++ b/src/coordination/scaling/list-duty.test.ts
@@ -9,18 +9,18 @@
 import type { Clock } from '../../transport/clock.js';
 import { createQuietLog } from '../../transport/log.js';
 import { createRng } from '../../transport/rng.js';
-import type { ListFault, ListFeed, ListReader } from '../edge/list-feed.js';
-import { createListFeed } from '../edge/pushed-list.js';
+import type { WorkerListFault, WorkerListFeed, WorkerListReader } from '../edge/list-feed.js';
+import { createPushedListFeed } from '../edge/pushed-list.js';
 import { createPeers } from '../members/peers.js';
 import type { Peers } from '../members/peers.js';
-import { createListDuty } from './list-duty.js';
-import type { ListDuty } from './list-duty.js';
+import { createWorkerListRole } from './list-duty.js';
+import type { WorkerListRole } from './list-duty.js';
 
 const LAG_MS = 800;
 const READ_WAIT_MS = 900;
 
-type Head = { readonly host: Host; readonly address: string; duty: ListDuty | null };
-type Edge = { readonly host: Host; readonly address: string; feed: ListFeed | null; seen: number };
+type Head = { readonly host: Host; readonly address: string; duty: WorkerListRole | null };
+type Edge = { readonly host: Host; readonly address: string; feed: WorkerListFeed | null; seen: number };
 type Listing = { readonly at: number; readonly entries: readonly WorkerEntry[] };
 type Room = {
   readonly world: World;
@@ -71,9 +71,9 @@
   for (let i = 0; i < edges; i += 1)
     room.edges.push({ host: world.host(`edge-${i}`, `z${i % 3}`), address: `10.1.0.${i}:1`, feed: null, seen: 0 });
 
-  function readerOf(proc: Proc): ListReader {
+  function readerOf(proc: Proc): WorkerListReader {
     const clock = world.clockOf(proc);
-    function read(): Promise<Result<readonly WorkerEntry[], ListFault>> {
+    function read(): Promise<Result<readonly WorkerEntry[], WorkerListFault>> {
       return new Promise((resolve) => {
         const shut = platform.down || world.isCut(proc.host, platform.host) || world.isCut(platform.host, proc.host);
         calls.push({ at: world.now(), by: proc.host.name, good: !shut });
@@ -99,7 +99,7 @@
     const begun = world.now();
     const ofWorld = world.clockOf(proc);
     const clock: Clock = { ...ofWorld, mono: () => ofWorld.mono() - begun };
-    h.duty = createListDuty({
+    h.duty = createWorkerListRole({
       self: h.address,
       reader: readerOf(proc),
       controllers: () => room.controllers.map((x) => x.address),
@@ -114,7 +114,7 @@
     const near = [...room.controllers].sort(
       (a, b) => Number(a.host.zone !== e.host.zone) - Number(b.host.zone !== e.host.zone),
     );
-    const feed = createListFeed({
+    const feed = createPushedListFeed({
       reader: readerOf(proc),
       controllers: () => near.map((x) => x.address),
       peers: peersOf(proc, e.address),
@@ -393,7 +393,7 @@
     const room = await started(25);
     list(room, DRAINED);
     await room.world.advance(3_000);
-    const feed = room.edges[0]?.feed as ListFeed;
+    const feed = room.edges[0]?.feed as WorkerListFeed;
     const left = feed.entries().find((w) => w.id === 'w2')?.remainingMs ?? 0;
     const dueIn = left - (room.world.now() - (feed.asOf() ?? 0));
     expect(dueIn).toBeGreaterThan(1_500);
--- a/src/coordination/scaling/list-duty.ts
+++ b/src/coordination/scaling/list-duty.ts
@@ -1,32 +1,32 @@
 import { createEvents } from '../../base/events.js';
 import type { Message, MessageOf } from '../../protocol/messages.js';
-import { compareNumbers, isEmptyChange } from '../../state/list-book.js';
-import type { ListNumber } from '../../state/list-book.js';
+import { compareVersions, isEmptyChange } from '../../state/list-book.js';
+import type { WorkerListVersion } from '../../state/list-book.js';
 import type { WorkerEntry } from '../../state/worker-entry.js';
 import type { Clock, Timer } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
 import { newId } from '../../transport/rng.js';
 import type { Rng } from '../../transport/rng.js';
 import type { Address } from '../../transport/wire.js';
-import type { ListFeed, ListFeedEvents, ListReader } from '../edge/list-feed.js';
-import { createListNews, LIST_PACE, STOOD_STILL_MS } from '../edge/list-news.js';
-import type { ListMessage, ListPace, ListNews } from '../edge/list-news.js';
+import type { WorkerListFeed, WorkerListFeedEvents, WorkerListReader } from '../edge/list-feed.js';
+import { createWorkerListUpdates, WORKER_LIST_PACE, STOOD_STILL_MS } from '../edge/list-news.js';
+import type { WorkerListMessage, WorkerListPace, WorkerListUpdates } from '../edge/list-news.js';
 import { readWithin } from '../edge/read-within.js';
 import type { Peer, Peers } from '../members/peers.js';
 
-export type ListDutyDeps = {
+export type WorkerListRoleDeps = {
   readonly self: Address;
-  readonly reader: ListReader;
+  readonly reader: WorkerListReader;
   readonly controllers: () => Iterable<Address>;
   readonly peers: Peers;
   readonly clock: Clock;
   readonly rng: Rng;
   readonly log: Log;
-  readonly pace?: ListPace;
+  readonly pace?: WorkerListPace;
 };
 
-export interface ListDuty {
-  readonly feed: ListFeed;
+export interface WorkerListRole {
+  readonly feed: WorkerListFeed;
   reading(): boolean;
   stop(): void;
 }
@@ -36,11 +36,11 @@
 const MARK_LENGTH = 6;
 const SLOW_SHARE = 0.4;
 
-class ElectedListReader implements ListDuty {
-  private readonly pace: ListPace;
-  private readonly mark: string;
-  private readonly news: ListNews;
-  private readonly events = createEvents<ListFeedEvents>();
+class ElectedListReader implements WorkerListRole {
+  private readonly pace: WorkerListPace;
+  private readonly readerId: string;
+  private readonly updates: WorkerListUpdates;
+  private readonly events = createEvents<WorkerListFeedEvents>();
   private readonly followers = new Map<Peer, number>();
   private highest = 0;
   private newerSeenAt: number | null = null;
@@ -49,27 +49,27 @@
   private busy = false;
   private asking = false;
   private next: Timer | null = null;
-  readonly feed: ListFeed;
+  readonly feed: WorkerListFeed;
 
-  constructor(private readonly deps: ListDutyDeps) {
-    this.pace = this.deps.pace ?? LIST_PACE;
-    this.mark = `${this.deps.self}/${newId(this.deps.rng, '').slice(1, 1 + MARK_LENGTH)}`;
-    this.news = createListNews(this.deps.peers, this.deps.clock, this.pace);
+  constructor(private readonly deps: WorkerListRoleDeps) {
+    this.pace = this.deps.pace ?? WORKER_LIST_PACE;
+    this.readerId = `${this.deps.self}/${newId(this.deps.rng, '').slice(1, 1 + MARK_LENGTH)}`;
+    this.updates = createWorkerListUpdates(this.deps.peers, this.deps.clock, this.pace);
 
-    this.news.events.on('taken', (e) => this.onTaken(e));
+    this.updates.events.on('taken', (e) => this.onApplied(e));
 
-    this.news.events.on('missed', (e) => this.onMissed(e));
+    this.updates.events.on('missed', (e) => this.onMissed(e));
 
-    this.news.events.on('outrun', (e) => this.onOutrun(e));
+    this.updates.events.on('outrun', (e) => this.onOutrun(e));
 
-    this.news.events.on('woke', (e) => this.onWoke(e));
+    this.updates.events.on('woke', (e) => this.onWoke(e));
 
     this.deps.peers.on('listFollow', (m, peer) => this.onFollow(m, peer));
 
     this.arm(this.rankMs());
     this.feed = {
-      entries: () => this.news.book.entries(),
-      asOf: () => this.news.book.asOf(),
+      entries: () => this.updates.table.entries(),
+      asOf: () => this.updates.table.asOf(),
       events: this.events,
       stop: () => this.stop(),
     };
@@ -81,7 +81,7 @@
   }
 
   private tick(): void {
-    void this.turn();
+    void this.runTurn();
   }
 
   private others(): Address[] {
@@ -91,49 +91,49 @@
   }
 
   private rankMs(): number {
-    const reads = this.news.book.number()?.[1] ?? '';
+    const reads = this.updates.table.number()?.[1] ?? '';
     let n = 0;
     for (const a of this.others()) if (a < this.deps.self && !reads.startsWith(`${a}/`)) n += 1;
     return n * this.pace.staggerMs;
   }
 
   private armTakeover(): void {
-    this.arm(Math.max(0, this.pace.freshMs - this.news.sinceContactMs()) + 1 + this.rankMs());
+    this.arm(Math.max(0, this.pace.freshMs - this.updates.sinceContactMs()) + 1 + this.rankMs());
   }
 
-  private sendToController(m: ListMessage): void {
+  private sendToAll(m: WorkerListMessage): void {
     for (const to of this.others()) void this.deps.peers.send(to, m);
     this.sendToFollowers(m);
   }
 
-  private sendToFollowers(m: ListMessage): void {
+  private sendToFollowers(m: WorkerListMessage): void {
     for (const [peer, at] of this.followers) {
       if (this.deps.clock.mono() - at > FOLLOWER_KEPT_MS) this.followers.delete(peer);
       else peer.send(m);
     }
   }
 
-  private onTaken(e: { readonly message: ListMessage; readonly contents: boolean }): void {
+  private onApplied(e: { readonly message: WorkerListMessage; readonly contents: boolean }): void {
     const m = e.message;
     if (m.number === null) return;
     this.highest = Math.max(this.highest, m.number[0]);
-    if (this.currentReading && m.number[1] !== this.mark) {
+    if (this.currentReading && m.number[1] !== this.readerId) {
       this.currentReading = false;
       this.deps.log.info(`${m.number[1]} reads the list now.`);
     }
-    this.sendToFollowers(m.kind === 'listBeat' && m.ageMs === null ? m : { ...m, ageMs: this.news.ageMs() });
-    if (e.contents) this.events.emit('changed', { entries: this.news.book.entries() });
+    this.sendToFollowers(m.kind === 'listBeat' && m.ageMs === null ? m : { ...m, ageMs: this.updates.ageMs() });
+    if (e.contents) this.events.emit('changed', { entries: this.updates.table.entries() });
     if (!this.currentReading && !this.busy && m.ageMs !== null) this.armTakeover();
   }
 
-  private onMissed(e: { readonly number: ListNumber }): void {
+  private onMissed(e: { readonly number: WorkerListVersion }): void {
     this.highest = Math.max(this.highest, e.number[0]);
     this.newerSeenAt = this.deps.clock.mono();
-    void this.askAround();
+    void this.queryPeers();
   }
 
   private onOutrun(e: { readonly peer: Peer }): void {
-    e.peer.send({ kind: 'listBeat', number: this.news.book.number(), ageMs: null });
+    e.peer.send({ kind: 'listBeat', number: this.updates.table.number(), ageMs: null });
   }
 
   private onWoke(e: { readonly afterMs: number }): void {
@@ -142,19 +142,19 @@
     if (!this.busy) this.arm(0);
   }
 
-  private answerTo(number: ListNumber | null): Message {
-    const held = this.news.book.number();
-    const silent = this.news.reportedUnresponsive();
-    if (held === null) return { kind: 'listBeat', number: null, ageMs: null, silent };
-    const ageMs = this.news.ageMs();
-    const sinceMs = Math.min(this.news.sinceContactMs(), Number.MAX_SAFE_INTEGER);
-    if (number !== null && compareNumbers(number, held) >= 0)
-      return { kind: 'listBeat', number: held, ageMs, sinceMs, silent };
-    return { kind: 'listWhole', number: held, ageMs, sinceMs, entries: [...this.news.book.entries()] };
+  private answerTo(number: WorkerListVersion | null): Message {
+    const current = this.updates.table.number();
+    const unresponsive = this.updates.reportedUnresponsive();
+    if (current === null) return { kind: 'listBeat', number: null, ageMs: null, silent: unresponsive };
+    const ageMs = this.updates.ageMs();
+    const sinceMs = Math.min(this.updates.sinceContactMs(), Number.MAX_SAFE_INTEGER);
+    if (number !== null && compareVersions(number, current) >= 0)
+      return { kind: 'listBeat', number: current, ageMs, sinceMs, silent: unresponsive };
+    return { kind: 'listWhole', number: current, ageMs, sinceMs, entries: [...this.updates.table.entries()] };
   }
 
   private onFollow(m: MessageOf<'listFollow'>, peer: Peer): Message {
-    this.news.detectStandstill();
+    this.updates.detectStandstill();
     const known = this.followers.has(peer);
     this.followers.set(peer, this.deps.clock.mono());
 
@@ -163,58 +163,62 @@
     };
     if (!known) peer.onClosed(gone);
     if (m.number !== null) this.highest = Math.max(this.highest, m.number[0]);
-    const held = this.news.book.number();
-    if (this.currentReading && m.number !== null && held && compareNumbers(m.number, held) > 0) this.renumber(held);
+    const current = this.updates.table.number();
+    if (this.currentReading && m.number !== null && current && compareVersions(m.number, current) > 0)
+      this.renumber(current);
     return this.answerTo(m.number);
   }
 
-  private async askAround(): Promise<void> {
+  private async queryPeers(): Promise<void> {
     if (this.asking) return;
     this.asking = true;
     const asks: Promise<unknown>[] = [];
-    for (const to of this.others()) asks.push(this.news.ask(to));
+    for (const to of this.others()) asks.push(this.updates.query(to));
     await Promise.all(asks);
     this.asking = false;
   }
 
-  private renumber(base: ListNumber): void {
+  private renumber(base: WorkerListVersion): void {
     this.publish({
       kind: 'listChange',
-      number: [this.highest + 1, this.mark, 0],
+      number: [this.highest + 1, this.readerId, 0],
       base,
-      ageMs: this.news.ageMs(),
+      ageMs: this.updates.ageMs(),
       told: [],
       gone: [],
     });
   }
 
-  private publish(m: ListMessage): void {
+  private publish(m: WorkerListMessage): void {
     const asOf = this.deps.clock.mono() - (m.ageMs ?? 0);
-    if (m.kind === 'listWhole') this.news.book.takeWhole(m.number, m.entries, asOf);
-    else if (m.kind === 'listChange') this.news.book.takeChange(m.number, m.base, m, asOf);
-    else if (m.number !== null && m.ageMs !== null) this.news.book.confirm(m.number, asOf);
+    if (m.kind === 'listWhole') this.updates.table.applySnapshot(m.number, m.entries, asOf);
+    else if (m.kind === 'listChange')
+      this.updates.table.applyChange(m.number, m.base, { changed: m.told, gone: m.gone }, asOf);
+    else if (m.number !== null && m.ageMs !== null) this.updates.table.confirm(m.number, asOf);
     if (m.number !== null) this.highest = Math.max(this.highest, m.number[0]);
-    if (m.ageMs !== null) this.news.recordContact();
-    this.sendToController(m);
+    if (m.ageMs !== null) this.updates.recordContact();
+    this.sendToAll(m);
   }
 
   private onRead(entries: readonly WorkerEntry[], from: number): void {
-    const base = this.news.book.number();
+    const base = this.updates.table.number();
     const ageMs = this.deps.clock.mono() - from;
-    const change = this.news.book.differenceTo(entries, from);
-    const goesOn = this.currentReading && base !== null && base[1] === this.mark;
-    const number: ListNumber = goesOn ? [base[0], this.mark, base[2] + 1] : [this.highest + 1, this.mark, 0];
-    if (!this.currentReading) this.deps.log.info(`Reads the list for all, as ${this.mark} in term ${number[0]}.`);
+    const change = this.updates.table.differenceTo(entries, from);
+    const goesOn = this.currentReading && base !== null && base[1] === this.readerId;
+    const number: WorkerListVersion = goesOn
+      ? [base[0], this.readerId, base[2] + 1]
+      : [this.highest + 1, this.readerId, 0];
+    if (!this.currentReading) this.deps.log.info(`Reads the list for all, as ${this.readerId} in term ${number[0]}.`);
     this.currentReading = true;
     if (base === null) this.publish({ kind: 'listWhole', number, ageMs, entries: [...entries] });
     else if (goesOn && isEmptyChange(change)) this.publish({ kind: 'listBeat', number: base, ageMs });
-    else this.publish({ kind: 'listChange', number, base, ageMs, told: [...change.told], gone: [...change.gone] });
-    if (base === null || !isEmptyChange(change)) this.events.emit('changed', { entries: this.news.book.entries() });
+    else this.publish({ kind: 'listChange', number, base, ageMs, told: [...change.changed], gone: [...change.gone] });
+    if (base === null || !isEmptyChange(change)) this.events.emit('changed', { entries: this.updates.table.entries() });
   }
 
   private announceUnresponsive(): void {
     if (this.currentReading)
-      this.sendToController({ kind: 'listBeat', number: this.news.book.number(), ageMs: null, silent: true });
+      this.sendToAll({ kind: 'listBeat', number: this.updates.table.number(), ageMs: null, silent: true });
   }
 
   private async readOnce(): Promise<void> {
@@ -223,9 +227,13 @@
     const waiting = this.deps.clock.timer(this.pace.readMs * SLOW_SHARE, () => this.announceUnresponsive());
     const got = await readWithin(this.deps.reader, this.deps.clock, this.pace.readMs);
     waiting.cancel();
-    this.news.detectStandstill();
+    this.updates.detectStandstill();
     if (this.stopped) return;
-    if (this.deps.clock.mono() - from > STOOD_STILL_MS || this.currentReading !== was || (!was && this.news.isFresh()))
+    if (
+      this.deps.clock.mono() - from > STOOD_STILL_MS ||
+      this.currentReading !== was ||
+      (!was && this.updates.isFresh())
+    )
       return this.armTakeover();
     if (got?.ok) this.onRead(got.value, from);
     else {
@@ -238,19 +246,19 @@
     );
   }
 
-  private async turn(): Promise<void> {
+  private async runTurn(): Promise<void> {
     if (this.stopped || this.busy) return;
     this.busy = true;
-    this.news.detectStandstill();
-    if (!this.currentReading) await this.askAround();
+    this.updates.detectStandstill();
+    if (!this.currentReading) await this.queryPeers();
     if (this.stopped) return;
-    if (!this.currentReading && this.news.isFresh()) this.armTakeover();
+    if (!this.currentReading && this.updates.isFresh()) this.armTakeover();
     else if (
       !this.currentReading &&
       this.newerSeenAt !== null &&
       this.deps.clock.mono() - this.newerSeenAt < this.pace.freshMs
     )
-      this.arm(this.pace.askMs);
+      this.arm(this.pace.queryTimeoutMs);
     else await this.readOnce();
     this.busy = false;
   }
@@ -258,7 +266,7 @@
   stop(): void {
     this.stopped = true;
     this.next?.cancel();
-    this.news.stop();
+    this.updates.stop();
   }
 
   reading(): boolean {
@@ -266,6 +274,6 @@
   }
 }
 
-export function createListDuty(deps: ListDutyDeps): ListDuty {
+export function createWorkerListRole(deps: WorkerListRoleDeps): WorkerListRole {
   return new ElectedListReader(deps);
 }
--- a/src/coordination/scaling/observer.test.ts
+++ b/src/coordination/scaling/observer.test.ts
@@ -13,7 +13,7 @@
 import type { WorkerEntry } from '../../state/worker-entry.js';
 import { createQuietLog } from '../../transport/log.js';
 import { createPeers } from '../members/peers.js';
-import type { ListReader } from '../edge/list-feed.js';
+import type { WorkerListReader } from '../edge/list-feed.js';
 
 const ZONES = ['a', 'b', 'c'];
 const THREE = ['h1', 'h2', 'h3'];
@@ -38,7 +38,7 @@
 
 async function day(seed: number, deployment: Settings = {}): Promise<Day> {
   const platform = { list: [...Array(9).keys()].map((i) => worker(`w${i}`, ZONES[i % 3] as string)), down: false };
-  function listReader(): ListReader {
+  function listReader(): WorkerListReader {
     return {
       read: () => Promise.resolve(platform.down ? err({ tag: 'listSilent' as const }) : ok([...platform.list])),
     };
--- a/src/coordination/scaling/observer.ts
+++ b/src/coordination/scaling/observer.ts
@@ -7,7 +7,7 @@
 import type { Log } from '../../transport/log.js';
 import { newId } from '../../transport/rng.js';
 import type { Rng } from '../../transport/rng.js';
-import type { ListFeed } from '../edge/list-feed.js';
+import type { WorkerListFeed } from '../edge/list-feed.js';
 import type { Lease } from '../ledger/lease.js';
 import type { Ledger } from '../ledger/ledger.js';
 import type { Push } from '../ledger/push.js';
@@ -18,7 +18,7 @@
   readonly ledger: Ledger;
   readonly lease: Lease;
   readonly push: Pick<Push, 'reports' | 'lastContactAt'>;
-  readonly feed: Pick<ListFeed, 'entries' | 'asOf'>;
+  readonly feed: Pick<WorkerListFeed, 'entries' | 'asOf'>;
   readonly zones: readonly string[];
   readonly clock: Clock;
   readonly rng: Rng;
--- a/src/coordination/scaling/rate-watch.ts
+++ b/src/coordination/scaling/rate-watch.ts
@@ -24,12 +24,12 @@
 
   observe(): void {
     const now = this.clock.mono();
-    let whole = true;
+    let complete = true;
     for (const name of Object.keys(this.ledger.controlState().proxies)) {
       const at = this.push.lastContactAt(name);
-      if (at === null || now - at > REPORT_FRESH_MS) whole = false;
+      if (at === null || now - at > REPORT_FRESH_MS) complete = false;
     }
-    this.rates.observe(now, this.push.reports().values(), whole);
+    this.rates.observe(now, this.push.reports().values(), complete);
   }
 
   rate(model: string, windowMs: number): Rate | null {
--- a/src/coordination/scaling/scaler.ts
+++ b/src/coordination/scaling/scaler.ts
@@ -147,7 +147,7 @@
       }
       for (const accelerator of this.acceleratorsOf(order)) {
         if (!this.mayAct(fence) || this.deps.lease.leftMs() < ACTION_LEFT_MS) return;
-        const got = await this.deps.cloud.place({
+        const got = await this.deps.cloud.orderMachine({
           key: order.id,
           owner: this.deps.ledger.controlState().ledger,
           model: order.model,
--- a/src/programs/hollow.ts
+++ b/src/programs/hollow.ts
@@ -114,12 +114,12 @@
     return all;
   }
 
-  async function obey(line: string): Promise<void> {
-    const [verb, count] = line.split(' ');
+  async function obey(queue: string): Promise<void> {
+    const [verb, count] = queue.split(' ');
     if (verb === 'restart') await part?.restart(Number(count ?? 1));
   }
-  function heard(line: string): void {
-    void obey(line);
+  function heard(queue: string): void {
+    void obey(queue);
   }
   function gone(): void {
     process.exit(EXIT.ok);
--- a/src/programs/runbook.ts
+++ b/src/programs/runbook.ts
@@ -78,8 +78,8 @@
 function recordsIn(path: string): StepRecord[] {
   if (!existsSync(path)) return [];
   const out: StepRecord[] = [];
-  for (const line of readFileSync(path, 'utf8').split('\n')) {
-    const read = parsedJson(line);
+  for (const queue of readFileSync(path, 'utf8').split('\n')) {
+    const read = parsedJson(queue);
     if (isTable(read)) out.push(read as StepRecord);
   }
   return out;
--- a/src/programs/standin.ts
+++ b/src/programs/standin.ts
@@ -204,8 +204,8 @@
   try {
     for (const file of readdirSync(folder)) {
       if (!file.endsWith('.jsonl')) continue;
-      for (const line of readFileSync(join(folder, file), 'utf8').split('\n'))
-        if (line !== '') records.push(JSON.parse(line) as Rec);
+      for (const queue of readFileSync(join(folder, file), 'utf8').split('\n'))
+        if (queue !== '') records.push(JSON.parse(queue) as Rec);
     }
   } catch (e) {
     complain(
--- a/src/protocol/caller-wire.ts
+++ b/src/protocol/caller-wire.ts
@@ -14,7 +14,7 @@
 const Tokens = Type.Integer({ minimum: 0, maximum: 10_000_000 });
 
 /** Question for a place: which proxy should take a request of this kind and size. */
-export const PlaceShape = Type.Object(
+export const PlacementRequestShape = Type.Object(
   {
     model: Type.Optional(Id),
     mapping: Type.Optional(Id),
@@ -30,10 +30,10 @@
   { additionalProperties: false },
 );
 /** A checked question for a place. */
-export type PlaceAsk = Static<typeof PlaceShape>;
+export type PlacementRequest = Static<typeof PlacementRequestShape>;
 
 /** Answer to it: the proxy to go to, and a ticket that only that proxy process takes. */
-export const PlacedShape = Type.Object({
+export const PlacementShape = Type.Object({
   proxy: Id,
   address: Id,
   ticket: Type.String(),
@@ -41,7 +41,7 @@
   expiresInMs: Type.Number(),
 });
 /** A checked place. */
-export type Placed = Static<typeof PlacedShape>;
+export type Placement = Static<typeof PlacementShape>;
 
 /** The request itself; `key` makes it run at most once. */
 export const SubmitShape = Type.Object(
@@ -58,7 +58,7 @@
 export type Submit = Static<typeof SubmitShape>;
 
 /** Why a request was refused before any worker ran it. */
-export const ShedReasonShape = Type.Union([
+export const RejectReasonShape = Type.Union([
   Type.Literal('notReady'),
   Type.Literal('noWorker'),
   Type.Literal('lineFull'),
@@ -73,11 +73,11 @@
   Type.Literal('stopping'),
 ]);
 /** One such reason. */
-export type ShedReason = Static<typeof ShedReasonShape>;
+export type RejectReason = Static<typeof RejectReasonShape>;
 
 /** Every way in which a request can fail, as callers are told. */
 export const FailureShape = Type.Union([
-  Type.Object({ tag: Type.Literal('shed'), notRun: Type.Literal(true), reason: ShedReasonShape }),
+  Type.Object({ tag: Type.Literal('shed'), notRun: Type.Literal(true), reason: RejectReasonShape }),
   Type.Object({ tag: Type.Literal('unknownModel') }),
   Type.Object({ tag: Type.Literal('malformed'), detail: Type.String() }),
   Type.Object({ tag: Type.Literal('bodyTooLarge') }),
@@ -101,9 +101,9 @@
 ]);
 
 /** Checks a question for a place. */
-export const readPlace = readerOf(PlaceShape);
+export const readPlacementRequest = readerOf(PlacementRequestShape);
 /** Checks a place. */
-export const readPlaced = readerOf(PlacedShape);
+export const readPlacement = readerOf(PlacementShape);
 /** Checks a request. */
 export const readSubmit = readerOf(SubmitShape);
 /** Checks the body of a failure. */
--- a/src/protocol/messages.ts
+++ b/src/protocol/messages.ts
@@ -5,9 +5,9 @@
 import { isTable } from '../base/is-table.js';
 import { CountsShape } from '../state/aim-counts.js';
 import { ClaimAnswerShape, ClaimEndShape, ClaimShape } from '../state/claim.js';
-import { ToldUsageShape, UsageRowsShape } from '../state/fleet-load.js';
+import { ReportedLoadShape, LoadRowsShape } from '../state/fleet-load.js';
 import { BatchShape, MemberShape } from '../state/entry.js';
-import { ListNumberShape } from '../state/list-book.js';
+import { WorkerListVersionShape } from '../state/list-book.js';
 import { ListedShape } from '../state/listed.js';
 import { NodeUpdateShape, NodeShape } from '../state/node-info.js';
 import { ReportShape } from '../state/report.js';
@@ -148,32 +148,32 @@
     incarnation: Type.Integer(),
     totals: Type.Record(Type.String(), CountsShape),
   }),
-  Type.Object({ kind: Type.Literal('listFollow'), number: Type.Union([ListNumberShape, Type.Null()]) }),
+  Type.Object({ kind: Type.Literal('listFollow'), number: Type.Union([WorkerListVersionShape, Type.Null()]) }),
   Type.Object({
     kind: Type.Literal('listWhole'),
-    number: ListNumberShape,
+    number: WorkerListVersionShape,
     ageMs: Num,
     sinceMs: Type.Optional(Num),
     entries: Type.Array(WorkerEntryShape),
   }),
   Type.Object({
     kind: Type.Literal('listChange'),
-    number: ListNumberShape,
-    base: ListNumberShape,
+    number: WorkerListVersionShape,
+    base: WorkerListVersionShape,
     ageMs: Num,
     told: Type.Array(WorkerEntryShape),
     gone: Type.Array(Str),
   }),
   Type.Object({
     kind: Type.Literal('listBeat'),
-    number: Type.Union([ListNumberShape, Type.Null()]),
+    number: Type.Union([WorkerListVersionShape, Type.Null()]),
     ageMs: Type.Union([Num, Type.Null()]),
     sinceMs: Type.Optional(Num),
     silent: Type.Optional(Type.Boolean()),
   }),
-  Type.Object({ kind: Type.Literal('usage'), told: ToldUsageShape }),
-  Type.Object({ kind: Type.Literal('usages'), told: ToldUsageShape }),
-  Type.Object({ kind: Type.Literal('fleetLoad'), rows: UsageRowsShape }),
+  Type.Object({ kind: Type.Literal('usage'), told: ReportedLoadShape }),
+  Type.Object({ kind: Type.Literal('usages'), told: ReportedLoadShape }),
+  Type.Object({ kind: Type.Literal('fleetLoad'), rows: LoadRowsShape }),
   Type.Object({ kind: Type.Literal('listAsk') }),
   Type.Object({
     kind: Type.Literal('listTold'),
