--- a/src/protocol/open-words.ts
+++ b/src/protocol/open-words.ts
@@ -4,7 +4,7 @@
  */
 
 /** The header that carries each piece of information, in lower case. */
-export type OpenWords = {
+export type HeaderNames = {
   readonly attemptId: string;
   readonly deadline: string;
   readonly prefix: string;
@@ -18,7 +18,7 @@
 };
 
 /** The product's own names. */
-export const OPEN_WORDS: OpenWords = {
+export const OPEN_WORDS: HeaderNames = {
   attemptId: 'millfield-attempt',
   deadline: 'millfield-deadline-ms',
   prefix: 'millfield-prefix',
--- a/src/protocol/serving.test.ts
+++ b/src/protocol/serving.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, test } from '@jest/globals';
 import { DEFAULT_LIMITS } from '../state/serving.js';
-import type { RouteMapping, ModelTraits, Serving } from '../state/serving.js';
+import type { RouteSettings, ModelTraits, Serving } from '../state/serving.js';
 import { withChanges } from '../state/settings-tree.js';
 import { readConfiguration } from './configuration.js';
 import { readServing } from './serving.js';
@@ -13,7 +13,7 @@
   coldRateS: 0,
   engine: { batch: 64, kvTokens: 1_000 },
 };
-function mapping(more: Partial<RouteMapping>): RouteMapping {
+function mapping(more: Partial<RouteSettings>): RouteSettings {
   return {
     at: 0,
     host: 'a.example',
--- a/src/protocol/serving.ts
+++ b/src/protocol/serving.ts
@@ -9,7 +9,7 @@
 import { isTable } from '../base/is-table.js';
 import { err, ok } from '../base/result.js';
 import type { Result } from '../base/result.js';
-import type { RouteMapping, EngineTraits, ModelTraits, CallerLimits, Serving, Share } from '../state/serving.js';
+import type { RouteSettings, EngineTraits, ModelTraits, CallerLimits, Serving, Share } from '../state/serving.js';
 import { faultAt, faultsIn, real, text, whole } from './codecs.js';
 import type { ConfigFault } from './codecs.js';
 
@@ -57,7 +57,7 @@
 type Codecs<T> = { readonly [K in Exclude<keyof T, 'extra'>]-?: t.Mixed };
 
 const SHARE: Codecs<Share> = { model: Filled, share: Amount };
-const MAPPING: Codecs<RouteMapping> = {
+const MAPPING: Codecs<RouteSettings> = {
   at: Count,
   host: text('a host', isHost),
   prefix: text('a path that begins and ends with a slash', isPrefix),
@@ -83,7 +83,7 @@
   engine: orNull(t.type(ENGINE, 'a table of batch and kvTokens')),
 };
 const LIMITS: Codecs<CallerLimits> = { headerBytes: Above, bodyBytes: Amount, headerMs: Above, idleMs: Above };
-const Mapping = t.type(MAPPING, 'a mapping');
+const ModelRoute = t.type(MAPPING, 'a mapping');
 const Model = t.type(MODEL, 'a model');
 const Limits = t.type(LIMITS, 'a table of limits');
 const Numbered = whole(1, MOST);
@@ -116,7 +116,7 @@
   items<ModelTraits>('models', top['models'], Model);
   const models = isTable(top['models']) ? top['models'] : {};
   const taken = new Map<string, string>();
-  for (const [name, mapping] of items<RouteMapping>('mappings', top['mappings'], Mapping)) {
+  for (const [name, mapping] of items<RouteSettings>('mappings', top['mappings'], ModelRoute)) {
     const place = `${mapping.host.toLowerCase()} ${mapping.prefix}`;
     const other = taken.get(place);
     if (other !== undefined)
--- a/src/sim/edge-day.ts
+++ b/src/sim/edge-day.ts
@@ -8,12 +8,12 @@
 import { createRouteTable } from '../state/route-table.js';
 import type { RouteTable } from '../state/route-table.js';
 import { DEFAULT_LIMITS } from '../state/serving.js';
-import type { RouteMapping } from '../state/serving.js';
+import type { RouteSettings } from '../state/serving.js';
 import { createWorkerRegistry } from '../state/worker-registry.js';
 import type { WorkerEntry } from '../state/worker-entry.js';
 import { every, turnOver } from '../transport/clock.js';
 import { createQuietLog } from '../transport/log.js';
-import type { ConnectionPool, OpenRequest } from '../transport/open-http.js';
+import type { ConnectionPool, OpaqueRequest } from '../transport/open-http.js';
 import { createRng } from '../transport/rng.js';
 import type { Relay, RelayDeps } from '../coordination/edge/relay.js';
 import { bodyOf, checkEdgeJournal } from './edge-journal.js';
@@ -48,7 +48,7 @@
 const BOUNDS = { ratio: 0.5, slack: 12, windowMs: 60_000 };
 const SETTLE_MS = 9_000;
 
-function routeOf(kind: AskedKind, attempts: number): RouteMapping {
+function routeOf(kind: AskedKind, attempts: number): RouteSettings {
   return {
     at: 0,
     host: 'a.example',
@@ -98,16 +98,19 @@
     sabotage: options.sabotage ?? 'none',
     trouble: options.trouble ?? 0.5,
   });
-  const mappings: Record<string, RouteMapping> = {};
+  const mappings: Record<string, RouteSettings> = {};
   for (const kind of KINDS) for (const attempts of [1, 2, 3]) mappings[`${kind}${attempts}`] = routeOf(kind, attempts);
   const models = { m: { at: 0, probePath: '/h', maxConns: 100, coldS: 0, coldRateS: 0, engine: null } };
   const table = createRouteTable({ number: 1, mappings, models, limits: DEFAULT_LIMITS });
-  const book = createWorkerRegistry({ name: 'edge', zone: 'z1', region: 'r', held: connectionPool.idle }, EDGE_TUNING);
-  book.takeList([1, 2, 3, 4].map(workerEntry), 0);
+  const book = createWorkerRegistry(
+    { name: 'edge', zone: 'z1', region: 'r', openConnections: connectionPool.idle },
+    EDGE_TUNING,
+  );
+  book.applyList([1, 2, 3, 4].map(workerEntry), 0);
   const relay = options.createRelay({
     words: OPEN_WORDS,
     tuning: EDGE_TUNING,
-    book,
+    registry: book,
     budget: createAttemptBudget(BOUNDS),
     connectionPool,
     clock,
@@ -190,7 +193,7 @@
   };
 }
 
-type Caller = { readonly incoming: OpenRequest; readonly left: () => void };
+type Caller = { readonly incoming: OpaqueRequest; readonly left: () => void };
 
 /** A caller's connection: what the proxy writes into it becomes the caller's part of the journal. */
 function createCaller(asked: Asked): Caller {
@@ -206,7 +209,7 @@
   function get(name: string): string | null {
     return headers[name] ?? null;
   }
-  function body(): ReturnType<OpenRequest['body']> {
+  function body(): ReturnType<OpaqueRequest['body']> {
     return Promise.resolve({ ok: true, value: Buffer.from(bodyOf(asked.id)) });
   }
   function isGone(): boolean {
@@ -234,13 +237,13 @@
     gone = true;
     for (const fn of watchers) fn();
   }
-  const incoming: OpenRequest = {
+  const incoming: OpaqueRequest = {
     method: 'POST',
     target: `/${asked.kind}/${asked.attempts}/x`,
     headers: Object.entries(headers).flat(),
     get,
     body,
-    answerer: { head, write, end, cut, gone: isGone, onGone },
+    answerer: { head, write, end, abort: cut, gone: isGone, onGone },
   };
   return { incoming, left };
 }
--- a/src/sim/edge-workers.ts
+++ b/src/sim/edge-workers.ts
@@ -2,7 +2,7 @@
  * Stand-in workers of a simulated edge, and the connections to them: a twin of the connection pool whose
  * workers misbehave as they are told by chance. Each notes what came to it and what it ran.
  */
-import type { OpenWords } from '../protocol/open-words.js';
+import type { HeaderNames } from '../protocol/open-words.js';
 import type { ConnectionPool, SendEvents, SendFault, Sending, Sent } from '../transport/open-http.js';
 import type { Rng } from '../transport/rng.js';
 import { eventText } from './edge-journal.js';
@@ -15,7 +15,7 @@
 export type EdgeWorkersOptions = {
   readonly world: World;
   readonly proc: Proc;
-  readonly words: OpenWords;
+  readonly words: HeaderNames;
   readonly rng: Rng;
   readonly journal: EdgeJournal;
   readonly sabotage: EdgeSabotage;
@@ -132,7 +132,7 @@
       sending.over = true;
       if (sending.visit) sending.visit.left = true;
     }
-    return { cut };
+    return { abort: cut };
   }
 
   function visit(
--- a/src/sim/request-scenarios.ts
+++ b/src/sim/request-scenarios.ts
@@ -3,7 +3,7 @@
 import { PLACE_PATH, REQUESTS_PATH, TICKET_HEADER } from '../protocol/caller-wire.js';
 import { tagOf } from '../standin/caller.js';
 import { createClientOver } from '../client/client.js';
-import type { ClientAsk } from '../client/client.js';
+import type { ClientRequest } from '../client/client.js';
 import { runKey } from '../state/run-key.js';
 import { SIM_WALL } from './world.js';
 import type { SimFleet } from './sim-fleet.js';
@@ -93,7 +93,7 @@
 
 type Sent = { readonly tag: string; readonly tookMs: number };
 
-async function sendTo(fleet: SimFleet, zone: string, ask: ClientAsk, stream: boolean): Promise<Sent> {
+async function sendTo(fleet: SimFleet, zone: string, ask: ClientRequest, stream: boolean): Promise<Sent> {
   const { world } = fleet;
   const proc = world.begin(world.host(`caller-${zone}-${world.now()}-${ask.parts[0]?.hash}`, zone));
   const near: string[] = [];
@@ -114,10 +114,10 @@
   return over('nothing');
 }
 
-function streamAsk(i: number): ClientAsk {
+function streamAsk(i: number): ClientRequest {
   return { model: 'summary', parts: [{ hash: `part-${i}`, tokens: 50 }], outputTokens: 4_000, repeatable: true };
 }
-function onceAsk(i: number): ClientAsk {
+function onceAsk(i: number): ClientRequest {
   return {
     model: 'card-gateway',
     kind: 'card',
@@ -131,7 +131,7 @@
 async function endsAfter(
   s: Stage,
   cause: () => Promise<void>,
-  makes: readonly ((i: number) => ClientAsk)[],
+  makes: readonly ((i: number) => ClientRequest)[],
   mostMs: number,
   told = makes.length === 1 ? ['cut'] : ['cut', 'outcomeUnknown'],
 ): Promise<void> {
@@ -185,13 +185,13 @@
 
 export async function homesStale(s: Stage): Promise<void> {
   const { fleet } = s;
-  type Placed = {
+  type Placement = {
     readonly ticket?: string;
     readonly requestId?: string;
     readonly address?: string;
     readonly proxy?: string;
   };
-  async function placedFor(at: number, homes?: readonly string[]): Promise<Placed> {
+  async function placedFor(at: number, homes?: readonly string[]): Promise<Placement> {
     const got = await fleet.call({
       method: 'POST',
       address: fleet.proxies[at]?.http ?? '',
@@ -206,10 +206,10 @@
         ...(homes ? { homes } : {}),
       },
     });
-    return got.ok ? (got.value.body as Placed) : {};
+    return got.ok ? (got.value.body as Placement) : {};
   }
   async function submit(
-    p: Placed,
+    p: Placement,
     address: string,
     homes: readonly string[],
     ticket = p.ticket ?? '',
--- a/src/sim/sim-core.ts
+++ b/src/sim/sim-core.ts
@@ -1,5 +1,5 @@
 import { startController } from '../coordination/controller.js';
-import type { ListReader } from '../coordination/edge/list-feed.js';
+import type { WorkerListReader } from '../coordination/edge/list-feed.js';
 import type { Controller } from '../coordination/controller.js';
 import type { Agreed, ProposeFault } from '../coordination/ledger/proposal.js';
 import type { Result } from '../base/result.js';
@@ -34,7 +34,7 @@
   readonly seeds: number;
   readonly regionMs: number;
   readonly zones?: readonly string[];
-  readonly listReader?: (clock: Clock, host: Host) => ListReader;
+  readonly listReader?: (clock: Clock, host: Host) => WorkerListReader;
   readonly operatorHttpServer?: boolean;
   readonly diskBytes?: number;
   readonly claims?: boolean;
--- a/src/sim/sim-http.ts
+++ b/src/sim/sim-http.ts
@@ -43,7 +43,7 @@
 
 async function* nothing(): AsyncGenerator<Result<unknown, HttpFault>> {}
 
-type Item = { readonly line: Result<unknown, HttpFault> | null };
+type Item = { readonly queue: Result<unknown, HttpFault> | null };
 
 export type BodySeen = (host: Host, path: string, body: unknown) => void;
 
@@ -215,8 +215,8 @@
       }
       function breakOff(fault: HttpFault): void {
         over = true;
-        push({ line: err(fault) });
-        push({ line: null });
+        push({ queue: err(fault) });
+        push({ queue: null });
       }
       async function* received(): AsyncGenerator<Result<unknown, HttpFault>> {
         try {
@@ -226,9 +226,9 @@
               await new Promise<void>(waitForItem);
               continue;
             }
-            if (item.line === null) return;
-            yield item.line;
-            if (!item.line.ok) return;
+            if (item.queue === null) return;
+            yield item.queue;
+            if (!item.queue.ok) return;
           }
         } finally {
           finish();
@@ -247,12 +247,12 @@
         }
       }
       back(streaming);
-      for await (const line of lines) {
+      for await (const queue of lines) {
         if (over) break;
-        post({ line: ok(copied(line)) });
+        post({ queue: ok(copied(queue)) });
       }
       off();
-      post({ line: null });
+      post({ queue: null });
       function streaming(): void {
         settle(ok({ status: given.status, headers: given.headers ?? {}, body: null, lines: received(), abandon }));
       }
--- a/src/standin/caller.ts
+++ b/src/standin/caller.ts
@@ -1,5 +1,5 @@
 import { createClientOver } from '../client/client.js';
-import type { ClientAsk, ClientFault } from '../client/client.js';
+import type { ClientRequest, ClientFault } from '../client/client.js';
 import { sha256 } from '../base/digest.js';
 import { runKey } from '../state/run-key.js';
 import { markOf } from './mark.js';
@@ -61,7 +61,7 @@
 
   function note(
     submission: string,
-    ask: ClientAsk,
+    ask: ClientRequest,
     startedAt: number,
     firstAt: number | null,
     result: string,
@@ -93,7 +93,7 @@
 
   async function card(): Promise<void> {
     const key = runKey(newId(rng, 'key'), clock.wall());
-    const ask: ClientAsk = {
+    const ask: ClientRequest = {
       model: s.runOnceModel as string,
       ...(s.kind === null ? {} : { kind: s.kind }),
       ...(s.homes ? { homes: s.homes } : {}),
@@ -129,7 +129,7 @@
   async function summary(): Promise<void> {
     const model = s.streamModels[below(rng, s.streamModels.length)] as string;
     const prefix = below(rng, s.prefixes);
-    const ask: ClientAsk = {
+    const ask: ClientRequest = {
       model,
       parts: [
         { hash: `${model}-rules`, tokens: 400 },
--- a/src/standin/slow-net.ts
+++ b/src/standin/slow-net.ts
@@ -95,11 +95,11 @@
 export function slowHttpClient(httpClient: HttpClient, clock: Clock, pathTo: PathTo): HttpClient {
   async function* slowLines(lines: HttpAnswer['lines'], path: Path): AsyncGenerator<Result<unknown, HttpFault>> {
     let first = true;
-    for await (const line of lines) {
+    for await (const queue of lines) {
       if (first) await pause(clock, path.delayMs);
       first = false;
       while (path.inCut()) await pause(clock, HELD_LOOK_MS);
-      yield line;
+      yield queue;
     }
   }
   async function call(c: HttpCall): Promise<Result<HttpAnswer, HttpFault>> {
--- a/src/standin/worker.ts
+++ b/src/standin/worker.ts
@@ -243,8 +243,8 @@
     if (ask.stream) return { status: 200, lines };
     const pieces: unknown[] = [];
     let seal: unknown = null;
-    for await (const line of lines) {
-      const at = line as { readonly piece?: unknown; readonly seal?: unknown };
+    for await (const queue of lines) {
+      const at = queue as { readonly piece?: unknown; readonly seal?: unknown };
       if (at.piece !== undefined) pieces.push(at.piece);
       else seal = at.seal;
     }
--- a/src/state/aim-counts.ts
+++ b/src/state/aim-counts.ts
@@ -61,7 +61,7 @@
   return { good, all };
 }
 
-export function mappingSubject(mapping: string): string {
+export function routeSubject(mapping: string): string {
   return `mapping ${mapping}`;
 }
 export const CHANGES_SUBJECT = 'changes';
--- a/src/state/aim-report.ts
+++ b/src/state/aim-report.ts
@@ -1,4 +1,4 @@
-import { addCounts, CHANGES_SUBJECT, mappingSubject, noCounts, within } from './aim-counts.js';
+import { addCounts, CHANGES_SUBJECT, routeSubject, noCounts, within } from './aim-counts.js';
 import type { Counts, CountTable } from './aim-counts.js';
 import type { Minute } from './aim-book.js';
 
@@ -32,7 +32,7 @@
 
 export function subjectOf(aim: Aim): string {
   if (aim.measure === 'changeInForce') return CHANGES_SUBJECT;
-  return aim.mapping === null ? (aim.model ?? '') : mappingSubject(aim.mapping);
+  return aim.mapping === null ? (aim.model ?? '') : routeSubject(aim.mapping);
 }
 
 function weighed(aim: Aim, c: Counts): { readonly good: number; readonly all: number } {
--- a/src/state/attempt-budget.test.ts
+++ b/src/state/attempt-budget.test.ts
@@ -16,7 +16,7 @@
 ])('further dispatches of %i proxies together stay inside the bound in every window (seed %i)', (n, seed) => {
   const rng = createRng(seed);
   const budgets = Array.from({ length: n }, () => createAttemptBudget(BOUNDS));
-  for (const b of budgets) b.sharers(n);
+  for (const b of budgets) b.setSharingProxies(n);
   const first: number[] = [];
   const further: number[] = [];
   for (let now = 0; now < 30_000; now += 10) {
@@ -28,7 +28,7 @@
     }
     for (let k = 0; k < 3; k += 1) {
       if (!b.take('m', now)) continue;
-      if (rng.next() < 0.1) b.giveBack('m');
+      if (rng.next() < 0.1) b.refund('m');
       else further.push(now);
     }
   }
@@ -40,13 +40,13 @@
 test('what one model spends is not taken from another', () => {
   const b = createAttemptBudget(BOUNDS);
   for (let i = 0; i < 100 && b.take('m', 0); i += 1);
-  expect(b.may('m', 0)).toBe(false);
-  expect(b.may('n', 0)).toBe(true);
+  expect(b.mayTake('m', 0)).toBe(false);
+  expect(b.mayTake('n', 0)).toBe(true);
 });
 
 test('what was taken and not sent is there again', () => {
   const b = createAttemptBudget(BOUNDS);
   while (b.take('m', 0));
-  b.giveBack('m');
+  b.refund('m');
   expect([b.take('m', 0), b.take('m', 0)]).toEqual([true, false]);
 });
--- a/src/state/attempt-budget.ts
+++ b/src/state/attempt-budget.ts
@@ -7,12 +7,12 @@
 /** Counts first attempts, and takes or gives back further ones; `sharers` tells how many proxies share the slack. */
 export interface AttemptBudget {
   arrived(model: string, now: number): void;
-  may(model: string, now: number): boolean;
+  mayTake(model: string, now: number): boolean;
   /** Takes one further dispatch from the budget, or tells that there is none left. */
   take(model: string, now: number): boolean;
   /** Returns one that was taken and then not sent. */
-  giveBack(model: string): void;
-  sharers(n: number): void;
+  refund(model: string): void;
+  setSharingProxies(n: number): void;
 }
 
 /** The rule: share, slack and window. */
@@ -23,7 +23,7 @@
 class WindowAttemptBudget implements AttemptBudget {
   private readonly first = new Map<string, number[]>();
   private readonly further = new Map<string, number[]>();
-  private sharing = 1;
+  private sharingCount = 1;
 
   constructor(private readonly bounds: BudgetBounds) {}
 
@@ -41,24 +41,24 @@
     this.recent(this.first, model, now).push(now);
   }
 
-  may(model: string, now: number): boolean {
-    const room =
-      GUARD * (this.bounds.ratio * this.recent(this.first, model, now).length + this.bounds.slack / this.sharing);
-    return this.recent(this.further, model, now).length + 1 <= room;
+  mayTake(model: string, now: number): boolean {
+    const allowance =
+      GUARD * (this.bounds.ratio * this.recent(this.first, model, now).length + this.bounds.slack / this.sharingCount);
+    return this.recent(this.further, model, now).length + 1 <= allowance;
   }
 
   take(model: string, now: number): boolean {
-    if (!this.may(model, now)) return false;
+    if (!this.mayTake(model, now)) return false;
     this.recent(this.further, model, now).push(now);
     return true;
   }
 
-  giveBack(model: string): void {
+  refund(model: string): void {
     this.further.get(model)?.pop();
   }
 
-  sharers(n: number): void {
-    this.sharing = Math.max(1, n);
+  setSharingProxies(n: number): void {
+    this.sharingCount = Math.max(1, n);
   }
 }
 
--- a/src/state/attempt-outcome.test.ts
+++ b/src/state/attempt-outcome.test.ts
@@ -11,7 +11,7 @@
     canResume: true,
     mayHaveRun: false,
     leftMs: 5_000,
-    takeAttempt: () => true,
+    acquireAttempt: () => true,
     ...over,
   };
 }
@@ -62,7 +62,7 @@
 
     test('without attempts left only what was never sent is sent again', () => {
       for (const repeatability of KINDS)
-        expect(word(outcome, { repeatability, takeAttempt: () => false })).toBe(wasSent(outcome) ? last : 'repeat');
+        expect(word(outcome, { repeatability, acquireAttempt: () => false })).toBe(wasSent(outcome) ? last : 'repeat');
     });
 
     test('an answer that was begun and cannot go on is broken off, never ended', () => {
@@ -82,11 +82,11 @@
       for (const repeatability of KINDS)
         for (const leftMs of [0, LEAST_FOR_REPEAT_MS, 5_000]) {
           let taken = 0;
-          const takeAttempt = (): boolean => {
+          const acquireAttempt = (): boolean => {
             taken += 1;
             return true;
           };
-          const repeats = decide(outcome, situation({ repeatability, leftMs, takeAttempt })).tag === 'repeat';
+          const repeats = decide(outcome, situation({ repeatability, leftMs, acquireAttempt })).tag === 'repeat';
           expect(taken).toBe(repeats && wasSent(outcome) ? 1 : 0);
         }
     });
@@ -96,7 +96,7 @@
         for (const leftMs of [0, 5_000])
           for (const left of [true, false])
             for (const ranBefore of [true, false]) {
-              const got = word(outcome, { repeatability, leftMs, takeAttempt: () => left, mayHaveRun: ranBefore });
+              const got = word(outcome, { repeatability, leftMs, acquireAttempt: () => left, mayHaveRun: ranBefore });
               if (got === 'refuse') expect([mayHaveRun(outcome), ranBefore]).toEqual([false, false]);
             }
     });
--- a/src/state/attempt-outcome.ts
+++ b/src/state/attempt-outcome.ts
@@ -50,7 +50,7 @@
   /** Milliseconds until the deadline. */
   readonly leftMs: number;
   /** Takes a further attempt from the route's count and the shared budget; asked only if one is allowed. */
-  readonly takeAttempt: () => boolean;
+  readonly acquireAttempt: () => boolean;
 };
 
 /** What follows. */
@@ -125,7 +125,7 @@
   if (answerBegun && !(repeatability === 'resumable' && canResume)) return false;
   if (trace === 'none') return true;
   if (trace === 'mayHaveRun' && repeatability === 'once') return false;
-  return situation.takeAttempt();
+  return situation.acquireAttempt();
 }
 
 function lastAnswer(outcome: AttemptOutcome, situation: RequestSituation): Decision {
--- a/src/state/candidate.ts
+++ b/src/state/candidate.ts
@@ -6,15 +6,15 @@
   readonly region: string;
   readonly leaving: boolean;
   readonly evacuated: boolean;
-  readonly fit: boolean;
+  readonly healthy: boolean;
   readonly answersUs: boolean;
   readonly running: number;
   readonly limit: number;
   readonly agreed: boolean;
-  readonly knownShare: number;
+  readonly knownFraction: number;
 };
 
-export type PlaceContext = {
+export type SelectionContext = {
   readonly zone: string;
   readonly region: string;
   readonly ownRegion: string;
@@ -22,5 +22,5 @@
   readonly partitioned: boolean;
   readonly seed: string;
   readonly avoid: ReadonlySet<number>;
-  readonly meanShare: number;
+  readonly meanLoad: number;
 };
--- a/src/state/claim-table.ts
+++ b/src/state/claim-table.ts
@@ -55,7 +55,7 @@
 class HourlyClaimTable implements ClaimTable {
   private readonly buckets = new Map<number, Bucket>();
   private readonly currentForgotten = createHourRanges();
-  private held = 0;
+  private claimCount = 0;
 
   constructor(private readonly most: number) {}
 
@@ -105,7 +105,7 @@
     record.copy(b.rows, b.count * CLAIM_RECORD);
     b.count += 1;
     b.lastAt = Math.max(b.lastAt, uptime);
-    this.held += 1;
+    this.claimCount += 1;
   }
 
   private find(key: Buffer, hour: number): Buffer | null {
@@ -119,7 +119,7 @@
     const key = digest(c.key, KEY_BYTES);
     const by = digest(c.by, BY_BYTES);
     const row = this.find(key, hour);
-    if (!row && this.held >= this.most) return { answer: { tag: 'full' }, record: null };
+    if (!row && this.claimCount >= this.most) return { answer: { tag: 'full' }, record: null };
     const mine = row !== null && row.subarray(KEY_BYTES, HOUR_AT).equals(by);
     const state = row ? row[STATE_AT] : RELEASED;
     if (row && mine && state === HELD) return { answer: { tag: 'claimed' }, record: null };
@@ -139,7 +139,7 @@
     const row = this.find(key, hour);
     const record = recordOf(key, by, hour, e.outcome === 'answered' ? ANSWERED : RELEASED);
     if (!row) {
-      if (this.held >= this.most) return null;
+      if (this.claimCount >= this.most) return null;
       this.insert(record, uptime);
       return record;
     }
@@ -176,7 +176,7 @@
 
   private drop(b: Bucket): void {
     this.buckets.delete(b.hour);
-    this.held -= b.count;
+    this.claimCount -= b.count;
   }
 
   addForgotten(ranges: readonly HourRange[]): void {
@@ -204,19 +204,19 @@
   }
 
   packed(): Buffer {
-    const parts: Buffer[] = [];
+    const chunks: Buffer[] = [];
     for (const b of this.ordered()) {
       const head = Buffer.alloc(HEAD_BYTES);
       head.writeUInt32BE(b.hour, 0);
       head.writeUInt32BE(b.count, 4);
       head.writeDoubleBE(b.lastAt, 8);
-      parts.push(head, b.rows.subarray(0, b.count * CLAIM_RECORD));
+      chunks.push(head, b.rows.subarray(0, b.count * CLAIM_RECORD));
     }
-    return Buffer.concat(parts);
+    return Buffer.concat(chunks);
   }
 
   size(): number {
-    return this.held;
+    return this.claimCount;
   }
 
   bytes(): number {
--- a/src/state/closed-orders.ts
+++ b/src/state/closed-orders.ts
@@ -15,7 +15,7 @@
   /** Slots whose closed orders may be lacking here; null while all are known. */
   lacking(): SlotRange | null;
   /** Takes what another controller told of the lacking slots; `whole` if that was all that there is. */
-  fill(texts: readonly string[], whole: boolean): void;
+  fill(texts: readonly string[], complete: boolean): void;
   page(slots: SlotRange, after: ClosedCursor | null, mostLength: number): ClosedPage;
   all(): Order[];
   saved(): SavedClosedOrders;
@@ -114,7 +114,7 @@
     return this.currentLacking;
   }
 
-  fill(texts: readonly string[], whole: boolean): void {
+  fill(texts: readonly string[], complete: boolean): void {
     const slots = this.currentLacking;
     if (!slots) return;
     for (const text of texts) {
@@ -122,7 +122,7 @@
       const closed = order && closedOf(order, text);
       if (closed && isWithin(closed, slots)) this.insert(closed);
     }
-    if (whole) this.currentLacking = null;
+    if (complete) this.currentLacking = null;
     this.trim();
   }
 
--- a/src/state/core-health.ts
+++ b/src/state/core-health.ts
@@ -85,11 +85,11 @@
 }
 
 /** Whether the core goes on after any loss of so many members. Members are nine at most, so all choices are tried. */
-function bearsAny(losses: number, { whole, quorumSize }: Counted): boolean {
-  for (let lost = 0; lost < 1 << whole.length; lost += 1) {
+function bearsAny(losses: number, { whole: complete, quorumSize }: Counted): boolean {
+  for (let lost = 0; lost < 1 << complete.length; lost += 1) {
     const remaining: MemberView[] = [];
-    for (let i = 0; i < whole.length; i += 1) if ((lost & (1 << i)) === 0) remaining.push(whole[i] as MemberView);
-    if (whole.length - remaining.length === losses && !goesOn(remaining, quorumSize)) return false;
+    for (let i = 0; i < complete.length; i += 1) if ((lost & (1 << i)) === 0) remaining.push(complete[i] as MemberView);
+    if (complete.length - remaining.length === losses && !goesOn(remaining, quorumSize)) return false;
   }
   return true;
 }
@@ -100,9 +100,9 @@
   return spare;
 }
 
-function isEssential(member: MemberView, { whole, quorumSize }: Counted): boolean {
+function isEssential(member: MemberView, { whole: complete, quorumSize }: Counted): boolean {
   const remaining: MemberView[] = [];
-  for (const other of whole) if (other.id !== member.id) remaining.push(other);
+  for (const other of complete) if (other.id !== member.id) remaining.push(other);
   return !goesOn(remaining, quorumSize);
 }
 
@@ -135,21 +135,21 @@
 /** The health of the core as the member `self` sees it; `self` is always in touch with itself. */
 export function coreHealth(self: string, members: readonly MemberView[]): CoreHealth {
   const quorumSize = quorumOf(members.length);
-  const whole: MemberView[] = [];
+  const complete: MemberView[] = [];
   let inTouch = 0;
   let isMember = false;
   for (const member of members) {
     if (member.id === self) isMember = true;
     if (member.inTouch) inTouch += 1;
-    if (lackOf(member) === null) whole.push(member);
+    if (lackOf(member) === null) complete.push(member);
   }
   if (!isMember) return unknownHealth(members, inTouch, 'notMember');
   if (inTouch < quorumSize) return unknownHealth(members, inTouch, 'noMajority');
-  const counted: Counted = { whole, quorumSize };
-  const works = goesOn(whole, quorumSize);
+  const counted: Counted = { whole: complete, quorumSize };
+  const works = goesOn(complete, quorumSize);
   const spareLosses = works ? spareLossesOf(counted) : 0;
   const details: MemberHealth[] = [];
   for (const member of members) details.push(detailOf(member, isEssential(member, counted)));
   const warning = !works ? 'noWholeQuorum' : spareLosses === 0 ? 'noSpareLoss' : null;
-  return { members: members.length, quorumSize, inTouch, holdingAll: whole.length, spareLosses, warning, details };
+  return { members: members.length, quorumSize, inTouch, holdingAll: complete.length, spareLosses, warning, details };
 }
--- a/src/state/edge-tuning.ts
+++ b/src/state/edge-tuning.ts
@@ -3,12 +3,12 @@
   readonly farMs: number;
   readonly bytesPerMs: number;
   readonly bytesPerToken: number;
-  readonly spreadLeast: number;
-  readonly spreadShare: number;
+  readonly spreadMinimum: number;
+  readonly spreadFraction: number;
   readonly sharedMs: number;
   readonly stallTokens: number;
   readonly stallMs: number;
-  readonly kvShare: number;
+  readonly kvFraction: number;
   readonly kvMs: number;
   readonly overMs: number;
   readonly crowdedMs: number;
@@ -33,10 +33,10 @@
   readonly redialers: number;
   readonly retryMs: number;
   readonly backMs: number;
-  readonly awayShare: number;
+  readonly awayFraction: number;
   readonly openingMs: number;
-  readonly lineMost: number;
-  readonly lineShare: number;
+  readonly maxQueueLength: number;
+  readonly queueTimeFraction: number;
   readonly coldOver: number;
   readonly coldSlack: number;
   readonly retryRatio: number;
@@ -49,12 +49,12 @@
   farMs: 80,
   bytesPerMs: 1_100,
   bytesPerToken: 12,
-  spreadLeast: 2,
-  spreadShare: 0.34,
+  spreadMinimum: 2,
+  spreadFraction: 0.34,
   sharedMs: 0.03,
   stallTokens: 16_000,
   stallMs: 12,
-  kvShare: 0.9,
+  kvFraction: 0.9,
   kvMs: 800,
   overMs: 400,
   crowdedMs: 300,
@@ -79,10 +79,10 @@
   redialers: 8,
   retryMs: 250,
   backMs: 1_200,
-  awayShare: 0.3,
+  awayFraction: 0.3,
   openingMs: 1_200,
-  lineMost: 200,
-  lineShare: 0.22,
+  maxQueueLength: 200,
+  queueTimeFraction: 0.22,
   coldOver: 1.5,
   coldSlack: 5,
   retryRatio: 0.2,
--- a/src/state/event-splitter.ts
+++ b/src/state/event-splitter.ts
@@ -1,39 +1,39 @@
 export type StreamEvent = { readonly id: number | null; readonly bytes: Buffer };
 
 export interface EventSplitter {
-  take(chunk: Buffer): readonly StreamEvent[];
-  rest(): Buffer;
+  push(chunk: Buffer): readonly StreamEvent[];
+  remainder(): Buffer;
 }
 
 const LF = 10;
 const CR = 13;
 
 class LineEventSplitter implements EventSplitter {
-  private held: Buffer = Buffer.alloc(0);
+  private buffered: Buffer = Buffer.alloc(0);
 
   private boundary(from: number): number {
-    for (let i = this.held.indexOf(LF, from); i >= 0; i = this.held.indexOf(LF, i + 1)) {
-      if (this.held[i + 1] === LF) return i + 2;
-      if (this.held[i + 1] === CR && this.held[i + 2] === LF) return i + 3;
+    for (let i = this.buffered.indexOf(LF, from); i >= 0; i = this.buffered.indexOf(LF, i + 1)) {
+      if (this.buffered[i + 1] === LF) return i + 2;
+      if (this.buffered[i + 1] === CR && this.buffered[i + 2] === LF) return i + 3;
     }
     return -1;
   }
 
-  take(chunk: Buffer): readonly StreamEvent[] {
-    this.held = this.held.length === 0 ? chunk : Buffer.concat([this.held, chunk]);
+  push(chunk: Buffer): readonly StreamEvent[] {
+    this.buffered = this.buffered.length === 0 ? chunk : Buffer.concat([this.buffered, chunk]);
     const out: StreamEvent[] = [];
     let start = 0;
     for (let end = this.boundary(0); end >= 0; end = this.boundary(start)) {
-      const bytes = this.held.subarray(start, end);
+      const bytes = this.buffered.subarray(start, end);
       out.push({ id: idOf(bytes), bytes });
       start = end;
     }
-    if (start > 0) this.held = this.held.subarray(start);
+    if (start > 0) this.buffered = this.buffered.subarray(start);
     return out;
   }
 
-  rest(): Buffer {
-    return this.held;
+  remainder(): Buffer {
+    return this.buffered;
   }
 }
 
--- a/src/state/fleet-load.ts
+++ b/src/state/fleet-load.ts
@@ -1,47 +1,47 @@
 import { Type } from '@sinclair/typebox';
 import type { Static } from '@sinclair/typebox';
 
-export const UsageRowsShape = Type.Record(
+export const LoadRowsShape = Type.Record(
   Type.String(),
   Type.Tuple([Type.Integer(), Type.Integer(), Type.Integer(), Type.Integer(), Type.Integer()]),
 );
-export type UsageRows = Static<typeof UsageRowsShape>;
+export type LoadRows = Static<typeof LoadRowsShape>;
 
-export const ToldUsageShape = Type.Object({
+export const ReportedLoadShape = Type.Object({
   name: Type.String(),
   run: Type.String(),
   count: Type.Integer(),
-  rows: UsageRowsShape,
+  rows: LoadRowsShape,
 });
-export type ToldUsage = Static<typeof ToldUsageShape>;
+export type ReportedLoad = Static<typeof ReportedLoadShape>;
 
-type Held = { readonly told: ToldUsage; readonly at: number };
+type TimedReport = { readonly report: ReportedLoad; readonly at: number };
 
 export interface FleetLoad {
-  take(told: ToldUsage, now: number): boolean;
-  sums(now: number): UsageRows;
+  record(report: ReportedLoad, now: number): boolean;
+  sums(now: number): LoadRows;
 }
 
 class ReportedFleetLoad implements FleetLoad {
-  private readonly held = new Map<string, Held>();
+  private readonly reports = new Map<string, TimedReport>();
 
   constructor(private readonly staleMs: number) {}
 
-  take(told: ToldUsage, now: number): boolean {
-    const have = this.held.get(told.name);
-    if (have && have.told.run === told.run && have.told.count >= told.count) return false;
-    this.held.set(told.name, { told, at: now });
+  record(report: ReportedLoad, now: number): boolean {
+    const have = this.reports.get(report.name);
+    if (have && have.report.run === report.run && have.report.count >= report.count) return false;
+    this.reports.set(report.name, { report, at: now });
     return true;
   }
 
-  sums(now: number): UsageRows {
-    const out: UsageRows = {};
-    for (const [name, h] of this.held) {
+  sums(now: number): LoadRows {
+    const out: LoadRows = {};
+    for (const [name, h] of this.reports) {
       if (now - h.at > this.staleMs) {
-        this.held.delete(name);
+        this.reports.delete(name);
         continue;
       }
-      for (const [id, row] of Object.entries(h.told.rows)) addTo(out, id, row);
+      for (const [id, row] of Object.entries(h.report.rows)) addTo(out, id, row);
     }
     return out;
   }
@@ -51,15 +51,15 @@
   return new ReportedFleetLoad(staleMs);
 }
 
-export type UsageRow = UsageRows[string];
+export type LoadRow = LoadRows[string];
 
-function addTo(out: UsageRows, id: string, row: UsageRow): void {
+function addTo(out: LoadRows, id: string, row: LoadRow): void {
   const had = out[id];
   out[id] = had ? [had[0] + row[0], had[1] + row[1], had[2] + row[2], had[3] + row[3], had[4] + row[4]] : [...row];
 }
 
-export function sumOf(a: UsageRows, b: UsageRows): UsageRows {
-  const out: UsageRows = { ...a };
+export function sumOf(a: LoadRows, b: LoadRows): LoadRows {
+  const out: LoadRows = { ...a };
   for (const [id, row] of Object.entries(b)) addTo(out, id, row);
   return out;
 }
--- a/src/state/home-worker.ts
+++ b/src/state/home-worker.ts
@@ -5,45 +5,49 @@
 
 import { hash32 } from '../base/digest.js';
 import type { EdgeTuning } from './edge-tuning.js';
-import type { Part } from './prefix-cache.js';
-import type { BookRow } from './registry-row.js';
+import type { PrefixBlock } from './prefix-cache.js';
+import type { RegistryRow } from './registry-row.js';
 
 /**
  * The worker for a prompt's shared parts (all but its last) among those open to it, or null
  * where nothing is shared. Prompts with the same first part stay within a small group.
  */
-export function homeAmong(open: readonly BookRow[], parts: readonly Part[], tuning: EdgeTuning): BookRow | null {
-  const shared = parts.length - 1;
+export function homeAmong(
+  open: readonly RegistryRow[],
+  blocks: readonly PrefixBlock[],
+  tuning: EdgeTuning,
+): RegistryRow | null {
+  const shared = blocks.length - 1;
   if (shared < 1) return null;
-  const first = parts[0] as Part;
+  const first = blocks[0] as PrefixBlock;
   if (shared === 1) return highest(open, first.id);
-  const few = Math.max(tuning.spreadLeast, Math.ceil(open.length * tuning.spreadShare));
+  const few = Math.max(tuning.spreadMinimum, Math.ceil(open.length * tuning.spreadFraction));
   const group = open.length <= few ? open : ranked(open, first.id).slice(0, few);
-  return highest(group, (parts[shared - 1] as Part).id);
+  return highest(group, (blocks[shared - 1] as PrefixBlock).id);
 }
 
 /** Tokens of a prompt's shared parts. */
-export function sharedTokens(parts: readonly Part[]): number {
+export function sharedTokens(blocks: readonly PrefixBlock[]): number {
   let n = 0;
-  for (let i = 0; i < parts.length - 1; i += 1) n += (parts[i] as Part).tokens;
+  for (let i = 0; i < blocks.length - 1; i += 1) n += (blocks[i] as PrefixBlock).tokens;
   return n;
 }
 
-type Ranked = { readonly hash: number; readonly row: BookRow };
+type Ranked = { readonly hash: number; readonly row: RegistryRow };
 
 function byHash(a: Ranked, b: Ranked): number {
   return b.hash - a.hash;
 }
-function ranked(rows: readonly BookRow[], key: string): BookRow[] {
+function ranked(rows: readonly RegistryRow[], key: string): RegistryRow[] {
   const all: Ranked[] = [];
   for (const row of rows) all.push({ hash: hash32(`${key}|${row.entry.id}`), row });
   return all.sort(byHash).map(rowOf);
 }
-function rowOf(r: Ranked): BookRow {
+function rowOf(r: Ranked): RegistryRow {
   return r.row;
 }
-function highest(rows: readonly BookRow[], key: string): BookRow | null {
-  let top: BookRow | null = null;
+function highest(rows: readonly RegistryRow[], key: string): RegistryRow | null {
+  let top: RegistryRow | null = null;
   let high = -1;
   for (const row of rows) {
     const h = hash32(`${key}|${row.entry.id}`);
--- a/src/state/lease-book.ts
+++ b/src/state/lease-book.ts
@@ -8,10 +8,10 @@
 export type Grant = { readonly holder: string; readonly round: number; readonly until: number };
 
 /** All grants, and the moment before which none is made. */
-export type LeaseBook = { readonly quietUntil: number; readonly grants: Map<string, Grant> };
+export type LeaseTable = { readonly quietUntil: number; readonly grants: Map<string, Grant> };
 
 /** The ask for a lease. */
-export type GrantAsk = {
+export type GrantRequest = {
   readonly duty: string;
   readonly holder: string;
   readonly round: number;
@@ -19,12 +19,12 @@
 };
 
 /** The book of a grantor that starts now. */
-export function createLeaseBook(now: number, longestTermMs: number): LeaseBook {
+export function createLeaseTable(now: number, longestTermMs: number): LeaseTable {
   return { quietUntil: now + longestTermMs, grants: new Map() };
 }
 
 /** Grants or prolongs a lease; false if another holds it or the grantor has just started. */
-export function askGrant(book: LeaseBook, ask: GrantAsk, now: number): boolean {
+export function requestGrant(book: LeaseTable, ask: GrantRequest, now: number): boolean {
   if (now < book.quietUntil) return false;
   const held = book.grants.get(ask.duty);
   if (held && held.until > now && held.holder !== ask.holder) return false;
@@ -33,7 +33,7 @@
 }
 
 /** Gives a lease back early; false if it is not that holder's grant of that round. */
-export function dropGrant(book: LeaseBook, duty: string, holder: string, round: number): boolean {
+export function dropGrant(book: LeaseTable, duty: string, holder: string, round: number): boolean {
   const held = book.grants.get(duty);
   if (!held || held.holder !== holder || held.round !== round) return false;
   book.grants.delete(duty);
--- a/src/state/line-pace.ts
+++ b/src/state/line-pace.ts
@@ -4,8 +4,8 @@
  */
 
 /** Notes each place that became free, and expects the wait behind `ahead` others. */
-export interface LinePace {
-  note(now: number): void;
+export interface QueuePacer {
+  record(now: number): void;
   expectedWaitMs(ahead: number, now: number): number | null;
 }
 
@@ -13,17 +13,17 @@
 const ENOUGH = 8;
 const FRESH_MS = 10_000;
 
-class RecentLinePace implements LinePace {
-  private seats: number[] = [];
+class RecentQueuePacer implements QueuePacer {
+  private freedAt: number[] = [];
 
-  note(now: number): void {
-    this.seats.push(now);
-    if (this.seats.length > KEPT) this.seats = this.seats.slice(-KEPT);
+  record(now: number): void {
+    this.freedAt.push(now);
+    if (this.freedAt.length > KEPT) this.freedAt = this.freedAt.slice(-KEPT);
   }
 
   expectedWaitMs(ahead: number, now: number): number | null {
     const fresh: number[] = [];
-    for (const at of this.seats) if (now - at < FRESH_MS) fresh.push(at);
+    for (const at of this.freedAt) if (now - at < FRESH_MS) fresh.push(at);
     const first = fresh[0];
     if (first === undefined || fresh.length < ENOUGH) return null;
     return ((ahead + 1) * (now - first)) / (fresh.length - 1);
@@ -31,6 +31,6 @@
 }
 
 /** Expects nothing (null) before eight places became free within ten seconds. */
-export function createLinePace(): LinePace {
-  return new RecentLinePace();
+export function createQueuePacer(): QueuePacer {
+  return new RecentQueuePacer();
 }
--- a/src/state/list-book.ts
+++ b/src/state/list-book.ts
@@ -2,39 +2,39 @@
 import type { Static } from '@sinclair/typebox';
 import type { WorkerEntry } from './worker-entry.js';
 
-export const ListNumberShape = Type.Tuple([
+export const WorkerListVersionShape = Type.Tuple([
   Type.Integer({ minimum: 0 }),
   Type.String({ minLength: 1, maxLength: 256 }),
   Type.Integer({ minimum: 0 }),
 ]);
-export type ListNumber = Static<typeof ListNumberShape>;
+export type WorkerListVersion = Static<typeof WorkerListVersionShape>;
 
-export type ListChange = { readonly told: readonly WorkerEntry[]; readonly gone: readonly string[] };
+export type WorkerListChange = { readonly changed: readonly WorkerEntry[]; readonly gone: readonly string[] };
 
-export type Taken = 'taken' | 'old' | 'gap';
+export type ApplyResult = 'taken' | 'old' | 'gap';
 
-export interface ListBook {
-  number(): ListNumber | null;
+export interface WorkerListTable {
+  number(): WorkerListVersion | null;
   asOf(): number | null;
   entries(): readonly WorkerEntry[];
-  takeWhole(number: ListNumber, entries: readonly WorkerEntry[], asOf: number): Taken;
-  takeChange(number: ListNumber, base: ListNumber, change: ListChange, asOf: number): Taken;
-  confirm(number: ListNumber, asOf: number): Taken;
-  differenceTo(entries: readonly WorkerEntry[], asOf: number): ListChange;
+  applySnapshot(number: WorkerListVersion, entries: readonly WorkerEntry[], asOf: number): ApplyResult;
+  applyChange(number: WorkerListVersion, base: WorkerListVersion, change: WorkerListChange, asOf: number): ApplyResult;
+  confirm(number: WorkerListVersion, asOf: number): ApplyResult;
+  differenceTo(entries: readonly WorkerEntry[], asOf: number): WorkerListChange;
 }
 
 type Row = { readonly entry: WorkerEntry; readonly at: number };
 
 const DRIFT_MS = 250;
 
-export function compareNumbers(a: ListNumber, b: ListNumber): number {
+export function compareVersions(a: WorkerListVersion, b: WorkerListVersion): number {
   if (a[0] !== b[0]) return a[0] - b[0];
   if (a[1] !== b[1]) return a[1] < b[1] ? -1 : 1;
   return a[2] - b[2];
 }
 
-export function isEmptyChange(c: ListChange): boolean {
-  return c.told.length === 0 && c.gone.length === 0;
+export function isEmptyChange(c: WorkerListChange): boolean {
+  return c.changed.length === 0 && c.gone.length === 0;
 }
 
 export function agedEntry(e: WorkerEntry, ms: number): WorkerEntry {
@@ -52,9 +52,9 @@
   return JSON.stringify({ ...a, remainingMs: 0, coldMs: 0 }) === JSON.stringify({ ...b, remainingMs: 0, coldMs: 0 });
 }
 
-class NumberedListBook implements ListBook {
+class VersionedWorkerListTable implements WorkerListTable {
   private rows = new Map<string, Row>();
-  private held: ListNumber | null = null;
+  private version: WorkerListVersion | null = null;
   private at: number | null = null;
   private shown: { readonly at: number; readonly entries: readonly WorkerEntry[] } | null = null;
 
@@ -70,48 +70,48 @@
     }
   }
 
-  private moved(number: ListNumber, asOf: number): Taken {
-    this.held = number;
+  private advance(number: WorkerListVersion, asOf: number): ApplyResult {
+    this.version = number;
     this.at = this.later(asOf);
     this.shown = null;
     return 'taken';
   }
 
-  takeWhole(number: ListNumber, entries: readonly WorkerEntry[], asOf: number): Taken {
-    if (this.held && compareNumbers(number, this.held) <= 0) return this.confirm(number, asOf);
+  applySnapshot(number: WorkerListVersion, entries: readonly WorkerEntry[], asOf: number): ApplyResult {
+    if (this.version && compareVersions(number, this.version) <= 0) return this.confirm(number, asOf);
     const fresh = new Map<string, Row>();
     this.put(fresh, entries, asOf);
     this.rows = fresh;
-    return this.moved(number, asOf);
+    return this.advance(number, asOf);
   }
 
-  takeChange(number: ListNumber, base: ListNumber, change: ListChange, asOf: number): Taken {
-    if (this.held && compareNumbers(number, this.held) <= 0) return this.confirm(number, asOf);
-    if (!this.held || compareNumbers(base, this.held) !== 0) return 'gap';
+  applyChange(number: WorkerListVersion, base: WorkerListVersion, change: WorkerListChange, asOf: number): ApplyResult {
+    if (this.version && compareVersions(number, this.version) <= 0) return this.confirm(number, asOf);
+    if (!this.version || compareVersions(base, this.version) !== 0) return 'gap';
     for (const id of change.gone) this.rows.delete(id);
-    this.put(this.rows, change.told, asOf);
-    return this.moved(number, asOf);
+    this.put(this.rows, change.changed, asOf);
+    return this.advance(number, asOf);
   }
 
-  confirm(number: ListNumber, asOf: number): Taken {
-    const order = this.held ? compareNumbers(number, this.held) : 1;
+  confirm(number: WorkerListVersion, asOf: number): ApplyResult {
+    const order = this.version ? compareVersions(number, this.version) : 1;
     if (order > 0) return 'gap';
     if (order < 0) return 'old';
     this.at = this.later(asOf);
     return 'taken';
   }
 
-  differenceTo(entries: readonly WorkerEntry[], asOf: number): ListChange {
-    const told: WorkerEntry[] = [];
+  differenceTo(entries: readonly WorkerEntry[], asOf: number): WorkerListChange {
+    const changed: WorkerEntry[] = [];
     const gone: string[] = [];
     const ids = new Set<string>();
     for (const e of entries) {
       ids.add(e.id);
       const row = this.rows.get(e.id);
-      if (!row || !sameEntry(agedEntry(row.entry, asOf - row.at), e)) told.push(e);
+      if (!row || !sameEntry(agedEntry(row.entry, asOf - row.at), e)) changed.push(e);
     }
     for (const id of this.rows.keys()) if (!ids.has(id)) gone.push(id);
-    return { told, gone };
+    return { changed, gone };
   }
 
   entries(): readonly WorkerEntry[] {
@@ -123,8 +123,8 @@
     return out;
   }
 
-  number(): ListNumber | null {
-    return this.held;
+  number(): WorkerListVersion | null {
+    return this.version;
   }
 
   asOf(): number | null {
@@ -132,6 +132,6 @@
   }
 }
 
-export function createListBook(): ListBook {
-  return new NumberedListBook();
+export function createWorkerListTable(): WorkerListTable {
+  return new VersionedWorkerListTable();
 }
--- a/src/state/observed-orders.ts
+++ b/src/state/observed-orders.ts
@@ -91,7 +91,7 @@
   const target = decideTarget();
   const held = noteSince();
   settleHeld();
-  takeNew();
+  adoptNew();
   decideKind('spot', zones.length === 0 ? 0 : target + values.nExtra);
   decideKind('onDemand', zones.length === 0 ? 0 : decideMixture(target, values.nExtra, readySpot()).onDemand);
   if (!before || !sameMembers(before, sets)) {
@@ -213,7 +213,7 @@
     return true;
   }
 
-  function takeNew(): void {
+  function adoptNew(): void {
     const taken = new Set<string | null>();
     for (const o of held) taken.add(o.machine);
     const adopted: { order: string; zone: string; machine: string; ready: boolean }[] = [];
--- a/src/state/placement-cost.ts
+++ b/src/state/placement-cost.ts
@@ -6,24 +6,24 @@
 
 import type { EdgeTuning } from './edge-tuning.js';
 import { sharedTokens } from './home-worker.js';
-import type { Part } from './prefix-cache.js';
-import { spoilShare } from './registry-row.js';
-import type { BookRow } from './registry-row.js';
+import type { PrefixBlock } from './prefix-cache.js';
+import { spoiledFraction } from './registry-row.js';
+import type { RegistryRow } from './registry-row.js';
 import type { ModelTraits } from './serving.js';
 
 /** The proxy that places; `held` tells open connections to an address. */
-export type BookSelf = {
+export type SelectingProxy = {
   readonly name: string;
   readonly zone: string;
   readonly region: string;
-  readonly held: (address: string) => number;
+  readonly openConnections: (address: string) => number;
 };
 
 /** A request that needs a worker: its model, its prompt by parts, its sizes and its bounds. */
-export type PlaceAsk = {
+export type SelectionRequest = {
   readonly model: string;
   readonly traits: ModelTraits | null;
-  readonly parts: readonly Part[];
+  readonly parts: readonly PrefixBlock[];
   readonly tokens: number;
   readonly outTokens: number;
   readonly bytes: number;
@@ -35,79 +35,90 @@
 
 /** Costs of workers as one proxy sees them; `took` notes how long connecting to a worker took. */
 export interface PlacementCost {
-  cost(row: BookRow, ask: PlaceAsk, home: BookRow | null): number;
-  awayMs(row: BookRow): number;
-  took(row: BookRow, ms: number): void;
+  cost(row: RegistryRow, request: SelectionRequest, home: RegistryRow | null): number;
+  regionDelayMs(row: RegistryRow): number;
+  recordConnectTime(row: RegistryRow, ms: number): void;
 }
 
 class TunedPlacementCost implements PlacementCost {
-  private readonly away = new Map<string, number>();
+  private readonly regionDelays = new Map<string, number>();
 
   constructor(
-    private readonly self: BookSelf,
+    private readonly self: SelectingProxy,
     private readonly tuning: EdgeTuning,
     private readonly isPreemptive: (model: string, zone: string) => boolean,
   ) {}
 
   /** Reading the prompt, after what waits there already. */
-  private readingMs(row: BookRow, ask: PlaceAsk, known: number): number {
-    const unread = Math.max(0, ask.tokens - known);
-    const backlog = row.unread + row.others.unread;
+  private prefillMs(row: RegistryRow, request: SelectionRequest, known: number): number {
+    const unread = Math.max(0, request.tokens - known);
+    const backlog = row.unread + row.otherLoad.unread;
     let ms = (unread + backlog) / this.tuning.tokensPerMs;
-    if (ask.tokens <= 0) return ms;
-    ms += Math.max(0, sharedTokens(ask.parts) - known) * this.tuning.sharedMs;
-    if (unread + backlog > this.tuning.stallTokens) ms += (row.running + row.others.running) * this.tuning.stallMs;
-    const kvTokens = ask.traits?.engine?.kvTokens ?? 0;
-    const kv = row.kv + row.others.kv + ask.tokens + ask.outTokens;
-    if (kvTokens > 0 && kv > kvTokens * this.tuning.kvShare) ms += this.tuning.kvMs * (kv / kvTokens);
+    if (request.tokens <= 0) return ms;
+    ms += Math.max(0, sharedTokens(request.parts) - known) * this.tuning.sharedMs;
+    if (unread + backlog > this.tuning.stallTokens) ms += (row.running + row.otherLoad.running) * this.tuning.stallMs;
+    const kvTokens = request.traits?.engine?.kvTokens ?? 0;
+    const kv = row.kv + row.otherLoad.kv + request.tokens + request.outTokens;
+    if (kvTokens > 0 && kv > kvTokens * this.tuning.kvFraction) ms += this.tuning.kvMs * (kv / kvTokens);
     return ms;
   }
 
   /** Being one more among those that run there. */
-  private crowdingMs(row: BookRow): number {
-    const running = row.running + row.others.running;
+  private crowdingMs(row: RegistryRow): number {
+    const running = row.running + row.otherLoad.running;
     const over = running + 1 - row.entry.places;
     if (row.entry.places > 0 && over > 0) return this.tuning.overMs * (1 + over);
     return (running / Math.max(1, row.entry.places)) ** 2 * this.tuning.crowdedMs;
   }
 
   /** The way there and back. */
-  private wayMs(row: BookRow, ask: PlaceAsk): number {
-    let ms = this.self.held(row.entry.address) === 0 ? this.tuning.dialMs : 0;
+  private networkMs(row: RegistryRow, request: SelectionRequest): number {
+    let ms = this.self.openConnections(row.entry.address) === 0 ? this.tuning.dialMs : 0;
     if (row.entry.region !== this.self.region)
-      ms += this.awayMs(row) + (ask.bytes + ask.outTokens * this.tuning.bytesPerToken) / this.tuning.bytesPerMs;
+      ms +=
+        this.regionDelayMs(row) +
+        (request.bytes + request.outTokens * this.tuning.bytesPerToken) / this.tuning.bytesPerMs;
     else if (row.entry.zone !== this.self.zone) ms += this.tuning.crossZoneMs;
     return ms;
   }
 
   /** What its state and its answers so far make likely. */
-  private doubtMs(row: BookRow, ask: PlaceAsk): number {
-    let ms = row.fails * this.tuning.failMs + spoilShare(row, ask.now, this.tuning.spoiltLeast) * this.tuning.spoiltMs;
-    if (row.coldUntil > ask.now) ms += this.tuning.coldMs;
-    if (row.doubtUntil > ask.now) ms += this.tuning.doubtMs;
-    if (this.isPreemptive(ask.model, row.entry.zone)) ms += this.tuning.preemptiveMs;
+  private uncertaintyMs(row: RegistryRow, request: SelectionRequest): number {
+    let ms =
+      row.fails * this.tuning.failMs +
+      spoiledFraction(row, request.now, this.tuning.spoiltLeast) * this.tuning.spoiltMs;
+    if (row.coldUntil > request.now) ms += this.tuning.coldMs;
+    if (row.doubtUntil > request.now) ms += this.tuning.doubtMs;
+    if (this.isPreemptive(request.model, row.entry.zone)) ms += this.tuning.preemptiveMs;
     return ms;
   }
 
-  cost(row: BookRow, ask: PlaceAsk, home: BookRow | null): number {
-    const known = ask.pinned ? Math.max(row.kept.known(ask.parts), row === home ? sharedTokens(ask.parts) : 0) : 0;
-    return this.readingMs(row, ask, known) + this.crowdingMs(row) + this.wayMs(row, ask) + this.doubtMs(row, ask);
+  cost(row: RegistryRow, request: SelectionRequest, home: RegistryRow | null): number {
+    const known = request.pinned
+      ? Math.max(row.prefixCache.known(request.parts), row === home ? sharedTokens(request.parts) : 0)
+      : 0;
+    return (
+      this.prefillMs(row, request, known) +
+      this.crowdingMs(row) +
+      this.networkMs(row, request) +
+      this.uncertaintyMs(row, request)
+    );
   }
 
-  awayMs(row: BookRow): number {
-    return this.away.get(row.entry.region) ?? this.tuning.farMs;
+  regionDelayMs(row: RegistryRow): number {
+    return this.regionDelays.get(row.entry.region) ?? this.tuning.farMs;
   }
 
-  took(row: BookRow, ms: number): void {
+  recordConnectTime(row: RegistryRow, ms: number): void {
     const { region } = row.entry;
-    const had = this.away.get(region);
-    this.away.set(region, had === undefined ? ms : Math.min(had * 1.02, ms));
+    const had = this.regionDelays.get(region);
+    this.regionDelays.set(region, had === undefined ? ms : Math.min(had * 1.02, ms));
   }
 }
 
 /** Costs by the tuning; `isPreemptive` tells zones where spot machines were lately taken back. */
 export function createPlacementCost(
-  self: BookSelf,
+  self: SelectingProxy,
   tuning: EdgeTuning,
   isPreemptive: (model: string, zone: string) => boolean,
 ): PlacementCost {
--- a/src/state/policies.test.ts
+++ b/src/state/policies.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, test } from '@jest/globals';
-import type { Candidate, PlaceContext } from './candidate.js';
-import { placeAmong, POLICIES } from './policies.js';
+import type { Candidate, SelectionContext } from './candidate.js';
+import { selectAmong, POLICIES } from './policies.js';
 
 const base: Candidate = {
   ix: 0,
@@ -10,14 +10,14 @@
   region: 'r1',
   leaving: false,
   evacuated: false,
-  fit: true,
+  healthy: true,
   answersUs: true,
   running: 0,
   limit: 8,
   agreed: true,
-  knownShare: 0,
+  knownFraction: 0,
 };
-const ctx: PlaceContext = {
+const ctx: SelectionContext = {
   zone: 'z1',
   region: 'r1',
   ownRegion: 'r1',
@@ -25,22 +25,22 @@
   partitioned: false,
   seed: 's',
   avoid: new Set(),
-  meanShare: 0,
+  meanLoad: 0,
 };
 function one(over: Partial<Candidate>): Candidate {
   return { ...base, ...over };
 }
-function chosen(all: readonly Candidate[], c: Partial<PlaceContext> = {}): string {
-  const got = placeAmong(all, { ...ctx, ...c }, POLICIES);
+function chosen(all: readonly Candidate[], c: Partial<SelectionContext> = {}): string {
+  const got = selectAmong(all, { ...ctx, ...c }, POLICIES);
   return got.tag === 'chosen' ? got.candidate.id : `none: ${got.stoppedBy}`;
 }
 
 describe('placement', () => {
-  test.each<[string, Partial<Candidate>, Partial<PlaceContext>]>([
+  test.each<[string, Partial<Candidate>, Partial<SelectionContext>]>([
     ['homes', {}, { homes: ['r2'] }],
     ['leaving', { leaving: true }, {}],
     ['evacuated', { evacuated: true }, {}],
-    ['health', { fit: false }, {}],
+    ['health', { healthy: false }, {}],
     ['partition', { region: 'r2' }, { partitioned: true }],
     ['partition', { answersUs: false }, { partitioned: true }],
     ['untried', {}, { avoid: new Set([0]) }],
@@ -54,15 +54,15 @@
   });
 
   test('the known prefix draws a request even to another zone', () => {
-    const far = one({ ix: 1, id: 'far', zone: 'z2', region: 'r2', knownShare: 0.8 });
+    const far = one({ ix: 1, id: 'far', zone: 'z2', region: 'r2', knownFraction: 0.8 });
     expect(chosen([base, far])).toBe('far');
   });
 
   test('past its bound the holder of the prefix spills to the next inside the homes', () => {
-    const busy = one({ ix: 1, id: 'busy', knownShare: 1, running: 7 });
+    const busy = one({ ix: 1, id: 'busy', knownFraction: 1, running: 7 });
     const idle = one({ ix: 2, id: 'idle' });
     const abroad = one({ ix: 3, id: 'abroad', region: 'r9', zone: 'z9' });
-    expect(chosen([busy, idle, abroad], { meanShare: 0.3, homes: ['r1'] })).toBe('idle');
+    expect(chosen([busy, idle, abroad], { meanLoad: 0.3, homes: ['r1'] })).toBe('idle');
   });
 
   test('strangers to a prefix agree on its worker by its hash', () => {
--- a/src/state/policies.ts
+++ b/src/state/policies.ts
@@ -1,10 +1,10 @@
 import { hash32 } from '../base/digest.js';
-import type { Candidate, PlaceContext } from './candidate.js';
+import type { Candidate, SelectionContext } from './candidate.js';
 
 export type Policy = {
   readonly name: string;
-  readonly keep?: (c: Candidate, ctx: PlaceContext) => boolean;
-  readonly score?: (c: Candidate, ctx: PlaceContext) => number;
+  readonly filter?: (c: Candidate, ctx: SelectionContext) => boolean;
+  readonly score?: (c: Candidate, ctx: SelectionContext) => number;
 };
 
 const AFFINITY_WEIGHT = 4;
@@ -15,39 +15,39 @@
 const BOUND = 1.25;
 const BOUND_SLACK = 0.25;
 
-function keepHomes(c: Candidate, ctx: PlaceContext): boolean {
+function filterHomes(c: Candidate, ctx: SelectionContext): boolean {
   return ctx.homes === null || ctx.homes.includes(c.region);
 }
-function keepStaying(c: Candidate): boolean {
+function filterDraining(c: Candidate): boolean {
   return !c.leaving;
 }
-function keepOpenZones(c: Candidate): boolean {
+function filterEvacuated(c: Candidate): boolean {
   return !c.evacuated;
 }
-function keepFit(c: Candidate): boolean {
-  return c.fit;
+function filterUnhealthy(c: Candidate): boolean {
+  return c.healthy;
 }
-function keepPartition(c: Candidate, ctx: PlaceContext): boolean {
+function filterPartition(c: Candidate, ctx: SelectionContext): boolean {
   return !ctx.partitioned || (c.region === ctx.ownRegion && c.answersUs);
 }
-function keepUntried(c: Candidate, ctx: PlaceContext): boolean {
+function filterTried(c: Candidate, ctx: SelectionContext): boolean {
   return !ctx.avoid.has(c.ix);
 }
-function keepRoom(c: Candidate): boolean {
+function filterFull(c: Candidate): boolean {
   return c.running < c.limit;
 }
-function withinBound(c: Candidate, ctx: PlaceContext): boolean {
-  return c.running / c.limit <= ctx.meanShare * BOUND + BOUND_SLACK;
+function withinBound(c: Candidate, ctx: SelectionContext): boolean {
+  return c.running / c.limit <= ctx.meanLoad * BOUND + BOUND_SLACK;
 }
-function scorePrefix(c: Candidate, ctx: PlaceContext): number {
+function scorePrefix(c: Candidate, ctx: SelectionContext): number {
   if (!withinBound(c, ctx)) return 0;
   const sticky = !c.agreed ? 0 : hash32(`${ctx.seed}|${c.id}`) / 4294967296;
-  return AFFINITY_WEIGHT * c.knownShare + STICKY_WEIGHT * sticky;
+  return AFFINITY_WEIGHT * c.knownFraction + STICKY_WEIGHT * sticky;
 }
-function scoreUsage(c: Candidate): number {
+function scoreLoad(c: Candidate): number {
   return -USAGE_WEIGHT * (c.running / c.limit);
 }
-function scoreDistance(c: Candidate, ctx: PlaceContext): number {
+function scoreDistance(c: Candidate, ctx: SelectionContext): number {
   if (c.zone === ctx.zone) return 0;
   return c.region === ctx.region ? -OTHER_ZONE : -OTHER_REGION;
 }
@@ -55,29 +55,29 @@
 export const PREFIX_POLICY: Policy = { name: 'prefix', score: scorePrefix };
 
 export const POLICIES: readonly Policy[] = [
-  { name: 'homes', keep: keepHomes },
-  { name: 'leaving', keep: keepStaying },
-  { name: 'evacuated', keep: keepOpenZones },
-  { name: 'health', keep: keepFit },
-  { name: 'partition', keep: keepPartition },
-  { name: 'untried', keep: keepUntried },
-  { name: 'room', keep: keepRoom },
+  { name: 'homes', filter: filterHomes },
+  { name: 'leaving', filter: filterDraining },
+  { name: 'evacuated', filter: filterEvacuated },
+  { name: 'health', filter: filterUnhealthy },
+  { name: 'partition', filter: filterPartition },
+  { name: 'untried', filter: filterTried },
+  { name: 'room', filter: filterFull },
   PREFIX_POLICY,
-  { name: 'usage', score: scoreUsage },
+  { name: 'usage', score: scoreLoad },
   { name: 'distance', score: scoreDistance },
 ];
 
 export type Choice =
   { readonly tag: 'chosen'; readonly candidate: Candidate } | { readonly tag: 'none'; readonly stoppedBy: string };
 
-export function placeAmong(all: readonly Candidate[], ctx: PlaceContext, policies: readonly Policy[]): Choice {
+export function selectAmong(all: readonly Candidate[], ctx: SelectionContext, policies: readonly Policy[]): Choice {
   let left = all;
   for (const p of policies) {
-    if (!p.keep) continue;
-    const kept: Candidate[] = [];
-    for (const c of left) if (p.keep(c, ctx)) kept.push(c);
-    if (kept.length === 0) return { tag: 'none', stoppedBy: left.length === 0 ? 'model' : p.name };
-    left = kept;
+    if (!p.filter) continue;
+    const remaining: Candidate[] = [];
+    for (const c of left) if (p.filter(c, ctx)) remaining.push(c);
+    if (remaining.length === 0) return { tag: 'none', stoppedBy: left.length === 0 ? 'model' : p.name };
+    left = remaining;
   }
   let best: Candidate | null = null;
   let top = -Infinity;
--- a/src/state/prefix-cache.ts
+++ b/src/state/prefix-cache.ts
@@ -1,49 +1,49 @@
 /** What a worker is thought to hold of prompts, by size, the least lately used going first. */
 
 /** A part of a prompt and its length in tokens. */
-export type Part = { readonly id: string; readonly tokens: number };
+export type PrefixBlock = { readonly id: string; readonly tokens: number };
 
 /** Tells how many leading tokens are known, and notes what was run. */
 export interface PrefixCache {
-  known(parts: readonly Part[]): number;
-  note(parts: readonly Part[]): void;
+  known(blocks: readonly PrefixBlock[]): number;
+  record(blocks: readonly PrefixBlock[]): void;
   clear(): void;
 }
 
 class LruPrefixCache implements PrefixCache {
-  private readonly kept = new Map<string, number>();
+  private readonly tokensById = new Map<string, number>();
   private sum = 0;
 
   constructor(private readonly most: number) {}
 
-  known(parts: readonly Part[]): number {
+  known(blocks: readonly PrefixBlock[]): number {
     let n = 0;
-    for (const p of parts) {
-      if (!this.kept.has(p.id)) break;
+    for (const p of blocks) {
+      if (!this.tokensById.has(p.id)) break;
       n += p.tokens;
     }
     return n;
   }
 
-  note(parts: readonly Part[]): void {
-    for (const p of parts) {
-      const had = this.kept.get(p.id);
+  record(blocks: readonly PrefixBlock[]): void {
+    for (const p of blocks) {
+      const had = this.tokensById.get(p.id);
       if (had !== undefined) {
-        this.kept.delete(p.id);
+        this.tokensById.delete(p.id);
         this.sum -= had;
       }
-      this.kept.set(p.id, p.tokens);
+      this.tokensById.set(p.id, p.tokens);
       this.sum += p.tokens;
     }
-    for (const [id, tokens] of this.kept) {
+    for (const [id, tokens] of this.tokensById) {
       if (this.sum <= this.most) break;
-      this.kept.delete(id);
+      this.tokensById.delete(id);
       this.sum -= tokens;
     }
   }
 
   clear(): void {
-    this.kept.clear();
+    this.tokensById.clear();
     this.sum = 0;
   }
 }
--- a/src/state/prefix-table.ts
+++ b/src/state/prefix-table.ts
@@ -7,9 +7,9 @@
 
 /** Learns from runs; tells a worker's known parts and who holds the longest beginning; forgets a worker that lost its memory. */
 export interface PrefixTable {
-  learn(model: number, parts: readonly string[], worker: number): void;
-  knownParts(model: number, parts: readonly string[], worker: number): number;
-  holders(model: number, parts: readonly string[]): readonly number[];
+  learn(model: number, blocks: readonly string[], worker: number): void;
+  knownBlocks(model: number, blocks: readonly string[], worker: number): number;
+  holders(model: number, blocks: readonly string[]): readonly number[];
   forget(worker: number): void;
 }
 
@@ -18,12 +18,12 @@
 
 class LruPrefixTable implements PrefixTable {
   private readonly currentHolders = new LRUMap<string, readonly number[]>(CHAINS);
-  private readonly life = new Map<number, number>();
+  private readonly generations = new Map<number, number>();
 
-  private chains(model: number, parts: readonly string[]): string[] {
+  private chains(model: number, blocks: readonly string[]): string[] {
     const out: string[] = [];
     let chain = String(model);
-    for (const p of parts) {
+    for (const p of blocks) {
       chain = `${chain}>${p}`;
       out.push(chain);
     }
@@ -31,21 +31,21 @@
   }
 
   private tagged(worker: number): number {
-    return worker * 65_536 + ((this.life.get(worker) ?? 0) % 65_536);
+    return worker * 65_536 + ((this.generations.get(worker) ?? 0) % 65_536);
   }
 
-  learn(model: number, parts: readonly string[], worker: number): void {
+  learn(model: number, blocks: readonly string[], worker: number): void {
     const me = this.tagged(worker);
-    for (const chain of this.chains(model, parts)) {
-      const kept: number[] = [me];
-      for (const w of this.currentHolders.peek(chain) ?? []) if (w !== me && kept.length < HOLDERS) kept.push(w);
-      this.currentHolders.set(chain, kept);
+    for (const chain of this.chains(model, blocks)) {
+      const holders: number[] = [me];
+      for (const w of this.currentHolders.peek(chain) ?? []) if (w !== me && holders.length < HOLDERS) holders.push(w);
+      this.currentHolders.set(chain, holders);
     }
   }
 
-  knownParts(model: number, parts: readonly string[], worker: number): number {
+  knownBlocks(model: number, blocks: readonly string[], worker: number): number {
     const me = this.tagged(worker);
-    const all = this.chains(model, parts);
+    const all = this.chains(model, blocks);
     for (let n = all.length; n > 0; n -= 1) {
       if (this.currentHolders.peek(all[n - 1] as string)?.includes(me)) return n;
     }
@@ -53,12 +53,12 @@
   }
 
   forget(worker: number): void {
-    this.life.set(worker, (this.life.get(worker) ?? 0) + 1);
+    this.generations.set(worker, (this.generations.get(worker) ?? 0) + 1);
   }
 
-  holders(model: number, parts: readonly string[]): readonly number[] {
+  holders(model: number, blocks: readonly string[]): readonly number[] {
     const out = new Set<number>();
-    const all = this.chains(model, parts);
+    const all = this.chains(model, blocks);
     for (let n = all.length; n > 0 && out.size < HOLDERS; n -= 1) {
       for (const w of this.currentHolders.peek(all[n - 1] as string) ?? [])
         if (this.tagged(Math.floor(w / 65_536)) === w) out.add(Math.floor(w / 65_536));
--- a/src/state/rate-guard.ts
+++ b/src/state/rate-guard.ts
@@ -5,8 +5,8 @@
 
 /** `room` asks whether one more fits, `take` counts it. */
 export interface RateGuard {
-  room(now: number, most: number): boolean;
-  take(now: number): void;
+  hasCapacity(now: number, most: number): boolean;
+  record(now: number): void;
 }
 
 class SlidingRateGuard implements RateGuard {
@@ -14,12 +14,12 @@
 
   constructor(private readonly windowMs: number) {}
 
-  room(now: number, most: number): boolean {
+  hasCapacity(now: number, most: number): boolean {
     while (this.at.length > 0 && now - (this.at[0] as number) >= this.windowMs) this.at.shift();
     return this.at.length + 1 <= most;
   }
 
-  take(now: number): void {
+  record(now: number): void {
     this.at.push(now);
     if (this.at.length > 4_096) this.at = this.at.slice(-2_048);
   }
--- a/src/state/rates.ts
+++ b/src/state/rates.ts
@@ -6,12 +6,12 @@
 import type { Report } from './report.js';
 import type { Rate } from './target.js';
 
-type Sample = { readonly at: number; readonly totals: Readonly<Record<string, number>>; readonly whole: boolean };
-type Seen = { readonly incarnation: number; readonly last: Readonly<Record<string, number>> };
+type Sample = { readonly at: number; readonly totals: Readonly<Record<string, number>>; readonly complete: boolean };
+type LastReport = { readonly incarnation: number; readonly last: Readonly<Record<string, number>> };
 
 /** Takes all reports at a moment, and tells rates per second; null before a whole window was seen. */
 export interface RateWindow {
-  observe(at: number, reports: Iterable<Report>, whole: boolean): void;
+  observe(at: number, reports: Iterable<Report>, complete: boolean): void;
   rate(model: string, windowMs: number): Rate | null;
   reset(): void;
 }
@@ -20,23 +20,23 @@
 
 class SampledRateWindow implements RateWindow {
   private samples: Sample[] = [];
-  private seen = new Map<string, Seen>();
+  private lastReports = new Map<string, LastReport>();
   private running: Record<string, number> = {};
 
-  observe(at: number, reports: Iterable<Report>, whole: boolean): void {
+  observe(at: number, reports: Iterable<Report>, complete: boolean): void {
     const first = this.samples.length === 0;
     const next: Record<string, number> = { ...this.running };
     for (const r of reports) {
-      const before = this.seen.get(r.reporter);
+      const before = this.lastReports.get(r.reporter);
       const restarted = before !== undefined && before.incarnation !== r.incarnation;
       for (const [model, n] of Object.entries(r.requests)) {
         const base = restarted ? 0 : before ? (before.last[model] ?? 0) : first ? n : 0;
         next[model] = (next[model] ?? 0) + Math.max(0, n - base);
       }
-      this.seen.set(r.reporter, { incarnation: r.incarnation, last: r.requests });
+      this.lastReports.set(r.reporter, { incarnation: r.incarnation, last: r.requests });
     }
     this.running = next;
-    this.samples.push({ at, totals: next, whole });
+    this.samples.push({ at, totals: next, complete });
     if (this.samples.length % 256 === 0) this.samples = this.samples.filter(fresh);
     function fresh(s: Sample): boolean {
       return s.at >= at - KEPT_MS;
@@ -50,7 +50,7 @@
     let complete = true;
     for (let i = this.samples.length - 1; i >= 0; i -= 1) {
       const s = this.samples[i] as Sample;
-      if (!s.whole) complete = false;
+      if (!s.complete) complete = false;
       if (last.at - s.at >= windowMs) {
         from = s;
         break;
@@ -63,7 +63,7 @@
 
   reset(): void {
     this.samples = [];
-    this.seen = new Map();
+    this.lastReports = new Map();
     this.running = {};
   }
 }
--- a/src/state/recent-slots.ts
+++ b/src/state/recent-slots.ts
@@ -21,40 +21,43 @@
 const MOST_SLOTS = 2_048;
 const MOST_BYTES = 2 * 1_048_576;
 
-type Kept = RecentSlot & { readonly bytes: number };
+type KeptSlot = RecentSlot & { readonly bytes: number };
 
 class BoundedRecentSlots implements RecentSlots {
-  private kept: Kept[] = [];
+  private slots: KeptSlot[] = [];
   private bytes = 0;
 
   /** Down to half of the bound at a time, so that the list is not copied for each slot. */
   private trim(): void {
     let dropped = 0;
-    while (this.kept.length - dropped > 1 && (this.kept.length - dropped > MOST_SLOTS || this.bytes > MOST_BYTES / 2)) {
-      this.bytes -= (this.kept[dropped] as Kept).bytes;
+    while (
+      this.slots.length - dropped > 1 &&
+      (this.slots.length - dropped > MOST_SLOTS || this.bytes > MOST_BYTES / 2)
+    ) {
+      this.bytes -= (this.slots[dropped] as KeptSlot).bytes;
       dropped += 1;
     }
-    this.kept = this.kept.slice(dropped);
+    this.slots = this.slots.slice(dropped);
   }
 
   remember(slot: number, batch: Batch, size: number): void {
-    this.kept.push({ slot, batch, bytes: size });
+    this.slots.push({ slot, batch, bytes: size });
     this.bytes += size;
-    if (this.kept.length > 2 * MOST_SLOTS || this.bytes > MOST_BYTES) this.trim();
+    if (this.slots.length > 2 * MOST_SLOTS || this.bytes > MOST_BYTES) this.trim();
   }
 
   clear(): void {
-    this.kept = [];
+    this.slots = [];
     this.bytes = 0;
   }
 
-  private keptSince(from: number): readonly Kept[] | null {
-    const first = this.kept[0];
-    return first && first.slot <= from ? this.kept.slice(from - first.slot) : null;
+  private slotsSince(from: number): readonly KeptSlot[] | null {
+    const first = this.slots[0];
+    return first && first.slot <= from ? this.slots.slice(from - first.slot) : null;
   }
 
   page(from: number, mostBytes: number): readonly RecentSlot[] | null {
-    const all = this.keptSince(from);
+    const all = this.slotsSince(from);
     if (!all) return null;
     const out: RecentSlot[] = [];
     let size = 0;
@@ -71,7 +74,7 @@
   }
 
   bytesSince(from: number): number | null {
-    const all = this.keptSince(from);
+    const all = this.slotsSince(from);
     if (!all) return null;
     let size = 0;
     for (const k of all) size += k.bytes;
--- a/src/state/registry-row.ts
+++ b/src/state/registry-row.ts
@@ -5,7 +5,7 @@
  */
 
 import type { EdgeTuning } from './edge-tuning.js';
-import type { UsageRows } from './fleet-load.js';
+import type { LoadRows } from './fleet-load.js';
 import { createPrefixCache } from './prefix-cache.js';
 import type { PrefixCache } from './prefix-cache.js';
 import { createRateGuard } from './rate-guard.js';
@@ -15,10 +15,10 @@
 import type { WorkerEntry } from './worker-entry.js';
 
 /** A proxy that shares the workers, as the ledger knows it. */
-export type Sharer = { readonly region: string };
+export type SharingProxy = { readonly region: string };
 
 /** One worker. `unproven` means that it fell silent and has not been reached since. */
-export type BookRow = {
+export type RegistryRow = {
   entry: WorkerEntry;
   present: boolean;
   leaving: boolean;
@@ -28,25 +28,25 @@
   running: number;
   unread: number;
   kv: number;
-  others: Usage;
-  told: Usage;
+  otherLoad: WorkerLoad;
+  reportedLoad: WorkerLoad;
   fails: number;
   badUntil: number;
   unproven: boolean;
   unresponsiveSince: number;
   doubtUntil: number;
   fullUntil: number;
-  kept: PrefixCache;
+  prefixCache: PrefixCache;
   runs: RunCounts;
   owners: {
-    readonly of: Readonly<Record<string, Sharer>>;
+    readonly of: Readonly<Record<string, SharingProxy>>;
     readonly most: number;
     readonly names: readonly string[];
   } | null;
 };
 
 /** What is on a worker: requests, tokens not yet read, tokens of KV cache, and recent runs, of which bad ones. */
-export type Usage = {
+export type WorkerLoad = {
   readonly running: number;
   readonly unread: number;
   readonly kv: number;
@@ -54,13 +54,13 @@
   readonly ran: number;
 };
 /** Nothing. */
-export const NO_USAGE: Usage = { running: 0, unread: 0, kv: 0, bad: 0, ran: 0 };
+export const NO_LOAD: WorkerLoad = { running: 0, unread: 0, kv: 0, bad: 0, ran: 0 };
 
 /** Window in which the starts of a cold worker are counted: a little over the second that its rate is for. */
 const COLD_WINDOW_MS = 1_150;
 
 /** The row of a worker that was just listed. */
-export function freshRow(entry: WorkerEntry, tuning: EdgeTuning): BookRow {
+export function freshRow(entry: WorkerEntry, tuning: EdgeTuning): RegistryRow {
   return {
     entry,
     present: true,
@@ -71,34 +71,34 @@
     running: 0,
     unread: 0,
     kv: 0,
-    others: NO_USAGE,
-    told: NO_USAGE,
+    otherLoad: NO_LOAD,
+    reportedLoad: NO_LOAD,
     fails: 0,
     badUntil: 0,
     unproven: false,
     unresponsiveSince: 0,
     doubtUntil: 0,
     fullUntil: 0,
-    kept: createPrefixCache(tuning.knownTokens),
+    prefixCache: createPrefixCache(tuning.knownTokens),
     runs: createRunCounts(tuning.runsMs),
     owners: null,
   };
 }
 
 /** The share of recent runs that were bad, on all proxies; 0 while they are too few to judge. */
-export function spoilShare(row: BookRow, now: number, least: number): number {
-  const bad = row.runs.bad(now) + row.others.bad;
-  const ran = row.runs.ran(now) + row.others.ran;
+export function spoiledFraction(row: RegistryRow, now: number, least: number): number {
+  const bad = row.runs.bad(now) + row.otherLoad.bad;
+  const ran = row.runs.ran(now) + row.otherLoad.ran;
   return bad < least ? 0 : bad / Math.max(1, ran);
 }
 
 /** What the other proxies have on a worker: the sum of all less what this one told. */
-export function beyond(sum: UsageRows[string], told: Usage): Usage {
+export function beyond(sum: LoadRows[string], reportedLoad: WorkerLoad): WorkerLoad {
   return {
-    running: Math.max(0, sum[0] - told.running),
-    unread: Math.max(0, sum[1] - told.unread),
-    kv: Math.max(0, sum[2] - told.kv),
-    bad: Math.max(0, sum[3] - told.bad),
-    ran: Math.max(0, sum[4] - told.ran),
+    running: Math.max(0, sum[0] - reportedLoad.running),
+    unread: Math.max(0, sum[1] - reportedLoad.unread),
+    kv: Math.max(0, sum[2] - reportedLoad.kv),
+    bad: Math.max(0, sum[3] - reportedLoad.bad),
+    ran: Math.max(0, sum[4] - reportedLoad.ran),
   };
 }
--- a/src/state/reports.ts
+++ b/src/state/reports.ts
@@ -28,10 +28,10 @@
   }
   if (!have || have.run !== report.run || have.incarnation !== report.incarnation || have.count !== report.since)
     return 'gap';
-  const whole: Report = { ...report, health: changedHealth(have.health, report.health, report.gone ?? []) };
-  delete whole.since;
-  delete whole.gone;
-  table.set(report.reporter, whole);
+  const complete: Report = { ...report, health: changedHealth(have.health, report.health, report.gone ?? []) };
+  delete complete.since;
+  delete complete.gone;
+  table.set(report.reporter, complete);
   return 'merged';
 }
 
@@ -43,13 +43,13 @@
 }
 
 /** The report as the difference to one already told; the whole one where there is none to build on. */
-export function differenceTo(told: Report | undefined, now: Report): Report {
-  if (!told || told.run !== now.run || told.incarnation !== now.incarnation || told.count >= now.count) return now;
+export function differenceTo(sent: Report | undefined, now: Report): Report {
+  if (!sent || sent.run !== now.run || sent.incarnation !== now.incarnation || sent.count >= now.count) return now;
   const health: Report['health'] = {};
   const gone: string[] = [];
-  if (told.health !== now.health) {
-    for (const [id, verdict] of Object.entries(now.health)) if (told.health[id] !== verdict) health[id] = verdict;
-    for (const id of Object.keys(told.health)) if (now.health[id] === undefined) gone.push(id);
+  if (sent.health !== now.health) {
+    for (const [id, verdict] of Object.entries(now.health)) if (sent.health[id] !== verdict) health[id] = verdict;
+    for (const id of Object.keys(sent.health)) if (now.health[id] === undefined) gone.push(id);
   }
-  return { ...now, since: told.count, health, ...(gone.length > 0 ? { gone } : {}) };
+  return { ...now, since: sent.count, health, ...(gone.length > 0 ? { gone } : {}) };
 }
--- a/src/state/retry-budget.ts
+++ b/src/state/retry-budget.ts
@@ -5,7 +5,7 @@
 
 /** Earns, spends and tells the tokens. */
 export interface RetryBudget {
-  noteAttempt(share: number): void;
+  recordAttempt(fraction: number): void;
   spend(): boolean;
   tokens(): number;
 }
@@ -15,8 +15,8 @@
 class TokenRetryBudget implements RetryBudget {
   private currentTokens = 0;
 
-  noteAttempt(share: number): void {
-    this.currentTokens = Math.min(MOST_TOKENS, this.currentTokens + share);
+  recordAttempt(fraction: number): void {
+    this.currentTokens = Math.min(MOST_TOKENS, this.currentTokens + fraction);
   }
 
   spend(): boolean {
--- a/src/state/route-table.ts
+++ b/src/state/route-table.ts
@@ -3,10 +3,10 @@
  * anew from each served configuration.
  */
 
-import type { RouteMapping, ModelTraits, Serving } from './serving.js';
+import type { RouteSettings, ModelTraits, Serving } from './serving.js';
 
 /** A route by its name. */
-export type MatchedRoute = { readonly name: string; readonly mapping: RouteMapping };
+export type MatchedRoute = { readonly name: string; readonly settings: RouteSettings };
 
 /** Finds routes, and the traits of models. */
 export interface RouteTable {
@@ -19,19 +19,19 @@
   private readonly hosts = new Map<string, Map<string, MatchedRoute>>();
 
   constructor(readonly serving: Serving) {
-    for (const [name, mapping] of Object.entries(this.serving.mappings)) {
-      const host = mapping.host.toLowerCase();
+    for (const [name, settings] of Object.entries(this.serving.mappings)) {
+      const host = settings.host.toLowerCase();
       const of = this.hosts.get(host) ?? new Map<string, MatchedRoute>();
       this.hosts.set(host, of);
-      of.set(mapping.prefix, { name, mapping });
+      of.set(settings.prefix, { name, settings });
     }
   }
 
   match(host: string, path: string): MatchedRoute | null {
     const of = this.hosts.get(bare(host));
     if (!of) return null;
-    for (let cut = path.lastIndexOf('/'); cut >= 0; cut = cut === 0 ? -1 : path.lastIndexOf('/', cut - 1)) {
-      const found = of.get(path.slice(0, cut + 1));
+    for (let end = path.lastIndexOf('/'); end >= 0; end = end === 0 ? -1 : path.lastIndexOf('/', end - 1)) {
+      const found = of.get(path.slice(0, end + 1));
       if (found) return found;
     }
     return null;
--- a/src/state/run-counts.ts
+++ b/src/state/run-counts.ts
@@ -5,7 +5,7 @@
 
 /** Notes runs and tells recent counts. */
 export interface RunCounts {
-  note(now: number, bad: boolean): void;
+  record(now: number, bad: boolean): void;
   bad(now: number): number;
   ran(now: number): number;
 }
@@ -21,26 +21,26 @@
     this.half = this.spanMs / 2;
   }
 
-  private turn(now: number): void {
+  private rotate(now: number): void {
     const at = Math.floor(now / this.half);
     if (at === this.current.at) return;
     this.before = at === this.current.at + 1 ? this.current : { at: at - 1, bad: 0, ran: 0 };
     this.current = { at, bad: 0, ran: 0 };
   }
 
-  note(now: number, isBad: boolean): void {
-    this.turn(now);
+  record(now: number, isBad: boolean): void {
+    this.rotate(now);
     this.current.ran += 1;
     if (isBad) this.current.bad += 1;
   }
 
   bad(now: number): number {
-    this.turn(now);
+    this.rotate(now);
     return this.current.bad + this.before.bad;
   }
 
   ran(now: number): number {
-    this.turn(now);
+    this.rotate(now);
     return this.current.ran + this.before.ran;
   }
 }
--- a/src/state/serving-order.ts
+++ b/src/state/serving-order.ts
@@ -6,15 +6,15 @@
 
 import type { Serving } from './serving.js';
 
-type Placed = { readonly at: number };
+type Positioned = { readonly at: number };
 
 const GAP = 1_024;
 
-function byPlace(a: readonly [string, Placed], b: readonly [string, Placed]): number {
+function byPosition(a: readonly [string, Positioned], b: readonly [string, Positioned]): number {
   return a[1].at - b[1].at;
 }
 
-function placed<T extends Placed>(
+function positioned<T extends Positioned>(
   before: Readonly<Record<string, T>>,
   after: Readonly<Record<string, T>>,
 ): Record<string, T> {
@@ -22,7 +22,7 @@
   let end = 0;
   for (const item of Object.values(before)) end = Math.max(end, item.at);
   let last = 0;
-  for (const [name, item] of Object.entries(after).sort(byPlace)) {
+  for (const [name, item] of Object.entries(after).sort(byPosition)) {
     const old = Object.hasOwn(before, name) ? (before[name] as T).at : 0;
     if (old > last) last = old;
     else last += last >= end ? GAP : 1;
@@ -32,6 +32,10 @@
 }
 
 /** The new configuration with the numbers of the old one wherever their order still holds. */
-export function withKeptOrder(before: Serving, after: Serving): Serving {
-  return { ...after, mappings: placed(before.mappings, after.mappings), models: placed(before.models, after.models) };
+export function withPreservedOrder(before: Serving, after: Serving): Serving {
+  return {
+    ...after,
+    mappings: positioned(before.mappings, after.mappings),
+    models: positioned(before.models, after.models),
+  };
 }
--- a/src/state/serving.ts
+++ b/src/state/serving.ts
@@ -11,7 +11,7 @@
 export type Share = { readonly model: string; readonly share: number };
 
 /** A route: what it fits, what it allows, and where it leads. `attempts` counts the first one; `homes` are the regions its requests stay in, all if empty. */
-export type RouteMapping = {
+export type RouteSettings = {
   readonly at: number;
   readonly host: string;
   readonly prefix: string;
@@ -59,7 +59,7 @@
 /** All that is served, by the operator's own number. */
 export type Serving = {
   readonly number: number;
-  readonly mappings: Readonly<Record<string, RouteMapping>>;
+  readonly mappings: Readonly<Record<string, RouteSettings>>;
   readonly models: Readonly<Record<string, ModelTraits>>;
   readonly limits: CallerLimits;
   readonly extra?: Readonly<Record<string, unknown>>;
--- a/src/state/settings-tree.ts
+++ b/src/state/settings-tree.ts
@@ -27,13 +27,13 @@
 
 export type Branch = { readonly settings?: Settings; readonly models?: Readonly<Record<string, Settings>> };
 
-export type Mapping = { readonly model: string; readonly kind?: string };
+export type ModelRoute = { readonly model: string; readonly kind?: string };
 
 export type Configuration = {
   readonly zones: Readonly<Record<string, { readonly region: string }>>;
   readonly deployment: Settings;
   readonly regions: Readonly<Record<string, Branch>>;
-  readonly mappings?: Readonly<Record<string, Mapping>>;
+  readonly mappings?: Readonly<Record<string, ModelRoute>>;
   readonly serving?: Serving;
 };
 
--- a/src/state/worker-owners.ts
+++ b/src/state/worker-owners.ts
@@ -5,31 +5,31 @@
  */
 
 import { hash32 } from '../base/digest.js';
-import type { BookRow, Sharer } from './registry-row.js';
+import type { RegistryRow, SharingProxy } from './registry-row.js';
 
 /** Knows the proxies that share, and names the owners of a worker. */
 export interface WorkerOwners {
   /** How many proxies share, this one included; at least 1. */
-  sharing(): number;
-  sharers(known: Readonly<Record<string, Sharer>>): void;
+  sharingCount(): number;
+  setSharingProxies(known: Readonly<Record<string, SharingProxy>>): void;
   /** Names of at most `most` owners of a worker. */
-  ownersOf(row: BookRow, most: number): readonly string[];
+  ownersOf(row: RegistryRow, most: number): readonly string[];
 }
 
 class RendezvousWorkerOwners implements WorkerOwners {
-  private proxies: Readonly<Record<string, Sharer>> = {};
+  private proxies: Readonly<Record<string, SharingProxy>> = {};
   private count = 1;
 
-  sharing(): number {
+  sharingCount(): number {
     return this.count;
   }
 
-  sharers(known: Readonly<Record<string, Sharer>>): void {
+  setSharingProxies(known: Readonly<Record<string, SharingProxy>>): void {
     this.proxies = { ...known };
     this.count = Math.max(1, Object.keys(known).length);
   }
 
-  ownersOf(row: BookRow, most: number): readonly string[] {
+  ownersOf(row: RegistryRow, most: number): readonly string[] {
     if (row.owners && row.owners.of === this.proxies && row.owners.most === most) return row.owners.names;
     const ranks: { readonly name: string; readonly near: boolean; readonly hash: number }[] = [];
     for (const [name, s] of Object.entries(this.proxies))
--- a/src/state/worker-pools.ts
+++ b/src/state/worker-pools.ts
@@ -1,7 +1,7 @@
 import { hash32 } from '../base/digest.js';
 import type { WorkerRow } from './worker-row.js';
 
-export type PoolAsk = {
+export type PoolQuery = {
   readonly model: string;
   readonly zone: string;
   readonly homes: readonly string[] | null;
@@ -14,7 +14,7 @@
 export interface WorkerPools {
   rebuild(rows: Iterable<WorkerRow>): void;
   all(model: string): readonly Picked[];
-  few(ask: PoolAsk): readonly Picked[] | null;
+  sample(query: PoolQuery): readonly Picked[] | null;
 }
 
 type Ring = { readonly at: number[]; readonly rows: WorkerRow[]; cursor: number };
@@ -30,7 +30,7 @@
   private zones = new Map<string, Ring>();
 
   private ringOf(rows: readonly WorkerRow[]): Ring {
-    const sorted = rows.map(placed).sort(byHash);
+    const sorted = rows.map(hashed).sort(byHash);
     return { at: sorted.map(hashOf), rows: sorted.map(rowOf), cursor: 0 };
   }
 
@@ -61,28 +61,28 @@
     return (this.byModel.get(model) ?? []).map(agreedOn);
   }
 
-  few(ask: PoolAsk): readonly Picked[] | null {
-    const of = this.rings.get(ask.model);
+  sample(query: PoolQuery): readonly Picked[] | null {
+    const of = this.rings.get(query.model);
     if (!of) return null;
     const regions: Ring[] = [];
-    for (const [region, ring] of of) if (ask.homes === null || ask.homes.includes(region)) regions.push(ring);
+    for (const [region, ring] of of) if (query.homes === null || query.homes.includes(region)) regions.push(ring);
     if (regions.length === 0) return [];
     const agreed = new Set<WorkerRow>();
-    const rest = new Set<WorkerRow>(ask.holders);
-    const hash = hash32(ask.seed);
+    const others = new Set<WorkerRow>(query.holders);
+    const hash = hash32(query.seed);
     const each = Math.ceil(AGREED / regions.length);
-    for (const ring of regions) take(agreed, ring.rows, firstFrom(ring.at, hash), each);
-    const near = this.zones.get(`${ask.model}|${ask.zone}`);
-    if (near) this.turn(rest, near, NEAR);
-    for (const ring of regions) this.turn(rest, ring, Math.ceil(ANYWHERE / regions.length));
+    for (const ring of regions) addRange(agreed, ring.rows, firstFrom(ring.at, hash), each);
+    const near = this.zones.get(`${query.model}|${query.zone}`);
+    if (near) this.addNext(others, near, NEAR);
+    for (const ring of regions) this.addNext(others, ring, Math.ceil(ANYWHERE / regions.length));
     const out: Picked[] = [];
     for (const row of agreed) out.push({ row, agreed: true });
-    for (const row of rest) if (!agreed.has(row)) out.push({ row, agreed: false });
+    for (const row of others) if (!agreed.has(row)) out.push({ row, agreed: false });
     return out;
   }
 
-  private turn(into: Set<WorkerRow>, ring: Ring, n: number): void {
-    take(into, ring.rows, ring.cursor, n);
+  private addNext(into: Set<WorkerRow>, ring: Ring, n: number): void {
+    addRange(into, ring.rows, ring.cursor, n);
     ring.cursor = (ring.cursor + n) % ring.rows.length;
   }
 }
@@ -97,7 +97,7 @@
   else into.set(key, [row]);
 }
 
-function take(into: Set<WorkerRow>, rows: readonly WorkerRow[], from: number, n: number): void {
+function addRange(into: Set<WorkerRow>, rows: readonly WorkerRow[], from: number, n: number): void {
   for (let i = 0; i < Math.min(n, rows.length); i += 1) into.add(rows[(from + i) % rows.length] as WorkerRow);
 }
 
@@ -112,17 +112,17 @@
   return low % at.length;
 }
 
-type Placed = { readonly hash: number; readonly row: WorkerRow };
-function placed(row: WorkerRow): Placed {
+type HashedRow = { readonly hash: number; readonly row: WorkerRow };
+function hashed(row: WorkerRow): HashedRow {
   return { hash: hash32(row.listed.id), row };
 }
-function byHash(a: Placed, b: Placed): number {
+function byHash(a: HashedRow, b: HashedRow): number {
   return a.hash - b.hash || (a.row.listed.id < b.row.listed.id ? -1 : 1);
 }
-function hashOf(p: Placed): number {
+function hashOf(p: HashedRow): number {
   return p.hash;
 }
-function rowOf(p: Placed): WorkerRow {
+function rowOf(p: HashedRow): WorkerRow {
   return p.row;
 }
 function agreedOn(row: WorkerRow): Picked {
--- a/src/state/worker-registry.test.ts
+++ b/src/state/worker-registry.test.ts
@@ -2,7 +2,7 @@
 import { EDGE_TUNING } from './edge-tuning.js';
 import type { ModelTraits } from './serving.js';
 import { createWorkerRegistry } from './worker-registry.js';
-import type { PlaceAsk, WorkerRegistry } from './worker-registry.js';
+import type { SelectionRequest, WorkerRegistry } from './worker-registry.js';
 import type { WorkerEntry } from './worker-entry.js';
 
 const TRAITS: ModelTraits = {
@@ -29,7 +29,7 @@
     ...over,
   };
 }
-function ask(over: Partial<PlaceAsk> = {}): PlaceAsk {
+function ask(over: Partial<SelectionRequest> = {}): SelectionRequest {
   return {
     model: 'm',
     traits: TRAITS,
@@ -47,9 +47,9 @@
 function books(n: number, entries: readonly WorkerEntry[]): WorkerRegistry[] {
   const known = Object.fromEntries(Array.from({ length: n }, (_, i) => [`s${i}`, { region: i % 3 === 0 ? 'r' : 'q' }]));
   return Object.keys(known).map((name) => {
-    const b = createWorkerRegistry({ name, zone: 'z', region: 'r', held: () => 1 }, EDGE_TUNING);
-    b.takeList(entries, 0);
-    b.sharers(known);
+    const b = createWorkerRegistry({ name, zone: 'z', region: 'r', openConnections: () => 1 }, EDGE_TUNING);
+    b.applyList(entries, 0);
+    b.setSharingProxies(known);
     return b;
   });
 }
@@ -61,9 +61,9 @@
     let sent = 0;
     for (const b of all) {
       for (let i = 0; i < 100; i += 1) {
-        const got = b.place(ask());
+        const got = b.selectWorker(ask());
         if (got.tag !== 'row') break;
-        b.begin(got.row, ask());
+        b.reserve(got.row, ask());
         sent += 1;
       }
     }
@@ -85,14 +85,14 @@
     ];
     const chosen = new Set(
       all.map((b) => {
-        const got = b.place(ask({ parts, tokens: 8_000, pinned: true }));
+        const got = b.selectWorker(ask({ parts, tokens: 8_000, pinned: true }));
         return got.tag === 'row' ? got.row.entry.id : '';
       }),
     );
     expect(chosen.size).toBe(1);
     for (const id of chosen) seen.add(id);
   }
-  expect(seen.size).toBeLessThanOrEqual(Math.ceil(12 * EDGE_TUNING.spreadShare));
+  expect(seen.size).toBeLessThanOrEqual(Math.ceil(12 * EDGE_TUNING.spreadFraction));
 });
 
 test('a keeper that others crowd is left for the next one', () => {
@@ -101,32 +101,32 @@
     { id: 'rules', tokens: 500 },
     { id: 'own', tokens: 100 },
   ];
-  const first = b!.place(ask({ parts, tokens: 600, pinned: true }));
+  const first = b!.selectWorker(ask({ parts, tokens: 600, pinned: true }));
   const id = first.tag === 'row' ? first.row.entry.id : '';
-  b!.takeFleetLoad({ [id]: [60, 30_000, 100_000, 0, 9] }, 0);
-  const next = b!.place(ask({ parts, tokens: 600, pinned: true }));
+  b!.applyFleetLoad({ [id]: [60, 30_000, 100_000, 0, 9] }, 0);
+  const next = b!.selectWorker(ask({ parts, tokens: 600, pinned: true }));
   expect(next.tag === 'row' && next.row.entry.id).not.toBe(id);
 });
 
 test('zones held preemptive come last, evacuated ones not at all, and a zone handed back is cold at first', () => {
   const [b] = books(1, [entry('w0', { zone: 'z' }), entry('w1', { zone: 'y' })]);
-  b!.takeZones(
+  b!.applyZones(
     {},
     () => ['z'],
     0,
     () => 3_000,
   );
-  const one = b!.place(ask());
+  const one = b!.selectWorker(ask());
   expect(one.tag === 'row' && one.row.entry.id).toBe('w1');
-  b!.takeZones(
+  b!.applyZones(
     { y: 3 },
     () => [],
     0,
     () => 3_000,
   );
-  const two = b!.place(ask());
+  const two = b!.selectWorker(ask());
   expect(two.tag === 'row' && two.row.entry.id).toBe('w0');
-  b!.takeZones(
+  b!.applyZones(
     {},
     () => [],
     100,
@@ -139,41 +139,41 @@
   const [a, b] = books(2, [entry('w0'), entry('w1')]);
   const row = [...a!.rows()].find((r) => r.entry.id === 'w0')!;
   for (let i = 0; i < 6; i += 1) {
-    if (i % 2 === 0) a!.spoilt(row, 100);
-    else a!.served(row, 100);
+    if (i % 2 === 0) a!.recordSpoiled(row, 100);
+    else a!.recordServed(row, 100);
   }
-  b!.takeFleetLoad(a!.usage(200), 200);
+  b!.applyFleetLoad(a!.load(200), 200);
   for (const book of [a!, b!]) {
     for (let i = 0; i < 20; i += 1) {
-      const got = book.place(ask({ now: 2_000 }));
+      const got = book.selectWorker(ask({ now: 2_000 }));
       expect(got.tag === 'row' && got.row.entry.id).toBe('w1');
-      if (got.tag === 'row') book.begin(got.row, ask({ now: 2_000 })).end();
+      if (got.tag === 'row') book.reserve(got.row, ask({ now: 2_000 })).end();
     }
   }
-  for (let i = 0; i < 60; i += 1) a!.served(row, 9_000);
-  expect(a!.usage(30_000)['w0']).toBeUndefined();
+  for (let i = 0; i < 60; i += 1) a!.recordServed(row, 9_000);
+  expect(a!.load(30_000)['w0']).toBeUndefined();
 });
 
 test('one bad answer on a calm day does not make a worker avoided', () => {
   const [a] = books(1, [entry('w0')]);
   const row = [...a!.rows()][0]!;
-  for (let i = 0; i < 30; i += 1) a!.served(row, 50);
-  a!.spoilt(row, 60);
-  const got = a!.place(ask({ now: 1_000 }));
+  for (let i = 0; i < 30; i += 1) a!.recordServed(row, 50);
+  a!.recordSpoiled(row, 60);
+  const got = a!.selectWorker(ask({ now: 1_000 }));
   expect(got.tag === 'row' && got.waitMs).toBeLessThan(100);
 });
 
 test('a worker that was out of reach may be another life: others go first until the list had time to tell', () => {
   const [b] = books(1, [entry('w0'), entry('w1')]);
   const row = [...b!.rows()].find((r) => r.entry.id === 'w0')!;
-  b!.silent(row, 100);
-  b!.reached(row, 3_000);
+  b!.markUnresponsive(row, 100);
+  b!.markReachable(row, 3_000);
   for (let i = 0; i < 10; i += 1) {
-    const got = b!.place(ask({ now: 3_100 }));
+    const got = b!.selectWorker(ask({ now: 3_100 }));
     expect(got.tag === 'row' && got.row.entry.id).toBe('w1');
-    if (got.tag === 'row') b!.begin(got.row, ask({ now: 3_100 }));
+    if (got.tag === 'row') b!.reserve(got.row, ask({ now: 3_100 }));
   }
-  const later = b!.place(ask({ now: 6_000 }));
+  const later = b!.selectWorker(ask({ now: 6_000 }));
   expect(later.tag === 'row' && later.row.entry.id).toBe('w0');
 });
 
@@ -182,11 +182,11 @@
   let soon = 0;
   for (const b of all) {
     const row = [...b.rows()][0]!;
-    for (let i = 0; i < 8; i += 1) b.silent(row, 1_000);
+    for (let i = 0; i < 8; i += 1) b.markUnresponsive(row, 1_000);
     if (row.badUntil <= 3_000) soon += 1;
     else {
       expect(row.badUntil).toBeGreaterThan(10_000);
-      b.takeFleetLoad({ w: [1, 0, 0, 0, 1] }, 4_000);
+      b.applyFleetLoad({ w: [1, 0, 0, 0, 1] }, 4_000);
       expect(row.badUntil).toBe(4_000);
     }
   }
--- a/src/state/worker-registry.ts
+++ b/src/state/worker-registry.ts
@@ -6,61 +6,61 @@
  */
 
 import type { EdgeTuning } from './edge-tuning.js';
-import type { UsageRows } from './fleet-load.js';
+import type { LoadRows } from './fleet-load.js';
 import { homeAmong } from './home-worker.js';
 import { createPlacementCost } from './placement-cost.js';
-import type { BookSelf, PlaceAsk, PlacementCost } from './placement-cost.js';
-import { beyond, freshRow, NO_USAGE } from './registry-row.js';
-import type { BookRow, Sharer } from './registry-row.js';
+import type { SelectingProxy, SelectionRequest, PlacementCost } from './placement-cost.js';
+import { beyond, freshRow, NO_LOAD } from './registry-row.js';
+import type { RegistryRow, SharingProxy } from './registry-row.js';
 import type { ModelTraits } from './serving.js';
 import type { WorkerEntry } from './worker-entry.js';
 import { createWorkerOwners } from './worker-owners.js';
 
-export type { BookSelf, PlaceAsk } from './placement-cost.js';
-export type { BookRow, Sharer, Usage } from './registry-row.js';
+export type { SelectingProxy, SelectionRequest } from './placement-cost.js';
+export type { RegistryRow, SharingProxy, WorkerLoad } from './registry-row.js';
 
 /** The choice: a worker and its cost, `busy` if one may have room later, `none` if the model has no usable worker. */
-export type Placed =
-  | { readonly tag: 'row'; readonly row: BookRow; readonly waitMs: number }
+export type Selection =
+  | { readonly tag: 'row'; readonly row: RegistryRow; readonly waitMs: number }
   | { readonly tag: 'busy' }
   | { readonly tag: 'none' };
 
 /** A place held on a worker: `read` once the prompt was read, `end` at the end of the attempt. */
-export type Hold = { readonly read: () => void; readonly end: () => void };
+export type Reservation = { readonly read: () => void; readonly end: () => void };
 
 /** The registry of one proxy. */
 export interface WorkerRegistry {
-  takeList(list: readonly WorkerEntry[], now: number): void;
-  takeZones(
+  applyList(list: readonly WorkerEntry[], now: number): void;
+  applyZones(
     evacuated: Readonly<Record<string, number>>,
     preemptive: (model: string) => readonly string[],
     now: number,
     coldMs: (model: string) => number,
   ): void;
-  place(ask: PlaceAsk): Placed;
-  begin(row: BookRow, ask: PlaceAsk): Hold;
-  failed(row: BookRow, now: number): void;
-  spoilt(row: BookRow, now: number): void;
-  silent(row: BookRow, now: number): void;
-  reached(row: BookRow, now: number): void;
-  served(row: BookRow, now: number): void;
-  connectMs(row: BookRow): number;
-  fewSharers(): boolean;
-  full(row: BookRow, now: number, forMs: number): void;
-  moved(row: BookRow): void;
-  cold(row: BookRow, now: number, ms: number): void;
-  rows(): Iterable<BookRow>;
-  sharers(proxies: Readonly<Record<string, Sharer>>): void;
-  usage(now: number): UsageRows;
-  takeFleetLoad(rows: UsageRows, now: number): void;
-  took(row: BookRow, ms: number): void;
+  selectWorker(request: SelectionRequest): Selection;
+  reserve(row: RegistryRow, request: SelectionRequest): Reservation;
+  recordFailure(row: RegistryRow, now: number): void;
+  recordSpoiled(row: RegistryRow, now: number): void;
+  markUnresponsive(row: RegistryRow, now: number): void;
+  markReachable(row: RegistryRow, now: number): void;
+  recordServed(row: RegistryRow, now: number): void;
+  connectMs(row: RegistryRow): number;
+  hasFewSharingProxies(): boolean;
+  markFull(row: RegistryRow, now: number, forMs: number): void;
+  markRelocated(row: RegistryRow): void;
+  markCold(row: RegistryRow, now: number, ms: number): void;
+  rows(): Iterable<RegistryRow>;
+  setSharingProxies(proxies: Readonly<Record<string, SharingProxy>>): void;
+  load(now: number): LoadRows;
+  applyFleetLoad(rows: LoadRows, now: number): void;
+  recordConnectTime(row: RegistryRow, ms: number): void;
 }
 
 const LEAST_SHARE = 2;
 
 class CostedWorkerRegistry implements WorkerRegistry {
-  private readonly currentRows = new Map<string, BookRow>();
-  private byModel = new Map<string, BookRow[]>();
+  private readonly currentRows = new Map<string, RegistryRow>();
+  private byModel = new Map<string, RegistryRow[]>();
   private evacuated: Readonly<Record<string, number>> = {};
   private preemptiveOf: (model: string) => readonly string[] = none;
   private listed = false;
@@ -68,7 +68,7 @@
   private readonly placementCost: PlacementCost;
 
   constructor(
-    private readonly self: BookSelf,
+    private readonly self: SelectingProxy,
     private readonly tuning: EdgeTuning,
   ) {
     this.placementCost = createPlacementCost(self, tuning, (model, zone) => this.isPreemptive(model, zone));
@@ -78,7 +78,7 @@
     return this.preemptiveOf(model).includes(zone);
   }
 
-  takeList(list: readonly WorkerEntry[], now: number): void {
+  applyList(list: readonly WorkerEntry[], now: number): void {
     const seen = new Set<string>();
     for (const entry of list) {
       seen.add(entry.id);
@@ -108,7 +108,7 @@
     this.listed = true;
   }
 
-  takeZones(
+  applyZones(
     next: Readonly<Record<string, number>>,
     preemptive: (model: string) => readonly string[],
     now: number,
@@ -123,47 +123,47 @@
     this.preemptiveOf = preemptive;
   }
 
-  private usable(row: BookRow, ask: PlaceAsk): boolean {
+  private usable(row: RegistryRow, request: SelectionRequest): boolean {
     if (row.leaving || !row.present || this.evacuated[row.entry.zone] !== undefined) return false;
-    if (ask.homes.length > 0 && !ask.homes.includes(row.entry.region)) return false;
-    return !ask.avoid.has(row.entry.id);
+    if (request.homes.length > 0 && !request.homes.includes(row.entry.region)) return false;
+    return !request.avoid.has(row.entry.id);
   }
 
-  private coldRoom(row: BookRow, ask: PlaceAsk): boolean {
-    if (row.coldUntil <= ask.now || !ask.traits || ask.traits.coldRateS <= 0) return true;
-    return row.cold.room(ask.now, this.coldShare(row, ask.traits));
+  private hasColdStartQuota(row: RegistryRow, request: SelectionRequest): boolean {
+    if (row.coldUntil <= request.now || !request.traits || request.traits.coldRateS <= 0) return true;
+    return row.cold.hasCapacity(request.now, this.coldStartQuota(row, request.traits));
   }
 
-  private coldShare(row: BookRow, t: ModelTraits): number {
-    const sharing = this.owners.sharing();
+  private coldStartQuota(row: RegistryRow, t: ModelTraits): number {
+    const sharingProxies = this.owners.sharingCount();
     const whole = Math.floor((t.coldRateS * this.tuning.coldOver + this.tuning.coldSlack) * this.tuning.coldGuard);
-    if (whole >= LEAST_SHARE * sharing) return Math.max(1, Math.floor(whole / sharing));
+    if (whole >= LEAST_SHARE * sharingProxies) return Math.max(1, Math.floor(whole / sharingProxies));
     const names = this.owners.ownersOf(row, Math.max(1, Math.floor(whole / LEAST_SHARE)));
     return names.includes(this.self.name) ? Math.max(1, Math.floor(whole / names.length)) : 0;
   }
 
-  private placesOf(row: BookRow, ask: PlaceAsk): number {
-    const batch = row.entry.places > 0 ? row.entry.places : (ask.traits?.engine?.batch ?? 1);
+  private slotsOf(row: RegistryRow, request: SelectionRequest): number {
+    const batch = row.entry.places > 0 ? row.entry.places : (request.traits?.engine?.batch ?? 1);
     const connections =
-      ask.traits && ask.traits.maxConns > 0
-        ? Math.max(1, Math.floor((ask.traits.maxConns * this.tuning.connectionGuard) / this.owners.sharing()))
+      request.traits && request.traits.maxConns > 0
+        ? Math.max(1, Math.floor((request.traits.maxConns * this.tuning.connectionGuard) / this.owners.sharingCount()))
         : Infinity;
     return Math.min(batch, connections);
   }
 
-  place(ask: PlaceAsk): Placed {
-    const list = this.byModel.get(ask.model) ?? [];
-    const home = ask.pinned ? this.homeOf(list, ask) : null;
-    let found: BookRow | null = null;
+  selectWorker(request: SelectionRequest): Selection {
+    const list = this.byModel.get(request.model) ?? [];
+    const home = request.pinned ? this.homeOf(list, request) : null;
+    let found: RegistryRow | null = null;
     let least = Infinity;
     let any = false;
     for (const row of list) {
-      if (!this.usable(row, ask)) continue;
+      if (!this.usable(row, request)) continue;
       if (!row.unproven) any = true;
-      if (row.unproven || row.badUntil > ask.now || row.fullUntil > ask.now) continue;
+      if (row.unproven || row.badUntil > request.now || row.fullUntil > request.now) continue;
       if (row.fails > 0 && row.running > 0) continue;
-      if (row.running >= this.placesOf(row, ask) || !this.coldRoom(row, ask)) continue;
-      const ms = this.placementCost.cost(row, ask, home);
+      if (row.running >= this.slotsOf(row, request) || !this.hasColdStartQuota(row, request)) continue;
+      const ms = this.placementCost.cost(row, request, home);
       if (ms < least) {
         least = ms;
         found = row;
@@ -173,22 +173,23 @@
     return any || !this.listed ? { tag: 'busy' } : { tag: 'none' };
   }
 
-  private homeOf(list: readonly BookRow[], ask: PlaceAsk): BookRow | null {
-    if (ask.parts.length < 2) return null;
-    const open: BookRow[] = [];
-    for (const row of list) if (this.usable(row, ask) && !row.unproven && row.badUntil <= ask.now) open.push(row);
-    return homeAmong(open, ask.parts, this.tuning);
+  private homeOf(list: readonly RegistryRow[], request: SelectionRequest): RegistryRow | null {
+    if (request.parts.length < 2) return null;
+    const open: RegistryRow[] = [];
+    for (const row of list)
+      if (this.usable(row, request) && !row.unproven && row.badUntil <= request.now) open.push(row);
+    return homeAmong(open, request.parts, this.tuning);
   }
 
-  begin(row: BookRow, ask: PlaceAsk): Hold {
-    const known = ask.pinned ? row.kept.known(ask.parts) : 0;
-    const unread = Math.max(0, ask.tokens - known);
-    const kv = ask.tokens + ask.outTokens;
+  reserve(row: RegistryRow, request: SelectionRequest): Reservation {
+    const known = request.pinned ? row.prefixCache.known(request.parts) : 0;
+    const unread = Math.max(0, request.tokens - known);
+    const kv = request.tokens + request.outTokens;
     row.running += 1;
     row.unread += unread;
     row.kv += kv;
-    if (row.coldUntil > ask.now) row.cold.take(ask.now);
-    if (ask.pinned) row.kept.note(ask.parts);
+    if (row.coldUntil > request.now) row.cold.record(request.now);
+    if (request.pinned) row.prefixCache.record(request.parts);
     let reading = true;
     let over = false;
     function read(): void {
@@ -205,30 +206,30 @@
     return { read, end };
   }
 
-  failed(row: BookRow, now: number): void {
+  recordFailure(row: RegistryRow, now: number): void {
     row.fails += 1;
     row.badUntil = now + Math.min(4_000, 125 * 2 ** row.fails);
-    row.kept.clear();
+    row.prefixCache.clear();
   }
 
-  silent(row: BookRow, now: number): void {
+  markUnresponsive(row: RegistryRow, now: number): void {
     row.fails += 1;
     if (!row.unproven || row.unresponsiveSince === 0) row.unresponsiveSince = now;
     row.unproven = true;
     row.badUntil = now + Math.min(this.redialMs(row), 250 * 2 ** row.fails);
   }
 
-  fewSharers(): boolean {
-    return this.owners.sharing() <= this.tuning.redialers;
+  hasFewSharingProxies(): boolean {
+    return this.owners.sharingCount() <= this.tuning.redialers;
   }
 
-  private redialMs(row: BookRow): number {
-    if (this.fewSharers() || this.owners.ownersOf(row, this.tuning.redialers).includes(this.self.name))
+  private redialMs(row: RegistryRow): number {
+    if (this.hasFewSharingProxies() || this.owners.ownersOf(row, this.tuning.redialers).includes(this.self.name))
       return this.tuning.redialMs;
-    return (this.tuning.redialMs * this.owners.sharing()) / this.tuning.redialers;
+    return (this.tuning.redialMs * this.owners.sharingCount()) / this.tuning.redialers;
   }
 
-  reached(row: BookRow, now: number): void {
+  markReachable(row: RegistryRow, now: number): void {
     if (row.unresponsiveSince > 0 && now - row.unresponsiveSince > this.tuning.doubtFromMs)
       row.doubtUntil = now + this.tuning.doubtForMs;
     row.unresponsiveSince = 0;
@@ -237,74 +238,74 @@
     row.fails = 0;
   }
 
-  spoilt(row: BookRow, now: number): void {
-    row.runs.note(now, true);
-    this.failed(row, now);
+  recordSpoiled(row: RegistryRow, now: number): void {
+    row.runs.record(now, true);
+    this.recordFailure(row, now);
   }
 
-  served(row: BookRow, now: number): void {
-    row.runs.note(now, false);
+  recordServed(row: RegistryRow, now: number): void {
+    row.runs.record(now, false);
     row.fails = 0;
   }
 
-  connectMs(row: BookRow): number {
-    const way = row.entry.region === this.self.region ? 5 : this.placementCost.awayMs(row);
-    return Math.min(this.tuning.connectMs, this.tuning.connectLeastMs + 3 * way);
+  connectMs(row: RegistryRow): number {
+    const distanceMs = row.entry.region === this.self.region ? 5 : this.placementCost.regionDelayMs(row);
+    return Math.min(this.tuning.connectMs, this.tuning.connectLeastMs + 3 * distanceMs);
   }
 
-  full(row: BookRow, now: number, forMs: number): void {
+  markFull(row: RegistryRow, now: number, forMs: number): void {
     row.fullUntil = Math.max(row.fullUntil, now + forMs);
   }
 
-  moved(row: BookRow): void {
+  markRelocated(row: RegistryRow): void {
     row.leaving = true;
   }
 
-  cold(row: BookRow, now: number, ms: number): void {
+  markCold(row: RegistryRow, now: number, ms: number): void {
     row.coldUntil = Math.max(row.coldUntil, now + ms);
   }
 
-  usage(now: number): UsageRows {
-    const out: UsageRows = {};
+  load(now: number): LoadRows {
+    const out: LoadRows = {};
     for (const row of this.currentRows.values()) {
-      row.told = {
+      row.reportedLoad = {
         running: row.running,
         unread: rounded(row.unread, 100),
         kv: rounded(row.kv, 1_000),
         bad: row.runs.bad(now),
         ran: row.runs.ran(now),
       };
-      const { running, unread, kv, bad, ran } = row.told;
+      const { running, unread, kv, bad, ran } = row.reportedLoad;
       if (running > 0 || bad > 0) out[row.entry.id] = [running, unread, kv, bad, ran];
     }
     return out;
   }
 
-  takeFleetLoad(sums: UsageRows, now: number): void {
+  applyFleetLoad(sums: LoadRows, now: number): void {
     for (const row of this.currentRows.values()) {
       const sum = sums[row.entry.id];
-      const before = row.others;
-      row.others = sum ? beyond(sum, row.told) : NO_USAGE;
-      if (row.unproven && row.others.ran > before.ran && row.others.bad <= before.bad)
+      const before = row.otherLoad;
+      row.otherLoad = sum ? beyond(sum, row.reportedLoad) : NO_LOAD;
+      if (row.unproven && row.otherLoad.ran > before.ran && row.otherLoad.bad <= before.bad)
         row.badUntil = Math.min(row.badUntil, now);
     }
   }
 
-  rows(): Iterable<BookRow> {
+  rows(): Iterable<RegistryRow> {
     return this.currentRows.values();
   }
 
-  sharers(known: Readonly<Record<string, Sharer>>): void {
-    this.owners.sharers(known);
+  setSharingProxies(known: Readonly<Record<string, SharingProxy>>): void {
+    this.owners.setSharingProxies(known);
   }
 
-  took(row: BookRow, ms: number): void {
-    this.placementCost.took(row, ms);
+  recordConnectTime(row: RegistryRow, ms: number): void {
+    this.placementCost.recordConnectTime(row, ms);
   }
 }
 
 /** An empty registry; nothing is `none` before the first list was taken. */
-export function createWorkerRegistry(self: BookSelf, tuning: EdgeTuning): WorkerRegistry {
+export function createWorkerRegistry(self: SelectingProxy, tuning: EdgeTuning): WorkerRegistry {
   return new CostedWorkerRegistry(self, tuning);
 }
 
--- a/src/state/worker-table.ts
+++ b/src/state/worker-table.ts
@@ -13,23 +13,23 @@
 import type { WorkerRow } from './worker-row.js';
 
 export interface WorkerTable {
-  takeList(list: readonly Listed[], now: number): void;
-  takeHealth(id: string, health: Health, now: number): void;
+  applyList(list: readonly Listed[], now: number): void;
+  recordHealth(id: string, health: Health, now: number): void;
   recordMissedProbe(id: string): void;
-  takeControlState(controlState: ControlState): void;
+  applyControlState(controlState: ControlState): void;
   rows(): readonly WorkerRow[];
   row(ix: number): WorkerRow | null;
   begin(ix: number): WorkerRow | null;
   end(row: WorkerRow): void;
   isCurrent(row: WorkerRow): boolean;
-  refused(ix: number): void;
-  served(ix: number): void;
-  candidates(ask: CandidateAsk): Candidate[];
+  recordRefused(ix: number): void;
+  recordServed(ix: number): void;
+  candidates(query: CandidateQuery): Candidate[];
   readonly prefixes: PrefixTable;
   modelIx(model: string): number;
 }
 
-export type CandidateAsk = {
+export type CandidateQuery = {
   readonly model: string;
   readonly parts: readonly string[];
   readonly values: Resolved;
@@ -39,7 +39,7 @@
   readonly now: number;
   readonly homes: readonly string[] | null;
   readonly seed: string;
-  readonly whole: boolean;
+  readonly complete: boolean;
 };
 
 const SILENCES_UNFIT = 2;
@@ -55,7 +55,7 @@
   private departed = new Set<string>();
   private evacuated: Readonly<Record<string, number>> = {};
 
-  takeList(list: readonly Listed[], now: number): void {
+  applyList(list: readonly Listed[], now: number): void {
     const seen = new Set<number>();
     for (const listed of list) {
       const ix = this.names.of(listed.id);
@@ -68,8 +68,8 @@
         row.listed = listed;
         row.present = true;
       }
-      const held = this.table.get(ix) as WorkerRow;
-      if (listed.state === 'draining') this.markLeaving(held, listed.remainingMs, now);
+      const current = this.table.get(ix) as WorkerRow;
+      if (listed.state === 'draining') this.setDraining(current, listed.remainingMs, now);
     }
     for (const row of this.table.values()) {
       if (seen.has(row.ix)) continue;
@@ -80,17 +80,17 @@
       }
     }
     this.pools.rebuild(this.table.values());
-    this.applyControlState();
+    this.refreshDraining();
   }
 
-  private markLeaving(row: WorkerRow, remainingMs: number | undefined, now: number): void {
+  private setDraining(row: WorkerRow, remainingMs: number | undefined, now: number): void {
     row.leaving = true;
     if (remainingMs === undefined) return;
     const by = now + remainingMs;
     if (row.leaveBy === null || by < row.leaveBy) row.leaveBy = by;
   }
 
-  takeHealth(id: string, health: Health, now: number): void {
+  recordHealth(id: string, health: Health, now: number): void {
     const row = this.rowOf(id);
     if (!row) return;
     if (row.incarnation !== health.incarnation) {
@@ -103,7 +103,7 @@
     row.readyAt = now - health.readyForMs;
     row.reported = health.running;
     row.others = Math.max(0, health.running - row.inFlight);
-    if (health.state === 'draining') this.markLeaving(row, health.remainingMs, now);
+    if (health.state === 'draining') this.setDraining(row, health.remainingMs, now);
   }
 
   recordMissedProbe(id: string): void {
@@ -116,16 +116,16 @@
     return ix === null ? null : (this.table.get(ix) ?? null);
   }
 
-  takeControlState(controlState: ControlState): void {
+  applyControlState(controlState: ControlState): void {
     this.orders = new Map();
     for (const order of Object.values(controlState.orders))
       if (order.machine !== null) this.orders.set(order.machine, order);
     this.departed = new Set(controlState.departed);
     this.evacuated = controlState.evacuated;
-    this.applyControlState();
+    this.refreshDraining();
   }
 
-  private applyControlState(): void {
+  private refreshDraining(): void {
     for (const row of this.table.values()) {
       const order = this.orders.get(row.listed.machine);
       if (this.departed.has(row.listed.machine) || order?.status === 'draining') row.leaving = true;
@@ -136,35 +136,35 @@
     return row.listed.kind === 'fixed' || this.orders.get(row.listed.machine)?.status === 'ready';
   }
 
-  private usageOf(row: WorkerRow): number {
+  private loadOf(row: WorkerRow): number {
     return row.others + row.inFlight;
   }
 
-  private picked(ask: CandidateAsk, model: number): readonly Picked[] {
-    if (ask.whole) return this.pools.all(ask.model);
+  private picked(query: CandidateQuery, model: number): readonly Picked[] {
+    if (query.complete) return this.pools.all(query.model);
     const holders: WorkerRow[] = [];
-    for (const ix of this.prefixes.holders(model, ask.parts)) {
+    for (const ix of this.prefixes.holders(model, query.parts)) {
       const row = this.table.get(ix);
-      if (row?.listed.model === ask.model) holders.push(row);
+      if (row?.listed.model === query.model) holders.push(row);
     }
     return (
-      this.pools.few({ model: ask.model, zone: ask.near, homes: ask.homes, seed: ask.seed, holders }) ??
-      this.pools.all(ask.model)
+      this.pools.sample({ model: query.model, zone: query.near, homes: query.homes, seed: query.seed, holders }) ??
+      this.pools.all(query.model)
     );
   }
 
-  candidates(ask: CandidateAsk): Candidate[] {
+  candidates(query: CandidateQuery): Candidate[] {
     const out: Candidate[] = [];
-    const model = this.models.of(ask.model);
-    for (const { row, agreed } of this.picked(ask, model)) {
+    const model = this.models.of(query.model);
+    for (const { row, agreed } of this.picked(query, model)) {
       const { listed } = row;
       if (!row.present || !this.handedOver(row)) continue;
       const answers =
-        row.answeredAt !== null && ask.now - row.answeredAt < row.freshMs && row.missedProbes < SILENCES_UNFIT;
-      const warm = ask.values.rampS === 0 ? 1 : (ask.now - row.readyAt) / (ask.values.rampS * 1_000);
+        row.answeredAt !== null && query.now - row.answeredAt < row.freshMs && row.missedProbes < SILENCES_UNFIT;
+      const warm = query.values.rampS === 0 ? 1 : (query.now - row.readyAt) / (query.values.rampS * 1_000);
       const ramping = warm < 1;
-      const ramped = Math.max(1, Math.floor(ask.values.workerUsageLimit * Math.min(1, warm)));
-      const elsewhere = ramping && listed.zone !== ask.zone && ask.zonesWithProxy.has(listed.zone);
+      const ramped = Math.max(1, Math.floor(query.values.workerUsageLimit * Math.min(1, warm)));
+      const elsewhere = ramping && listed.zone !== query.zone && query.zonesWithProxy.has(listed.zone);
       const limit = elsewhere ? 0.5 : ramped;
       out.push({
         ix: row.ix,
@@ -174,12 +174,13 @@
         region: listed.region,
         leaving: row.leaving || listed.state === 'draining',
         evacuated: this.evacuated[listed.zone] !== undefined,
-        fit: answers && row.ready,
+        healthy: answers && row.ready,
         answersUs: answers,
-        running: row.inFlight >= Math.floor(row.window) ? Math.max(this.usageOf(row), limit) : this.usageOf(row),
+        running: row.inFlight >= Math.floor(row.window) ? Math.max(this.loadOf(row), limit) : this.loadOf(row),
         limit,
         agreed,
-        knownShare: ask.parts.length === 0 ? 0 : this.prefixes.knownParts(model, ask.parts, row.ix) / ask.parts.length,
+        knownFraction:
+          query.parts.length === 0 ? 0 : this.prefixes.knownBlocks(model, query.parts, row.ix) / query.parts.length,
       });
     }
     return out;
@@ -199,12 +200,12 @@
     return this.table.get(row.ix) === row;
   }
 
-  refused(ix: number): void {
+  recordRefused(ix: number): void {
     const row = this.table.get(ix);
     if (row) row.window = Math.max(1, Math.min(row.window, row.inFlight) * NARROWED_BY);
   }
 
-  served(ix: number): void {
+  recordServed(ix: number): void {
     const row = this.table.get(ix);
     if (row) row.window = Math.min(WIDEST, row.window + 1 / row.window);
   }
--- a/src/transport/connection-pool.test.ts
+++ b/src/transport/connection-pool.test.ts
@@ -2,8 +2,8 @@
 import { createConnection, createServer } from 'node:net';
 import type { AddressInfo, Server, Socket } from 'node:net';
 import { createClock } from './clock.js';
-import { createOpenHttpServer } from './open-http-server.js';
-import type { OpenRequest, ConnectionPool, SendFault } from './open-http.js';
+import { createOpaqueHttpServer } from './open-http-server.js';
+import type { OpaqueRequest, ConnectionPool, SendFault } from './open-http.js';
 import { createConnectionPool } from './connection-pool.js';
 
 const open: { close: () => void }[] = [];
@@ -134,13 +134,13 @@
 });
 
 test('through the server and out: head, chunks and end as they come, and a cut as a cut', async () => {
-  const httpServer = createOpenHttpServer();
+  const httpServer = createOpaqueHttpServer();
   let cut = false;
-  const opened = await httpServer.open('127.0.0.1:0', (req: OpenRequest) => {
+  const opened = await httpServer.open('127.0.0.1:0', (req: OpaqueRequest) => {
     void req.body(100).then((b) => {
       req.answerer.head(200, ['X-Body', b.ok ? b.value.toString() : b.fault.tag]);
       req.answerer.write(Buffer.from('one'));
-      if (cut) req.answerer.cut();
+      if (cut) req.answerer.abort();
       else req.answerer.end();
     });
   });
@@ -319,12 +319,12 @@
 });
 
 test('an answer of unknown length that is cut does not look whole to a caller without chunks', async () => {
-  const httpServer = createOpenHttpServer();
+  const httpServer = createOpaqueHttpServer();
   let cut = false;
-  const opened = await httpServer.open('127.0.0.1:0', (req: OpenRequest) => {
+  const opened = await httpServer.open('127.0.0.1:0', (req: OpaqueRequest) => {
     req.answerer.head(200, []);
     req.answerer.write(Buffer.from('one'));
-    const finish = (): void => (cut ? req.answerer.cut() : req.answerer.end());
+    const finish = (): void => (cut ? req.answerer.abort() : req.answerer.end());
     setImmediate(finish);
   });
   if (!opened.ok) throw new Error('listen');
@@ -380,7 +380,7 @@
     },
   );
   while (socks.length === 0) await new Promise((r) => setImmediate(r));
-  sent.cut();
+  sent.abort();
   socks[0]!.write('HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate');
   expect(await ask(o, at)).toEqual({ status: 200, body: 'hi', fault: null });
   expect([o.made(), heard]).toEqual([2, []]);
--- a/src/transport/connection-pool.ts
+++ b/src/transport/connection-pool.ts
@@ -8,7 +8,7 @@
 import type { Address } from './wire.js';
 
 type Idle = { readonly sock: Socket; readonly from: number; readonly until: number; readonly drop: () => void };
-type Place = { open: number; readonly idle: Idle[]; keepMs: number };
+type Endpoint = { open: number; readonly idle: Idle[]; keepAliveMs: number };
 
 const KEEP_MS = 20_000;
 const KEEP_MARGIN_MS = 700;
@@ -21,19 +21,19 @@
 const REST_OF_BODY_MS = 5_000;
 
 export function createConnectionPool(clock: Clock): ConnectionPool {
-  const places = new Map<Address, Place>();
+  const endpoints = new Map<Address, Endpoint>();
   let dialled = 0;
   let learnedMs = KEEP_MS;
 
-  function placeOf(address: Address): Place {
-    const have = places.get(address);
+  function endpointOf(address: Address): Endpoint {
+    const have = endpoints.get(address);
     if (have) return have;
-    const made: Place = { open: 0, idle: [], keepMs: KEEP_MS };
-    places.set(address, made);
+    const made: Endpoint = { open: 0, idle: [], keepAliveMs: KEEP_MS };
+    endpoints.set(address, made);
     return made;
   }
 
-  function rest(at: Place, sock: Socket): void {
+  function keepIdle(at: Endpoint, sock: Socket): void {
     function drop(): void {
       sock.off('data', drop);
       sock.off('end', drop);
@@ -43,7 +43,7 @@
       sock.destroy();
     }
     const from = clock.mono();
-    const idle: Idle = { sock, from, until: from + Math.min(at.keepMs - KEEP_MARGIN_MS, learnedMs), drop };
+    const idle: Idle = { sock, from, until: from + Math.min(at.keepAliveMs - KEEP_MARGIN_MS, learnedMs), drop };
     sock.on('data', drop);
     sock.on('end', drop);
     sock.on('close', drop);
@@ -52,11 +52,11 @@
 
   function forgotten(restedMs: number): void {
     learnedMs = Math.max(LEARNED_LEAST_MS, Math.min(learnedMs, restedMs / 2));
-    for (const at of places.values())
+    for (const at of endpoints.values())
       for (const idle of [...at.idle]) if (clock.mono() - idle.from > learnedMs) idle.drop();
   }
 
-  function taken(at: Place): Idle | null {
+  function takeIdle(at: Endpoint): Idle | null {
     const now = clock.mono();
     for (;;) {
       const idle = at.idle.pop();
@@ -70,7 +70,7 @@
     }
   }
 
-  function dial(address: Address, at: Place, waitMs: number, done: (sock: Socket | null) => void): Socket | null {
+  function dial(address: Address, at: Endpoint, waitMs: number, done: (sock: Socket | null) => void): Socket | null {
     const hp = splitAddress(address);
     if (!hp) {
       done(null);
@@ -79,24 +79,24 @@
     dialled += 1;
     at.open += 1;
     const s = createConnection({ host: hp.host, port: hp.port, noDelay: true });
-    let settled = false;
-    function settle(got: Socket | null): void {
-      if (settled) return;
-      settled = true;
+    let isDone = false;
+    function finish(got: Socket | null): void {
+      if (isDone) return;
+      isDone = true;
       timer.cancel();
       if (!got) s.destroy();
       done(got);
     }
     function closed(): void {
       at.open -= 1;
-      if (at.open === 0 && at.idle.length === 0) places.delete(address);
-      settle(null);
+      if (at.open === 0 && at.idle.length === 0) endpoints.delete(address);
+      finish(null);
     }
     function refused(): void {
-      settle(null);
+      finish(null);
     }
     function connected(): void {
-      settle(s);
+      finish(s);
     }
     const timer = clock.timer(waitMs, refused);
     s.on('error', refused);
@@ -106,18 +106,18 @@
   }
 
   function check(address: Address, waitMs: number, done: (reached: boolean) => void): void {
-    const at = placeOf(address);
+    const at = endpointOf(address);
     function dialledTo(s: Socket | null): void {
-      if (s) rest(at, s);
+      if (s) keepIdle(at, s);
       done(s !== null);
     }
     dial(address, at, waitMs, dialledTo);
   }
 
   function send(what: Sending, events: SendEvents): Sent {
-    const at = placeOf(what.address);
+    const at = endpointOf(what.address);
     let over = false;
-    const idle = what.newConnection ? null : taken(at);
+    const idle = what.newConnection ? null : takeIdle(at);
     const restedMs = idle ? clock.mono() - idle.from : 0;
     const reused = idle !== null;
     let sock: Socket | null = idle?.sock ?? null;
@@ -145,9 +145,9 @@
         return;
       }
       res = r;
-      const keep = r.headers['keep-alive'];
-      const told = typeof keep === 'string' ? /timeout=(\d+)/.exec(keep) : null;
-      if (told) at.keepMs = Number(told[1]) * 1_000;
+      const keepAliveHeader = r.headers['keep-alive'];
+      const timeout = typeof keepAliveHeader === 'string' ? /timeout=(\d+)/.exec(keepAliveHeader) : null;
+      if (timeout) at.keepAliveMs = Number(timeout[1]) * 1_000;
       function get(name: string): string | null {
         const v = r.headers[name];
         return typeof v === 'string' ? v : null;
@@ -192,7 +192,7 @@
       still.once('free', written);
     }
 
-    function go(s: Socket): void {
+    function sendOn(s: Socket): void {
       if (over) {
         s.destroy();
         return;
@@ -208,7 +208,7 @@
       const head = what.headers();
       if (head === null) {
         over = true;
-        rest(at, s);
+        keepIdle(at, s);
         events.failed({ tag: 'withheld' });
         return;
       }
@@ -242,7 +242,7 @@
       req.on('error', broke);
       function free(): void {
         if (s.destroyed || !over) s.destroy();
-        else rest(at, s);
+        else keepIdle(at, s);
       }
       s.once('free', free);
       req.end(what.body ?? undefined);
@@ -256,46 +256,46 @@
           return;
         }
         events.connected?.(clock.mono() - from);
-        go(s);
+        sendOn(s);
       }
       sock = dial(what.address, at, what.connectMs, done);
     }
 
-    if (sock) go(sock);
+    if (sock) sendOn(sock);
     else dialSending();
 
-    function cut(): void {
+    function abort(): void {
       if (over) return;
       over = true;
       req?.destroy();
       sock?.destroy();
     }
-    return { cut };
+    return { abort };
   }
 
   function sweep(): void {
     learnedMs = Math.min(KEEP_MS, learnedMs * RELEARN);
     const now = clock.mono();
-    for (const at of places.values()) for (const idle of [...at.idle]) if (idle.until <= now) idle.drop();
+    for (const at of endpoints.values()) for (const idle of [...at.idle]) if (idle.until <= now) idle.drop();
     sweeping = clock.timer(SWEEP_MS, sweep);
   }
   let sweeping = clock.timer(SWEEP_MS, sweep);
 
   function open(address: Address): number {
-    return places.get(address)?.open ?? 0;
+    return endpoints.get(address)?.open ?? 0;
   }
   function idleAt(address: Address): number {
-    return places.get(address)?.idle.length ?? 0;
+    return endpoints.get(address)?.idle.length ?? 0;
   }
   function forget(address: Address): void {
-    for (const idle of [...(places.get(address)?.idle ?? [])]) idle.drop();
+    for (const idle of [...(endpoints.get(address)?.idle ?? [])]) idle.drop();
   }
   function made(): number {
     return dialled;
   }
   function stop(): void {
     sweeping.cancel();
-    for (const at of places.values()) for (const idle of [...at.idle]) idle.drop();
+    for (const at of endpoints.values()) for (const idle of [...at.idle]) idle.drop();
   }
   return { send, check, open, idle: idleAt, forget, made, stop };
 }
--- a/src/transport/http-client.ts
+++ b/src/transport/http-client.ts
@@ -92,14 +92,14 @@
         try {
           for await (const text of reader) {
             if (text === '') continue;
-            let line: unknown;
+            let queue: unknown;
             try {
-              line = JSON.parse(text);
+              queue = JSON.parse(text);
             } catch {
               yield err({ tag: 'notJson' });
               return;
             }
-            yield ok(line);
+            yield ok(queue);
           }
         } catch (e) {
           broke = faultOf(e);
--- a/src/transport/http-server.test.ts
+++ b/src/transport/http-server.test.ts
@@ -71,7 +71,7 @@
     stream: true,
   });
   const out: unknown[] = [];
-  if (got.ok) for await (const line of got.value.lines) out.push(line.ok ? line.value : line.fault.tag);
+  if (got.ok) for await (const queue of got.value.lines) out.push(queue.ok ? queue.value : queue.fault.tag);
   return out;
 }
 
@@ -152,8 +152,8 @@
     });
     const seen: unknown[] = [];
     if (got.ok) {
-      for await (const line of got.value.lines) {
-        seen.push(line.ok ? line.value : line.fault.tag);
+      for await (const queue of got.value.lines) {
+        seen.push(queue.ok ? queue.value : queue.fault.tag);
         stop.abort();
       }
     }
--- a/src/transport/http-server.ts
+++ b/src/transport/http-server.ts
@@ -59,9 +59,9 @@
   }
   res.setHeader('content-type', 'application/x-ndjson');
   res.flushHeaders();
-  for await (const line of reply.lines) {
+  for await (const queue of reply.lines) {
     if (res.destroyed || res.closed) break;
-    if (!res.write(`${JSON.stringify(line)}\n`)) await Promise.race([once(res, 'drain'), once(res, 'close')]);
+    if (!res.write(`${JSON.stringify(queue)}\n`)) await Promise.race([once(res, 'drain'), once(res, 'close')]);
   }
   res.end();
 }
--- a/src/transport/line-log.ts
+++ b/src/transport/line-log.ts
@@ -8,17 +8,17 @@
 /** A log that writes each line at once. */
 export function createLineLog(): LogRoot {
   function part(prefix: string): Log {
-    function line(level: string, text: string): void {
+    function queue(level: string, text: string): void {
       process.stderr.write(`${new Date().toISOString()} ${level} [${prefix}] ${text}\n`);
     }
     function info(text: string): void {
-      line('info ', text);
+      queue('info ', text);
     }
     function warn(text: string): void {
-      line('warn ', text);
+      queue('warn ', text);
     }
     function error(text: string): void {
-      line('error', text);
+      queue('error', text);
     }
     return { info, warn, error };
   }
--- a/src/transport/open-http-server.test.ts
+++ b/src/transport/open-http-server.test.ts
@@ -1,7 +1,7 @@
 import { Agent, request } from 'node:http';
 import { expect, test } from '@jest/globals';
-import { createOpenHttpServer } from './open-http-server.js';
-import type { OpenRequest } from './open-http.js';
+import { createOpaqueHttpServer } from './open-http-server.js';
+import type { OpaqueRequest } from './open-http.js';
 
 type Answer = { readonly status: number; readonly body: string } | { readonly failed: string };
 
@@ -18,15 +18,15 @@
   });
 }
 
-function answerWith(taken: OpenRequest, body: string): void {
+function answerWith(taken: OpaqueRequest, body: string): void {
   taken.answerer.head(200, ['Content-Length', String(body.length)]);
   taken.answerer.write(Buffer.from(body));
   taken.answerer.end();
 }
 
 test('a server that stops listening ends what is under way, refuses new connections and closes idle ones', async () => {
-  const held: OpenRequest[] = [];
-  const opened = await createOpenHttpServer().open('127.0.0.1:0', (taken) => {
+  const held: OpaqueRequest[] = [];
+  const opened = await createOpaqueHttpServer().open('127.0.0.1:0', (taken) => {
     if (taken.target === '/held') held.push(taken);
     else answerWith(taken, 'at once');
   });
@@ -43,7 +43,7 @@
 
   expect(await get(server.address, '/', new Agent())).toEqual({ failed: 'ECONNREFUSED' });
   expect(await get(server.address, '/', idle)).toHaveProperty('failed');
-  answerWith(held[0] as OpenRequest, 'in the end');
+  answerWith(held[0] as OpaqueRequest, 'in the end');
   expect(await underWay).toEqual({ status: 200, body: 'in the end' });
   expect(await get(server.address, '/', busy)).toHaveProperty('failed');
   await server.close();
--- a/src/transport/open-http-server.ts
+++ b/src/transport/open-http-server.ts
@@ -7,10 +7,10 @@
 import type {
   Answerer,
   BodyFault,
-  OpenHttpServer,
-  OpenLimits,
-  OpenListener,
-  OpenRequest,
+  OpaqueHttpServer,
+  OpaqueLimits,
+  OpaqueListener,
+  OpaqueRequest,
   RawHeaders,
 } from './open-http.js';
 import { splitAddress } from './wire.js';
@@ -43,7 +43,7 @@
     if (!res.destroyed) res.end();
   }
   /** Ends an answer so that it can't look whole: without chunks only a reset tells that more was due. */
-  function cut(): void {
+  function abort(): void {
     if (res.headersSent && !res.chunkedEncoding) res.socket?.resetAndDestroy();
     res.destroy();
   }
@@ -53,17 +53,17 @@
   function onGone(fn: () => void): void {
     watchers.push(fn);
   }
-  return { head, write, end, cut, gone, onGone };
+  return { head, write, end, abort, gone, onGone };
 }
 
-function requestOf(req: IncomingMessage, res: ServerResponse): OpenRequest {
+function requestOf(req: IncomingMessage, res: ServerResponse): OpaqueRequest {
   function get(name: string): string | null {
     const v = req.headers[name];
     return typeof v === 'string' ? v : null;
   }
   function body(most: number): Promise<Result<Buffer, BodyFault>> {
     function start(resolve: (r: Result<Buffer, BodyFault>) => void): void {
-      const parts: Buffer[] = [];
+      const chunks: Buffer[] = [];
       let size = 0;
       let done = false;
       function finish(r: Result<Buffer, BodyFault>): void {
@@ -74,10 +74,10 @@
       function data(chunk: Buffer): void {
         size += chunk.length;
         if (size > most) finish(err({ tag: 'bodyTooLarge' }));
-        else parts.push(chunk);
+        else chunks.push(chunk);
       }
       function end(): void {
-        finish(ok(parts.length === 1 ? (parts[0] as Buffer) : Buffer.concat(parts)));
+        finish(ok(chunks.length === 1 ? (chunks[0] as Buffer) : Buffer.concat(chunks)));
       }
       function gone(): void {
         finish(err({ tag: 'callerGone' }));
@@ -99,8 +99,8 @@
   };
 }
 
-export function createOpenHttpServer(): OpenHttpServer {
-  function open(address: Address, handle: (req: OpenRequest) => void): Promise<Result<OpenListener, WireFault>> {
+export function createOpaqueHttpServer(): OpaqueHttpServer {
+  function open(address: Address, handle: (req: OpaqueRequest) => void): Promise<Result<OpaqueListener, WireFault>> {
     const hp = splitAddress(address);
     if (!hp) return Promise.resolve(err({ tag: 'badAddress', address }));
     const target = hp;
@@ -126,7 +126,7 @@
       sock.on('error', nothing);
     }
     server.on('connection', onConnection);
-    function start(resolve: (r: Result<OpenListener, WireFault>) => void): void {
+    function start(resolve: (r: Result<OpaqueListener, WireFault>) => void): void {
       function bad(): void {
         resolve(err({ tag: 'addressInUse', address }));
       }
@@ -141,7 +141,7 @@
         if (server.listening) server.close();
         closeIfStopped();
       }
-      function limit(limits: OpenLimits): void {
+      function limit(limits: OpaqueLimits): void {
         server.headersTimeout = limits.headerMs;
         server.keepAliveTimeout = limits.idleMs;
       }
--- a/src/transport/open-http.ts
+++ b/src/transport/open-http.ts
@@ -9,12 +9,12 @@
   readonly head: (status: number, headers: RawHeaders) => void;
   readonly write: (data: Buffer) => void;
   readonly end: () => void;
-  readonly cut: () => void;
+  readonly abort: () => void;
   readonly gone: () => boolean;
   readonly onGone: (fn: () => void) => void;
 };
 
-export type OpenRequest = {
+export type OpaqueRequest = {
   readonly method: string;
   readonly target: string;
   readonly headers: RawHeaders;
@@ -23,16 +23,16 @@
   readonly answerer: Answerer;
 };
 
-export type OpenLimits = { readonly headerMs: number; readonly idleMs: number };
+export type OpaqueLimits = { readonly headerMs: number; readonly idleMs: number };
 
-export type OpenListener = Listener & {
+export type OpaqueListener = Listener & {
   /** Takes no new connection and closes the idle ones; what is under way goes on. Calling it again changes nothing. */
   readonly stopListening: () => void;
-  readonly limit: (limits: OpenLimits) => void;
+  readonly limit: (limits: OpaqueLimits) => void;
 };
 
-export type OpenHttpServer = {
-  readonly open: (address: Address, handle: (req: OpenRequest) => void) => Promise<Result<OpenListener, WireFault>>;
+export type OpaqueHttpServer = {
+  readonly open: (address: Address, handle: (req: OpaqueRequest) => void) => Promise<Result<OpaqueListener, WireFault>>;
 };
 
 /** How a sending failed; the outcomes of state/attempt-outcome.ts say what each means. */
@@ -64,7 +64,7 @@
   readonly connectMs: number;
 };
 
-export type Sent = { readonly cut: () => void };
+export type Sent = { readonly abort: () => void };
 
 export type ConnectionPool = {
   readonly send: (what: Sending, events: SendEvents) => Sent;
--- a/src/transport/wire.ts
+++ b/src/transport/wire.ts
@@ -91,7 +91,7 @@
       log.warn(`Connection to ${peer} ended: ${why}.`);
       finish();
     }
-    function line(text: string): void {
+    function queue(text: string): void {
       if (done) return;
       let body: unknown;
       try {
@@ -118,7 +118,7 @@
           const whole = parts.join('');
           parts = [];
           size = 0;
-          line(whole);
+          queue(whole);
           if (done) return;
         }
       }
--- a/standin-platform/check.test.ts
+++ b/standin-platform/check.test.ts
@@ -1,13 +1,13 @@
 import { describe, expect, test } from '@jest/globals';
 import { brokenRules, judge } from './check.js';
 import { documentToWire, MAPPING_DEFAULTS, MODEL_DEFAULTS } from './document.js';
-import type { Mapping } from './document.js';
+import type { ModelRoute } from './document.js';
 import { BOUNDS } from './facts.js';
 import type { Answered, Arrived, Asked, Finished, Life, Ran, Rec, Settled, Submitted } from './records.js';
 
 const HOST = 'ficu95.example';
 
-function mapping(name: string, model: string, over: Partial<Mapping> = {}): Mapping {
+function mapping(name: string, model: string, over: Partial<ModelRoute> = {}): ModelRoute {
   return {
     ...MAPPING_DEFAULTS,
     name,
@@ -18,7 +18,7 @@
     ...over,
   };
 }
-function document(number: number, mappings: readonly Mapping[]): unknown {
+function document(number: number, mappings: readonly ModelRoute[]): unknown {
   const models = ['llm', 'web'].map((name) => ({ ...MODEL_DEFAULTS, name, coldRateS: 10 }));
   return documentToWire({ number, mappings, models });
 }
--- a/standin-platform/document.ts
+++ b/standin-platform/document.ts
@@ -3,7 +3,7 @@
 
 export type Share = { readonly model: string; readonly share: number };
 
-export type Mapping = {
+export type ModelRoute = {
   readonly name: string;
   readonly host: string;
   readonly prefix: string;
@@ -32,7 +32,7 @@
 
 export type Document = {
   readonly number: number;
-  readonly mappings: readonly Mapping[];
+  readonly mappings: readonly ModelRoute[];
   readonly models: readonly Model[];
 };
 
@@ -55,7 +55,7 @@
   [LIMITS.idleMs]: 15_000,
 };
 
-export function mappingToWire(m: Mapping): Record<string, unknown> {
+export function mappingToWire(m: ModelRoute): Record<string, unknown> {
   const one = m.shares.length === 1 ? m.shares[0] : undefined;
   return {
     [MAPPING.name]: m.name,
@@ -133,7 +133,7 @@
   return x === KIND.stream ? 'stream' : 'once';
 }
 
-function mappingFromWire(x: unknown): Mapping {
+function mappingFromWire(x: unknown): ModelRoute {
   const t = table(x);
   const shares = list(t[MAPPING.shares]).map(shareFromWire);
   return {
@@ -153,7 +153,7 @@
   };
 }
 
-export function mappingsOf(document: unknown): readonly Mapping[] {
+export function mappingsOf(document: unknown): readonly ModelRoute[] {
   return list(table(document)[DOCUMENT.mappings]).map(mappingFromWire);
 }
 
@@ -161,8 +161,8 @@
   return count(table(document)[DOCUMENT.number]);
 }
 
-export function mappingFor(document: unknown, host: string, path: string): Mapping | null {
-  let best: Mapping | null = null;
+export function mappingFor(document: unknown, host: string, path: string): ModelRoute | null {
+  let best: ModelRoute | null = null;
   for (const m of mappingsOf(document)) {
     if (m.host !== host || !path.startsWith(m.prefix)) continue;
     if (!best || m.prefix.length > best.prefix.length) best = m;
--- a/standin-platform/facts.ts
+++ b/standin-platform/facts.ts
@@ -1,5 +1,5 @@
 import { mappingFor } from './document.js';
-import type { Mapping } from './document.js';
+import type { ModelRoute } from './document.js';
 import { onlyOf } from './records.js';
 import type {
   Answered,
@@ -85,7 +85,7 @@
   readonly closingAt: number | null;
   readonly backAt: number | null;
   readonly inTouch: (edge: string, at: number) => boolean;
-  readonly mappings: (asked: Asked) => readonly Mapping[];
+  readonly mappings: (asked: Asked) => readonly ModelRoute[];
   readonly repeatable: (asked: Asked) => boolean;
 };
 
@@ -103,17 +103,17 @@
   const spans = spansOf(records, bounds);
   const bySeal = new Map<string, Visit>();
   for (const v of visits) if (v.ran) bySeal.set(v.ran.seal, v);
-  const kinds = new Map<string, readonly Mapping[]>();
+  const kinds = new Map<string, readonly ModelRoute[]>();
 
   function inTouch(edge: string, at: number): boolean {
     for (const s of spans) if ((s.edge === null || s.edge === edge) && at >= s.from && at <= s.until) return false;
     return true;
   }
-  function mappings(asked: Asked): readonly Mapping[] {
+  function mappings(asked: Asked): readonly ModelRoute[] {
     const key = `${asked.host} ${asked.path}`;
     const known = kinds.get(key);
     if (known) return known;
-    const out: Mapping[] = [];
+    const out: ModelRoute[] = [];
     for (const v of versions) {
       const m = mappingFor(v.document, asked.host, asked.path);
       if (m) out.push(m);
--- a/standin-platform/operator.ts
+++ b/standin-platform/operator.ts
@@ -67,11 +67,11 @@
     const until = clock.mono() + withinMs;
     let wait = FIRST_PAUSE_MS;
     let others = 0;
-    let line: string[] = [];
+    let queue: string[] = [];
     let status = 0;
     while (clock.mono() < until) {
-      if (line.length === 0) line = shuffled(rng, deps.nodes());
-      const reply = await follow(line.pop() ?? '', method, path, headers, body);
+      if (queue.length === 0) queue = shuffled(rng, deps.nodes());
+      const reply = await follow(queue.pop() ?? '', method, path, headers, body);
       status = reply?.status ?? 0;
       if (reply && status >= 200 && status < 300) return { outcome: { outcome: 'acknowledged', status }, reply };
       if (ENDS.includes(status)) return { outcome: { outcome: 'refused', status }, reply };
--- a/standin-platform/scenarios.ts
+++ b/standin-platform/scenarios.ts
@@ -1,7 +1,7 @@
 import type { PlacedWorker, Site, SiteNode } from './site.js';
 import { documentToWire } from './document.js';
 import { documentOf, SMALL } from './shape.js';
-import type { Mapping } from './document.js';
+import type { ModelRoute } from './document.js';
 
 export type Scenario = {
   readonly name: string;
@@ -120,10 +120,10 @@
   const shorter = { ...SMALL, mappings: SMALL.mappings.map(hastier) };
   await Promise.all([site.operator.replace(documentOf(moved, 4), 1), site.operator.replace(documentOf(shorter, 6), 1)]);
 }
-function split(m: Mapping): Mapping {
+function split(m: ModelRoute): ModelRoute {
   return m.name === 'r-explain' ? { ...m, shares: [{ model: WEB, share: 100 }] } : m;
 }
-function hastier(m: Mapping): Mapping {
+function hastier(m: ModelRoute): ModelRoute {
   return { ...m, deadlineMs: m.deadlineMs - 500 };
 }
 async function invalid(site: Site): Promise<void> {
@@ -132,14 +132,14 @@
     number: 5,
     mappings: [
       ...SMALL.mappings,
-      { ...(SMALL.mappings[0] as Mapping), name: 'r-x', prefix: '/x/', shares: [{ model: 'nowhere', share: 1 }] },
+      { ...(SMALL.mappings[0] as ModelRoute), name: 'r-x', prefix: '/x/', shares: [{ model: 'nowhere', share: 1 }] },
     ],
     models: SMALL.models,
   });
   await site.operator.replace(unknown, 1, false);
   const same = documentToWire({
     number: 5,
-    mappings: [...SMALL.mappings, { ...(SMALL.mappings[0] as Mapping), name: 'r-x' }],
+    mappings: [...SMALL.mappings, { ...(SMALL.mappings[0] as ModelRoute), name: 'r-x' }],
     models: SMALL.models,
   });
   await site.operator.replace(same, 1, false);
--- a/standin-platform/shape.ts
+++ b/standin-platform/shape.ts
@@ -1,5 +1,5 @@
 import { MAPPING_DEFAULTS, MODEL_DEFAULTS, documentToWire } from './document.js';
-import type { Mapping, Model } from './document.js';
+import type { ModelRoute, Model } from './document.js';
 import type { Wish } from './caller.js';
 import { WISH_DEFAULTS } from './caller.js';
 import type { EngineSpec } from './worker-spec.js';
@@ -21,7 +21,7 @@
   readonly edgesPerZone: number;
   readonly listLagMs: number;
   readonly groups: readonly WorkerGroup[];
-  readonly mappings: readonly Mapping[];
+  readonly mappings: readonly ModelRoute[];
   readonly models: readonly Model[];
   readonly wishes: readonly Wish[];
 };
@@ -32,7 +32,7 @@
 const WEB = 'wuno96b';
 const ZONES = { 'szeged-a': 'hu-south', 'wien-2': 'at-east', 'timis-1': 'ro-west' };
 
-function mapping(name: string, model: string, over: Partial<Mapping>): Mapping {
+function mapping(name: string, model: string, over: Partial<ModelRoute>): ModelRoute {
   return {
     ...MAPPING_DEFAULTS,
     name: `r-${name}`,
--- a/standin-platform/site.test.ts
+++ b/standin-platform/site.test.ts
@@ -8,7 +8,7 @@
 import { BOUNDS } from './facts.js';
 import { reportOf } from './report.js';
 import { documentOf, SMALL } from './shape.js';
-import type { Mapping } from './document.js';
+import type { ModelRoute } from './document.js';
 import { startSite } from './site.js';
 import type { Site } from './site.js';
 
@@ -56,7 +56,7 @@
   s.drainWorker(llm, null);
   const moved = {
     ...SMALL,
-    mappings: SMALL.mappings.map((m: Mapping) =>
+    mappings: SMALL.mappings.map((m: ModelRoute) =>
       m.name === 'r-explain' ? { ...m, shares: [{ model: 'huvo11a', share: 1 }] } : m,
     ),
   };
