--- a/src/client/client.ts
+++ b/src/client/client.ts
@@ -7,11 +7,11 @@
   readFailure,
   readPlacement,
   REQUESTS_PATH,
-  TICKET_HEADER,
+  ADMISSION_TOKEN_HEADER,
 } from '../protocol/caller-wire.js';
 import type { Failure, PlacementRequest, Placement } from '../protocol/caller-wire.js';
-import type { Part } from '../protocol/worker-wire.js';
-import { addPiece, checkSeal, startSeal } from '../state/seal.js';
+import type { PrefixBlock } from '../protocol/worker-wire.js';
+import { addChunk, checkDigest, startDigest } from '../state/seal.js';
 import { createGotHttpClient } from '../transport/http-client.js';
 import { createClock } from '../transport/clock.js';
 import type { Clock } from '../transport/clock.js';
@@ -28,12 +28,15 @@
   readonly requestWaitMs?: number;
 };
 
+/** Former name of `ClientRequest`, kept for callers that import it. */
+export type ClientAsk = ClientRequest;
+
 export type ClientRequest = {
   readonly model?: string;
   readonly mapping?: string;
   readonly kind?: string;
   readonly homes?: readonly string[];
-  readonly parts: readonly Part[];
+  readonly parts: readonly PrefixBlock[];
   readonly outputTokens: number;
   readonly repeatable: boolean;
   readonly key?: string;
@@ -155,7 +158,7 @@
     for (let tries = 1; ; tries += 1) {
       const placement = await place(request, silent);
       if (!placement.ok) return placement;
-      const { address, ticket, requestId } = placement.value;
+      const { address, ticket: token, requestId } = placement.value;
       const stop = new AbortController();
       const leave = edges.follow(address, stop.abort.bind(stop));
       const got = await httpClient.call({
@@ -163,7 +166,7 @@
         address,
         path: REQUESTS_PATH,
         signal: stop.signal,
-        headers: { [TICKET_HEADER]: ticket },
+        headers: { [ADMISSION_TOKEN_HEADER]: token },
         body: {
           requestId,
           parts: request.parts,
@@ -193,13 +196,13 @@
     const { requestId } = opened.value.placement;
     const read = readAnswer(opened.value.answer.body);
     if (!read.ok) return err({ tag: 'wrongSeal', requestId });
-    const check = startSeal(requestId, null);
+    const check = startDigest(requestId, null);
     let text = '';
     for (const piece of read.value.pieces) {
-      if (addPiece(check, piece)) return err({ tag: 'wrongSeal', requestId });
+      if (addChunk(check, piece)) return err({ tag: 'wrongSeal', requestId });
       text += piece.text;
     }
-    if (checkSeal(check, read.value.seal)) return err({ tag: 'wrongSeal', requestId });
+    if (checkDigest(check, read.value.seal)) return err({ tag: 'wrongSeal', requestId });
     return ok({ requestId, attemptId: read.value.seal.attemptId, text, pieces: read.value.pieces.length });
   }
 
@@ -219,13 +222,13 @@
   }
 
   async function* eventsOf(requestId: string, answer: HttpAnswer): AsyncGenerator<ClientEvent> {
-    const check = startSeal(requestId, null);
-    for await (const queue of answer.lines) {
-      if (!queue.ok) {
+    const check = startDigest(requestId, null);
+    for await (const line of answer.lines) {
+      if (!line.ok) {
         yield { tag: 'fault', fault: { tag: 'outcomeUnknown', requestId } };
         return;
       }
-      const read = readAnswerLine(queue.value);
+      const read = readAnswerLine(line.value);
       if (!read.ok) {
         answer.abandon();
         yield { tag: 'fault', fault: { tag: 'wrongSeal', requestId } };
@@ -245,13 +248,13 @@
         return;
       }
       if ('seal' in at) {
-        const wrong = checkSeal(check, at.seal);
+        const wrong = checkDigest(check, at.seal);
         yield wrong
           ? { tag: 'fault', fault: { tag: 'wrongSeal', requestId } }
           : { tag: 'sealed', attemptId: at.seal.attemptId };
         return;
       }
-      if (addPiece(check, at.piece)) {
+      if (addChunk(check, at.piece)) {
         answer.abandon();
         yield { tag: 'fault', fault: { tag: 'wrongSeal', requestId } };
         return;
--- a/src/client/edge-watch.ts
+++ b/src/client/edge-watch.ts
@@ -1,5 +1,5 @@
 import { EDGE_HEALTH_PATH } from '../protocol/caller-wire.js';
-import { pause } from '../transport/clock.js';
+import { delay } from '../transport/clock.js';
 import type { Clock } from '../transport/clock.js';
 import type { HttpClient } from '../transport/http.js';
 import type { Address } from '../transport/wire.js';
@@ -15,7 +15,7 @@
   async function probe(proxy: Address, set: Set<() => void>): Promise<void> {
     let missedProbes = 0;
     for (;;) {
-      await pause(clock, LOOK_MS);
+      await delay(clock, LOOK_MS);
       if (set.size === 0) break;
       const got = await httpClient.call({ method: 'GET', address: proxy, path: EDGE_HEALTH_PATH, timeoutMs: LOOK_MS });
       missedProbes = got.ok ? 0 : missedProbes + 1;
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -7,7 +7,7 @@
 import { newId } from '../transport/rng.js';
 import type { Route } from '../transport/http.js';
 import type { Address, Listener, WireFault } from '../transport/wire.js';
-import { createAimKeeper } from './ledger/aim-keeper.js';
+import { createLatencyTargetTracker } from './ledger/aim-keeper.js';
 import { createClaims, noClaims } from './ledger/claims.js';
 import type { Claims } from './ledger/claims.js';
 import { openRenewed } from './ledger/damaged-ring.js';
@@ -74,7 +74,7 @@
   given?: ControllerShapes,
 ): Promise<Result<Controller, ControllerFault>> {
   const { clock, rng, logs, httpClient, disk } = deps;
-  const log = logs.part('controller');
+  const log = logs.component('controller');
   if (!disk) return err({ tag: 'noDisk' });
   const shapes = given ?? (id.diskBytes === undefined ? CONTROLLER_SHAPES : shapesFor(id.diskBytes));
   const bootstraps = id.bootstrap === true && id.seeds.includes(id.advertised);
@@ -86,7 +86,7 @@
     incarnation,
     address: id.advertised,
   };
-  const peers = createPeers(deps.wire, clock, logs.part('peers'));
+  const peers = createPeers(deps.wire, clock, logs.component('peers'));
   const node: NodeInfo = {
     name: id.name,
     role: 'controller',
@@ -110,7 +110,7 @@
     self.incarnation = kept.incarnation;
     return renewed;
   }
-  function noteMember(): Promise<boolean> {
+  function recordMember(): Promise<boolean> {
     return keep({ ...kept, wasMember: true });
   }
   let nodes: Membership | null = null;
@@ -129,7 +129,7 @@
       rng,
       peers,
       disk: ownDisk,
-      log: logs.part('ledger'),
+      log: logs.component('ledger'),
       shape: shapes.ledger,
       self,
       seeds: id.seeds,
@@ -137,7 +137,7 @@
       bootstrapMembers: kept.bootstrapMembers,
       renew,
       wasMember: kept.wasMember,
-      noteMember,
+      recordMember,
       keepsClaims: id.claims !== false,
     });
   }
@@ -145,7 +145,7 @@
   if (!made.ok) return made;
   const ledger = made.value;
   function openClaims(): Promise<Result<Claims, RingFault>> {
-    return createClaims(ledger, peers, ownDisk, shapes.claims, clock, logs.part('claims'));
+    return createClaims(ledger, peers, ownDisk, shapes.claims, clock, logs.component('claims'));
   }
   const claims =
     id.claims === false
@@ -160,16 +160,16 @@
     claims: id.claims === false ? null : claims.value,
     peers,
     clock,
-    log: logs.part('core'),
+    log: logs.component('core'),
   });
   const quorumAttestation = createQuorumAttestation(ledger, clock);
-  const push = createPush(ledger, quorumAttestation, peers, clock, logs.part('push'));
+  const push = createPush(ledger, quorumAttestation, peers, clock, logs.component('push'));
   const fleetLoad = createFleetLoadRelay(ledger, peers, clock, rng);
-  const aims = createAimKeeper(ledger, peers, clock);
+  const latencyTargets = createLatencyTargetTracker(ledger, peers, clock);
   const lease =
     id.cloud === null && !deps.listReader
       ? null
-      : createLease(SCALER_DUTY, ledger, peers, clock, rng, logs.part('lease'));
+      : createLease(SCALER_DUTY, ledger, peers, clock, rng, logs.component('lease'));
   const opened = await peers.open(id.listen);
   if (!opened.ok) return opened;
   function contacts(): Set<Address> {
@@ -177,7 +177,7 @@
     for (const m of ledger.controlState().members) out.add(m.address);
     return out;
   }
-  const membership = createMembership(node, contacts, peers, clock, rng, logs.part('members'));
+  const membership = createMembership(node, contacts, peers, clock, rng, logs.component('members'));
   nodes = membership;
   followRelocatedControllers(membership, () => ledger.controlState(), peers);
   function controllers(): Set<Address> {
@@ -193,7 +193,7 @@
         peers,
         clock,
         rng,
-        log: logs.part('list'),
+        log: logs.component('list'),
       })
     : null;
   const scaler = lease && id.cloud !== null ? startScaler(lease, id.cloud) : null;
@@ -207,7 +207,7 @@
           zones: id.zones ?? [],
           clock,
           rng,
-          log: logs.part('scaler'),
+          log: logs.component('scaler'),
         })
       : null;
   function startScaler(held: Lease, cloud: Address): Scaler {
@@ -220,7 +220,7 @@
       httpClient,
       clock,
       rng,
-      log: logs.part('scaler'),
+      log: logs.component('scaler'),
     });
   }
 
@@ -238,7 +238,7 @@
     clock,
     holdsScaler,
   });
-  const routes = operatorRoutes({ ledger, push, aims, clock, status: () => status.body() });
+  const routes = operatorRoutes({ ledger, push, latencyTargets, clock, status: () => status.body() });
   function openHttpServer(): Promise<Result<Listener, WireFault>> {
     return deps.httpServer.open(id.httpListen, [
       ...routes,
@@ -266,7 +266,7 @@
     fleetLoad.stop();
     quorumAttestation.stop();
     coreHealth.stop();
-    aims.stop();
+    latencyTargets.stop();
     if (claims.ok) claims.value.stop();
     ledger.stop();
     await peers.close();
--- a/src/coordination/cut-off-news.test.ts
+++ b/src/coordination/cut-off-news.test.ts
@@ -8,7 +8,7 @@
 import type { SimFleet } from '../sim/sim-fleet.js';
 import type { Host } from '../sim/world.js';
 import type { WorkerEntry } from '../state/worker-entry.js';
-import { pause } from '../transport/clock.js';
+import { delay } from '../transport/clock.js';
 import type { Clock } from '../transport/clock.js';
 import { createQuietLog } from '../transport/log.js';
 import { createDirectory } from './edge/directory.js';
@@ -165,7 +165,7 @@
     function listReader(clock: Clock, host: Host): WorkerListReader {
       async function read(): Promise<Result<readonly WorkerEntry[], WorkerListFault>> {
         if (!unreachable.has(host.name)) return ok(ids.map(worker));
-        await pause(clock, 900);
+        await delay(clock, 900);
         return err({ tag: 'listSilent' });
       }
       return { read };
@@ -175,7 +175,7 @@
     expect(await core.until(8_000, () => core.whole(['h1', 'h2', 'h3']))).toBe(true);
     await core.world.advance(6_000);
     const lab = core.lab('proxy');
-    const peers = createPeers(lab.wire, lab.clock, createQuietLog().part('peers'));
+    const peers = createPeers(lab.wire, lab.clock, createQuietLog().component('peers'));
     async function ask(): Promise<{ readonly ids: readonly string[]; readonly ageMs: number } | null> {
       const got = await core.finish(peers.call(core.node('h1').wire, { kind: 'listFollow', number: null }, 400), 1_000);
       if (!got?.ok || got.value.kind !== 'listWhole') return null;
--- a/src/coordination/edge/attempt.ts
+++ b/src/coordination/edge/attempt.ts
@@ -21,7 +21,7 @@
 export type AttemptEnd = { readonly outcome: AttemptOutcome; readonly answer: BufferedResponse | null };
 
 export type AttemptDeps = {
-  readonly words: HeaderNames;
+  readonly statuses: HeaderNames;
   readonly registry: WorkerRegistry;
   readonly connectionPool: ConnectionPool;
   readonly watch: UnresponsiveWorkerWatch;
@@ -43,7 +43,7 @@
 const GATEWAY_TIMEOUT = 504;
 
 export function createAttempt(deps: AttemptDeps): Attempt {
-  const { words, registry, connectionPool, watch, standstill, clock, log } = deps;
+  const { statuses, registry, connectionPool, watch, standstill, clock, log } = deps;
 
   function attempt(request: RelayedRequest, reserved: ReservedWorker): Promise<AttemptEnd> {
     function start(resolve: (end: AttemptEnd) => void): void {
@@ -58,7 +58,7 @@
     resolve: (end: AttemptEnd) => void,
   ): void {
     const { incoming } = request;
-    const reader = createAnswerReader(words, request, deps.answers);
+    const reader = createAnswerReader(statuses, request, deps.answers);
     const call: WatchedAttempt = { sentAt: clock.mono(), lastEventAt: 0, onUnresponsive };
     const leftMs = request.deadlineAt - clock.mono();
     let sent: Sent | null = null;
@@ -109,7 +109,7 @@
       request.attempts += 1;
       request.writtenTo.add(row.entry.id);
       request.reserved = false;
-      return requestHeaders(words, request, row.entry.id, request.deadlineAt - now);
+      return requestHeaders(statuses, request, row.entry.id, request.deadlineAt - now);
     }
     function connected(ms: number): void {
       freshConnection = true;
@@ -117,7 +117,7 @@
     }
     function head(status: number, raw: RawHeaders, get: (name: string) => string | null): void {
       if (over) return;
-      const coldMs = Number(get(words.coldMs) ?? 0);
+      const coldMs = Number(get(statuses.coldMs) ?? 0);
       if (coldMs > 0) registry.markCold(row, clock.mono(), coldMs);
       const outcome = reader.head(status, raw, get, freshConnection);
       if (outcome) abandon(outcome);
--- a/src/coordination/edge/claim-client.ts
+++ b/src/coordination/edge/claim-client.ts
@@ -1,11 +1,11 @@
 import { createBatchQueue } from '../../base/line.js';
 import type { BatchQueue } from '../../base/line.js';
 import type { Claim, ClaimAnswer, ClaimEnd } from '../../state/claim.js';
-import { majorityOf, memberId, membersMark } from '../../state/control-state.js';
+import { majorityOf, memberId, membersDigest } from '../../state/control-state.js';
 import type { ControlState } from '../../state/control-state.js';
 import type { Member } from '../../state/entry.js';
 import type { RunKey } from '../../state/run-key.js';
-import { pause } from '../../transport/clock.js';
+import { delay } from '../../transport/clock.js';
 import type { Clock } from '../../transport/clock.js';
 import type { Peers } from '../members/peers.js';
 
@@ -104,7 +104,7 @@
     const ask = async (m: Member): Promise<void> => {
       const answer = await this.peers.call(
         m.address,
-        { kind: 'claim', ledger: b.ledger, members: membersMark(b.members), claims: [...claims] },
+        { kind: 'claim', ledger: b.ledger, members: membersDigest(b.members), claims: [...claims] },
         WAIT_MS,
       );
       left -= 1;
@@ -137,7 +137,7 @@
     for (let n = 0; n < ENDS_TRIED; n += 1) {
       const answers = await this.peers.call(address, { kind: 'claimEnds', ledger, ends: [...ends] }, WAIT_MS);
       if (answers.ok && answers.value.kind === 'done' && answers.value.agreed) return;
-      await pause(this.clock, Math.min(ENDS_PAUSE_MS, 500 * 2 ** n));
+      await delay(this.clock, Math.min(ENDS_PAUSE_MS, 500 * 2 ** n));
     }
   }
 
--- a/src/coordination/edge/dispatcher.test.ts
+++ b/src/coordination/edge/dispatcher.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from '@jest/globals';
 import type { RunKey } from '../../state/run-key.js';
-import type { Ticket } from '../../state/ticket.js';
+import type { AdmissionToken } from '../../state/ticket.js';
 import type { WorkerRow } from '../../state/worker-row.js';
 import type { WorkerTable } from '../../state/worker-table.js';
 import { createWorld } from '../../sim/world.js';
@@ -21,7 +21,7 @@
   requestId: 'r',
   model: 'm',
   bound: { mapping: null, kind: null, asked: null },
-} as unknown as Ticket;
+} as unknown as AdmissionToken;
 
 /** Two workers that answer as told, in turn, and a core that grants claims after `claimMs`. */
 function rig(replies: readonly Reply[], claimMs = 0, ran = 0) {
@@ -30,15 +30,16 @@
   const calls: HttpCall[] = [];
   const claims: string[] = [];
   const rows = [0, 1].map(
-    (ix) => ({ ix, present: true, leaving: false, silences: 0, leaveBy: null, inFlight: 0 }) as unknown as WorkerRow,
+    (ix) =>
+      ({ ix, present: true, leaving: false, missedProbes: 0, leaveBy: null, inFlight: 0 }) as unknown as WorkerRow,
   );
   const table = {
     begin: (ix: number) => rows[ix] ?? null,
     end: () => undefined,
     isCurrent: () => true,
-    refused: () => undefined,
-    served: () => undefined,
-    takeSilence: () => undefined,
+    recordRefused: () => undefined,
+    recordServed: () => undefined,
+    recordMissedProbe: () => undefined,
     modelIx: () => 0,
     prefixes: { learn: () => undefined },
   } as unknown as WorkerTable;
@@ -79,7 +80,7 @@
     },
     clock,
     rng: createRng(1),
-    log: createQuietLog().part('t'),
+    log: createQuietLog().component('t'),
   });
   let gone = false;
   async function submit(key: RunKey | null, forMs = 100): Promise<Submission | null> {
--- a/src/coordination/edge/dispatcher.ts
+++ b/src/coordination/edge/dispatcher.ts
@@ -4,12 +4,12 @@
  * dispatched only under a claim, and its claim is released only where nothing may have run.
  */
 import type { Failure, Submit } from '../../protocol/caller-wire.js';
-import type { Run, Whole } from '../../protocol/worker-wire.js';
+import type { Run, CompleteResponse } from '../../protocol/worker-wire.js';
 import { decide, mayHaveRun } from '../../state/attempt-outcome.js';
 import type { RunKey } from '../../state/run-key.js';
 import { createRetryBudget } from '../../state/retry-budget.js';
 import type { Resolved } from '../../state/settings-tree.js';
-import type { Ticket } from '../../state/ticket.js';
+import type { AdmissionToken } from '../../state/ticket.js';
 import type { WorkerRow } from '../../state/worker-row.js';
 import type { WorkerTable } from '../../state/worker-table.js';
 import { every } from '../../transport/clock.js';
@@ -32,7 +32,7 @@
 
 /** What the HTTP server answers. */
 export type Submission =
-  | { readonly tag: 'whole'; readonly answer: Whole }
+  | { readonly tag: 'whole'; readonly answer: CompleteResponse }
   | { readonly tag: 'stream'; readonly lines: AsyncIterable<AnswerLine> }
   | { readonly tag: 'failed'; readonly failure: Failure; readonly retryAfterS: number };
 
@@ -48,7 +48,7 @@
 
 export interface Dispatcher {
   /** Serves a request whose ticket was checked; `key` is set for one that may run once. */
-  submit(ticket: Ticket, body: Submit, key: RunKey | null, gone: () => boolean): Promise<Submission>;
+  submit(token: AdmissionToken, body: Submit, key: RunKey | null, gone: () => boolean): Promise<Submission>;
   countRequest(model: string): void;
   countRejected(): void;
   wake(): void;
@@ -70,7 +70,7 @@
 
 /** One submission from its arrival to its end. */
 type Job = {
-  readonly ticket: Ticket;
+  readonly token: AdmissionToken;
   readonly body: Submit;
   readonly key: RunKey | null;
   readonly values: Resolved;
@@ -91,7 +91,7 @@
 const RETRY_AFTER_S = 1;
 const LOOK_MS = 100;
 
-class TicketDispatcher implements Dispatcher {
+class TokenDispatcher implements Dispatcher {
   private readonly budget = createRetryBudget();
   private readonly pending: PendingCalls;
   private readonly queue: WorkerSlotQueue;
@@ -137,8 +137,8 @@
     return { tag: 'failed', failure, retryAfterS };
   }
 
-  async submit(ticket: Ticket, body: Submit, key: RunKey | null, gone: () => boolean): Promise<Submission> {
-    const resolved = this.deps.placement.resolved(ticket.model);
+  async submit(token: AdmissionToken, body: Submit, key: RunKey | null, gone: () => boolean): Promise<Submission> {
+    const resolved = this.deps.placement.resolved(token.model);
     if (!resolved) return this.failed({ tag: 'unknownModel' });
     const { values } = resolved;
     const now = this.deps.clock.mono();
@@ -147,7 +147,7 @@
     const parts: string[] = [];
     for (const part of body.parts) parts.push(part.hash);
     return this.run({
-      ticket,
+      token,
       body,
       key,
       values,
@@ -188,7 +188,7 @@
 
   /** Claims the key of a run-once request, once; a submission is what the caller gets if that failed. */
   private async claim(job: Job, key: RunKey, slot: AcquiredSlot): Promise<Submission | null> {
-    const outcome = await this.deps.claims.claim(key, job.ticket.id);
+    const outcome = await this.deps.claims.claim(key, job.token.id);
     if (outcome.tag !== 'claimed') {
       this.queue.release(slot.row);
       return this.claimRefused(outcome);
@@ -220,9 +220,9 @@
     job.attempts += 1;
     this.attempted += 1;
     const run: Run = {
-      requestId: job.ticket.requestId,
+      requestId: job.token.requestId,
       attemptId: newId(this.deps.rng, 'd'),
-      model: job.ticket.model,
+      model: job.token.model,
       parts: job.body.parts,
       outputTokens: job.body.outputTokens,
       stream: job.body.stream,
@@ -244,7 +244,7 @@
 
   private served(job: Job, { candidate }: AcquiredSlot, end: Exclude<WorkerCallEnd, { tag: 'failed' }>): Submission {
     this.deps.table.recordServed(candidate.ix);
-    this.deps.table.prefixes.learn(this.deps.table.modelIx(job.ticket.model), job.parts, candidate.ix);
+    this.deps.table.prefixes.learn(this.deps.table.modelIx(job.token.model), job.parts, candidate.ix);
     if (end.tag === 'whole') this.recordAnswered(job);
     return end;
   }
@@ -271,12 +271,12 @@
   /** The last word: that it was not run, and the claim released, unless an attempt may have run. */
   private notRun(job: Job, failure: Failure, retryAfterS: number): Submission {
     if (job.ranAndBroke) return this.failed(job.ranAndBroke);
-    if (job.claimed && job.key !== null) this.deps.claims.end(job.key, job.ticket.id, 'released');
+    if (job.claimed && job.key !== null) this.deps.claims.end(job.key, job.token.id, 'released');
     return this.failed(failure, retryAfterS);
   }
 
   private recordAnswered(job: Job): void {
-    if (job.key !== null) this.deps.claims.end(job.key, job.ticket.id, 'answered');
+    if (job.key !== null) this.deps.claims.end(job.key, job.token.id, 'answered');
   }
 
   countRequest(model: string): void {
@@ -313,5 +313,5 @@
 }
 
 export function createDispatcher(deps: DispatcherDeps): Dispatcher {
-  return new TicketDispatcher(deps);
+  return new TokenDispatcher(deps);
 }
--- a/src/coordination/edge/list-source.ts
+++ b/src/coordination/edge/list-source.ts
@@ -63,7 +63,7 @@
     for (const n of this.deps.membership.all())
       if (n.role === 'proxy' && n.status === 'alive' && n.name !== this.deps.name) others.push(n);
     let best: WorkerListReading | null = null;
-    const asks: Promise<void>[] = [];
+    const requests: Promise<void>[] = [];
 
     const one = async (n: NodeInfo): Promise<void> => {
       const from = this.deps.clock.mono();
@@ -72,8 +72,8 @@
       const ageMs = got.value.ageMs + (this.deps.clock.mono() - from);
       if (!best || ageMs < best.ageMs) best = { workers: got.value.workers, ageMs, secondHand: true };
     };
-    for (const n of shuffled(this.deps.rng, others).slice(0, ASKED)) asks.push(one(n));
-    await Promise.all(asks);
+    for (const n of shuffled(this.deps.rng, others).slice(0, ASKED)) requests.push(one(n));
+    await Promise.all(requests);
     const reading = best as WorkerListReading | null;
     if (!reading) return err(fault);
     const workers: Listed[] = [];
--- a/src/coordination/edge/open-proxy.ts
+++ b/src/coordination/edge/open-proxy.ts
@@ -9,7 +9,7 @@
 import type { RouteTable } from '../../state/route-table.js';
 import type { EdgeTuning } from '../../state/edge-tuning.js';
 import { createWorkerRegistry } from '../../state/worker-registry.js';
-import { every, pause } from '../../transport/clock.js';
+import { every, delay } from '../../transport/clock.js';
 import type { Clock } from '../../transport/clock.js';
 import type { LogRoot } from '../../transport/log.js';
 import type { OpaqueHttpServer, ConnectionPool } from '../../transport/open-http.js';
@@ -74,10 +74,10 @@
   deps: OpaqueProxyDeps,
 ): Promise<Result<OpaqueProxy, WireFault>> {
   const { clock, rng, logs, tuning } = deps;
-  const log = logs.part('proxy');
-  const peers = createPeers(deps.wire, clock, logs.part('peers'));
+  const log = logs.component('proxy');
+  const peers = createPeers(deps.wire, clock, logs.component('peers'));
   const firstIncarnation = await nextIncarnation(null, log);
-  const follower = await createFollower(id, id.seeds, peers, clock, null, logs.part('follow'));
+  const follower = await createFollower(id, id.seeds, peers, clock, null, logs.component('follow'));
   const opened = await peers.open(id.listen);
   if (!opened.ok) return opened;
   const node: NodeInfo = {
@@ -91,7 +91,7 @@
     address: id.listen,
     status: 'alive',
   };
-  const membership = createMembership(node, () => follower.controllers(), peers, clock, rng, logs.part('members'));
+  const membership = createMembership(node, () => follower.controllers(), peers, clock, rng, logs.component('members'));
   followRelocatedControllers(membership, () => follower.controlState(), peers);
   const registry = createWorkerRegistry(
     { name: id.name, zone: id.zone, region: id.region, openConnections: deps.connectionPool.idle },
@@ -123,14 +123,14 @@
     return !closing && current() !== null;
   }
   const relay = createRelay({
-    words: deps.headerNames,
+    statuses: deps.headerNames,
     tuning,
     registry,
     budget,
     connectionPool: deps.connectionPool,
     clock,
     rng,
-    log: logs.part('relay'),
+    log: logs.component('relay'),
     table: current,
     closing: isClosing,
     lastEndAt,
@@ -269,7 +269,7 @@
         report();
       }
       if (passed >= longestMs - LAST_CALL_MS) front.stopListening();
-      await pause(clock, 50);
+      await delay(clock, 50);
     }
   }
   async function stop(): Promise<void> {
--- a/src/coordination/edge/placer.ts
+++ b/src/coordination/edge/placer.ts
@@ -9,8 +9,8 @@
 import { resolveAll } from '../../state/settings-tree.js';
 import type { ResolvedModel } from '../../state/settings-tree.js';
 import { isUp } from '../../state/members.js';
-import { signTicket } from '../../state/ticket.js';
-import type { Bound, Ticket } from '../../state/ticket.js';
+import { signAdmissionToken } from '../../state/ticket.js';
+import type { Bound, AdmissionToken } from '../../state/ticket.js';
 import type { WorkerTable } from '../../state/worker-table.js';
 import type { Clock } from '../../transport/clock.js';
 import { newId } from '../../transport/rng.js';
@@ -41,7 +41,7 @@
   readonly http: string;
 };
 
-export const TICKET_LIFE_MS = 30_000;
+export const TOKEN_LIFETIME_MS = 30_000;
 
 export function proxyId(node: { readonly name: string; readonly run: string }): string {
   return `${node.name}#${node.run}`;
@@ -240,7 +240,7 @@
     const requestId = newId(this.deps.rng, 'req');
     const node = this.pickProxy(choice.candidate, homes, request.without ?? [], requestId);
     if (!node) return err(rejection('noWorker'));
-    const ticket: Ticket = {
+    const token: AdmissionToken = {
       id: newId(this.deps.rng, 'ticket'),
       requestId,
       proxy: proxyId(node),
@@ -248,14 +248,14 @@
       region: node.region,
       bound,
       repeatable: request.repeatable,
-      expiresAt: this.deps.follower.sharedNow() + TICKET_LIFE_MS,
+      expiresAt: this.deps.follower.sharedNow() + TOKEN_LIFETIME_MS,
     };
     return ok({
       proxy: node.name,
       address: node.http,
-      ticket: signTicket(ticket, b.ticketKey),
+      ticket: signAdmissionToken(token, b.ticketKey),
       requestId,
-      expiresInMs: TICKET_LIFE_MS,
+      expiresInMs: TOKEN_LIFETIME_MS,
     });
   }
 }
--- a/src/coordination/edge/proxy-http-server.ts
+++ b/src/coordination/edge/proxy-http-server.ts
@@ -5,19 +5,19 @@
   readPlacementRequest,
   readSubmit,
   REQUESTS_PATH,
-  TICKET_HEADER,
+  ADMISSION_TOKEN_HEADER,
 } from '../../protocol/caller-wire.js';
-import { routeSubject, noteIn } from '../../state/aim-counts.js';
+import { routeSubject, recordIn } from '../../state/aim-counts.js';
 import type { CountTable, Ended } from '../../state/aim-counts.js';
 import { readRunKey, runKey } from '../../state/run-key.js';
 import type { RunKey } from '../../state/run-key.js';
-import { createBurntTickets, readTicket } from '../../state/ticket.js';
-import type { Ticket } from '../../state/ticket.js';
+import { createUsedTokens, readAdmissionToken } from '../../state/ticket.js';
+import type { AdmissionToken } from '../../state/ticket.js';
 import type { Clock } from '../../transport/clock.js';
 import type { HttpReply, HttpRequest, Route } from '../../transport/http.js';
 import type { AnswerLine, Dispatcher } from './dispatcher.js';
 import type { Follower } from '../ledger/follower.js';
-import { rejection, proxyId, TICKET_LIFE_MS } from './placer.js';
+import { rejection, proxyId, TOKEN_LIFETIME_MS } from './placer.js';
 import type { PlacementService, ProxySelf } from './placer.js';
 
 const STATUS: Readonly<Record<Failure['tag'], number>> = {
@@ -53,7 +53,7 @@
 
 export function proxyRoutes(deps: ProxyHttpServerDeps): Route[] {
   const { self, ready, follower, placement, dispatcher, clock, status, counts } = deps;
-  const burnt = createBurntTickets();
+  const usedTokens = createUsedTokens();
 
   async function place(req: HttpRequest): Promise<HttpReply> {
     const request = readPlacementRequest(req.body);
@@ -71,33 +71,33 @@
     return failureReply(placed.fault, 1);
   }
 
-  function ticketOf(req: HttpRequest): Ticket | Failure {
-    const text = req.headers[TICKET_HEADER];
-    if (text === undefined) return { tag: 'malformed', detail: `the ${TICKET_HEADER} header is missing` };
+  function tokenOf(req: HttpRequest): AdmissionToken | Failure {
+    const text = req.headers[ADMISSION_TOKEN_HEADER];
+    if (text === undefined) return { tag: 'malformed', detail: `the ${ADMISSION_TOKEN_HEADER} header is missing` };
     if (!ready()) return rejection('notReady');
-    const read = readTicket(text, follower.controlState().ticketKey, proxyId(self), follower.sharedNow());
+    const read = readAdmissionToken(text, follower.controlState().ticketKey, proxyId(self), follower.sharedNow());
     if (typeof read === 'string') return rejection(read);
     const homes = placement.homesOf(read.model, read.bound);
     if (homes !== null && !homes.includes(self.region)) return rejection('outsideHomes');
     return read;
   }
 
-  function mostBytes(ticket: Ticket): number {
-    return placement.resolved(ticket.model)?.values.maxBodyBytes ?? 0;
+  function mostBytes(token: AdmissionToken): number {
+    return placement.resolved(token.model)?.values.maxBodyBytes ?? 0;
   }
 
   function gate(req: HttpRequest): HttpReply | null {
-    const ticket = ticketOf(req);
-    if ('tag' in ticket) return failureReply(ticket, 1);
-    return Number(req.headers['content-length'] ?? 0) > mostBytes(ticket)
+    const token = tokenOf(req);
+    if ('tag' in token) return failureReply(token, 1);
+    return Number(req.headers['content-length'] ?? 0) > mostBytes(token)
       ? failureReply({ tag: 'bodyTooLarge' }, 1)
       : null;
   }
 
-  function keyOf(ticket: Ticket, body: Submit): RunKey | Failure | null {
-    if (ticket.repeatable) return null;
-    const issued = ticket.expiresAt - TICKET_LIFE_MS;
-    const read = readRunKey(body.key ?? runKey(ticket.requestId, issued), follower.sharedNow());
+  function keyOf(token: AdmissionToken, body: Submit): RunKey | Failure | null {
+    if (token.repeatable) return null;
+    const issued = token.expiresAt - TOKEN_LIFETIME_MS;
+    const read = readRunKey(body.key ?? runKey(token.requestId, issued), follower.sharedNow());
     if (read === 'tooOld') return { tag: 'keyTooOld' };
     if (read === 'withoutBirth')
       return { tag: 'malformed', detail: "/key: expected an id, '@' and the Unix milliseconds of its making" };
@@ -107,21 +107,21 @@
   }
 
   async function submit(req: HttpRequest): Promise<HttpReply> {
-    const ticket = ticketOf(req);
-    if ('tag' in ticket) return failureReply(ticket, 1);
-    if (!burnt.burn(ticket, clock.mono())) return failureReply(rejection('ticketUsed'), 1);
+    const token = tokenOf(req);
+    if ('tag' in token) return failureReply(token, 1);
+    if (!usedTokens.use(token, clock.mono())) return failureReply(rejection('ticketUsed'), 1);
     const body = readSubmit(req.body);
     if (!body.ok) return failureReply(body.fault, 1);
-    if (body.value.requestId !== ticket.requestId) return failureReply(rejection('ticketForeign'), 1);
+    if (body.value.requestId !== token.requestId) return failureReply(rejection('ticketForeign'), 1);
     const unsized = req.headers['content-length'] === undefined;
-    if (unsized && JSON.stringify(body.value).length > mostBytes(ticket))
+    if (unsized && JSON.stringify(body.value).length > mostBytes(token))
       return failureReply({ tag: 'bodyTooLarge' }, 1);
-    dispatcher.countRequest(ticket.model);
-    const key = keyOf(ticket, body.value);
+    dispatcher.countRequest(token.model);
+    const key = keyOf(token, body.value);
     if (key !== null && 'tag' in key) return failureReply(key, 1);
     const from = clock.mono();
-    const end = await dispatcher.submit(ticket, body.value, key, req.gone);
-    const { model, bound } = ticket;
+    const end = await dispatcher.submit(token, body.value, key, req.gone);
+    const { model, bound } = token;
     function ended(outcome: Ended['outcome'], firstMs: number | null): void {
       count(model, bound.mapping, { outcome, firstMs, wholeMs: outcome === 'good' ? clock.mono() - from : null });
     }
@@ -142,10 +142,10 @@
     ended: (outcome: Ended['outcome'], firstMs: number | null) => void,
   ): AsyncGenerator<AnswerLine> {
     let firstMs: number | null = null;
-    for await (const queue of lines) {
-      if ('piece' in queue) firstMs ??= clock.mono() - from;
-      else ended('seal' in queue ? 'good' : 'failed', firstMs);
-      yield queue;
+    for await (const line of lines) {
+      if ('piece' in line) firstMs ??= clock.mono() - from;
+      else ended('seal' in line ? 'good' : 'failed', firstMs);
+      yield line;
     }
   }
 
@@ -157,8 +157,8 @@
     return mapped ?? request.model ?? '';
   }
   function count(model: string, mapping: string | null, e: Ended): void {
-    noteIn(counts, model, e);
-    if (mapping !== null) noteIn(counts, routeSubject(mapping), e);
+    recordIn(counts, model, e);
+    if (mapping !== null) recordIn(counts, routeSubject(mapping), e);
   }
 
   async function health(): Promise<HttpReply> {
--- a/src/coordination/edge/proxy.ts
+++ b/src/coordination/edge/proxy.ts
@@ -6,7 +6,7 @@
 import type { Configuration } from '../../state/settings-tree.js';
 import type { CountTable } from '../../state/aim-counts.js';
 import { createWorkerTable } from '../../state/worker-table.js';
-import { every, pause } from '../../transport/clock.js';
+import { every, delay } from '../../transport/clock.js';
 import type { WireFault, Address } from '../../transport/wire.js';
 import { createClaimClient } from './claim-client.js';
 import { createPlatformClient } from '../scaling/cloud-client.js';
@@ -49,17 +49,17 @@
 
 export async function startProxy(id: NodeIdentity, deps: NodeDeps): Promise<Result<Proxy, WireFault>> {
   const { clock, rng, logs, httpClient } = deps;
-  const log = logs.part('proxy');
-  const peers = createPeers(deps.wire, clock, logs.part('peers'));
+  const log = logs.component('proxy');
+  const peers = createPeers(deps.wire, clock, logs.component('peers'));
   const table = createWorkerTable();
   const life = await nextIncarnation(deps.disk, log);
-  const follower = await createFollower(id, id.seeds, peers, clock, deps.disk, logs.part('follow'));
+  const follower = await createFollower(id, id.seeds, peers, clock, deps.disk, logs.component('follow'));
   const opened = await peers.open(id.listen);
   if (!opened.ok) return opened;
 
   const self: ProxySelf = { name: id.name, run: id.run, zone: id.zone, region: id.region, http: id.http };
   const node: NodeInfo = { ...self, role: 'proxy', incarnation: life, address: id.advertised, status: 'alive' };
-  const membership = createMembership(node, () => follower.controllers(), peers, clock, rng, logs.part('members'));
+  const membership = createMembership(node, () => follower.controllers(), peers, clock, rng, logs.component('members'));
   followRelocatedControllers(membership, () => follower.controlState(), peers);
   follower.setTopology(locationsOf(membership));
   const placement = createPlacementService({
@@ -81,7 +81,7 @@
     httpClient,
     clock,
     rng,
-    log: logs.part('attempt'),
+    log: logs.component('attempt'),
   });
   const source = createWorkerListSource({
     name: id.name,
@@ -97,7 +97,7 @@
     source,
     httpClient,
     clock,
-    log: logs.part('workers'),
+    log: logs.component('workers'),
     onChange: () => dispatcher.wake(),
   });
 
@@ -232,9 +232,9 @@
     report();
     membership.leave();
     for (let waited = 0; dispatcher.tally().inFlight > 0 && waited < STOP_WAIT_MS; waited += 100)
-      await pause(clock, 100);
+      await delay(clock, 100);
     report();
-    await pause(clock, 50);
+    await delay(clock, 50);
     reporting.cancel();
     watch.stop();
     dispatcher.stop();
--- a/src/coordination/edge/pushed-list.ts
+++ b/src/coordination/edge/pushed-list.ts
@@ -135,13 +135,13 @@
     this.turns += 1;
     this.renewedAt = this.deps.clock.mono();
     const answered: Address[] = [];
-    const asks: Promise<void>[] = [];
+    const requests: Promise<void>[] = [];
 
     const one = async (to: Address): Promise<void> => {
       if ((await this.updates.query(to)) === 'fresh') answered.push(to);
     };
-    for (const to of picked) asks.push(one(to));
-    await Promise.all(asks);
+    for (const to of picked) requests.push(one(to));
+    await Promise.all(requests);
     this.asking = false;
     this.source = this.nearest(controllers, answered);
     this.arm();
--- a/src/coordination/edge/relay.test.ts
+++ b/src/coordination/edge/relay.test.ts
@@ -99,14 +99,14 @@
   let closing = false;
   let lastEndAt: number | null = null;
   const relay = createRelay({
-    words: W,
+    statuses: W,
     tuning: EDGE_TUNING,
     registry: book,
     budget,
     connectionPool,
     clock,
     rng: createRng(1),
-    log: createQuietLog().part('t'),
+    log: createQuietLog().component('t'),
     table: () => table,
     closing: () => closing,
     lastEndAt: () => lastEndAt,
--- a/src/coordination/edge/relay.ts
+++ b/src/coordination/edge/relay.ts
@@ -11,7 +11,7 @@
 import type { MatchedRoute, RouteTable } from '../../state/route-table.js';
 import { createStandstill } from '../../state/standstill.js';
 import type { SelectionRequest, WorkerRegistry } from '../../state/worker-registry.js';
-import { pause } from '../../transport/clock.js';
+import { delay } from '../../transport/clock.js';
 import type { Clock } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
 import type { ConnectionPool, OpaqueRequest } from '../../transport/open-http.js';
@@ -29,7 +29,7 @@
 import type { ReservedWorker, WorkerQueue } from './worker-queue.js';
 
 export type RelayDeps = {
-  readonly words: HeaderNames;
+  readonly statuses: HeaderNames;
   readonly tuning: EdgeTuning;
   readonly registry: WorkerRegistry;
   readonly budget: AttemptBudget;
@@ -85,7 +85,7 @@
   private readonly attempt: Attempt;
 
   constructor(private readonly deps: RelayDeps) {
-    this.answers = createCallerAnswers(this.deps.words, this.deps.closing);
+    this.answers = createCallerAnswers(this.deps.statuses, this.deps.closing);
     this.last = createLastAnswers({
       answers: this.answers,
       tuning: this.deps.tuning,
@@ -110,7 +110,7 @@
       onReached: () => this.queue.wake(),
     });
     this.attempt = createAttempt({
-      words: this.deps.words,
+      statuses: this.deps.statuses,
       registry: this.deps.registry,
       connectionPool: this.deps.connectionPool,
       watch,
@@ -157,11 +157,11 @@
     body: Buffer,
     cameAt: number,
   ): Promise<void> {
-    const id = incoming.get(this.deps.words.attemptId);
+    const id = incoming.get(this.deps.statuses.attemptId);
     if (!route) this.answers.refuse(incoming, 404, 'noMapping', null);
     else if (id === null || id === '') this.answers.refuse(incoming, 400, 'noAttemptId', null);
     else {
-      const request = createRelayedRequest(this.deps.words, this.deps.rng, incoming, route, id, body, cameAt);
+      const request = createRelayedRequest(this.deps.statuses, this.deps.rng, incoming, route, id, body, cameAt);
       const lastEndAt = this.deps.lastEndAt();
       if (lastEndAt !== null && expectedEnd(request, this.deps.clock.mono()) > lastEndAt) {
         this.last.leaving(incoming);
@@ -179,7 +179,7 @@
   private async whenOpen(incoming: OpaqueRequest): Promise<RouteTable | null> {
     const until = this.deps.clock.mono() + this.deps.tuning.openingMs;
     while (this.deps.clock.mono() < until && !incoming.answerer.gone()) {
-      await pause(this.deps.clock, OPENING_LOOK_MS);
+      await delay(this.deps.clock, OPENING_LOOK_MS);
       const table = this.deps.table();
       if (table) return table;
     }
@@ -276,7 +276,7 @@
       until !== null;
       until = this.standstill.observe(this.deps.clock.mono())
     ) {
-      await pause(this.deps.clock, until - this.deps.clock.mono());
+      await delay(this.deps.clock, until - this.deps.clock.mono());
     }
   }
 
--- a/src/coordination/edge/seat-queue.ts
+++ b/src/coordination/edge/seat-queue.ts
@@ -7,7 +7,7 @@
 import { createQueuePacer } from '../../state/line-pace.js';
 import type { QueuePacer } from '../../state/line-pace.js';
 import type { Resolved } from '../../state/settings-tree.js';
-import type { Ticket } from '../../state/ticket.js';
+import type { AdmissionToken } from '../../state/ticket.js';
 import type { WorkerRow } from '../../state/worker-row.js';
 import type { WorkerTable } from '../../state/worker-table.js';
 import type { Clock, Timer } from '../../transport/clock.js';
@@ -20,7 +20,7 @@
 
 /** What a request asks of the queue. */
 export type SlotRequest = {
-  readonly ticket: Ticket;
+  readonly token: AdmissionToken;
   readonly parts: readonly string[];
   readonly values: Resolved;
   /** Workers that were tried. */
@@ -74,18 +74,18 @@
 
   /** A seat, a refusal, or null where only room is lacking. */
   private tryAcquire(request: SlotRequest): WorkerSlot | null {
-    const { ticket, parts, avoid } = request;
+    const { token, parts, avoid } = request;
     const choice = this.deps.placement.choose({
-      model: ticket.model,
+      model: token.model,
       parts,
-      homes: this.deps.placement.homesOf(ticket.model, ticket.bound),
+      homes: this.deps.placement.homesOf(token.model, token.bound),
       avoid,
     });
     if (choice.tag !== 'chosen')
       return choice.stoppedBy === 'room' ? null : this.none(avoid.size > 0 ? 'workersShed' : 'noWorker');
     const row = this.deps.table.begin(choice.candidate.ix);
     if (!row) return this.none('noWorker');
-    this.paceOf(ticket.model).record(this.deps.clock.mono());
+    this.paceOf(token.model).record(this.deps.clock.mono());
     return { tag: 'seat', candidate: choice.candidate, row };
   }
 
@@ -96,7 +96,7 @@
   }
 
   async acquire(request: SlotRequest): Promise<WorkerSlot> {
-    const { model } = request.ticket;
+    const { model } = request.token;
     const atOnce = this.whyNot(request) ?? (this.lengthOf(model) === 0 ? this.tryAcquire(request) : null);
     if (atOnce) return atOnce;
     const now = this.deps.clock.mono();
@@ -111,7 +111,7 @@
   }
 
   private async wait(request: SlotRequest): Promise<WorkerSlot> {
-    const { model } = request.ticket;
+    const { model } = request.token;
     for (;;) {
       const now = this.deps.clock.mono();
       if (now >= request.waitUntil)
--- a/src/coordination/edge/worker-call.ts
+++ b/src/coordination/edge/worker-call.ts
@@ -4,12 +4,12 @@
  */
 import type { Result } from '../../base/result.js';
 import type { Failure } from '../../protocol/caller-wire.js';
-import { readNotRun, readStreamLine, readWhole, RUN_PATH } from '../../protocol/worker-wire.js';
-import type { Run, StreamLine, Whole } from '../../protocol/worker-wire.js';
+import { readNotRun, readStreamLine, readCompleteResponse, RUN_PATH } from '../../protocol/worker-wire.js';
+import type { Run, StreamLine, CompleteResponse } from '../../protocol/worker-wire.js';
 import type { AttemptOutcome } from '../../state/attempt-outcome.js';
 import type { Candidate } from '../../state/candidate.js';
-import { addPiece, checkSeal, startSeal } from '../../state/seal.js';
-import type { Seal, SealCheck } from '../../state/seal.js';
+import { addChunk, checkDigest, startDigest } from '../../state/seal.js';
+import type { ResponseDigest, DigestCheck } from '../../state/seal.js';
 import type { WorkerRow } from '../../state/worker-row.js';
 import type { WorkerTable } from '../../state/worker-table.js';
 import type { Clock } from '../../transport/clock.js';
@@ -22,7 +22,7 @@
 
 /** How the attempt ended. `failure` says what the caller is told if the request may have run. */
 export type WorkerCallEnd =
-  | { readonly tag: 'whole'; readonly answer: Whole }
+  | { readonly tag: 'whole'; readonly answer: CompleteResponse }
   | { readonly tag: 'stream'; readonly lines: AsyncIterable<AnswerLine> }
   | { readonly tag: 'failed'; readonly outcome: AttemptOutcome; readonly failure: Failure };
 
@@ -51,7 +51,7 @@
 
 type GoodLine =
   | { readonly tag: 'piece'; readonly piece: { readonly n: number; readonly text: string } }
-  | { readonly tag: 'seal'; readonly seal: Seal };
+  | { readonly tag: 'seal'; readonly seal: ResponseDigest };
 type NextLine = GoodLine | { readonly tag: 'fault'; readonly outcome: AttemptOutcome; readonly failure: Failure };
 
 const RETRY_AFTER_S = 1;
@@ -76,7 +76,7 @@
     if (got.ok && got.value.status === 200 && run.stream) return streamEnd(call, watched, got.value);
     end(watched);
     if (!got.ok) return faultEnd(candidate, got.fault);
-    return got.value.status === 200 ? wholeEnd(call, got.value.body) : refusalEnd(call, got.value);
+    return got.value.status === 200 ? completeEnd(call, got.value.body) : refusalEnd(call, got.value);
   }
 
   function faultEnd(candidate: Candidate, fault: HttpFault): WorkerCallEnd {
@@ -95,16 +95,16 @@
     return { tag: 'failed', outcome: { tag: 'workerFailed' }, failure: WORKER_FAILED };
   }
 
-  function wholeEnd({ candidate, run }: WorkerCall, body: unknown): WorkerCallEnd {
-    const read = readWhole(body);
-    if (read.ok && sealHolds(run, read.value))
+  function completeEnd({ candidate, run }: WorkerCall, body: unknown): WorkerCallEnd {
+    const read = readCompleteResponse(body);
+    if (read.ok && digestMatches(run, read.value))
       return { tag: 'whole', answer: { pieces: read.value.pieces, seal: read.value.seal } };
     log.warn(`${candidate.id} gave a response whose seal does not hold.`);
     return { tag: 'failed', outcome: { tag: 'garbled' }, failure: BAD_SEAL };
   }
 
   async function streamEnd(call: WorkerCall, watched: PendingCall, answer: HttpAnswer): Promise<WorkerCallEnd> {
-    const check = startSeal(call.run.requestId, call.run.attemptId);
+    const check = startDigest(call.run.requestId, call.run.attemptId);
     const lines = answer.lines[Symbol.asyncIterator]();
     const first = await heard();
     if (first.tag === 'fault') {
@@ -167,19 +167,19 @@
   }
 }
 
-function sealHolds(run: Run, answer: Whole): boolean {
-  const check = startSeal(run.requestId, run.attemptId);
-  for (const piece of answer.pieces) if (addPiece(check, piece)) return false;
-  return !checkSeal(check, answer.seal);
+function digestMatches(run: Run, answer: CompleteResponse): boolean {
+  const check = startDigest(run.requestId, run.attemptId);
+  for (const piece of answer.pieces) if (addChunk(check, piece)) return false;
+  return !checkDigest(check, answer.seal);
 }
 
-async function nextLine(lines: AsyncIterator<Result<unknown, unknown>>, check: SealCheck): Promise<NextLine> {
+async function nextLine(lines: AsyncIterator<Result<unknown, unknown>>, check: DigestCheck): Promise<NextLine> {
   const next = await lines.next();
   if (next.done || !next.value.ok) return { tag: 'fault', outcome: { tag: 'answerCut' }, failure: WORKER_FAILED };
   const read = readStreamLine(next.value.value);
   if (!read.ok) return { tag: 'fault', outcome: { tag: 'garbled' }, failure: BAD_SEAL };
-  const queue = read.value;
-  const fault = 'piece' in queue ? addPiece(check, queue.piece) : checkSeal(check, queue.seal);
+  const line = read.value;
+  const fault = 'piece' in line ? addChunk(check, line.piece) : checkDigest(check, line.seal);
   if (fault) return { tag: 'fault', outcome: { tag: 'garbled' }, failure: BAD_SEAL };
-  return 'piece' in queue ? { tag: 'piece', piece: queue.piece } : { tag: 'seal', seal: queue.seal };
+  return 'piece' in line ? { tag: 'piece', piece: line.piece } : { tag: 'seal', seal: line.seal };
 }
--- a/src/coordination/ledger/aim-keeper.ts
+++ b/src/coordination/ledger/aim-keeper.ts
@@ -1,25 +1,25 @@
 import type { MessageOf } from '../../protocol/messages.js';
-import { createAimBook } from '../../state/aim-book.js';
+import { createLatencyTargetTable } from '../../state/aim-book.js';
 import type { Minute } from '../../state/aim-book.js';
-import { CHANGES_SUBJECT, noteIn } from '../../state/aim-counts.js';
+import { CHANGES_SUBJECT, recordIn } from '../../state/aim-counts.js';
 import type { CountTable } from '../../state/aim-counts.js';
 import { every } from '../../transport/clock.js';
 import type { Clock, Timer } from '../../transport/clock.js';
 import type { Ledger } from './ledger.js';
 import type { Peers } from '../members/peers.js';
 
-export type AimMinutes = { readonly by: string; readonly now: number; readonly minutes: readonly Minute[] };
+export type MinuteCounts = { readonly by: string; readonly now: number; readonly minutes: readonly Minute[] };
 
-export interface AimKeeper {
-  noteChange(ms: number): void;
-  last(minutes: number): AimMinutes;
+export interface LatencyTargetTracker {
+  recordChange(ms: number): void;
+  last(minutes: number): MinuteCounts;
   stop(): void;
 }
 
 const MINUTE_MS = 60_000;
 
-class MinuteCountKeeper implements AimKeeper {
-  private readonly book = createAimBook();
+class MinuteCountTracker implements LatencyTargetTracker {
+  private readonly book = createLatencyTargetTable();
   private readonly startedAt: number;
   private closed = 0;
   private readonly turning: Timer;
@@ -46,21 +46,21 @@
 
   private onCounts(m: MessageOf<'counts'>): null {
     this.closePast();
-    this.book.hear(m.reporter, m.incarnation, m.totals, this.minute());
+    this.book.record(m.reporter, m.incarnation, m.totals, this.minute());
     if (m.by === undefined)
       for (const to of this.ledger.controlState().members)
         if (to.name !== this.ledger.self.name) void this.peers.send(to.address, { ...m, by: this.ledger.self.name });
     return null;
   }
 
-  noteChange(ms: number): void {
+  recordChange(ms: number): void {
     this.closePast();
     const table: CountTable = {};
-    noteIn(table, CHANGES_SUBJECT, { outcome: 'good', firstMs: null, wholeMs: ms });
-    for (const [subject, c] of Object.entries(table)) this.book.note(subject, c, this.minute());
+    recordIn(table, CHANGES_SUBJECT, { outcome: 'good', firstMs: null, wholeMs: ms });
+    for (const [subject, c] of Object.entries(table)) this.book.recordOwn(subject, c, this.minute());
   }
 
-  last(minutes: number): AimMinutes {
+  last(minutes: number): MinuteCounts {
     this.closePast();
     return { by: this.ledger.self.name, now: this.minute(), minutes: this.book.since(this.minute() - minutes) };
   }
@@ -70,6 +70,6 @@
   }
 }
 
-export function createAimKeeper(ledger: Ledger, peers: Peers, clock: Clock): AimKeeper {
-  return new MinuteCountKeeper(ledger, peers, clock);
+export function createLatencyTargetTracker(ledger: Ledger, peers: Peers, clock: Clock): LatencyTargetTracker {
+  return new MinuteCountTracker(ledger, peers, clock);
 }
--- a/src/coordination/ledger/catch-up.test.ts
+++ b/src/coordination/ledger/catch-up.test.ts
@@ -44,12 +44,12 @@
   for (let n = 0; n < 8; n += 1) {
     const ledger = core.node('h1').controller?.ledger;
     const base = ledger?.controlState().version ?? 0;
-    const act = {
+    const command = {
       tag: 'configured' as const,
       base,
       changes: [{ path: ['deployment', `large${n}`], value: `${n}`.repeat(400_000) }],
     };
-    await core.finish(Promise.resolve(ledger?.propose({ cause: 'A test.', act }, 5_000)), 20_000);
+    await core.finish(Promise.resolve(ledger?.propose({ cause: 'A test.', act: command }, 5_000)), 20_000);
   }
   core.rates.limitWindow(NARROW.windowBytes);
   return core;
@@ -59,8 +59,8 @@
   for (let n = 0; n < 100 && !until(); n += 1) {
     const ledger = core.node(at).controller?.ledger;
     const base = ledger?.controlState().version ?? 0;
-    const act = { tag: 'configured' as const, base, changes: [{ path: ['deployment', 'small'], value: n }] };
-    await core.finish(Promise.resolve(ledger?.propose({ cause: 'A test.', act }, 1_500)), 3_000);
+    const command = { tag: 'configured' as const, base, changes: [{ path: ['deployment', 'small'], value: n }] };
+    await core.finish(Promise.resolve(ledger?.propose({ cause: 'A test.', act: command }, 1_500)), 3_000);
     await core.world.advance(100);
   }
 }
--- a/src/coordination/ledger/catch-up.ts
+++ b/src/coordination/ledger/catch-up.ts
@@ -6,10 +6,10 @@
 import type { Log } from '../../transport/log.js';
 import type { Address } from '../../transport/wire.js';
 import type { Peers } from '../members/peers.js';
-import { createSnapshotGiver } from './snapshot-giver.js';
-import type { SnapshotGiver } from './snapshot-giver.js';
-import { createSnapshotTaker } from './snapshot-taker.js';
-import type { SnapshotTaker } from './snapshot-taker.js';
+import { createSnapshotSender } from './snapshot-giver.js';
+import type { SnapshotSender } from './snapshot-giver.js';
+import { createSnapshotReceiver } from './snapshot-taker.js';
+import type { SnapshotReceiver } from './snapshot-taker.js';
 import type { Store } from './store.js';
 
 /**
@@ -20,7 +20,7 @@
 export interface CatchUp {
   /** Asks one controller until nothing more comes; calls for the same one join the one under way. */
   from(address: Address): Promise<void>;
-  readonly snapshots: SnapshotGiver;
+  readonly snapshots: SnapshotSender;
 }
 
 export type CatchUpDeps = {
@@ -54,19 +54,19 @@
 }
 
 class LogCatchUp implements CatchUp {
-  private readonly underWay = new Map<Address, Promise<void>>();
-  readonly snapshots: SnapshotGiver;
-  private readonly taker: SnapshotTaker;
+  private readonly fetches = new Map<Address, Promise<void>>();
+  readonly snapshots: SnapshotSender;
+  private readonly receiver: SnapshotReceiver;
 
   constructor(private readonly deps: CatchUpDeps) {
-    this.snapshots = createSnapshotGiver({
+    this.snapshots = createSnapshotSender({
       peers: this.deps.peers,
       clock: this.deps.clock,
       log: this.deps.log,
       controlState: this.deps.controlState,
       keepsFrom: (slot) => this.keepsFrom(slot),
     });
-    this.taker = createSnapshotTaker(this.deps.peers, this.deps.clock, this.deps.log);
+    this.receiver = createSnapshotReceiver(this.deps.peers, this.deps.clock, this.deps.log);
 
     this.deps.peers.on('fetch', (m) => this.onFetch(m));
   }
@@ -76,14 +76,14 @@
   }
 
   from(address: Address): Promise<void> {
-    const joined = this.underWay.get(address);
+    const joined = this.fetches.get(address);
     if (joined) return joined;
 
     const done = (): void => {
-      this.underWay.delete(address);
+      this.fetches.delete(address);
     };
     const made = this.fetchAll(address).then(done);
-    this.underWay.set(address, made);
+    this.fetches.set(address, made);
     return made;
   }
 
@@ -105,15 +105,15 @@
 
   /** False if the fetch ended without a state; the next call goes on where it stood. */
   private async adopt(address: Address, offer: SnapshotOffer): Promise<boolean> {
-    const taken = await this.taker.take(address, offer);
-    if (taken.tag === 'joined') return true;
-    if (taken.tag !== 'whole') return false;
+    const received = await this.receiver.receive(address, offer);
+    if (received.tag === 'joined') return true;
+    if (received.tag !== 'whole') return false;
     const own = this.deps.controlState().ledger;
-    if (own !== '' && taken.state.ledger !== own) {
+    if (own !== '' && received.state.ledger !== own) {
       this.deps.log.error(`${address} gave a snapshot of another ledger; it is not taken.`);
       return false;
     }
-    await this.deps.store.put({ tag: 'adopt', controlState: taken.state });
+    await this.deps.store.put({ tag: 'adopt', controlState: received.state });
     return true;
   }
 
--- a/src/coordination/ledger/claims.test.ts
+++ b/src/coordination/ledger/claims.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, test } from '@jest/globals';
 import type { Message, MessageOf } from '../../protocol/messages.js';
-import { emptyControlState, majorityOf, memberId, membersMark } from '../../state/control-state.js';
+import { emptyControlState, majorityOf, memberId, membersDigest } from '../../state/control-state.js';
 import type { ControlState } from '../../state/control-state.js';
 import type { Member } from '../../state/entry.js';
 import { HOUR_MS } from '../../state/claim-table.js';
@@ -59,7 +59,7 @@
       simDisk(platter, proc, r.world),
       SHAPE,
       r.world.clockOf(proc),
-      createQuietLog().part(''),
+      createQuietLog().component(''),
     ),
   );
   if (!made?.ok) throw new Error('not opened');
@@ -79,7 +79,7 @@
   return {
     kind: 'claim',
     ledger: 'ledger-1',
-    members: membersMark(r.controlState.members),
+    members: membersDigest(r.controlState.members),
     claims: [{ key, by, born: at }],
   };
 }
--- a/src/coordination/ledger/claims.ts
+++ b/src/coordination/ledger/claims.ts
@@ -11,7 +11,7 @@
 import type { Result } from '../../base/result.js';
 import type { Message, MessageOf } from '../../protocol/messages.js';
 import type { Claim, ClaimAnswer, ClaimEnd } from '../../state/claim.js';
-import { majorityOf, memberId, membersMark } from '../../state/control-state.js';
+import { majorityOf, memberId, membersDigest } from '../../state/control-state.js';
 import { CLAIM_RECORD, createClaimTable, HOUR_MS, unpackClaims } from '../../state/claim-table.js';
 import type { ClaimTable } from '../../state/claim-table.js';
 import type { Member } from '../../state/entry.js';
@@ -100,7 +100,7 @@
   return ok(createRingClaims(opened.value, ledger, peers, shape, clock, log));
 }
 
-type Told = { readonly forgotten: readonly HourRange[]; readonly records: readonly Buffer[] };
+type FetchedRecords = { readonly forgotten: readonly HourRange[]; readonly records: readonly Buffer[] };
 
 class RingClaims implements Claims {
   private readonly table: ClaimTable;
@@ -148,7 +148,7 @@
 
     this.peers.on('claimEnds', (m) => this.onEnds(m));
 
-    this.peers.on('claimsAsk', (m) => this.onAsk(m));
+    this.peers.on('claimsAsk', (m) => this.onPageRequest(m));
     this.heartbeatTimer = every(this.clock, 1_000, () => this.heartbeat());
     this.forgetting = every(this.clock, FORGET_EVERY_MS, () => this.forget());
   }
@@ -183,20 +183,20 @@
     if (this.aheadOfDisk && !(await this.compacted())) return commands.map(none);
     const answers: (ClaimAnswer[] | null)[] = [];
     const writes: Buffer[] = [];
-    let whole = false;
+    let complete = false;
     for (const c of commands) {
-      if (c.tag === 'claim' && c.members !== membersMark(this.ledger.controlState().members)) {
+      if (c.tag === 'claim' && c.members !== membersDigest(this.ledger.controlState().members)) {
         answers.push(null);
         continue;
       }
-      const given: ClaimAnswer[] = [];
-      answers.push(given);
+      const ownAnswers: ClaimAnswer[] = [];
+      answers.push(ownAnswers);
       const now = this.uptime();
       if (c.tag === 'claim') {
         for (const claim of c.claims) {
           const step = this.table.claim(claim, now);
           if (step.record) writes.push(encodedRecord(step.record, now));
-          given.push(step.answer);
+          ownAnswers.push(step.answer);
         }
       } else if (c.tag === 'end') {
         for (const e of c.ends) {
@@ -207,12 +207,12 @@
         this.table.addForgotten(c.forgotten);
         for (const r of c.records) this.table.merge(r, now);
         this.readyFor = c.member;
-        whole = true;
+        complete = true;
       } else this.table.forgetBefore(now - CLAIMS_KEPT_MS);
     }
-    if (writes.length === 0 && !whole) return answers;
+    if (writes.length === 0 && !complete) return answers;
     this.aheadOfDisk = true;
-    if (whole || this.opened.ring.crowded()) return (await this.compacted()) ? answers : commands.map(none);
+    if (complete || this.opened.ring.crowded()) return (await this.compacted()) ? answers : commands.map(none);
     const written = await this.opened.ring.append(writes);
     if (!written.ok && written.fault.tag === 'ringFull') return (await this.compacted()) ? answers : commands.map(none);
     this.aheadOfDisk = !written.ok;
@@ -241,7 +241,7 @@
     if (
       m.ledger !== this.ledger.controlState().ledger ||
       !this.ready() ||
-      m.members !== membersMark(this.ledger.controlState().members)
+      m.members !== membersDigest(this.ledger.controlState().members)
     )
       return { kind: 'cannotVote' };
     const answers = await this.queue.put({ tag: 'claim', members: m.members, claims: m.claims });
@@ -253,7 +253,7 @@
     return { kind: 'done', agreed: (await this.queue.put({ tag: 'end', ends: m.ends })) !== null };
   }
 
-  private onAsk(m: MessageOf<'claimsAsk'>): Message {
+  private onPageRequest(m: MessageOf<'claimsAsk'>): Message {
     if (!this.mayAnswer(m.ledger) || !this.knowsMember(m.asker)) return { kind: 'cannotVote' };
     const page = this.table.page(m.from, PAGE);
     return {
@@ -270,7 +270,7 @@
     return false;
   }
 
-  private async readAll(m: Member): Promise<Told | null> {
+  private async readAll(m: Member): Promise<FetchedRecords | null> {
     const found: Buffer[] = [];
     const forgotten: HourRange[] = [];
     for (let from = 0; from >= 0;) {
@@ -297,11 +297,11 @@
     let answered = 0;
     for (const m of members) {
       if (memberId(m) === this.me()) continue;
-      const told = await this.readAll(m);
-      if (!told) continue;
+      const fetched = await this.readAll(m);
+      if (!fetched) continue;
       answered += 1;
-      forgotten.push(...told.forgotten);
-      found.push(...told.records);
+      forgotten.push(...fetched.forgotten);
+      found.push(...fetched.records);
     }
     if (answered >= need && (await this.queue.put({ tag: 'rebuild', member: this.me(), forgotten, records: found }))) {
       this.log.info(`Claims were rebuilt from ${answered} others: ${this.table.size()} held.`);
--- a/src/coordination/ledger/closed-orders-fetch.ts
+++ b/src/coordination/ledger/closed-orders-fetch.ts
@@ -34,20 +34,20 @@
 const PAGE_LENGTH = 40_000;
 const MOST_PAGES = 512;
 
-type Told = { readonly orders: readonly string[]; readonly whole: boolean };
+type FetchedRecords = { readonly orders: readonly string[]; readonly complete: boolean };
 
 class ClosedOrdersFetcher implements ClosedOrdersFetch {
-  private asking = false;
-  private asked = 0;
+  private fetching = false;
+  private requestCount = 0;
   private waitUntil = 0;
   private readonly ticking: Timer;
 
   constructor(private readonly deps: ClosedOrdersFetchDeps) {
-    this.deps.peers.on('closedAsk', (m) => this.onAsk(m));
+    this.deps.peers.on('closedAsk', (m) => this.onPageRequest(m));
     this.ticking = every(this.deps.clock, ASK_EVERY_MS, () => this.tick());
   }
 
-  private onAsk(m: MessageOf<'closedAsk'>): Message {
+  private onPageRequest(m: MessageOf<'closedAsk'>): Message {
     if (m.ledger !== this.deps.controlState().ledger)
       return { kind: 'closedPage', orders: [], next: null, lacking: true };
     const page = this.deps.closed.page(m.slots, m.after, PAGE_LENGTH);
@@ -62,9 +62,9 @@
   }
 
   /** All pages that a member has of these slots; null if it fell silent on the way. */
-  private async fetchFrom(member: Member, slots: SlotRange): Promise<Told | null> {
+  private async fetchFrom(member: Member, slots: SlotRange): Promise<FetchedRecords | null> {
     const orders: string[] = [];
-    let whole = true;
+    let complete = true;
     let after: ClosedCursor | null = null;
     for (let n = 0; n < MOST_PAGES; n += 1) {
       const reply = await this.deps.peers.call(
@@ -74,37 +74,38 @@
       );
       if (!reply.ok || reply.value.kind !== 'closedPage') return null;
       orders.push(...reply.value.orders);
-      if (reply.value.lacking) whole = false;
+      if (reply.value.lacking) complete = false;
       after = reply.value.next;
-      if (!after) return { orders, whole };
+      if (!after) return { orders, complete };
     }
     return null;
   }
 
-  private async askNext(): Promise<void> {
+  private async fetchNext(): Promise<void> {
     const slots = this.deps.closed.lacking();
     const members = this.others();
     if (!slots || members.length === 0) return;
-    const member = members[this.asked % members.length] as Member;
-    this.asked += 1;
-    const told = await this.fetchFrom(member, slots);
+    const member = members[this.requestCount % members.length] as Member;
+    this.requestCount += 1;
+    const fetched = await this.fetchFrom(member, slots);
     const now = this.deps.closed.lacking();
-    if (told && now && now.from === slots.from && now.to === slots.to)
-      await this.deps.put({ tag: 'fillClosed', orders: told.orders, whole: told.whole });
+    if (fetched && now && now.from === slots.from && now.to === slots.to)
+      await this.deps.put({ tag: 'fillClosed', orders: fetched.orders, whole: fetched.complete });
     if (!this.deps.closed.lacking())
       this.deps.log.info(`Holds the closed orders of slots ${slots.from} to ${slots.to}, from ${member.name}.`);
-    else if (this.asked % members.length === 0) this.waitUntil = this.deps.clock.mono() + (told ? ASK_AGAIN_MS : 0);
+    else if (this.requestCount % members.length === 0)
+      this.waitUntil = this.deps.clock.mono() + (fetched ? ASK_AGAIN_MS : 0);
   }
 
-  private async turn(): Promise<void> {
-    if (this.asking || this.deps.closed.lacking() === null || this.deps.clock.mono() < this.waitUntil) return;
-    this.asking = true;
-    await this.askNext();
-    this.asking = false;
+  private async runTurn(): Promise<void> {
+    if (this.fetching || this.deps.closed.lacking() === null || this.deps.clock.mono() < this.waitUntil) return;
+    this.fetching = true;
+    await this.fetchNext();
+    this.fetching = false;
   }
 
   private tick(): void {
-    void this.turn();
+    void this.runTurn();
   }
 
   stop(): void {
--- a/src/coordination/ledger/configuration-service.test.ts
+++ b/src/coordination/ledger/configuration-service.test.ts
@@ -6,7 +6,7 @@
 import { withChanges } from '../../state/settings-tree.js';
 import { createSimLedger } from '../../sim/sim-ledger.js';
 import type { SimLedger } from '../../sim/sim-ledger.js';
-import { pause } from '../../transport/clock.js';
+import { delay } from '../../transport/clock.js';
 import { createConfigurationService } from './configuration-service.js';
 import type { ConfigurationService } from './configuration-service.js';
 
@@ -339,7 +339,7 @@
     const s = sharedLedger();
     const frozen = s.world.host('frozen', 'a');
     const clock = s.world.clockOf(s.world.begin(frozen));
-    const asked = { ...s.ledgerAfter(5), settle: () => pause(clock, 10).then(() => true) };
+    const asked = { ...s.ledgerAfter(5), linearizableRead: () => delay(clock, 10).then(() => true) };
     const late = createConfigurationService({ ledger: asked, clock }).evacuate('z', true);
     s.world.freeze(frozen);
     expect(await s.run(s.serviceAfter(5).evacuate('z', true))).toEqual(ok({ tag: 'taken' }));
--- a/src/coordination/ledger/configuration-service.ts
+++ b/src/coordination/ledger/configuration-service.ts
@@ -22,7 +22,7 @@
 import { withPreservedOrder } from '../../state/serving-order.js';
 import { differences, withChanges } from '../../state/settings-tree.js';
 import type { Configuration } from '../../state/settings-tree.js';
-import { pause } from '../../transport/clock.js';
+import { delay } from '../../transport/clock.js';
 import type { Clock } from '../../transport/clock.js';
 import type { Ledger } from './ledger.js';
 import type { Draft } from './proposal.js';
@@ -35,27 +35,27 @@
   /** It builds on a number so old that a change which was applied then may be forgotten: neither yes nor no is certain. */
   | { readonly tag: 'outcomeUnknown' };
 
-export type Taken = { readonly tag: 'taken'; readonly number: number };
+export type Accepted = { readonly tag: 'taken'; readonly number: number };
 /** What a change makes of the configuration that it builds on. */
 export type Edit = (serving: Serving) => Result<unknown, readonly ConfigFault[]>;
 
 /** `digest` is the identity of the request: the same digest is the same change, whenever and wherever it is sent. */
 export interface ConfigurationService {
-  replace(base: number, draft: unknown, digest: string): Promise<Result<Taken, NumberedFault>>;
-  amend(base: number, edit: Edit, digest: string): Promise<Result<Taken, NumberedFault>>;
+  replace(base: number, draft: unknown, digest: string): Promise<Result<Accepted, NumberedFault>>;
+  amend(base: number, edit: Edit, digest: string): Promise<Result<Accepted, NumberedFault>>;
   read(): Promise<Result<Serving, NumberedFault>>;
   evacuate(zone: string, begun: boolean): Promise<Result<{ readonly tag: 'taken' }, NumberedFault>>;
 }
 
 export type ConfigurationServiceDeps = {
-  readonly ledger: Pick<Ledger, 'controlState' | 'settle' | 'propose'>;
+  readonly ledger: Pick<Ledger, 'controlState' | 'linearizableRead' | 'propose'>;
   readonly clock: Clock;
-  readonly settleMs?: number;
+  readonly readTimeoutMs?: number;
   readonly agreeMs?: number;
 };
 
 /** Longest look at a majority, under the second of silence after which callers turn to another node. */
-const SETTLE_MS = 900;
+const READ_TIMEOUT_MS = 900;
 /** Longest wait for an entry to be agreed. */
 const AGREE_MS = 3_000;
 
@@ -74,7 +74,7 @@
 }
 
 type Judged =
-  | { readonly tag: 'answer'; readonly answer: Result<Taken, NumberedFault> }
+  | { readonly tag: 'answer'; readonly answer: Result<Accepted, NumberedFault> }
   | { readonly tag: 'apply'; readonly number: number; readonly next: Serving }
   | { readonly tag: 'repeat'; readonly number: number };
 
@@ -96,7 +96,7 @@
   return answered(err({ tag: 'stale', number }));
 }
 
-function answered(answer: Result<Taken, NumberedFault>): Judged {
+function answered(answer: Result<Accepted, NumberedFault>): Judged {
   return { tag: 'answer', answer };
 }
 
@@ -116,8 +116,8 @@
       act: { tag: 'changeRepeated', request, number },
     };
   const revision = { request, base, number };
-  const act = { tag: 'configured' as const, base: state.version, changes: changesTo(state, judged.next), revision };
-  return { id, cause: `The operator put number ${number} on ${base}.`, act };
+  const command = { tag: 'configured' as const, base: state.version, changes: changesTo(state, judged.next), revision };
+  return { id, cause: `The operator put number ${number} on ${base}.`, act: command };
 }
 
 /** The configuration that a change makes of the one it builds on. */
@@ -143,28 +143,28 @@
 }
 
 class LedgerConfigurationService implements ConfigurationService {
-  private readonly settleMs: number;
+  private readonly readTimeoutMs: number;
   private readonly agreeMs: number;
 
   constructor(private readonly deps: ConfigurationServiceDeps) {
-    this.settleMs = this.deps.settleMs ?? SETTLE_MS;
+    this.readTimeoutMs = this.deps.readTimeoutMs ?? READ_TIMEOUT_MS;
     this.agreeMs = this.deps.agreeMs ?? AGREE_MS;
   }
 
   private async tooLate(): Promise<boolean> {
-    await pause(this.deps.clock, this.settleMs);
+    await delay(this.deps.clock, this.readTimeoutMs);
     return false;
   }
 
-  private settled(): Promise<boolean> {
-    return Promise.race([this.deps.ledger.settle(this.settleMs), this.tooLate()]);
+  private readCurrent(): Promise<boolean> {
+    return Promise.race([this.deps.ledger.linearizableRead(this.readTimeoutMs), this.tooLate()]);
   }
 
-  async amend(base: number, edit: Edit, digest: string): Promise<Result<Taken, NumberedFault>> {
+  async amend(base: number, edit: Edit, digest: string): Promise<Result<Accepted, NumberedFault>> {
     const request = operatorRequest(digest);
     const until = this.deps.clock.mono() + this.agreeMs;
     while (this.deps.clock.mono() < until) {
-      if (!(await this.settled())) return err(NO_MAJORITY);
+      if (!(await this.readCurrent())) return err(NO_MAJORITY);
       const state = this.deps.ledger.controlState();
       const judged = judge(state, request, base, edit);
       if (judged.tag === 'answer') return judged.answer;
@@ -178,15 +178,15 @@
     return err(NO_MAJORITY);
   }
 
-  replace(base: number, draft: unknown, digest: string): Promise<Result<Taken, NumberedFault>> {
-    function whole(): Result<unknown, never> {
+  replace(base: number, draft: unknown, digest: string): Promise<Result<Accepted, NumberedFault>> {
+    function replacement(): Result<unknown, never> {
       return ok(draft);
     }
-    return this.amend(base, whole, digest);
+    return this.amend(base, replacement, digest);
   }
 
   async read(): Promise<Result<Serving, NumberedFault>> {
-    return (await this.settled()) ? ok(servingOf(this.deps.ledger.controlState())) : err(NO_MAJORITY);
+    return (await this.readCurrent()) ? ok(servingOf(this.deps.ledger.controlState())) : err(NO_MAJORITY);
   }
 
   /**
@@ -196,7 +196,7 @@
    */
   async evacuate(zone: string, begun: boolean): Promise<Result<{ readonly tag: 'taken' }, NumberedFault>> {
     const cameAt = this.deps.clock.mono();
-    if (!(await this.settled()) || this.deps.clock.mono() - cameAt > this.settleMs) return err(NO_MAJORITY);
+    if (!(await this.readCurrent()) || this.deps.clock.mono() - cameAt > this.readTimeoutMs) return err(NO_MAJORITY);
     const base = zoneVersion(this.deps.ledger.controlState().history, zone);
     const id = `evacuation:${zone}@${base}:${begun ? 'begin' : 'finish'}`;
     const cause = begun ? `The operator evacuates ${zone}.` : `The operator hands ${zone} back.`;
--- a/src/coordination/ledger/controller-choice.ts
+++ b/src/coordination/ledger/controller-choice.ts
@@ -1,5 +1,5 @@
 import type { Message } from '../../protocol/messages.js';
-import { ranked, steps } from '../../state/candidates.js';
+import { rankCandidates, networkDistance } from '../../state/candidates.js';
 import type { Candidate, Location } from '../../state/candidates.js';
 import type { Member } from '../../state/entry.js';
 import type { Clock } from '../../transport/clock.js';
@@ -86,7 +86,7 @@
     };
     for (const m of this.deps.members()) add(m.address, m.name);
     for (const seed of this.deps.seeds) add(seed, null);
-    return ranked(this.deps.self, out);
+    return rankCandidates(this.deps.self, out);
   }
 
   onDisconnected(address: Address): void {
@@ -188,7 +188,7 @@
     const now = this.nameOf(this.currentFollowed);
     if (!best || best.failed || best.location?.up !== true || best.address === this.currentFollowed || now === null)
       return;
-    if (steps(this.deps.self, best.location) >= steps(this.deps.self, this.locationOf(now))) return;
+    if (networkDistance(this.deps.self, best.location) >= networkDistance(this.deps.self, this.locationOf(now))) return;
     this.nearer = best.address;
     void this.ask(this.nearer);
   }
--- a/src/coordination/ledger/core-health-log.ts
+++ b/src/coordination/ledger/core-health-log.ts
@@ -8,7 +8,7 @@
 import type { Log } from '../../transport/log.js';
 
 export interface CoreHealthLog {
-  note(health: CoreHealth): void;
+  record(health: CoreHealth): void;
 }
 
 type Condition = 'spare' | 'none' | 'unknown';
@@ -37,8 +37,8 @@
 };
 
 class ChangeOnlyHealthLog implements CoreHealthLog {
-  private told: Condition = 'spare';
-  private seen: Condition = 'spare';
+  private logged: Condition = 'spare';
+  private observed: Condition = 'spare';
   private since: number;
 
   constructor(
@@ -49,16 +49,16 @@
     this.since = this.clock.mono();
   }
 
-  note(health: CoreHealth): void {
+  record(health: CoreHealth): void {
     const condition = conditionOf(health);
     if (condition === null) return;
-    if (condition !== this.seen) this.since = this.clock.mono();
-    this.seen = condition;
-    if (condition === this.told || this.clock.mono() - this.since < LASTS_MS) return;
-    this.told = condition;
-    const queue = `${WORDS[condition]}: group=${this.group} ${figuresOf(health)}.`;
-    if (condition === 'spare') this.log.info(queue);
-    else this.log.warn(queue);
+    if (condition !== this.observed) this.since = this.clock.mono();
+    this.observed = condition;
+    if (condition === this.logged || this.clock.mono() - this.since < LASTS_MS) return;
+    this.logged = condition;
+    const text = `${WORDS[condition]}: group=${this.group} ${figuresOf(health)}.`;
+    if (condition === 'spare') this.log.info(text);
+    else this.log.warn(text);
   }
 }
 
--- a/src/coordination/ledger/core-health-watch.test.ts
+++ b/src/coordination/ledger/core-health-watch.test.ts
@@ -30,7 +30,7 @@
     const take = (level: string) => (text: string) => void (prefix === 'core' && lines.push(`${level} ${text}`));
     return { info: take('info'), warn: take('warn'), error: take('error') };
   }
-  return { part };
+  return { component: part };
 }
 
 async function bootstrapped(seed: number, names: readonly string[], more: Partial<CoreShape> = {}): Promise<Stage> {
@@ -188,12 +188,18 @@
       events,
     };
     const peers = { on: () => undefined } as unknown as Peers;
-    const watch = createCoreHealthWatch({ ledger, claims: null, peers, clock, log: createQuietLog().part('core') });
+    const watch = createCoreHealthWatch({
+      ledger,
+      claims: null,
+      peers,
+      clock,
+      log: createQuietLog().component('core'),
+    });
     function hear(name: string, learned: number): void {
       const member = members.find((m) => m.name === name) as Member;
       events.emit('heard', {
         member,
-        askedAt: clock.mono(),
+        requestedAt: clock.mono(),
         memberStatus: {
           kind: 'memberStatus',
           ledger: 'l',
@@ -362,8 +368,8 @@
   async function gauges(s: Stage, name: string): Promise<Record<string, string>> {
     const text = String((await get(s, name, '/metrics')).body);
     const out: Record<string, string> = {};
-    for (const queue of text.split('\n')) {
-      const found = /^millfield_core_(\w+)\{group="ledger"\} (\S+)$/.exec(queue);
+    for (const line of text.split('\n')) {
+      const found = /^millfield_core_(\w+)\{group="ledger"\} (\S+)$/.exec(line);
       if (found) out[found[1] as string] = found[2] as string;
     }
     return out;
--- a/src/coordination/ledger/core-health-watch.ts
+++ b/src/coordination/ledger/core-health-watch.ts
@@ -42,7 +42,7 @@
 };
 
 /** A member's answer, or that its claims are whole, by the time at which it was asked. */
-type Contact = { readonly askedAt: number; readonly memberStatus: MessageOf<'memberStatus'> };
+type Contact = { readonly requestedAt: number; readonly memberStatus: MessageOf<'memberStatus'> };
 type KnownSlot = { readonly at: number; readonly slot: number };
 
 /** How often the health is judged; the members are asked as often. */
@@ -69,8 +69,8 @@
     this.claimsLog = createCoreHealthLog('claims', this.deps.clock, this.deps.log);
     this.lastTickAt = this.deps.clock.mono();
 
-    this.deps.ledger.events.on('heard', ({ member, askedAt, memberStatus }) =>
-      this.onMemberStatus({ member, askedAt, memberStatus }),
+    this.deps.ledger.events.on('heard', ({ member, requestedAt, memberStatus }) =>
+      this.onMemberStatus({ member, requestedAt, memberStatus }),
     );
 
     this.deps.peers.on('claimsWholeAsk', () => this.onClaimsStatusRequest());
@@ -85,8 +85,8 @@
     return at !== undefined && this.deps.clock.mono() - at < IN_TOUCH_MS;
   }
 
-  private onMemberStatus({ member, askedAt, memberStatus }: ReceivedMemberStatus): void {
-    this.contacts.set(memberId(member), { askedAt, memberStatus });
+  private onMemberStatus({ member, requestedAt, memberStatus }: ReceivedMemberStatus): void {
+    this.contacts.set(memberId(member), { requestedAt, memberStatus });
   }
 
   private newestKnown(): number {
@@ -100,7 +100,7 @@
   }
 
   /** The newest slot that was known some time ago; without so long a memory, the newest one of all. */
-  private settledSlot(): number {
+  private committedSlot(): number {
     if (this.stoodStill()) return this.newestKnown();
     let settled: number | null = null;
     for (const sample of this.known) if (this.deps.clock.mono() - sample.at >= SETTLED_MS) settled = sample.slot;
@@ -127,7 +127,7 @@
     return {
       id,
       name: member.name,
-      inTouch: this.isRecent(answer?.askedAt),
+      inTouch: this.isRecent(answer?.requestedAt),
       learned,
       top: answer?.memberStatus.top ?? -1,
       writable: answer?.memberStatus.cannotWrite !== true,
@@ -142,7 +142,7 @@
   }
 
   current(): CoreHealthReport {
-    const settled = this.settledSlot();
+    const settled = this.committedSlot();
     const views: MemberView[] = [];
     const claimViews: MemberView[] = [];
     for (const member of this.deps.ledger.controlState().members) {
@@ -160,11 +160,11 @@
     return { kind: 'claimsWhole', voter: this.me(), whole: this.deps.claims?.ready() ?? false };
   }
 
-  private async askClaims(member: Member): Promise<void> {
-    const askedAt = this.deps.clock.mono();
+  private async requestClaimsStatus(member: Member): Promise<void> {
+    const requestedAt = this.deps.clock.mono();
     const answer = await this.deps.peers.call(member.address, { kind: 'claimsWholeAsk' }, ASK_MS);
     if (!answer.ok || answer.value.kind !== 'claimsWhole' || answer.value.voter !== memberId(member)) return;
-    if (answer.value.whole) this.claimsCompleteAt.set(memberId(member), askedAt);
+    if (answer.value.whole) this.claimsCompleteAt.set(memberId(member), requestedAt);
     else this.claimsCompleteAt.delete(memberId(member));
   }
 
@@ -179,12 +179,12 @@
     let inTouch = 0;
     for (const member of members) {
       const id = memberId(member);
-      if (id === this.me() || this.isRecent(this.contacts.get(id)?.askedAt)) inTouch += 1;
+      if (id === this.me() || this.isRecent(this.contacts.get(id)?.requestedAt)) inTouch += 1;
     }
     return inTouch >= majorityOf(members);
   }
 
-  private noteKnownSlot(): void {
+  private recordKnownSlot(): void {
     const now = this.deps.clock.mono();
     if (this.stoodStill() || !this.hasMajorityContact()) this.known = [];
     this.lastTickAt = now;
@@ -194,13 +194,13 @@
 
   private turn(): void {
     this.forgetFormerMembers();
-    this.noteKnownSlot();
+    this.recordKnownSlot();
     const report = this.current();
-    this.ledgerLog.note(report.ledger);
+    this.ledgerLog.record(report.ledger);
     if (!report.claims) return;
-    this.claimsLog.note(report.claims);
+    this.claimsLog.record(report.claims);
     for (const member of this.deps.ledger.controlState().members)
-      if (memberId(member) !== this.me()) void this.askClaims(member);
+      if (memberId(member) !== this.me()) void this.requestClaimsStatus(member);
   }
 
   stop(): void {
--- a/src/coordination/ledger/damaged-ring.test.ts
+++ b/src/coordination/ledger/damaged-ring.test.ts
@@ -16,7 +16,7 @@
 function recorded(): { readonly logs: LogRoot; readonly lines: string[] } {
   const lines: string[] = [];
   const note = (text: string) => void lines.push(text);
-  return { logs: { part: () => ({ info: note, warn: note, error: note }) }, lines };
+  return { logs: { component: () => ({ info: note, warn: note, error: note }) }, lines };
 }
 
 async function bootstrapped(seed: number, shape: CoreShape, logs: LogRoot): Promise<SimCore> {
@@ -103,7 +103,7 @@
     }
     async function life(platter: Platter, operations: number) {
       const { disk, used } = stoppingDisk(freshDisk(platter), operations);
-      const log = createQuietLog().part('x');
+      const log = createQuietLog().component('x');
       const renew = async () => (await disk.replace('identity', Buffer.from('new'))).ok;
       const ended = await within(
         openRenewed(() => openRing(disk, shape), { disk, shape, log, renew, self: () => 'h' }),
--- a/src/coordination/ledger/damaged-ring.ts
+++ b/src/coordination/ledger/damaged-ring.ts
@@ -28,10 +28,10 @@
   const opened = await open();
   if (opened.ok || opened.fault.tag !== 'ringDamaged') return opened;
   const { file, at } = opened.fault;
-  const former = deps.self();
+  const previous = deps.self();
   if (!(await deps.renew())) return opened;
   const cleared = await clearRing(deps.disk, deps.shape);
   if (!cleared.ok) return cleared;
-  deps.log.error(`${file} is damaged at byte ${at}: cleared; ${former} rejoins blank as ${deps.self()}.`);
+  deps.log.error(`${file} is damaged at byte ${at}: cleared; ${previous} rejoins blank as ${deps.self()}.`);
   return open();
 }
--- a/src/coordination/ledger/fleet-load-relay.ts
+++ b/src/coordination/ledger/fleet-load-relay.ts
@@ -19,12 +19,12 @@
 class GossipingLoadRelay implements FleetLoadRelay {
   private readonly own = createFleetLoad(STALE_MS);
   private readonly others = createFleetLoad(STALE_MS);
-  private readonly tellers = new Map<string, Peer>();
+  private readonly senders = new Map<string, Peer>();
   private readonly run: string;
   private count = 0;
   private lastOwn = '';
   private lastSums = '';
-  private turns = 0;
+  private turnCount = 0;
   private readonly relaying: Timer;
 
   constructor(
@@ -44,11 +44,11 @@
   private onLoad(m: MessageOf<'usage'>, peer: Peer): null {
     if (!this.own.record(m.told, this.clock.mono())) return null;
     const { name } = m.told;
-    const before = this.tellers.get(name);
-    this.tellers.set(name, peer);
+    const before = this.senders.get(name);
+    this.senders.set(name, peer);
 
     const gone = (): void => {
-      if (this.tellers.get(name) === peer) this.tellers.delete(name);
+      if (this.senders.get(name) === peer) this.senders.delete(name);
     };
     if (before !== peer) peer.onClosed(gone);
     return null;
@@ -60,24 +60,25 @@
   }
 
   private relay(): void {
-    this.turns += 1;
-    const slower = 1 + Math.floor(this.tellers.size / PROXIES_A_STEP);
-    if (this.turns % slower !== 0) return;
+    this.turnCount += 1;
+    const slower = 1 + Math.floor(this.senders.size / PROXIES_A_STEP);
+    if (this.turnCount % slower !== 0) return;
     const now = this.clock.mono();
     const mine = this.own.sums(now);
     const text = JSON.stringify(mine);
     if (text !== this.lastOwn) {
       this.lastOwn = text;
       this.count += 1;
-      const told = { name: this.ledger.self.name, run: this.run, count: this.count, rows: mine };
+      const report = { name: this.ledger.self.name, run: this.run, count: this.count, rows: mine };
       for (const m of this.ledger.controlState().members)
-        if (memberId(m) !== memberId(this.ledger.self)) void this.peers.send(m.address, { kind: 'usages', told });
+        if (memberId(m) !== memberId(this.ledger.self))
+          void this.peers.send(m.address, { kind: 'usages', told: report });
     }
     const rows = sumOf(mine, this.others.sums(now));
-    const whole = JSON.stringify(rows);
-    if (whole === this.lastSums) return;
-    this.lastSums = whole;
-    for (const peer of this.tellers.values()) peer.send({ kind: 'fleetLoad', rows });
+    const sumsText = JSON.stringify(rows);
+    if (sumsText === this.lastSums) return;
+    this.lastSums = sumsText;
+    for (const peer of this.senders.values()) peer.send({ kind: 'fleetLoad', rows });
   }
 
   stop(): void {
--- a/src/coordination/ledger/follower.test.ts
+++ b/src/coordination/ledger/follower.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from '@jest/globals';
 import type { Message, MessageKind } from '../../protocol/messages.js';
 import { emptyControlState } from '../../state/control-state.js';
-import { partOf, snapshotOf } from '../../state/snapshot-parts.js';
+import { chunkOf, snapshotOf } from '../../state/snapshot-parts.js';
 import type { Snapshot } from '../../state/snapshot-parts.js';
 import { createWorld } from '../../sim/world.js';
 import { createQuietLog } from '../../transport/log.js';
@@ -34,7 +34,7 @@
         m.kind === 'snapshotAsk' && offered?.offer.digest === m.digest
           ? {
               ok: true,
-              value: { kind: 'snapshotPart', digest: m.digest, part: m.part, text: partOf(offered, m.part) ?? '' },
+              value: { kind: 'snapshotPart', digest: m.digest, part: m.part, text: chunkOf(offered, m.part) ?? '' },
             }
           : { ok: false, fault: { tag: 'peerSilent', address: to } },
       ),
@@ -49,7 +49,7 @@
     peers,
     clock,
     null,
-    createQuietLog().part('follow'),
+    createQuietLog().component('follow'),
   );
   await world.advance(5);
   function hear(m: Message): void {
--- a/src/coordination/ledger/follower.ts
+++ b/src/coordination/ledger/follower.ts
@@ -15,12 +15,12 @@
 import type { ControllerChoice, LocationOf } from './controller-choice.js';
 import { createControllerLinks } from './controller-links.js';
 import type { ControllerLinks } from './controller-links.js';
-import { createControlStateKeeper, loadControlState } from './kept-control-state.js';
-import type { KeptControlState, ControlStateKeeper } from './kept-control-state.js';
+import { createControlStateWriter, loadControlState } from './kept-control-state.js';
+import type { StoredControlState, ControlStateWriter } from './kept-control-state.js';
 import { createMajorityContact } from './majority-contact.js';
 import type { MajorityContact } from './majority-contact.js';
-import { createSnapshotTaker } from './snapshot-taker.js';
-import type { SnapshotTaker } from './snapshot-taker.js';
+import { createSnapshotReceiver } from './snapshot-taker.js';
+import type { SnapshotReceiver } from './snapshot-taker.js';
 
 export type FollowerEvents = { readonly moved: { readonly slot: number } };
 
@@ -58,8 +58,8 @@
   disk: Disk | null,
   log: Log,
 ): Promise<Follower> {
-  const kept = await loadControlState(disk, log);
-  return createLoadedFollower(kept, self, seeds, peers, clock, disk, log);
+  const stored = await loadControlState(disk, log);
+  return createLoadedFollower(stored, self, seeds, peers, clock, disk, log);
 }
 
 class LogFollower implements Follower {
@@ -68,15 +68,15 @@
   private wasPartitioned = false;
   private stopped = false;
   private readonly time = createSharedTime();
-  private readonly taker: SnapshotTaker;
+  private readonly receiver: SnapshotReceiver;
   private readonly contact: MajorityContact;
   private readonly links: ControllerLinks;
   private readonly choice: ControllerChoice;
-  private readonly keeper: ControlStateKeeper;
+  private readonly writer: ControlStateWriter;
   private readonly ticking: Timer;
 
   constructor(
-    private readonly kept: KeptControlState,
+    private readonly stored: StoredControlState,
     private readonly self: FollowerSelf,
     private readonly seeds: readonly Address[],
     private readonly peers: Peers,
@@ -84,8 +84,8 @@
     private readonly disk: Disk | null,
     private readonly log: Log,
   ) {
-    this.currentControlState = this.kept.state;
-    this.taker = createSnapshotTaker(this.peers, this.clock, this.log);
+    this.currentControlState = this.stored.state;
+    this.receiver = createSnapshotReceiver(this.peers, this.clock, this.log);
     this.contact = createMajorityContact(this.clock, (gapMs) => this.onStandstill(gapMs));
     this.links = createControllerLinks(this.peers, this.clock, (address) => this.onLost(address));
     this.choice = createControllerChoice({
@@ -97,7 +97,7 @@
       followMessage: () => this.followMessage(),
       heartbeatMessage: () => this.heartbeatMessage(),
     });
-    this.keeper = createControlStateKeeper(this.disk, this.clock, this.log, () => this.controlState());
+    this.writer = createControlStateWriter(this.disk, this.clock, this.log, () => this.controlState());
     this.ticking = every(this.clock, TICK_MS, () => this.tick());
 
     this.tick();
@@ -106,7 +106,7 @@
 
     this.peers.on('beat', (m, peer) => this.onHeartbeat(m, peer));
 
-    this.peers.on('reportsAsk', (m, peer) => this.onReportsAsk(m, peer));
+    this.peers.on('reportsAsk', (m, peer) => this.onReportsRequest(m, peer));
   }
 
   controlState(): ControlState {
@@ -162,7 +162,7 @@
       if (gap) break;
       foldBatch(this.currentControlState, b.slot, b.batch);
     }
-    if (gap && !this.taker.isTaking()) peer.send(this.followMessage());
+    if (gap && !this.receiver.isReceiving()) peer.send(this.followMessage());
     if (this.currentControlState.slot > before) this.onAdvanced();
     return null;
   }
@@ -171,10 +171,14 @@
   private async adopt(offer: SnapshotOffer, peer: Peer): Promise<void> {
     const from = this.links.addressOf(peer);
     if (from === null) return;
-    const taken = await this.taker.take(from, offer);
-    if (this.stopped || taken.tag === 'interrupted' || taken.tag === 'refused') return;
-    if (taken.tag === 'whole' && taken.state.slot > this.currentControlState.slot && this.accepts(taken.state.ledger)) {
-      this.currentControlState = taken.state;
+    const received = await this.receiver.receive(from, offer);
+    if (this.stopped || received.tag === 'interrupted' || received.tag === 'refused') return;
+    if (
+      received.tag === 'whole' &&
+      received.state.slot > this.currentControlState.slot &&
+      this.accepts(received.state.ledger)
+    ) {
+      this.currentControlState = received.state;
       this.onAdvanced();
     }
     peer.send(this.followMessage());
@@ -186,7 +190,7 @@
     this.time.retainOnly(names);
     this.events.emit('moved', { slot: this.currentControlState.slot });
     this.choice.sendToSubscribed({ kind: 'followed', name: this.self.name, slot: this.currentControlState.slot });
-    this.keeper.keepFloor();
+    this.writer.scheduleFloorSave();
   }
 
   private onHeartbeat(m: MessageOf<'beat'>, peer: Peer): null {
@@ -198,7 +202,7 @@
     }
     if (!this.accepts(m.ledger) || m.ledger === '') return null;
     this.time.record(m.from, m.wall, this.clock.mono());
-    if (m.slot > this.currentControlState.slot && !this.taker.isTaking()) peer.send(this.followMessage());
+    if (m.slot > this.currentControlState.slot && !this.receiver.isReceiving()) peer.send(this.followMessage());
     if (this.holdsAllOf(m) && this.isNewContact(m.echo)) this.choice.onAttested(from);
     return null;
   }
@@ -207,7 +211,7 @@
     return (
       m.quorate &&
       this.currentControlState.ledger !== '' &&
-      this.currentControlState.slot >= Math.max(m.top, this.kept.floor)
+      this.currentControlState.slot >= Math.max(m.top, this.stored.floor)
     );
   }
 
@@ -216,7 +220,7 @@
     return sentAt !== null && this.contact.recordContact(sentAt);
   }
 
-  private onReportsAsk(m: MessageOf<'reportsAsk'>, peer: Peer): null {
+  private onReportsRequest(m: MessageOf<'reportsAsk'>, peer: Peer): null {
     const from = this.links.addressOf(peer);
     if (from !== null) this.links.forgetReports(from, m.reporters);
     return null;
@@ -224,7 +228,7 @@
 
   fresh(): boolean {
     this.contact.detectStandstill();
-    return this.contact.isKnown() && this.currentControlState.slot >= this.kept.floor;
+    return this.contact.isKnown() && this.currentControlState.slot >= this.stored.floor;
   }
 
   partitioned(): boolean {
@@ -252,7 +256,7 @@
     this.stopped = true;
     this.choice.stop();
     this.ticking.cancel();
-    this.keeper.stop();
+    this.writer.stop();
   }
 
   controllers(): readonly string[] {
@@ -269,7 +273,7 @@
 }
 
 function createLoadedFollower(
-  kept: KeptControlState,
+  stored: StoredControlState,
   self: FollowerSelf,
   seeds: readonly Address[],
   peers: Peers,
@@ -277,5 +281,5 @@
   disk: Disk | null,
   log: Log,
 ): Follower {
-  return new LogFollower(kept, self, seeds, peers, clock, disk, log);
+  return new LogFollower(stored, self, seeds, peers, clock, disk, log);
 }
--- a/src/coordination/ledger/following-start.test.ts
+++ b/src/coordination/ledger/following-start.test.ts
@@ -11,7 +11,7 @@
 const THREE = ['h1', 'h2', 'h3'];
 const SERVES_WITHIN_MS = 600;
 
-const log = createQuietLog().part('follow');
+const log = createQuietLog().component('follow');
 
 async function withoutPower(seed: number): Promise<SimCore> {
   const core = createSimCore(seed);
--- a/src/coordination/ledger/following.test.ts
+++ b/src/coordination/ledger/following.test.ts
@@ -7,7 +7,7 @@
 import type { Follower } from './follower.js';
 
 const BOUND_MS = 2_500;
-const log = createQuietLog().part('follow');
+const log = createQuietLog().component('follow');
 
 type Edge = { readonly name: string; readonly follower: Follower };
 
--- a/src/coordination/ledger/identity.ts
+++ b/src/coordination/ledger/identity.ts
@@ -30,10 +30,10 @@
   rng: Rng,
   bootstrapMembers: readonly Address[] | null,
 ): Promise<Result<Identity, IdentityFault>> {
-  const kept = await disk.load(IDENTITY_FILE);
-  if (!kept.ok) return kept;
-  if (kept.value) {
-    const read = parsedIdentity(kept.value.toString());
+  const stored = await disk.load(IDENTITY_FILE);
+  if (!stored.ok) return stored;
+  if (stored.value) {
+    const read = parsedIdentity(stored.value.toString());
     return read === null ? err({ tag: 'identityUnreadable' }) : ok(read);
   }
   const made: Identity = { incarnation: newId(rng, 'i'), bootstrapMembers, wasMember: false };
--- a/src/coordination/ledger/kept-control-state.ts
+++ b/src/coordination/ledger/kept-control-state.ts
@@ -11,15 +11,15 @@
  * What a proxy keeps on its disk: its copy of the control state, written now and then, and the newest slot it has
  * folded (the floor), written at once. After a restart it serves nothing from a state below the floor.
  */
-export type KeptControlState = {
+export type StoredControlState = {
   readonly state: ControlState;
   /** The newest slot that was folded in any former life; -1 if none is known. */
   readonly floor: number;
 };
 
-export interface ControlStateKeeper {
+export interface ControlStateWriter {
   /** Writes the newest slot, unless it stands on the disk already. */
-  keepFloor(): void;
+  scheduleFloorSave(): void;
   stop(): void;
 }
 
@@ -28,26 +28,26 @@
 const KEEP_EVERY_MS = 5_000;
 
 function floorIn(text: string, ledger: string): number {
-  const read = parsedJson(text);
-  if (!isTable(read) || typeof read['slot'] !== 'number') return -1;
-  return ledger === '' || read['ledger'] === ledger ? read['slot'] : -1;
+  const parsed = parsedJson(text);
+  if (!isTable(parsed) || typeof parsed['slot'] !== 'number') return -1;
+  return ledger === '' || parsed['ledger'] === ledger ? parsed['slot'] : -1;
 }
 
 /** Reads what a former life kept; a blank state where there is no disk, or nothing that can be read. */
-export async function loadControlState(disk: Disk | null, log: Log): Promise<KeptControlState> {
+export async function loadControlState(disk: Disk | null, log: Log): Promise<StoredControlState> {
   const blank = emptyControlState();
   if (!disk) return { state: blank, floor: -1 };
   const stateFile = await disk.load(STATE_FILE);
   const text = stateFile.ok ? stateFile.value : null;
-  const read = text ? parsedJson(text.toString()) : null;
-  const state = isControlState(read) ? read : blank;
+  const parsed = text ? parsedJson(text.toString()) : null;
+  const state = isControlState(parsed) ? parsed : blank;
   if (text && state === blank) log.warn('The kept control state was unreadable; it is asked for again.');
   const floorFile = await disk.load(FLOOR_FILE);
   const floor = floorFile.ok && floorFile.value ? floorIn(floorFile.value.toString(), state.ledger) : -1;
   return { state, floor: Math.max(state.slot, floor) };
 }
 
-class DiskControlStateKeeper implements ControlStateKeeper {
+class DiskControlStateWriter implements ControlStateWriter {
   private savedSlot: number;
   private savedFloor = -1;
   private savingFloor = false;
@@ -60,7 +60,7 @@
     private readonly current: () => ControlState,
   ) {
     this.savedSlot = this.current().slot;
-    this.keeping = every(this.clock, KEEP_EVERY_MS, () => this.keepState());
+    this.keeping = every(this.clock, KEEP_EVERY_MS, () => this.scheduleStateSave());
   }
 
   private async saveFloor(onto: Disk): Promise<void> {
@@ -77,7 +77,7 @@
     this.savingFloor = false;
   }
 
-  keepFloor(): void {
+  scheduleFloorSave(): void {
     if (this.disk && !this.savingFloor) void this.saveFloor(this.disk);
   }
 
@@ -89,7 +89,7 @@
     else this.log.warn(`Could not keep the control state (${done.fault.tag}).`);
   }
 
-  private keepState(): void {
+  private scheduleStateSave(): void {
     if (this.disk) void this.saveState(this.disk);
   }
 
@@ -99,11 +99,11 @@
 }
 
 /** Keeps the state that `current` tells, from the slot on that stands on the disk. */
-export function createControlStateKeeper(
+export function createControlStateWriter(
   disk: Disk | null,
   clock: Clock,
   log: Log,
   current: () => ControlState,
-): ControlStateKeeper {
-  return new DiskControlStateKeeper(disk, clock, log, current);
+): ControlStateWriter {
+  return new DiskControlStateWriter(disk, clock, log, current);
 }
--- a/src/coordination/ledger/lease.test.ts
+++ b/src/coordination/ledger/lease.test.ts
@@ -3,7 +3,7 @@
 import { createWorld } from '../../sim/world.js';
 import type { Host, World } from '../../sim/world.js';
 import { emptyControlState, foldBatch } from '../../state/control-state.js';
-import type { Act } from '../../state/entry.js';
+import type { Command } from '../../state/entry.js';
 import { createQuietLog } from '../../transport/log.js';
 import { createRng } from '../../transport/rng.js';
 import { createPeers } from '../members/peers.js';
@@ -30,7 +30,7 @@
   const hosts = new Map<string, Host>();
   const leases = new Map<string, Lease>();
   let serial = 0;
-  function propose(draft: { readonly cause: string; readonly act: Act }): Promise<unknown> {
+  function propose(draft: { readonly cause: string; readonly act: Command }): Promise<unknown> {
     const slot = controlState.slot + 1;
     const [outcome] = foldBatch(controlState, slot, {
       id: `b${slot}`,
@@ -42,13 +42,13 @@
     const host = world.host(m.name, m.name);
     const proc = world.begin(host);
     const clock = world.clockOf(proc);
-    const peers = createPeers(net.wireOf(proc), clock, createQuietLog().part(''));
+    const peers = createPeers(net.wireOf(proc), clock, createQuietLog().component(''));
     void peers.open(m.address);
     const ledger = { controlState: () => controlState, isMember: () => true, self: m, propose } as unknown as Ledger;
     hosts.set(m.name, host);
     leases.set(
       m.name,
-      createLease('duty', ledger, peers, clock, createRng(seed * 31 + leases.size), createQuietLog().part('')),
+      createLease('duty', ledger, peers, clock, createRng(seed * 31 + leases.size), createQuietLog().component('')),
     );
   }
   for (const a of NAMES) for (const b of NAMES) if (a !== b) world.setDelay(a, b, 35);
--- a/src/coordination/ledger/lease.ts
+++ b/src/coordination/ledger/lease.ts
@@ -2,13 +2,13 @@
  * A lease on a duty: a majority of the members grants it for one term, and taking it is an entry whose slot is the fence.
  * The holder counts from before it asked and stops a margin early, so two never hold it at once (monotonic clocks only).
  */
-import { majorityOf, memberId, membersMark } from '../../state/control-state.js';
+import { majorityOf, memberId, membersDigest } from '../../state/control-state.js';
 import { requestGrant, createLeaseTable, dropGrant } from '../../state/lease-book.js';
 import type { LeaseTable } from '../../state/lease-book.js';
 import type { Message, MessageOf } from '../../protocol/messages.js';
 import type { Member } from '../../state/entry.js';
 import type { Clock } from '../../transport/clock.js';
-import { pause } from '../../transport/clock.js';
+import { delay } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
 import type { Rng } from '../../transport/rng.js';
 import type { Ledger } from './ledger.js';
@@ -33,9 +33,9 @@
 const RENEW_MS = 1_000;
 
 class MajorityLease implements Lease {
-  private readonly book: LeaseTable;
-  private until = 0;
-  private held: number | null = null;
+  private readonly grants: LeaseTable;
+  private grantedUntil = 0;
+  private ownFence: number | null = null;
   private stopped = false;
   private round = 0;
 
@@ -45,17 +45,17 @@
   private othersFrom = 0;
 
   constructor(
-    private readonly duty: string,
+    private readonly role: string,
     private readonly ledger: Ledger,
     private readonly peers: Peers,
     private readonly clock: Clock,
     private readonly rng: Rng,
     private readonly log: Log,
   ) {
-    this.book = createLeaseTable(this.clock.mono(), LEASE_TERM_MS);
+    this.grants = createLeaseTable(this.clock.mono(), LEASE_TERM_MS);
     this.members = this.ledger.controlState().members;
 
-    this.peers.on('leaseAsk', (m) => this.onAsk(m));
+    this.peers.on('leaseAsk', (m) => this.onRequest(m));
 
     this.peers.on('leaseDrop', (m) => this.onDrop(m));
 
@@ -66,14 +66,14 @@
     return memberId(this.ledger.self);
   }
 
-  private noteMembers(): void {
+  private onMembersChanged(): void {
     const now = this.ledger.controlState().members;
-    if (membersMark(now) === membersMark(this.members)) return;
+    if (membersDigest(now) === membersDigest(this.members)) return;
     const before = idsOf(this.members);
     const after = idsOf(now);
     let gone = 0;
     for (const id of before) if (!after.has(id)) gone += 1;
-    const bootstrapped = before.size === 0 && this.ledger.controlState().leases[this.duty] === undefined;
+    const bootstrapped = before.size === 0 && this.ledger.controlState().leases[this.role] === undefined;
     const joined = !before.has(this.me()) && !bootstrapped;
     const shrank = after.size < before.size && (before.size % 2 !== 0 || gone > 1);
     if (joined || shrank) this.othersFrom = this.clock.mono() + LEASE_TERM_MS;
@@ -81,50 +81,60 @@
   }
 
   private mayGrant(m: MessageOf<'leaseAsk'>): boolean {
-    this.noteMembers();
+    this.onMembersChanged();
     if (m.ledger !== this.ledger.controlState().ledger || !this.ledger.isMember() || m.termMs > LEASE_TERM_MS)
       return false;
     return this.clock.mono() >= this.othersFrom || this.ledger.controlState().leases[m.duty]?.holder === m.holder;
   }
 
-  private onAsk(m: MessageOf<'leaseAsk'>): Message {
+  private onRequest(m: MessageOf<'leaseAsk'>): Message {
     const mine = this.mayGrant(m);
-    return { kind: 'leaseAnswer', voter: this.me(), granted: mine && requestGrant(this.book, m, this.clock.mono()) };
+    return {
+      kind: 'leaseAnswer',
+      voter: this.me(),
+      granted:
+        mine &&
+        requestGrant(
+          this.grants,
+          { role: m.duty, holder: m.holder, round: m.round, termMs: m.termMs },
+          this.clock.mono(),
+        ),
+    };
   }
 
   private onDrop(m: MessageOf<'leaseDrop'>): null {
-    if (m.ledger === this.ledger.controlState().ledger) dropGrant(this.book, m.duty, m.holder, m.round);
+    if (m.ledger === this.ledger.controlState().ledger) dropGrant(this.grants, m.duty, m.holder, m.round);
     return null;
   }
 
   leftMs(): number {
-    return this.until - MARGIN_MS - this.clock.mono();
+    return this.grantedUntil - MARGIN_MS - this.clock.mono();
   }
 
   fence(): number | null {
-    if (this.stopped || this.held === null || this.leftMs() <= 0) return null;
-    const record = this.ledger.controlState().leases[this.duty];
-    return record && record.fence === this.held ? this.held : null;
+    if (this.stopped || this.ownFence === null || this.leftMs() <= 0) return null;
+    const record = this.ledger.controlState().leases[this.role];
+    return record && record.fence === this.ownFence ? this.ownFence : null;
   }
 
-  private async askMajority(): Promise<'granted' | 'refused' | 'notAsked'> {
+  private async requestMajority(): Promise<'granted' | 'refused' | 'notAsked'> {
     const b = this.ledger.controlState();
     this.round += 1;
-    const ask: MessageOf<'leaseAsk'> = {
+    const request: MessageOf<'leaseAsk'> = {
       kind: 'leaseAsk',
       ledger: b.ledger,
-      duty: this.duty,
+      duty: this.role,
       holder: this.me(),
       termMs: LEASE_TERM_MS,
       round: this.round,
     };
     const need = majorityOf(b.members);
-    const own = this.onAsk(ask);
+    const own = this.onRequest(request);
     if (!this.isGrant(own)) return 'notAsked';
 
     const one = async (m: Member): Promise<Message | null> => {
       if (memberId(m) === this.me()) return own;
-      const got = await this.peers.call(m.address, ask, RENEW_MS);
+      const got = await this.peers.call(m.address, request, RENEW_MS);
       return got.ok && got.value.kind === 'leaseAnswer' && got.value.voter === memberId(m) ? got.value : null;
     };
 
@@ -150,7 +160,7 @@
     const drop: MessageOf<'leaseDrop'> = {
       kind: 'leaseDrop',
       ledger: b.ledger,
-      duty: this.duty,
+      duty: this.role,
       holder: this.me(),
       round: this.round,
     };
@@ -162,40 +172,40 @@
 
   private async turn(): Promise<void> {
     if (!this.ledger.isMember()) {
-      this.held = null;
+      this.ownFence = null;
       return;
     }
-    const askedAt = this.clock.mono();
+    const requestedAt = this.clock.mono();
     const expired = this.leftMs() <= 0;
-    const asked = await this.askMajority();
-    if (asked !== 'granted') {
-      if (asked === 'refused' && this.clock.mono() > this.until) this.dropAll();
-      if (this.held !== null && this.leftMs() <= 0) {
-        this.log.warn(`The ${this.duty} lease ended.`);
-        this.held = null;
+    const outcome = await this.requestMajority();
+    if (outcome !== 'granted') {
+      if (outcome === 'refused' && this.clock.mono() > this.grantedUntil) this.dropAll();
+      if (this.ownFence !== null && this.leftMs() <= 0) {
+        this.log.warn(`The ${this.role} lease ended.`);
+        this.ownFence = null;
       }
       return;
     }
-    this.until = askedAt + LEASE_TERM_MS;
-    const record = this.ledger.controlState().leases[this.duty];
-    if (!expired && this.held !== null && record?.fence === this.held) return;
-    this.held = null;
-    const taken = await this.ledger.propose(
+    this.grantedUntil = requestedAt + LEASE_TERM_MS;
+    const record = this.ledger.controlState().leases[this.role];
+    if (!expired && this.ownFence !== null && record?.fence === this.ownFence) return;
+    this.ownFence = null;
+    const agreed = await this.ledger.propose(
       {
-        cause: `A majority granted the ${this.duty} lease.`,
-        act: { tag: 'leaseTaken', duty: this.duty, holder: this.me() },
+        cause: `A majority granted the ${this.role} lease.`,
+        act: { tag: 'leaseTaken', duty: this.role, holder: this.me() },
       },
       RENEW_MS * 2,
     );
-    if (taken.ok && taken.value.outcome.tag === 'applied') {
-      this.held = taken.value.slot;
-      this.log.info(`Holds the ${this.duty} lease with fence ${this.held}.`);
+    if (agreed.ok && agreed.value.outcome.tag === 'applied') {
+      this.ownFence = agreed.value.slot;
+      this.log.info(`Holds the ${this.role} lease with fence ${this.ownFence}.`);
     }
   }
 
   private async run(): Promise<void> {
     while (!this.stopped) {
-      await pause(this.clock, this.held === null ? RENEW_MS * (0.3 + 1.7 * this.rng.next()) : RENEW_MS);
+      await delay(this.clock, this.ownFence === null ? RENEW_MS * (0.3 + 1.7 * this.rng.next()) : RENEW_MS);
       if (!this.stopped) await this.turn();
     }
   }
@@ -205,6 +215,6 @@
   }
 }
 
-export function createLease(duty: string, ledger: Ledger, peers: Peers, clock: Clock, rng: Rng, log: Log): Lease {
-  return new MajorityLease(duty, ledger, peers, clock, rng, log);
+export function createLease(role: string, ledger: Ledger, peers: Peers, clock: Clock, rng: Rng, log: Log): Lease {
+  return new MajorityLease(role, ledger, peers, clock, rng, log);
 }
--- a/src/coordination/ledger/ledger.test.ts
+++ b/src/coordination/ledger/ledger.test.ts
@@ -12,12 +12,12 @@
 }
 async function change(core: SimCore, at: string, base: number, bytes: number): Promise<unknown> {
   const ledger = core.node(at).controller?.ledger;
-  const act = {
+  const command = {
     tag: 'configured' as const,
     base,
     changes: [{ path: ['deployment', 'note'], value: 'x'.repeat(bytes) }],
   };
-  return core.finish(Promise.resolve(ledger?.propose({ cause: 'A test.', act }, 1_500)), 5_000);
+  return core.finish(Promise.resolve(ledger?.propose({ cause: 'A test.', act: command }, 1_500)), 5_000);
 }
 
 test('an order that no record can hold is refused, and harms no later one', async () => {
--- a/src/coordination/ledger/ledger.ts
+++ b/src/coordination/ledger/ledger.ts
@@ -30,7 +30,7 @@
 import type { MembershipChanges } from './membership-changes.js';
 import { createOperatorBootstrap } from './operator-bootstrap.js';
 import type { Bootstrap } from './operator-bootstrap.js';
-import type { AskMember } from './poll.js';
+import type { RequestMember } from './poll.js';
 import type { Agreed, Draft, ProposeFault } from './proposal.js';
 import { createProposer } from './proposer.js';
 import type { Proposer } from './proposer.js';
@@ -38,8 +38,8 @@
 import type { Replica } from './replica.js';
 import { createSelfBootstrap } from './self-bootstrap.js';
 import type { SelfBootstrap } from './self-bootstrap.js';
-import { createSettledRead } from './settled-read.js';
-import type { SnapshotGiver } from './snapshot-giver.js';
+import { createLinearizableRead } from './settled-read.js';
+import type { SnapshotSender } from './snapshot-giver.js';
 import { openStore } from './store.js';
 import type { Store } from './store.js';
 import { createVoter } from './voter.js';
@@ -59,7 +59,7 @@
   /** Agrees one entry. `noMajority` says that it was given up: it may still come to be agreed, once at most. */
   propose(draft: Draft, waitMs: number): Promise<Result<Agreed, ProposeFault>>;
   /** True once the state is no older than anything confirmed before the call. */
-  settle(waitMs: number): Promise<boolean>;
+  linearizableRead(waitMs: number): Promise<boolean>;
   /** The orders that were closed, as far as this controller knows them. */
   readonly closedOrders: Pick<ClosedOrders, 'all' | 'lacking'>;
   since(from: number): readonly SlotBatch[] | null;
@@ -70,13 +70,13 @@
   writable(): boolean;
   top(): number;
   lastContactAt(id: string): number | null;
-  askMemberStatuses(): void;
+  requestMemberStatuses(): void;
   readonly self: Member;
   leave(): Promise<void>;
   stop(): void;
 }
 
-export type LedgerHistory = SnapshotGiver & Pick<Store, 'page' | 'bytesSince'>;
+export type LedgerHistory = SnapshotSender & Pick<Store, 'page' | 'bytesSince'>;
 
 export type LedgerDeps = {
   readonly clock: Clock;
@@ -93,7 +93,7 @@
   readonly renew: () => Promise<boolean>;
   readonly keepsClaims: boolean;
   readonly wasMember: boolean | null;
-  readonly noteMember: () => Promise<boolean>;
+  readonly recordMember: () => Promise<boolean>;
 };
 
 /** How long one member is waited for; where a majority answers nobody waits for the rest. */
@@ -123,7 +123,7 @@
   private readonly closedFetch: ClosedOrdersFetch;
   private readonly voter: Voter;
   private readonly proposer: Proposer;
-  readonly settle: (waitMs: number) => Promise<boolean>;
+  readonly linearizableRead: (waitMs: number) => Promise<boolean>;
   readonly bootstrap: Bootstrap;
   private openSince: number | null = null;
   private watching = false;
@@ -175,15 +175,15 @@
       rng: this.deps.rng,
       peers: this.deps.peers,
       replica: this.replica,
-      askerUntil: (until) => this.askerUntil(until),
+      requesterUntil: (until) => this.requesterUntil(until),
       catchUp: (address) => this.catchUp.from(address),
       mostBytes,
     });
-    this.settle = createSettledRead({
+    this.linearizableRead = createLinearizableRead({
       clock: this.deps.clock,
       replica: this.replica,
       proposer: this.proposer,
-      askerUntil: (until) => this.askerUntil(until),
+      requesterUntil: (until) => this.requesterUntil(until),
       catchUp: (address) => this.catchUp.from(address),
     });
 
@@ -217,11 +217,11 @@
       controlState: () => this.replica.controlState(),
       memberStatuses: this.memberStatuses,
       propose: (draft, waitMs) => this.proposer.propose(draft, waitMs),
-      settle: this.settle,
+      linearizableRead: this.linearizableRead,
       catchUp: (address) => this.catchUp.from(address),
       renew: this.deps.renew,
       wasMember: this.deps.wasMember,
-      noteMember: this.deps.noteMember,
+      recordMember: this.deps.recordMember,
       mayShrinkOdd: !this.deps.keepsClaims,
     });
     this.selfBootstrap = createSelfBootstrap({
@@ -232,7 +232,7 @@
       self: this.deps.self,
       bootstrapMembers: this.deps.bootstrapMembers,
       ledgerName: () => this.ledgerName(),
-      askVote: this.askerUntil(Infinity),
+      requestVote: this.requesterUntil(Infinity),
       learnZero: (batch) => this.learnZero(batch),
       seek: () => this.heartbeat(),
     });
@@ -264,7 +264,7 @@
   }
 
   /** An answer counts for a member only under the identity that the ledger has of it: a blank disk answers as another one. */
-  private askerUntil(until: number): AskMember {
+  private requesterUntil(until: number): RequestMember {
     const ask = async (member: Member, message: Message): Promise<Message | null> => {
       const id = memberId(member);
       if (id === this.replica.id()) return this.ownAnswer(message);
@@ -285,19 +285,19 @@
       : this.memberStatuses.own();
   }
 
-  private isSettled(): boolean {
+  private isCommitted(): boolean {
     return this.store.top() <= this.replica.controlState().slot;
   }
 
   private async watch(): Promise<void> {
-    await this.replica.mend();
+    await this.replica.repair();
     await this.membershipChanges.turn();
     const now = this.deps.clock.mono();
-    if (!this.replica.isMember() || this.isSettled()) this.openSince = null;
+    if (!this.replica.isMember() || this.isCommitted()) this.openSince = null;
     else this.openSince ??= now;
     if (this.openSince === null || now - this.openSince <= DANGLING_MS) return;
     this.openSince = null;
-    await this.proposer.finish(now + VOTE_WAIT_MS, () => this.isSettled());
+    await this.proposer.finish(now + VOTE_WAIT_MS, () => this.isCommitted());
   }
 
   private async watchOnce(): Promise<void> {
@@ -350,7 +350,7 @@
     return this.memberStatuses.lastContactAt(id);
   }
 
-  askMemberStatuses(): void {
+  requestMemberStatuses(): void {
     this.memberStatuses.ask();
   }
 
--- a/src/coordination/ledger/life.ts
+++ b/src/coordination/ledger/life.ts
@@ -8,8 +8,8 @@
 
 export async function nextIncarnation(disk: Disk | null, log: Log): Promise<number> {
   if (!disk) return 0;
-  const kept = await disk.load(LIFE_FILE);
-  const read = kept.ok && kept.value ? parsedJson(kept.value.toString()) : null;
+  const stored = await disk.load(LIFE_FILE);
+  const read = stored.ok && stored.value ? parsedJson(stored.value.toString()) : null;
   const before = isTable(read) && Number.isInteger(read['life']) ? (read['life'] as number) : 0;
   const saved = await disk.replace(LIFE_FILE, Buffer.from(JSON.stringify({ life: before + 1 })));
   if (!saved.ok) log.warn(`Could not count this life (${saved.fault.tag}); those who remember the last one settle it.`);
--- a/src/coordination/ledger/member-statuses.ts
+++ b/src/coordination/ledger/member-statuses.ts
@@ -30,7 +30,7 @@
 
 export type ReceivedMemberStatus = {
   readonly member: Member;
-  readonly askedAt: number;
+  readonly requestedAt: number;
   readonly memberStatus: MessageOf<'memberStatus'>;
 };
 
@@ -106,14 +106,14 @@
     return n >= majorityOf(this.deps.controlState().members);
   }
 
-  private async askOne(m: Member): Promise<void> {
-    const askedAt = this.deps.clock.mono();
+  private async requestStatus(m: Member): Promise<void> {
+    const requestedAt = this.deps.clock.mono();
     const got = await this.deps.peers.call(m.address, { kind: 'memberStatusAsk' }, ASK_MS);
     if (!got.ok || got.value.kind !== 'memberStatus' || got.value.voter !== memberId(m)) return;
-    if (askedAt < this.since) return;
-    this.contacts.set(memberId(m), { at: askedAt, unheard: got.value.unheard ?? [] });
+    if (requestedAt < this.since) return;
+    this.contacts.set(memberId(m), { at: requestedAt, unheard: got.value.unheard ?? [] });
     if (got.value.ledger === this.deps.controlState().ledger)
-      this.deps.onMemberStatus({ member: m, askedAt, memberStatus: got.value });
+      this.deps.onMemberStatus({ member: m, requestedAt, memberStatus: got.value });
   }
 
   ask(): void {
@@ -121,7 +121,7 @@
     const asked = new Set<string>();
     for (const m of this.others()) {
       asked.add(memberId(m));
-      void this.askOne(m);
+      void this.requestStatus(m);
     }
     for (const id of this.contacts.keys()) if (!asked.has(id)) this.contacts.delete(id);
   }
--- a/src/coordination/ledger/membership-changes.test.ts
+++ b/src/coordination/ledger/membership-changes.test.ts
@@ -143,7 +143,7 @@
     const core = await bootstrapped(seed, ['h1', 'h2', 'h3']);
     await ordered(core, 'h1', 'a');
     const lab = core.lab('lab');
-    const peers = createPeers(lab.wire, lab.clock, createQuietLog().part('lab'));
+    const peers = createPeers(lab.wire, lab.clock, createQuietLog().component('lab'));
     core.add('h4');
     for (const name of ['h1', 'h2', 'h3']) {
       core.world.cut(name, 'h4');
--- a/src/coordination/ledger/membership-changes.ts
+++ b/src/coordination/ledger/membership-changes.ts
@@ -9,8 +9,8 @@
 import type { Message, MessageOf } from '../../protocol/messages.js';
 import { majorityOf, memberId, MOST_MEMBERS } from '../../state/control-state.js';
 import type { ControlState } from '../../state/control-state.js';
-import type { Act, Member } from '../../state/entry.js';
-import { pause } from '../../transport/clock.js';
+import type { Command, Member } from '../../state/entry.js';
+import { delay } from '../../transport/clock.js';
 import type { Clock } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
 import { shuffled } from '../../transport/rng.js';
@@ -36,7 +36,7 @@
   readonly controlState: () => ControlState;
   readonly memberStatuses: MemberStatuses;
   readonly propose: (draft: Draft, waitMs: number) => Promise<Result<Agreed, ProposeFault>>;
-  readonly settle: (waitMs: number) => Promise<boolean>;
+  readonly linearizableRead: (waitMs: number) => Promise<boolean>;
   readonly catchUp: (from: Address) => Promise<void>;
   /** Takes a new identity, and keeps it on the disk. */
   readonly renew: () => Promise<boolean>;
@@ -44,7 +44,7 @@
   /** Whether the disk tells that this identity was a member before; null if it does not tell. */
   readonly wasMember: boolean | null;
   /** Keeps on the disk that this identity is a member. */
-  readonly noteMember: () => Promise<boolean>;
+  readonly recordMember: () => Promise<boolean>;
 };
 
 const ASK_MS = 600;
@@ -58,23 +58,23 @@
 
 class LedgerMembershipChanges implements MembershipChanges {
   // To know a ledger is not to have been a member of it: one that ended while its joining was agreed must keep its identity.
-  private former: boolean;
-  private isNoted: boolean;
+  private wasMember: boolean;
+  private isRecorded: boolean;
 
   constructor(private readonly deps: MembershipChangesDeps) {
-    this.former = this.deps.wasMember ?? this.deps.controlState().ledger !== '';
-    this.isNoted = this.deps.wasMember === true;
+    this.wasMember = this.deps.wasMember ?? this.deps.controlState().ledger !== '';
+    this.isRecorded = this.deps.wasMember === true;
 
     this.deps.peers.on('rejoin', (m) => this.onRejoin(m));
   }
 
-  private held(): Member | null {
+  private ownEntry(): Member | null {
     for (const m of this.deps.controlState().members) if (memberId(m) === memberId(this.deps.self)) return m;
     return null;
   }
 
-  private async agree(cause: string, act: Act): Promise<boolean> {
-    const got = await this.deps.propose({ cause, act }, AGREE_MS);
+  private async agree(cause: string, command: Command): Promise<boolean> {
+    const got = await this.deps.propose({ cause, act: command }, AGREE_MS);
     return got.ok && got.value.outcome.tag === 'applied';
   }
 
@@ -92,7 +92,7 @@
     return out;
   }
 
-  private async admission(joiner: Member): Promise<Act | null> {
+  private async admission(joiner: Member): Promise<Command | null> {
     for (const old of this.deps.controlState().members)
       if (old.name === joiner.name) return { tag: 'memberReplaced', old: memberId(old), member: joiner };
     for (const old of this.deps.controlState().members)
@@ -107,15 +107,15 @@
   }
 
   private async onRejoin(m: MessageOf<'rejoin'>): Promise<Message> {
-    if (m.ledger !== this.deps.controlState().ledger || !this.held()) return { kind: 'done', agreed: false };
+    if (m.ledger !== this.deps.controlState().ledger || !this.ownEntry()) return { kind: 'done', agreed: false };
     for (const old of this.deps.controlState().members)
       if (memberId(old) === memberId(m.member) && old.address === m.member.address)
         return { kind: 'done', agreed: true };
-    const act = await this.admission(m.member);
-    if (!act) return { kind: 'done', agreed: false };
+    const command = await this.admission(m.member);
+    if (!command) return { kind: 'done', agreed: false };
     const cause =
-      act.tag === 'memberAdded' ? `${m.member.name} joined.` : `${m.member.name} came new, or at a new address.`;
-    return { kind: 'done', agreed: await this.agree(cause, act) };
+      command.tag === 'memberAdded' ? `${m.member.name} joined.` : `${m.member.name} came new, or at a new address.`;
+    return { kind: 'done', agreed: await this.agree(cause, command) };
   }
 
   private async publishOwnAddress(): Promise<void> {
@@ -131,7 +131,7 @@
 
   private async memberStatusesOf(targets: Iterable<Address>): Promise<MessageOf<'memberStatus'>[]> {
     const out: MessageOf<'memberStatus'>[] = [];
-    const asks: Promise<void>[] = [];
+    const requests: Promise<void>[] = [];
 
     const one = async (to: Address): Promise<void> => {
       const got = await this.deps.peers.call(to, { kind: 'memberStatusAsk' }, ASK_MS);
@@ -140,8 +140,8 @@
         out.push(got.value);
       else this.deps.log.error(`${to} belongs to another ledger; it is ignored.`);
     };
-    for (const to of targets) asks.push(one(to));
-    await Promise.all(asks);
+    for (const to of targets) requests.push(one(to));
+    await Promise.all(requests);
     return out.sort((a, b) => this.furthestFirst(a, b));
   }
 
@@ -161,25 +161,25 @@
         `No seed answers; found the core at ${best.address}, known from nodes that contacted this one.`,
       );
     if (best.learned > this.deps.controlState().slot) await this.deps.catchUp(best.address);
-    if (this.held()?.address === this.deps.self.address) return;
-    if (this.former && !this.held()) {
+    if (this.ownEntry()?.address === this.deps.self.address) return;
+    if (this.wasMember && !this.ownEntry()) {
       if (!(await this.deps.renew())) return;
-      this.former = false;
-      this.isNoted = false;
+      this.wasMember = false;
+      this.isRecorded = false;
       this.deps.log.info(`No longer a member; joins anew as ${memberId(this.deps.self)}.`);
     }
     const addresses: Address[] = [];
     for (const m of this.deps.controlState().members)
       for (const h of heard) if (h.address === m.address) addresses.push(m.address);
     for (const to of shuffled(this.deps.rng, addresses).slice(0, 2)) {
-      const asked = await this.deps.peers.call(
+      const answer = await this.deps.peers.call(
         to,
         { kind: 'rejoin', ledger: this.deps.controlState().ledger, member: { ...this.deps.self } },
         ADMIT_MS,
       );
-      if (!asked.ok || asked.value.kind !== 'done' || !asked.value.agreed) continue;
+      if (!answer.ok || answer.value.kind !== 'done' || !answer.value.agreed) continue;
       await this.deps.catchUp(to);
-      if (this.held()?.address === this.deps.self.address)
+      if (this.ownEntry()?.address === this.deps.self.address)
         this.deps.log.info(`Joined the ledger as ${memberId(this.deps.self)}.`);
       return;
     }
@@ -221,7 +221,7 @@
       this.deps.log.info(`${memberId(first)} is no longer a member.`);
   }
 
-  private inTouch(): boolean {
+  private hasMajority(): boolean {
     let n = 1;
     for (const m of this.deps.controlState().members)
       if (memberId(m) !== memberId(this.deps.self) && this.deps.memberStatuses.isReachable(memberId(m))) n += 1;
@@ -229,17 +229,22 @@
   }
 
   async turn(): Promise<void> {
-    const mine = this.held();
-    if (mine) this.former = true;
-    if (mine && !this.isNoted) this.isNoted = await this.deps.noteMember();
-    if (mine && mine.address !== this.deps.self.address && (await this.deps.settle(AGREE_MS)) && this.held())
+    const mine = this.ownEntry();
+    if (mine) this.wasMember = true;
+    if (mine && !this.isRecorded) this.isRecorded = await this.deps.recordMember();
+    if (
+      mine &&
+      mine.address !== this.deps.self.address &&
+      (await this.deps.linearizableRead(AGREE_MS)) &&
+      this.ownEntry()
+    )
       await this.publishOwnAddress();
-    if (this.held()?.address === this.deps.self.address && this.inTouch()) await this.removeDead();
+    if (this.ownEntry()?.address === this.deps.self.address && this.hasMajority()) await this.removeDead();
     else await this.seek();
   }
 
   async leave(): Promise<void> {
-    if (!this.held()) return;
+    if (!this.ownEntry()) return;
     if (this.deps.controlState().members.length % 2 === 0)
       await this.deps.propose(
         {
@@ -258,7 +263,7 @@
       const members = this.deps.controlState().members;
       const learned = await Promise.all(members.map((m) => this.learnedBy(m)));
       if (learned.filter((slot) => this.isAllKnown(slot)).length >= majorityOf(members)) return;
-      await pause(this.deps.clock, HAND_OVER_PAUSE_MS);
+      await delay(this.deps.clock, HAND_OVER_PAUSE_MS);
     }
   }
 
--- a/src/coordination/ledger/operator-bootstrap.ts
+++ b/src/coordination/ledger/operator-bootstrap.ts
@@ -47,7 +47,10 @@
   }
   peers.on('bootstrap', onBootstrap);
 
-  async function ask(address: Address, message: MessageOf<'bootstrap'>): Promise<Result<Member, BootstrapFault>> {
+  async function requestMember(
+    address: Address,
+    message: MessageOf<'bootstrap'>,
+  ): Promise<Result<Member, BootstrapFault>> {
     const own = address === self.address;
     const reply = own ? ok(await onBootstrap(message)) : await peers.call(address, message, ANSWER_WAIT_MS);
     if (!reply.ok || reply.value.kind !== 'bootstrapAnswer') return err({ tag: 'memberSilent', address });
@@ -60,13 +63,13 @@
     const blank: Batch = { id: newId(rng, 'batch'), entries: [] };
     const members: Member[] = [];
     for (const address of addresses) {
-      const asked = await ask(address, { kind: 'bootstrap', ledger, slotZero: blank, commit: false });
-      if (!asked.ok) return asked;
-      members.push(asked.value);
+      const answer = await requestMember(address, { kind: 'bootstrap', ledger, slotZero: blank, commit: false });
+      if (!answer.ok) return answer;
+      members.push(answer.value);
     }
     const slotZero = bootstrapEntry(self, ledger, members, 'The operator bootstrapped the ledger.', clock, rng);
     for (const address of addresses) {
-      const recorded = await ask(address, { kind: 'bootstrap', ledger, slotZero, commit: true });
+      const recorded = await requestMember(address, { kind: 'bootstrap', ledger, slotZero, commit: true });
       if (!recorded.ok) return recorded;
     }
     return ok({ slot: 0, outcome: { tag: 'applied' } });
--- a/src/coordination/ledger/operator-http-server.ts
+++ b/src/coordination/ledger/operator-http-server.ts
@@ -5,7 +5,7 @@
 import { Type } from '@sinclair/typebox';
 import { readConfiguration } from '../../protocol/configuration.js';
 import { readerOf } from '../../protocol/read-shape.js';
-import type { Act, Change } from '../../state/entry.js';
+import type { Command, Change } from '../../state/entry.js';
 import { ChangeShape } from '../../state/entry.js';
 import { memberId, operationOf } from '../../state/control-state.js';
 import type { ControlState } from '../../state/control-state.js';
@@ -13,7 +13,7 @@
 import { differences, resolveAll, withChanges } from '../../state/settings-tree.js';
 import type { HttpReply, HttpRequest, Route } from '../../transport/http.js';
 import type { Clock } from '../../transport/clock.js';
-import type { AimKeeper } from './aim-keeper.js';
+import type { LatencyTargetTracker } from './aim-keeper.js';
 import type { Ledger } from './ledger.js';
 import type { Push } from './push.js';
 
@@ -45,17 +45,17 @@
 export type OperatorHttpServerDeps = {
   readonly ledger: Ledger;
   readonly push: Push;
-  readonly aims: AimKeeper;
+  readonly latencyTargets: LatencyTargetTracker;
   readonly clock: Clock;
   readonly status: () => unknown;
 };
 
 export function operatorRoutes(deps: OperatorHttpServerDeps): Route[] {
-  const { ledger, push, aims, clock, status } = deps;
-  async function agree(act: Act, cause: string, operation: string | undefined): Promise<HttpReply> {
+  const { ledger, push, latencyTargets, clock, status } = deps;
+  async function agree(command: Command, cause: string, operation: string | undefined): Promise<HttpReply> {
     const from = clock.mono();
     const got = await ledger.propose(
-      { ...(operation === undefined ? {} : { id: operatorRequest(operation) }), cause, act },
+      { ...(operation === undefined ? {} : { id: operatorRequest(operation) }), cause, act: command },
       AGREE_MS,
     );
     if (!got.ok)
@@ -67,7 +67,7 @@
     if (outcome.tag === 'staleVersion') return fail(409, { tag: 'staleVersion', winner: outcome.winner });
     if (outcome.tag !== 'applied') return fail(409, { tag: 'unchanged' });
     const waiting = await push.confirm(slot, CONFIRM_MS);
-    aims.noteChange(waiting.length === 0 ? clock.mono() - from : Infinity);
+    latencyTargets.recordChange(waiting.length === 0 ? clock.mono() - from : Infinity);
     if (waiting.length === 0) return { status: 200, body: { acknowledged: true, version: slot } };
     return { status: 202, body: { acknowledged: false, version: slot, waiting } };
   }
@@ -77,7 +77,7 @@
     make: (b: ControlState) => unknown,
     operation: string | undefined,
   ): Promise<HttpReply> {
-    if (!(await ledger.settle(AGREE_MS))) return fail(503, { tag: 'noMajority' });
+    if (!(await ledger.linearizableRead(AGREE_MS))) return fail(503, { tag: 'noMajority' });
     const b = ledger.controlState();
     const done = operation === undefined ? null : operationOf(b, operatorRequest(operation));
     const forgotten = operation !== undefined && versionMayBeForgotten(b.history, base);
@@ -95,27 +95,27 @@
   }
 
   async function apply(req: HttpRequest): Promise<HttpReply> {
-    const ask = readApply(req.body);
-    if (!ask.ok) return fail(400, ask.fault);
-    function whole(): unknown {
-      return ask.ok ? ask.value.configuration : null;
+    const body = readApply(req.body);
+    if (!body.ok) return fail(400, body.fault);
+    function replacement(): unknown {
+      return body.ok ? body.value.configuration : null;
     }
-    return configure(ask.value.base, whole, ask.value.operation);
+    return configure(body.value.base, replacement, body.value.operation);
   }
 
   async function amend(req: HttpRequest): Promise<HttpReply> {
-    const ask = readAmend(req.body);
-    if (!ask.ok) return fail(400, ask.fault);
+    const body = readAmend(req.body);
+    if (!body.ok) return fail(400, body.fault);
     function amended(b: ControlState): unknown {
-      return ask.ok ? withChanges(b.configuration, ask.value.changes) : null;
+      return body.ok ? withChanges(b.configuration, body.value.changes) : null;
     }
-    return configure(ask.value.base, amended, ask.value.operation);
+    return configure(body.value.base, amended, body.value.operation);
   }
 
   async function readBack(): Promise<HttpReply> {
-    const settled = await ledger.settle(AGREE_MS);
+    const isCurrent = await ledger.linearizableRead(AGREE_MS);
     const b = ledger.controlState();
-    if (!settled) return fail(503, { tag: 'noMajority', version: b.version });
+    if (!isCurrent) return fail(503, { tag: 'noMajority', version: b.version });
     return {
       status: 200,
       body: {
@@ -128,16 +128,16 @@
   }
 
   async function zone(req: HttpRequest, begun: boolean): Promise<HttpReply> {
-    const ask = readZone(req.body ?? {});
-    if (!ask.ok) return fail(400, ask.fault);
+    const body = readZone(req.body ?? {});
+    if (!body.ok) return fail(400, body.fault);
     const name = req.params['zone'] ?? '';
-    if (!(await ledger.settle(AGREE_MS))) return fail(503, { tag: 'noMajority' });
+    if (!(await ledger.linearizableRead(AGREE_MS))) return fail(503, { tag: 'noMajority' });
     if (!Object.hasOwn(ledger.controlState().configuration.zones, name))
       return fail(404, { tag: 'unknownZone', zone: name });
     return agree(
       { tag: 'evacuation', zone: name, begun },
       begun ? `The operator evacuates ${name}.` : `The operator hands ${name} back.`,
-      ask.value.operation,
+      body.value.operation,
     );
   }
   function evacuate(req: HttpRequest): Promise<HttpReply> {
@@ -153,9 +153,9 @@
   }
 
   async function bootstrap(req: HttpRequest): Promise<HttpReply> {
-    const ask = readFound(req.body);
-    if (!ask.ok) return fail(400, ask.fault);
-    const got = await ledger.bootstrap(ask.value.members);
+    const body = readFound(req.body);
+    if (!body.ok) return fail(400, body.fault);
+    const got = await ledger.bootstrap(body.value.members);
     return got.ok
       ? { status: 200, body: { acknowledged: true, ledger: ledger.controlState().ledger } }
       : fail(409, got.fault);
@@ -170,15 +170,15 @@
     );
   }
 
-  async function aimMinutes(req: HttpRequest): Promise<HttpReply> {
+  async function latencyTargetMinutes(req: HttpRequest): Promise<HttpReply> {
     if (!push.quorate()) return fail(503, { tag: 'noMajority' });
     const minutes = Number(req.query['minutes'] ?? 60);
     if (!Number.isInteger(minutes) || minutes < 1 || minutes > 1_440)
       return fail(400, { tag: 'malformed', detail: '/minutes: expected a whole number from 1 to 1440' });
-    return { status: 200, body: aims.last(minutes) };
+    return { status: 200, body: latencyTargets.last(minutes) };
   }
 
-  async function tell(): Promise<HttpReply> {
+  async function readStatus(): Promise<HttpReply> {
     return { status: 200, body: status() };
   }
 
@@ -225,8 +225,8 @@
     { method: 'DELETE', path: '/v1/proxies/:name', handle: forget },
     { method: 'POST', path: '/v1/claims/reopen', handle: reopenClaims },
     { method: 'POST', path: '/v1/bootstrap', handle: bootstrap },
-    { method: 'GET', path: '/v1/aims', handle: aimMinutes },
-    { method: 'GET', path: '/v1/status', handle: tell },
+    { method: 'GET', path: '/v1/aims', handle: latencyTargetMinutes },
+    { method: 'GET', path: '/v1/status', handle: readStatus },
     { method: 'GET', path: '/v1/orders', handle: history },
     { method: 'GET', path: '/v1/ledger', handle: entries },
   ];
--- a/src/coordination/ledger/operator-identity.test.ts
+++ b/src/coordination/ledger/operator-identity.test.ts
@@ -86,9 +86,9 @@
   await operator.ordinaryEntries('h1');
   const ledger = core.node('h1').controller?.ledger;
   for (let n = 0; n < 40; n += 1) {
-    const act = { tag: 'targetChanged' as const, model: `${n}-`.repeat(40), target: n };
+    const command = { tag: 'targetChanged' as const, model: `${n}-`.repeat(40), target: n };
     const cause = 'x'.repeat(1_000);
-    const steps = Array.from({ length: 90 }, () => ({ cause, act }));
+    const steps = Array.from({ length: 90 }, () => ({ cause, act: command }));
     await core.finish(
       Promise.resolve(ledger?.propose({ cause: 'A test.', act: { tag: 'decided', steps } }, 1_500)),
       5_000,
--- a/src/coordination/ledger/poll.ts
+++ b/src/coordination/ledger/poll.ts
@@ -4,11 +4,11 @@
 import type { Member } from '../../state/entry.js';
 
 export type Votes = ReadonlyMap<string, Message>;
-export type AskMember = (m: Member, message: Message) => Promise<Message | null>;
+export type RequestMember = (m: Member, message: Message) => Promise<Message | null>;
 
 export function poll(
   members: readonly Member[],
-  ask: (m: Member) => Promise<Message | null>,
+  request: (m: Member) => Promise<Message | null>,
   enough: (votes: Votes, open: number) => boolean,
 ): Promise<Votes> {
   function start(resolve: (votes: Votes) => void): void {
@@ -16,7 +16,7 @@
     let open = members.length;
     if (open === 0) resolve(votes);
     async function one(m: Member): Promise<void> {
-      const got = await ask(m);
+      const got = await request(m);
       open -= 1;
       if (got) votes.set(memberId(m), got);
       if (open === 0 || enough(votes, open)) resolve(votes);
--- a/src/coordination/ledger/proposal.ts
+++ b/src/coordination/ledger/proposal.ts
@@ -1,6 +1,6 @@
 /** What is asked of the ledger, and how it ends. */
 import type { Outcome } from '../../state/control-state.js';
-import type { Act } from '../../state/entry.js';
+import type { Command } from '../../state/entry.js';
 import type { RingFault } from '../../transport/ring.js';
 
 export type ProposeFault =
@@ -8,5 +8,5 @@
   | { readonly tag: 'notBootstrapped' }
   | { readonly tag: 'cannotWrite'; readonly fault: RingFault };
 
-export type Draft = { readonly id?: string; readonly cause: string; readonly act: Act; readonly fence?: number };
+export type Draft = { readonly id?: string; readonly cause: string; readonly act: Command; readonly fence?: number };
 export type Agreed = { readonly slot: number; readonly outcome: Outcome };
--- a/src/coordination/ledger/proposer.ts
+++ b/src/coordination/ledger/proposer.ts
@@ -12,13 +12,13 @@
 import type { Result } from '../../base/result.js';
 import { majorityOf, memberId, operationOf } from '../../state/control-state.js';
 import type { Batch, Entry, Member } from '../../state/entry.js';
-import { pause, within } from '../../transport/clock.js';
+import { delay, within } from '../../transport/clock.js';
 import type { Clock } from '../../transport/clock.js';
 import { newId } from '../../transport/rng.js';
 import type { Rng } from '../../transport/rng.js';
 import type { Address } from '../../transport/wire.js';
 import type { Peers } from '../members/peers.js';
-import type { AskMember } from './poll.js';
+import type { RequestMember } from './poll.js';
 import type { Agreed, Draft, ProposeFault } from './proposal.js';
 import type { Replica } from './replica.js';
 import { runRound } from './round.js';
@@ -35,7 +35,7 @@
   readonly rng: Rng;
   readonly peers: Pick<Peers, 'send'>;
   readonly replica: Replica;
-  readonly askerUntil: (until: number) => AskMember;
+  readonly requesterUntil: (until: number) => RequestMember;
   readonly catchUp: (from: Address) => Promise<void>;
   /** The largest entry that a record of the ring holds. */
   readonly mostBytes: number;
@@ -73,9 +73,9 @@
   }
 
   private async catchUpFrom(ahead: readonly Member[]): Promise<void> {
-    const asks: Promise<void>[] = [];
-    for (const m of ahead) if (memberId(m) !== this.deps.replica.id()) asks.push(this.deps.catchUp(m.address));
-    if (asks.length > 0) await Promise.race(asks);
+    const requests: Promise<void>[] = [];
+    for (const m of ahead) if (memberId(m) !== this.deps.replica.id()) requests.push(this.deps.catchUp(m.address));
+    if (requests.length > 0) await Promise.race(requests);
   }
 
   private async ballot(batch: Batch, until: number, isDone: () => boolean): Promise<Result<null, ProposeFault>> {
@@ -88,7 +88,7 @@
       const from = this.deps.clock.mono();
       const electorate = { ledger, members, need: majorityOf(members) };
       const own = { round: highestRound + 1, by: `${this.deps.replica.id()}/${newId(this.deps.rng, 'b')}` };
-      const end = await runRound(electorate, slot, own, batch, this.deps.askerUntil(until));
+      const end = await runRound(electorate, slot, own, batch, this.deps.requesterUntil(until));
       if (end.tag === 'chosen') {
         await this.deps.replica.learn(slot, end.batch);
         this.sendLearned(slot, end.batch);
@@ -100,7 +100,7 @@
       if (end.tag === 'behind') {
         await this.catchUpFrom(end.ahead);
         if (this.deps.replica.controlState().slot >= slot) highestRound = 0;
-        else await pause(this.deps.clock, BEHIND_PAUSE_MS);
+        else await delay(this.deps.clock, BEHIND_PAUSE_MS);
         continue;
       }
       if (end.tag === 'outbid') highestRound = Math.max(highestRound, end.round);
--- a/src/coordination/ledger/push.ts
+++ b/src/coordination/ledger/push.ts
@@ -4,7 +4,7 @@
 import { differenceTo, mergeReport } from '../../state/reports.js';
 import type { Reports } from '../../state/reports.js';
 import type { Member } from '../../state/entry.js';
-import { every, pause } from '../../transport/clock.js';
+import { every, delay } from '../../transport/clock.js';
 import type { Clock, Timer } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
 import type { SnapshotOffer } from '../../state/snapshot-parts.js';
@@ -82,7 +82,7 @@
 
     this.peers.on('confirmed', (m) => this.onConfirmed(m));
 
-    this.peers.on('reportsAsk', (m) => this.onReportsAsk(m));
+    this.peers.on('reportsAsk', (m) => this.onReportsRequest(m));
 
     this.peers.on('reports', (m, peer) => this.onReports(m, peer));
   }
@@ -157,7 +157,7 @@
     };
     if (before?.peer !== peer) peer.onClosed(gone);
     this.serve(f);
-    this.quorumAttestation.askSoon();
+    this.quorumAttestation.requestSoon();
     void this.recordProxy(m);
     return null;
   }
@@ -239,7 +239,7 @@
     }
   }
 
-  private onReportsAsk(m: MessageOf<'reportsAsk'>): null {
+  private onReportsRequest(m: MessageOf<'reportsAsk'>): null {
     for (const name of m.reporters) {
       this.sentReports.get(m.by)?.delete(name);
       for (const to of this.others()) if (to.name === m.by) this.scheduleRelay(name, [to]);
@@ -341,7 +341,7 @@
     const until = this.clock.mono() + waitMs;
     let left = this.unconfirmed(slot);
     while (left.length > 0 && this.clock.mono() < until) {
-      await pause(this.clock, 20);
+      await delay(this.clock, 20);
       left = this.unconfirmed(slot);
     }
     return left;
--- a/src/coordination/ledger/quorum-attestation.ts
+++ b/src/coordination/ledger/quorum-attestation.ts
@@ -15,13 +15,13 @@
 
 export interface QuorumAttestation {
   newest(): Attestation | null;
-  askSoon(): void;
+  requestSoon(): void;
   sharedNow(): number;
   readonly events: { readonly on: (name: 'attested', fn: () => void) => void };
   stop(): void;
 }
 
-type Answer = { readonly askedAt: number; readonly top: number };
+type Answer = { readonly requestedAt: number; readonly top: number };
 
 const TURN_MS = 500;
 const TOGETHER_MS = 5;
@@ -47,11 +47,11 @@
   }
 
   private onMemberStatus(e: ReceivedMemberStatus): void {
-    const { member, askedAt, memberStatus } = e;
+    const { member, requestedAt, memberStatus } = e;
     if (memberStatus.wall !== undefined) this.time.record(member.name, memberStatus.wall, this.clock.mono());
     const have = this.answers.get(memberId(member));
-    if (have && have.askedAt >= askedAt) return;
-    this.answers.set(memberId(member), { askedAt, top: memberStatus.top });
+    if (have && have.requestedAt >= requestedAt) return;
+    this.answers.set(memberId(member), { requestedAt, top: memberStatus.top });
     this.events.emit('attested', null);
   }
 
@@ -68,14 +68,14 @@
     if (ids.size === 1) this.events.emit('attested', null);
   }
 
-  askSoon(): void {
+  requestSoon(): void {
     if (this.soon) return;
     this.soon = true;
 
     const now = (): void => {
       this.soon = false;
       this.turn();
-      this.ledger.askMemberStatuses();
+      this.ledger.requestMemberStatuses();
     };
     this.clock.timer(TOGETHER_MS, now);
   }
@@ -86,18 +86,18 @@
     const known: Answer[] = [];
     for (const m of b.members) {
       const t = this.isOwn(memberId(m))
-        ? { askedAt: this.clock.mono(), top: this.ledger.top() }
+        ? { requestedAt: this.clock.mono(), top: this.ledger.top() }
         : this.answers.get(memberId(m));
       if (t && t.top <= b.slot) known.push(t);
     }
     const need = majorityOf(b.members);
     if (known.length < need) return null;
     const most = known.sort(latestFirst).slice(0, need);
-    const { askedAt } = most[need - 1] as Answer;
-    if (this.clock.mono() - askedAt > OLDEST_MS) return null;
+    const { requestedAt } = most[need - 1] as Answer;
+    if (this.clock.mono() - requestedAt > OLDEST_MS) return null;
     let top = -1;
     for (const t of most) top = Math.max(top, t.top);
-    return { asOf: askedAt, top };
+    return { asOf: requestedAt, top };
   }
 
   sharedNow(): number {
@@ -114,5 +114,5 @@
 }
 
 function latestFirst(a: Answer, b: Answer): number {
-  return b.askedAt - a.askedAt;
+  return b.requestedAt - a.requestedAt;
 }
--- a/src/coordination/ledger/replica.ts
+++ b/src/coordination/ledger/replica.ts
@@ -7,7 +7,7 @@
 import { memberId } from '../../state/control-state.js';
 import type { ControlState } from '../../state/control-state.js';
 import type { Batch, Member } from '../../state/entry.js';
-import { pause } from '../../transport/clock.js';
+import { delay } from '../../transport/clock.js';
 import type { Clock } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
 import type { RingFault } from '../../transport/ring.js';
@@ -28,7 +28,7 @@
   /** Resolves true once the ledger is known: a blank controller learns it from the others in its first second. */
   knowsLedger(waitMs: number): Promise<boolean>;
   /** After a failed write: tries to write the whole state anew, so that this member votes again once its disk takes it. */
-  mend(): Promise<void>;
+  repair(): Promise<void>;
   /** Why the last vote or fold could not be written; null once something was written again. */
   blockedBy(): RingFault | null;
 }
@@ -67,7 +67,7 @@
     return answer;
   }
 
-  async mend(): Promise<void> {
+  async repair(): Promise<void> {
     if (!this.store.writable()) await this.put({ tag: 'rewrite' });
   }
 
@@ -75,9 +75,9 @@
     await this.put({ tag: 'chosen', slot, batch });
   }
 
-  private async when(test: () => boolean, waitMs: number): Promise<boolean> {
+  private async waitUntil(test: () => boolean, waitMs: number): Promise<boolean> {
     const until = this.clock.mono() + waitMs;
-    while (!test() && this.clock.mono() < until) await pause(this.clock, Math.min(POLL_MS, until - this.clock.mono()));
+    while (!test() && this.clock.mono() < until) await delay(this.clock, Math.min(POLL_MS, until - this.clock.mono()));
     return test();
   }
 
@@ -85,14 +85,14 @@
     const isDone = (): boolean => {
       return this.store.controlState().slot >= slot;
     };
-    await this.when(isDone, waitMs);
+    await this.waitUntil(isDone, waitMs);
   }
 
   knowsLedger(waitMs: number): Promise<boolean> {
     const isKnown = (): boolean => {
       return this.store.controlState().ledger !== '';
     };
-    return this.when(isKnown, waitMs);
+    return this.waitUntil(isKnown, waitMs);
   }
 
   blockedBy(): RingFault | null {
--- a/src/coordination/ledger/round.ts
+++ b/src/coordination/ledger/round.ts
@@ -8,7 +8,7 @@
 import { memberId } from '../../state/control-state.js';
 import type { Batch, Member } from '../../state/entry.js';
 import { poll } from './poll.js';
-import type { AskMember, Votes } from './poll.js';
+import type { RequestMember, Votes } from './poll.js';
 
 export type Electorate = { readonly ledger: string; readonly members: readonly Member[]; readonly need: number };
 
@@ -25,14 +25,14 @@
 }
 
 export async function runRound(
-  who: Electorate,
+  electorate: Electorate,
   slot: number,
   ballot: Ballot,
   mine: Batch,
-  ask: AskMember,
+  request: RequestMember,
 ): Promise<RoundEnd> {
-  const { ledger, members, need } = who;
-  function settled(kind: Message['kind']): (votes: Votes, open: number) => boolean {
+  const { ledger, members, need } = electorate;
+  function isDecided(kind: Message['kind']): (votes: Votes, open: number) => boolean {
     function check(votes: Votes, open: number): boolean {
       let n = 0;
       for (const v of votes.values()) {
@@ -43,7 +43,7 @@
     }
     return check;
   }
-  function obstacle(votes: Votes): RoundEnd {
+  function failureOf(votes: Votes): RoundEnd {
     let top = 0;
     const ahead: Member[] = [];
     for (const m of members) {
@@ -56,19 +56,19 @@
   }
   function put(message: Message): (m: Member) => Promise<Message | null> {
     function one(m: Member): Promise<Message | null> {
-      return ask(m, message);
+      return request(m, message);
     }
     return one;
   }
 
-  const promises = await poll(members, put({ kind: 'prepare', ledger, slot, ballot }), settled('promised'));
-  if (tally(promises, 'promised') < need) return obstacle(promises);
+  const promises = await poll(members, put({ kind: 'prepare', ledger, slot, ballot }), isDecided('promised'));
+  if (tally(promises, 'promised') < need) return failureOf(promises);
   let best: MessageOf<'promised'>['accepted'] = null;
   for (const v of promises.values()) {
     if (v.kind !== 'promised' || !v.accepted) continue;
     if (!best || compareBallots(v.accepted.ballot, best.ballot) > 0) best = v.accepted;
   }
   const batch = best ? best.batch : mine;
-  const accepts = await poll(members, put({ kind: 'accept', ledger, slot, ballot, batch }), settled('accepted'));
-  return tally(accepts, 'accepted') >= need ? { tag: 'chosen', batch } : obstacle(accepts);
+  const accepts = await poll(members, put({ kind: 'accept', ledger, slot, ballot, batch }), isDecided('accepted'));
+  return tally(accepts, 'accepted') >= need ? { tag: 'chosen', batch } : failureOf(accepts);
 }
--- a/src/coordination/ledger/self-bootstrap.ts
+++ b/src/coordination/ledger/self-bootstrap.ts
@@ -13,7 +13,7 @@
 import type { Rng } from '../../transport/rng.js';
 import type { Address } from '../../transport/wire.js';
 import type { Peers } from '../members/peers.js';
-import type { AskMember } from './poll.js';
+import type { RequestMember } from './poll.js';
 import { runRound } from './round.js';
 
 export interface SelfBootstrap {
@@ -29,7 +29,7 @@
   readonly self: Member;
   readonly bootstrapMembers: readonly Address[] | null;
   readonly ledgerName: () => string;
-  readonly askVote: AskMember;
+  readonly requestVote: RequestMember;
   readonly learnZero: (batch: Batch) => Promise<void>;
   readonly seek: () => void;
 };
@@ -47,7 +47,7 @@
   clock: Clock,
   rng: Rng,
 ): Batch {
-  const act = {
+  const command = {
     tag: 'bootstrapped' as const,
     ledger,
     ticketKey: newId(rng, 'key') + newId(rng, ''),
@@ -55,11 +55,11 @@
   };
   return {
     id: newId(rng, 'batch'),
-    entries: [{ id: newId(rng, 'op'), author: self.name, wall: clock.wall(), cause, act }],
+    entries: [{ id: newId(rng, 'op'), author: self.name, wall: clock.wall(), cause, act: command }],
   };
 }
 
-function markOf(bootstrapMembers: readonly Address[]): string {
+function bootstrapDigest(bootstrapMembers: readonly Address[]): string {
   return `bootstrap-members-${sha256([...bootstrapMembers].sort().join()).slice(0, 16)}`;
 }
 
@@ -75,16 +75,16 @@
 
   constructor(private readonly deps: SelfBootstrapDeps) {
     this.bootstrapMembers = this.deps.bootstrapMembers ? [...this.deps.bootstrapMembers].sort() : [];
-    this.ballotOf = this.deps.bootstrapMembers ? markOf(this.bootstrapMembers) : null;
+    this.ballotOf = this.deps.bootstrapMembers ? bootstrapDigest(this.bootstrapMembers) : null;
     this.need = Math.floor(this.bootstrapMembers.length / 2) + 1;
     this.openedAt = this.deps.clock.mono();
 
-    this.deps.peers.on('bootstrapVoteAsk', (m) => this.onAsk(m));
+    this.deps.peers.on('bootstrapVoteAsk', (m) => this.onRequest(m));
     this.ticking =
       this.ballotOf && this.deps.ledgerName() === '' ? every(this.deps.clock, TURN_MS, () => this.tick()) : null;
   }
 
-  private onAsk(m: MessageOf<'bootstrapVoteAsk'>): MessageOf<'bootstrapVoteAnswer'> {
+  private onRequest(m: MessageOf<'bootstrapVoteAsk'>): MessageOf<'bootstrapVoteAnswer'> {
     return {
       kind: 'bootstrapVoteAnswer',
       member: this.deps.self,
@@ -93,18 +93,18 @@
     };
   }
 
-  private async ask(to: Address, of: string): Promise<Message | null> {
-    if (to === this.deps.self.address) return this.onAsk({ kind: 'bootstrapVoteAsk', bootstrapMembers: of });
+  private async requestVoteOf(to: Address, of: string): Promise<Message | null> {
+    if (to === this.deps.self.address) return this.onRequest({ kind: 'bootstrapVoteAsk', bootstrapMembers: of });
     const got = await this.deps.peers.call(to, { kind: 'bootstrapVoteAsk', bootstrapMembers: of }, ASK_MS);
     return got.ok ? got.value : null;
   }
 
-  private async turn(of: string): Promise<void> {
-    const asks: Promise<Message | null>[] = [];
-    for (const to of this.bootstrapMembers) asks.push(this.ask(to, of));
+  private async tryBootstrap(of: string): Promise<void> {
+    const requests: Promise<Message | null>[] = [];
+    for (const to of this.bootstrapMembers) requests.push(this.requestVoteOf(to, of));
     const blank: Member[] = [];
     let voters = 0;
-    for (const got of await Promise.all(asks)) {
+    for (const got of await Promise.all(requests)) {
       if (got?.kind !== 'bootstrapVoteAnswer') continue;
       if (got.ledger !== '') {
         this.deps.seek();
@@ -114,8 +114,8 @@
       if (got.votes) voters += 1;
     }
     const now = this.deps.clock.mono();
-    const whole = blank.length === this.bootstrapMembers.length || now - this.openedAt > WITHOUT_ALL_MS;
-    if (!whole || voters < this.need || this.deps.ledgerName() !== '') {
+    const complete = blank.length === this.bootstrapMembers.length || now - this.openedAt > WITHOUT_ALL_MS;
+    if (!complete || voters < this.need || this.deps.ledgerName() !== '') {
       this.ableSince = null;
       return;
     }
@@ -134,7 +134,7 @@
       0,
       { round: this.round + 1, by: `${memberId(this.deps.self)}/${newId(this.deps.rng, 'b')}` },
       mine,
-      this.deps.askVote,
+      this.deps.requestVote,
     );
     if (end.tag === 'outbid') {
       this.round = end.round;
@@ -158,9 +158,9 @@
     return memberId(m) === memberId(this.deps.self);
   }
 
-  private async turnOnce(of: string): Promise<void> {
+  private async tryOnce(of: string): Promise<void> {
     this.busy = true;
-    await this.turn(of);
+    await this.tryBootstrap(of);
     this.busy = false;
   }
 
@@ -170,7 +170,7 @@
       this.ticking?.cancel();
       return;
     }
-    if (!this.busy) void this.turnOnce(this.ballotOf);
+    if (!this.busy) void this.tryOnce(this.ballotOf);
   }
 
   stop(): void {
--- a/src/coordination/ledger/settled-read.ts
+++ b/src/coordination/ledger/settled-read.ts
@@ -7,22 +7,22 @@
  * one of them would have accepted it, synced, and told s+1 at least.
  */
 import type { Message } from '../../protocol/messages.js';
-import { majorityOf, membersMark } from '../../state/control-state.js';
+import { majorityOf, membersDigest } from '../../state/control-state.js';
 import type { ControlState } from '../../state/control-state.js';
 import type { Member } from '../../state/entry.js';
-import { pause } from '../../transport/clock.js';
+import { delay } from '../../transport/clock.js';
 import type { Clock } from '../../transport/clock.js';
 import type { Address } from '../../transport/wire.js';
 import { poll } from './poll.js';
-import type { AskMember, Votes } from './poll.js';
+import type { RequestMember, Votes } from './poll.js';
 import type { Proposer } from './proposer.js';
 import type { Replica } from './replica.js';
 
-export type SettledReadDeps = {
+export type LinearizableReadDeps = {
   readonly clock: Clock;
   readonly replica: Replica;
   readonly proposer: Proposer;
-  readonly askerUntil: (until: number) => AskMember;
+  readonly requesterUntil: (until: number) => RequestMember;
   readonly catchUp: (from: Address) => Promise<void>;
 };
 
@@ -35,21 +35,21 @@
 const UNDER_WAY_WAIT_MS = 150;
 
 /** Makes the reading: true once the state is settled, false after `waitMs`. */
-export function createSettledRead(deps: SettledReadDeps): (waitMs: number) => Promise<boolean> {
-  const { clock, replica, proposer, askerUntil, catchUp } = deps;
+export function createLinearizableRead(deps: LinearizableReadDeps): (waitMs: number) => Promise<boolean> {
+  const { clock, replica, proposer, requesterUntil, catchUp } = deps;
   function controlState(): ControlState {
     return replica.controlState();
   }
 
   /** The members must be the same at the end: a majority of former ones may hold a removed one and others that lag. */
-  async function settle(waitMs: number): Promise<boolean> {
+  async function linearizableRead(waitMs: number): Promise<boolean> {
     const until = clock.mono() + waitMs;
     if (!(await replica.knowsLedger(waitMs))) return false;
     while (clock.mono() < until) {
-      const asked = membersMark(controlState().members);
+      const membersBefore = membersDigest(controlState().members);
       const newest = await newestOfMajority(until);
-      if (!newest) await pause(clock, Math.min(ASK_AGAIN_MS, until - clock.mono()));
-      else if ((await reach(newest, until)) && membersMark(controlState().members) === asked) return true;
+      if (!newest) await delay(clock, Math.min(ASK_AGAIN_MS, until - clock.mono()));
+      else if ((await reach(newest, until)) && membersDigest(controlState().members) === membersBefore) return true;
     }
     return false;
   }
@@ -57,15 +57,15 @@
   async function newestOfMajority(until: number): Promise<Newest | null> {
     const { members, ledger } = controlState();
     const quorumSize = majorityOf(members);
-    const askUntil = askerUntil(until);
-    async function ask(member: Member): Promise<Message | null> {
-      const reply = await askUntil(member, { kind: 'memberStatusAsk' });
+    const requestMember = requesterUntil(until);
+    async function request(member: Member): Promise<Message | null> {
+      const reply = await requestMember(member, { kind: 'memberStatusAsk' });
       return reply?.kind === 'memberStatus' && reply.ledger === ledger ? reply : null;
     }
     function isEnough(votes: Votes, open: number): boolean {
       return votes.size >= quorumSize || votes.size + open < quorumSize;
     }
-    const votes = await poll(members, ask, isEnough);
+    const votes = await poll(members, request, isEnough);
     if (votes.size < quorumSize) return null;
     let top = -1;
     let learned = -1;
@@ -87,5 +87,5 @@
     if (!atTop()) await proposer.finish(until, atTop);
     return atTop();
   }
-  return settle;
+  return linearizableRead;
 }
--- a/src/coordination/ledger/snapshot-giver.ts
+++ b/src/coordination/ledger/snapshot-giver.ts
@@ -1,7 +1,7 @@
 import type { Message, MessageOf } from '../../protocol/messages.js';
 import type { ControlState } from '../../state/control-state.js';
 import { proxyState } from '../../state/proxy-state.js';
-import { isBounded, partOf, snapshotOf } from '../../state/snapshot-parts.js';
+import { isBounded, chunkOf, snapshotOf } from '../../state/snapshot-parts.js';
 import type { Snapshot, SnapshotOffer } from '../../state/snapshot-parts.js';
 import type { Clock } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
@@ -12,7 +12,7 @@
  * it was made at, and stays what it is while it is being fetched, whatever is folded meanwhile; the slots
  * since then come as batches afterwards. Few are pinned at a time, and nodes that lag together share one.
  */
-export interface SnapshotGiver {
+export interface SnapshotSender {
   /** A snapshot that holds that slot, to be fetched part by part with `snapshotAsk`; null if the state is over the bound. */
   offer(view: SnapshotView, slot: number): SnapshotOffer | null;
 }
@@ -20,7 +20,7 @@
 /** All that is replicated, or only what a proxy uses of it. */
 export type SnapshotView = 'controller' | 'proxy';
 
-export type SnapshotGiverDeps = {
+export type SnapshotSenderDeps = {
   readonly peers: Pick<Peers, 'on'>;
   readonly clock: Clock;
   readonly log: Log;
@@ -29,29 +29,29 @@
   readonly keepsFrom: (slot: number) => boolean;
 };
 
-type Pinned = { readonly snapshot: Snapshot; readonly view: SnapshotView; askedAt: number };
+type Pinned = { readonly snapshot: Snapshot; readonly view: SnapshotView; requestedAt: number };
 
 /** A node that has not asked for a part in this long has given up or found another giver. */
 const PINNED_MS = 10_000;
 /** One that is being fetched, and a newer one where the slots since then are no longer kept. */
 const MOST_PINNED_EACH = 2;
 
-class PinnedSnapshotGiver implements SnapshotGiver {
+class PinnedSnapshotSender implements SnapshotSender {
   private pinned: Pinned[] = [];
 
-  constructor(private readonly deps: SnapshotGiverDeps) {
-    this.deps.peers.on('snapshotAsk', (m) => this.onAsk(m));
+  constructor(private readonly deps: SnapshotSenderDeps) {
+    this.deps.peers.on('snapshotAsk', (m) => this.onRequest(m));
   }
 
   private isFresh(pin: Pinned): boolean {
-    return this.deps.clock.mono() - pin.askedAt < PINNED_MS;
+    return this.deps.clock.mono() - pin.requestedAt < PINNED_MS;
   }
 
   /** One that stands already, if it holds the slot and all since then is kept as batches. */
   private reusable(view: SnapshotView, slot: number): Pinned | null {
     for (const pin of this.pinned) {
-      const held = pin.snapshot.offer.slot;
-      if (pin.view === view && held >= slot && this.deps.keepsFrom(held + 1)) return pin;
+      const pinnedSlot = pin.snapshot.offer.slot;
+      if (pin.view === view && pinnedSlot >= slot && this.deps.keepsFrom(pinnedSlot + 1)) return pin;
     }
     return null;
   }
@@ -65,7 +65,7 @@
       );
       return null;
     }
-    const made: Pinned = { snapshot, view, askedAt: this.deps.clock.mono() };
+    const made: Pinned = { snapshot, view, requestedAt: this.deps.clock.mono() };
     this.pinned = [made, ...this.othersBeside(view)];
     return made;
   }
@@ -85,22 +85,22 @@
     this.pinned = this.pinned.filter((pin) => this.isFresh(pin));
     const offered = this.reusable(view, slot) ?? this.pin(view);
     if (!offered) return null;
-    offered.askedAt = this.deps.clock.mono();
+    offered.requestedAt = this.deps.clock.mono();
     return offered.snapshot.offer;
   }
 
-  private onAsk(m: MessageOf<'snapshotAsk'>): Message {
+  private onRequest(m: MessageOf<'snapshotAsk'>): Message {
     for (const pin of this.pinned) {
       if (pin.snapshot.offer.digest !== m.digest) continue;
-      const part = partOf(pin.snapshot, m.part);
-      if (part === null) break;
-      pin.askedAt = this.deps.clock.mono();
-      return { kind: 'snapshotPart', digest: m.digest, part: m.part, text: part };
+      const chunk = chunkOf(pin.snapshot, m.part);
+      if (chunk === null) break;
+      pin.requestedAt = this.deps.clock.mono();
+      return { kind: 'snapshotPart', digest: m.digest, part: m.part, text: chunk };
     }
     return { kind: 'snapshotGone', digest: m.digest };
   }
 }
 
-export function createSnapshotGiver(deps: SnapshotGiverDeps): SnapshotGiver {
-  return new PinnedSnapshotGiver(deps);
+export function createSnapshotSender(deps: SnapshotSenderDeps): SnapshotSender {
+  return new PinnedSnapshotSender(deps);
 }
--- a/src/coordination/ledger/snapshot-taker.ts
+++ b/src/coordination/ledger/snapshot-taker.ts
@@ -1,7 +1,7 @@
 import { parsedJson } from '../../base/parsed-json.js';
 import { isControlState } from '../../state/control-state.js';
 import type { ControlState } from '../../state/control-state.js';
-import { addPart, assembled, createAssembly, isBounded, nextPart } from '../../state/snapshot-parts.js';
+import { addChunk, assembled, createAssembly, isBounded, nextChunk } from '../../state/snapshot-parts.js';
 import type { Assembly, SnapshotOffer } from '../../state/snapshot-parts.js';
 import type { Clock } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
@@ -13,12 +13,12 @@
  * fetch goes on where it stood with whoever offers the same snapshot (the same digest); any other offer
  * begins anew. A state is returned only if the digest of the whole is the one that was offered.
  */
-export interface SnapshotTaker {
-  take(from: Address, offer: SnapshotOffer): Promise<SnapshotTake>;
-  isTaking(): boolean;
+export interface SnapshotReceiver {
+  receive(from: Address, offer: SnapshotOffer): Promise<SnapshotReceipt>;
+  isReceiving(): boolean;
 }
 
-export type SnapshotTake =
+export type SnapshotReceipt =
   | { readonly tag: 'whole'; readonly state: ControlState }
   /** The giver fell silent or was lost; what came is kept. */
   | { readonly tag: 'interrupted' }
@@ -31,17 +31,17 @@
 /** Without a part in this long another giver takes over; at 7 Mbit/s a part takes some 60 ms and a round trip. */
 const STALLED_MS = 600;
 
-const INTERRUPTED: SnapshotTake = { tag: 'interrupted' };
-const REFUSED: SnapshotTake = { tag: 'refused' };
-const JOINED: SnapshotTake = { tag: 'joined' };
+const INTERRUPTED: SnapshotReceipt = { tag: 'interrupted' };
+const REFUSED: SnapshotReceipt = { tag: 'refused' };
+const JOINED: SnapshotReceipt = { tag: 'joined' };
 
-class ResumingSnapshotTaker implements SnapshotTaker {
+class ResumingSnapshotReceiver implements SnapshotReceiver {
   private assembly: Assembly | null = null;
-  private underWay: Promise<SnapshotTake> | null = null;
+  private fetch: Promise<SnapshotReceipt> | null = null;
 
   /** Counts the fetches begun. One that is no longer the newest adds nothing to the assembly. */
   private newest = 0;
-  private partAt = 0;
+  private lastChunkAt = 0;
 
   constructor(
     private readonly peers: Pick<Peers, 'call'>,
@@ -49,34 +49,34 @@
     private readonly log: Log,
   ) {}
 
-  isTaking(): boolean {
-    return this.underWay !== null;
+  isReceiving(): boolean {
+    return this.fetch !== null;
   }
 
-  async take(from: Address, offer: SnapshotOffer): Promise<SnapshotTake> {
-    if (this.underWay && this.clock.mono() - this.partAt < STALLED_MS) {
-      await this.underWay;
+  async receive(from: Address, offer: SnapshotOffer): Promise<SnapshotReceipt> {
+    if (this.fetch && this.clock.mono() - this.lastChunkAt < STALLED_MS) {
+      await this.fetch;
       return JOINED;
     }
     this.newest += 1;
-    this.partAt = this.clock.mono();
+    this.lastChunkAt = this.clock.mono();
     const own = this.newest;
-    this.underWay = this.fetchFrom(from, offer, own);
-    const ended = await this.underWay;
+    this.fetch = this.fetchFrom(from, offer, own);
+    const ended = await this.fetch;
     if (own !== this.newest) return JOINED;
-    this.underWay = null;
+    this.fetch = null;
     if (ended.tag !== 'interrupted') this.assembly = null;
     return ended;
   }
 
-  private async fetchFrom(from: Address, offer: SnapshotOffer, own: number): Promise<SnapshotTake> {
+  private async fetchFrom(from: Address, offer: SnapshotOffer, own: number): Promise<SnapshotReceipt> {
     if (!isBounded(offer)) {
       this.log.error(`${from} offers a snapshot of ${offer.length} characters, over the bound; it is not fetched.`);
       return REFUSED;
     }
-    const held = this.assembly?.offer.digest === offer.digest ? this.assembly : createAssembly(offer);
-    this.assembly = held;
-    for (let next = nextPart(held); next !== null; next = nextPart(held)) {
+    const current = this.assembly?.offer.digest === offer.digest ? this.assembly : createAssembly(offer);
+    this.assembly = current;
+    for (let next = nextChunk(current); next !== null; next = nextChunk(current)) {
       const reply = await this.peers.call(
         from,
         { kind: 'snapshotAsk', digest: offer.digest, part: next },
@@ -84,22 +84,26 @@
       );
       if (!reply.ok || own !== this.newest) return INTERRUPTED;
       const answer = reply.value;
-      if (answer.kind !== 'snapshotPart' || answer.digest !== offer.digest || !addPart(held, answer.part, answer.text))
+      if (
+        answer.kind !== 'snapshotPart' ||
+        answer.digest !== offer.digest ||
+        !addChunk(current, answer.part, answer.text)
+      )
         return REFUSED;
-      this.partAt = this.clock.mono();
+      this.lastChunkAt = this.clock.mono();
     }
-    return this.stateIn(from, held);
+    return this.stateIn(from, current);
   }
 
-  private stateIn(from: Address, held: Assembly): SnapshotTake {
-    const text = assembled(held);
+  private stateIn(from: Address, current: Assembly): SnapshotReceipt {
+    const text = assembled(current);
     const state = text.ok ? parsedJson(text.value) : null;
-    if (text.ok && isControlState(state) && state.slot === held.offer.slot) return { tag: 'whole', state };
+    if (text.ok && isControlState(state) && state.slot === current.offer.slot) return { tag: 'whole', state };
     this.log.warn(`A snapshot from ${from} is not what was offered; it is not taken.`);
     return REFUSED;
   }
 }
 
-export function createSnapshotTaker(peers: Pick<Peers, 'call'>, clock: Clock, log: Log): SnapshotTaker {
-  return new ResumingSnapshotTaker(peers, clock, log);
+export function createSnapshotReceiver(peers: Pick<Peers, 'call'>, clock: Clock, log: Log): SnapshotReceiver {
+  return new ResumingSnapshotReceiver(peers, clock, log);
 }
--- a/src/coordination/ledger/snapshots.test.ts
+++ b/src/coordination/ledger/snapshots.test.ts
@@ -2,19 +2,19 @@
 import type { Message, MessageKind, MessageOf } from '../../protocol/messages.js';
 import { emptyControlState } from '../../state/control-state.js';
 import type { ControlState } from '../../state/control-state.js';
-import { partCount, PART_LENGTH } from '../../state/snapshot-parts.js';
+import { chunkCount, CHUNK_LENGTH } from '../../state/snapshot-parts.js';
 import type { SnapshotOffer } from '../../state/snapshot-parts.js';
 import { createWorld } from '../../sim/world.js';
-import { pause } from '../../transport/clock.js';
+import { delay } from '../../transport/clock.js';
 import { createQuietLog } from '../../transport/log.js';
-import { createSnapshotGiver } from './snapshot-giver.js';
+import { createSnapshotSender } from './snapshot-giver.js';
 import type { SnapshotView } from './snapshot-giver.js';
-import { createSnapshotTaker } from './snapshot-taker.js';
-import type { SnapshotTake } from './snapshot-taker.js';
+import { createSnapshotReceiver } from './snapshot-taker.js';
+import type { SnapshotReceipt } from './snapshot-taker.js';
 
-const log = createQuietLog().part('snapshots');
+const log = createQuietLog().component('snapshots');
 
-function stateAt(slot: number, note = 'x', length = 5 * PART_LENGTH): ControlState {
+function stateAt(slot: number, note = 'x', length = 5 * CHUNK_LENGTH): ControlState {
   return {
     ...emptyControlState(),
     slot,
@@ -30,7 +30,7 @@
   const world = createWorld(1);
   const clock = world.clockOf(world.begin(world.host('n', 'z')));
   const givers = new Map<string, Ask>();
-  const asks: string[] = [];
+  const requests: string[] = [];
   const hooks: { before: (to: string, m: MessageOf<'snapshotAsk'>) => void } = { before: () => undefined };
 
   function giver(address: string, first: ControlState) {
@@ -39,7 +39,7 @@
     const on = (kind: MessageKind, handler: unknown) => {
       if (kind === 'snapshotAsk') givers.set(address, handler as Ask);
     };
-    const made = createSnapshotGiver({
+    const made = createSnapshotSender({
       peers: { on: on },
       clock,
       log,
@@ -52,13 +52,13 @@
       keepFrom: (slot: number) => (kept = slot),
     };
   }
-  const taker = createSnapshotTaker(
+  const receiver = createSnapshotReceiver(
     {
       call: async (to, m) => {
         hooks.before(to, m as MessageOf<'snapshotAsk'>);
-        await pause(clock, 10);
+        await delay(clock, 10);
         const ask = givers.get(to);
-        asks.push(`${to} ${(m as MessageOf<'snapshotAsk'>).part}`);
+        requests.push(`${to} ${(m as MessageOf<'snapshotAsk'>).part}`);
         return ask
           ? { ok: true, value: await ask(m as MessageOf<'snapshotAsk'>) }
           : { ok: false, fault: { tag: 'peerSilent', address: to } };
@@ -67,13 +67,13 @@
     clock,
     log,
   );
-  async function take(from: string, offer: SnapshotOffer | null): Promise<SnapshotTake> {
-    let ended: SnapshotTake | null = null;
-    void taker.take(from, offer as SnapshotOffer).then((t) => (ended = t));
+  async function take(from: string, offer: SnapshotOffer | null): Promise<SnapshotReceipt> {
+    let ended: SnapshotReceipt | null = null;
+    void receiver.receive(from, offer as SnapshotOffer).then((t) => (ended = t));
     await world.until(60_000, () => ended !== null);
-    return ended as unknown as SnapshotTake;
+    return ended as unknown as SnapshotReceipt;
   }
-  return { world, giver, givers, taker, take, asks, hooks };
+  return { world, giver, givers, taker: receiver, take, asks: requests, hooks };
 }
 
 describe('a snapshot is fetched in parts', () => {
@@ -82,28 +82,28 @@
     const a = giver('a', stateAt(7));
     hooks.before = () => void a.become(stateAt(99, 'y'));
     const offer = a.offer('controller', 0);
-    expect(partCount(offer as SnapshotOffer)).toBeGreaterThan(4);
+    expect(chunkCount(offer as SnapshotOffer)).toBeGreaterThan(4);
     expect(await take('a', offer)).toEqual({ tag: 'whole', state: stateAt(7) });
   });
 
   test('a giver that is lost: the fetch goes on with another that offers the same', async () => {
-    const { giver, givers, take, asks, hooks } = rig();
+    const { giver, givers, take, asks: requests, hooks } = rig();
     const a = giver('a', stateAt(7));
     const b = giver('b', stateAt(7));
     hooks.before = (to, m) => void (to === 'a' && m.part === 3 && givers.delete('a'));
     expect(await take('a', a.offer('controller', 0))).toEqual({ tag: 'interrupted' });
     expect(await take('b', b.offer('controller', 0))).toEqual({ tag: 'whole', state: stateAt(7) });
-    expect(asks).toEqual(['a 0', 'a 1', 'a 2', 'a 3', 'b 3', 'b 4', 'b 5']);
+    expect(requests).toEqual(['a 0', 'a 1', 'a 2', 'a 3', 'b 3', 'b 4', 'b 5']);
   });
 
   test('a giver that is lost: with another that has come further the fetch begins anew, and never mixes', async () => {
-    const { giver, givers, take, asks, hooks } = rig();
+    const { giver, givers, take, asks: requests, hooks } = rig();
     const a = giver('a', stateAt(7));
     const b = giver('b', stateAt(8, 'y'));
     hooks.before = (to, m) => void (to === 'a' && m.part === 3 && givers.delete('a'));
     expect(await take('a', a.offer('controller', 0))).toEqual({ tag: 'interrupted' });
     expect(await take('b', b.offer('controller', 0))).toEqual({ tag: 'whole', state: stateAt(8, 'y') });
-    expect(asks.slice(4)).toEqual(['b 0', 'b 1', 'b 2', 'b 3', 'b 4', 'b 5']);
+    expect(requests.slice(4)).toEqual(['b 0', 'b 1', 'b 2', 'b 3', 'b 4', 'b 5']);
   });
 
   test('one that restarted knows the digest no more; it says so, and offers what it has', async () => {
@@ -146,26 +146,26 @@
   });
 
   test('two fetches do not run side by side, but one whose giver stalls is taken over', async () => {
-    const { giver, givers, take, taker, world, asks } = rig();
+    const { giver, givers, take, taker: receiver, world, asks: requests } = rig();
     const a = giver('a', stateAt(7));
     const b = giver('b', stateAt(7));
     const [first, second] = [
-      taker.take('a', a.offer('controller', 0) as SnapshotOffer),
+      receiver.receive('a', a.offer('controller', 0) as SnapshotOffer),
       take('b', b.offer('controller', 0)),
     ];
     expect(await second).toEqual({ tag: 'joined' });
     expect(await first).toEqual({ tag: 'whole', state: stateAt(7) });
-    expect(asks.every((ask) => ask.startsWith('a'))).toBe(true);
+    expect(requests.every((ask) => ask.startsWith('a'))).toBe(true);
 
     const honest = givers.get('a') as Ask;
     const slow: Promise<Message>[] = [];
     givers.set('a', (m) => {
       if (m.part < 2) return honest(m);
-      const late = pause(world.clockOf(world.begin(world.host('late', 'z'))), 5_000).then(() => honest(m));
+      const late = delay(world.clockOf(world.begin(world.host('late', 'z'))), 5_000).then(() => honest(m));
       slow.push(late);
       return late;
     });
-    const stalled = taker.take('a', a.offer('controller', 0) as SnapshotOffer);
+    const stalled = receiver.receive('a', a.offer('controller', 0) as SnapshotOffer);
     await world.advance(1_000);
     expect(await take('b', b.offer('controller', 0))).toEqual({ tag: 'whole', state: stateAt(7) });
     await world.advance(10_000);
--- a/src/coordination/ledger/store.test.ts
+++ b/src/coordination/ledger/store.test.ts
@@ -16,11 +16,11 @@
 
 function batchOf(slot: number): Batch {
   const member = (name: string) => ({ name, incarnation: '1', address: `${name}:1` });
-  const act =
+  const command =
     slot === 0
       ? { tag: 'bootstrapped' as const, ledger: 'l', ticketKey: 'k', members: ['a', 'b', 'c'].map(member) }
       : { tag: 'evacuation' as const, zone: `z${slot}`, begun: true };
-  return { id: `batch-${slot}`, entries: [{ id: `op-${slot}`, author: 'a', wall: 0, cause: 'A test.', act }] };
+  return { id: `batch-${slot}`, entries: [{ id: `op-${slot}`, author: 'a', wall: 0, cause: 'A test.', act: command }] };
 }
 function stateAt(slot: number): ControlState {
   const state = emptyControlState();
@@ -117,9 +117,9 @@
       return;
     }
     opened.store = made.value;
-    for (const queue of script) {
-      const answers = await Promise.all(queue.map((command) => made.value.put(command)));
-      queue.forEach((command, i) => note(answered, command, answers[i] as StoreAnswer));
+    for (const line of script) {
+      const answers = await Promise.all(line.map((command) => made.value.put(command)));
+      line.forEach((command, i) => note(answered, command, answers[i] as StoreAnswer));
     }
     opened.ended = true;
   }
--- a/src/coordination/ledger/store.ts
+++ b/src/coordination/ledger/store.ts
@@ -191,7 +191,7 @@
   private async work(commands: readonly StoreCommand[]): Promise<readonly StoreAnswer[]> {
     const answers: StoreAnswer[] = [];
     const writes: Buffer[] = [];
-    let whole = false;
+    let rewritesAll = false;
     function write(saved: Saved): number {
       const record = encoded(saved);
       writes.push(record);
@@ -199,10 +199,10 @@
     }
     for (const command of commands) {
       answers.push(this.decide(command, write));
-      if (command.tag === 'adopt' || command.tag === 'fillClosed' || command.tag === 'rewrite') whole = true;
+      if (command.tag === 'adopt' || command.tag === 'fillClosed' || command.tag === 'rewrite') rewritesAll = true;
     }
     let written: Result<null, RingFault> = ok(null);
-    if (whole) written = await this.compacted();
+    if (rewritesAll) written = await this.compacted();
     else if (writes.length > 0) {
       if (this.opened.ring.crowded()) written = await this.compacted();
       if (written.ok) written = await this.opened.ring.append(writes);
--- a/src/coordination/ledger/voter.ts
+++ b/src/coordination/ledger/voter.ts
@@ -15,10 +15,10 @@
 import type { Peers } from '../members/peers.js';
 import type { Replica } from './replica.js';
 
-export type VoteAsk = MessageOf<'prepare'> | MessageOf<'accept'>;
+export type VoteRequest = MessageOf<'prepare'> | MessageOf<'accept'>;
 
 export interface Voter {
-  onVote(ask: VoteAsk): Promise<Message>;
+  onVote(request: VoteRequest): Promise<Message>;
 }
 
 export type VoterDeps = {
@@ -34,11 +34,11 @@
 
 class ReplicaVoter implements Voter {
   constructor(private readonly deps: VoterDeps) {
-    this.deps.peers.on('prepare', (ask) => this.onVote(ask));
+    this.deps.peers.on('prepare', (request) => this.onVote(request));
 
-    this.deps.peers.on('accept', (ask) => this.onVote(ask));
+    this.deps.peers.on('accept', (request) => this.onVote(request));
 
-    this.deps.peers.on('learned', (told) => this.onLearned(told));
+    this.deps.peers.on('learned', (update) => this.onLearned(update));
   }
 
   /** One that lags learns from the proposer what it lacks, so that its vote counts at once. */
@@ -52,30 +52,35 @@
     }
   }
 
-  private mayVote(ask: VoteAsk): boolean {
-    if (ask.slot > this.deps.replica.controlState().slot + 1) return false;
-    if (ask.ledger === this.deps.bootstrapBallot()) return ask.slot === 0;
-    return ask.ledger === this.deps.replica.controlState().ledger && this.deps.replica.isMember();
+  private mayVote(request: VoteRequest): boolean {
+    if (request.slot > this.deps.replica.controlState().slot + 1) return false;
+    if (request.ledger === this.deps.bootstrapBallot()) return request.slot === 0;
+    return request.ledger === this.deps.replica.controlState().ledger && this.deps.replica.isMember();
   }
 
-  async onVote(ask: VoteAsk): Promise<Message> {
-    if (ask.ledger === this.deps.replica.controlState().ledger && ask.slot > this.deps.replica.controlState().slot + 1)
-      await this.learnUpTo(ask.slot - 1, ask.ballot);
-    if (!this.mayVote(ask)) return { kind: 'cannotVote' };
-    const { slot, ballot } = ask;
+  async onVote(request: VoteRequest): Promise<Message> {
+    if (
+      request.ledger === this.deps.replica.controlState().ledger &&
+      request.slot > this.deps.replica.controlState().slot + 1
+    )
+      await this.learnUpTo(request.slot - 1, request.ballot);
+    if (!this.mayVote(request)) return { kind: 'cannotVote' };
+    const { slot, ballot } = request;
     const answer = await this.deps.replica.put(
-      ask.kind === 'prepare' ? { tag: 'prepare', slot, ballot } : { tag: 'accept', slot, ballot, batch: ask.batch },
+      request.kind === 'prepare'
+        ? { tag: 'prepare', slot, ballot }
+        : { tag: 'accept', slot, ballot, batch: request.batch },
     );
     return answer.tag === 'vote' ? messageOf(answer.vote, this.deps.replica.id()) : { kind: 'cannotVote' };
   }
 
-  private onLearned(told: MessageOf<'learned'>): null {
+  private onLearned(update: MessageOf<'learned'>): null {
     const { ledger, slot } = this.deps.replica.controlState();
-    const isSlotZero = ledger === '' && told.slot === 0 && told.ledger === this.deps.bootstrapBallot();
-    if (!isSlotZero && (told.ledger !== ledger || told.slot <= slot)) return null;
-    const accepted = this.deps.replica.store.accepted(told.slot);
-    if (told.slot === slot + 1 && accepted?.id === told.batch) void this.deps.replica.learn(told.slot, accepted);
-    else void this.deps.catchUp(told.at);
+    const isSlotZero = ledger === '' && update.slot === 0 && update.ledger === this.deps.bootstrapBallot();
+    if (!isSlotZero && (update.ledger !== ledger || update.slot <= slot)) return null;
+    const accepted = this.deps.replica.store.accepted(update.slot);
+    if (update.slot === slot + 1 && accepted?.id === update.batch) void this.deps.replica.learn(update.slot, accepted);
+    else void this.deps.catchUp(update.at);
     return null;
   }
 }
--- a/src/coordination/members/membership.test.ts
+++ b/src/coordination/members/membership.test.ts
@@ -30,7 +30,7 @@
   async function begin(name: string, at: number): Promise<void> {
     const region = `r${at % REGIONS}`;
     const proc = world.begin(world.host(name, region));
-    const log = createQuietLog().part('members');
+    const log = createQuietLog().component('members');
     const clock = world.clockOf(proc);
     const peers = createPeers(net.wireOf(proc), clock, log);
     await peers.open(addressOf(at));
--- a/src/coordination/members/membership.ts
+++ b/src/coordination/members/membership.ts
@@ -203,12 +203,12 @@
     if (got.ok && got.value.kind === 'probeAnswer') this.applyUpdates(got.value.news);
   }
 
-  private async askHelpers(target: NodeInfo): Promise<boolean> {
+  private async probeIndirectly(target: NodeInfo): Promise<boolean> {
     const others: NodeInfo[] = [];
     for (const n of this.members.values())
       if (n.name !== this.self.name && n.name !== target.name && n.status === 'alive') others.push(n);
     let reached = false;
-    const asks: Promise<void>[] = [];
+    const requests: Promise<void>[] = [];
 
     const one = async (helper: NodeInfo): Promise<void> => {
       const got = await this.peers.call(
@@ -221,8 +221,8 @@
         if (got.value.reached) reached = true;
       }
     };
-    for (const helper of shuffled(this.rng, others).slice(0, HELPERS)) asks.push(one(helper));
-    await Promise.all(asks);
+    for (const helper of shuffled(this.rng, others).slice(0, HELPERS)) requests.push(one(helper));
+    await Promise.all(requests);
     return reached;
   }
 
@@ -276,7 +276,7 @@
     const target = this.nextTarget();
     if (!target) return;
     if (await this.probe(target.address, DIRECT_MS)) return;
-    if (await this.askHelpers(target)) return;
+    if (await this.probeIndirectly(target)) return;
     const known = this.members.get(target.name);
     if (!known || known.status !== 'alive' || known.incarnation !== target.incarnation) return;
     const suspect: NodeInfo = { ...known, status: 'suspect' };
--- a/src/coordination/members/silent-peers.test.ts
+++ b/src/coordination/members/silent-peers.test.ts
@@ -3,7 +3,7 @@
 import { createSimNet } from '../../sim/sim-wire.js';
 import { createWorld } from '../../sim/world.js';
 import type { Host, World } from '../../sim/world.js';
-import { pause } from '../../transport/clock.js';
+import { delay } from '../../transport/clock.js';
 import { createQuietLog } from '../../transport/log.js';
 import { createPeers } from './peers.js';
 import type { Peer, Peers } from './peers.js';
@@ -36,10 +36,10 @@
   for (const host of [near, far]) {
     const proc = world.begin(host);
     const clock = world.clockOf(proc);
-    const peers = createPeers(net.wireOf(proc), clock, createQuietLog().part(''));
+    const peers = createPeers(net.wireOf(proc), clock, createQuietLog().component(''));
     peers.on('memberStatusAsk', async (_m, peer) => {
       seen.push(peer);
-      if (answerMs > 0) await pause(clock, answerMs);
+      if (answerMs > 0) await delay(clock, answerMs);
       return DONE;
     });
     await finish(world, peers.open(`${host.name}:1`));
--- a/src/coordination/scaling/list-duty.test.ts
+++ b/src/coordination/scaling/list-duty.test.ts
@@ -90,7 +90,7 @@
     return { read };
   }
   function peersOf(proc: Proc, address: string): Peers {
-    const peers = createPeers(net.wireOf(proc), world.clockOf(proc), createQuietLog().part('peers'));
+    const peers = createPeers(net.wireOf(proc), world.clockOf(proc), createQuietLog().component('peers'));
     void peers.open(address);
     return peers;
   }
@@ -106,7 +106,7 @@
       peers: peersOf(proc, h.address),
       clock,
       rng: createRng(seed * 31 + h.host.life * 7 + Number(h.host.name.slice(5))),
-      log: createQuietLog().part('list'),
+      log: createQuietLog().component('list'),
     });
   }
   function startEdge(e: Edge): void {
@@ -120,7 +120,7 @@
       peers: peersOf(proc, e.address),
       clock: world.clockOf(proc),
       rng: createRng(seed * 17 + e.host.life * 5 + Number(e.host.name.slice(5)) * 3),
-      log: createQuietLog().part('list'),
+      log: createQuietLog().component('list'),
     });
     feed.events.on('changed', () => (e.seen += 1));
     e.feed = feed;
@@ -168,7 +168,7 @@
     const sent = room.net.sent().bytes;
     await room.world.advance(20_000);
     reader(room);
-    expect(callsSince(room, from)).toEqual({ heads: 20, edges: 0, readers: 1 });
+    expect(callsSince(room, from)).toEqual({ controllers: 20, edges: 0, readers: 1 });
     expect(room.edges.every((e) => e.feed?.entries().length === 6)).toBe(true);
     expect(room.edges.map((e) => e.seen)).toEqual([1, 1, 1, 1, 1, 1]);
     expect((room.net.sent().bytes - sent) / 20).toBeLessThan(9 * 200);
@@ -237,7 +237,7 @@
     await room.world.advance(5_000);
     expect(reader(room)).toBe(now);
     expect(room.calls.filter((c) => c.at > thawed && c.by === old.host.name)).toEqual([]);
-    expect(callsSince(room, from)).toEqual({ heads: 5, edges: 0, readers: 1 });
+    expect(callsSince(room, from)).toEqual({ controllers: 5, edges: 0, readers: 1 });
   });
 
   test.each([30, 31, 32, 33])(
@@ -329,7 +329,7 @@
     await room.world.advance(3_000);
     const back = room.world.now();
     await room.world.advance(3_000);
-    expect(callsSince(room, back)).toEqual({ heads: 3, edges: 0, readers: 1 });
+    expect(callsSince(room, back)).toEqual({ controllers: 3, edges: 0, readers: 1 });
   });
 
   test('when only the reader cannot reach the platform, another controller takes over', async () => {
@@ -358,7 +358,7 @@
     await room.world.advance(3_000);
     const from = room.world.now();
     await room.world.advance(5_000);
-    expect(callsSince(room, from)).toEqual({ heads: 5, edges: 0, readers: 1 });
+    expect(callsSince(room, from)).toEqual({ controllers: 5, edges: 0, readers: 1 });
   });
 
   test('messages that come twice, late and out of order neither bring back an older list nor stop the news', async () => {
--- a/src/coordination/scaling/list-duty.ts
+++ b/src/coordination/scaling/list-duty.ts
@@ -172,9 +172,9 @@
   private async queryPeers(): Promise<void> {
     if (this.asking) return;
     this.asking = true;
-    const asks: Promise<unknown>[] = [];
-    for (const to of this.others()) asks.push(this.updates.query(to));
-    await Promise.all(asks);
+    const requests: Promise<unknown>[] = [];
+    for (const to of this.others()) requests.push(this.updates.query(to));
+    await Promise.all(requests);
     this.asking = false;
   }
 
--- a/src/coordination/scaling/observer.test.ts
+++ b/src/coordination/scaling/observer.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, test } from '@jest/globals';
 import { err, ok } from '../../base/result.js';
-import { ledgerAsk, ordersAsk } from '../../operator/asks.js';
+import { ledgerRequest, ordersRequest } from '../../operator/asks.js';
 import { createCore } from '../../operator/core.js';
 import { ledgerText, ordersText } from '../../programs/inspect-text.js';
 import { createSimCore } from '../../sim/sim-core.js';
@@ -158,13 +158,13 @@
       ['h1', 'h2', 'h3'].map((n) => `${d.core.node(n).wire}0`),
       d.core.lab('inspect').httpClient,
     );
-    const orders = ordersText((await d.core.finish(inspect.ask(ordersAsk('m')), 5_000))?.body);
+    const orders = ordersText((await d.core.finish(inspect.request(ordersRequest('m')), 5_000))?.body);
     expect(orders).toMatch(
       new RegExp(
         `found-w1 m spot in b: lost, machine w1\\n.*placed +by ${at}.* \\(fence ${fence}\\): Stood in the list.*\\n.*\\n.*lost +by ${at}.* \\(fence ${fence}\\): Taken away at short notice: \\d+ ms were left`,
       ),
     );
-    const ledger = ledgerText((await d.core.finish(inspect.ask(ledgerAsk('0')), 5_000))?.body);
+    const ledger = ledgerText((await d.core.finish(inspect.request(ledgerRequest('0')), 5_000))?.body);
     expect(ledger).toMatch(/zonesMoved +A spot worker was lost in b\./);
     expect(ledger).toMatch(/zonesMoved +A launch became ready in b\./);
   });
@@ -262,7 +262,7 @@
   test('the target follows what the proxies count, and one whose reports stop does not make it fall', async () => {
     const d = await day(70, { windowS: 5, holdS: 5, qTar: 2 });
     const { wire, clock } = d.core.lab('proxy-1');
-    const peers = createPeers(wire, clock, createQuietLog().part('peers'));
+    const peers = createPeers(wire, clock, createQuietLog().component('peers'));
     let n = 0;
     async function send(seconds: number, perSecond: number): Promise<void> {
       for (let i = 0; i < seconds * 2; i += 1) {
@@ -298,7 +298,7 @@
     async (_, saying, lost) => {
       const d = await day(80);
       const { wire, clock } = d.core.lab('proxies');
-      const peers = createPeers(wire, clock, createQuietLog().part('peers'));
+      const peers = createPeers(wire, clock, createQuietLog().component('peers'));
       for (let i = 1; i <= 30; i += 1) {
         const reports = [...Array(9).keys()].map((k) =>
           report(`s${k}`, i, { health: k < saying ? { w4: 'unfit' } : {} }),
