--- a/src/coordination/scaling/observer.ts
+++ b/src/coordination/scaling/observer.ts
@@ -2,7 +2,7 @@
 import { decideObserved, decideRetired, observedMemory, observedRules } from '../../state/observed-orders.js';
 import type { ObservedMemory } from '../../state/observed-orders.js';
 import type { WorkerEntry } from '../../state/worker-entry.js';
-import { pause } from '../../transport/clock.js';
+import { delay } from '../../transport/clock.js';
 import type { Clock } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
 import { newId } from '../../transport/rng.js';
@@ -37,15 +37,15 @@
 const PROPOSE_MS = 3_000;
 const CAUSE_LENGTH = 200;
 
-type Unfit = { readonly since: number; readonly last: number };
+type UnhealthyPeriod = { readonly since: number; readonly last: number };
 
 class ListObserver implements Observer {
   private readonly rates: RateWatch;
-  private readonly unfit = new Map<string, Unfit>();
+  private readonly unhealthyWorkers = new Map<string, UnhealthyPeriod>();
   private readonly planned = new Set<string>();
   private memory = new Map<string, ObservedMemory>();
   private ownFence: number | null = null;
-  private blind = false;
+  private isListOld = false;
   private stopped = false;
 
   constructor(private readonly deps: ObserverDeps) {
@@ -54,7 +54,7 @@
     void this.run();
   }
 
-  private mayAct(fence: number): boolean {
+  private holdsLease(fence: number): boolean {
     return this.deps.lease.fence() === fence && this.deps.lease.leftMs() > 0;
   }
 
@@ -62,11 +62,11 @@
     return newId(this.deps.rng, 'order');
   }
 
-  private notePlanned(list: readonly WorkerEntry[]): void {
-    const held = new Set<string | null>();
-    for (const order of Object.values(this.deps.ledger.controlState().orders)) held.add(order.machine);
-    for (const id of this.planned) if (!held.has(id)) this.planned.delete(id);
-    for (const w of list) if (w.leaving && w.remainingMs === null && held.has(w.id)) this.planned.add(w.id);
+  private recordPlanned(list: readonly WorkerEntry[]): void {
+    const machines = new Set<string | null>();
+    for (const order of Object.values(this.deps.ledger.controlState().orders)) machines.add(order.machine);
+    for (const id of this.planned) if (!machines.has(id)) this.planned.delete(id);
+    for (const w of list) if (w.leaving && w.remainingMs === null && machines.has(w.id)) this.planned.add(w.id);
   }
 
   private deadWorkers(list: readonly WorkerEntry[]): Set<string> {
@@ -85,24 +85,25 @@
     for (const w of list) {
       listed.add(w.id);
       const n = votes.get(w.id) ?? 0;
-      const before = this.unfit.get(w.id);
-      if (n > 0 && n >= reporters * UNFIT_SHARE) this.unfit.set(w.id, { since: before?.since ?? now, last: now });
-      else if (before && now - before.last > UNFIT_KEPT_MS) this.unfit.delete(w.id);
-      const held = this.unfit.get(w.id);
-      if (held && now - held.since > DEAD_MS) out.add(w.id);
+      const before = this.unhealthyWorkers.get(w.id);
+      if (n > 0 && n >= reporters * UNFIT_SHARE)
+        this.unhealthyWorkers.set(w.id, { since: before?.since ?? now, last: now });
+      else if (before && now - before.last > UNFIT_KEPT_MS) this.unhealthyWorkers.delete(w.id);
+      const machines = this.unhealthyWorkers.get(w.id);
+      if (machines && now - machines.since > DEAD_MS) out.add(w.id);
     }
-    for (const id of this.unfit.keys()) if (!listed.has(id)) this.unfit.delete(id);
+    for (const id of this.unhealthyWorkers.keys()) if (!listed.has(id)) this.unhealthyWorkers.delete(id);
     return out;
   }
 
-  private seenList(): readonly WorkerEntry[] | null {
+  private currentList(): readonly WorkerEntry[] | null {
     const at = this.deps.feed.asOf();
     const old = at === null || this.deps.clock.mono() - at > LIST_OLD_MS;
-    if (old !== this.blind)
+    if (old !== this.isListOld)
       this.deps.log.warn(
         old ? "The platform's list is old; nothing is decided on it." : "The platform's list is fresh again.",
       );
-    this.blind = old;
+    this.isListOld = old;
     return old ? null : this.deps.feed.entries();
   }
 
@@ -114,15 +115,15 @@
     for (const rule of rules) configured.add(rule.model);
     const steps = decideRetired(controlState, configured, list);
     for (const rule of rules) {
-      const kept = this.memory.get(rule.model) ?? observedMemory();
-      this.memory.set(rule.model, kept);
+      const remembered = this.memory.get(rule.model) ?? observedMemory();
+      this.memory.set(rule.model, remembered);
       const rate = this.rates.rate(rule.model, rule.values.windowS * 1_000);
       steps.push(
         ...decideObserved(
           rule,
           controlState,
           { now: this.deps.clock.mono(), list, rate, dead, planned: this.planned },
-          kept,
+          remembered,
           () => this.nextOrderId(),
         ),
       );
@@ -132,11 +133,11 @@
 
   private async turn(fence: number): Promise<void> {
     this.rates.observe();
-    const list = this.seenList();
+    const list = this.currentList();
     if (!list || this.deps.ledger.controlState().configuration.serving === undefined) return;
     const steps = this.decide(list);
     const [first] = steps;
-    if (!first || !this.mayAct(fence)) return;
+    if (!first || !this.holdsLease(fence)) return;
     const cause = steps.length === 1 ? first.cause : `${steps.length} decisions: ${first.cause}`.slice(0, CAUSE_LENGTH);
     const got = await this.deps.ledger.propose({ cause, act: { tag: 'decided', steps }, fence }, PROPOSE_MS);
     if (got.ok && got.value.outcome.tag === 'applied') this.deps.log.info(cause);
@@ -145,14 +146,14 @@
 
   private async run(): Promise<void> {
     while (!this.stopped) {
-      await pause(this.deps.clock, TICK_MS);
+      await delay(this.deps.clock, TICK_MS);
       if (this.stopped) return;
-      this.notePlanned(this.deps.feed.entries());
+      this.recordPlanned(this.deps.feed.entries());
       const fence = this.deps.lease.fence();
       if (fence !== this.ownFence) {
         this.ownFence = fence;
         this.memory = new Map();
-        this.unfit.clear();
+        this.unhealthyWorkers.clear();
         this.rates.reset();
       }
       if (fence !== null) await this.turn(fence);
--- a/src/coordination/scaling/scaler.ts
+++ b/src/coordination/scaling/scaler.ts
@@ -1,18 +1,18 @@
-import type { Act } from '../../state/entry.js';
+import type { Command } from '../../state/entry.js';
 import type { Order } from '../../state/order.js';
 import { isOpen } from '../../state/order.js';
 import { resolveAll } from '../../state/settings-tree.js';
 import type { Resolved } from '../../state/settings-tree.js';
 import { decideModel } from '../../state/scaler-decide.js';
 import type { Decision } from '../../state/scaler-decide.js';
-import { noteLaunchFailed } from '../../state/scaler-memory.js';
+import { recordLaunchFailed } from '../../state/scaler-memory.js';
 import type { ScalerMemory } from '../../state/scaler-memory.js';
-import type { Price, SeenMachine, Sight } from '../../state/scaler-sight.js';
+import type { Price, ObservedMachine, ScalerObservation } from '../../state/scaler-sight.js';
 import type { Rate } from '../../state/target.js';
 import type { Machine } from '../../protocol/cloud-wire.js';
 import { HEALTH_PATH, readHealth } from '../../protocol/worker-wire.js';
 import type { Listed } from '../../state/listed.js';
-import { pause } from '../../transport/clock.js';
+import { delay } from '../../transport/clock.js';
 import type { Clock } from '../../transport/clock.js';
 import type { HttpClient } from '../../transport/http.js';
 import type { Log } from '../../transport/log.js';
@@ -53,13 +53,13 @@
   private memory: ScalerMemory = new Map();
   private prices: Record<string, Price> = {};
   private pricesAt: number | null = null;
-  private readonly unfitSince = new Map<string, number>();
+  private readonly unhealthySince = new Map<string, number>();
   private readonly orphanSince = new Map<string, number>();
   private drainSince = new Map<string, number>();
   private ownFence: number | null = null;
-  private readonly seenBefore = new Set<string>();
+  private readonly knownMachines = new Set<string>();
   private stopped = false;
-  private ageNoted = false;
+  private wasBlind = false;
   private failedZones: { readonly model: string; readonly zone: string }[] = [];
 
   constructor(private readonly deps: ScalerDeps) {
@@ -81,11 +81,11 @@
     return all;
   }
 
-  private record(fence: number, cause: string, act: Act): Promise<boolean> {
-    return this.agree(fence, [{ cause, act }]);
+  private record(fence: number, cause: string, command: Command): Promise<boolean> {
+    return this.agree(fence, [{ cause, act: command }]);
   }
 
-  private mayAct(fence: number): boolean {
+  private holdsLease(fence: number): boolean {
     return this.deps.lease.fence() === fence && this.deps.lease.leftMs() > 0;
   }
 
@@ -104,20 +104,20 @@
     const now = this.deps.clock.mono();
     const out = new Set<string>();
     for (const w of workers ?? []) {
-      let fit = 0;
-      let unfit = 0;
+      let healthy = 0;
+      let unhealthy = 0;
       for (const r of this.deps.push.reports().values()) {
         const at = this.deps.push.lastContactAt(r.reporter);
         if (at === null || now - at > REPORT_FRESH_MS) continue;
-        if (r.health[w.id] === 'fit') fit += 1;
-        if (r.health[w.id] === 'unfit') unfit += 1;
+        if (r.health[w.id] === 'fit') healthy += 1;
+        if (r.health[w.id] === 'unfit') unhealthy += 1;
       }
-      if (fit > 0 || unfit === 0) {
-        this.unfitSince.delete(w.id);
+      if (healthy > 0 || unhealthy === 0) {
+        this.unhealthySince.delete(w.id);
         continue;
       }
-      const since = this.unfitSince.get(w.id) ?? now;
-      this.unfitSince.set(w.id, since);
+      const since = this.unhealthySince.get(w.id) ?? now;
+      this.unhealthySince.set(w.id, since);
       if (now - since > DEAD_MS) out.add(w.machine);
     }
     return out;
@@ -127,10 +127,10 @@
     return newId(this.deps.rng, 'order');
   }
 
-  private async settleIntended(fence: number, machines: readonly SeenMachine[] | null): Promise<void> {
+  private async resolveIntended(fence: number, machines: readonly ObservedMachine[] | null): Promise<void> {
     const work: Promise<void>[] = [];
 
-    const settleOne = async (order: Order): Promise<void> => {
+    const resolveOrder = async (order: Order): Promise<void> => {
       const had = machineByKey(machines, order.id);
       if (had) {
         await this.record(fence, 'The cloud already holds a machine for this order.', {
@@ -146,7 +146,7 @@
         return;
       }
       for (const accelerator of this.acceleratorsOf(order)) {
-        if (!this.mayAct(fence) || this.deps.lease.leftMs() < ACTION_LEFT_MS) return;
+        if (!this.holdsLease(fence) || this.deps.lease.leftMs() < ACTION_LEFT_MS) return;
         const got = await this.deps.cloud.orderMachine({
           key: order.id,
           owner: this.deps.ledger.controlState().ledger,
@@ -168,11 +168,11 @@
           return;
         }
       }
-      noteLaunchFailed(this.memory, order.model, order.kind, order.zone, this.deps.clock.mono());
+      recordLaunchFailed(this.memory, order.model, order.kind, order.zone, this.deps.clock.mono());
       await this.agree(fence, this.failedLaunch(order));
     };
     for (const order of Object.values(this.deps.ledger.controlState().orders))
-      if (order.status === 'intended') work.push(settleOne(order));
+      if (order.status === 'intended') work.push(resolveOrder(order));
     await Promise.all(work);
   }
 
@@ -200,10 +200,10 @@
           path: HEALTH_PATH,
           timeoutMs: 900,
         });
-        const fit = got.ok ? readHealth(got.value.body) : null;
-        if (fit?.ok && fit.value.running > 0) return;
+        const healthy = got.ok ? readHealth(got.value.body) : null;
+        if (healthy?.ok && healthy.value.running > 0) return;
       }
-      if (!this.mayAct(fence) || this.deps.lease.leftMs() < ACTION_LEFT_MS) return;
+      if (!this.holdsLease(fence) || this.deps.lease.leftMs() < ACTION_LEFT_MS) return;
       const released = order.machine === null ? null : await this.deps.cloud.release(order.machine);
       if (released && !released.ok) return;
       await this.record(fence, 'Drained; the machine is given back.', { tag: 'orderReleased', order: order.id });
@@ -245,7 +245,8 @@
       }
       const since = this.orphanSince.get(m.id) ?? now;
       this.orphanSince.set(m.id, since);
-      if (now - since < ORPHAN_GRACE_MS || !this.mayAct(fence) || this.deps.lease.leftMs() < ACTION_LEFT_MS) continue;
+      if (now - since < ORPHAN_GRACE_MS || !this.holdsLease(fence) || this.deps.lease.leftMs() < ACTION_LEFT_MS)
+        continue;
       const released = await this.deps.cloud.release(m.id);
       if (!released.ok) continue;
       this.orphanSince.delete(m.id);
@@ -269,19 +270,19 @@
     const machines = seenMachines.ok ? seenMachines.value : null;
     const workers = seenWorkers.ok ? seenWorkers.value : null;
     const blind = machines === null || workers === null;
-    if (blind !== this.ageNoted) {
+    if (blind !== this.wasBlind) {
       this.deps.log.warn(
         blind
           ? 'The cloud or the platform does not answer; what it told last grows old.'
           : 'The cloud and the platform answer again.',
       );
     }
-    this.ageNoted = blind;
-    if (!this.mayAct(fence)) return;
-    await this.settleIntended(fence, machines);
+    this.wasBlind = blind;
+    if (!this.holdsLease(fence)) return;
+    await this.resolveIntended(fence, machines);
     await this.finishDraining(fence, workers);
     await this.releaseOrphans(fence, machines);
-    if (!this.mayAct(fence)) return;
+    if (!this.holdsLease(fence)) return;
 
     const wanted: Decision[] = [];
     const dead = this.deadMachines(workers);
@@ -292,7 +293,7 @@
       const rate: Rate | null = this.rates.rate(rm.model, rm.values.windowS * 1_000);
       const failedIn: string[] = [];
       for (const f of failures) if (f.model === rm.model) failedIn.push(f.zone);
-      const sight: Sight = {
+      const observation: ScalerObservation = {
         now: this.deps.clock.mono(),
         workers,
         machines,
@@ -301,27 +302,29 @@
         deadMachines: dead,
         failedIn,
         asOf,
-        seenBefore: this.seenBefore,
+        knownMachines: this.knownMachines,
       };
-      for (const d of decideModel(rm, this.deps.ledger.controlState(), sight, this.memory, () => this.nextOrderId()))
+      for (const d of decideModel(rm, this.deps.ledger.controlState(), observation, this.memory, () =>
+        this.nextOrderId(),
+      ))
         wanted.push(d);
     }
     if (wanted.length > 0) await this.agree(fence, wanted);
-    if (wanted.some(isIntent)) await this.settleIntended(fence, machines);
-    this.noteSeen(machines);
+    if (wanted.some(isIntent)) await this.resolveIntended(fence, machines);
+    this.recordMachines(machines);
   }
 
-  private noteSeen(machines: readonly SeenMachine[] | null): void {
-    for (const m of machines ?? []) this.seenBefore.add(m.id);
-    if (this.seenBefore.size < MOST_SEEN) return;
-    const held = new Set<string | null>();
-    for (const order of Object.values(this.deps.ledger.controlState().orders)) held.add(order.machine);
-    for (const id of this.seenBefore) if (!held.has(id)) this.seenBefore.delete(id);
+  private recordMachines(machines: readonly ObservedMachine[] | null): void {
+    for (const m of machines ?? []) this.knownMachines.add(m.id);
+    if (this.knownMachines.size < MOST_SEEN) return;
+    const openMachines = new Set<string | null>();
+    for (const order of Object.values(this.deps.ledger.controlState().orders)) openMachines.add(order.machine);
+    for (const id of this.knownMachines) if (!openMachines.has(id)) this.knownMachines.delete(id);
   }
 
   private async run(): Promise<void> {
     while (!this.stopped) {
-      await pause(this.deps.clock, TICK_MS);
+      await delay(this.deps.clock, TICK_MS);
       const fence = this.deps.lease.fence();
       if (fence === null) {
         this.ownFence = null;
@@ -330,8 +333,8 @@
       if (this.ownFence !== fence) {
         this.ownFence = fence;
         this.memory = new Map();
-        this.unfitSince.clear();
-        this.seenBefore.clear();
+        this.unhealthySince.clear();
+        this.knownMachines.clear();
         this.orphanSince.clear();
         this.rates.reset();
       }
@@ -352,7 +355,7 @@
   return d.act.tag === 'orderIntended';
 }
 
-function machineByKey(machines: readonly SeenMachine[] | null, key: string): SeenMachine | null {
+function machineByKey(machines: readonly ObservedMachine[] | null, key: string): ObservedMachine | null {
   for (const m of machines ?? []) if (m.key === key && m.state !== 'gone') return m;
   return null;
 }
--- a/src/operator/aims.test.ts
+++ b/src/operator/aims.test.ts
@@ -1,10 +1,10 @@
 import { describe, expect, test } from '@jest/globals';
-import { readAims } from '../protocol/aims.js';
+import { readLatencyTargets } from '../protocol/aims.js';
 import { createSimFleet } from '../sim/sim-fleet.js';
 import type { SimFleet } from '../sim/sim-fleet.js';
 import type { Configuration } from '../state/settings-tree.js';
-import type { AimRow } from '../state/aim-report.js';
-import { reportAims } from './aims.js';
+import type { LatencyTargetRow } from '../state/aim-report.js';
+import { reportLatencyTargets } from './aims.js';
 import type { Core } from './core.js';
 
 const cfg: Configuration = {
@@ -24,7 +24,7 @@
 };
 
 function faultsOf(u: unknown): string[] {
-  const read = readAims(u, cfg);
+  const read = readLatencyTargets(u, cfg);
   return read.ok ? [] : read.fault.map((f) => `${f.path}: ${f.expected}; ${f.found}`);
 }
 
@@ -70,7 +70,7 @@
 describe('a report', () => {
   function coreOf(fleet: SimFleet): Core {
     const at = (address: string): number => fleet.controllers.findIndex((h) => h.http === address);
-    async function askAt(
+    async function requestAt(
       address: string,
       ask: { method: 'GET' | 'POST' | 'DELETE'; path: string },
     ): Promise<{ status: number; body: unknown } | null> {
@@ -79,18 +79,18 @@
     }
     return {
       addresses: [],
-      askAt,
-      ask: (a) => askAt(fleet.controllers[0]?.http ?? '', a),
+      requestAt,
+      request: (a) => requestAt(fleet.controllers[0]?.http ?? '', a),
       version: () => Promise.resolve(null),
     };
   }
-  async function reported(fleet: SimFleet): Promise<Record<string, AimRow> | null> {
-    const aims = readAims(doc, cfg);
-    const rows = aims.ok
-      ? await reportAims(
+  async function reported(fleet: SimFleet): Promise<Record<string, LatencyTargetRow> | null> {
+    const latencyTargets = readLatencyTargets(doc, cfg);
+    const rows = latencyTargets.ok
+      ? await reportLatencyTargets(
           coreOf(fleet),
           fleet.controllers.map((h) => h.http),
-          aims.value,
+          latencyTargets.value,
         )
       : null;
     return rows && Object.fromEntries(rows.map((r) => [r.name, r]));
--- a/src/operator/aims.ts
+++ b/src/operator/aims.ts
@@ -1,28 +1,28 @@
-import type { AimMinutes } from '../coordination/ledger/aim-keeper.js';
+import type { MinuteCounts } from '../coordination/ledger/aim-keeper.js';
 import { isTable } from '../base/is-table.js';
 import { addCounts, CHANGES_SUBJECT, noCounts } from '../state/aim-counts.js';
-import { reportAim } from '../state/aim-report.js';
-import type { Aim, AimRow } from '../state/aim-report.js';
+import { reportLatencyTarget } from '../state/aim-report.js';
+import type { LatencyTarget, LatencyTargetRow } from '../state/aim-report.js';
 import type { Minute } from '../state/aim-book.js';
 import type { Address } from '../transport/wire.js';
-import { aimsAsk } from './asks.js';
+import { latencyTargetsRequest } from './asks.js';
 import type { Core } from './core.js';
 
-type Told = { readonly by: string; readonly minutes: readonly Minute[] };
+type MinuteAnswer = { readonly by: string; readonly minutes: readonly Minute[] };
 
-function toldIn(body: unknown): Told | null {
+function answersIn(body: unknown): MinuteAnswer | null {
   if (!isTable(body) || !Array.isArray(body['minutes']) || typeof body['now'] !== 'number') return null;
-  const { by, now, minutes } = body as AimMinutes;
+  const { by, now, minutes } = body as MinuteCounts;
   const relative: Minute[] = [];
   for (const m of minutes) relative.push({ ...m, minute: m.minute - now });
   return { by, minutes: relative };
 }
 
-function changesOf(all: readonly Told[], silent: readonly Address[], window: number): Minute[] {
+function changesOf(all: readonly MinuteAnswer[], unresponsive: readonly Address[], window: number): Minute[] {
   const out: Minute[] = [];
   for (let minute = -window; minute < 0; minute += 1) {
     const counts = { [CHANGES_SUBJECT]: noCounts() };
-    const unknown = [...silent];
+    const unknown = [...unresponsive];
     for (const t of all) {
       const m = t.minutes.find(isIt);
       if (!m) unknown.push(t.by);
@@ -36,32 +36,33 @@
   return out;
 }
 
-function knownMinutes(t: Told): number {
+function knownMinutes(t: MinuteAnswer): number {
   let n = 0;
   for (const m of t.minutes) if (m.unknown.length === 0) n += 1;
   return n;
 }
 
-export async function reportAims(
+export async function reportLatencyTargets(
   core: Core,
   addresses: readonly Address[],
-  aims: readonly Aim[],
-): Promise<readonly AimRow[] | null> {
+  latencyTargets: readonly LatencyTarget[],
+): Promise<readonly LatencyTargetRow[] | null> {
   let window = 1;
-  for (const a of aims) window = Math.max(window, a.windowMinutes);
-  const told: Told[] = [];
-  const silent: Address[] = [];
+  for (const a of latencyTargets) window = Math.max(window, a.windowMinutes);
+  const answers: MinuteAnswer[] = [];
+  const unresponsive: Address[] = [];
   for (const address of addresses) {
-    const got = await core.askAt(address, aimsAsk(window));
-    const read = got?.status === 200 ? toldIn(got.body) : null;
-    if (read) told.push(read);
-    else silent.push(address);
+    const got = await core.requestAt(address, latencyTargetsRequest(window));
+    const read = got?.status === 200 ? answersIn(got.body) : null;
+    if (read) answers.push(read);
+    else unresponsive.push(address);
   }
-  let best: Told | null = null;
-  for (const t of told) if (!best || knownMinutes(t) > knownMinutes(best)) best = t;
+  let best: MinuteAnswer | null = null;
+  for (const t of answers) if (!best || knownMinutes(t) > knownMinutes(best)) best = t;
   if (!best) return null;
-  const changes = changesOf(told, silent, window);
-  const rows: AimRow[] = [];
-  for (const aim of aims) rows.push(reportAim(aim, aim.measure === 'changeInForce' ? changes : best.minutes, 0));
+  const changes = changesOf(answers, unresponsive, window);
+  const rows: LatencyTargetRow[] = [];
+  for (const target of latencyTargets)
+    rows.push(reportLatencyTarget(target, target.measure === 'changeInForce' ? changes : best.minutes, 0));
   return rows;
 }
--- a/src/operator/asks.ts
+++ b/src/operator/asks.ts
@@ -1,38 +1,42 @@
 import type { Change } from '../state/entry.js';
 
-export type CoreAsk = { readonly method: 'GET' | 'POST' | 'DELETE'; readonly path: string; readonly body?: unknown };
+export type CoreRequest = {
+  readonly method: 'GET' | 'POST' | 'DELETE';
+  readonly path: string;
+  readonly body?: unknown;
+};
 
-export function readAsk(): CoreAsk {
+export function readRequest(): CoreRequest {
   return { method: 'GET', path: '/v1/configuration' };
 }
-export function statusAsk(): CoreAsk {
+export function statusRequest(): CoreRequest {
   return { method: 'GET', path: '/v1/status' };
 }
-export function ordersAsk(model?: string): CoreAsk {
+export function ordersRequest(model?: string): CoreRequest {
   return { method: 'GET', path: model === undefined ? '/v1/orders' : `/v1/orders?model=${encodeURIComponent(model)}` };
 }
-export function ledgerAsk(from: string): CoreAsk {
+export function ledgerRequest(from: string): CoreRequest {
   return { method: 'GET', path: `/v1/ledger?from=${encodeURIComponent(from)}` };
 }
-export function aimsAsk(minutes: number): CoreAsk {
+export function latencyTargetsRequest(minutes: number): CoreRequest {
   return { method: 'GET', path: `/v1/aims?minutes=${minutes}` };
 }
-export function applyAsk(base: number, configuration: unknown, operation: string): CoreAsk {
+export function applyRequest(base: number, configuration: unknown, operation: string): CoreRequest {
   return { method: 'POST', path: '/v1/configuration', body: { base, configuration, operation } };
 }
-export function amendAsk(base: number, changes: readonly Change[], operation: string): CoreAsk {
+export function amendRequest(base: number, changes: readonly Change[], operation: string): CoreRequest {
   return { method: 'POST', path: '/v1/configuration/amend', body: { base, changes, operation } };
 }
-export function zoneAsk(zone: string, act: 'evacuate' | 'restore', operation: string): CoreAsk {
-  return { method: 'POST', path: `/v1/zones/${encodeURIComponent(zone)}/${act}`, body: { operation } };
+export function zoneRequest(zone: string, command: 'evacuate' | 'restore', operation: string): CoreRequest {
+  return { method: 'POST', path: `/v1/zones/${encodeURIComponent(zone)}/${command}`, body: { operation } };
 }
-export function forgetAsk(proxy: string): CoreAsk {
+export function forgetRequest(proxy: string): CoreRequest {
   return { method: 'DELETE', path: `/v1/proxies/${encodeURIComponent(proxy)}` };
 }
-export function reopenAsk(): CoreAsk {
+export function reopenRequest(): CoreRequest {
   return { method: 'POST', path: '/v1/claims/reopen', body: {} };
 }
-export function foundAsk(members: readonly string[]): CoreAsk {
+export function bootstrapRequest(members: readonly string[]): CoreRequest {
   return { method: 'POST', path: '/v1/bootstrap', body: { members } };
 }
 
--- a/src/operator/core-report.test.ts
+++ b/src/operator/core-report.test.ts
@@ -6,8 +6,8 @@
 import { coreText } from '../programs/core-text.js';
 import { createCore } from './core.js';
 import type { Core } from './core.js';
-import { askCoreReport, groupReport } from './core-report.js';
-import type { ControllerWord } from './core-report.js';
+import { requestCoreReport, groupReport } from './core-report.js';
+import type { ControllerStatus } from './core-report.js';
 
 const THREE = ['h1', 'h2', 'h3'];
 
@@ -30,27 +30,25 @@
     names.map((n) => view(n, { inTouch: !silent.includes(n) })),
   );
 }
-function word(name: string, ledger: CoreHealth | null, slot = 9): ControllerWord {
+function status(name: string, ledger: CoreHealth | null, slot = 9): ControllerStatus {
   return { address: name, member: `${name}#i`, name, slot, ledger, claims: null };
 }
-function told(words: readonly ControllerWord[]): unknown[] {
-  const got = groupReport(words, 'ledger');
+function told(statuses: readonly ControllerStatus[]): unknown[] {
+  const got = groupReport(statuses, 'ledger');
   return [got?.agreeing, got?.spareLosses, got?.warning];
 }
 
 describe("a majority's word", () => {
   test('all say the same', () => {
-    expect(told(THREE.map((n) => word(n, health(n, THREE))))).toEqual([3, 1, null]);
+    expect(told(THREE.map((n) => status(n, health(n, THREE))))).toEqual([3, 1, null]);
   });
   test('the smallest figure stands', () => {
-    expect(told([word('h1', health('h1', THREE)), word('h2', health('h2', THREE, ['h3'])), word('h3', null)])).toEqual([
-      2,
-      0,
-      'noSpareLoss',
-    ]);
+    expect(
+      told([status('h1', health('h1', THREE)), status('h2', health('h2', THREE, ['h3'])), status('h3', null)]),
+    ).toEqual([2, 0, 'noSpareLoss']);
   });
   test('one alone is not enough, whatever it says', () => {
-    expect(told([word('h1', health('h1', THREE)), word('h2', null), word('h3', null)])).toEqual([
+    expect(told([status('h1', health('h1', THREE)), status('h2', null), status('h3', null)])).toEqual([
       1,
       null,
       'noMajority',
@@ -58,31 +56,35 @@
   });
   test('the same controller at two addresses is one word', () => {
     expect(
-      told([word('h1', health('h1', THREE)), { ...word('h1', health('h1', THREE)), address: 'elsewhere' }]),
+      told([status('h1', health('h1', THREE)), { ...status('h1', health('h1', THREE)), address: 'elsewhere' }]),
     ).toEqual([1, null, 'noMajority']);
   });
   test('those that know nothing do not count', () => {
     expect(
       told([
-        word('h1', health('h1', THREE)),
-        word('h2', health('h2', THREE, ['h1', 'h3'])),
-        word('h3', health('h3', THREE, ['h1', 'h2'])),
+        status('h1', health('h1', THREE)),
+        status('h2', health('h2', THREE, ['h1', 'h3'])),
+        status('h3', health('h3', THREE, ['h1', 'h2'])),
       ]),
     ).toEqual([1, null, 'noMajority']);
   });
   test('words about other members do not count, nor those of one that is no member', () => {
     const now = ['h1', 'h3', 'h4'];
     expect(
-      told([word('h1', health('h1', now)), word('h2', health('h2', THREE), 4), word('h3', health('h3', THREE), 4)]),
+      told([
+        status('h1', health('h1', now)),
+        status('h2', health('h2', THREE), 4),
+        status('h3', health('h3', THREE), 4),
+      ]),
     ).toEqual([1, null, 'noMajority']);
-    expect(told([word('h1', health('h1', now)), { ...word('h2', health('h1', now)), member: 'h2#i' }])).toEqual([
+    expect(told([status('h1', health('h1', now)), { ...status('h2', health('h1', now)), member: 'h2#i' }])).toEqual([
       1,
       null,
       'noMajority',
     ]);
   });
   test('a member whose loss would stop it by any word is essential', () => {
-    const got = groupReport([word('h1', health('h1', THREE)), word('h2', health('h2', THREE, ['h3']))], 'ledger');
+    const got = groupReport([status('h1', health('h1', THREE)), status('h2', health('h2', THREE, ['h3']))], 'ledger');
     expect(got?.essential).toEqual(['h1#i', 'h2#i']);
   });
 });
@@ -108,7 +110,7 @@
 
   test('one address is enough to hear all; the table tells members, losses and words', async () => {
     const { sim, at } = await bootstrapped(1);
-    const report = await sim.finish(askCoreReport(at(['h2'])), 20_000);
+    const report = await sim.finish(requestCoreReport(at(['h2'])), 20_000);
     expect(report?.ledger).toMatchObject({ members: 3, agreeing: 3, spareLosses: 1, warning: null });
     const lines = coreText(report as NonNullable<typeof report>).split('\n');
     expect(lines[0]).toBe('ledger  bears 1 further loss, by the word of 3 of 3 members (majority 2)');
@@ -119,7 +121,7 @@
     const { sim, at } = await bootstrapped(2);
     sim.kill('h3');
     await sim.world.advance(4_000);
-    const report = await sim.finish(askCoreReport(at(THREE)), 20_000);
+    const report = await sim.finish(requestCoreReport(at(THREE)), 20_000);
     expect(report?.ledger).toMatchObject({ agreeing: 2, spareLosses: 0, warning: 'noSpareLoss' });
     const text = coreText(report as NonNullable<typeof report>);
     expect(text).toContain(
@@ -134,12 +136,12 @@
     const { sim, at } = await bootstrapped(3);
     sim.cutOff(['h1']);
     await sim.world.advance(4_000);
-    expect((await sim.finish(askCoreReport(at(['h1'])), 20_000))?.ledger).toMatchObject({
+    expect((await sim.finish(requestCoreReport(at(['h1'])), 20_000))?.ledger).toMatchObject({
       agreeing: 2,
       spareLosses: 0,
     });
     for (const name of ['h2', 'h3']) sim.world.cut(name, 'operator');
-    const alone = await sim.finish(askCoreReport(at(['h1'])), 20_000);
+    const alone = await sim.finish(requestCoreReport(at(['h1'])), 20_000);
     expect(alone?.ledger).toMatchObject({ agreeing: 0, spareLosses: null, warning: 'noMajority' });
     expect(coreText(alone as NonNullable<typeof alone>)).toContain('bears unknown further losses');
   });
@@ -147,6 +149,6 @@
   test('nobody answers: nothing is reported', async () => {
     const { sim, at } = await bootstrapped(4);
     for (const name of THREE) sim.kill(name);
-    expect(await sim.finish(askCoreReport(at(THREE)), 20_000)).toBeNull();
+    expect(await sim.finish(requestCoreReport(at(THREE)), 20_000)).toBeNull();
   });
 });
--- a/src/operator/core-report.ts
+++ b/src/operator/core-report.ts
@@ -9,14 +9,14 @@
 import { isTable } from '../base/is-table.js';
 import type { CoreHealth, CoreWarning, MemberHealth } from '../state/core-health.js';
 import type { Address } from '../transport/wire.js';
-import { statusAsk } from './asks.js';
+import { statusRequest } from './asks.js';
 import type { Core } from './core.js';
 
 /** Which membership is judged: the members as voters of the ledger, or as holders of run-once claims. */
 export type CoreGroup = 'ledger' | 'claims';
 
 /** One controller's answer; `ledger` is null if it did not answer, or not in a way that is understood. */
-export type ControllerWord = {
+export type ControllerStatus = {
   readonly address: Address;
   readonly member: string | null;
   readonly name: string | null;
@@ -40,12 +40,12 @@
 };
 
 export type CoreReport = {
-  readonly words: readonly ControllerWord[];
+  readonly words: readonly ControllerStatus[];
   readonly ledger: GroupReport;
   readonly claims: GroupReport | null;
 };
 
-type Answer = { readonly word: ControllerWord; readonly others: readonly Address[] };
+type Answer = { readonly status: ControllerStatus; readonly others: readonly Address[] };
 
 /** A controller that answers no status in this time is taken for silent. */
 const STATUS_WAIT_MS = 3_000;
@@ -70,9 +70,9 @@
 }
 
 function answerIn(address: Address, body: unknown): Answer {
-  const silent: ControllerWord = { address, member: null, name: null, slot: -1, ledger: null, claims: null };
-  if (!isTable(body) || !isTable(body['core'])) return { word: silent, others: [] };
-  const word: ControllerWord = {
+  const unresponsive: ControllerStatus = { address, member: null, name: null, slot: -1, ledger: null, claims: null };
+  if (!isTable(body) || !isTable(body['core'])) return { status: unresponsive, others: [] };
+  const status: ControllerStatus = {
     address,
     member: typeof body['member'] === 'string' ? body['member'] : null,
     name: typeof body['name'] === 'string' ? body['name'] : null,
@@ -80,15 +80,15 @@
     ledger: healthIn(body['core']['ledger']),
     claims: healthIn(body['core']['claims']),
   };
-  return { word, others: memberAddresses(body) };
+  return { status, others: memberAddresses(body) };
 }
 
-async function askAll(core: Core, addresses: readonly Address[]): Promise<Answer[]> {
-  async function askOne(address: Address): Promise<Answer> {
-    const got = await core.askAt(address, statusAsk(), STATUS_WAIT_MS);
+async function requestAll(core: Core, addresses: readonly Address[]): Promise<Answer[]> {
+  async function requestStatus(address: Address): Promise<Answer> {
+    const got = await core.requestAt(address, statusRequest(), STATUS_WAIT_MS);
     return answerIn(address, got?.status === 200 ? got.body : null);
   }
-  return Promise.all(addresses.map(askOne));
+  return Promise.all(addresses.map(requestStatus));
 }
 
 function idsOf(health: CoreHealth): string {
@@ -98,18 +98,18 @@
 }
 
 /** The words of one group, judged by the members that the controller with the newest state names. */
-export function groupReport(words: readonly ControllerWord[], group: CoreGroup): GroupReport | null {
-  const known = words.filter(hasGroup).sort(newestAndKnowingFirst);
+export function groupReport(statuses: readonly ControllerStatus[], group: CoreGroup): GroupReport | null {
+  const known = statuses.filter(hasGroup).sort(newestAndKnowingFirst);
   const newest = known[0]?.[group];
   if (!newest) return null;
   const ids = idsOf(newest);
   const counted = new Map<string, CoreHealth>();
-  for (const word of known) {
-    const health = word[group] as CoreHealth;
-    if (word.member === null || health.spareLosses === null || idsOf(health) !== ids) continue;
-    if (health.details.some(isSpeaker)) counted.set(word.member, health);
+  for (const status of known) {
+    const health = status[group] as CoreHealth;
+    if (status.member === null || health.spareLosses === null || idsOf(health) !== ids) continue;
+    if (health.details.some(isSpeaker)) counted.set(status.member, health);
     function isSpeaker(member: MemberHealth): boolean {
-      return member.id === word.member;
+      return member.id === status.member;
     }
   }
   const { members, quorumSize, details } = newest;
@@ -117,10 +117,10 @@
   if (counted.size < quorumSize) return { ...base, spareLosses: null, warning: 'noMajority', essential: [] };
   return { ...base, ...worstOf([...counted.values()]) };
 
-  function hasGroup(word: ControllerWord): boolean {
-    return word[group] !== null;
+  function hasGroup(status: ControllerStatus): boolean {
+    return status[group] !== null;
   }
-  function newestAndKnowingFirst(a: ControllerWord, b: ControllerWord): number {
+  function newestAndKnowingFirst(a: ControllerStatus, b: ControllerStatus): number {
     return b.slot - a.slot || Number(b[group]?.spareLosses !== null) - Number(a[group]?.spareLosses !== null);
   }
 }
@@ -141,13 +141,13 @@
 }
 
 /** Asks every controller that is named, and the members that they name; null if none answers. */
-export async function askCoreReport(core: Core): Promise<CoreReport | null> {
-  const first = await askAll(core, core.addresses);
-  const asked = new Set<Address>(core.addresses);
+export async function requestCoreReport(core: Core): Promise<CoreReport | null> {
+  const first = await requestAll(core, core.addresses);
+  const requests = new Set<Address>(core.addresses);
   const further = new Set<Address>();
-  for (const answer of first) for (const address of answer.others) if (!asked.has(address)) further.add(address);
-  const words: ControllerWord[] = [];
-  for (const answer of [...first, ...(await askAll(core, [...further]))]) words.push(answer.word);
-  const ledger = groupReport(words, 'ledger');
-  return ledger ? { words, ledger, claims: groupReport(words, 'claims') } : null;
+  for (const answer of first) for (const address of answer.others) if (!requests.has(address)) further.add(address);
+  const statuses: ControllerStatus[] = [];
+  for (const answer of [...first, ...(await requestAll(core, [...further]))]) statuses.push(answer.status);
+  const ledger = groupReport(statuses, 'ledger');
+  return ledger ? { words: statuses, ledger, claims: groupReport(statuses, 'claims') } : null;
 }
--- a/src/programs/admin.ts
+++ b/src/programs/admin.ts
@@ -3,8 +3,17 @@
 import { err, ok } from '../base/result.js';
 import type { Result } from '../base/result.js';
 import { createOsRng, newId } from '../transport/rng.js';
-import { amendAsk, applyAsk, foundAsk, forgetAsk, placeOf, readAsk, reopenAsk, zoneAsk } from '../operator/asks.js';
-import type { CoreAsk } from '../operator/asks.js';
+import {
+  amendRequest,
+  applyRequest,
+  bootstrapRequest,
+  forgetRequest,
+  placeOf,
+  readRequest,
+  reopenRequest,
+  zoneRequest,
+} from '../operator/asks.js';
+import type { CoreRequest } from '../operator/asks.js';
 import { coreOf, CORE_ARGS, report } from './ask-core.js';
 import { complain, flagsFit, leaveUsage } from './flags.js';
 import { readDocument } from './read-document.js';
@@ -58,34 +67,34 @@
   value: { type: 'positional', description: 'Value as JSON; left out, the place is cleared', required: false },
 } as const satisfies ArgsDef;
 
-type MakeAsk = (base: number, operation: string) => CoreAsk;
+type MakeRequest = (base: number, operation: string) => CoreRequest;
 
-async function change(ctx: Ctx, defs: ArgsDef, prepare: () => Result<MakeAsk, string>): Promise<void> {
+async function change(ctx: Ctx, defs: ArgsDef, prepare: () => Result<MakeRequest, string>): Promise<void> {
   if (!flagsFit(ctx.rawArgs, defs)) return leaveUsage();
   const made = prepare();
   if (!made.ok) {
     complain(made.fault);
     return leaveUsage();
   }
-  const asked = baseOf(ctx);
-  if (asked === null) {
+  const request = baseOf(ctx);
+  if (request === null) {
     complain(`flag --base: expected a whole number from 0; found ${JSON.stringify(textOf(ctx, 'base'))}`);
     return leaveUsage();
   }
   const core = coreOf(ctx.args);
-  const base = asked ?? (await core.version());
-  const answer = base === null ? null : await core.ask(made.value(base, operationOf(ctx)));
+  const base = request ?? (await core.version());
+  const answer = base === null ? null : await core.request(made.value(base, operationOf(ctx)));
   report(answer, ctx.args['json'] === true, acknowledged);
 }
 
 function runApply(ctx: Ctx): Promise<void> {
-  function prepare(): Result<MakeAsk, string> {
+  function prepare(): Result<MakeRequest, string> {
     const file = textOf(ctx, 'file') ?? '';
     const doc = readDocument(file);
     if (!doc.ok) return err(`file: expected YAML or JSON at ${JSON.stringify(file)}; found ${doc.fault}`);
     const configuration = doc.value;
-    function make(base: number, operation: string): CoreAsk {
-      return applyAsk(base, configuration, operation);
+    function make(base: number, operation: string): CoreRequest {
+      return applyRequest(base, configuration, operation);
     }
     return ok(make);
   }
@@ -93,14 +102,18 @@
 }
 
 function runSet(ctx: Ctx): Promise<void> {
-  function prepare(): Result<MakeAsk, string> {
+  function prepare(): Result<MakeRequest, string> {
     const path = placeOf(textOf(ctx, 'path') ?? '');
     const raw = textOf(ctx, 'value');
     if (path.length === 0) return err('path: expected a place below /; found "/"');
     const value = raw === undefined ? ok(undefined) : parsedJson(raw);
     if (!value.ok) return value;
-    function make(base: number, operation: string): CoreAsk {
-      return amendAsk(base, [raw === undefined ? { path } : { path, value: value.ok ? value.value : null }], operation);
+    function make(base: number, operation: string): CoreRequest {
+      return amendRequest(
+        base,
+        [raw === undefined ? { path } : { path, value: value.ok ? value.value : null }],
+        operation,
+      );
     }
     return ok(make);
   }
@@ -122,7 +135,7 @@
 
 async function runRead(ctx: Ctx): Promise<void> {
   if (!flagsFit(ctx.rawArgs, READ_ARGS)) return leaveUsage();
-  const answer = await coreOf(ctx.args).ask(readAsk());
+  const answer = await coreOf(ctx.args).request(readRequest());
   report(answer, ctx.args['json'] === true, shown);
 
   function shown(body: unknown): string {
@@ -156,19 +169,19 @@
   zone: { type: 'positional', description: 'Zone', required: true },
 } as const satisfies ArgsDef;
 
-async function zoneAct(ctx: Ctx, act: 'evacuate' | 'restore'): Promise<void> {
+async function zoneCommand(ctx: Ctx, command: 'evacuate' | 'restore'): Promise<void> {
   if (!flagsFit(ctx.rawArgs, ZONE_ARGS)) return leaveUsage();
   report(
-    await coreOf(ctx.args).ask(zoneAsk(textOf(ctx, 'zone') ?? '', act, operationOf(ctx))),
+    await coreOf(ctx.args).request(zoneRequest(textOf(ctx, 'zone') ?? '', command, operationOf(ctx))),
     ctx.args['json'] === true,
     acknowledged,
   );
 }
 function runEvacuate(ctx: Ctx): Promise<void> {
-  return zoneAct(ctx, 'evacuate');
+  return zoneCommand(ctx, 'evacuate');
 }
 function runRestore(ctx: Ctx): Promise<void> {
-  return zoneAct(ctx, 'restore');
+  return zoneCommand(ctx, 'restore');
 }
 
 const FORGET_ARGS = {
@@ -178,7 +191,11 @@
 
 async function runForget(ctx: Ctx): Promise<void> {
   if (!flagsFit(ctx.rawArgs, FORGET_ARGS)) return leaveUsage();
-  report(await coreOf(ctx.args).ask(forgetAsk(textOf(ctx, 'proxy') ?? '')), ctx.args['json'] === true, acknowledged);
+  report(
+    await coreOf(ctx.args).request(forgetRequest(textOf(ctx, 'proxy') ?? '')),
+    ctx.args['json'] === true,
+    acknowledged,
+  );
 }
 
 const FOUND_ARGS = {
@@ -189,7 +206,7 @@
 async function runFound(ctx: Ctx): Promise<void> {
   if (!flagsFit(ctx.rawArgs, FOUND_ARGS)) return leaveUsage();
   const members = (textOf(ctx, 'members') ?? '').split(',').filter(Boolean);
-  report(await coreOf(ctx.args).ask(foundAsk(members)), ctx.args['json'] === true, acknowledged);
+  report(await coreOf(ctx.args).request(bootstrapRequest(members)), ctx.args['json'] === true, acknowledged);
 }
 
 const REOPEN_ARGS = {
@@ -203,7 +220,7 @@
     complain('flag --acceptLoss: expected, for a run-once request of the last day may then run again; found nothing');
     return leaveUsage();
   }
-  report(await coreOf(ctx.args).ask(reopenAsk()), ctx.args['json'] === true, acknowledged);
+  report(await coreOf(ctx.args).request(reopenRequest()), ctx.args['json'] === true, acknowledged);
 }
 
 export const adminCommand = defineCommand({
--- a/src/programs/composition.ts
+++ b/src/programs/composition.ts
@@ -65,7 +65,7 @@
     return createLogRoot(settings.logLevel);
   }
   function makeWire(): Wire {
-    const wire = createTcpWire(box.get<LogRoot>(T.logs).part('wire'), DIAL_MS, tally && tally.meterOf(ownPlace()));
+    const wire = createTcpWire(box.get<LogRoot>(T.logs).component('wire'), DIAL_MS, tally && tally.meterOf(ownPlace()));
     return isSlow(lab) ? slowWire(wire, box.get<Clock>(T.clock), pathsOf(lab)) : wire;
   }
   function makeHttpClient(): HttpClient {
@@ -79,7 +79,7 @@
     return kept;
   }
   function makeHttpServer(): HttpServer {
-    return createExpressHttpServer(box.get<LogRoot>(T.logs).part('httpServer'));
+    return createExpressHttpServer(box.get<LogRoot>(T.logs).component('httpServer'));
   }
   function makeDisk(): Disk | null {
     if (settings.dataFolder === null) return null;
--- a/src/programs/core-text.ts
+++ b/src/programs/core-text.ts
@@ -1,5 +1,5 @@
 /** The table that the read-only command shows of the core, and the line of it that stands in the status. */
-import type { ControllerWord, CoreReport, GroupReport } from '../operator/core-report.js';
+import type { ControllerStatus, CoreReport, GroupReport } from '../operator/core-report.js';
 import type { CoreHealth, CoreWarning } from '../state/core-health.js';
 
 const ADVICE: Readonly<Record<CoreWarning, string>> = {
@@ -41,23 +41,23 @@
   return rows;
 }
 
-function wordText(word: ControllerWord): string {
-  const who = `  ${cell(word.name ?? word.address, 16)}`;
-  if (!word.ledger) return `${who}does not answer`;
-  const { inTouch, members, holdingAll, spareLosses, warning } = word.ledger;
-  return `${who}${cell(`slot ${word.slot}`, 12)}in touch ${inTouch} of ${members}, holding all ${holdingAll ?? 'unknown'}, spare losses ${spareLosses ?? 'unknown'}${warning === null ? '' : ` (${warning})`}`;
+function statusText(status: ControllerStatus): string {
+  const who = `  ${cell(status.name ?? status.address, 16)}`;
+  if (!status.ledger) return `${who}does not answer`;
+  const { inTouch, members, holdingAll, spareLosses, warning } = status.ledger;
+  return `${who}${cell(`slot ${status.slot}`, 12)}in touch ${inTouch} of ${members}, holding all ${holdingAll ?? 'unknown'}, spare losses ${spareLosses ?? 'unknown'}${warning === null ? '' : ` (${warning})`}`;
 }
 
 export function coreText(report: CoreReport): string {
   const rows = [groupText('ledger', report.ledger)];
   if (report.claims) rows.push(groupText('claims', report.claims));
   rows.push(...memberRows(report), 'what each controller says');
-  for (const word of report.words) rows.push(wordText(word));
+  for (const status of report.words) rows.push(statusText(status));
   return rows.join('\n');
 }
 
 /** One line of what a single controller knows, for the status. */
-export function ownWordText(core: CoreHealth): string {
+export function ownStatusText(core: CoreHealth): string {
   const figures = `${core.inTouch} of ${core.members} members in touch, ${core.holdingAll ?? 'unknown'} holding all, bears ${lossesText(core.spareLosses)}`;
   return core.warning === null ? figures : `${figures}  ${ADVICE[core.warning]}`;
 }
--- a/src/programs/hollow.ts
+++ b/src/programs/hollow.ts
@@ -78,7 +78,7 @@
     return {
       clock,
       rng: createOsRng(),
-      wire: createTcpWire(logs.part('wire'), DIAL_MS, tally.meterOf(own)),
+      wire: createTcpWire(logs.component('wire'), DIAL_MS, tally.meterOf(own)),
       httpServer: hollowHttpServer(),
       httpClient: plan.wholeProbes ? counted : tally.countedHttpClient(own, shared),
       disk: null,
@@ -89,7 +89,7 @@
   }
 
   async function startOutside(o: NonNullable<HollowPlan['outside']>): Promise<boolean> {
-    const local = localHttpServers(createExpressHttpServer(logs.part('standin')), createGotHttpClient(DIAL_MS));
+    const local = localHttpServers(createExpressHttpServer(logs.component('standin')), createGotHttpClient(DIAL_MS));
     const journal = createNoJournal();
     const deps = { clock, rng: createOsRng(), httpServer: local.httpServer, httpClient: local.httpClient, journal };
     const platform = await startStandinPlatform(o.platform, clock, local.httpServer, journal);
@@ -114,12 +114,12 @@
     return all;
   }
 
-  async function obey(queue: string): Promise<void> {
-    const [verb, count] = queue.split(' ');
+  async function obey(line: string): Promise<void> {
+    const [verb, count] = line.split(' ');
     if (verb === 'restart') await part?.restart(Number(count ?? 1));
   }
-  function heard(queue: string): void {
-    void obey(queue);
+  function heard(line: string): void {
+    void obey(line);
   }
   function gone(): void {
     process.exit(EXIT.ok);
--- a/src/programs/inspect-text.test.ts
+++ b/src/programs/inspect-text.test.ts
@@ -14,7 +14,7 @@
     'core: 3 of 3 members in touch, 3 holding all, bears 1 further loss',
     'claims: 3 of 3 members in touch, 3 holding all, bears 1 further loss',
   ]);
-  expect((await lines()).find((queue) => queue.includes('controller-2'))).toMatch(
+  expect((await lines()).find((line) => line.includes('controller-2'))).toMatch(
     /^ {2}controller-2 +controller +at-1 +alive /,
   );
   fleet.kill('controller-2');
--- a/src/programs/inspect-text.ts
+++ b/src/programs/inspect-text.ts
@@ -1,8 +1,8 @@
 /** What the read-only command prints for people: status, orders, entries of the ledger, and service-level aims. */
-import type { AimRow } from '../state/aim-report.js';
+import type { LatencyTargetRow } from '../state/aim-report.js';
 import type { CoreHealth } from '../state/core-health.js';
 import type { Order } from '../state/order.js';
-import { ownWordText } from './core-text.js';
+import { ownStatusText } from './core-text.js';
 
 type ShownNode = {
   readonly name: string;
@@ -59,8 +59,8 @@
   const ledger = `ledger ${status.ledger || 'not bootstrapped'}, slot ${status.slot}, version ${status.version}`;
   const contact = status.quorate ? 'quorate' : 'no majority';
   const rows = [`${status.name}: ${ledger}, ${contact}, ${status.writable ? 'writable' : 'cannot write'}`];
-  if (status.core) rows.push(`core: ${ownWordText(status.core.ledger)}`);
-  if (status.core?.claims) rows.push(`claims: ${ownWordText(status.core.claims)}`);
+  if (status.core) rows.push(`core: ${ownStatusText(status.core.ledger)}`);
+  if (status.core?.claims) rows.push(`claims: ${ownStatusText(status.core.claims)}`);
   return rows;
 }
 
@@ -153,16 +153,16 @@
   return share === null ? '-' : `${(share * 100).toFixed(2)} %`;
 }
 
-export function aimsText(aims: readonly AimRow[]): string {
+export function latencyTargetsText(latencyTargets: readonly LatencyTargetRow[]): string {
   const rows: string[] = [];
-  for (const aim of aims) {
-    const attained = `attained ${pad(percent(aim.attained), 9)} of ${pad(percent(aim.objective), 9)}`;
-    const burn = `burn rate ${aim.burnRate === null ? '-' : aim.burnRate.toFixed(2)}`;
-    const budget = `${pad(`${aim.bad} bad of ${aim.events}`, 18)} budget left ${pad(percent(aim.budgetLeft), 10)}`;
-    rows.push(`${pad(aim.name, 28)} ${pad(aim.state, 8)} ${attained} ${budget} ${burn}`);
-    if (aim.unknownMinutes === 0) continue;
-    const of = aim.unknownOf.length > 0 ? `: ${aim.unknownOf.join(', ')}` : '';
-    rows.push(`  ${aim.unknownMinutes} of ${aim.unknownMinutes + aim.knownMinutes} minutes unknown${of}`);
+  for (const target of latencyTargets) {
+    const attained = `attained ${pad(percent(target.attained), 9)} of ${pad(percent(target.objective), 9)}`;
+    const use = `burn rate ${target.burnRate === null ? '-' : target.burnRate.toFixed(2)}`;
+    const budget = `${pad(`${target.bad} bad of ${target.events}`, 18)} budget left ${pad(percent(target.budgetLeft), 10)}`;
+    rows.push(`${pad(target.name, 28)} ${pad(target.state, 8)} ${attained} ${budget} ${use}`);
+    if (target.unknownMinutes === 0) continue;
+    const of = target.unknownOf.length > 0 ? `: ${target.unknownOf.join(', ')}` : '';
+    rows.push(`  ${target.unknownMinutes} of ${target.unknownMinutes + target.knownMinutes} minutes unknown${of}`);
   }
   return rows.join('\n');
 }
--- a/src/programs/inspect.ts
+++ b/src/programs/inspect.ts
@@ -1,17 +1,17 @@
 /** The read-only command: asks controllers what they know, and prints it as a table or as JSON. It changes nothing. */
 import { defineCommand } from 'citty';
 import type { ArgsDef } from 'citty';
-import { readAims } from '../protocol/aims.js';
+import { readLatencyTargets } from '../protocol/aims.js';
 import type { Configuration } from '../state/settings-tree.js';
-import { askCoreReport } from '../operator/core-report.js';
-import { reportAims } from '../operator/aims.js';
-import { ledgerAsk, ordersAsk, readAsk, statusAsk } from '../operator/asks.js';
-import type { CoreAsk } from '../operator/asks.js';
+import { requestCoreReport } from '../operator/core-report.js';
+import { reportLatencyTargets } from '../operator/aims.js';
+import { ledgerRequest, ordersRequest, readRequest, statusRequest } from '../operator/asks.js';
+import type { CoreRequest } from '../operator/asks.js';
 import { addressesOf, coreOf, CORE_ARGS, report } from './ask-core.js';
 import { EXIT } from './exit-codes.js';
 import { complain, flagsFit, leave, leaveUsage, say } from './flags.js';
 import { coreText } from './core-text.js';
-import { aimsText, ledgerText, ordersText, statusText } from './inspect-text.js';
+import { latencyTargetsText, ledgerText, ordersText, statusText } from './inspect-text.js';
 import { readDocument } from './read-document.js';
 
 type Ctx = { readonly rawArgs: string[]; readonly args: Readonly<Record<string, unknown>> };
@@ -21,9 +21,9 @@
   return typeof value === 'string' ? value : undefined;
 }
 
-async function show(ctx: Ctx, defs: ArgsDef, ask: CoreAsk, readable: (body: unknown) => string): Promise<void> {
+async function show(ctx: Ctx, defs: ArgsDef, request: CoreRequest, readable: (body: unknown) => string): Promise<void> {
   if (!flagsFit(ctx.rawArgs, defs)) return leaveUsage();
-  report(await coreOf(ctx.args).ask(ask), ctx.args['json'] === true, readable);
+  report(await coreOf(ctx.args).request(request), ctx.args['json'] === true, readable);
 }
 
 const ORDER_ARGS = {
@@ -36,13 +36,13 @@
 } as const satisfies ArgsDef;
 
 function runStatus(ctx: Ctx): Promise<void> {
-  return show(ctx, CORE_ARGS, statusAsk(), statusText);
+  return show(ctx, CORE_ARGS, statusRequest(), statusText);
 }
 function runOrders(ctx: Ctx): Promise<void> {
-  return show(ctx, ORDER_ARGS, ordersAsk(textOf(ctx, 'model')), ordersText);
+  return show(ctx, ORDER_ARGS, ordersRequest(textOf(ctx, 'model')), ordersText);
 }
 function runLedger(ctx: Ctx): Promise<void> {
-  return show(ctx, LEDGER_ARGS, ledgerAsk(textOf(ctx, 'from') ?? '0'), ledgerText);
+  return show(ctx, LEDGER_ARGS, ledgerRequest(textOf(ctx, 'from') ?? '0'), ledgerText);
 }
 
 const AIMS_ARGS = {
@@ -50,7 +50,7 @@
   file: { type: 'positional', description: 'Document of service-level aims (YAML or JSON)', required: true },
 } as const satisfies ArgsDef;
 
-async function runAims(ctx: Ctx): Promise<void> {
+async function runLatencyTargets(ctx: Ctx): Promise<void> {
   if (!flagsFit(ctx.rawArgs, AIMS_ARGS)) return leaveUsage();
   const file = textOf(ctx, 'file') ?? '';
   const doc = readDocument(file);
@@ -59,16 +59,20 @@
     return leaveUsage();
   }
   const core = coreOf(ctx.args);
-  const read = await core.ask(readAsk());
+  const read = await core.request(readRequest());
   if (read?.status !== 200) return noMajority();
-  const aims = readAims(doc.value, (read.body as { readonly configuration: Configuration }).configuration);
-  if (!aims.ok) {
-    for (const fault of aims.fault) complain(`${fault.path}: expected ${fault.expected}; found ${fault.found}`);
+  const latencyTargets = readLatencyTargets(
+    doc.value,
+    (read.body as { readonly configuration: Configuration }).configuration,
+  );
+  if (!latencyTargets.ok) {
+    for (const fault of latencyTargets.fault)
+      complain(`${fault.path}: expected ${fault.expected}; found ${fault.found}`);
     return leaveUsage();
   }
-  const rows = await reportAims(core, addressesOf(ctx.args), aims.value);
+  const rows = await reportLatencyTargets(core, addressesOf(ctx.args), latencyTargets.value);
   if (!rows) return noMajority();
-  say(ctx.args['json'] === true ? JSON.stringify(rows, null, 2) : aimsText(rows));
+  say(ctx.args['json'] === true ? JSON.stringify(rows, null, 2) : latencyTargetsText(rows));
 }
 function noMajority(): void {
   complain('No controller with a majority answered; nothing is reported.');
@@ -77,10 +81,10 @@
 
 async function runCore(ctx: Ctx): Promise<void> {
   if (!flagsFit(ctx.rawArgs, CORE_ARGS)) return leaveUsage();
-  const told = await askCoreReport(coreOf(ctx.args));
-  if (!told) return noMajority();
-  say(ctx.args['json'] === true ? JSON.stringify(told, null, 2) : coreText(told));
-  if (told.ledger.spareLosses === null) leave(EXIT.unreachable);
+  const answers = await requestCoreReport(coreOf(ctx.args));
+  if (!answers) return noMajority();
+  say(ctx.args['json'] === true ? JSON.stringify(answers, null, 2) : coreText(answers));
+  if (answers.ledger.spareLosses === null) leave(EXIT.unreachable);
 }
 
 export const inspectCommand = defineCommand({
@@ -104,7 +108,7 @@
     aims: defineCommand({
       meta: { name: 'aims', description: 'Service-level aims of a document against what the nodes counted' },
       args: AIMS_ARGS,
-      run: runAims,
+      run: runLatencyTargets,
     }),
     ledger: defineCommand({
       meta: { name: 'ledger', description: 'Entries of the ledger' },
--- a/src/programs/runbook.ts
+++ b/src/programs/runbook.ts
@@ -42,7 +42,7 @@
   return out;
 }
 
-function readBook(ctx: Ctx, inputs: Readonly<Record<string, string>> | null): Runbook | null {
+function readRunbookFile(ctx: Ctx, inputs: Readonly<Record<string, string>> | null): Runbook | null {
   const named = ctx.args['file'];
   const file = typeof named === 'string' ? named : '';
   let text: string;
@@ -58,8 +58,8 @@
   return null;
 }
 
-async function startsWell(ctx: Ctx, book: Runbook): Promise<boolean> {
-  const unmet = await unmetAtStart(book, coreOf(ctx.args), createClock());
+async function startsWell(ctx: Ctx, runbook: Runbook): Promise<boolean> {
+  const unmet = await unmetAtStart(runbook, coreOf(ctx.args), createClock());
   if (!unmet) return true;
   complain(`${String(ctx.args['file'])}:${unmet.step.line}: ${unmet.step.name}: ${unmet.seen}. ${unmet.step.ifNot}`);
   leave(EXIT.refused);
@@ -69,17 +69,17 @@
 async function runCheck(ctx: Ctx): Promise<void> {
   if (!flagsFit(ctx.rawArgs, CHECK_ARGS)) return leaveUsage();
   const live = ctx.args['live'] === true;
-  const book = readBook(ctx, live || ctx.args['input'] !== undefined ? inputsOf(ctx) : null);
-  if (!book) return leaveUsage();
-  if (live && !(await startsWell(ctx, book))) return;
-  say(`${book.runbook}: ${book.steps.length} steps, sound.`);
+  const runbook = readRunbookFile(ctx, live || ctx.args['input'] !== undefined ? inputsOf(ctx) : null);
+  if (!runbook) return leaveUsage();
+  if (live && !(await startsWell(ctx, runbook))) return;
+  say(`${runbook.runbook}: ${runbook.steps.length} steps, sound.`);
 }
 
 function recordsIn(path: string): StepRecord[] {
   if (!existsSync(path)) return [];
   const out: StepRecord[] = [];
-  for (const queue of readFileSync(path, 'utf8').split('\n')) {
-    const read = parsedJson(queue);
+  for (const line of readFileSync(path, 'utf8').split('\n')) {
+    const read = parsedJson(line);
     if (isTable(read)) out.push(read as StepRecord);
   }
   return out;
@@ -87,31 +87,31 @@
 
 async function run(ctx: Ctx): Promise<void> {
   if (!flagsFit(ctx.rawArgs, RUN_ARGS)) return leaveUsage();
-  const book = readBook(ctx, inputsOf(ctx));
-  if (!book) return leaveUsage();
-  if (!(await startsWell(ctx, book))) return;
-  const path = typeof ctx.args['record'] === 'string' ? ctx.args['record'] : `${book.runbook}.record.jsonl`;
+  const runbook = readRunbookFile(ctx, inputsOf(ctx));
+  if (!runbook) return leaveUsage();
+  if (!(await startsWell(ctx, runbook))) return;
+  const path = typeof ctx.args['record'] === 'string' ? ctx.args['record'] : `${runbook.runbook}.record.jsonl`;
   const dryRun = ctx.args['dryRun'] === true;
 
   async function confirm(step: Step): Promise<boolean> {
     if (ctx.args['yes'] === true) return true;
-    const ask = createInterface({ input: process.stdin, output: process.stdout });
-    const answer = await ask.question(`${step.name}: ${describe(step)}. Go on? (yes/no) `);
-    ask.close();
+    const request = createInterface({ input: process.stdin, output: process.stdout });
+    const answer = await request.question(`${step.name}: ${describe(step)}. Go on? (yes/no) `);
+    request.close();
     return answer.trim() === 'yes';
   }
-  async function note(r: StepRecord): Promise<void> {
+  async function record(r: StepRecord): Promise<void> {
     say(`${r.step + 1}. ${r.name}: ${r.outcome} (${r.seen})`);
     if (!dryRun) appendFileSync(path, `${JSON.stringify(r)}\n`);
   }
-  const end = await runRunbook(book, {
+  const end = await runRunbook(runbook, {
     core: coreOf(ctx.args),
     clock: createClock(),
     rng: createOsRng(),
     dryRun,
     before: recordsIn(path),
     confirm,
-    note,
+    record,
   });
   if (end.tag !== 'stopped') {
     say(end.tag === 'done' ? 'Done.' : 'Nothing was changed.');
--- a/src/programs/standin.ts
+++ b/src/programs/standin.ts
@@ -85,7 +85,7 @@
     {
       clock: createClock(),
       rng: createOsRng(),
-      httpServer: createExpressHttpServer(createLogRoot('warn').part('standin')),
+      httpServer: createExpressHttpServer(createLogRoot('warn').component('standin')),
       httpClient: httpClientOf(ctx),
       journal: journalOf(ctx),
     },
@@ -109,7 +109,7 @@
   const started = await startStandinPlatform(
     textOf(ctx, 'http') ?? '',
     createClock(),
-    createExpressHttpServer(createLogRoot('warn').part('standin')),
+    createExpressHttpServer(createLogRoot('warn').component('standin')),
     journalOf(ctx),
   );
   if (!started.ok) return failedStart(started.fault);
@@ -139,7 +139,7 @@
     {
       clock: createClock(),
       rng: createOsRng(),
-      httpServer: createExpressHttpServer(createLogRoot('warn').part('standin')),
+      httpServer: createExpressHttpServer(createLogRoot('warn').component('standin')),
       httpClient: httpClientOf(ctx),
       journal: journalOf(ctx),
     },
@@ -204,8 +204,8 @@
   try {
     for (const file of readdirSync(folder)) {
       if (!file.endsWith('.jsonl')) continue;
-      for (const queue of readFileSync(join(folder, file), 'utf8').split('\n'))
-        if (queue !== '') records.push(JSON.parse(queue) as Rec);
+      for (const line of readFileSync(join(folder, file), 'utf8').split('\n'))
+        if (line !== '') records.push(JSON.parse(line) as Rec);
     }
   } catch (e) {
     complain(
--- a/src/protocol/aims.ts
+++ b/src/protocol/aims.ts
@@ -8,7 +8,7 @@
 import { isTable } from '../base/is-table.js';
 import { err, ok } from '../base/result.js';
 import type { Result } from '../base/result.js';
-import type { Aim, Measure } from '../state/aim-report.js';
+import type { LatencyTarget, Measure } from '../state/aim-report.js';
 import { BOUNDS_MS } from '../state/aim-counts.js';
 import type { Configuration } from '../state/settings-tree.js';
 import type { ConfigFault } from './codecs.js';
@@ -34,9 +34,12 @@
 }
 
 /** The aims of a parsed document, or every fault in it; models and mappings must be those of the configuration. */
-export function readAims(doc: unknown, cfg: Configuration): Result<readonly Aim[], readonly ConfigFault[]> {
+export function readLatencyTargets(
+  doc: unknown,
+  cfg: Configuration,
+): Result<readonly LatencyTarget[], readonly ConfigFault[]> {
   const faults: ConfigFault[] = [];
-  const out: Aim[] = [];
+  const out: LatencyTarget[] = [];
   function fault(path: string, expected: string, found: unknown): void {
     faults.push({ path, expected, found: shown(found) });
   }
@@ -54,14 +57,14 @@
   const names = new Set<string>();
   for (let i = 0; i < list.length; i += 1) {
     const at = `/aims/${i}`;
-    const aim: unknown = list[i];
-    if (!isTable(aim)) {
-      fault(at, 'an aim', aim);
+    const target: unknown = list[i];
+    if (!isTable(target)) {
+      fault(at, 'an aim', target);
       continue;
     }
-    for (const key of Object.keys(aim))
+    for (const key of Object.keys(target))
       if (!(KEYS as readonly string[]).includes(key)) fault(`${at}/${key}`, `one of ${KEYS.join(', ')}`, key);
-    const { name, measure, model, mapping, objective, withinMs, window } = aim;
+    const { name, measure, model, mapping, objective, withinMs, window } = target;
     if (typeof name !== 'string' || name === '') fault(`${at}/name`, 'a name', name);
     else if (names.has(name)) fault(`${at}/name`, 'a name that no other aim bears', name);
     else names.add(name);
@@ -71,7 +74,7 @@
       if (model !== undefined) fault(`${at}/model`, 'nothing, for changes are of the whole deployment', model);
       if (mapping !== undefined) fault(`${at}/mapping`, 'nothing, for changes are of the whole deployment', mapping);
     } else {
-      if ((model === undefined) === (mapping === undefined)) fault(at, 'either a model or a mapping', aim);
+      if ((model === undefined) === (mapping === undefined)) fault(at, 'either a model or a mapping', target);
       if (model !== undefined && !models.has(written(model)))
         fault(`${at}/model`, `one of ${[...models].sort().join(', ')}`, model);
       if (mapping !== undefined && !mappings.has(written(mapping)))
--- a/src/protocol/caller-wire.ts
+++ b/src/protocol/caller-wire.ts
@@ -7,8 +7,8 @@
 import { Type } from '@sinclair/typebox';
 import type { Static } from '@sinclair/typebox';
 import { readerOf } from './read-shape.js';
-import { PieceShape, SealShape } from '../state/seal.js';
-import { PartShape } from './worker-wire.js';
+import { ResponseChunkShape, ResponseDigestShape } from '../state/seal.js';
+import { PrefixBlockShape } from './worker-wire.js';
 
 const Id = Type.String({ minLength: 1, maxLength: 128 });
 const Tokens = Type.Integer({ minimum: 0, maximum: 10_000_000 });
@@ -47,7 +47,7 @@
 export const SubmitShape = Type.Object(
   {
     requestId: Id,
-    parts: Type.Array(PartShape, { maxItems: 1_024 }),
+    parts: Type.Array(PrefixBlockShape, { maxItems: 1_024 }),
     outputTokens: Tokens,
     stream: Type.Boolean(),
     key: Type.Optional(Id),
@@ -92,11 +92,11 @@
 export type Failure = Static<typeof FailureShape>;
 
 /** A whole answer: its pieces and the worker's seal over them. */
-export const AnswerShape = Type.Object({ pieces: Type.Array(PieceShape), seal: SealShape });
+export const AnswerShape = Type.Object({ pieces: Type.Array(ResponseChunkShape), seal: ResponseDigestShape });
 /** One line of a streamed answer: a piece, the seal that ends it, or the failure that does. */
 export const AnswerLineShape = Type.Union([
-  Type.Object({ piece: PieceShape }, { additionalProperties: false }),
-  Type.Object({ seal: SealShape }, { additionalProperties: false }),
+  Type.Object({ piece: ResponseChunkShape }, { additionalProperties: false }),
+  Type.Object({ seal: ResponseDigestShape }, { additionalProperties: false }),
   Type.Object({ error: FailureShape }, { additionalProperties: false }),
 ]);
 
@@ -120,4 +120,4 @@
 /** Where requests go. */
 export const REQUESTS_PATH = '/v1/requests';
 /** Header that carries the ticket. */
-export const TICKET_HEADER = 'x-millfield-ticket';
+export const ADMISSION_TOKEN_HEADER = 'x-millfield-ticket';
--- a/src/protocol/messages.ts
+++ b/src/protocol/messages.ts
@@ -11,7 +11,7 @@
 import { ListedShape } from '../state/listed.js';
 import { NodeUpdateShape, NodeShape } from '../state/node-info.js';
 import { ReportShape } from '../state/report.js';
-import { PART_LENGTH, SnapshotOfferShape } from '../state/snapshot-parts.js';
+import { CHUNK_LENGTH, SnapshotOfferShape } from '../state/snapshot-parts.js';
 import { WorkerEntryShape } from '../state/worker-entry.js';
 
 const Str = Type.String({ minLength: 1, maxLength: 256 });
@@ -60,7 +60,7 @@
     kind: Type.Literal('snapshotPart'),
     digest: Str,
     part: Index,
-    text: Type.String({ maxLength: PART_LENGTH }),
+    text: Type.String({ maxLength: CHUNK_LENGTH }),
   }),
   Type.Object({ kind: Type.Literal('snapshotGone'), digest: Str }),
   Type.Object({
--- a/src/protocol/worker-wire.ts
+++ b/src/protocol/worker-wire.ts
@@ -7,26 +7,26 @@
 import { Type } from '@sinclair/typebox';
 import type { Static } from '@sinclair/typebox';
 import { HealthShape } from '../state/health.js';
-import { PieceShape, SealShape } from '../state/seal.js';
+import { ResponseChunkShape, ResponseDigestShape } from '../state/seal.js';
 import { readerOf } from './read-shape.js';
 
 const Id = Type.String({ minLength: 1, maxLength: 256 });
 
 /** A part of a prompt: the hash that names it, its length in tokens, its text where it is sent. */
-export const PartShape = Type.Object({
+export const PrefixBlockShape = Type.Object({
   hash: Type.String({ minLength: 1, maxLength: 128 }),
   tokens: Type.Integer({ minimum: 0, maximum: 10_000_000 }),
   text: Type.Optional(Type.String()),
 });
 /** A checked part. */
-export type Part = Static<typeof PartShape>;
+export type PrefixBlock = Static<typeof PrefixBlockShape>;
 
 /** One attempt to run a request on a worker. */
 export const RunShape = Type.Object({
   requestId: Id,
   attemptId: Id,
   model: Id,
-  parts: Type.Array(PartShape, { maxItems: 1_024 }),
+  parts: Type.Array(PrefixBlockShape, { maxItems: 1_024 }),
   outputTokens: Type.Integer({ minimum: 0, maximum: 10_000_000 }),
   stream: Type.Boolean(),
 });
@@ -34,14 +34,14 @@
 export type Run = Static<typeof RunShape>;
 
 /** A whole answer with its seal. */
-export const WholeShape = Type.Object({ pieces: Type.Array(PieceShape), seal: SealShape });
+export const CompleteResponseShape = Type.Object({ pieces: Type.Array(ResponseChunkShape), seal: ResponseDigestShape });
 /** A checked whole answer. */
-export type Whole = Static<typeof WholeShape>;
+export type CompleteResponse = Static<typeof CompleteResponseShape>;
 
 /** One line of a streamed answer: a piece, or the seal that ends it. */
 export const StreamLineShape = Type.Union([
-  Type.Object({ piece: PieceShape }, { additionalProperties: false }),
-  Type.Object({ seal: SealShape }, { additionalProperties: false }),
+  Type.Object({ piece: ResponseChunkShape }, { additionalProperties: false }),
+  Type.Object({ seal: ResponseDigestShape }, { additionalProperties: false }),
 ]);
 /** A checked line. */
 export type StreamLine = Static<typeof StreamLineShape>;
@@ -52,7 +52,7 @@
 /** Checks an attempt. */
 export const readRun = readerOf(RunShape);
 /** Checks a whole answer. */
-export const readWhole = readerOf(WholeShape);
+export const readCompleteResponse = readerOf(CompleteResponseShape);
 /** Checks one line of a stream. */
 export const readStreamLine = readerOf(StreamLineShape);
 /** Checks a refusal. */
--- a/src/runbook/core-runbooks.test.ts
+++ b/src/runbook/core-runbooks.test.ts
@@ -53,11 +53,11 @@
     work(step);
     return true;
   }
-  async function note(r: StepRecord): Promise<void> {
+  async function record(r: StepRecord): Promise<void> {
     records.push(r);
   }
   const end = await d.fleet.finish(
-    runRunbook(runbook, { core, clock: d.clock, rng: createRng(7), dryRun: false, before: [], confirm, note }),
+    runRunbook(runbook, { core, clock: d.clock, rng: createRng(7), dryRun: false, before: [], confirm, record }),
     900_000,
   );
   return { end, records, asked };
--- a/src/runbook/document.ts
+++ b/src/runbook/document.ts
@@ -82,8 +82,8 @@
   const counter = new LineCounter();
   const doc = parseDocument(text, { lineCounter: counter });
   const faults: DocFault[] = [];
-  function fault(queue: number, reason: string): void {
-    faults.push({ line: queue, reason });
+  function fault(line: number, reason: string): void {
+    faults.push({ line: line, reason });
   }
   function lineOf(node: unknown): number {
     const range = (node as Node | null)?.range;
@@ -118,11 +118,11 @@
     if (typeof v !== 'string' || v === '') fault(1, `${key}: expected a text`);
     return String(v ?? '');
   }
-  function filled(value: unknown, queue: number): unknown {
+  function filled(value: unknown, line: number): unknown {
     if (typeof value !== 'string') return value;
     const whole = /^\$\{([a-zA-Z]+)\}$/.exec(value);
     for (const m of value.matchAll(HOLD))
-      if (!Object.hasOwn(declared, m[1] as string)) fault(queue, `input ${m[1]} is not declared under inputs`);
+      if (!Object.hasOwn(declared, m[1] as string)) fault(line, `input ${m[1]} is not declared under inputs`);
     if (whole && inputs) return inputs[whole[1] as string] ?? value;
     function put(_all: string, name: string): string {
       return inputs?.[name] ?? `\${${name}}`;
@@ -139,7 +139,7 @@
     node: unknown,
     form: Form,
     what: string,
-    queue: number,
+    line: number,
     inner: string | null,
   ): Record<string, unknown> {
     const out: Record<string, unknown> = {};
@@ -150,7 +150,7 @@
       !isMap(node) &&
       !(isScalar(node) && (node.value === null || node.value === true))
     ) {
-      fault(queue, `${what}: expected a table`);
+      fault(line, `${what}: expected a table`);
       return out;
     }
     for (const pair of items) {
@@ -170,15 +170,15 @@
       if (!typeFits(type, value)) fault(at, `${what}: ${key} must be a ${type}; found ${JSON.stringify(value)}`);
       out[key] = value;
     }
-    for (const key of Object.keys(form.needs)) if (!Object.hasOwn(out, key)) fault(queue, `${what}: ${key} is missing`);
+    for (const key of Object.keys(form.needs)) if (!Object.hasOwn(out, key)) fault(line, `${what}: ${key} is missing`);
     return out;
   }
-  function conditionOf(node: unknown, queue: number, what: string): Condition {
+  function conditionOf(node: unknown, line: number, what: string): Condition {
     const pair = isMap(node) ? node.items[0] : undefined;
     const tag = pair ? keyOf(pair) : isScalar(node) ? String(node.value) : '';
     if (!Object.hasOwn(CONDITIONS, tag) || (isMap(node) && node.items.length !== 1)) {
       fault(
-        queue,
+        line,
         `${what}: expected one condition of ${Object.keys(CONDITIONS).join(', ')}; found ${tag || 'nothing'}`,
       );
       return { tag: 'quorate' };
@@ -187,17 +187,17 @@
       pair?.value ?? null,
       CONDITIONS[tag as Condition['tag']],
       tag,
-      pair ? lineOf(pair.key) : queue,
+      pair ? lineOf(pair.key) : line,
       null,
     );
     if (tag === 'ready' && fields['atLeast'] === undefined && fields['atMost'] === undefined)
-      fault(queue, 'ready: atLeast or atMost is missing');
+      fault(line, 'ready: atLeast or atMost is missing');
     return { kind: null, atLeast: null, atMost: null, address: null, ...fields, tag } as unknown as Condition;
   }
   function stepOf(node: unknown): Step | null {
-    const queue = lineOf(node);
+    const line = lineOf(node);
     if (!isMap(node)) {
-      fault(queue, 'step: expected a table');
+      fault(line, 'step: expected a table');
       return null;
     }
     let work: Work | null = null;
@@ -213,32 +213,32 @@
       work = workOf(key as Work['tag'], pair.value, at);
     }
     const name = node.get('name');
-    if (typeof name !== 'string' || name === '') fault(queue, 'step: name is missing');
+    if (typeof name !== 'string' || name === '') fault(line, 'step: name is missing');
     if (!work) {
-      if (!node.items.some(unknownWork)) fault(queue, `step: expected one of ${Object.keys(WORKS).join(', ')}`);
+      if (!node.items.some(unknownWork)) fault(line, `step: expected one of ${Object.keys(WORKS).join(', ')}`);
       return null;
     }
     const ifNot = node.get('ifNot');
     return {
-      name: String(filled(name, queue)),
-      line: queue,
+      name: String(filled(name, line)),
+      line: line,
       work,
-      ifNot: typeof ifNot === 'string' ? String(filled(ifNot, queue)) : '',
+      ifNot: typeof ifNot === 'string' ? String(filled(ifNot, line)) : '',
     };
     function unknownWork(pair: Pair): boolean {
       return !['name', 'ifNot'].includes(keyOf(pair));
     }
   }
-  function workOf(tag: Work['tag'], value: unknown, queue: number): Work {
-    if (tag === 'require') return { tag, condition: conditionOf(value, queue, 'require') };
-    if (tag === 'person' && isScalar(value)) return { tag, does: String(filled(value.value, queue)) };
-    if (tag !== 'wait') return { ...fieldsOf(value, WORKS[tag], tag, queue, null), tag } as Work;
+  function workOf(tag: Work['tag'], value: unknown, line: number): Work {
+    if (tag === 'require') return { tag, condition: conditionOf(value, line, 'require') };
+    if (tag === 'person' && isScalar(value)) return { tag, does: String(filled(value.value, line)) };
+    if (tag !== 'wait') return { ...fieldsOf(value, WORKS[tag], tag, line, null), tag } as Work;
     const until = isMap(value) ? value.get('until', true) : undefined;
-    const fields = fieldsOf(value, WORKS.wait, 'wait', queue, 'until');
-    if (!until) fault(queue, 'wait: until is missing');
+    const fields = fieldsOf(value, WORKS.wait, 'wait', line, 'until');
+    if (!until) fault(line, 'wait: until is missing');
     return {
       tag,
-      condition: until ? conditionOf(until, queue, 'wait') : { tag: 'quorate' },
+      condition: until ? conditionOf(until, line, 'wait') : { tag: 'quorate' },
       withinS: Number(fields['withinS']),
       heldS: Number(fields['heldS'] ?? 0),
     };
--- a/src/runbook/observe-core.test.ts
+++ b/src/runbook/observe-core.test.ts
@@ -3,7 +3,7 @@
 import { coreHealth } from '../state/core-health.js';
 import type { CoreHealth, MemberView } from '../state/core-health.js';
 import type { Condition } from './document.js';
-import { coreSeen } from './observe-core.js';
+import { coreObserved } from './observe-core.js';
 
 const THREE = ['h1', 'h2', 'h3'];
 
@@ -24,11 +24,11 @@
 }
 /** A core whose members all say that these hold not all of the ledger, or not all claims. */
 function coreOf(ledgerBehind: readonly string[], claimsBehind: readonly string[] | null): Core {
-  async function askAt(address: string): Promise<{ status: number; body: unknown }> {
+  async function requestAt(address: string): Promise<{ status: number; body: unknown }> {
     const core = { ledger: health(address, ledgerBehind), claims: claimsBehind && health(address, claimsBehind) };
     return { status: 200, body: { name: address, member: `${address}#i`, slot: 9, members: [], nodes: [], core } };
   }
-  return { addresses: THREE, askAt, ask: () => Promise.resolve(null), version: () => Promise.resolve(null) };
+  return { addresses: THREE, requestAt, request: () => Promise.resolve(null), version: () => Promise.resolve(null) };
 }
 const spare = { tag: 'spareLosses', atLeast: 1 } as const satisfies Condition;
 const without = { tag: 'goesOnWithout', name: 'h1' } as const satisfies Condition;
@@ -42,12 +42,12 @@
   ['two behind: nothing goes on', coreOf(['h1', 'h2'], []), false, false],
   ['two whose claims are not whole', coreOf([], ['h1', 'h2']), false, false],
 ])('%s', async (_what, core, bearsOne, goesOn) => {
-  expect([(await coreSeen(core, spare)).met, (await coreSeen(core, without)).met]).toEqual([bearsOne, goesOn]);
+  expect([(await coreObserved(core, spare)).met, (await coreObserved(core, without)).met]).toEqual([bearsOne, goesOn]);
 });
 
 test('nothing to spare is asked for, and still no whole majority is no', async () => {
-  expect((await coreSeen(coreOf(['h1', 'h2'], null), { tag: 'spareLosses', atLeast: 0 })).met).toBe(false);
-  expect((await coreSeen(coreOf(['h1'], null), { tag: 'spareLosses', atLeast: 0 })).met).toBe(true);
+  expect((await coreObserved(coreOf(['h1', 'h2'], null), { tag: 'spareLosses', atLeast: 0 })).met).toBe(false);
+  expect((await coreObserved(coreOf(['h1'], null), { tag: 'spareLosses', atLeast: 0 })).met).toBe(true);
 });
 
 test("one controller's word, or none, meets nothing", async () => {
@@ -55,9 +55,9 @@
   for (const addresses of [['h1'], []]) {
     const few: Core = { ...whole, addresses };
     expect([
-      (await coreSeen(few, spare)).met,
-      (await coreSeen(few, without)).met,
-      (await coreSeen(few, { tag: 'spareLosses', atLeast: 0 })).met,
+      (await coreObserved(few, spare)).met,
+      (await coreObserved(few, without)).met,
+      (await coreObserved(few, { tag: 'spareLosses', atLeast: 0 })).met,
     ]).toEqual([false, false, false]);
   }
 });
--- a/src/runbook/observe-core.ts
+++ b/src/runbook/observe-core.ts
@@ -2,20 +2,22 @@
  * Conditions of runbooks on the core's health. They are met on the word of a majority of the members only, for the
  * members that agree on the ledger and, where claims are in use, for those that hold the claims.
  */
-import { askCoreReport } from '../operator/core-report.js';
+import { requestCoreReport } from '../operator/core-report.js';
 import type { CoreGroup, CoreReport, GroupReport } from '../operator/core-report.js';
 import type { Core } from '../operator/core.js';
 import type { Condition } from './document.js';
-import type { Seen } from './seen.js';
+import type { Observation } from './seen.js';
 
 type CoreCondition = Extract<Condition, { tag: 'spareLosses' | 'goesOnWithout' }>;
 
 const UNKNOWN = 'no majority of the members says how many losses the core bears';
 
-export async function coreSeen(core: Core, condition: CoreCondition): Promise<Seen> {
-  const report = await askCoreReport(core);
+export async function coreObserved(core: Core, condition: CoreCondition): Promise<Observation> {
+  const report = await requestCoreReport(core);
   if (!report) return { met: false, text: 'no controller answers' };
-  return condition.tag === 'spareLosses' ? spareSeen(report, condition.atLeast) : withoutSeen(report, condition.name);
+  return condition.tag === 'spareLosses'
+    ? spareObserved(report, condition.atLeast)
+    : absenceObserved(report, condition.name);
 }
 
 function groupsOf(report: CoreReport): [CoreGroup, GroupReport][] {
@@ -27,7 +29,7 @@
     : [['ledger', report.ledger]];
 }
 
-function spareSeen(report: CoreReport, atLeast: number): Seen {
+function spareObserved(report: CoreReport, atLeast: number): Observation {
   const figures: string[] = [];
   let met = true;
   for (const [name, group] of groupsOf(report)) {
@@ -38,7 +40,7 @@
   return { met, text: figures.join('; ') };
 }
 
-function withoutSeen(report: CoreReport, name: string): Seen {
+function absenceObserved(report: CoreReport, name: string): Observation {
   const stopped: string[] = [];
   for (const [groupName, group] of groupsOf(report)) {
     if (group.spareLosses === null) return { met: false, text: `${groupName}: ${UNKNOWN}` };
--- a/src/runbook/observe.ts
+++ b/src/runbook/observe.ts
@@ -1,12 +1,12 @@
 import type { Core } from '../operator/core.js';
-import { coreSeen } from './observe-core.js';
-import { ordersAsk, placeOf, readAsk, statusAsk } from '../operator/asks.js';
+import { coreObserved } from './observe-core.js';
+import { ordersRequest, placeOf, readRequest, statusRequest } from '../operator/asks.js';
 import type { Order } from '../state/order.js';
 import { counts } from '../state/order.js';
-import { pause } from '../transport/clock.js';
+import { delay } from '../transport/clock.js';
 import type { Clock } from '../transport/clock.js';
 import type { Condition } from './document.js';
-import type { Seen } from './seen.js';
+import type { Observation } from './seen.js';
 
 type Status = {
   readonly quorate: boolean;
@@ -35,24 +35,25 @@
   graceMs = GRACE_MS,
   lookMs = LOOK_MS,
   heldMs = 0,
-): Promise<Seen> {
+): Promise<Observation> {
   const until = clock.mono() + graceMs;
   let metSince: number | null = null;
   for (;;) {
-    const seen = await observe(core, c);
+    const observed = await observe(core, c);
     const now = clock.mono();
-    metSince = seen.met ? (metSince ?? now) : null;
-    if (metSince !== null && now - metSince >= heldMs) return seen;
-    if (now >= until) return seen.met ? { met: false, text: `${seen.text}, not yet for ${heldMs / 1_000} s` } : seen;
-    await pause(clock, lookMs);
+    metSince = observed.met ? (metSince ?? now) : null;
+    if (metSince !== null && now - metSince >= heldMs) return observed;
+    if (now >= until)
+      return observed.met ? { met: false, text: `${observed.text}, not yet for ${heldMs / 1_000} s` } : observed;
+    await delay(clock, lookMs);
   }
 }
 
-async function observe(core: Core, c: Condition): Promise<Seen> {
-  if (c.tag === 'setting') return settingSeen(core, c.path, c.is);
-  if (c.tag === 'ready' || c.tag === 'zoneOrders') return ordersSeen(core, c);
-  if (c.tag === 'spareLosses' || c.tag === 'goesOnWithout') return coreSeen(core, c);
-  const got = await core.ask(statusAsk());
+async function observe(core: Core, c: Condition): Promise<Observation> {
+  if (c.tag === 'setting') return settingObserved(core, c.path, c.is);
+  if (c.tag === 'ready' || c.tag === 'zoneOrders') return ordersObserved(core, c);
+  if (c.tag === 'spareLosses' || c.tag === 'goesOnWithout') return coreObserved(core, c);
+  const got = await core.request(statusRequest());
   if (!got || got.status !== 200) return { met: false, text: 'no controller answers' };
   const s = got.body as Status;
   switch (c.tag) {
@@ -100,14 +101,17 @@
 async function statusOf(core: Core, s: Status, name: string): Promise<Status | null> {
   for (const n of s.nodes) {
     if (n.name !== name) continue;
-    const got = await core.askAt(n.http, statusAsk());
+    const got = await core.requestAt(n.http, statusRequest());
     return got?.status === 200 ? (got.body as Status) : null;
   }
   return null;
 }
 
-async function ordersSeen(core: Core, c: Extract<Condition, { tag: 'ready' | 'zoneOrders' }>): Promise<Seen> {
-  const got = await core.ask(ordersAsk());
+async function ordersObserved(
+  core: Core,
+  c: Extract<Condition, { tag: 'ready' | 'zoneOrders' }>,
+): Promise<Observation> {
+  const got = await core.request(ordersRequest());
   if (!got || got.status !== 200) return { met: false, text: 'no controller answers' };
   const { orders } = got.body as { readonly orders: readonly Order[] };
   let n = 0;
@@ -120,8 +124,8 @@
   return { met, text: `${n} ${c.kind ?? ''} workers of ${c.model} ready`.replace('  ', ' ') };
 }
 
-async function settingSeen(core: Core, path: string, is: unknown): Promise<Seen> {
-  const got = await core.ask(readAsk());
+async function settingObserved(core: Core, path: string, is: unknown): Promise<Observation> {
+  const got = await core.request(readRequest());
   if (!got || got.status !== 200) return { met: false, text: 'no controller with a majority answers' };
   let at: unknown = (got.body as { readonly configuration: unknown }).configuration;
   for (const step of placeOf(path))
--- a/src/runbook/run.test.ts
+++ b/src/runbook/run.test.ts
@@ -50,7 +50,7 @@
     dryRun,
     before,
     confirm: async (step) => hands(step),
-    note: async (r) => void records.push(r),
+    record: async (r) => void records.push(r),
   });
   return { end: await fleet.finish(run, 900_000), records };
 }
--- a/src/runbook/run.ts
+++ b/src/runbook/run.ts
@@ -1,6 +1,6 @@
 import { sha256 } from '../base/digest.js';
-import { amendAsk, forgetAsk, placeOf, reopenAsk, zoneAsk } from '../operator/asks.js';
-import type { CoreAsk } from '../operator/asks.js';
+import { amendRequest, forgetRequest, placeOf, reopenRequest, zoneRequest } from '../operator/asks.js';
+import type { CoreRequest } from '../operator/asks.js';
 import type { Core } from '../operator/core.js';
 import type { Clock } from '../transport/clock.js';
 import { newId } from '../transport/rng.js';
@@ -32,7 +32,7 @@
   readonly dryRun: boolean;
   readonly before: readonly StepRecord[];
   readonly confirm: (step: Step) => Promise<boolean>;
-  readonly note: (r: StepRecord) => Promise<void>;
+  readonly record: (r: StepRecord) => Promise<void>;
 };
 
 const LOOK_MS = 1_000;
@@ -71,17 +71,17 @@
   for (let i = 0; i < book.steps.length; i += 1) {
     const step = book.steps[i] as Step;
     if (done.has(i) && harms(step.work)) {
-      await note(i, step, 'doneBefore', 'done in an earlier run');
+      await record(i, step, 'doneBefore', 'done in an earlier run');
       continue;
     }
-    const [outcome, seen] = await take(step, i);
-    await note(i, step, outcome, seen);
-    if (outcome !== 'done' && outcome !== 'would') return { tag: 'stopped', step, outcome, seen };
+    const [outcome, observed] = await take(step, i);
+    await record(i, step, outcome, observed);
+    if (outcome !== 'done' && outcome !== 'would') return { tag: 'stopped', step, outcome, seen: observed };
   }
   return { tag: deps.dryRun ? 'wouldDo' : 'done' };
 
-  function note(i: number, step: Step, outcome: StepOutcome, seen: string): Promise<void> {
-    return deps.note({ run: runId, digest, step: i, name: step.name, outcome, seen, wall: clock.wall() });
+  function record(i: number, step: Step, outcome: StepOutcome, observed: string): Promise<void> {
+    return deps.record({ run: runId, digest, step: i, name: step.name, outcome, seen: observed, wall: clock.wall() });
   }
 
   async function take(step: Step, i: number): Promise<[StepOutcome, string]> {
@@ -98,8 +98,8 @@
     }
     if (!(await deps.confirm(step))) return ['declined', 'not confirmed'];
     if (work.tag === 'person') return ['done', 'a person did it'];
-    const ask = await askOf(step, `${runId}:${i}`);
-    const answer = ask ? await core.ask(ask) : null;
+    const request = await askOf(step, `${runId}:${i}`);
+    const answer = request ? await core.request(request) : null;
     if (!answer) return ['refused', 'no controller answers'];
     const unchanged =
       answer.status === 409 &&
@@ -108,20 +108,20 @@
     return ['refused', `${answer.status} ${JSON.stringify(answer.body)}`];
   }
 
-  async function askOf(step: Step, operation: string): Promise<CoreAsk | null> {
+  async function askOf(step: Step, operation: string): Promise<CoreRequest | null> {
     const { work } = step;
     switch (work.tag) {
       case 'evacuate':
       case 'restore':
-        return zoneAsk(work.zone, work.tag, operation);
+        return zoneRequest(work.zone, work.tag, operation);
       case 'set': {
         const base = await core.version();
-        return base === null ? null : amendAsk(base, [{ path: placeOf(work.path), value: work.value }], operation);
+        return base === null ? null : amendRequest(base, [{ path: placeOf(work.path), value: work.value }], operation);
       }
       case 'forget':
-        return forgetAsk(work.proxy);
+        return forgetRequest(work.proxy);
       case 'reopenClaims':
-        return reopenAsk();
+        return reopenRequest();
       default:
         return null;
     }
--- a/src/runbook/seen.ts
+++ b/src/runbook/seen.ts
@@ -1,2 +1,2 @@
 /** Whether a condition is met, and what was seen, for the record and the operator. */
-export type Seen = { readonly met: boolean; readonly text: string };
+export type Observation = { readonly met: boolean; readonly text: string };
--- a/src/sim/beat-watch.ts
+++ b/src/sim/beat-watch.ts
@@ -23,7 +23,7 @@
 export async function watchBeats(core: SimCore, at: string): Promise<BeatWatch> {
   const name = `follower-of-${at}`;
   const lab = core.lab(name);
-  const peers = createPeers(lab.wire, lab.clock, createQuietLog().part(name));
+  const peers = createPeers(lab.wire, lab.clock, createQuietLog().component(name));
   const confirmations: Confirmation[] = [];
   const sentAt = new Map<number, number>();
   let nonce = 0;
--- a/src/sim/chaos.ts
+++ b/src/sim/chaos.ts
@@ -66,12 +66,12 @@
   }
   if (!(await fleet.start())) fault('start', 'the fleet did not start');
   const ops = await createOperators(fleet, watchers, seed);
-  const act: FaultAct = { fleet, rng, note, evacuate: ops.evacuate, crowdOfOperators: ops.crowd };
+  const command: FaultAct = { fleet, rng, note, evacuate: ops.evacuate, crowdOfOperators: ops.crowd };
   const endAt = world.now() + o.seconds * 1_000;
 
   function strike(): void {
     if (world.now() >= endAt) return;
-    FAULTS[pick(rng, o.faults)](act);
+    FAULTS[pick(rng, o.faults)](command);
     world.at(o.everyMs * (0.5 + rng.next()), strike);
   }
   world.at(1_000, strike);
--- a/src/sim/edge-day.ts
+++ b/src/sim/edge-day.ts
@@ -46,7 +46,7 @@
 const DEADLINE_MS = 3_000;
 const ASK_WITHIN_MS = 4_000;
 const BOUNDS = { ratio: 0.5, slack: 12, windowMs: 60_000 };
-const SETTLE_MS = 9_000;
+const READ_TIMEOUT_MS = 9_000;
 
 function routeOf(kind: AskedKind, attempts: number): RouteSettings {
   return {
@@ -92,7 +92,7 @@
   const connectionPool: ConnectionPool = createEdgeWorkers({
     world,
     proc,
-    words: OPEN_WORDS,
+    statuses: OPEN_WORDS,
     rng,
     journal,
     sabotage: options.sabotage ?? 'none',
@@ -108,14 +108,14 @@
   );
   book.applyList([1, 2, 3, 4].map(workerEntry), 0);
   const relay = options.createRelay({
-    words: OPEN_WORDS,
+    statuses: OPEN_WORDS,
     tuning: EDGE_TUNING,
     registry: book,
     budget: createAttemptBudget(BOUNDS),
     connectionPool,
     clock,
     rng,
-    log: createQuietLog().part('edge'),
+    log: createQuietLog().component('edge'),
     table: theTable,
     closing: never,
     lastEndAt: nothing,
@@ -154,7 +154,7 @@
     await world.advance(freezeAt + 200 + rng.next() * 4_000);
     await thaw(proc.host);
   }
-  await world.advance(ASK_WITHIN_MS + SETTLE_MS);
+  await world.advance(ASK_WITHIN_MS + READ_TIMEOUT_MS);
   let held = 0;
   for (const row of book.rows()) held += row.running;
   return { broken: checkEdgeJournal(journal, BOUNDS), journal, open: relay.tally().open, held };
--- a/src/sim/edge-workers.ts
+++ b/src/sim/edge-workers.ts
@@ -15,7 +15,7 @@
 export type EdgeWorkersOptions = {
   readonly world: World;
   readonly proc: Proc;
-  readonly words: HeaderNames;
+  readonly statuses: HeaderNames;
   readonly rng: Rng;
   readonly journal: EdgeJournal;
   readonly sabotage: EdgeSabotage;
@@ -70,7 +70,7 @@
 const REACHED_SHARE = 0.4;
 
 export function createEdgeWorkers(options: EdgeWorkersOptions): ConnectionPool {
-  const { world, proc, words, rng, journal } = options;
+  const { world, proc, statuses, rng, journal } = options;
   const idle = new Map<string, Connection[]>();
   const dark = new Set<string>();
   let seals = 0;
@@ -145,8 +145,8 @@
   ): Visit | null {
     const given = new Map<string, string>();
     for (let i = 0; i + 1 < headers.length; i += 2) given.set(headers[i] as string, headers[i + 1] as string);
-    const id = given.get(words.attemptId) ?? '';
-    const handedMs = Number(given.get(words.deadline));
+    const id = given.get(statuses.attemptId) ?? '';
+    const handedMs = Number(given.get(statuses.deadline));
     const arrival: Arrival = {
       id,
       worker: what.address,
@@ -163,7 +163,7 @@
     }
     const asked = journal.asked.find(isIt);
     if (!asked || left) return null;
-    const from = Number(given.get(words.lastEvent) ?? 0);
+    const from = Number(given.get(statuses.lastEvent) ?? 0);
     const made: Visit = { arrival, asked, connection, address: what.address, events, from, at: 0, left: false };
     if (partly) begin(made);
     else
@@ -189,7 +189,7 @@
   function head(v: Visit, status: number, headers: Readonly<Record<string, string>>): void {
     function tell(): void {
       function get(name: string): string | null {
-        if (options.sabotage === 'idsIgnored' && name === words.attemptId) return v.arrival.id;
+        if (options.sabotage === 'idsIgnored' && name === statuses.attemptId) return v.arrival.id;
         return headers[name] ?? null;
       }
       v.events.head(status, Object.entries(headers).flat(), get);
@@ -224,17 +224,17 @@
   }
   /** A second answer to the request before, as it may lie unread when the connection is taken again. */
   function surplusOf(v: Visit): Head {
-    const mine = { [words.attemptId]: v.arrival.id };
-    if (chance(0.5)) return { status: 200, headers: { ...mine, [words.seal]: v.arrival.seal ?? 'none' } };
+    const mine = { [statuses.attemptId]: v.arrival.id };
+    if (chance(0.5)) return { status: 200, headers: { ...mine, [statuses.seal]: v.arrival.seal ?? 'none' } };
     return {
       status: chance(0.5) ? 421 : 503,
-      headers: chance(0.3) ? { [words.notRun]: '1' } : { ...mine, [words.notRun]: '1' },
+      headers: chance(0.3) ? { [statuses.notRun]: '1' } : { ...mine, [statuses.notRun]: '1' },
     };
   }
 
   function behave(v: Visit, behaviour: Behaviour): void {
-    const mine = { [words.attemptId]: v.arrival.id };
-    const refusal = { ...mine, [words.notRun]: '1' };
+    const mine = { [statuses.attemptId]: v.arrival.id };
+    const refusal = { ...mine, [statuses.notRun]: '1' };
     if (v.connection.surplus) {
       begin(v);
       head(v, v.connection.surplus.status, v.connection.surplus.headers);
@@ -247,7 +247,7 @@
         head(v, chance(0.5) ? 503 : 429, refusal);
         return end(v);
       case 'refusesWithoutId':
-        head(v, 503, { [words.notRun]: '1' });
+        head(v, 503, { [statuses.notRun]: '1' });
         return end(v);
       case 'wrongWorker':
         head(v, 421, mine);
@@ -256,20 +256,20 @@
         return fail(v, 'reset');
       case 'foreignRefusal':
         begin(v);
-        head(v, chance(0.5) ? 421 : 503, { ...refusal, [words.attemptId]: 'another' });
+        head(v, chance(0.5) ? 421 : 503, { ...refusal, [statuses.attemptId]: 'another' });
         return end(v);
       case 'foreignAnswer':
         begin(v);
-        head(v, 200, { [words.attemptId]: 'another', [words.seal]: 'seal-of-another' });
+        head(v, 200, { [statuses.attemptId]: 'another', [statuses.seal]: 'seal-of-another' });
         data(v, 'an answer for another');
         return end(v);
       default:
-        runAs(v, behaviour, { ...mine, [words.seal]: begin(v) });
+        runAs(v, behaviour, { ...mine, [statuses.seal]: begin(v) });
     }
   }
 
   function runAs(v: Visit, behaviour: Behaviour, sealed: Readonly<Record<string, string>>): void {
-    const mine = { [words.attemptId]: v.arrival.id };
+    const mine = { [statuses.attemptId]: v.arrival.id };
     switch (behaviour) {
       case 'resetAfterRun':
         return fail(v, 'reset');
--- a/src/sim/lag-scenarios.ts
+++ b/src/sim/lag-scenarios.ts
@@ -45,10 +45,10 @@
 async function agree(
   core: SimCore,
   cause: string,
-  act: Parameters<NonNullable<ReturnType<SimCore['node']>['controller']>['ledger']['propose']>[0]['act'],
+  command: Parameters<NonNullable<ReturnType<SimCore['node']>['controller']>['ledger']['propose']>[0]['act'],
 ): Promise<void> {
   const ledger = core.node('h1').controller?.ledger;
-  if (ledger) await core.finish(ledger.propose({ cause, act }, 5_000), 30_000);
+  if (ledger) await core.finish(ledger.propose({ cause, act: command }, 5_000), 30_000);
 }
 
 type OrderStage = 'intended' | 'placed' | 'ready' | 'lost';
@@ -139,7 +139,7 @@
   core.rates.limitHost('edge', links.edgeBitsPerSecond);
   for (const node of core.nodes) core.world.setDelay(node.host.zone, EDGE_ZONE, links.regionMs);
   function begin(): Promise<Follower> {
-    const log = createQuietLog().part('edge');
+    const log = createQuietLog().component('edge');
     const { wire, clock } = core.labIn('edge', EDGE_ZONE);
     const seeds = core.nodes.map(wireOf);
     return createFollower(
--- a/src/sim/model/agreement-state.ts
+++ b/src/sim/model/agreement-state.ts
@@ -12,7 +12,7 @@
 import type { Ballot } from '../../state/ballot.js';
 import { emptyControlState, foldBatch, memberId } from '../../state/control-state.js';
 import type { ControlState } from '../../state/control-state.js';
-import type { Act, Batch, Member } from '../../state/entry.js';
+import type { Command, Batch, Member } from '../../state/entry.js';
 
 /** A proposal that the explorer may start: who proposes which batch for which slot under which round. */
 export type PlannedProposal = {
@@ -62,8 +62,11 @@
   return memberId(member(name));
 }
 
-function batchOf(id: string, act: Act): Batch {
-  return { id, entries: [{ id: `entry-${id}`, author: 'model', wall: 0, cause: 'The model proposed it.', act }] };
+function batchOf(id: string, command: Command): Batch {
+  return {
+    id,
+    entries: [{ id: `entry-${id}`, author: 'model', wall: 0, cause: 'The model proposed it.', act: command }],
+  };
 }
 
 const FOUNDERS = [member('a'), member('b'), member('c')];
--- a/src/sim/model/answer-facts.ts
+++ b/src/sim/model/answer-facts.ts
@@ -16,7 +16,7 @@
   readonly noteAgreed: (id: string, slot: number, batch: Batch | null, floorAtStart: number) => void;
   readonly noteSettled: (node: string, slot: number, floorAtStart: number) => void;
   /** An operator is about to send this change. */
-  readonly noteChange: (change: ChangeFact) => void;
+  readonly recordChange: (change: ChangeFact) => void;
   readonly noteTaken: (token: number) => void;
   readonly noteRefused: (token: number) => void;
   /** The state after a slot that nobody had folded before. */
@@ -57,7 +57,7 @@
       fail('staleRead', `${node} settled at slot ${slot} after slot ${floorAtStart} was answered for`);
     raise(slot);
   }
-  function noteChange(change: ChangeFact): void {
+  function recordChange(change: ChangeFact): void {
     changes.set(change.token, change);
   }
   function noteTaken(token: number): void {
@@ -101,5 +101,5 @@
   function floor(): number {
     return floorSlot;
   }
-  return { floor, noteAgreed, noteSettled, noteChange, noteTaken, noteRefused, noteInstalled, newestNumber, judge };
+  return { floor, noteAgreed, noteSettled, recordChange, noteTaken, noteRefused, noteInstalled, newestNumber, judge };
 }
--- a/src/sim/model/operator-calls.ts
+++ b/src/sim/model/operator-calls.ts
@@ -10,7 +10,7 @@
 import type { ModelNode } from './model-node.js';
 
 const PROPOSE_MS = 1_500;
-const SETTLE_MS = 900;
+const READ_TIMEOUT_MS = 900;
 const FIRST_TOKEN = 20_000;
 
 export type OperatorCalls = {
@@ -40,8 +40,8 @@
     proposals += 1;
     const id = `model-${proposals}`;
     const floor = answers.floor();
-    const act = { tag: 'evacuation' as const, zone: `zone-${proposals}`, begun: true };
-    const got = await ledger.propose({ id, cause: 'x'.repeat(bytes), act }, PROPOSE_MS);
+    const command = { tag: 'evacuation' as const, zone: `zone-${proposals}`, begun: true };
+    const got = await ledger.propose({ id, cause: 'x'.repeat(bytes), act: command }, PROPOSE_MS);
     if (!got.ok) return;
     confirmedCalls += 1;
     answers.noteAgreed(id, got.value.slot, slots.batchOf(got.value.slot), floor);
@@ -65,7 +65,7 @@
     const base = onOlder ? (sent[sent.length - 1]?.base ?? newest) : newest;
     const made = { token: FIRST_TOKEN + sent.length, base, number: Math.max(newest, base) + 1 + (sent.length % 3) };
     sent.push(made);
-    answers.noteChange(made);
+    answers.recordChange(made);
     void send(node, made);
   }
   function resend(node: ModelNode, index: number): void {
@@ -77,8 +77,8 @@
     const ledger = node.controller?.ledger;
     if (!ledger) return;
     const floor = answers.floor();
-    const isSettled = group.sabotage.readsAlone === true || (await ledger.settle(SETTLE_MS));
-    if (!isSettled) return;
+    const isCommitted = group.sabotage.readsAlone === true || (await ledger.linearizableRead(READ_TIMEOUT_MS));
+    if (!isCommitted) return;
     confirmedCalls += 1;
     answers.noteSettled(node.name, ledger.controlState().slot, floor);
   }
--- a/src/sim/model/run-history.ts
+++ b/src/sim/model/run-history.ts
@@ -26,7 +26,7 @@
 const FOUND_MS = 6_000;
 const RECOVER_MS = 20_000;
 const CHECK_MS = 100;
-const SETTLE_MS = 1_000;
+const READ_TIMEOUT_MS = 1_000;
 
 function living(group: ModelGroup): ModelNode[] {
   const out: ModelNode[] = [];
@@ -58,9 +58,9 @@
   const until = world.now() + RECOVER_MS;
   const floor = facts.answers.floor();
 
-  async function settle(node: ModelNode): Promise<void> {
+  async function linearizableRead(node: ModelNode): Promise<void> {
     const ledger = node.controller?.ledger;
-    if (!ledger || !(await ledger.settle(SETTLE_MS))) return;
+    if (!ledger || !(await ledger.linearizableRead(READ_TIMEOUT_MS))) return;
     facts.answers.noteSettled(node.name, ledger.controlState().slot, floor);
     settled.add(node.name);
   }
@@ -69,7 +69,7 @@
     return true;
   }
   while (!isDone() && world.now() < until && facts.broken.length === 0) {
-    for (const node of living(group)) if (!settled.has(node.name)) void settle(node);
+    for (const node of living(group)) if (!settled.has(node.name)) void linearizableRead(node);
     await world.advance(CHECK_MS);
   }
   for (const node of living(group))
--- a/src/sim/model/search.ts
+++ b/src/sim/model/search.ts
@@ -74,6 +74,6 @@
   if (!found.shrunk) return lines;
   lines.push(`  shrunk to ${found.shrunk.steps.length} steps, which break:`);
   for (const { rule, detail } of found.shrunkEnd?.broken.slice(0, 8) ?? []) lines.push(`  ${rule}: ${detail}`);
-  for (const queue of describeHistory(found.shrunk)) lines.push(`    ${queue}`);
+  for (const line of describeHistory(found.shrunk)) lines.push(`    ${line}`);
   return lines;
 }
--- a/src/sim/racing-day.ts
+++ b/src/sim/racing-day.ts
@@ -10,7 +10,7 @@
 import type { ConfigurationService } from '../coordination/ledger/configuration-service.js';
 import type { Serving } from '../state/serving.js';
 import { DEFAULT_LIMITS } from '../state/serving.js';
-import { pause, within } from '../transport/clock.js';
+import { delay, within } from '../transport/clock.js';
 import { below, createRng } from '../transport/rng.js';
 import type { Rng } from '../transport/rng.js';
 import { createCallHistory } from './call-history.js';
@@ -136,7 +136,7 @@
     const answer = await sendOnce(day, change);
     if (answer === 'confirmed') day.confirmed.push(change);
     if (answer !== 'unclear') return;
-    await pause(day.clock, 50 + below(day.rng, 200 * sending));
+    await delay(day.clock, 50 + below(day.rng, 200 * sending));
   }
 }
 
@@ -158,13 +158,13 @@
     }
     const again = day.confirmed[day.confirmed.length - 1 - below(day.rng, 30)];
     if (again && day.rng.next() < 0.3) await sendOnce(day, again);
-    await pause(day.clock, below(day.rng, 1_200));
+    await delay(day.clock, below(day.rng, 1_200));
   }
 }
 
 async function ordinaryEntries(day: Day): Promise<void> {
   while (!day.isOver) {
-    await pause(day.clock, 5_000 + below(day.rng, 15_000));
+    await delay(day.clock, 5_000 + below(day.rng, 15_000));
     const ledger = day.core.node(anyNode(day)).controller?.ledger;
     for (let n = 0; n < ENTRIES_OF_A_BURST; n += 1) {
       void ledger?.propose({ cause: 'A racing day.', act: { tag: 'targetChanged', model: 'm', target: n } }, 1_500);
--- a/src/sim/racing-zones.ts
+++ b/src/sim/racing-zones.ts
@@ -4,7 +4,7 @@
  * next one. An order that was given up and acts late shows as a zone that reads otherwise.
  */
 import type { ConfigurationService } from '../coordination/ledger/configuration-service.js';
-import { pause, within } from '../transport/clock.js';
+import { delay, within } from '../transport/clock.js';
 import type { Clock } from '../transport/clock.js';
 import { below } from '../transport/rng.js';
 import type { Rng } from '../transport/rng.js';
@@ -45,7 +45,7 @@
   while (!operator.isOver()) {
     if (operator.rng.next() < TWICE_SHARE) void orderOnce(operator, begun);
     if (await orderOnce(operator, begun)) return true;
-    await pause(operator.clock, 100 + below(operator.rng, 400));
+    await delay(operator.clock, 100 + below(operator.rng, 400));
   }
   return false;
 }
@@ -53,8 +53,8 @@
 async function check(operator: ZoneOperator, begun: boolean): Promise<void> {
   const name = anyNode(operator);
   const ledger = operator.core.node(name).controller?.ledger;
-  const isSettled = ledger && (await within(operator.clock, PATIENCE_MS, ledger.settle(PATIENCE_MS)));
-  if (!ledger || !isSettled) return;
+  const isCommitted = ledger && (await within(operator.clock, PATIENCE_MS, ledger.linearizableRead(PATIENCE_MS)));
+  if (!ledger || !isCommitted) return;
   const isEvacuated = ledger.controlState().evacuated[operator.zone] !== undefined;
   if (isEvacuated === begun) return;
   const now = operator.core.world.now().toFixed(0);
@@ -68,7 +68,7 @@
     const restUntil = operator.clock.mono() + PATIENCE_MS + below(operator.rng, REST_MS);
     while (operator.clock.mono() < restUntil) {
       await check(operator, begun);
-      await pause(operator.clock, 50 + below(operator.rng, 400));
+      await delay(operator.clock, 50 + below(operator.rng, 400));
     }
   }
 }
--- a/src/sim/replay.ts
+++ b/src/sim/replay.ts
@@ -1,9 +1,9 @@
 import { emptyControlState, foldBatch } from '../state/control-state.js';
-import type { Act, Kind } from '../state/entry.js';
+import type { Command, Kind } from '../state/entry.js';
 import { decideModel, ordersOf } from '../state/scaler-decide.js';
-import { noteLaunchFailed } from '../state/scaler-memory.js';
+import { recordLaunchFailed } from '../state/scaler-memory.js';
 import type { ScalerMemory } from '../state/scaler-memory.js';
-import type { SeenMachine } from '../state/scaler-sight.js';
+import type { ObservedMachine } from '../state/scaler-sight.js';
 import { resolveModel } from '../state/settings-tree.js';
 import type { Configuration } from '../state/settings-tree.js';
 import { createRng } from '../transport/rng.js';
@@ -259,11 +259,11 @@
   let serial = 0;
   let failedIn: string[] = [];
 
-  function fold(acts: readonly Act[], wall: number): void {
+  function fold(acts: readonly Command[], wall: number): void {
     const entries = [];
-    for (const act of acts) {
+    for (const command of acts) {
       serial += 1;
-      entries.push({ id: `e${serial}`, author: 'replay', wall, cause: '-', act });
+      entries.push({ id: `e${serial}`, author: 'replay', wall, cause: '-', act: command });
     }
     foldBatch(controlState, controlState.slot + 1, { id: `b${serial}`, entries });
   }
@@ -275,7 +275,7 @@
     now: number,
     live: readonly Instance[],
   ): readonly { readonly key: string; readonly zone: string; readonly kind: Kind }[] {
-    const listed: SeenMachine[] = [];
+    const listed: ObservedMachine[] = [];
     const workers = [];
     for (const i of live) {
       listed.push({ id: i.id, key: i.key, zone: i.zone, state: 'running' });
@@ -293,13 +293,13 @@
         deadMachines: new Set(),
         failedIn,
         asOf: controlState.slot,
-        seenBefore: seen,
+        knownMachines: seen,
       },
       memory,
       nextId,
     );
     failedIn = [];
-    const acts: Act[] = [];
+    const acts: Command[] = [];
     for (const d of decisions) acts.push(d.act);
     fold(acts, now * 1_000);
     const out = [];
@@ -313,7 +313,7 @@
     fold([{ tag: 'orderPlaced', order: i.key, machine: i.id }], now * 1_000);
   }
   function failed(key: string, zone: string, kind: Kind, now: number): void {
-    noteLaunchFailed(memory, 'm', kind, zone, now * 1_000);
+    recordLaunchFailed(memory, 'm', kind, zone, now * 1_000);
     if (kind === 'spot') failedIn.push(zone);
     fold([{ tag: 'orderFailed', order: key }], now * 1_000);
   }
--- a/src/sim/request-scenarios.ts
+++ b/src/sim/request-scenarios.ts
@@ -1,6 +1,6 @@
 import type { CallerTally } from '../standin/caller.js';
-import { markOf } from '../standin/mark.js';
-import { PLACE_PATH, REQUESTS_PATH, TICKET_HEADER } from '../protocol/caller-wire.js';
+import { bootstrapDigest } from '../standin/mark.js';
+import { PLACE_PATH, REQUESTS_PATH, ADMISSION_TOKEN_HEADER } from '../protocol/caller-wire.js';
 import { tagOf } from '../standin/caller.js';
 import { createClientOver } from '../client/client.js';
 import type { ClientRequest } from '../client/client.js';
@@ -212,14 +212,14 @@
     p: Placement,
     address: string,
     homes: readonly string[],
-    ticket = p.ticket ?? '',
+    token = p.ticket ?? '',
   ): Promise<string> {
-    const hash = markOf({ key: null, kind: null, homes }, 'stale');
+    const hash = bootstrapDigest({ key: null, kind: null, homes }, 'stale');
     const got = await fleet.call({
       method: 'POST',
       address,
       path: REQUESTS_PATH,
-      headers: { [TICKET_HEADER]: ticket },
+      headers: { [ADMISSION_TOKEN_HEADER]: token },
       body: { requestId: p.requestId, parts: [{ hash, tokens: 8 }], outputTokens: 8, stream: false },
     });
     const error = got.ok
@@ -243,11 +243,11 @@
   const [body] = (fresh.ticket ?? '').split('.');
   const read = JSON.parse(Buffer.from(body ?? '', 'base64url').toString()) as Record<string, unknown>;
   const crafted = `${Buffer.from(JSON.stringify({ ...read, proxy: read['proxy'], bound: { mapping: null, kind: null, asked: null } })).toString('base64url')}.${(fresh.ticket ?? '').split('.')[1]}`;
-  for (const [what, ticket] of [
+  for (const [what, token] of [
     ['as it is', fresh.ticket ?? ''],
     ['crafted', crafted],
   ] as const) {
-    const told = await submit(fresh, outside?.http ?? '', ['hungary'], ticket);
+    const told = await submit(fresh, outside?.http ?? '', ['hungary'], token);
     s.expect('homes', told === 'shed ticketForeign', `a ticket ${what}, used outside its homes, is told ${told}`);
   }
   const told = await submit(fresh, fresh.address ?? '', ['hungary'], crafted);
--- a/src/sim/sim-core.ts
+++ b/src/sim/sim-core.ts
@@ -255,7 +255,7 @@
   }
   async function evacuatedAt(name: string): Promise<readonly string[] | null> {
     const at = node(name).controller;
-    if (!at || !(await finish(at.ledger.settle(1_500), 30_000))) return null;
+    if (!at || !(await finish(at.ledger.linearizableRead(1_500), 30_000))) return null;
     return Object.keys(at.ledger.controlState().evacuated).sort();
   }
   function members(name: string): readonly string[] {
--- a/src/sim/sim-fleet.ts
+++ b/src/sim/sim-fleet.ts
@@ -161,7 +161,7 @@
     function close(): Promise<void> {
       return Promise.resolve();
     }
-    return { note, close };
+    return { record: note, close };
   }
   function depsOf(proc: Proc, platter: Platter | null): NodeDeps {
     return {
--- a/src/sim/sim-http.ts
+++ b/src/sim/sim-http.ts
@@ -103,11 +103,11 @@
     let broke: ((f: HttpFault) => void) | null = null;
     c.signal?.addEventListener('abort', aborted);
     function aborted(): void {
-      if (!answered) settle(err({ tag: 'broken' }));
+      if (!answered) linearizableRead(err({ tag: 'broken' }));
       else abandon();
     }
 
-    function settle(r: Result<HttpAnswer, HttpFault>): void {
+    function linearizableRead(r: Result<HttpAnswer, HttpFault>): void {
       if (answered) return;
       answered = true;
       if (!r.ok || !c.stream) finish();
@@ -122,11 +122,11 @@
     }
     function expire(): void {
       if (answered) broke?.({ tag: 'timedOut' });
-      else settle(err({ tag: 'timedOut' }));
+      else linearizableRead(err({ tag: 'timedOut' }));
       over = true;
     }
     function neverSent(): void {
-      settle(err({ tag: 'neverSent' }));
+      linearizableRead(err({ tag: 'neverSent' }));
     }
     if (!target || !target.powered) {
       world.at(Math.min(CONNECT_MS, c.timeoutMs), neverSent);
@@ -154,7 +154,7 @@
       }
       function fail(): void {
         if (answered) broke?.({ tag: 'broken' });
-        else settle(err({ tag: 'broken' }));
+        else linearizableRead(err({ tag: 'broken' }));
       }
       const d = httpServer;
       const cameAt = world.now();
@@ -247,17 +247,21 @@
         }
       }
       back(streaming);
-      for await (const queue of lines) {
+      for await (const line of lines) {
         if (over) break;
-        post({ queue: ok(copied(queue)) });
+        post({ queue: ok(copied(line)) });
       }
       off();
       post({ queue: null });
       function streaming(): void {
-        settle(ok({ status: given.status, headers: given.headers ?? {}, body: null, lines: received(), abandon }));
+        linearizableRead(
+          ok({ status: given.status, headers: given.headers ?? {}, body: null, lines: received(), abandon }),
+        );
       }
       function whole(): void {
-        settle(ok({ status: given.status, headers: given.headers ?? {}, body: sent, lines: nothing(), abandon }));
+        linearizableRead(
+          ok({ status: given.status, headers: given.headers ?? {}, body: sent, lines: nothing(), abandon }),
+        );
       }
     }
     function abandon(): void {
--- a/src/sim/sim-ledger.ts
+++ b/src/sim/sim-ledger.ts
@@ -4,8 +4,8 @@
 import type { Agreed, Draft, ProposeFault } from '../coordination/ledger/proposal.js';
 import { emptyControlState, foldBatch } from '../state/control-state.js';
 import type { ControlState, Outcome } from '../state/control-state.js';
-import type { Act, Entry } from '../state/entry.js';
-import { pause } from '../transport/clock.js';
+import type { Command, Entry } from '../state/entry.js';
+import { delay } from '../transport/clock.js';
 import type { Clock } from '../transport/clock.js';
 import { createWorld } from './world.js';
 import type { World } from './world.js';
@@ -15,8 +15,8 @@
   readonly clock: Clock;
   readonly controlState: ControlState;
   readonly entryBytes: readonly number[];
-  readonly fold: (id: string, act: Act) => Agreed;
-  readonly ledgerAfter: (ms: number) => Pick<Ledger, 'controlState' | 'settle' | 'propose'>;
+  readonly fold: (id: string, command: Command) => Agreed;
+  readonly ledgerAfter: (ms: number) => Pick<Ledger, 'controlState' | 'linearizableRead' | 'propose'>;
   readonly cut: (on: boolean) => void;
   readonly deaf: (on: boolean) => void;
   readonly run: <T>(work: Promise<T>, limitMs?: number) => Promise<T | null>;
@@ -32,8 +32,8 @@
   let isDeaf = false;
   let proposals = 0;
 
-  function fold(id: string, act: Act): Agreed {
-    const entry: Entry = { id, author: 'sim', wall: 0, cause: 'A test proposed it.', act };
+  function fold(id: string, command: Command): Agreed {
+    const entry: Entry = { id, author: 'sim', wall: 0, cause: 'A test proposed it.', act: command };
     entryBytes.push(JSON.stringify(entry).length);
     const outcomes = foldBatch(controlState, controlState.slot + 1, {
       id: `batch-${controlState.slot}`,
@@ -44,19 +44,19 @@
   function currentControlState(): ControlState {
     return controlState;
   }
-  async function settle(): Promise<boolean> {
-    await pause(clock, isCut ? 60_000 : 10);
+  async function linearizableRead(): Promise<boolean> {
+    await delay(clock, isCut ? 60_000 : 10);
     return !isCut;
   }
-  function ledgerAfter(ms: number): Pick<Ledger, 'controlState' | 'settle' | 'propose'> {
+  function ledgerAfter(ms: number): Pick<Ledger, 'controlState' | 'linearizableRead' | 'propose'> {
     async function propose(draft: Draft, waitMs: number): Promise<Result<Agreed, ProposeFault>> {
-      await pause(clock, ms);
+      await delay(clock, ms);
       proposals += 1;
       const done = fold(draft.id ?? `op-${proposals}`, draft.act);
-      await pause(clock, isDeaf ? waitMs : ms);
+      await delay(clock, isDeaf ? waitMs : ms);
       return isDeaf ? err({ tag: 'noMajority' }) : ok(done);
     }
-    return { controlState: currentControlState, settle, propose };
+    return { controlState: currentControlState, linearizableRead, propose };
   }
   function cut(on: boolean): void {
     isCut = on;
--- a/src/sim/stored-data.ts
+++ b/src/sim/stored-data.ts
@@ -10,7 +10,7 @@
 import { openStore } from '../coordination/ledger/store.js';
 import { createPeers } from '../coordination/members/peers.js';
 import { shapesFor } from '../coordination/controller.js';
-import { membersMark, memberId } from '../state/control-state.js';
+import { membersDigest, memberId } from '../state/control-state.js';
 import { HOUR_MS } from '../state/claim-table.js';
 import { createQuietLog } from '../transport/log.js';
 import { createRng } from '../transport/rng.js';
@@ -63,7 +63,7 @@
 async function startProxyCopy(core: SimCore, platter: Platter): Promise<{ readonly stop: () => void }> {
   const lab = core.lab(PROXY);
   const world = core.world;
-  const log = createQuietLog().part(PROXY);
+  const log = createQuietLog().component(PROXY);
   const peers = createPeers(lab.wire, lab.clock, log);
   const proc = world.begin(world.host(`${PROXY}-disk`, `zone-${PROXY}`));
   const self = { name: PROXY, zone: `zone-${PROXY}`, region: `zone-${PROXY}` };
@@ -114,7 +114,7 @@
 
 async function claim(core: SimCore): Promise<void> {
   const lab = core.lab('c1');
-  const peers = createPeers(lab.wire, lab.clock, createQuietLog().part('c1'));
+  const peers = createPeers(lab.wire, lab.clock, createQuietLog().component('c1'));
   const state = core.node('h1').controller?.ledger.controlState();
   if (!state) return;
   const claims = [];
@@ -124,7 +124,7 @@
     await core.finish(
       peers.call(
         member.address,
-        { kind: 'claim', ledger: state.ledger, members: membersMark(state.members), claims },
+        { kind: 'claim', ledger: state.ledger, members: membersDigest(state.members), claims },
         5_000,
       ),
       WAIT_MS,
@@ -172,7 +172,7 @@
   const world = createWorld(1);
   const proc = world.begin(world.host(name, 'zone'));
   const disk = simDisk(platterOf(files), proc, world);
-  const log = createQuietLog().part(name);
+  const log = createQuietLog().component(name);
   async function finish<T>(work: Promise<T>): Promise<T> {
     const box: { value: T | null; done: boolean } = { value: null, done: false };
     void work.then((value) => {
--- a/src/standin/caller.ts
+++ b/src/standin/caller.ts
@@ -2,8 +2,8 @@
 import type { ClientRequest, ClientFault } from '../client/client.js';
 import { sha256 } from '../base/digest.js';
 import { runKey } from '../state/run-key.js';
-import { markOf } from './mark.js';
-import { pause } from '../transport/clock.js';
+import { bootstrapDigest } from './mark.js';
+import { delay } from '../transport/clock.js';
 import type { Clock } from '../transport/clock.js';
 import type { HttpClient } from '../transport/http.js';
 import type { Journal } from '../transport/journal.js';
@@ -70,7 +70,7 @@
     attemptId: string | null,
   ): void {
     count(ask.repeatable ? `stream ${result}` : `once ${result}`);
-    journal.note({
+    journal.record({
       who: 'caller',
       caller: s.name,
       zone: s.zone,
@@ -97,7 +97,7 @@
       model: s.runOnceModel as string,
       ...(s.kind === null ? {} : { kind: s.kind }),
       ...(s.homes ? { homes: s.homes } : {}),
-      parts: [{ hash: markOf({ key, kind: s.kind, homes: s.homes ?? null }, newId(rng, 'card')), tokens: 24 }],
+      parts: [{ hash: bootstrapDigest({ key, kind: s.kind, homes: s.homes ?? null }, newId(rng, 'card')), tokens: 24 }],
       outputTokens: 8,
       repeatable: false,
       key,
@@ -122,7 +122,7 @@
       const { fault } = got;
       note(submission, ask, startedAt, null, tagOf(fault), 'requestId' in fault ? fault.requestId : null, null, null);
       if (!isNotRun(fault) || tries >= s.patience) return;
-      await pause(clock, 1_000 * (fault.tag === 'failed' ? Math.max(1, fault.retryAfterS) : 1));
+      await delay(clock, 1_000 * (fault.tag === 'failed' ? Math.max(1, fault.retryAfterS) : 1));
     }
   }
 
@@ -135,7 +135,7 @@
         { hash: `${model}-rules`, tokens: 400 },
         { hash: `${model}-history-${prefix}`, tokens: s.historyTokens ?? 1_500 },
         {
-          hash: markOf({ key: null, kind: null, homes: s.homes ?? null }, newId(rng, 'case')),
+          hash: bootstrapDigest({ key: null, kind: null, homes: s.homes ?? null }, newId(rng, 'case')),
           tokens: 60 + below(rng, 200),
         },
       ],
@@ -180,7 +180,7 @@
     function done(): void {
       open.delete(work);
     }
-    await pause(clock, (-Math.log(1 - rng.next()) * 1_000) / s.perSecond);
+    await delay(clock, (-Math.log(1 - rng.next()) * 1_000) / s.perSecond);
   }
   await Promise.all([...open]);
   return tally;
--- a/src/standin/check.test.ts
+++ b/src/standin/check.test.ts
@@ -1,11 +1,11 @@
 import { describe, expect, test } from '@jest/globals';
 import { sha256 } from '../base/digest.js';
 import { checkRecords } from './check.js';
-import { markOf } from './mark.js';
+import { bootstrapDigest } from './mark.js';
 import type { Rec } from './check.js';
 
 const rules = { regionsOfKind: { card: ['north'] }, leavingMs: 4_000 };
-const MARK = markOf({ key: 'k1', kind: 'card', homes: null }, 'u');
+const MARK = bootstrapDigest({ key: 'k1', kind: 'card', homes: null }, 'u');
 
 function text(requestId: string, attemptId: string, pieces: number): string {
   let out = '';
@@ -104,7 +104,7 @@
     [
       'homes',
       'an arrival outside the homes it asked for',
-      [worker('arrived', { mark: markOf({ key: null, kind: null, homes: ['south'] }, 'u') })],
+      [worker('arrived', { mark: bootstrapDigest({ key: null, kind: null, homes: ['south'] }, 'u') })],
     ],
     ['homes', 'a body at a proxy outside', [{ who: 'body', region: 'south', mark: MARK, at: 1 }]],
     ['leaving', 'the worker knew', [worker('draining', { at: 0 }), worker('arrived', { at: 4_001 })]],
--- a/src/standin/cloud.ts
+++ b/src/standin/cloud.ts
@@ -5,7 +5,7 @@
 import { MACHINES_PATH, PRICES_PATH, readOrder } from '../protocol/cloud-wire.js';
 import type { CloudOrder, Machine } from '../protocol/cloud-wire.js';
 import type { Price } from '../state/scaler-sight.js';
-import { pause } from '../transport/clock.js';
+import { delay } from '../transport/clock.js';
 import type { Clock } from '../transport/clock.js';
 import type { HttpClient, HttpServer, HttpReply, HttpRequest } from '../transport/http.js';
 import type { Journal } from '../transport/journal.js';
@@ -60,7 +60,7 @@
   let pricesDown = false;
 
   function note(event: string, extra: Readonly<Record<string, unknown>>): void {
-    journal.note({ who: 'cloud', at: clock.wall(), event, ...extra });
+    journal.record({ who: 'cloud', at: clock.wall(), event, ...extra });
   }
 
   async function onIdle(req: HttpRequest): Promise<HttpReply> {
@@ -92,7 +92,7 @@
     if (loseReplies > 0) {
       loseReplies -= 1;
       note('replyLost', { key: order.key });
-      await pause(clock, 60_000);
+      await delay(clock, 60_000);
     }
     return reply;
   }
--- a/src/standin/hollow.ts
+++ b/src/standin/hollow.ts
@@ -6,7 +6,7 @@
 import { WORKERS_PATH, readWorkerList } from '../protocol/platform-wire.js';
 import type { Listed } from '../state/listed.js';
 import { HEALTH_PATH } from '../protocol/worker-wire.js';
-import { every, pause } from '../transport/clock.js';
+import { every, delay } from '../transport/clock.js';
 import type { Clock } from '../transport/clock.js';
 import type { HttpClient, HttpServer, HttpAnswer, HttpCall, HttpFault, HttpReply, Route } from '../transport/http.js';
 import { newId } from '../transport/rng.js';
@@ -148,7 +148,7 @@
     held.push(h);
     const got = await start(h);
     if (!got.ok) return err(got.fault);
-    await pause(clock, STARTS_EVERY_MS);
+    await delay(clock, STARTS_EVERY_MS);
   }
 
   function look(): void {
--- a/src/standin/mark.ts
+++ b/src/standin/mark.ts
@@ -6,7 +6,7 @@
 
 const LEAD = 'mark';
 
-export function markOf(mark: Mark, unique: string): string {
+export function bootstrapDigest(mark: Mark, unique: string): string {
   return [LEAD, mark.key ?? '', mark.kind ?? '', (mark.homes ?? []).join('+'), unique].join('|');
 }
 
--- a/src/standin/platform.ts
+++ b/src/standin/platform.ts
@@ -74,7 +74,7 @@
     return { status: 404, body: {} };
   }
   function drained(h: Held, remainingMs: number): HttpReply {
-    journal.note({
+    journal.record({
       who: 'platform',
       at: clock.wall(),
       event: 'draining',
--- a/src/standin/slow-net.ts
+++ b/src/standin/slow-net.ts
@@ -1,7 +1,7 @@
 import { err, ok } from '../base/result.js';
 import type { Result } from '../base/result.js';
 import type { Clock } from '../transport/clock.js';
-import { pause } from '../transport/clock.js';
+import { delay } from '../transport/clock.js';
 import type { HttpClient, HttpAnswer, HttpCall, HttpFault } from '../transport/http.js';
 import type { Switches } from '../transport/switch-file.js';
 import type { Address, Connection, ConnectionEvents, Wire, WireFault } from '../transport/wire.js';
@@ -27,10 +27,10 @@
     if (to === undefined) return { delayMs: 0, outCut: never, inCut: never };
     const there = to;
     function outCut(): boolean {
-      return switches.isCut(zone, there);
+      return switches.isPartitioned(zone, there);
     }
     function inCut(): boolean {
-      return switches.isCut(there, zone);
+      return switches.isPartitioned(there, zone);
     }
     return { delayMs: delayMs[`${zone}|${there}`] ?? delayMs[`${there}|${zone}`] ?? 0, outCut, inCut };
   }
@@ -82,10 +82,10 @@
   async function dial(address: Address): Promise<Result<Connection, WireFault>> {
     const path = pathTo(address);
     if (path.outCut() || path.inCut()) {
-      await pause(clock, CONNECT_MS);
+      await delay(clock, CONNECT_MS);
       return err({ tag: 'unreachable', address });
     }
-    if (path.delayMs > 0) await pause(clock, 2 * path.delayMs);
+    if (path.delayMs > 0) await delay(clock, 2 * path.delayMs);
     const got = await wire.dial(address);
     return got.ok ? ok(slowConnection(got.value, path)) : got;
   }
@@ -95,30 +95,30 @@
 export function slowHttpClient(httpClient: HttpClient, clock: Clock, pathTo: PathTo): HttpClient {
   async function* slowLines(lines: HttpAnswer['lines'], path: Path): AsyncGenerator<Result<unknown, HttpFault>> {
     let first = true;
-    for await (const queue of lines) {
-      if (first) await pause(clock, path.delayMs);
+    for await (const line of lines) {
+      if (first) await delay(clock, path.delayMs);
       first = false;
-      while (path.inCut()) await pause(clock, HELD_LOOK_MS);
-      yield queue;
+      while (path.inCut()) await delay(clock, HELD_LOOK_MS);
+      yield line;
     }
   }
   async function call(c: HttpCall): Promise<Result<HttpAnswer, HttpFault>> {
     const path = pathTo(c.address);
     const until = clock.mono() + c.timeoutMs;
-    if (path.delayMs > 0) await pause(clock, path.delayMs);
+    if (path.delayMs > 0) await delay(clock, path.delayMs);
     if (path.outCut()) {
-      await pause(clock, Math.min(CONNECT_MS, c.timeoutMs));
+      await delay(clock, Math.min(CONNECT_MS, c.timeoutMs));
       return err({ tag: 'neverSent' });
     }
     const got = await httpClient.call(c);
     while (path.inCut() && c.signal?.aborted !== true) {
       if (clock.mono() >= until) return err({ tag: 'timedOut' });
-      await pause(clock, HELD_LOOK_MS);
+      await delay(clock, HELD_LOOK_MS);
     }
     if (c.signal?.aborted === true) return err({ tag: 'broken' });
     if (!got.ok) return got;
     if (c.stream) return ok({ ...got.value, lines: slowLines(got.value.lines, path) });
-    if (path.delayMs > 0) await pause(clock, path.delayMs);
+    if (path.delayMs > 0) await delay(clock, path.delayMs);
     return got;
   }
   return { call };
--- a/src/standin/worker.ts
+++ b/src/standin/worker.ts
@@ -6,8 +6,8 @@
 import { HEALTH_PATH, readRun, RUN_PATH } from '../protocol/worker-wire.js';
 import { markIn } from './mark.js';
 import type { Run } from '../protocol/worker-wire.js';
-import { addPiece, closeSeal, startSeal } from '../state/seal.js';
-import { every, pause } from '../transport/clock.js';
+import { addChunk, closeDigest, startDigest } from '../state/seal.js';
+import { every, delay } from '../transport/clock.js';
 import type { Clock, Timer } from '../transport/clock.js';
 import type { HttpClient, HttpServer, HttpReply, HttpRequest, Route } from '../transport/http.js';
 import type { Journal } from '../transport/journal.js';
@@ -92,7 +92,7 @@
   let cache = new LRUMap<string, boolean>(CACHE_CHAINS);
 
   function note(event: string, run: Run | null, extra: Readonly<Record<string, unknown>> = {}): void {
-    journal.note({
+    journal.record({
       who: 'worker',
       worker: s.id,
       machine,
@@ -191,7 +191,7 @@
     for (const part of run.parts) all += part.tokens;
     const hit = cachedTokens(run);
     note('prefill', run, { tokens: all, hit });
-    await pause(clock, 1 + ((all - hit) * s.prefillUsPerToken) / 1_000);
+    await delay(clock, 1 + ((all - hit) * s.prefillUsPerToken) / 1_000);
   }
 
   function textOf(run: Run, n: number): string {
@@ -203,22 +203,22 @@
   }
 
   async function* produce(run: Run, mine: number): AsyncGenerator<unknown> {
-    const check = startSeal(run.requestId, run.attemptId);
+    const check = startDigest(run.requestId, run.attemptId);
     try {
       await prefill(run);
       const total = pieceCount(run);
       for (let n = 0; n < total; n += 1) {
-        await pause(clock, s.decodeMsPerPiece);
+        await delay(clock, s.decodeMsPerPiece);
         if (mine !== life) return;
         if (mode === 'truncate' && n >= total / 2) return;
-        if (mode === 'stall' && n > 0) await pause(clock, 600_000);
+        if (mode === 'stall' && n > 0) await delay(clock, 600_000);
         const piece = { n: mode === 'swapPieces' && n === 1 ? 2 : n, text: textOf(run, n) };
-        addPiece(check, { n, text: piece.text });
+        addChunk(check, { n, text: piece.text });
         yield { piece };
       }
-      const seal = closeSeal(check, run.attemptId);
-      note('end', run, { digest: seal.digest, pieces: seal.pieces });
-      yield { seal: mode === 'wrongSeal' ? { ...seal, digest: seal.digest.replace(/^./, flip) } : seal };
+      const digest = closeDigest(check, run.attemptId);
+      note('end', run, { digest: digest.digest, pieces: digest.pieces });
+      yield { seal: mode === 'wrongSeal' ? { ...digest, digest: digest.digest.replace(/^./, flip) } : digest };
     } finally {
       running -= 1;
     }
@@ -232,7 +232,7 @@
     if (!read.ok) return { status: 400, body: { error: read.fault } };
     const ask = read.value;
     note('arrived', ask, { model: ask.model, state, running, mark: markIn(ask.parts), came: req.cameAt ?? null });
-    if (mode === 'silent') await pause(clock, 600_000);
+    if (mode === 'silent') await delay(clock, 600_000);
     if (state !== 'ready' || ask.model !== model || running >= s.capacity || mode === 'refuse') {
       note('refused', ask);
       return { status: 503, body: { notRun: true, requestId: ask.requestId, attemptId: ask.attemptId } };
@@ -242,18 +242,18 @@
     const lines = produce(ask, life);
     if (ask.stream) return { status: 200, lines };
     const pieces: unknown[] = [];
-    let seal: unknown = null;
-    for await (const queue of lines) {
-      const at = queue as { readonly piece?: unknown; readonly seal?: unknown };
+    let digest: unknown = null;
+    for await (const line of lines) {
+      const at = line as { readonly piece?: unknown; readonly seal?: unknown };
       if (at.piece !== undefined) pieces.push(at.piece);
-      else seal = at.seal;
+      else digest = at.seal;
     }
-    if (seal === null) return { status: 500, body: { error: 'cut' } };
-    return { status: 200, body: { pieces, seal } };
+    if (digest === null) return { status: 500, body: { error: 'cut' } };
+    return { status: 200, body: { pieces, seal: digest } };
   }
 
   async function health(): Promise<HttpReply> {
-    if (mode === 'silent') await pause(clock, 600_000);
+    if (mode === 'silent') await delay(clock, 600_000);
     const left = remaining();
     return {
       status: 200,
--- a/src/state/aim-book.ts
+++ b/src/state/aim-book.ts
@@ -3,9 +3,9 @@
 
 export type Minute = { readonly minute: number; readonly counts: CountTable; readonly unknown: readonly string[] };
 
-export interface AimBook {
-  hear(reporter: string, incarnation: number, totals: CountTable, minute: number): void;
-  note(subject: string, counts: Counts, minute: number): void;
+export interface LatencyTargetTable {
+  record(reporter: string, incarnation: number, totals: CountTable, minute: number): void;
+  recordOwn(subject: string, counts: Counts, minute: number): void;
   close(minute: number, known: readonly string[]): void;
   since(minute: number): readonly Minute[];
 }
@@ -14,9 +14,9 @@
 
 type Open = { counts: CountTable; heard: Set<string>; lost: Set<string> };
 
-class MinuteAimBook implements AimBook {
+class MinuteLatencyTargetTable implements LatencyTargetTable {
   private minutes: Minute[] = [];
-  private readonly last = new Map<string, { readonly incarnation: number; readonly totals: CountTable }>();
+  private readonly lastTotals = new Map<string, { readonly incarnation: number; readonly totals: CountTable }>();
   private readonly open = new Map<number, Open>();
 
   private openOf(minute: number): Open {
@@ -27,19 +27,19 @@
     return made;
   }
 
-  hear(reporter: string, incarnation: number, totals: CountTable, minute: number): void {
+  record(reporter: string, incarnation: number, totals: CountTable, minute: number): void {
     const o = this.openOf(minute);
-    const before = this.last.get(reporter);
+    const before = this.lastTotals.get(reporter);
     o.heard.add(reporter);
     if (before && before.incarnation !== incarnation) o.lost.add(reporter);
     if (before) {
       const base = before.incarnation === incarnation ? before.totals : {};
       for (const [subject, c] of Object.entries(totals)) addCounts(o.counts, subject, c, base[subject]);
     } else o.lost.add(reporter);
-    this.last.set(reporter, { incarnation, totals });
+    this.lastTotals.set(reporter, { incarnation, totals });
   }
 
-  note(subject: string, counts: Counts, minute: number): void {
+  recordOwn(subject: string, counts: Counts, minute: number): void {
     addCounts(this.openOf(minute).counts, subject, counts);
   }
 
@@ -59,6 +59,6 @@
   }
 }
 
-export function createAimBook(): AimBook {
-  return new MinuteAimBook();
+export function createLatencyTargetTable(): LatencyTargetTable {
+  return new MinuteLatencyTargetTable();
 }
--- a/src/state/aim-counts.ts
+++ b/src/state/aim-counts.ts
@@ -30,7 +30,7 @@
   return new Array<number>(BOUNDS_MS.length + 1).fill(0);
 }
 
-export function noteIn(table: CountTable, subject: string, e: Ended): void {
+export function recordIn(table: CountTable, subject: string, e: Ended): void {
   const c = (table[subject] ??= noCounts());
   c[e.outcome] += 1;
   if (e.firstMs !== null) bump(c.first, e.firstMs);
--- a/src/state/aim-report.ts
+++ b/src/state/aim-report.ts
@@ -4,7 +4,7 @@
 
 export type Measure = 'success' | 'firstPiece' | 'whole' | 'changeInForce' | 'shed';
 
-export type Aim = {
+export type LatencyTarget = {
   readonly name: string;
   readonly measure: Measure;
   readonly model: string | null;
@@ -14,11 +14,11 @@
   readonly windowMinutes: number;
 };
 
-export type AimState = 'met' | 'missed' | 'unknown';
+export type LatencyTargetState = 'met' | 'missed' | 'unknown';
 
-export type AimRow = {
+export type LatencyTargetRow = {
   readonly name: string;
-  readonly state: AimState;
+  readonly state: LatencyTargetState;
   readonly objective: number;
   readonly attained: number | null;
   readonly events: number;
@@ -30,29 +30,33 @@
   readonly unknownOf: readonly string[];
 };
 
-export function subjectOf(aim: Aim): string {
-  if (aim.measure === 'changeInForce') return CHANGES_SUBJECT;
-  return aim.mapping === null ? (aim.model ?? '') : routeSubject(aim.mapping);
+export function subjectOf(target: LatencyTarget): string {
+  if (target.measure === 'changeInForce') return CHANGES_SUBJECT;
+  return target.mapping === null ? (target.model ?? '') : routeSubject(target.mapping);
 }
 
-function weighed(aim: Aim, c: Counts): { readonly good: number; readonly all: number } {
+function weighed(target: LatencyTarget, c: Counts): { readonly good: number; readonly all: number } {
   const asked = c.good + c.shed + c.failed;
-  switch (aim.measure) {
+  switch (target.measure) {
     case 'success':
       return { good: c.good, all: asked };
     case 'shed':
       return { good: asked - c.shed, all: asked };
     case 'firstPiece':
-      return within(c.first, aim.withinMs ?? 0);
+      return within(c.first, target.withinMs ?? 0);
     case 'whole':
     case 'changeInForce':
-      return within(c.whole, aim.withinMs ?? 0);
+      return within(c.whole, target.withinMs ?? 0);
   }
 }
 
-export function reportAim(aim: Aim, minutes: readonly Minute[], nowMinute: number): AimRow {
-  const subject = subjectOf(aim);
-  const from = nowMinute - aim.windowMinutes;
+export function reportLatencyTarget(
+  target: LatencyTarget,
+  minutes: readonly Minute[],
+  nowMinute: number,
+): LatencyTargetRow {
+  const subject = subjectOf(target);
+  const from = nowMinute - target.windowMinutes;
   const sum: CountTable = { [subject]: noCounts() };
   const unknownOf = new Set<string>();
   let known = 0;
@@ -63,18 +67,18 @@
     if (m.unknown.length === 0) known += 1;
     for (const name of m.unknown) unknownOf.add(name);
   }
-  const unknownMinutes = aim.windowMinutes - known;
-  const { good, all } = weighed(aim, sum[subject] as Counts);
+  const unknownMinutes = target.windowMinutes - known;
+  const { good, all } = weighed(target, sum[subject] as Counts);
   const bad = all - good;
   const attained = all === 0 ? null : good / all;
-  const allowed = (1 - aim.objective) * all;
-  const burnRate = all === 0 || aim.objective === 1 ? null : bad / allowed;
-  const missed = attained !== null && attained < aim.objective;
-  const state: AimState = missed ? 'missed' : attained === null || unknownMinutes > 0 ? 'unknown' : 'met';
+  const allowed = (1 - target.objective) * all;
+  const burnRate = all === 0 || target.objective === 1 ? null : bad / allowed;
+  const missed = attained !== null && attained < target.objective;
+  const state: LatencyTargetState = missed ? 'missed' : attained === null || unknownMinutes > 0 ? 'unknown' : 'met';
   return {
-    name: aim.name,
+    name: target.name,
     state,
-    objective: aim.objective,
+    objective: target.objective,
     attained,
     events: all,
     bad,
--- a/src/state/attempt-outcome.test.ts
+++ b/src/state/attempt-outcome.test.ts
@@ -40,7 +40,7 @@
   [{ tag: 'answered' }, ['passOn', 'passOn', 'passOn', 'passOn'], 'passOn'],
 ];
 
-function word(outcome: AttemptOutcome, over: Partial<RequestSituation>): string {
+function status(outcome: AttemptOutcome, over: Partial<RequestSituation>): string {
   const decision = decide(outcome, situation(over));
   if (decision.tag === 'repeat') return decision.resume ? 'resume' : 'repeat';
   return decision.tag === 'fail' ? `fail ${decision.status}` : decision.tag;
@@ -50,19 +50,21 @@
   'after %s',
   (_tag, outcome, [once, repeatable, resumable, begun], last) => {
     test('with time and attempts left', () => {
-      expect(word(outcome, { repeatability: 'once' })).toBe(once);
-      expect(word(outcome, { repeatability: 'repeatable' })).toBe(repeatable);
-      expect(word(outcome, { repeatability: 'resumable' })).toBe(resumable);
-      expect(word(outcome, { repeatability: 'resumable', answerBegun: true })).toBe(begun);
+      expect(status(outcome, { repeatability: 'once' })).toBe(once);
+      expect(status(outcome, { repeatability: 'repeatable' })).toBe(repeatable);
+      expect(status(outcome, { repeatability: 'resumable' })).toBe(resumable);
+      expect(status(outcome, { repeatability: 'resumable', answerBegun: true })).toBe(begun);
     });
 
     test('without time left', () => {
-      for (const repeatability of KINDS) expect(word(outcome, { repeatability, leftMs: 0 })).toBe(last);
+      for (const repeatability of KINDS) expect(status(outcome, { repeatability, leftMs: 0 })).toBe(last);
     });
 
     test('without attempts left only what was never sent is sent again', () => {
       for (const repeatability of KINDS)
-        expect(word(outcome, { repeatability, acquireAttempt: () => false })).toBe(wasSent(outcome) ? last : 'repeat');
+        expect(status(outcome, { repeatability, acquireAttempt: () => false })).toBe(
+          wasSent(outcome) ? last : 'repeat',
+        );
     });
 
     test('an answer that was begun and cannot go on is broken off, never ended', () => {
@@ -73,7 +75,7 @@
         { repeatability: 'resumable', canResume: false },
         { repeatability: 'resumable', leftMs: 0 },
       ] as const) {
-        const got = word(outcome, { ...over, answerBegun: true });
+        const got = status(outcome, { ...over, answerBegun: true });
         expect(outcome.tag === 'workerFailed' || !stays.includes(last) ? got : 'cut').toBe('cut');
       }
     });
@@ -96,7 +98,7 @@
         for (const leftMs of [0, 5_000])
           for (const left of [true, false])
             for (const ranBefore of [true, false]) {
-              const got = word(outcome, { repeatability, leftMs, acquireAttempt: () => left, mayHaveRun: ranBefore });
+              const got = status(outcome, { repeatability, leftMs, acquireAttempt: () => left, mayHaveRun: ranBefore });
               if (got === 'refuse') expect([mayHaveRun(outcome), ranBefore]).toEqual([false, false]);
             }
     });
@@ -105,5 +107,5 @@
 
 test('a request that may run once is never sent again after it may have run', () => {
   for (const [outcome] of OUTCOMES)
-    if (mayHaveRun(outcome)) expect(['repeat', 'resume']).not.toContain(word(outcome, { repeatability: 'once' }));
+    if (mayHaveRun(outcome)) expect(['repeat', 'resume']).not.toContain(status(outcome, { repeatability: 'once' }));
 });
--- a/src/state/candidates.test.ts
+++ b/src/state/candidates.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from '@jest/globals';
-import { ranked } from './candidates.js';
+import { rankCandidates } from './candidates.js';
 import type { Candidate } from './candidates.js';
 
 const own = { name: 's1', zone: 'a-1', region: 'a' };
@@ -21,15 +21,15 @@
     candidate('h5', 'a-1', { failed: true }),
     candidate(null, 'a-1'),
   ];
-  expect(ranked(own, all).map((c) => c.name)).toEqual(['h3', 'h2', 'h1', null, 'h4', 'h5']);
+  expect(rankCandidates(own, all).map((c) => c.name)).toEqual(['h3', 'h2', 'h1', null, 'h4', 'h5']);
 });
 
 test('equally near ones are shared out among the proxies, and the order is always the same for one', () => {
   const all = ['h1', 'h2', 'h3', 'h4', 'h5'].map((n) => candidate(n, 'b-1'));
   const firsts = new Map<string, number>();
   for (let i = 0; i < 500; i += 1) {
-    const name = ranked({ ...own, name: `s${i}` }, all)[0]?.name ?? '';
-    expect(ranked({ ...own, name: `s${i}` }, [...all].reverse())[0]?.name).toBe(name);
+    const name = rankCandidates({ ...own, name: `s${i}` }, all)[0]?.name ?? '';
+    expect(rankCandidates({ ...own, name: `s${i}` }, [...all].reverse())[0]?.name).toBe(name);
     firsts.set(name, (firsts.get(name) ?? 0) + 1);
   }
   expect(Math.min(...firsts.values())).toBeGreaterThan(70);
--- a/src/state/candidates.ts
+++ b/src/state/candidates.ts
@@ -9,12 +9,15 @@
   readonly failed: boolean;
 };
 
-export function steps(own: { readonly zone: string; readonly region: string }, location: Location | null): number {
+export function networkDistance(
+  own: { readonly zone: string; readonly region: string },
+  location: Location | null,
+): number {
   if (location === null || location.region !== own.region) return 2;
   return location.zone === own.zone ? 0 : 1;
 }
 
-export function ranked(
+export function rankCandidates(
   own: { readonly name: string; readonly zone: string; readonly region: string },
   all: readonly Candidate[],
 ): Candidate[] {
@@ -22,7 +25,10 @@
   for (const c of all) {
     const unhealthyRank = c.failed ? 2 : c.location !== null && !c.location.up ? 1 : 0;
     const unnamed = c.name === null ? 1 : 0;
-    keys.set(c, `${unhealthyRank}${unnamed}${steps(own, c.location)}${sha256(`${own.name} ${c.name ?? c.address}`)}`);
+    keys.set(
+      c,
+      `${unhealthyRank}${unnamed}${networkDistance(own, c.location)}${sha256(`${own.name} ${c.name ?? c.address}`)}`,
+    );
   }
   return [...all].sort(byKey);
   function byKey(a: Candidate, b: Candidate): number {
--- a/src/state/control-state.test.ts
+++ b/src/state/control-state.test.ts
@@ -1,11 +1,11 @@
 import { describe, expect, test } from '@jest/globals';
 import { emptyControlState, foldBatch, isControlState } from './control-state.js';
 import type { ControlState, Outcome } from './control-state.js';
-import type { Act, Entry } from './entry.js';
+import type { Command, Entry } from './entry.js';
 
 let serial = 0;
-function entry(act: Act, over: Partial<Entry> = {}): Entry {
-  return { id: `e${(serial += 1)}`, author: 'h1', wall: 7, cause: 'why', act, ...over };
+function entry(command: Command, over: Partial<Entry> = {}): Entry {
+  return { id: `e${(serial += 1)}`, author: 'h1', wall: 7, cause: 'why', act: command, ...over };
 }
 function fold(b: ControlState, ...entries: Entry[]): Outcome[] {
   return foldBatch(b, b.slot + 1, { id: `b${(serial += 1)}`, entries });
@@ -21,7 +21,7 @@
 describe('the fold of the ledger', () => {
   test('of two changes on one base the first wins, even within one slot', () => {
     const b = bootstrapped();
-    const change = (value: number): Act => ({
+    const change = (value: number): Command => ({
       tag: 'configured',
       base: 0,
       changes: [{ path: ['deployment', 'nExtra'], value }],
@@ -45,7 +45,14 @@
     fold(b, entry({ tag: 'leaseTaken', duty: 'scaler', holder: 'a#1' }));
     const old = b.slot;
     fold(b, entry({ tag: 'leaseTaken', duty: 'scaler', holder: 'b#1' }));
-    const order: Act = { tag: 'orderIntended', order: 'o', model: 'm', zone: 'z', kind: 'spot', accelerator: 'any' };
+    const order: Command = {
+      tag: 'orderIntended',
+      order: 'o',
+      model: 'm',
+      zone: 'z',
+      kind: 'spot',
+      accelerator: 'any',
+    };
     expect(fold(b, entry(order, { fence: old }))).toEqual([{ tag: 'staleFence', fence: b.slot - 1 }]);
     expect(b.orders).toEqual({});
     expect(fold(b, entry(order, { fence: b.leases['scaler']?.fence ?? -1 }))).toEqual([applied]);
--- a/src/state/control-state.ts
+++ b/src/state/control-state.ts
@@ -4,7 +4,7 @@
  * of its own (`fold-members.ts`, `fold-operators.ts`, `fold-orders.ts`); this one puts them together.
  */
 import { isTable } from '../base/is-table.js';
-import type { Act, Batch, Entry, Step } from './entry.js';
+import type { Command, Batch, Entry, Step } from './entry.js';
 import { foldBootstrapped, foldMemberAdded, foldMemberRemoved, foldMemberReplaced } from './fold-members.js';
 import type { MembersState } from './fold-members.js';
 import { foldChangeRepeated, foldConfigured, foldEvacuation } from './fold-operators.js';
@@ -23,7 +23,7 @@
 import { EMPTY_CONFIGURATION } from './settings-tree.js';
 import type { ZoneSets } from './zone-sets.js';
 
-export { majorityOf, memberId, membersMark, MOST_MEMBERS } from './fold-members.js';
+export { majorityOf, memberId, membersDigest, MOST_MEMBERS } from './fold-members.js';
 export type { Outcome } from './outcome.js';
 
 export type KnownProxy = { readonly zone: string; readonly region: string };
@@ -82,85 +82,85 @@
   return isOperatorHistory(value['history']);
 }
 
-function foldAct(state: ControlState, slot: number, entry: Entry, act: Act): Outcome {
-  switch (act.tag) {
+function foldCommand(state: ControlState, slot: number, entry: Entry, command: Command): Outcome {
+  switch (command.tag) {
     case 'bootstrapped':
-      return foldBootstrapped(state, act);
+      return foldBootstrapped(state, command);
     case 'memberReplaced':
-      return foldMemberReplaced(state, act);
+      return foldMemberReplaced(state, command);
     case 'memberAdded':
-      return foldMemberAdded(state, act);
+      return foldMemberAdded(state, command);
     case 'memberRemoved':
-      return foldMemberRemoved(state, act);
+      return foldMemberRemoved(state, command);
     case 'claimsReopened':
-      state.claimants = [...act.members];
+      state.claimants = [...command.members];
       return APPLIED;
     case 'configured':
-      return foldConfigured(state, slot, entry.id, act);
+      return foldConfigured(state, slot, entry.id, command);
     case 'changeRepeated':
-      return foldChangeRepeated(state, act);
+      return foldChangeRepeated(state, command);
     case 'evacuation':
-      return foldEvacuation(state, slot, entry.id, act);
+      return foldEvacuation(state, slot, entry.id, command);
     case 'proxyKnown':
-      return foldProxyKnown(state, act);
+      return foldProxyKnown(state, command);
     case 'proxyForgotten':
-      return foldProxyForgotten(state, act);
+      return foldProxyForgotten(state, command);
     case 'leaseTaken':
-      state.leases[act.duty] = { holder: act.holder, fence: slot };
+      state.leases[command.duty] = { holder: command.holder, fence: slot };
       return APPLIED;
     case 'controllerUp':
       return APPLIED;
     default:
-      return foldScalerAct(state, slot, entry, act);
+      return foldScalerCommand(state, slot, entry, command);
   }
 }
 
-type ScalerAct = Step['act'] | Extract<Act, { tag: 'decided' }>;
+type ScalerCommand = Step['act'] | Extract<Command, { tag: 'decided' }>;
 
 /** What the holder of the scaler's duty decides. */
-function foldScalerAct(state: ControlState, slot: number, entry: Entry, act: ScalerAct): Outcome {
-  switch (act.tag) {
+function foldScalerCommand(state: ControlState, slot: number, entry: Entry, command: ScalerCommand): Outcome {
+  switch (command.tag) {
     case 'decided':
-      for (const step of act.steps) foldScalerAct(state, slot, { ...entry, cause: step.cause }, step.act);
+      for (const step of command.steps) foldScalerCommand(state, slot, { ...entry, cause: step.cause }, step.act);
       return APPLIED;
     case 'zonesMoved':
-      state.zoneSets[act.model] = { active: act.active, preemptive: act.preemptive };
+      state.zoneSets[command.model] = { active: command.active, preemptive: command.preemptive };
       return APPLIED;
     case 'targetChanged':
-      state.targets[act.model] = act.target;
+      state.targets[command.model] = command.target;
       return APPLIED;
     case 'ordersAdopted':
-      return foldOrdersAdopted(state, slot, entry, act);
+      return foldOrdersAdopted(state, slot, entry, command);
     case 'orderIntended':
-      return foldOrderIntended(state, slot, entry, act);
+      return foldOrderIntended(state, slot, entry, command);
     case 'orderPlaced':
-      return moveOrder(state, slot, entry, act.order, 'placed', act.machine);
+      return moveOrder(state, slot, entry, command.order, 'placed', command.machine);
     case 'orderReady':
-      return moveOrder(state, slot, entry, act.order, 'ready');
+      return moveOrder(state, slot, entry, command.order, 'ready');
     case 'orderFailed':
-      return moveOrder(state, slot, entry, act.order, 'failed');
+      return moveOrder(state, slot, entry, command.order, 'failed');
     case 'orderLost':
-      return moveOrder(state, slot, entry, act.order, 'lost');
+      return moveOrder(state, slot, entry, command.order, 'lost');
     case 'orderDraining':
-      return moveOrder(state, slot, entry, act.order, 'draining');
+      return moveOrder(state, slot, entry, command.order, 'draining');
     case 'orderReleased':
-      return moveOrder(state, slot, entry, act.order, 'released');
+      return moveOrder(state, slot, entry, command.order, 'released');
     case 'orphanReleased':
       return APPLIED;
   }
 }
 
-function foldProxyKnown(state: ControlState, act: Extract<Act, { tag: 'proxyKnown' }>): Outcome {
-  const { name, zone, region } = act;
+function foldProxyKnown(state: ControlState, command: Extract<Command, { tag: 'proxyKnown' }>): Outcome {
+  const { name, zone, region } = command;
   const known = state.proxies[name];
   if (known && known.zone === zone && known.region === region) return unfit('unchanged');
   state.proxies[name] = { zone, region };
   return APPLIED;
 }
 
-function foldProxyForgotten(state: ControlState, act: Extract<Act, { tag: 'proxyForgotten' }>): Outcome {
-  if (!state.proxies[act.name]) return unfit('unchanged');
-  delete state.proxies[act.name];
+function foldProxyForgotten(state: ControlState, command: Extract<Command, { tag: 'proxyForgotten' }>): Outcome {
+  if (!state.proxies[command.name]) return unfit('unchanged');
+  delete state.proxies[command.name];
   return APPLIED;
 }
 
@@ -180,7 +180,7 @@
   if (before) return before.outcome;
   const fence = state.leases[SCALER_DUTY]?.fence ?? -1;
   const isStale = entry.fence !== undefined && entry.fence !== fence;
-  const outcome: Outcome = isStale ? { tag: 'staleFence', fence } : foldAct(state, slot, entry, entry.act);
+  const outcome: Outcome = isStale ? { tag: 'staleFence', fence } : foldCommand(state, slot, entry, entry.act);
   state.operations.push({ id: entry.id, slot, outcome });
   if (state.operations.length > OPERATIONS_KEPT) state.operations.splice(0, state.operations.length - OPERATIONS_KEPT);
   return outcome;
--- a/src/state/entry.ts
+++ b/src/state/entry.ts
@@ -18,7 +18,7 @@
 
 const AdoptedShape = Type.Object({ order: Str, zone: Str, machine: Str, ready: Type.Boolean() });
 
-const SCALER_ACTS = [
+const SCALER_COMMANDS = [
   Type.Object({
     tag: Type.Literal('orderIntended'),
     order: Str,
@@ -39,10 +39,13 @@
   Type.Object({ tag: Type.Literal('ordersAdopted'), model: Str, kind: KindShape, adopted: Type.Array(AdoptedShape) }),
 ] as const;
 
-export const StepShape = Type.Object({ cause: Type.String({ maxLength: 1024 }), act: Type.Union([...SCALER_ACTS]) });
+export const StepShape = Type.Object({
+  cause: Type.String({ maxLength: 1024 }),
+  act: Type.Union([...SCALER_COMMANDS]),
+});
 export type Step = Static<typeof StepShape>;
 
-export const ActShape = Type.Union([
+export const CommandShape = Type.Union([
   Type.Object({ tag: Type.Literal('bootstrapped'), ledger: Str, ticketKey: Str, members: Type.Array(MemberShape) }),
   Type.Object({ tag: Type.Literal('controllerUp'), name: Str, incarnation: Str }),
   Type.Object({ tag: Type.Literal('memberReplaced'), old: Str, member: MemberShape }),
@@ -65,10 +68,10 @@
   Type.Object({ tag: Type.Literal('proxyKnown'), name: Str, zone: Str, region: Str }),
   Type.Object({ tag: Type.Literal('proxyForgotten'), name: Str }),
   Type.Object({ tag: Type.Literal('leaseTaken'), duty: Str, holder: Str }),
-  ...SCALER_ACTS,
+  ...SCALER_COMMANDS,
   Type.Object({ tag: Type.Literal('decided'), steps: Type.Array(StepShape, { minItems: 1 }) }),
 ]);
-export type Act = Static<typeof ActShape>;
+export type Command = Static<typeof CommandShape>;
 
 export const EntryShape = Type.Object({
   id: Str,
@@ -76,7 +79,7 @@
   wall: Type.Number(),
   cause: Type.String({ maxLength: 1024 }),
   fence: Type.Optional(Slot),
-  act: ActShape,
+  act: CommandShape,
 });
 export type Entry = Static<typeof EntryShape>;
 
--- a/src/state/fold-members.ts
+++ b/src/state/fold-members.ts
@@ -3,7 +3,7 @@
  * as it stands now, so one that comes late changes nothing.
  */
 import { sha256 } from '../base/digest.js';
-import type { Act, Member } from './entry.js';
+import type { Command, Member } from './entry.js';
 import { APPLIED, unfit } from './outcome.js';
 import type { Outcome } from './outcome.js';
 
@@ -21,7 +21,7 @@
   return `${member.name}#${member.incarnation}`;
 }
 
-export function membersMark(members: readonly Member[]): string {
+export function membersDigest(members: readonly Member[]): string {
   const ids: string[] = [];
   for (const m of members) ids.push(memberId(m));
   return sha256(ids.join());
@@ -31,30 +31,30 @@
   return Math.floor(members.length / 2) + 1;
 }
 
-export function foldBootstrapped(state: MembersState, act: Extract<Act, { tag: 'bootstrapped' }>): Outcome {
+export function foldBootstrapped(state: MembersState, command: Extract<Command, { tag: 'bootstrapped' }>): Outcome {
   if (state.ledger !== '') return unfit('bootstrapped');
-  state.ledger = act.ledger;
-  state.ticketKey = act.ticketKey;
-  state.members = [...act.members];
-  state.claimants = act.members.map(memberId);
+  state.ledger = command.ledger;
+  state.ticketKey = command.ticketKey;
+  state.members = [...command.members];
+  state.claimants = command.members.map(memberId);
   return APPLIED;
 }
 
-export function foldMemberReplaced(state: MembersState, act: Extract<Act, { tag: 'memberReplaced' }>): Outcome {
-  const at = indexOfMember(state, act.old);
-  if (at < 0 || isTaken(state, act.member, at)) return unfit('member');
-  state.members = [...state.members.slice(0, at), act.member, ...state.members.slice(at + 1)];
+export function foldMemberReplaced(state: MembersState, command: Extract<Command, { tag: 'memberReplaced' }>): Outcome {
+  const at = indexOfMember(state, command.old);
+  if (at < 0 || isTaken(state, command.member, at)) return unfit('member');
+  state.members = [...state.members.slice(0, at), command.member, ...state.members.slice(at + 1)];
   return APPLIED;
 }
 
-export function foldMemberAdded(state: MembersState, act: Extract<Act, { tag: 'memberAdded' }>): Outcome {
-  if (state.members.length >= MOST_MEMBERS || isTaken(state, act.member, -1)) return unfit('member');
-  state.members = [...state.members, act.member];
+export function foldMemberAdded(state: MembersState, command: Extract<Command, { tag: 'memberAdded' }>): Outcome {
+  if (state.members.length >= MOST_MEMBERS || isTaken(state, command.member, -1)) return unfit('member');
+  state.members = [...state.members, command.member];
   return APPLIED;
 }
 
-export function foldMemberRemoved(state: MembersState, act: Extract<Act, { tag: 'memberRemoved' }>): Outcome {
-  const at = indexOfMember(state, act.old);
+export function foldMemberRemoved(state: MembersState, command: Extract<Command, { tag: 'memberRemoved' }>): Outcome {
+  const at = indexOfMember(state, command.old);
   const isOdd = state.members.length % 2 !== 0;
   if (at < 0 || (isOdd && state.members.length < LEAST_ODD_SHRUNK)) return unfit('member');
   state.members = [...state.members.slice(0, at), ...state.members.slice(at + 1)];
--- a/src/state/fold-operators.ts
+++ b/src/state/fold-operators.ts
@@ -2,7 +2,7 @@
  * What operators change, and the fold of their entries: the configuration, which zones are evacuated, and the history by
  * which a change that is sent again is known. A change names the version that it was made on and applies on that alone.
  */
-import type { Act, Change } from './entry.js';
+import type { Command, Change } from './entry.js';
 import { recordChange, recordRepeated, recordZoneOrder, zoneVersion } from './operator-history.js';
 import type { OperatorHistory } from './operator-history.js';
 import { APPLIED, unfit } from './outcome.js';
@@ -24,19 +24,19 @@
   state: OperatorsState,
   slot: number,
   id: string,
-  act: Extract<Act, { tag: 'configured' }>,
+  command: Extract<Command, { tag: 'configured' }>,
 ): Outcome {
-  if (act.base !== state.version) return { tag: 'staleVersion', winner: state.version };
+  if (command.base !== state.version) return { tag: 'staleVersion', winner: state.version };
   const before = state.configuration;
-  state.configuration = withChanges(before, act.changes) as Configuration;
+  state.configuration = withChanges(before, command.changes) as Configuration;
   state.version = slot;
-  const { revision } = act;
+  const { revision } = command;
   if (revision) {
     const { request, base, number } = revision;
-    const undo = changesBack(before, act.changes);
+    const undo = changesBack(before, command.changes);
     recordChange(state.history, { request, version: slot, revision: { base, number } }, undo);
   } else {
-    const undo = act.changes.some(touchesServing) ? null : state.history.undo;
+    const undo = command.changes.some(touchesServing) ? null : state.history.undo;
     recordChange(state.history, { request: id, version: slot }, undo);
   }
   return APPLIED;
@@ -46,8 +46,11 @@
   return change.path.length === 0 || change.path[0] === 'serving';
 }
 
-export function foldChangeRepeated(state: OperatorsState, act: Extract<Act, { tag: 'changeRepeated' }>): Outcome {
-  const isRecorded = recordRepeated(state.history, act.request, act.number);
+export function foldChangeRepeated(
+  state: OperatorsState,
+  command: Extract<Command, { tag: 'changeRepeated' }>,
+): Outcome {
+  const isRecorded = recordRepeated(state.history, command.request, command.number);
   return isRecorded ? APPLIED : { tag: 'staleVersion', winner: state.version };
 }
 
@@ -59,9 +62,9 @@
   state: OperatorsState,
   slot: number,
   id: string,
-  act: Extract<Act, { tag: 'evacuation' }>,
+  command: Extract<Command, { tag: 'evacuation' }>,
 ): Outcome {
-  const { zone, begun, base } = act;
+  const { zone, begun, base } = command;
   const version = zoneVersion(state.history, zone);
   const isUnchanged = begun === (state.evacuated[zone] !== undefined);
   if (base !== undefined && base !== version) return { tag: 'staleVersion', winner: version };
--- a/src/state/fold-orders.ts
+++ b/src/state/fold-orders.ts
@@ -1,5 +1,5 @@
 /** The orders of machines, and the fold of the entries that move them on their way. */
-import type { Act, Entry } from './entry.js';
+import type { Command, Entry } from './entry.js';
 import { isOpen, mayBecome } from './order.js';
 import type { Order, OrderEvent, OrderStatus } from './order.js';
 import { APPLIED, unfit } from './outcome.js';
@@ -24,10 +24,10 @@
   state: OrdersState,
   slot: number,
   entry: Entry,
-  act: Extract<Act, { tag: 'orderIntended' }>,
+  command: Extract<Command, { tag: 'orderIntended' }>,
 ): Outcome {
-  if (state.orders[act.order]) return unfit('order');
-  const { order: id, model, zone, kind, accelerator } = act;
+  if (state.orders[command.order]) return unfit('order');
+  const { order: id, model, zone, kind, accelerator } = command;
   const events = [eventOf(slot, entry, 'intended')];
   state.orders[id] = { id, model, zone, kind, accelerator, status: 'intended', machine: null, events };
   return APPLIED;
@@ -37,10 +37,10 @@
   state: OrdersState,
   slot: number,
   entry: Entry,
-  act: Extract<Act, { tag: 'ordersAdopted' }>,
+  command: Extract<Command, { tag: 'ordersAdopted' }>,
 ): Outcome {
-  const { model, kind } = act;
-  for (const { order: id, zone, machine, ready } of act.adopted) {
+  const { model, kind } = command;
+  for (const { order: id, zone, machine, ready } of command.adopted) {
     if (state.orders[id]) continue;
     const events = [eventOf(slot, entry, 'placed')];
     if (ready) events.push(eventOf(slot, entry, 'ready'));
--- a/src/state/lease-book.test.ts
+++ b/src/state/lease-book.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from '@jest/globals';
 import { requestGrant, createLeaseTable, dropGrant } from './lease-book.js';
 
-const ask = { duty: 'scaler', termMs: 100 };
+const ask = { role: 'scaler', termMs: 100 };
 
 test('a grantor that restarted grants nothing for one term', () => {
   const book = createLeaseTable(1_000, 100);
--- a/src/state/lease-book.ts
+++ b/src/state/lease-book.ts
@@ -12,7 +12,7 @@
 
 /** The ask for a lease. */
 export type GrantRequest = {
-  readonly duty: string;
+  readonly role: string;
   readonly holder: string;
   readonly round: number;
   readonly termMs: number;
@@ -24,18 +24,18 @@
 }
 
 /** Grants or prolongs a lease; false if another holds it or the grantor has just started. */
-export function requestGrant(book: LeaseTable, ask: GrantRequest, now: number): boolean {
-  if (now < book.quietUntil) return false;
-  const held = book.grants.get(ask.duty);
-  if (held && held.until > now && held.holder !== ask.holder) return false;
-  book.grants.set(ask.duty, { holder: ask.holder, round: ask.round, until: now + ask.termMs });
+export function requestGrant(table: LeaseTable, request: GrantRequest, now: number): boolean {
+  if (now < table.quietUntil) return false;
+  const current = table.grants.get(request.role);
+  if (current && current.until > now && current.holder !== request.holder) return false;
+  table.grants.set(request.role, { holder: request.holder, round: request.round, until: now + request.termMs });
   return true;
 }
 
 /** Gives a lease back early; false if it is not that holder's grant of that round. */
-export function dropGrant(book: LeaseTable, duty: string, holder: string, round: number): boolean {
-  const held = book.grants.get(duty);
-  if (!held || held.holder !== holder || held.round !== round) return false;
-  book.grants.delete(duty);
+export function dropGrant(table: LeaseTable, role: string, holder: string, round: number): boolean {
+  const current = table.grants.get(role);
+  if (!current || current.holder !== holder || current.round !== round) return false;
+  table.grants.delete(role);
   return true;
 }
--- a/src/state/list-book.test.ts
+++ b/src/state/list-book.test.ts
@@ -53,7 +53,7 @@
     const later = [{ ...LEAVING, remainingMs: 4_000 }, worker('c', { coldMs: 2_050 })];
     expect(isEmptyChange(book.differenceTo(later, 2_000))).toBe(true);
     expect(book.differenceTo([{ ...LEAVING, remainingMs: 1_000 }], 2_000)).toEqual({
-      told: [{ ...LEAVING, remainingMs: 1_000 }],
+      changed: [{ ...LEAVING, remainingMs: 1_000 }],
       gone: ['c'],
     });
     book.confirm([1, 'x', 0], 2_500);
--- a/src/state/members.ts
+++ b/src/state/members.ts
@@ -17,10 +17,10 @@
 }
 
 /** What news did to the table; `refuted` means that the own incarnation was raised. */
-export type MemberStep = { readonly changed: boolean; readonly refuted: boolean };
+export type MergeResult = { readonly changed: boolean; readonly refuted: boolean };
 
 /** Takes one piece of news into the table. */
-export function mergeNode(members: Members, self: string, update: NodeInfo): MemberStep {
+export function mergeNode(members: Members, self: string, update: NodeInfo): MergeResult {
   const known = members.get(update.name);
   if (update.name === self) {
     if (!known || update.incarnation < known.incarnation) return { changed: false, refuted: false };
--- a/src/state/observed-orders.test.ts
+++ b/src/state/observed-orders.test.ts
@@ -1,9 +1,9 @@
 import { describe, expect, test } from '@jest/globals';
 import { emptyControlState, foldBatch } from './control-state.js';
 import type { ControlState } from './control-state.js';
-import type { Act, Step } from './entry.js';
+import type { Command, Step } from './entry.js';
 import { decideObserved, decideRetired, observedMemory, observedRules } from './observed-orders.js';
-import type { ObservedMemory, ObservedSight } from './observed-orders.js';
+import type { ObservedMemory, ListObservation } from './observed-orders.js';
 import { DEFAULT_LIMITS } from './serving.js';
 import type { ModelTraits } from './serving.js';
 import type { Settings } from './settings-tree.js';
@@ -59,19 +59,26 @@
     ...more,
   };
 }
-function fold(s: Stage, act: Act): void {
+function fold(s: Stage, command: Command): void {
   s.serial += 1;
   foldBatch(s.controlState, s.controlState.slot + 1, {
     id: `b${s.serial}`,
-    entries: [{ id: `e${s.serial}`, author: 'h1', wall: 0, cause: '-', act }],
+    entries: [{ id: `e${s.serial}`, author: 'h1', wall: 0, cause: '-', act: command }],
   });
 }
-function turn(s: Stage, more: Partial<ObservedSight> = {}, ms = 1_000): Step[] {
+function turn(s: Stage, more: Partial<ListObservation> = {}, ms = 1_000): Step[] {
   s.now += ms;
   const [rule] = observedRules(s.controlState.configuration, ZONES);
   if (!rule) return [];
-  const sight: ObservedSight = { now: s.now, list: s.list, rate: null, dead: new Set(), planned: new Set(), ...more };
-  const steps = decideObserved(rule, s.controlState, sight, s.memory, () => `o${(s.serial += 1)}`);
+  const observation: ListObservation = {
+    now: s.now,
+    list: s.list,
+    rate: null,
+    dead: new Set(),
+    planned: new Set(),
+    ...more,
+  };
+  const steps = decideObserved(rule, s.controlState, observation, s.memory, () => `o${(s.serial += 1)}`);
   if (steps.length > 0) fold(s, { tag: 'decided', steps });
   return steps;
 }
--- a/src/state/observed-orders.ts
+++ b/src/state/observed-orders.ts
@@ -7,14 +7,14 @@
 import { resolveModel } from './settings-tree.js';
 import type { Configuration, Resolved } from './settings-tree.js';
 import { stepTarget } from './target.js';
-import type { Hold, Rate } from './target.js';
+import type { PendingChange, Rate } from './target.js';
 import type { WorkerEntry } from './worker-entry.js';
 import { alignZones, handleLaunch, handlePreemption, initialZones, selectNextZone } from './zone-sets.js';
 import type { ZoneSets } from './zone-sets.js';
 
 export type ObservedRule = { readonly model: string; readonly zones: readonly string[]; readonly values: Resolved };
 
-export type ObservedSight = {
+export type ListObservation = {
   readonly now: number;
   readonly list: readonly WorkerEntry[];
   readonly rate: Rate | null;
@@ -23,7 +23,7 @@
 };
 
 export type ObservedMemory = {
-  hold: Hold | null;
+  pendingChange: PendingChange | null;
   readonly intendedSince: Map<string, number>;
   readonly goneSince: Map<string, number>;
 };
@@ -34,7 +34,7 @@
 const PLACE_HELD_S = 10;
 
 export function observedMemory(): ObservedMemory {
-  return { hold: null, intendedSince: new Map(), goneSince: new Map() };
+  return { pendingChange: null, intendedSince: new Map(), goneSince: new Map() };
 }
 
 export function observedRules(cfg: Configuration, zones: readonly string[]): ObservedRule[] {
@@ -73,7 +73,7 @@
 export function decideObserved(
   rule: ObservedRule,
   controlState: ControlState,
-  sight: ObservedSight,
+  observation: ListObservation,
   memory: ObservedMemory,
   nextOrderId: () => string,
 ): Step[] {
@@ -85,12 +85,12 @@
   let sets: ZoneSets = before ? alignZones(before, zones) : initialZones(zones);
   let why = before ? 'The enabled zones changed.' : 'The model is new: all enabled zones are active.';
   const listed = new Map<string, WorkerEntry>();
-  for (const w of sight.list) if (w.model === model) listed.set(w.id, w);
+  for (const w of observation.list) if (w.model === model) listed.set(w.id, w);
   let standing: Order[] = [];
 
   const target = decideTarget();
-  const held = noteSince();
-  settleHeld();
+  const openOrders = recordSince();
+  resolveOpen();
   adoptNew();
   decideKind('spot', zones.length === 0 ? 0 : target + values.nExtra);
   decideKind('onDemand', zones.length === 0 ? 0 : decideMixture(target, values.nExtra, readySpot()).onDemand);
@@ -117,14 +117,14 @@
     }
     const step = stepTarget(
       known,
-      sight.rate,
+      observation.rate,
       { qTar: values.qTar, holdMs: values.holdS * 1_000, minTarget: values.minTarget, maxTarget: values.maxTarget },
-      memory.hold,
-      sight.now,
+      memory.pendingChange,
+      observation.now,
     );
-    memory.hold = step.hold;
+    memory.pendingChange = step.pending;
     if (step.target !== known) {
-      const shown = sight.rate === null ? 'unknown' : sight.rate.perSecond.toFixed(2);
+      const shown = observation.rate === null ? 'unknown' : observation.rate.perSecond.toFixed(2);
       steps.push({
         cause: `Rate ${shown}/s over ${values.windowS}s against ${values.qTar}/s a worker.`,
         act: { tag: 'targetChanged', model, target: step.target },
@@ -133,21 +133,21 @@
     return step.target;
   }
 
-  function noteSince(): Order[] {
+  function recordSince(): Order[] {
     const orders = ordersOf(controlState, model);
     const open = new Set<string>();
     for (const o of orders) open.add(o.id);
     for (const since of [memory.intendedSince, memory.goneSince])
       for (const id of since.keys()) if (!open.has(id)) since.delete(id);
     for (const o of orders) {
-      if (o.status === 'intended' && !memory.intendedSince.has(o.id)) memory.intendedSince.set(o.id, sight.now);
+      if (o.status === 'intended' && !memory.intendedSince.has(o.id)) memory.intendedSince.set(o.id, observation.now);
       if (o.machine === null || listed.has(o.machine)) memory.goneSince.delete(o.id);
-      else if (!memory.goneSince.has(o.id)) memory.goneSince.set(o.id, sight.now);
+      else if (!memory.goneSince.has(o.id)) memory.goneSince.set(o.id, observation.now);
     }
     return orders;
   }
   function forMs(since: ReadonlyMap<string, number>, order: Order): number {
-    return sight.now - (since.get(order.id) ?? sight.now);
+    return observation.now - (since.get(order.id) ?? observation.now);
   }
 
   function lose(order: Order, cause: string): void {
@@ -166,14 +166,14 @@
     sets = moved;
   }
 
-  function settleHeld(): void {
-    for (const order of held) if (!settled(order) && counts(order)) standing.push(order);
+  function resolveOpen(): void {
+    for (const order of openOrders) if (!isResolved(order) && counts(order)) standing.push(order);
   }
-  function settled(order: Order): boolean {
+  function isResolved(order: Order): boolean {
     if (full()) return false;
-    if (order.machine === null) return settledIntended(order);
+    if (order.machine === null) return isIntendedResolved(order);
     const w = listed.get(order.machine);
-    if (!w) return settledGone(order);
+    if (!w) return isMissingResolved(order);
     if (order.status === 'draining') return true;
     if (w.leaving && w.remainingMs !== null)
       lose(order, `Taken away at short notice: ${Math.round(w.remainingMs)} ms were left.`);
@@ -182,7 +182,7 @@
         cause: 'The platform empties the worker in order.',
         act: { tag: 'orderDraining', order: order.id },
       });
-    else if (sight.dead.has(w.id)) lose(order, 'Listed, but for long no proxy finds it fit.');
+    else if (observation.dead.has(w.id)) lose(order, 'Listed, but for long no proxy finds it fit.');
     else if (order.status === 'placed' && w.coldMs === 0) {
       steps.push({ cause: 'The worker is listed as serving, and warm.', act: { tag: 'orderReady', order: order.id } });
       launched(order.kind, order.zone);
@@ -190,7 +190,7 @@
     } else return false;
     return true;
   }
-  function settledIntended(order: Order): boolean {
+  function isIntendedResolved(order: Order): boolean {
     if (!zones.includes(order.zone))
       steps.push({ cause: `${order.zone} is not enabled.`, act: { tag: 'orderReleased', order: order.id } });
     else if (forMs(memory.intendedSince, order) > values.launchTimeoutS * 1_000) {
@@ -202,9 +202,9 @@
     } else return false;
     return true;
   }
-  function settledGone(order: Order): boolean {
+  function isMissingResolved(order: Order): boolean {
     if (forMs(memory.goneSince, order) < VANISHED_MS) return false;
-    if (order.status === 'draining' || sight.planned.has(order.machine as string)) {
+    if (order.status === 'draining' || observation.planned.has(order.machine as string)) {
       steps.push({
         cause: 'Emptied in order, and gone from the list.',
         act: { tag: 'orderReleased', order: order.id },
@@ -214,13 +214,13 @@
   }
 
   function adoptNew(): void {
-    const taken = new Set<string | null>();
-    for (const o of held) taken.add(o.machine);
+    const machines = new Set<string | null>();
+    for (const o of openOrders) machines.add(o.machine);
     const adopted: { order: string; zone: string; machine: string; ready: boolean }[] = [];
     for (const w of listed.values()) {
-      if (taken.has(w.id) || w.leaving || sight.dead.has(w.id)) continue;
+      if (machines.has(w.id) || w.leaving || observation.dead.has(w.id)) continue;
       const order = oldestIntended(w.zone);
-      if (order) place(order, w);
+      if (order) matchOrder(order, w);
       else if (adopted.length < MOST_ADOPTED)
         adopted.push({ order: `found-${w.id}`, zone: w.zone, machine: w.id, ready: w.coldMs === 0 });
     }
@@ -249,7 +249,7 @@
       if (o.status === 'intended' && o.zone === zone && (best === null || firstSlot(o) < firstSlot(best))) best = o;
     return best;
   }
-  function place(order: Order, w: WorkerEntry): void {
+  function matchOrder(order: Order, w: WorkerEntry): void {
     if (full()) return;
     const ready = w.coldMs === 0;
     steps.push({
--- a/src/state/scaler-decide.test.ts
+++ b/src/state/scaler-decide.test.ts
@@ -1,12 +1,12 @@
 import { describe, expect, test } from '@jest/globals';
 import { emptyControlState, foldBatch } from './control-state.js';
 import type { ControlState } from './control-state.js';
-import type { Act } from './entry.js';
+import type { Command } from './entry.js';
 import { decideModel, ordersOf } from './scaler-decide.js';
 import type { Decision } from './scaler-decide.js';
-import { noteLaunchFailed } from './scaler-memory.js';
+import { recordLaunchFailed } from './scaler-memory.js';
 import type { ScalerMemory } from './scaler-memory.js';
-import type { SeenMachine, Sight } from './scaler-sight.js';
+import type { ObservedMachine, ScalerObservation } from './scaler-sight.js';
 import { resolveModel } from './settings-tree.js';
 import type { Configuration } from './settings-tree.js';
 
@@ -16,7 +16,7 @@
   controlState: ControlState;
   memory: ScalerMemory;
   readonly dry: Set<string>;
-  readonly machines: Map<string, SeenMachine>;
+  readonly machines: Map<string, ObservedMachine>;
   failedIn: string[];
   readonly seen: Set<string>;
   now: number;
@@ -41,16 +41,22 @@
 }
 
 let serial = 0;
-function fold(s: Stage, acts: readonly Act[]): void {
-  const entries = acts.map((act) => ({ id: `e${(serial += 1)}`, author: 'h', wall: s.now, cause: '-', act }));
+function fold(s: Stage, acts: readonly Command[]): void {
+  const entries = acts.map((command) => ({
+    id: `e${(serial += 1)}`,
+    author: 'h',
+    wall: s.now,
+    cause: '-',
+    act: command,
+  }));
   foldBatch(s.controlState, s.controlState.slot + 1, { id: `b${serial}`, entries });
 }
 
-function decide(s: Stage, over: Partial<Sight> = {}): Decision[] {
+function decide(s: Stage, over: Partial<ScalerObservation> = {}): Decision[] {
   const rm = resolveModel(s.controlState.configuration, 'r1', 'm');
   const failedIn = s.failedIn;
   s.failedIn = [];
-  const sight: Sight = {
+  const observation: ScalerObservation = {
     now: s.now,
     workers: [...s.machines.values()].map((m) => ({ id: `w-${m.id}`, machine: m.id, state: 'ready' as const })),
     machines: [...s.machines.values()],
@@ -59,10 +65,10 @@
     deadMachines: new Set(),
     failedIn,
     asOf: s.controlState.slot,
-    seenBefore: s.seen,
+    knownMachines: s.seen,
     ...over,
   };
-  return decideModel(rm, s.controlState, sight, s.memory, () => `o${(serial += 1)}`);
+  return decideModel(rm, s.controlState, observation, s.memory, () => `o${(serial += 1)}`);
 }
 
 function turn(s: Stage): Decision[] {
@@ -74,7 +80,7 @@
     }
     if (o.status !== 'intended') continue;
     if (o.kind === 'spot' && s.dry.has(o.zone)) {
-      noteLaunchFailed(s.memory, 'm', 'spot', o.zone, s.now);
+      recordLaunchFailed(s.memory, 'm', 'spot', o.zone, s.now);
       s.failedIn.push(o.zone);
       fold(s, [{ tag: 'orderFailed', order: o.id }]);
       continue;
@@ -160,7 +166,7 @@
     const s = stage(2, 1);
     turns(s, 4);
     const victim = ordersOf(s.controlState, 'm').find((o) => o.kind === 'spot');
-    const machine = s.machines.get(victim?.machine ?? '') as SeenMachine;
+    const machine = s.machines.get(victim?.machine ?? '') as ObservedMachine;
     s.machines.set(machine.id, { ...machine, state: 'reclaiming' });
     const acts = turn(s).map((d) => d.act);
     expect(acts).toContainEqual({ tag: 'orderLost', order: victim?.id, preempted: true });
@@ -194,7 +200,7 @@
     expect(early.filter((d) => d.act.tag === 'orderLost')).toEqual([]);
     const late = decide(s, { machines: [] });
     expect(late.filter((d) => d.act.tag === 'orderLost').length).toBe(3);
-    const neverSeen = { machines: [], seenBefore: new Set<string>() };
+    const neverSeen = { machines: [], knownMachines: new Set<string>() };
     expect(decide(s, neverSeen).filter((d) => d.act.tag === 'orderLost')).toEqual([]);
     s.now += 40_000;
     expect(decide(s, neverSeen).filter((d) => d.act.tag === 'orderLost').length).toBe(3);
@@ -207,7 +213,7 @@
     expect(s.controlState.orders[ordersOf(s.controlState, 'm')[0]?.id ?? '']?.status).toBe('ready');
     const successor = { ...s, memory: new Map(), seen: new Set<string>() };
     const workers = held.map((machine) => ({ id: `w-${machine}`, machine, state: 'ready' as const }));
-    const lostBy = (over: Partial<Sight>) =>
+    const lostBy = (over: Partial<ScalerObservation>) =>
       decide(successor, { machines: [], ...over })
         .filter((d) => d.act.tag === 'orderLost')
         .map((d) => (d.act.tag === 'orderLost' ? s.controlState.orders[d.act.order]?.machine : null));
--- a/src/state/scaler-decide.ts
+++ b/src/state/scaler-decide.ts
@@ -5,15 +5,15 @@
  */
 
 import type { ControlState } from './control-state.js';
-import type { Act, Kind } from './entry.js';
+import type { Command, Kind } from './entry.js';
 import { decideMixture } from './mixture.js';
 import { counts } from './order.js';
 import type { Order } from './order.js';
 import type { ResolvedModel } from './settings-tree.js';
 import { stepTarget } from './target.js';
-import { memoryOf, noteLaunchFailed, noteLaunchWorked } from './scaler-memory.js';
+import { memoryOf, recordLaunchFailed, recordLaunchSucceeded } from './scaler-memory.js';
 import type { ScalerMemory } from './scaler-memory.js';
-import type { SeenMachine, SeenWorker, Sight } from './scaler-sight.js';
+import type { ObservedMachine, ObservedWorker, ScalerObservation } from './scaler-sight.js';
 import {
   alignZones,
   cheapest,
@@ -26,7 +26,7 @@
 import type { ZoneSets } from './zone-sets.js';
 
 /** An entry to be agreed, with its cause for the history. */
-export type Decision = { readonly act: Act; readonly cause: string };
+export type Decision = { readonly act: Command; readonly cause: string };
 
 const LIST_LAG_MS = 30_000;
 /** All orders of a model, open or ended. */
@@ -48,7 +48,7 @@
 export function decideModel(
   rm: ResolvedModel,
   controlState: ControlState,
-  sight: Sight,
+  observation: ScalerObservation,
   memory: ScalerMemory,
   nextOrderId: () => string,
 ): Decision[] {
@@ -60,11 +60,11 @@
   let sets: ZoneSets = before ? alignZones(before, zones) : initialZones(zones);
   let why = before ? 'The enabled zones changed.' : 'The model is new: all enabled zones are active.';
 
-  for (const zone of sight.failedIn) demote(zone, `No spot capacity in ${zone}.`);
+  for (const zone of observation.failedIn) demote(zone, `No spot capacity in ${zone}.`);
   const target = decideTarget();
   const orders = ordersOf(controlState, model);
-  notePlaced();
-  const standing = settleOrders();
+  recordPlaced();
+  const standing = resolveOrders();
   decideSpot();
   decideOnDemand();
   if (!before || !sameZones(before, sets)) {
@@ -75,17 +75,17 @@
   }
   return out;
 
-  function notePlaced(): void {
+  function recordPlaced(): void {
     const open = new Set<string>();
     for (const o of orders) {
       if (o.machine === null) continue;
       open.add(o.id);
-      if (!mem.placedSince.has(o.id)) mem.placedSince.set(o.id, sight.now);
+      if (!mem.placedSince.has(o.id)) mem.placedSince.set(o.id, observation.now);
     }
     for (const id of mem.placedSince.keys()) if (!open.has(id)) mem.placedSince.delete(id);
   }
   function placedForMs(order: Order): number {
-    return sight.now - (mem.placedSince.get(order.id) ?? sight.now);
+    return observation.now - (mem.placedSince.get(order.id) ?? observation.now);
   }
 
   function decideTarget(): number {
@@ -96,7 +96,7 @@
       maxTarget: values.maxTarget,
     };
     const known = controlState.targets[model];
-    const rate = sight.rates[model] ?? null;
+    const rate = observation.rates[model] ?? null;
     if (known === undefined) {
       out.push({
         cause: 'The model starts at its lowest target.',
@@ -104,8 +104,8 @@
       });
       return values.minTarget;
     }
-    const step = stepTarget(known, rate, rule, mem.hold, sight.now);
-    mem.hold = step.hold;
+    const step = stepTarget(known, rate, rule, mem.pendingChange, observation.now);
+    mem.pendingChange = step.pending;
     if (step.target !== known) {
       const shown = rate === null ? 'unknown' : rate.perSecond.toFixed(2);
       out.push({
@@ -127,7 +127,7 @@
     why = cause;
   }
 
-  function settleOrders(): Order[] {
+  function resolveOrders(): Order[] {
     const left: Order[] = [];
     for (const order of orders) {
       if (!counts(order)) continue;
@@ -143,7 +143,7 @@
       if (order.status === 'placed') {
         if (workerOf(order)?.state === 'ready') {
           out.push({ cause: 'The worker is ready.', act: { tag: 'orderReady', order: order.id } });
-          noteLaunchWorked(memory, model, order.kind, order.zone);
+          recordLaunchSucceeded(memory, model, order.kind, order.zone);
           if (order.kind === 'spot') {
             const moved = handleLaunch(sets, order.zone);
             if (moved !== sets) why = `A launch became ready in ${order.zone}.`;
@@ -157,7 +157,7 @@
             cause: `Not ready within ${values.launchTimeoutS}s.`,
             act: { tag: 'orderDraining', order: order.id },
           });
-          noteLaunchFailed(memory, model, order.kind, order.zone, sight.now);
+          recordLaunchFailed(memory, model, order.kind, order.zone, observation.now);
           if (order.kind === 'spot') demote(order.zone, `A launch in ${order.zone} never became ready.`);
           continue;
         }
@@ -167,42 +167,47 @@
     return left;
   }
 
-  function workerOf(order: Order): SeenWorker | null {
-    for (const w of sight.workers ?? []) if (w.machine === order.machine) return w;
+  function workerOf(order: Order): ObservedWorker | null {
+    for (const w of observation.workers ?? []) if (w.machine === order.machine) return w;
     return null;
   }
 
   function lossOf(order: Order): string | null {
     if (order.status === 'intended' || order.machine === null) return null;
-    if (placedSlot(order) > sight.asOf) return null;
-    if (sight.machines) {
-      let seen: SeenMachine | null = null;
-      for (const m of sight.machines) if (m.id === order.machine) seen = m;
-      if (!seen && !sight.seenBefore.has(order.machine) && !isUnlisted(order) && placedForMs(order) < LIST_LAG_MS)
+    if (placedSlot(order) > observation.asOf) return null;
+    if (observation.machines) {
+      let seen: ObservedMachine | null = null;
+      for (const m of observation.machines) if (m.id === order.machine) seen = m;
+      if (
+        !seen &&
+        !observation.knownMachines.has(order.machine) &&
+        !isUnlisted(order) &&
+        placedForMs(order) < LIST_LAG_MS
+      )
         return null;
       if (!seen || seen.state === 'gone') return 'The cloud reports the machine gone.';
       if (seen.state === 'reclaiming') return 'The cloud is reclaiming the machine.';
     }
     if (workerOf(order)?.state === 'draining') return 'The platform lists the worker as leaving.';
-    if (order.status === 'ready' && sight.deadMachines.has(order.machine))
+    if (order.status === 'ready' && observation.deadMachines.has(order.machine))
       return 'The worker no longer answers probes.';
     return null;
   }
 
   function isUnlisted(order: Order): boolean {
-    return order.status === 'ready' && sight.workers !== null && workerOf(order) === null;
+    return order.status === 'ready' && observation.workers !== null && workerOf(order) === null;
   }
 
   function spotPrice(zone: string): number {
-    return sight.prices[zone]?.spot ?? Number.MAX_VALUE;
+    return observation.prices[zone]?.spot ?? Number.MAX_VALUE;
   }
   function onDemandPrice(zone: string): number {
-    return sight.prices[zone]?.onDemand ?? Number.MAX_VALUE;
+    return observation.prices[zone]?.onDemand ?? Number.MAX_VALUE;
   }
   function resting(kind: Kind): (zone: string) => boolean {
     function check(zone: string): boolean {
-      const rest = mem.rest.get(`${kind} ${zone}`);
-      return rest !== undefined && rest.until > sight.now;
+      const delay = mem.retryDelay.get(`${kind} ${zone}`);
+      return delay !== undefined && delay.until > observation.now;
     }
     return check;
   }
@@ -241,9 +246,9 @@
     shrink(spot, wanted, spotPrice, `Only ${wanted} spot workers are wanted.`);
 
     function withoutResting(xs: readonly string[]): string[] {
-      const kept: string[] = [];
-      for (const z of xs) if (!isResting(z)) kept.push(z);
-      return kept;
+      const ready: string[] = [];
+      for (const z of xs) if (!isResting(z)) ready.push(z);
+      return ready;
     }
   }
 
@@ -264,9 +269,9 @@
   }
 
   function shrink(list: readonly Order[], wanted: number, priceOf: (zone: string) => number, cause: string): void {
-    const spare = [...list].sort(firstToGo);
+    const surplus = [...list].sort(firstToGo);
     for (let i = 0; i < list.length - wanted; i += 1) {
-      const order = spare[i] as Order;
+      const order = surplus[i] as Order;
       if (order.status === 'intended') continue;
       out.push({ cause, act: { tag: 'orderDraining', order: order.id } });
     }
--- a/src/state/scaler-sight.ts
+++ b/src/state/scaler-sight.ts
@@ -6,14 +6,14 @@
 import type { Rate } from './target.js';
 
 /** A worker on the platform's list. */
-export type SeenWorker = {
+export type ObservedWorker = {
   readonly id: string;
   readonly machine: string;
   readonly state: 'loading' | 'ready' | 'draining';
 };
 
 /** A machine of ours in the cloud's list; `key` is the order that it was rented for. */
-export type SeenMachine = {
+export type ObservedMachine = {
   readonly id: string;
   readonly key: string;
   readonly zone: string;
@@ -24,14 +24,14 @@
 export type Price = { readonly spot: number; readonly onDemand: number };
 
 /** One look. `asOf` is the slot that the lists are not older than; `seenBefore` names machines that the cloud has listed before. */
-export type Sight = {
+export type ScalerObservation = {
   readonly now: number;
-  readonly workers: readonly SeenWorker[] | null;
-  readonly machines: readonly SeenMachine[] | null;
+  readonly workers: readonly ObservedWorker[] | null;
+  readonly machines: readonly ObservedMachine[] | null;
   readonly prices: Readonly<Record<string, Price>>;
   readonly rates: Readonly<Record<string, Rate | null>>;
   readonly deadMachines: ReadonlySet<string>;
   readonly failedIn: readonly string[];
   readonly asOf: number;
-  readonly seenBefore: ReadonlySet<string>;
+  readonly knownMachines: ReadonlySet<string>;
 };
--- a/src/state/seal.test.ts
+++ b/src/state/seal.test.ts
@@ -1,18 +1,18 @@
 import { expect, test } from '@jest/globals';
-import { addPiece, checkSeal, closeSeal, startSeal } from './seal.js';
+import { addChunk, checkDigest, closeDigest, startDigest } from './seal.js';
 
-function sealed(texts: readonly string[]): ReturnType<typeof closeSeal> {
-  const check = startSeal('r1', 'd1');
-  texts.forEach((text, n) => addPiece(check, { n, text }));
-  return closeSeal(check, 'd1');
+function sealed(texts: readonly string[]): ReturnType<typeof closeDigest> {
+  const check = startDigest('r1', 'd1');
+  texts.forEach((text, n) => addChunk(check, { n, text }));
+  return closeDigest(check, 'd1');
 }
 
 test('only the whole answer of this request and dispatch fits the seal', () => {
-  const seal = sealed(['ab', 'c']);
+  const digest = sealed(['ab', 'c']);
   function verdict(requestId: string, attemptId: string | null, texts: readonly string[]): unknown {
-    const check = startSeal(requestId, attemptId);
-    texts.forEach((text, n) => addPiece(check, { n, text }));
-    return checkSeal(check, seal);
+    const check = startDigest(requestId, attemptId);
+    texts.forEach((text, n) => addChunk(check, { n, text }));
+    return checkDigest(check, digest);
   }
   expect(verdict('r1', 'd1', ['ab', 'c'])).toBeNull();
   expect(verdict('r1', null, ['ab', 'c'])).toBeNull();
@@ -23,8 +23,8 @@
 });
 
 test('a piece out of turn is told at once', () => {
-  const check = startSeal('r1', 'd1');
-  expect(addPiece(check, { n: 0, text: 'a' })).toBeNull();
-  expect(addPiece(check, { n: 0, text: 'a' })).toBe('pieceOutOfTurn');
-  expect(addPiece(check, { n: 2, text: 'a' })).toBe('pieceOutOfTurn');
+  const check = startDigest('r1', 'd1');
+  expect(addChunk(check, { n: 0, text: 'a' })).toBeNull();
+  expect(addChunk(check, { n: 0, text: 'a' })).toBe('pieceOutOfTurn');
+  expect(addChunk(check, { n: 2, text: 'a' })).toBe('pieceOutOfTurn');
 });
