--- a/src/state/seal.ts
+++ b/src/state/seal.ts
@@ -12,25 +12,25 @@
 const Id = Type.String({ minLength: 1, maxLength: 256 });
 
 /** A seal as workers send it. */
-export const SealShape = Type.Object({
+export const ResponseDigestShape = Type.Object({
   requestId: Id,
   attemptId: Id,
   pieces: Type.Integer({ minimum: 0 }),
   digest: Type.String(),
 });
 /** A checked seal. */
-export type Seal = Static<typeof SealShape>;
+export type ResponseDigest = Static<typeof ResponseDigestShape>;
 
 /** A numbered piece of an answer. */
-export const PieceShape = Type.Object({ n: Type.Integer({ minimum: 0 }), text: Type.String() });
+export const ResponseChunkShape = Type.Object({ n: Type.Integer({ minimum: 0 }), text: Type.String() });
 /** A checked piece. */
-export type Piece = Static<typeof PieceShape>;
+export type ResponseChunk = Static<typeof ResponseChunkShape>;
 
 /** What a check found wrong. */
-export type SealFault = 'foreign' | 'pieceOutOfTurn' | 'pieceCount' | 'digest';
+export type ResponseDigestError = 'foreign' | 'pieceOutOfTurn' | 'pieceCount' | 'digest';
 
 /** A digest under way. `attemptId` is null where the checker does not know the attempt. */
-export type SealCheck = {
+export type DigestCheck = {
   readonly requestId: string;
   readonly attemptId: string | null;
   pieces: number;
@@ -38,31 +38,31 @@
 };
 
 /** Begins the digest of one answer. */
-export function startSeal(requestId: string, attemptId: string | null): SealCheck {
+export function startDigest(requestId: string, attemptId: string | null): DigestCheck {
   return { requestId, attemptId, pieces: 0, hash: createHash('sha256') };
 }
 
 /** Takes the next piece; a fault if it is out of turn. */
-export function addPiece(check: SealCheck, piece: Piece): SealFault | null {
+export function addChunk(check: DigestCheck, piece: ResponseChunk): ResponseDigestError | null {
   if (piece.n !== check.pieces) return 'pieceOutOfTurn';
   check.pieces += 1;
   check.hash.update(`${piece.n}:${Buffer.byteLength(piece.text)}:${piece.text}`);
   return null;
 }
 
-function ending(check: SealCheck, attemptId: string): string {
+function ending(check: DigestCheck, attemptId: string): string {
   return check.hash.copy().update(`|${check.requestId}|${attemptId}|${check.pieces}`).digest('hex');
 }
 
 /** The seal over the pieces taken so far. */
-export function closeSeal(check: SealCheck, attemptId: string): Seal {
+export function closeDigest(check: DigestCheck, attemptId: string): ResponseDigest {
   return { requestId: check.requestId, attemptId, pieces: check.pieces, digest: ending(check, attemptId) };
 }
 
 /** Null if the seal fits the pieces taken so far, else what does not. */
-export function checkSeal(check: SealCheck, seal: Seal): SealFault | null {
-  if (seal.requestId !== check.requestId) return 'foreign';
-  if (check.attemptId !== null && seal.attemptId !== check.attemptId) return 'foreign';
-  if (seal.pieces !== check.pieces) return 'pieceCount';
-  return seal.digest === ending(check, seal.attemptId) ? null : 'digest';
+export function checkDigest(check: DigestCheck, digest: ResponseDigest): ResponseDigestError | null {
+  if (digest.requestId !== check.requestId) return 'foreign';
+  if (check.attemptId !== null && digest.attemptId !== check.attemptId) return 'foreign';
+  if (digest.pieces !== check.pieces) return 'pieceCount';
+  return digest.digest === ending(check, digest.attemptId) ? null : 'digest';
 }
--- a/src/state/snapshot-parts.ts
+++ b/src/state/snapshot-parts.ts
@@ -27,7 +27,7 @@
 export type AssemblyFault = { readonly tag: 'digestDiffers' };
 
 /** With the escaping of JSON within JSON a part stays below 64 KB, which narrow links carry in one round trip. */
-export const PART_LENGTH = 40_000;
+export const CHUNK_LENGTH = 40_000;
 
 /** Four times the largest configuration that an operator may set, beside all else. */
 export const MOST_SNAPSHOT_LENGTH = 32 * 1_048_576;
@@ -36,14 +36,14 @@
   return { offer: { digest: sha256(text), slot, length: text.length }, text };
 }
 
-export function partCount(offer: SnapshotOffer): number {
-  return Math.ceil(offer.length / PART_LENGTH);
+export function chunkCount(offer: SnapshotOffer): number {
+  return Math.ceil(offer.length / CHUNK_LENGTH);
 }
 
 /** The part of that index, or null where the snapshot has none. */
-export function partOf(snapshot: Snapshot, index: number): string | null {
-  if (index < 0 || index >= partCount(snapshot.offer)) return null;
-  return snapshot.text.slice(index * PART_LENGTH, (index + 1) * PART_LENGTH);
+export function chunkOf(snapshot: Snapshot, index: number): string | null {
+  if (index < 0 || index >= chunkCount(snapshot.offer)) return null;
+  return snapshot.text.slice(index * CHUNK_LENGTH, (index + 1) * CHUNK_LENGTH);
 }
 
 export function isBounded(offer: SnapshotOffer): boolean {
@@ -55,16 +55,16 @@
 }
 
 /** The index of the part that is to come next, or null once all are there. */
-export function nextPart(assembly: Assembly): number | null {
-  return assembly.parts.length < partCount(assembly.offer) ? assembly.parts.length : null;
+export function nextChunk(assembly: Assembly): number | null {
+  return assembly.parts.length < chunkCount(assembly.offer) ? assembly.parts.length : null;
 }
 
 /** Adds the next part. False, and nothing added, if it is another one or of another length than it must have. */
-export function addPart(assembly: Assembly, index: number, part: string): boolean {
-  if (index !== nextPart(assembly)) return false;
-  const left = assembly.offer.length - index * PART_LENGTH;
-  if (part.length !== Math.min(PART_LENGTH, left)) return false;
-  assembly.parts.push(part);
+export function addChunk(assembly: Assembly, index: number, chunk: string): boolean {
+  if (index !== nextChunk(assembly)) return false;
+  const left = assembly.offer.length - index * CHUNK_LENGTH;
+  if (chunk.length !== Math.min(CHUNK_LENGTH, left)) return false;
+  assembly.parts.push(chunk);
   return true;
 }
 
--- a/src/state/standstill.ts
+++ b/src/state/standstill.ts
@@ -14,14 +14,14 @@
  */
 const GAP_MS = 500;
 /** By then what waited at the sockets has been read: one turn reads them all, an ended connection takes two more. */
-const SETTLE_MS = 40;
+const READ_TIMEOUT_MS = 40;
 
 class GapStandstill implements Standstill {
   private last: number | null = null;
   private holdUntil = 0;
 
   observe(now: number): number | null {
-    if (this.last !== null && now - this.last > GAP_MS) this.holdUntil = now + SETTLE_MS;
+    if (this.last !== null && now - this.last > GAP_MS) this.holdUntil = now + READ_TIMEOUT_MS;
     this.last = now;
     return now < this.holdUntil ? this.holdUntil : null;
   }
--- a/src/state/target.ts
+++ b/src/state/target.ts
@@ -12,10 +12,10 @@
 };
 
 /** A change under way: its direction and when it began. */
-export type Hold = { readonly direction: 'up' | 'down'; readonly since: number };
+export type PendingChange = { readonly direction: 'up' | 'down'; readonly since: number };
 
 /** The target after one look, and the change under way. */
-export type TargetStep = { readonly target: number; readonly hold: Hold | null };
+export type TargetStep = { readonly target: number; readonly pending: PendingChange | null };
 
 /** The target that a rate asks for, within the bounds. */
 export function candidateTarget(rate: number, rule: TargetRule): number {
@@ -36,16 +36,16 @@
   current: number,
   rate: Rate | null,
   rule: TargetRule,
-  hold: Hold | null,
+  pending: PendingChange | null,
   now: number,
 ): TargetStep {
   const legal = bounded(current, rule);
-  if (legal !== current) return { target: legal, hold: null };
-  if (rate === null) return { target: current, hold: null };
+  if (legal !== current) return { target: legal, pending: null };
+  if (rate === null) return { target: current, pending: null };
   const candidate = candidateTarget(rate.perSecond, rule);
-  if (candidate === current || (candidate < current && !rate.complete)) return { target: current, hold: null };
+  if (candidate === current || (candidate < current && !rate.complete)) return { target: current, pending: null };
   const direction = candidate > current ? 'up' : 'down';
-  const since = hold && hold.direction === direction ? hold.since : now;
-  if (now - since >= rule.holdMs) return { target: candidate, hold: null };
-  return { target: current, hold: { direction, since } };
+  const since = pending && pending.direction === direction ? pending.since : now;
+  if (now - since >= rule.holdMs) return { target: candidate, pending: null };
+  return { target: current, pending: { direction, since } };
 }
--- a/src/state/ticket.test.ts
+++ b/src/state/ticket.test.ts
@@ -1,8 +1,8 @@
 import { expect, test } from '@jest/globals';
-import { createBurntTickets, readTicket, signTicket } from './ticket.js';
-import type { Ticket } from './ticket.js';
+import { createUsedTokens, readAdmissionToken, signAdmissionToken } from './ticket.js';
+import type { AdmissionToken } from './ticket.js';
 
-const ticket: Ticket = {
+const token: AdmissionToken = {
   id: 't1',
   requestId: 'r1',
   proxy: 's#1',
@@ -14,23 +14,23 @@
 };
 
 test('a ticket holds for its proxy, its key and its time only', () => {
-  const text = signTicket(ticket, 'key');
-  expect(readTicket(text, 'key', 's#1', 1_000)).toEqual(ticket);
-  expect(readTicket(text, 'other', 's#1', 0)).toBe('ticketForeign');
-  expect(readTicket(text, '', 's#1', 0)).toBe('ticketForeign');
-  expect(readTicket(text, 'key', 's#2', 0)).toBe('ticketForeign');
-  expect(readTicket(text, 'key', 's#1', 1_001)).toBe('ticketExpired');
-  const forged = Buffer.from(JSON.stringify({ ...ticket, bound: { ...ticket.bound, asked: null } })).toString(
+  const text = signAdmissionToken(token, 'key');
+  expect(readAdmissionToken(text, 'key', 's#1', 1_000)).toEqual(token);
+  expect(readAdmissionToken(text, 'other', 's#1', 0)).toBe('ticketForeign');
+  expect(readAdmissionToken(text, '', 's#1', 0)).toBe('ticketForeign');
+  expect(readAdmissionToken(text, 'key', 's#2', 0)).toBe('ticketForeign');
+  expect(readAdmissionToken(text, 'key', 's#1', 1_001)).toBe('ticketExpired');
+  const forged = Buffer.from(JSON.stringify({ ...token, bound: { ...token.bound, asked: null } })).toString(
     'base64url',
   );
-  expect(readTicket(`${forged}.${text.split('.')[1]}`, 'key', 's#1', 0)).toBe('ticketForeign');
-  expect(readTicket('rubbish', 'key', 's#1', 0)).toBe('ticketForeign');
+  expect(readAdmissionToken(`${forged}.${text.split('.')[1]}`, 'key', 's#1', 0)).toBe('ticketForeign');
+  expect(readAdmissionToken('rubbish', 'key', 's#1', 0)).toBe('ticketForeign');
 });
 
 test('a ticket burns once', () => {
-  const burnt = createBurntTickets();
-  expect(burnt.burn(ticket, 0)).toBe(true);
-  expect(burnt.burn(ticket, 500_000)).toBe(false);
-  expect(burnt.burn({ ...ticket, id: 't2' }, 700_000)).toBe(true);
-  expect(burnt.size()).toBe(1);
+  const usedTokens = createUsedTokens();
+  expect(usedTokens.use(token, 0)).toBe(true);
+  expect(usedTokens.use(token, 500_000)).toBe(false);
+  expect(usedTokens.use({ ...token, id: 't2' }, 700_000)).toBe(true);
+  expect(usedTokens.size()).toBe(1);
 });
--- a/src/state/ticket.ts
+++ b/src/state/ticket.ts
@@ -14,7 +14,7 @@
 };
 
 /** The contents of a ticket; `expiresAt` is in shared time, Unix milliseconds. */
-export type Ticket = {
+export type AdmissionToken = {
   readonly id: string;
   readonly requestId: string;
   readonly proxy: string;
@@ -26,50 +26,55 @@
 };
 
 /** Why a ticket is not taken. */
-export type TicketFault = 'ticketForeign' | 'ticketUsed' | 'ticketExpired';
+export type AdmissionTokenError = 'ticketForeign' | 'ticketUsed' | 'ticketExpired';
 
 /** The text of a ticket, signed. */
-export function signTicket(ticket: Ticket, key: string): string {
-  const body = Buffer.from(JSON.stringify(ticket)).toString('base64url');
+export function signAdmissionToken(token: AdmissionToken, key: string): string {
+  const body = Buffer.from(JSON.stringify(token)).toString('base64url');
   return `${body}.${hmac(key, body)}`;
 }
 
 /** The ticket in a text, or why it is not taken here and now. */
-export function readTicket(text: string, key: string, proxy: string, now: number): Ticket | TicketFault {
+export function readAdmissionToken(
+  text: string,
+  key: string,
+  proxy: string,
+  now: number,
+): AdmissionToken | AdmissionTokenError {
   const dot = text.indexOf('.');
   if (key === '' || dot <= 0 || !sameText(text.slice(dot + 1), hmac(key, text.slice(0, dot)))) return 'ticketForeign';
-  const ticket = parsedJson(Buffer.from(text.slice(0, dot), 'base64url').toString()) as Ticket | undefined;
-  if (!ticket?.bound || ticket.proxy !== proxy) return 'ticketForeign';
-  return now > ticket.expiresAt ? 'ticketExpired' : ticket;
+  const token = parsedJson(Buffer.from(text.slice(0, dot), 'base64url').toString()) as AdmissionToken | undefined;
+  if (!token?.bound || token.proxy !== proxy) return 'ticketForeign';
+  return now > token.expiresAt ? 'ticketExpired' : token;
 }
 
 /** Tickets that were used; `burn` is false for one used before. */
-export interface BurntTickets {
-  burn(ticket: Ticket, mono: number): boolean;
+export interface UsedTokens {
+  use(token: AdmissionToken, mono: number): boolean;
   size(): number;
 }
 
-const BURNT_KEPT_MS = 600_000;
+const USED_KEPT_MS = 600_000;
 
-class TimedBurntTickets implements BurntTickets {
-  private readonly burnt = new Map<string, number>();
+class TimedUsedTokens implements UsedTokens {
+  private readonly usedTokens = new Map<string, number>();
 
-  burn(ticket: Ticket, mono: number): boolean {
-    if (this.burnt.has(ticket.id)) return false;
-    this.burnt.set(ticket.id, mono);
-    for (const [id, at] of this.burnt) {
-      if (mono - at < BURNT_KEPT_MS) break;
-      this.burnt.delete(id);
+  use(token: AdmissionToken, mono: number): boolean {
+    if (this.usedTokens.has(token.id)) return false;
+    this.usedTokens.set(token.id, mono);
+    for (const [id, at] of this.usedTokens) {
+      if (mono - at < USED_KEPT_MS) break;
+      this.usedTokens.delete(id);
     }
     return true;
   }
 
   size(): number {
-    return this.burnt.size;
+    return this.usedTokens.size;
   }
 }
 
 /** An empty record; it forgets a ticket after ten minutes, long past its life. */
-export function createBurntTickets(): BurntTickets {
-  return new TimedBurntTickets();
+export function createUsedTokens(): UsedTokens {
+  return new TimedUsedTokens();
 }
--- a/src/transport/clock.ts
+++ b/src/transport/clock.ts
@@ -34,7 +34,7 @@
 }
 
 /** Resolves after `ms`. */
-export function pause(clock: Clock, ms: number): Promise<void> {
+export function delay(clock: Clock, ms: number): Promise<void> {
   function start(resolve: () => void): void {
     clock.timer(ms, resolve);
   }
--- a/src/transport/http-client.ts
+++ b/src/transport/http-client.ts
@@ -33,7 +33,7 @@
 export function createGotHttpClient(connectTimeoutMs: number): HttpClient {
   const agent = { http: new Agent({ keepAlive: true, maxSockets: 512, maxFreeSockets: 64 }) };
 
-  async function whole(call: HttpCall): Promise<Result<HttpAnswer, HttpFault>> {
+  async function requestWhole(call: HttpCall): Promise<Result<HttpAnswer, HttpFault>> {
     try {
       const res = await got(`http://${call.address}${call.path}`, {
         method: call.method,
@@ -92,14 +92,14 @@
         try {
           for await (const text of reader) {
             if (text === '') continue;
-            let queue: unknown;
+            let line: unknown;
             try {
-              queue = JSON.parse(text);
+              line = JSON.parse(text);
             } catch {
               yield err({ tag: 'notJson' });
               return;
             }
-            yield ok(queue);
+            yield ok(line);
           }
         } catch (e) {
           broke = faultOf(e);
@@ -110,7 +110,7 @@
         if (broke) yield err(broke);
         else if (!res.complete) yield err({ tag: 'broken' });
       }
-      async function readWhole(res: IncomingMessage): Promise<void> {
+      async function readCompleteResponse(res: IncomingMessage): Promise<void> {
         const chunks: string[] = [];
         try {
           for await (const chunk of stream) chunks.push(String(chunk));
@@ -126,7 +126,7 @@
         answered = true;
         const type = res.headers['content-type'] ?? '';
         if (!type.includes('ndjson')) {
-          void readWhole(res);
+          void readCompleteResponse(res);
           return;
         }
         resolve(ok({ status: res.statusCode ?? 0, headers: headersOf(res), body: null, lines: linesOf(res), abandon }));
@@ -138,7 +138,7 @@
   }
 
   function call(c: HttpCall): Promise<Result<HttpAnswer, HttpFault>> {
-    return c.stream ? streamed(c) : whole(c);
+    return c.stream ? streamed(c) : requestWhole(c);
   }
   return { call };
 }
--- a/src/transport/http-server.test.ts
+++ b/src/transport/http-server.test.ts
@@ -46,7 +46,7 @@
 ];
 
 async function opened(bodyWaitMs?: number): Promise<Listener> {
-  const got = await createExpressHttpServer(createQuietLog().part('httpServer'), bodyWaitMs).open(
+  const got = await createExpressHttpServer(createQuietLog().component('httpServer'), bodyWaitMs).open(
     '127.0.0.1:0',
     routes,
   );
@@ -71,7 +71,7 @@
     stream: true,
   });
   const out: unknown[] = [];
-  if (got.ok) for await (const queue of got.value.lines) out.push(queue.ok ? queue.value : queue.fault.tag);
+  if (got.ok) for await (const line of got.value.lines) out.push(line.ok ? line.value : line.fault.tag);
   return out;
 }
 
@@ -152,8 +152,8 @@
     });
     const seen: unknown[] = [];
     if (got.ok) {
-      for await (const queue of got.value.lines) {
-        seen.push(queue.ok ? queue.value : queue.fault.tag);
+      for await (const line of got.value.lines) {
+        seen.push(line.ok ? line.value : line.fault.tag);
         stop.abort();
       }
     }
@@ -191,7 +191,7 @@
     expect(text).toEqual({ ok: false, fault: { tag: 'notJson' } });
     const gone = await httpClient.call({ method: 'GET', address: '127.0.0.1:1', path: '/', timeoutMs: 3_000 });
     expect(gone).toEqual({ ok: false, fault: { tag: 'neverSent' } });
-    const twice = await createExpressHttpServer(createQuietLog().part('httpServer')).open(httpServer.address, []);
+    const twice = await createExpressHttpServer(createQuietLog().component('httpServer')).open(httpServer.address, []);
     expect(twice).toEqual({ ok: false, fault: { tag: 'addressInUse', address: httpServer.address } });
   });
 });
--- a/src/transport/http-server.ts
+++ b/src/transport/http-server.ts
@@ -45,7 +45,7 @@
   };
 }
 
-async function give(res: Response, reply: HttpReply): Promise<void> {
+async function sendReply(res: Response, reply: HttpReply): Promise<void> {
   for (const [k, v] of Object.entries(reply.headers ?? {})) res.setHeader(k, v);
   res.status(reply.status);
   if (reply.text !== undefined) {
@@ -59,9 +59,9 @@
   }
   res.setHeader('content-type', 'application/x-ndjson');
   res.flushHeaders();
-  for await (const queue of reply.lines) {
+  for await (const line of reply.lines) {
     if (res.destroyed || res.closed) break;
-    if (!res.write(`${JSON.stringify(queue)}\n`)) await Promise.race([once(res, 'drain'), once(res, 'close')]);
+    if (!res.write(`${JSON.stringify(line)}\n`)) await Promise.race([once(res, 'drain'), once(res, 'close')]);
   }
   res.end();
 }
@@ -76,18 +76,18 @@
         return;
       }
       res.setHeader('connection', 'close');
-      void give(res, early);
+      void sendReply(res, early);
     }
     async function handle(req: Request, res: Response): Promise<void> {
       if (deeperThan(req.body, MOST_DEPTH)) {
-        await give(res, {
+        await sendReply(res, {
           status: 400,
           body: { error: { tag: 'malformed', detail: `/: expected at most ${MOST_DEPTH} levels` } },
         });
         return;
       }
       const reply = await route.handle(shaped(req, res));
-      await give(res, reply);
+      await sendReply(res, reply);
     }
     const parse = express.json({ limit: route.maxBytes ?? DEFAULT_MAX_BYTES, strict: false });
     const verb = route.method === 'GET' ? 'get' : route.method === 'POST' ? 'post' : 'delete';
--- a/src/transport/journal.ts
+++ b/src/transport/journal.ts
@@ -7,14 +7,14 @@
 
 /** Takes records; `close` resolves when all are written. */
 export type Journal = {
-  readonly note: (record: Readonly<Record<string, unknown>>) => void;
+  readonly record: (record: Readonly<Record<string, unknown>>) => void;
   readonly close: () => Promise<void>;
 };
 
 /** A journal that appends to a file. */
 export function createFileJournal(path: string): Journal {
   const out = createWriteStream(path, { flags: 'a' });
-  function note(record: Readonly<Record<string, unknown>>): void {
+  function append(record: Readonly<Record<string, unknown>>): void {
     out.write(`${JSON.stringify(record)}\n`);
   }
   function close(): Promise<void> {
@@ -23,14 +23,14 @@
     }
     return new Promise(start);
   }
-  return { note, close };
+  return { record: append, close };
 }
 
 /** A journal that drops everything. */
 export function createNoJournal(): Journal {
-  function note(): void {}
+  function record(): void {}
   function close(): Promise<void> {
     return Promise.resolve();
   }
-  return { note, close };
+  return { record, close };
 }
--- a/src/transport/line-log.ts
+++ b/src/transport/line-log.ts
@@ -7,7 +7,7 @@
 
 /** A log that writes each line at once. */
 export function createLineLog(): LogRoot {
-  function part(prefix: string): Log {
+  function component(prefix: string): Log {
     function queue(level: string, text: string): void {
       process.stderr.write(`${new Date().toISOString()} ${level} [${prefix}] ${text}\n`);
     }
@@ -22,5 +22,5 @@
     }
     return { info, warn, error };
   }
-  return { part };
+  return { component };
 }
--- a/src/transport/log.ts
+++ b/src/transport/log.ts
@@ -14,7 +14,7 @@
 };
 
 /** Gives each part of a node its own log. */
-export type LogRoot = { readonly part: (prefix: string) => Log };
+export type LogRoot = { readonly component: (prefix: string) => Log };
 
 const LEVELS = { silent: -999, error: 0, warn: 1, info: 3 } as const;
 /** Lowest level that is written. */
@@ -27,7 +27,7 @@
 /** A log on standard error. */
 export function createLogRoot(level: LogLevel): LogRoot {
   const sink = createConsola({ level: LEVELS[level], reporters: [{ log: print }] });
-  function part(prefix: string): Log {
+  function component(prefix: string): Log {
     const tagged = sink.withTag(prefix);
     function info(text: string): void {
       tagged.info(text);
@@ -40,14 +40,14 @@
     }
     return { info, warn, error };
   }
-  return { part };
+  return { component };
 }
 
 /** A log that drops everything. */
 export function createQuietLog(): LogRoot {
   function drop(): void {}
-  function part(): Log {
+  function component(): Log {
     return { info: drop, warn: drop, error: drop };
   }
-  return { part };
+  return { component };
 }
--- a/src/transport/ring.ts
+++ b/src/transport/ring.ts
@@ -108,8 +108,8 @@
   const head = await file.read(HEAD);
   if (!head.ok) return head;
   if (head.value.length < HEAD || head.value.readUInt32BE(0) !== MAGIC) return ok(null);
-  const whole = await file.read(HEAD + head.value.readUInt32BE(4));
-  return whole.ok ? ok(unpacked(whole.value, area, 0)) : whole;
+  const snapshot = await file.read(HEAD + head.value.readUInt32BE(4));
+  return snapshot.ok ? ok(unpacked(snapshot.value, area, 0)) : snapshot;
 }
 
 const ZEROS = Buffer.alloc(4_096);
--- a/src/transport/switch-file.ts
+++ b/src/transport/switch-file.ts
@@ -9,7 +9,7 @@
 
 /** Whether the link from one end to another is cut, and whether a node's disk is to act full. */
 export type Switches = {
-  readonly isCut: (from: string, to: string) => boolean;
+  readonly isPartitioned: (from: string, to: string) => boolean;
   readonly isFull: (node: string) => boolean;
 };
 
@@ -27,10 +27,10 @@
 }
 
 function watchSwitchFile(path: string): Switches {
-  let cuts: ReadonlySet<string> = new Set();
+  let partitions: ReadonlySet<string> = new Set();
   let full: ReadonlySet<string> = new Set();
 
-  function look(): void {
+  function readSwitches(): void {
     let text: string;
     try {
       text = readFileSync(path, 'utf8');
@@ -39,24 +39,24 @@
     }
     const read = parsedJson(text);
     if (!isTable(read)) return;
-    cuts = textsIn(read['cuts']);
+    partitions = textsIn(read['cuts']);
     full = textsIn(read['fullDisks']);
   }
-  setInterval(look, LOOK_MS).unref();
-  look();
+  setInterval(readSwitches, LOOK_MS).unref();
+  readSwitches();
 
-  function isCut(from: string, to: string): boolean {
-    return cuts.has(`${from}>${to}`);
+  function isPartitioned(from: string, to: string): boolean {
+    return partitions.has(`${from}>${to}`);
   }
   function isFull(node: string): boolean {
     return full.has(node);
   }
-  return { isCut, isFull };
+  return { isPartitioned, isFull };
 }
 
 function noSwitches(): Switches {
   function never(): boolean {
     return false;
   }
-  return { isCut: never, isFull: never };
+  return { isPartitioned: never, isFull: never };
 }
--- a/src/transport/wire.ts
+++ b/src/transport/wire.ts
@@ -70,10 +70,10 @@
 
 /** Connections over TCP; dialling takes at most `dialTimeoutMs`. */
 export function createTcpWire(log: Log, dialTimeoutMs: number, meter: WireMeter | null = null): Wire {
-  function wrap(sock: Socket, peer: Address, dialled: boolean): Connection {
+  function connectionOf(sock: Socket, peer: Address, dialled: boolean): Connection {
     meter?.connections(peer, dialled, 1);
     let events: ConnectionEvents | null = null;
-    let parts: string[] = [];
+    let chunks: string[] = [];
     let size = 0;
     let done = false;
     sock.setEncoding('utf8');
@@ -87,7 +87,7 @@
       meter?.connections(peer, dialled, -1);
       events?.closed();
     }
-    function garbage(why: string): void {
+    function closeInvalid(why: string): void {
       log.warn(`Connection to ${peer} ended: ${why}.`);
       finish();
     }
@@ -97,7 +97,7 @@
       try {
         body = JSON.parse(text);
       } catch {
-        garbage('a frame was not JSON');
+        closeInvalid('a frame was not JSON');
         return;
       }
       meter?.frame('in', peer, dialled, text.length + 1, body);
@@ -105,20 +105,20 @@
     }
     function data(chunk: string | Buffer): void {
       events?.heard?.();
-      const pieces = chunk.toString().split('\n');
-      for (let i = 0; i < pieces.length; i += 1) {
-        const piece = pieces[i] as string;
-        parts.push(piece);
-        size += piece.length;
+      const lines = chunk.toString().split('\n');
+      for (let i = 0; i < lines.length; i += 1) {
+        const line = lines[i] as string;
+        chunks.push(line);
+        size += line.length;
         if (size > MAX_FRAME) {
-          garbage('a frame was over the size limit');
+          closeInvalid('a frame was over the size limit');
           return;
         }
-        if (i < pieces.length - 1) {
-          const whole = parts.join('');
-          parts = [];
+        if (i < lines.length - 1) {
+          const frame = chunks.join('');
+          chunks = [];
           size = 0;
-          queue(whole);
+          queue(frame);
           if (done) return;
         }
       }
@@ -132,7 +132,7 @@
       const text = `${JSON.stringify(body)}\n`;
       meter?.frame('out', peer, dialled, text.length, body);
       sock.write(text);
-      if (sock.writableLength > MAX_UNSENT) garbage('the peer reads too slowly');
+      if (sock.writableLength > MAX_UNSENT) closeInvalid('the peer reads too slowly');
     }
     function attach(to: ConnectionEvents): void {
       events = to;
@@ -157,7 +157,7 @@
           open.delete(sock);
         }
         sock.on('close', gone);
-        onConnection(wrap(sock, `${sock.remoteAddress ?? '?'}:${sock.remotePort ?? 0}`, false));
+        onConnection(connectionOf(sock, `${sock.remoteAddress ?? '?'}:${sock.remotePort ?? 0}`, false));
       }
       const server: Server = createServer(accept);
       function failed(): void {
@@ -193,7 +193,7 @@
         sock.setTimeout(0);
         sock.off('error', failed);
         sock.off('timeout', failed);
-        resolve(ok(wrap(sock, address, true)));
+        resolve(ok(connectionOf(sock, address, true)));
       }
       sock.setTimeout(dialTimeoutMs);
       sock.once('timeout', failed);
--- a/standin-platform/caller.test.ts
+++ b/standin-platform/caller.test.ts
@@ -21,13 +21,13 @@
 let ends: (() => unknown)[];
 let addresses: string[];
 let ttlS: number;
-let asks: string[];
+let requests: string[];
 
 beforeEach(() => {
   records = createRecords(clock.mono);
   ends = [];
   addresses = [];
-  asks = [];
+  requests = [];
   ttlS = 2;
 });
 afterEach(async () => {
@@ -50,7 +50,7 @@
 }
 function directory(): Promise<string> {
   const server = createServer((req, res) => {
-    asks.push(req.url ?? '');
+    requests.push(req.url ?? '');
     res.end(JSON.stringify({ addresses, ttlS }));
   });
   return listen(server);
@@ -122,7 +122,7 @@
     expect(told.every((t) => t.served && t.tries === 1)).toBe(true);
     expect(judge(records.all())).toEqual([]);
     expect(onlyOf(records.all(), 'ran')).toHaveLength(30);
-    expect(asks).toEqual(['/millfield/resolve?name=caller.example&region=r&zone=z']);
+    expect(requests).toEqual(['/millfield/resolve?name=caller.example&region=r&zone=z']);
   });
 
   test('keeps a connection for many requests, heeds its closing, and asks the directory anew after the ttl', async () => {
@@ -131,7 +131,7 @@
     const o = await caller();
     for (let i = 0; i < 5; i += 1) expect((await o.call(wish('once'))).served).toBe(true);
     expect(onlyOf(records.all(), 'arrived').map((a) => a.headers['connection'] ?? '')).toEqual(['', '', '', '', '']);
-    expect(asks.length).toBeGreaterThan(1);
+    expect(requests.length).toBeGreaterThan(1);
   });
 
   test('tries a repeatable request again after any failure, under a new id', async () => {
--- a/standin-platform/caller.ts
+++ b/standin-platform/caller.ts
@@ -1,4 +1,4 @@
-import { pause } from '../src/transport/clock.js';
+import { delay } from '../src/transport/clock.js';
 import type { Clock } from '../src/transport/clock.js';
 import { below, shuffled } from '../src/transport/rng.js';
 import type { Rng } from '../src/transport/rng.js';
@@ -168,7 +168,7 @@
       const connection = await connectionFor(n > 1);
       if (!connection) {
         last = { end: 'noConnection', status: 0, retryAfterMs: 0, lastEvent, firstMs: null, more: true };
-        await pause(clock, Math.min(100, left));
+        await delay(clock, Math.min(100, left));
         continue;
       }
       tries += 1;
@@ -176,7 +176,7 @@
       if (last.firstMs !== null && firstMs === null) firstMs = clock.mono() - started - last.firstMs;
       lastEvent = last.lastEvent;
       if (!last.more) break;
-      await pause(clock, Math.min(last.retryAfterMs, (until - clock.mono()) / 3));
+      await delay(clock, Math.min(last.retryAfterMs, (until - clock.mono()) / 3));
     }
     flying -= 1;
     const served = last !== null && last.end === 'whole' && last.status >= 200 && last.status < 300;
--- a/standin-platform/client.ts
+++ b/standin-platform/client.ts
@@ -78,7 +78,7 @@
     stray: onStray,
   });
 
-  function settle(end: Answer['end']): void {
+  function linearizableRead(end: Answer['end']): void {
     const w = waiting;
     if (!w) return;
     waiting = null;
@@ -108,14 +108,14 @@
     w.silence = clock.timer(w.silenceMs, silent);
   }
   function silent(): void {
-    settle('silence');
+    linearizableRead('silence');
   }
   function onWhole(): void {
-    settle('whole');
+    linearizableRead('whole');
   }
   function onGarbage(text: string): void {
     sink.stray(text, true);
-    settle('garbage');
+    linearizableRead('garbage');
     close();
   }
   function onStray(text: string): void {
@@ -126,7 +126,7 @@
     open = false;
     idle?.cancel();
     reader.closed();
-    settle('cut');
+    linearizableRead('cut');
   }
   function ignore(): void {}
   socket.on('data', reader.push);
@@ -157,7 +157,7 @@
         return;
       }
       function late(): void {
-        settle('deadline');
+        linearizableRead('deadline');
       }
       waiting = {
         resolve,
--- a/standin-platform/list.ts
+++ b/standin-platform/list.ts
@@ -1,6 +1,6 @@
 import { createServer } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
-import { pause } from '../src/transport/clock.js';
+import { delay } from '../src/transport/clock.js';
 import type { Clock } from '../src/transport/clock.js';
 import { CALL, LISTED, QUERY, USAGE } from '../platform/words.js';
 import type { Records } from './records.js';
@@ -69,7 +69,7 @@
   async function answer(req: IncomingMessage, res: ServerResponse): Promise<void> {
     calls += 1;
     if (mode.mode === 'down') return void req.socket.resetAndDestroy();
-    if (mode.mode === 'slow') await pause(clock, mode.ms);
+    if (mode.mode === 'slow') await delay(clock, mode.ms);
     const now = clock.mono();
     recent = recent.filter(fresh);
     function fresh(at: number): boolean {
--- a/standin-platform/operator.ts
+++ b/standin-platform/operator.ts
@@ -1,4 +1,4 @@
-import { pause } from '../src/transport/clock.js';
+import { delay } from '../src/transport/clock.js';
 import type { Clock } from '../src/transport/clock.js';
 import { shuffled } from '../src/transport/rng.js';
 import type { Rng } from '../src/transport/rng.js';
@@ -67,17 +67,17 @@
     const until = clock.mono() + withinMs;
     let wait = FIRST_PAUSE_MS;
     let others = 0;
-    let queue: string[] = [];
+    let line: string[] = [];
     let status = 0;
     while (clock.mono() < until) {
-      if (queue.length === 0) queue = shuffled(rng, deps.nodes());
-      const reply = await follow(queue.pop() ?? '', method, path, headers, body);
+      if (line.length === 0) line = shuffled(rng, deps.nodes());
+      const reply = await follow(line.pop() ?? '', method, path, headers, body);
       status = reply?.status ?? 0;
       if (reply && status >= 200 && status < 300) return { outcome: { outcome: 'acknowledged', status }, reply };
       if (ENDS.includes(status)) return { outcome: { outcome: 'refused', status }, reply };
       if (status >= 400 && status < 500 && !AGAIN.includes(status)) others += 1;
       if (others >= 3) return { outcome: { outcome: 'refused', status }, reply };
-      await pause(clock, Math.max(0, Math.min(wait, until - clock.mono())));
+      await delay(clock, Math.max(0, Math.min(wait, until - clock.mono())));
       wait = Math.min(MOST_PAUSE_MS, wait * 2);
     }
     return { outcome: { outcome: 'unclear', status }, reply: null };
--- a/standin-platform/reader.ts
+++ b/standin-platform/reader.ts
@@ -89,9 +89,9 @@
       if (held.length > 1_024) broken();
       return null;
     }
-    const queue = held.subarray(0, end).toString('latin1');
+    const line = held.subarray(0, end).toString('latin1');
     held = held.subarray(end + 2);
-    return queue;
+    return line;
   }
 
   function readHead(): boolean {
@@ -106,9 +106,9 @@
     const lines = held.subarray(0, end).toString('latin1').split('\r\n');
     const status = Number(/^HTTP\/1\.[01] (\d{3})/.exec(lines[0] ?? '')?.[1] ?? 0);
     const headers = new Map<string, string>();
-    for (const queue of lines.slice(1)) {
-      const colon = queue.indexOf(':');
-      if (colon > 0) headers.set(queue.slice(0, colon).toLowerCase(), queue.slice(colon + 1).trim());
+    for (const line of lines.slice(1)) {
+      const colon = line.indexOf(':');
+      if (colon > 0) headers.set(line.slice(0, colon).toLowerCase(), line.slice(colon + 1).trim());
     }
     if (status < 100) {
       broken();
@@ -143,9 +143,9 @@
     return true;
   }
   function readChunkSize(): boolean {
-    const queue = lineEnd();
-    if (queue === null) return false;
-    const size = /^([0-9a-fA-F]+)(;.*)?$/.exec(queue);
+    const line = lineEnd();
+    if (line === null) return false;
+    const size = /^([0-9a-fA-F]+)(;.*)?$/.exec(line);
     if (!size) {
       broken();
       return false;
@@ -173,9 +173,9 @@
     return true;
   }
   function readTrailer(): boolean {
-    const queue = lineEnd();
-    if (queue === null) return false;
-    if (queue === '') whole();
+    const line = lineEnd();
+    if (line === null) return false;
+    if (line === '') whole();
     return true;
   }
 
--- a/standin-platform/site.ts
+++ b/standin-platform/site.ts
@@ -2,7 +2,7 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { stringify } from 'smol-toml';
-import { pause } from '../src/transport/clock.js';
+import { delay } from '../src/transport/clock.js';
 import type { Clock } from '../src/transport/clock.js';
 import { below } from '../src/transport/rng.js';
 import type { Rng } from '../src/transport/rng.js';
@@ -302,7 +302,7 @@
       base = (await operator.replace(documentOf(shape, 1), 0)).outcome === 'acknowledged';
     while (base && clock.mono() < until) {
       if ((await edgesReady()) && (await directoriesKnow())) return true;
-      await pause(clock, 50);
+      await delay(clock, 50);
     }
     return false;
   }
@@ -326,7 +326,7 @@
     for (let n = 0; ; n += 1) {
       const due = (n * 1_000) / l.perS;
       if (due >= l.forMs) break;
-      await pause(clock, due - (clock.mono() - started));
+      await delay(clock, due - (clock.mono() - started));
       const wish = shape.wishes[n % shape.wishes.length];
       const caller = callers[below(rng, callers.length)];
       if (wish && caller) flying.push(one(caller, wish));
--- a/standin-platform/worker.ts
+++ b/standin-platform/worker.ts
@@ -8,7 +8,7 @@
 import { createServer } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
-import { pause } from '../src/transport/clock.js';
+import { delay } from '../src/transport/clock.js';
 import { below } from '../src/transport/rng.js';
 import { CALL, HEADER, USAGE } from '../platform/words.js';
 import { eventText } from './events.js';
@@ -255,7 +255,7 @@
   function queued(job: Omit<Visit, 'go'>): Promise<boolean> {
     function wait(resolve: (mayRun: boolean) => void): void {
       let settled = false;
-      function settle(mayRun: boolean): void {
+      function linearizableRead(mayRun: boolean): void {
         if (settled) return;
         settled = true;
         expiry.cancel();
@@ -264,14 +264,14 @@
         resolve(mayRun);
       }
       function go(): void {
-        settle(true);
+        linearizableRead(true);
       }
       function expired(): void {
         if (job.life === life && !job.res.destroyed) refuse(job.id, job.res, 503);
-        settle(false);
+        linearizableRead(false);
       }
       function left(): void {
-        settle(false);
+        linearizableRead(false);
       }
       const entry: Visit = { ...job, go };
       const expiry = clock.timer(Math.max(0, job.deadlineAt - clock.mono()), expired);
@@ -316,15 +316,15 @@
   }
 
   function begin(job: Omit<Visit, 'go'>): string {
-    const seal = sealOf(job);
-    records.note({ what: 'ran', visit: job.id, attempt: job.attempt, digest: job.digest, seal });
-    return seal;
+    const digest = sealOf(job);
+    records.note({ what: 'ran', visit: job.id, attempt: job.attempt, digest: job.digest, seal: digest });
+    return digest;
   }
   function finish(job: Omit<Visit, 'go'>, seal: string, status: number, digest: string, end: Finished['end']): void {
     records.note({
       what: 'finished',
       visit: job.id,
-      seal,
+      seal: seal,
       status,
       digest,
       end: end === 'dropped' && job.life !== life ? 'crashed' : end,
@@ -337,7 +337,7 @@
     const body = Buffer.from(`${seal}|`.repeat(fill));
     const digest = sha(body);
     const slow = coldLeft() > 0 ? 2 : 1;
-    await pause(
+    await delay(
       clock,
       Math.min(spec.workMs * slow * (0.75 + rng.next() / 2), Math.max(0, job.deadlineAt - clock.mono())),
     );
@@ -368,13 +368,13 @@
     if (behind) socket?.write(plainAnswer(job.attempt, seal, body));
   }
 
-  function plainAnswer(attempt: string, seal: string, body: Buffer): string {
-    return `HTTP/1.1 200 OK\r\n${HEADER.attemptId}: ${attempt}\r\n${HEADER.seal}: ${seal}\r\nContent-Length: ${body.length}\r\n\r\n${body.toString('latin1')}`;
+  function plainAnswer(attempt: string, digest: string, body: Buffer): string {
+    return `HTTP/1.1 200 OK\r\n${HEADER.attemptId}: ${attempt}\r\n${HEADER.seal}: ${digest}\r\nContent-Length: ${body.length}\r\n\r\n${body.toString('latin1')}`;
   }
-  function failed(job: Omit<Visit, 'go'>, seal: string, status: number): void {
-    const body = Buffer.from(`failed ${seal}`);
-    finish(job, seal, status, sha(body), 'whole');
-    job.res.setHeader(HEADER.seal, seal);
+  function failed(job: Omit<Visit, 'go'>, digest: string, status: number): void {
+    const body = Buffer.from(`failed ${digest}`);
+    finish(job, digest, status, sha(body), 'whole');
+    job.res.setHeader(HEADER.seal, digest);
     finishing(job.res);
     job.res.writeHead(status, { 'content-length': String(body.length) });
     job.res.end(body);
@@ -388,14 +388,14 @@
     const { prompt, answer } = tokensOf(job.req);
     const total = Math.max(1, Math.ceil(answer / engine.tokensPerEvent));
     const slow = coldLeft() > 0 ? 2 : 1;
-    await pause(clock, (memory.read(prompt, header(job.req, HEADER.prefix) ?? '') / engine.tokensPerMs) * slow);
+    await delay(clock, (memory.read(prompt, header(job.req, HEADER.prefix) ?? '') / engine.tokensPerMs) * slow);
     await lit();
     if (dropped(job)) return;
     if (clock.mono() >= job.deadlineAt) return refuse(job.id, job.res, 503);
-    const seal = begin(job);
+    const digest = begin(job);
     const hash = createHash('sha256');
-    if (hit('fail')) return failed(job, seal, 500);
-    job.res.setHeader(HEADER.seal, seal);
+    if (hit('fail')) return failed(job, digest, 500);
+    job.res.setHeader(HEADER.seal, digest);
     job.res.setHeader(HEADER.weights, String(weights));
     finishing(job.res);
     job.res.writeHead(200, { 'content-type': 'text/event-stream' });
@@ -404,22 +404,22 @@
     const first = Math.floor(job.lastEvent / engine.tokensPerEvent) + 1;
     for (let n = first; n <= total; n += 1) {
       if (n > first)
-        await pause(clock, engine.stepMs * engine.tokensPerEvent * (1 + running / spec.capacity / 4) * slow);
+        await delay(clock, engine.stepMs * engine.tokensPerEvent * (1 + running / spec.capacity / 4) * slow);
       await lit();
-      if (dropped(job)) return finish(job, seal, 200, '', 'dropped');
-      if (clock.mono() >= job.deadlineAt || n === breakAt) return broken(job, seal, '');
-      const event: EventSeen = { id: n * engine.tokensPerEvent, run: seal, n, of: total };
+      if (dropped(job)) return finish(job, digest, 200, '', 'dropped');
+      if (clock.mono() >= job.deadlineAt || n === breakAt) return broken(job, digest, '');
+      const event: EventSeen = { id: n * engine.tokensPerEvent, run: digest, n, of: total };
       const text = weights === told ? eventText(event) : `${HEADER.weights}: ${weights}\n${eventText(event)}`;
       told = weights;
       hash.update(text);
       job.res.write(text);
     }
-    if (dropped(job)) return finish(job, seal, 200, '', 'dropped');
-    finish(job, seal, 200, hash.digest('hex'), 'whole');
+    if (dropped(job)) return finish(job, digest, 200, '', 'dropped');
+    finish(job, digest, 200, hash.digest('hex'), 'whole');
     const socket = job.res.socket;
     const behind = hit('behind');
     job.res.end();
-    if (behind) socket?.write(plainAnswer(job.attempt, seal, Buffer.from('behind')));
+    if (behind) socket?.write(plainAnswer(job.attempt, digest, Buffer.from('behind')));
   }
 
   function report(res: ServerResponse): void {
