--- a/src/base/digest.ts
+++ b/src/base/digest.ts
@@ -16,22 +16,22 @@
 }
 
 /** Whether two texts are equal, in a time that does not tell where they differ. */
-export function sameText(a: string, b: string): boolean {
-  const x = Buffer.from(a);
-  const y = Buffer.from(b);
-  return x.length === y.length && timingSafeEqual(x, y);
+export function sameText(left: string, right: string): boolean {
+  const leftBytes = Buffer.from(left);
+  const rightBytes = Buffer.from(right);
+  return leftBytes.length === rightBytes.length && timingSafeEqual(leftBytes, rightBytes);
 }
 
 /** A 32-bit hash for spreading keys evenly (FNV-1a with the final mix of MurmurHash3). Not for secrets. */
 export function hash32(text: string): number {
-  let h = 0x811c9dc5;
+  let hash = 0x811c9dc5;
   for (let i = 0; i < text.length; i += 1) {
-    h ^= text.charCodeAt(i);
-    h = Math.imul(h, 0x01000193);
+    hash ^= text.charCodeAt(i);
+    hash = Math.imul(hash, 0x01000193);
   }
-  h ^= h >>> 16;
-  h = Math.imul(h, 0x85ebca6b);
-  h ^= h >>> 13;
-  h = Math.imul(h, 0xc2b2ae35);
-  return (h ^ (h >>> 16)) >>> 0;
+  hash ^= hash >>> 16;
+  hash = Math.imul(hash, 0x85ebca6b);
+  hash ^= hash >>> 13;
+  hash = Math.imul(hash, 0xc2b2ae35);
+  return (hash ^ (hash >>> 16)) >>> 0;
 }
--- a/src/base/line.ts
+++ b/src/base/line.ts
@@ -20,7 +20,7 @@
       const batch = waiting;
       waiting = [];
       const commands: C[] = [];
-      for (const w of batch) commands.push(w.command);
+      for (const waiting of batch) commands.push(waiting.command);
       const answers = await work(commands);
       for (let i = 0; i < batch.length; i += 1) (batch[i] as Waiting<C, A>).done(answers[i] as A);
     }
--- a/src/base/result.ts
+++ b/src/base/result.ts
@@ -1,14 +1,14 @@
 /**
- * Outcomes as values. Every operation that may fail returns a result whose fault is a
- * tagged union; nothing in the core throws.
+ * Outcomes as values. Every operation that may fail returns a result whose error is a tagged union named `…Error`, each
+ * case with its fields; nothing in the core throws.
  */
 
 /** An operation that succeeded, with its value. */
 export type Ok<T> = { readonly ok: true; readonly value: T };
-/** An operation that failed, with its tagged fault. */
-export type Err<F> = { readonly ok: false; readonly fault: F };
+/** An operation that failed, with its tagged error. */
+export type Err<E> = { readonly ok: false; readonly error: E };
 /** Either outcome of an operation; `ok` tells which. */
-export type Result<T, F> = Ok<T> | Err<F>;
+export type Result<T, E> = Ok<T> | Err<E>;
 
 /** A success. */
 export function ok<T>(value: T): Ok<T> {
@@ -16,6 +16,6 @@
 }
 
 /** A failure. */
-export function err<F>(fault: F): Err<F> {
-  return { ok: false, fault };
+export function err<E>(error: E): Err<E> {
+  return { ok: false, error };
 }
--- a/src/client/client.ts
+++ b/src/client/client.ts
@@ -42,7 +42,7 @@
   readonly key?: string;
 };
 
-export type ClientFault =
+export type ClientError =
   | {
       readonly tag: 'failed';
       readonly failure: Failure;
@@ -63,13 +63,13 @@
 export type ClientEvent =
   | { readonly tag: 'piece'; readonly n: number; readonly text: string }
   | { readonly tag: 'sealed'; readonly attemptId: string }
-  | { readonly tag: 'fault'; readonly fault: ClientFault };
+  | { readonly tag: 'fault'; readonly error: ClientError };
 
 export type ClientStream = { readonly requestId: string; readonly events: AsyncIterable<ClientEvent> };
 
 export type Client = {
-  readonly send: (request: ClientRequest) => Promise<Result<ClientAnswer, ClientFault>>;
-  readonly stream: (request: ClientRequest) => Promise<Result<ClientStream, ClientFault>>;
+  readonly send: (request: ClientRequest) => Promise<Result<ClientAnswer, ClientError>>;
+  readonly stream: (request: ClientRequest) => Promise<Result<ClientStream, ClientError>>;
 };
 
 type Opened = { readonly placement: Placement; readonly answer: HttpAnswer; readonly leave: () => void };
@@ -88,8 +88,8 @@
   function inOrder(): readonly Address[] {
     const good: Address[] = [];
     const silent: Address[] = [];
-    for (const s of settings.proxies)
-      (clock.mono() - (unresponsiveAt.get(s) ?? -SILENT_REST_MS) < SILENT_REST_MS ? silent : good).push(s);
+    for (const text of settings.proxies)
+      (clock.mono() - (unresponsiveAt.get(text) ?? -SILENT_REST_MS) < SILENT_REST_MS ? silent : good).push(text);
     return [...good, ...silent];
   }
 
@@ -114,31 +114,31 @@
     };
   }
 
-  function failureOf(answer: HttpAnswer, requestId: string | null): ClientFault | null {
+  function failureOf(answer: HttpAnswer, requestId: string | null): ClientError | null {
     const read = readFailure(answer.body);
     if (!read.ok) return null;
     const after = Number(answer.headers['retry-after'] ?? 0);
     return { tag: 'failed', failure: read.value.error, retryAfterS: Number.isFinite(after) ? after : 0, requestId };
   }
 
-  async function place(request: ClientRequest, without: readonly string[]): Promise<Result<Placement, ClientFault>> {
-    let refusal: ClientFault = { tag: 'noProxy' };
+  async function place(request: ClientRequest, without: readonly string[]): Promise<Result<Placement, ClientError>> {
+    let refusal: ClientError = { tag: 'noProxy' };
     for (const address of inOrder()) {
-      const got = await httpClient.call({
+      const response = await httpClient.call({
         method: 'POST',
         address,
         path: PLACE_PATH,
         body: placementRequest(request, without),
         timeoutMs: settings.placeWaitMs ?? 2_000,
       });
-      if (!got.ok) {
+      if (!response.ok) {
         unresponsiveAt.set(address, clock.mono());
         continue;
       }
       unresponsiveAt.delete(address);
-      const placement = readPlacement(got.value.body);
-      if (got.value.status === 200 && placement.ok) return ok(placement.value);
-      const failed = failureOf(got.value, null);
+      const placement = readPlacement(response.value.body);
+      if (response.value.status === 200 && placement.ok) return ok(placement.value);
+      const failed = failureOf(response.value, null);
       if (!failed) continue;
       refusal = failed;
       if (failed.tag !== 'failed' || failed.failure.tag !== 'shed' || failed.failure.reason !== 'notReady')
@@ -147,13 +147,13 @@
     return err(refusal);
   }
 
-  function worthAnother(fault: ClientFault | null): boolean {
-    if (fault === null || fault.tag !== 'failed' || fault.failure.tag !== 'shed') return false;
-    const { reason } = fault.failure;
+  function worthAnother(error: ClientError | null): boolean {
+    if (error === null || error.tag !== 'failed' || error.failure.tag !== 'shed') return false;
+    const { reason } = error.failure;
     return reason === 'ticketForeign' || reason === 'ticketExpired' || reason === 'stopping' || reason === 'notReady';
   }
 
-  async function submit(request: ClientRequest, stream: boolean): Promise<Result<Opened, ClientFault>> {
+  async function submit(request: ClientRequest, stream: boolean): Promise<Result<Opened, ClientError>> {
     const silent: string[] = [];
     for (let tries = 1; ; tries += 1) {
       const placement = await place(request, silent);
@@ -161,7 +161,7 @@
       const { address, ticket: token, requestId } = placement.value;
       const stop = new AbortController();
       const leave = edges.follow(address, stop.abort.bind(stop));
-      const got = await httpClient.call({
+      const response = await httpClient.call({
         method: 'POST',
         address,
         path: REQUESTS_PATH,
@@ -177,20 +177,20 @@
         timeoutMs: settings.requestWaitMs ?? 130_000,
         stream,
       });
-      if (!got.ok || !stream || got.value.status !== 200) leave();
-      if (!got.ok) {
+      if (!response.ok || !stream || response.value.status !== 200) leave();
+      if (!response.ok) {
         silent.push(placement.value.proxy);
-        if (got.fault.tag === 'neverSent' && tries < PLACINGS) continue;
-        return err(got.fault.tag === 'neverSent' ? { tag: 'noProxy' } : { tag: 'outcomeUnknown', requestId });
+        if (response.error.tag === 'neverSent' && tries < PLACINGS) continue;
+        return err(response.error.tag === 'neverSent' ? { tag: 'noProxy' } : { tag: 'outcomeUnknown', requestId });
       }
-      if (got.value.status === 200) return ok({ placement: placement.value, answer: got.value, leave });
-      const failed = failureOf(got.value, requestId);
+      if (response.value.status === 200) return ok({ placement: placement.value, answer: response.value, leave });
+      const failed = failureOf(response.value, requestId);
       if (worthAnother(failed) && tries < PLACINGS) continue;
       return err(failed ?? { tag: 'outcomeUnknown', requestId });
     }
   }
 
-  async function send(request: ClientRequest): Promise<Result<ClientAnswer, ClientFault>> {
+  async function send(request: ClientRequest): Promise<Result<ClientAnswer, ClientError>> {
     const opened = await submit(request, false);
     if (!opened.ok) return opened;
     const { requestId } = opened.value.placement;
@@ -206,7 +206,7 @@
     return ok({ requestId, attemptId: read.value.seal.attemptId, text, pieces: read.value.pieces.length });
   }
 
-  async function stream(request: ClientRequest): Promise<Result<ClientStream, ClientFault>> {
+  async function stream(request: ClientRequest): Promise<Result<ClientStream, ClientError>> {
     const opened = await submit(request, true);
     if (!opened.ok) return opened;
     const { requestId } = opened.value.placement;
@@ -225,20 +225,20 @@
     const check = startDigest(requestId, null);
     for await (const line of answer.lines) {
       if (!line.ok) {
-        yield { tag: 'fault', fault: { tag: 'outcomeUnknown', requestId } };
+        yield { tag: 'fault', error: { tag: 'outcomeUnknown', requestId } };
         return;
       }
       const read = readAnswerLine(line.value);
       if (!read.ok) {
         answer.abandon();
-        yield { tag: 'fault', fault: { tag: 'wrongSeal', requestId } };
+        yield { tag: 'fault', error: { tag: 'wrongSeal', requestId } };
         return;
       }
       const at = read.value;
       if ('error' in at) {
         yield {
           tag: 'fault',
-          fault: {
+          error: {
             tag: 'failed',
             failure: at.error,
             retryAfterS: at.error.tag === 'cut' ? at.error.retryAfterS : 1,
@@ -250,18 +250,18 @@
       if ('seal' in at) {
         const wrong = checkDigest(check, at.seal);
         yield wrong
-          ? { tag: 'fault', fault: { tag: 'wrongSeal', requestId } }
+          ? { tag: 'fault', error: { tag: 'wrongSeal', requestId } }
           : { tag: 'sealed', attemptId: at.seal.attemptId };
         return;
       }
       if (addChunk(check, at.piece)) {
         answer.abandon();
-        yield { tag: 'fault', fault: { tag: 'wrongSeal', requestId } };
+        yield { tag: 'fault', error: { tag: 'wrongSeal', requestId } };
         return;
       }
       yield { tag: 'piece', n: at.piece.n, text: at.piece.text };
     }
-    yield { tag: 'fault', fault: { tag: 'outcomeUnknown', requestId } };
+    yield { tag: 'fault', error: { tag: 'outcomeUnknown', requestId } };
   }
 
   return { send, stream };
--- a/src/client/edge-watch.ts
+++ b/src/client/edge-watch.ts
@@ -17,10 +17,15 @@
     for (;;) {
       await delay(clock, LOOK_MS);
       if (set.size === 0) break;
-      const got = await httpClient.call({ method: 'GET', address: proxy, path: EDGE_HEALTH_PATH, timeoutMs: LOOK_MS });
-      missedProbes = got.ok ? 0 : missedProbes + 1;
+      const response = await httpClient.call({
+        method: 'GET',
+        address: proxy,
+        path: EDGE_HEALTH_PATH,
+        timeoutMs: LOOK_MS,
+      });
+      missedProbes = response.ok ? 0 : missedProbes + 1;
       if (missedProbes < SILENCES_DARK) continue;
-      for (const fn of [...set]) fn();
+      for (const callback of [...set]) callback();
       break;
     }
     if (followers.get(proxy) === set) followers.delete(proxy);
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -3,17 +3,17 @@
 import type { NodeInfo } from '../state/node-info.js';
 import { memberId, SCALER_DUTY } from '../state/control-state.js';
 import type { Disk } from '../transport/disk.js';
-import type { RingFault, RingShape } from '../transport/ring.js';
+import type { RingError, RingShape } from '../transport/ring.js';
 import { newId } from '../transport/rng.js';
 import type { Route } from '../transport/http.js';
-import type { Address, Listener, WireFault } from '../transport/wire.js';
+import type { Address, Listener, WireError } from '../transport/wire.js';
 import { createLatencyTargetTracker } from './ledger/aim-keeper.js';
 import { createClaims, noClaims } from './ledger/claims.js';
 import type { Claims } from './ledger/claims.js';
 import { openRenewed } from './ledger/damaged-ring.js';
 import { createCloudClient, createPlatformClient } from './scaling/cloud-client.js';
 import { openIdentity, saveIdentity } from './ledger/identity.js';
-import type { Identity, IdentityFault } from './ledger/identity.js';
+import type { Identity, IdentityError } from './ledger/identity.js';
 import { createLease } from './ledger/lease.js';
 import type { Lease } from './ledger/lease.js';
 import { nextIncarnation } from './ledger/life.js';
@@ -49,7 +49,7 @@
   readonly stop: () => Promise<void>;
 };
 
-export type ControllerFault = WireFault | RingFault | { readonly tag: 'noDisk' } | IdentityFault;
+export type ControllerError = WireError | RingError | { readonly tag: 'noDisk' } | IdentityError;
 
 export type ControllerShapes = { readonly ledger: RingShape; readonly claims: RingShape };
 
@@ -72,7 +72,7 @@
   id: NodeIdentity,
   deps: NodeDeps,
   given?: ControllerShapes,
-): Promise<Result<Controller, ControllerFault>> {
+): Promise<Result<Controller, ControllerError>> {
   const { clock, rng, logs, httpClient, disk } = deps;
   const log = logs.component('controller');
   if (!disk) return err({ tag: 'noDisk' });
@@ -116,14 +116,14 @@
   let nodes: Membership | null = null;
   function knownControllers(): Set<Address> {
     const out = new Set<Address>(id.seeds);
-    for (const n of nodes?.all() ?? []) if (n.role === 'controller' && isUp(n)) out.add(n.address);
+    for (const node of nodes?.all() ?? []) if (node.role === 'controller' && isUp(node)) out.add(node.address);
     return out;
   }
   function ownId(): string {
     return memberId(self);
   }
   const ownDisk = disk;
-  function openLedger(): Promise<Result<Ledger, RingFault>> {
+  function openLedger(): Promise<Result<Ledger, RingError>> {
     return createLedger({
       clock,
       rng,
@@ -144,7 +144,7 @@
   const made = await openRenewed(openLedger, { disk, shape: shapes.ledger, log, renew, self: ownId });
   if (!made.ok) return made;
   const ledger = made.value;
-  function openClaims(): Promise<Result<Claims, RingFault>> {
+  function openClaims(): Promise<Result<Claims, RingError>> {
     return createClaims(ledger, peers, ownDisk, shapes.claims, clock, logs.component('claims'));
   }
   const claims =
@@ -174,7 +174,7 @@
   if (!opened.ok) return opened;
   function contacts(): Set<Address> {
     const out = new Set<Address>(id.seeds);
-    for (const m of ledger.controlState().members) out.add(m.address);
+    for (const member of ledger.controlState().members) out.add(member.address);
     return out;
   }
   const membership = createMembership(node, contacts, peers, clock, rng, logs.component('members'));
@@ -182,7 +182,7 @@
   followRelocatedControllers(membership, () => ledger.controlState(), peers);
   function controllers(): Set<Address> {
     const out = new Set<Address>(ledger.controlState().members.length > 0 ? [] : id.seeds);
-    for (const m of ledger.controlState().members) out.add(m.address);
+    for (const member of ledger.controlState().members) out.add(member.address);
     return out;
   }
   const list = deps.listReader
@@ -239,7 +239,7 @@
     holdsScaler,
   });
   const routes = operatorRoutes({ ledger, push, latencyTargets, clock, status: () => status.body() });
-  function openHttpServer(): Promise<Result<Listener, WireFault>> {
+  function openHttpServer(): Promise<Result<Listener, WireError>> {
     return deps.httpServer.open(id.httpListen, [
       ...routes,
       metricsRoute(deps.meters(), (meters) => status.meter(meters)),
--- a/src/coordination/cut-off-controller.test.ts
+++ b/src/coordination/cut-off-controller.test.ts
@@ -97,8 +97,8 @@
   function send(call: Call): void {
     const sentAt = fleet.world.now();
     const { path } = call;
-    void httpClient.call({ ...call, address: fleet.controllers[0]?.http ?? '', timeoutMs: 12_000 }).then((got) => {
-      const answered = got.ok ? got.value : { status: 0, body: {} };
+    void httpClient.call({ ...call, address: fleet.controllers[0]?.http ?? '', timeoutMs: 12_000 }).then((response) => {
+      const answered = response.ok ? response.value : { status: 0, body: {} };
       const text = typeof answered.body === 'string' ? answered.body : '';
       const body = answered.body as Record<string, unknown>;
       told.push({ path, sentAt, answeredAt: fleet.world.now(), status: answered.status, body, text });
@@ -110,18 +110,19 @@
 type Changed = { readonly version: number; readonly at: number };
 /** A change that the others acknowledge while the first controller is in trouble. */
 async function changedElsewhere(d: Desk, base: number): Promise<Changed> {
-  const got = await d.fleet.operator(
+  const response = await d.fleet.operator(
     1,
     'POST',
     '/v1/configuration/amend',
     (amend(base, 77) as { readonly body: unknown }).body,
   );
-  if (!got.ok || ![200, 202].includes(got.value.status)) throw new Error(`not taken: ${JSON.stringify(got)}`);
-  return { version: (got.value.body as { readonly version: number }).version, at: d.fleet.world.now() };
+  if (!response.ok || ![200, 202].includes(response.value.status))
+    throw new Error(`not taken: ${JSON.stringify(response)}`);
+  return { version: (response.value.body as { readonly version: number }).version, at: d.fleet.world.now() };
 }
 async function versionNow(d: Desk): Promise<number> {
-  const got = await d.fleet.operator(0, 'GET', '/v1/configuration');
-  return got.ok ? (got.value.body as { readonly version: number }).version : -1;
+  const response = await d.fleet.operator(0, 'GET', '/v1/configuration');
+  return response.ok ? (response.value.body as { readonly version: number }).version : -1;
 }
 
 type Run = {
@@ -233,8 +234,8 @@
     expect(d.fleet.world.now() - from).toBeLessThanOrEqual(1_000);
     const begun = await d.fleet.finish(service.evacuate('at-1', true), 10_000);
     expect([read, begun]).toEqual([
-      { ok: false, fault: { tag: 'noMajority' } },
-      { ok: false, fault: { tag: 'noMajority' } },
+      { ok: false, error: { tag: 'noMajority' } },
+      { ok: false, error: { tag: 'noMajority' } },
     ]);
   });
 });
--- a/src/coordination/cut-off-news.test.ts
+++ b/src/coordination/cut-off-news.test.ts
@@ -12,7 +12,7 @@
 import type { Clock } from '../transport/clock.js';
 import { createQuietLog } from '../transport/log.js';
 import { createDirectory } from './edge/directory.js';
-import type { WorkerListFault, WorkerListReader } from './edge/list-feed.js';
+import type { WorkerListError, WorkerListReader } from './edge/list-feed.js';
 import { createPeers } from './members/peers.js';
 
 const VICTIM = 'controller-1';
@@ -163,7 +163,7 @@
     let ids = ['before'];
     const unreachable = new Set<string>();
     function listReader(clock: Clock, host: Host): WorkerListReader {
-      async function read(): Promise<Result<readonly WorkerEntry[], WorkerListFault>> {
+      async function read(): Promise<Result<readonly WorkerEntry[], WorkerListError>> {
         if (!unreachable.has(host.name)) return ok(ids.map(worker));
         await delay(clock, 900);
         return err({ tag: 'listSilent' });
@@ -177,9 +177,12 @@
     const lab = core.lab('proxy');
     const peers = createPeers(lab.wire, lab.clock, createQuietLog().component('peers'));
     async function ask(): Promise<{ readonly ids: readonly string[]; readonly ageMs: number } | null> {
-      const got = await core.finish(peers.call(core.node('h1').wire, { kind: 'listFollow', number: null }, 400), 1_000);
-      if (!got?.ok || got.value.kind !== 'listWhole') return null;
-      return { ids: got.value.entries.map((e) => e.id), ageMs: got.value.ageMs };
+      const response = await core.finish(
+        peers.call(core.node('h1').wire, { kind: 'listFollow', number: null }, 400),
+        1_000,
+      );
+      if (!response?.ok || response.value.kind !== 'listWhole') return null;
+      return { ids: response.value.entries.map((e) => e.id), ageMs: response.value.ageMs };
     }
     return { core, ask, change: () => (ids = ['after']), unreachable };
   }
--- a/src/coordination/edge/attempt.ts
+++ b/src/coordination/edge/attempt.ts
@@ -9,7 +9,7 @@
 import type { RegistryRow, WorkerRegistry } from '../../state/worker-registry.js';
 import type { Clock } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
-import type { ConnectionPool, RawHeaders, SendEvents, SendFault, Sending, Sent } from '../../transport/open-http.js';
+import type { ConnectionPool, RawHeaders, SendEvents, SendError, Sending, Sent } from '../../transport/open-http.js';
 import { createAnswerReader } from './answer-reader.js';
 import type { CallerAnswers, BufferedResponse } from './caller-answers.js';
 import { hasBody, requestHeaders } from './forwarded-headers.js';
@@ -132,8 +132,8 @@
     function end(): void {
       if (!over) finish(reader.end());
     }
-    function failed(fault: SendFault): void {
-      if (!over) finish(fault.tag === 'reset' || fault.tag === 'garbled' ? reader.broken(fault.tag) : fault);
+    function failed(error: SendError): void {
+      if (!over) finish(error.tag === 'reset' || error.tag === 'garbled' ? reader.broken(error.tag) : error);
     }
 
     incoming.answerer.onGone(callerGone);
--- a/src/coordination/edge/claim-client.ts
+++ b/src/coordination/edge/claim-client.ts
@@ -43,46 +43,46 @@
   }
 
   private async work(claims: readonly Claim[]): Promise<readonly Promise<ClaimOutcome>[]> {
-    const b = this.currentControlState();
-    const need = majorityOf(b.members);
+    const state = this.currentControlState();
+    const quorumSize = majorityOf(state.members);
     const out: Promise<ClaimOutcome>[] = [];
-    const resolvers: ((o: ClaimOutcome) => void)[] = [];
+    const resolvers: ((claimOutcome: ClaimOutcome) => void)[] = [];
     for (let i = 0; i < claims.length; i += 1) {
-      function addResolver(resolve: (o: ClaimOutcome) => void): void {
+      function addResolver(resolve: (claimOutcome: ClaimOutcome) => void): void {
         resolvers.push(resolve);
       }
       out.push(new Promise(addResolver));
     }
-    void this.collect(b, need, claims, resolvers);
+    void this.collect(state, quorumSize, claims, resolvers);
     return out;
   }
 
   private async collect(
-    b: ControlState,
-    need: number,
+    state: ControlState,
+    quorumSize: number,
     claims: readonly Claim[],
-    resolvers: readonly ((o: ClaimOutcome) => void)[],
+    resolvers: readonly ((claimOutcome: ClaimOutcome) => void)[],
   ): Promise<void> {
     const answers: ClaimAnswer[][] = claims.map(none);
     const open = new Set<number>(claims.keys());
-    let left = b.members.length;
-    if (b.members.length === 0) finish();
+    let left = state.members.length;
+    if (state.members.length === 0) finish();
 
     function none(): ClaimAnswer[] {
       return [];
     }
-    function countVotes(i: number): { yes: number; no: ClaimAnswer | null } {
-      let yes = 0;
-      let no: ClaimAnswer | null = null;
-      for (const a of answers[i] as ClaimAnswer[]) {
-        if (a.tag === 'claimed') yes += 1;
-        else if (!no || weightOf(a) > weightOf(no)) no = a;
+    function countVotes(i: number): { granted: number; refusal: ClaimAnswer | null } {
+      let granted = 0;
+      let refusal: ClaimAnswer | null = null;
+      for (const first of answers[i] as ClaimAnswer[]) {
+        if (first.tag === 'claimed') granted += 1;
+        else if (!refusal || weightOf(first) > weightOf(refusal)) refusal = first;
       }
-      return { yes, no };
+      return { granted, refusal };
     }
     function weigh(): void {
       for (const i of open) {
-        if (countVotes(i).yes < need) continue;
+        if (countVotes(i).granted < quorumSize) continue;
         open.delete(i);
         resolvers[i]?.({ tag: 'claimed' });
       }
@@ -90,28 +90,28 @@
     }
     function finish(): void {
       for (const i of open) {
-        const { no } = countVotes(i);
-        resolvers[i]?.(no && no.tag !== 'claimed' ? no : { tag: 'noMajority' });
+        const { refusal } = countVotes(i);
+        resolvers[i]?.(refusal && refusal.tag !== 'claimed' ? refusal : { tag: 'noMajority' });
       }
       open.clear();
     }
 
     const finishContested = (): void => {
       let contested = false;
-      for (const i of open) if (countVotes(i).no) contested = true;
+      for (const i of open) if (countVotes(i).refusal) contested = true;
       if (contested) this.clock.timer(PATIENCE_MS, finish);
     };
-    const ask = async (m: Member): Promise<void> => {
+    const ask = async (member: Member): Promise<void> => {
       const answer = await this.peers.call(
-        m.address,
-        { kind: 'claim', ledger: b.ledger, members: membersDigest(b.members), claims: [...claims] },
+        member.address,
+        { kind: 'claim', ledger: state.ledger, members: membersDigest(state.members), claims: [...claims] },
         WAIT_MS,
       );
       left -= 1;
       if (
         answer.ok &&
         answer.value.kind === 'claimAnswer' &&
-        answer.value.voter === memberId(m) &&
+        answer.value.voter === memberId(member) &&
         answer.value.answers.length === claims.length
       ) {
         for (let i = 0; i < claims.length; i += 1) answers[i]?.push(answer.value.answers[i] as ClaimAnswer);
@@ -119,7 +119,7 @@
       }
       weigh();
     };
-    for (const m of b.members) void ask(m);
+    for (const member of state.members) void ask(member);
   }
 
   async claim(key: RunKey, by: string): Promise<ClaimOutcome> {
@@ -134,16 +134,16 @@
   }
 
   private async deliver(address: string, ledger: string, ends: readonly ClaimEnd[]): Promise<void> {
-    for (let n = 0; n < ENDS_TRIED; n += 1) {
+    for (let count = 0; count < ENDS_TRIED; count += 1) {
       const answers = await this.peers.call(address, { kind: 'claimEnds', ledger, ends: [...ends] }, WAIT_MS);
       if (answers.ok && answers.value.kind === 'done' && answers.value.agreed) return;
-      await delay(this.clock, Math.min(ENDS_PAUSE_MS, 500 * 2 ** n));
+      await delay(this.clock, Math.min(ENDS_PAUSE_MS, 500 * 2 ** count));
     }
   }
 
   private async spread(ends: readonly ClaimEnd[]): Promise<readonly null[]> {
-    const b = this.currentControlState();
-    for (const m of b.members) void this.deliver(m.address, b.ledger, ends);
+    const state = this.currentControlState();
+    for (const member of state.members) void this.deliver(member.address, state.ledger, ends);
     return ends.map(() => this.nothing());
   }
 
@@ -160,10 +160,10 @@
   return new MajorityClaimClient(currentControlState, peers, clock);
 }
 
-function weightOf(a: ClaimAnswer): number {
-  switch (a.tag) {
+function weightOf(first: ClaimAnswer): number {
+  switch (first.tag) {
     case 'taken':
-      return a.answered ? 4 : 3;
+      return first.answered ? 4 : 3;
     case 'tooOld':
       return 2;
     case 'full':
--- a/src/coordination/edge/directory.test.ts
+++ b/src/coordination/edge/directory.test.ts
@@ -78,11 +78,11 @@
     const uses = new Map<string, number>();
     for (let h = 0; h < 300; h += 1) {
       const caller = { host: `h${h}.example`, zone: 'north-a', region: 'north' };
-      const got = addressesFor(many, caller, { homes: [], near: [] }).addresses;
-      expect(got.length).toBe(DIRECTORY_TUNING.most);
-      expect(new Set(got).size).toBe(got.length);
-      expect(addressesFor([...many].reverse(), caller, { homes: [], near: [] }).addresses).toEqual(got);
-      for (const a of got) uses.set(a, (uses.get(a) ?? 0) + 1);
+      const response = addressesFor(many, caller, { homes: [], near: [] }).addresses;
+      expect(response.length).toBe(DIRECTORY_TUNING.most);
+      expect(new Set(response).size).toBe(response.length);
+      expect(addressesFor([...many].reverse(), caller, { homes: [], near: [] }).addresses).toEqual(response);
+      for (const a of response) uses.set(a, (uses.get(a) ?? 0) + 1);
     }
     const counts = [...uses.values()];
     expect(uses.size).toBe(200);
--- a/src/coordination/edge/directory.ts
+++ b/src/coordination/edge/directory.ts
@@ -66,21 +66,21 @@
   const lasting = found.length > 0 && found.every(isLasting);
   return { addresses: someOf(found, caller, tuning.most), lasting };
 
-  function isLasting(s: ProxyStatus): boolean {
-    return s.ready && s.region === caller.region;
+  function isLasting(proxy: ProxyStatus): boolean {
+    return proxy.ready && proxy.region === caller.region;
   }
 
-  function isReady(s: ProxyStatus): boolean {
-    return s.ready;
+  function isReady(proxy: ProxyStatus): boolean {
+    return proxy.ready;
   }
-  function isReachable(s: ProxyStatus): boolean {
-    return s.ready && s.sinceContactMs <= tuning.sinceContactMs;
+  function isReachable(proxy: ProxyStatus): boolean {
+    return proxy.ready && proxy.sinceContactMs <= tuning.sinceContactMs;
   }
-  function inZone(s: ProxyStatus): boolean {
-    return s.zone === caller.zone && s.region === caller.region;
+  function inZone(proxy: ProxyStatus): boolean {
+    return proxy.zone === caller.zone && proxy.region === caller.region;
   }
-  function isMissed(s: ProxyStatus): boolean {
-    return inZone(s) && s.sinceContactMs <= tuning.forgottenMs;
+  function isMissed(proxy: ProxyStatus): boolean {
+    return inZone(proxy) && proxy.sinceContactMs <= tuning.forgottenMs;
   }
   function nearest(): readonly ProxyStatus[] {
     const zone = serving.filter(inZone);
@@ -99,18 +99,18 @@
     const known = reported.filter(isKnown);
     return known.some(isExpectedBack) && !known.some(isLost);
 
-    function isKnown(s: ProxyStatus): boolean {
-      return regions.includes(s.region) && s.sinceContactMs <= tuning.forgottenMs;
+    function isKnown(proxy: ProxyStatus): boolean {
+      return regions.includes(proxy.region) && proxy.sinceContactMs <= tuning.forgottenMs;
     }
   }
-  function isExpectedBack(s: ProxyStatus): boolean {
-    return !s.ready && s.sinceContactMs <= tuning.restartMs;
+  function isExpectedBack(proxy: ProxyStatus): boolean {
+    return !proxy.ready && proxy.sinceContactMs <= tuning.restartMs;
   }
-  function isLost(s: ProxyStatus): boolean {
-    return s.ready && s.sinceContactMs > tuning.sinceContactMs;
+  function isLost(proxy: ProxyStatus): boolean {
+    return proxy.ready && proxy.sinceContactMs > tuning.sinceContactMs;
   }
-  function isDraining(s: ProxyStatus): boolean {
-    return s.draining && s.sinceContactMs <= tuning.sinceContactMs;
+  function isDraining(proxy: ProxyStatus): boolean {
+    return proxy.draining && proxy.sinceContactMs <= tuning.sinceContactMs;
   }
 }
 
@@ -125,14 +125,15 @@
 
 function someOf(proxies: readonly ProxyStatus[], caller: Caller, most: number): Address[] {
   const ranked: Ranked[] = [];
-  for (const s of proxies) ranked.push({ http: s.http, rank: hash32(`${caller.host} ${caller.zone} ${s.name}`) });
+  for (const proxy of proxies)
+    ranked.push({ http: proxy.http, rank: hash32(`${caller.host} ${caller.zone} ${proxy.name}`) });
   ranked.sort(byRank);
   const out: Address[] = [];
-  for (const r of ranked.slice(0, most)) out.push(r.http);
+  for (const row of ranked.slice(0, most)) out.push(row.http);
   return out;
 }
-function byRank(a: Ranked, b: Ranked): number {
-  return a.rank - b.rank;
+function byRank(left: Ranked, right: Ranked): number {
+  return left.rank - right.rank;
 }
 
 export type ProxyReports = { readonly reports: () => Reports; readonly lastContactAt: (name: string) => number | null };
@@ -157,8 +158,8 @@
   const regions = [...counts].sort(mostSharedFirst);
   return regions.map(regionOf);
 }
-function mostSharedFirst(a: readonly [string, number], b: readonly [string, number]): number {
-  return b[1] - a[1];
+function mostSharedFirst(left: readonly [string, number], right: readonly [string, number]): number {
+  return right[1] - left[1];
 }
 function regionOf(counted: readonly [string, number]): string {
   return counted[0];
@@ -177,16 +178,16 @@
 
   private rows(now: number): ProxyStatus[] {
     const out: ProxyStatus[] = [];
-    for (const r of this.reported.reports().values()) {
-      const at = this.reported.lastContactAt(r.reporter);
+    for (const report of this.reported.reports().values()) {
+      const at = this.reported.lastContactAt(report.reporter);
       if (at !== null)
         out.push({
-          name: r.reporter,
-          zone: r.zone,
-          region: r.region,
-          http: r.http,
-          ready: r.ready,
-          draining: r.draining === true,
+          name: report.reporter,
+          zone: report.zone,
+          region: report.region,
+          http: report.http,
+          ready: report.ready,
+          draining: report.draining === true,
           sinceContactMs: now - at,
         });
     }
@@ -197,7 +198,8 @@
     const now = this.clock.mono();
     const proxies = this.rows(now);
     if (proxies.length > 0) this.firstAt ??= now;
-    for (const s of proxies) if (this.firstAt !== null) this.firstAt = Math.min(this.firstAt, now - s.sinceContactMs);
+    for (const proxy of proxies)
+      if (this.firstAt !== null) this.firstAt = Math.min(this.firstAt, now - proxy.sinceContactMs);
     if (this.firstAt === null || now - this.firstAt < this.tuning.warmMs) return { addresses: [], lasting: false };
     return addressesFor(proxies, caller, this.nextRegions(caller), this.tuning);
   }
--- a/src/coordination/edge/dispatcher.test.ts
+++ b/src/coordination/edge/dispatcher.test.ts
@@ -5,14 +5,14 @@
 import type { WorkerTable } from '../../state/worker-table.js';
 import { createWorld } from '../../sim/world.js';
 import { createQuietLog } from '../../transport/log.js';
-import type { HttpAnswer, HttpCall, HttpFault } from '../../transport/http.js';
+import type { HttpAnswer, HttpCall, HttpError } from '../../transport/http.js';
 import { createRng } from '../../transport/rng.js';
 import type { ClaimOutcome } from './claim-client.js';
 import { createDispatcher } from './dispatcher.js';
 import type { Submission } from './dispatcher.js';
 import type { PlacementService } from './placer.js';
 
-type Reply = HttpFault | { readonly status: number; readonly body: (call: HttpCall) => unknown };
+type Reply = HttpError | { readonly status: number; readonly body: (call: HttpCall) => unknown };
 
 const KEY = { text: 'k@1', born: 1 } as RunKey;
 const VALUES = { requestDeadlineMs: 5_000, lineWaitMs: 1_000, lineLimit: 10, retryShare: 1, pieceWaitMs: 2_000 };
@@ -47,9 +47,9 @@
     resolved: () => ({ values: VALUES }),
     homesOf: () => null,
     choose: ({ avoid }: { avoid: ReadonlySet<number> }) => {
-      const row = rows.find((r) => !avoid.has(r.ix));
+      const row = rows.find((r) => !avoid.has(r.index));
       return row
-        ? { tag: 'chosen', candidate: { ix: row.ix, id: `w${row.ix}`, address: `w${row.ix}` } }
+        ? { tag: 'chosen', candidate: { ix: row.index, id: `w${row.index}`, address: `w${row.index}` } }
         : { tag: 'none', stoppedBy: 'untried' };
     },
   } as unknown as PlacementService;
@@ -68,7 +68,7 @@
       call: (call) => {
         const reply = replies[ran + calls.length] ?? { tag: 'broken' };
         calls.push(call);
-        if ('tag' in reply) return Promise.resolve({ ok: false, fault: reply });
+        if ('tag' in reply) return Promise.resolve({ ok: false, error: reply });
         const answer = {
           status: reply.status,
           headers: {},
@@ -87,7 +87,7 @@
     let end: Submission | null = null;
     void dispatcher
       .submit(TICKET, { requestId: 'r', parts: [], outputTokens: 1, stream: false }, key, () => gone)
-      .then((got) => (end = got));
+      .then((response) => (end = response));
     await world.advance(forMs);
     return end;
   }
--- a/src/coordination/edge/dispatcher.ts
+++ b/src/coordination/edge/dispatcher.ts
@@ -181,7 +181,7 @@
       }
       const end = await this.send(job, slot);
       if (end.tag !== 'failed') return this.served(job, slot, end);
-      job.avoid.add(slot.candidate.ix);
+      job.avoid.add(slot.candidate.index);
       if (!this.mayGoOn(job, end)) return this.ended(job, end);
     }
   }
@@ -243,8 +243,8 @@
   }
 
   private served(job: Job, { candidate }: AcquiredSlot, end: Exclude<WorkerCallEnd, { tag: 'failed' }>): Submission {
-    this.deps.table.recordServed(candidate.ix);
-    this.deps.table.prefixes.learn(this.deps.table.modelIx(job.token.model), job.parts, candidate.ix);
+    this.deps.table.recordServed(candidate.index);
+    this.deps.table.prefixes.learn(this.deps.table.modelIx(job.token.model), job.parts, candidate.index);
     if (end.tag === 'whole') this.recordAnswered(job);
     return end;
   }
--- a/src/coordination/edge/flights.ts
+++ b/src/coordination/edge/flights.ts
@@ -38,12 +38,12 @@
 
   begin(row: WorkerRow, pieceWaitMs: number): PendingCall {
     const onEvent = (): void => {
-      w.lastAt = this.clock.mono();
-      w.pieces = true;
+      watched.lastAt = this.clock.mono();
+      watched.pieces = true;
     };
     const call: PendingCall = { row, abort: new AbortController(), onEvent };
-    const w: Watched = { call, pieceWaitMs, pieces: false, lastAt: this.clock.mono(), goneAt: null };
-    this.watched.set(call, w);
+    const watched: Watched = { call, pieceWaitMs, pieces: false, lastAt: this.clock.mono(), goneAt: null };
+    this.watched.set(call, watched);
     return call;
   }
 
@@ -51,21 +51,21 @@
     return this.watched.delete(call);
   }
 
-  private isLost(w: Watched, now: number): boolean {
-    const { row } = w.call;
+  private isLost(watched: Watched, now: number): boolean {
+    const { row } = watched.call;
     if (row.leaveBy !== null && now > row.leaveBy + LEAVE_SLACK_MS) return true;
     if (!this.table.isCurrent(row)) return true;
-    if (row.present) w.goneAt = null;
-    else w.goneAt ??= now;
-    if (w.goneAt !== null && now - w.goneAt > GONE_MS) return true;
-    const quietMs = now - w.lastAt;
+    if (row.present) watched.goneAt = null;
+    else watched.goneAt ??= now;
+    if (watched.goneAt !== null && now - watched.goneAt > GONE_MS) return true;
+    const quietMs = now - watched.lastAt;
     if (row.missedProbes >= SILENCES_DARK && quietMs > DARK_MS) return true;
-    return w.pieces && quietMs > w.pieceWaitMs;
+    return watched.pieces && quietMs > watched.pieceWaitMs;
   }
 
   endLost(): void {
     const now = this.clock.mono();
-    for (const w of this.watched.values()) if (this.isLost(w, now)) w.call.abort.abort();
+    for (const watched of this.watched.values()) if (this.isLost(watched, now)) watched.call.abort.abort();
   }
 
   open(): number {
--- a/src/coordination/edge/list-feed.ts
+++ b/src/coordination/edge/list-feed.ts
@@ -6,16 +6,19 @@
 
 export type WorkerListFeedEvents = { readonly changed: { readonly entries: readonly WorkerEntry[] } };
 
-export type WorkerListFault =
+export type WorkerListError =
   { readonly tag: 'listSilent' } | { readonly tag: 'listNonsense'; readonly detail: string };
 
-export type WorkerListReader = { readonly read: () => Promise<Result<readonly WorkerEntry[], WorkerListFault>> };
+export type WorkerListReader = { readonly read: () => Promise<Result<readonly WorkerEntry[], WorkerListError>> };
 
 export interface WorkerListFeed {
   entries(): readonly WorkerEntry[];
   asOf(): number | null;
   readonly events: {
-    readonly on: <K extends keyof WorkerListFeedEvents>(name: K, fn: (e: WorkerListFeedEvents[K]) => void) => void;
+    readonly on: <K extends keyof WorkerListFeedEvents>(
+      name: K,
+      callback: (event: WorkerListFeedEvents[K]) => void,
+    ) => void;
   };
   stop(): void;
 }
@@ -41,10 +44,10 @@
     if (this.asking) return;
     this.asking = true;
     const from = this.clock.mono();
-    const got = await this.reader.read();
+    const response = await this.reader.read();
     this.asking = false;
-    if (!got.ok) return;
-    this.list = got.value;
+    if (!response.ok) return;
+    this.list = response.value;
     this.at = from;
     this.events.emit('changed', { entries: this.list });
   }
--- a/src/coordination/edge/list-news.ts
+++ b/src/coordination/edge/list-news.ts
@@ -41,7 +41,10 @@
 export interface WorkerListUpdates {
   readonly table: WorkerListTable;
   readonly events: {
-    readonly on: <K extends keyof WorkerListUpdateEvents>(name: K, fn: (e: WorkerListUpdateEvents[K]) => void) => void;
+    readonly on: <K extends keyof WorkerListUpdateEvents>(
+      name: K,
+      callback: (event: WorkerListUpdateEvents[K]) => void,
+    ) => void;
   };
   ageMs(): number;
   sinceContactMs(): number;
@@ -76,11 +79,11 @@
     this.lastTickAt = this.clock.mono();
     this.turning = every(this.clock, TURN_MS, () => this.detectStandstill());
 
-    this.peers.on('listWhole', (m, peer) => this.onUpdate(m, peer));
+    this.peers.on('listWhole', (message, peer) => this.onUpdate(message, peer));
 
-    this.peers.on('listChange', (m, peer) => this.onUpdate(m, peer));
+    this.peers.on('listChange', (message, peer) => this.onUpdate(message, peer));
 
-    this.peers.on('listBeat', (m, peer) => this.onUpdate(m, peer));
+    this.peers.on('listBeat', (message, peer) => this.onUpdate(message, peer));
   }
 
   private since(at: number | null): number {
@@ -116,57 +119,63 @@
     this.events.emit('woke', { afterMs: gap });
   }
 
-  private apply(m: WorkerListMessage, now: number): ApplyResult {
-    if (m.kind === 'listWhole') return this.table.applySnapshot(m.number, m.entries, now - m.ageMs);
-    if (m.kind === 'listChange')
-      return this.table.applyChange(m.number, m.base, { changed: m.told, gone: m.gone }, now - m.ageMs);
-    if (m.number === null) return 'old';
-    return this.table.confirm(m.number, m.ageMs === null ? Number.NEGATIVE_INFINITY : now - m.ageMs);
+  private apply(message: WorkerListMessage, now: number): ApplyResult {
+    if (message.kind === 'listWhole')
+      return this.table.applySnapshot(message.number, message.entries, now - message.ageMs);
+    if (message.kind === 'listChange')
+      return this.table.applyChange(
+        message.number,
+        message.base,
+        { changed: message.told, gone: message.gone },
+        now - message.ageMs,
+      );
+    if (message.number === null) return 'old';
+    return this.table.confirm(message.number, message.ageMs === null ? Number.NEGATIVE_INFINITY : now - message.ageMs);
   }
 
-  private applyUpdate(m: WorkerListMessage, now: number): ApplyResult {
+  private applyUpdate(message: WorkerListMessage, now: number): ApplyResult {
     const before = this.table.number();
     const readBefore = this.table.asOf() ?? Number.NEGATIVE_INFINITY;
-    const end = this.apply(m, now);
+    const end = this.apply(message, now);
     if (end === 'gap') return end;
-    const silent = m.kind === 'listBeat' && m.silent === true;
+    const silent = message.kind === 'listBeat' && message.silent === true;
     const unresponsiveUpdate = silent && this.since(this.unresponsiveAt) > this.pace.everyMs / 2;
     if (silent) this.unresponsiveAt = this.clock.mono();
     if (end === 'old') return end;
     const after = this.table.number();
     const contents = before === null || (after !== null && compareVersions(before, after) !== 0);
     const advanced = (this.table.asOf() ?? 0) - readBefore > this.pace.everyMs / 2;
-    if (m.ageMs !== null && m.kind !== 'listChange' && m.sinceMs !== undefined)
-      this.lastContactAt = Math.max(this.lastContactAt ?? Number.NEGATIVE_INFINITY, now - m.sinceMs);
+    if (message.ageMs !== null && message.kind !== 'listChange' && message.sinceMs !== undefined)
+      this.lastContactAt = Math.max(this.lastContactAt ?? Number.NEGATIVE_INFINITY, now - message.sinceMs);
     else if (contents || advanced) this.lastContactAt = this.clock.mono();
-    if (contents || advanced || unresponsiveUpdate) this.events.emit('taken', { message: m, contents });
+    if (contents || advanced || unresponsiveUpdate) this.events.emit('taken', { message: message, contents });
     return end;
   }
 
-  private onUpdate(m: WorkerListMessage, peer: Peer): null {
+  private onUpdate(message: WorkerListMessage, peer: Peer): null {
     this.detectStandstill();
-    if (m.number === null) return null;
+    if (message.number === null) return null;
     if (this.sinceContactMs() > DISTRUST_MS) this.trusting = false;
     const current = this.table.number();
-    if (current && compareVersions(m.number, current) < 0) {
-      if (m.number[1] !== current[1]) this.events.emit('outrun', { number: m.number, peer });
+    if (current && compareVersions(message.number, current) < 0) {
+      if (message.number[1] !== current[1]) this.events.emit('outrun', { number: message.number, peer });
       return null;
     }
-    if (!this.trusting || this.applyUpdate(m, this.clock.mono()) === 'gap')
-      this.events.emit('missed', { number: m.number });
+    if (!this.trusting || this.applyUpdate(message, this.clock.mono()) === 'gap')
+      this.events.emit('missed', { number: message.number });
     return null;
   }
 
   async query(to: Address): Promise<QueryResult> {
     const from = this.clock.mono();
-    const got = await this.peers.call(
+    const response = await this.peers.call(
       to,
       { kind: 'listFollow', number: this.table.number() },
       this.pace.queryTimeoutMs,
     );
     this.detectStandstill();
-    if (!got.ok || !isUpdate(got.value) || this.clock.mono() - from > STOOD_STILL_MS) return 'silent';
-    if (this.applyUpdate(got.value, from) === 'taken') this.trusting = true;
+    if (!response.ok || !isUpdate(response.value) || this.clock.mono() - from > STOOD_STILL_MS) return 'silent';
+    if (this.applyUpdate(response.value, from) === 'taken') this.trusting = true;
     return this.isFresh() ? 'fresh' : 'stale';
   }
 
@@ -179,6 +188,6 @@
   return new PeerWorkerListUpdates(peers, clock, pace);
 }
 
-function isUpdate(m: Message): m is WorkerListMessage {
-  return m.kind === 'listWhole' || m.kind === 'listChange' || m.kind === 'listBeat';
+function isUpdate(message: Message): message is WorkerListMessage {
+  return message.kind === 'listWhole' || message.kind === 'listChange' || message.kind === 'listBeat';
 }
--- a/src/coordination/edge/list-source.ts
+++ b/src/coordination/edge/list-source.ts
@@ -6,7 +6,7 @@
 import type { Clock } from '../../transport/clock.js';
 import { shuffled } from '../../transport/rng.js';
 import type { Rng } from '../../transport/rng.js';
-import type { CloudFault, PlatformClient } from '../scaling/cloud-client.js';
+import type { CloudError, PlatformClient } from '../scaling/cloud-client.js';
 import type { Membership } from '../members/membership.js';
 import type { Peers } from '../members/peers.js';
 
@@ -17,7 +17,7 @@
 };
 
 export interface WorkerListSource {
-  read(): Promise<Result<WorkerListReading, CloudFault>>;
+  read(): Promise<Result<WorkerListReading, CloudError>>;
 }
 
 export type WorkerListSourceDeps = {
@@ -33,8 +33,8 @@
 const ASK_WAIT_MS = 300;
 const OLDEST_MS = 1_500;
 
-function aged(w: Listed, ms: number): Listed {
-  return w.remainingMs === undefined ? w : { ...w, remainingMs: Math.max(0, w.remainingMs - ms) };
+function aged(worker: Listed, ms: number): Listed {
+  return worker.remainingMs === undefined ? worker : { ...worker, remainingMs: Math.max(0, worker.remainingMs - ms) };
 }
 
 class PlatformListSource implements WorkerListSource {
@@ -50,34 +50,34 @@
     return { kind: 'listTold', ageMs, workers: [...this.own.workers] };
   }
 
-  async read(): Promise<Result<WorkerListReading, CloudFault>> {
+  async read(): Promise<Result<WorkerListReading, CloudError>> {
     const from = this.deps.clock.mono();
-    const got = await this.deps.platform.workers();
-    if (!got.ok) return this.queryPeers(got.fault);
-    this.own = { workers: got.value, at: from };
-    return ok({ workers: got.value, ageMs: this.deps.clock.mono() - from, secondHand: false });
+    const response = await this.deps.platform.workers();
+    if (!response.ok) return this.queryPeers(response.error);
+    this.own = { workers: response.value, at: from };
+    return ok({ workers: response.value, ageMs: this.deps.clock.mono() - from, secondHand: false });
   }
 
-  private async queryPeers(fault: CloudFault): Promise<Result<WorkerListReading, CloudFault>> {
+  private async queryPeers(error: CloudError): Promise<Result<WorkerListReading, CloudError>> {
     const others: NodeInfo[] = [];
-    for (const n of this.deps.membership.all())
-      if (n.role === 'proxy' && n.status === 'alive' && n.name !== this.deps.name) others.push(n);
+    for (const node of this.deps.membership.all())
+      if (node.role === 'proxy' && node.status === 'alive' && node.name !== this.deps.name) others.push(node);
     let best: WorkerListReading | null = null;
     const requests: Promise<void>[] = [];
 
-    const one = async (n: NodeInfo): Promise<void> => {
+    const one = async (node: NodeInfo): Promise<void> => {
       const from = this.deps.clock.mono();
-      const got = await this.deps.peers.call(n.address, { kind: 'listAsk' }, ASK_WAIT_MS);
-      if (!got.ok || got.value.kind !== 'listTold' || got.value.ageMs === null) return;
-      const ageMs = got.value.ageMs + (this.deps.clock.mono() - from);
-      if (!best || ageMs < best.ageMs) best = { workers: got.value.workers, ageMs, secondHand: true };
+      const response = await this.deps.peers.call(node.address, { kind: 'listAsk' }, ASK_WAIT_MS);
+      if (!response.ok || response.value.kind !== 'listTold' || response.value.ageMs === null) return;
+      const ageMs = response.value.ageMs + (this.deps.clock.mono() - from);
+      if (!best || ageMs < best.ageMs) best = { workers: response.value.workers, ageMs, secondHand: true };
     };
-    for (const n of shuffled(this.deps.rng, others).slice(0, ASKED)) requests.push(one(n));
+    for (const node of shuffled(this.deps.rng, others).slice(0, ASKED)) requests.push(one(node));
     await Promise.all(requests);
     const reading = best as WorkerListReading | null;
-    if (!reading) return err(fault);
+    if (!reading) return err(error);
     const workers: Listed[] = [];
-    for (const w of reading.workers) workers.push(aged(w, reading.ageMs));
+    for (const worker of reading.workers) workers.push(aged(worker, reading.ageMs));
     return ok({ ...reading, workers });
   }
 }
--- a/src/coordination/edge/open-proxy.test.ts
+++ b/src/coordination/edge/open-proxy.test.ts
@@ -117,9 +117,9 @@
       }),
     },
   );
-  const got = await core.finish(started, 5_000);
-  if (!got?.ok) throw new Error('did not start');
-  const proxy = got.value;
+  const response = await core.finish(started, 5_000);
+  if (!response?.ok) throw new Error('did not start');
+  const proxy = response.value;
   tellList();
   const answers: { status: number; headers: string[]; ended: boolean }[] = [];
   function ask(path = '/x/1'): void {
--- a/src/coordination/edge/open-proxy.ts
+++ b/src/coordination/edge/open-proxy.ts
@@ -14,7 +14,7 @@
 import type { LogRoot } from '../../transport/log.js';
 import type { OpaqueHttpServer, ConnectionPool } from '../../transport/open-http.js';
 import type { Rng } from '../../transport/rng.js';
-import type { Address, Wire, WireFault } from '../../transport/wire.js';
+import type { Address, Wire, WireError } from '../../transport/wire.js';
 import { createFollower } from '../ledger/follower.js';
 import { nextIncarnation } from '../ledger/life.js';
 import { createMembership } from '../members/membership.js';
@@ -72,7 +72,7 @@
 export async function startOpaqueProxy(
   id: OpaqueProxyIdentity,
   deps: OpaqueProxyDeps,
-): Promise<Result<OpaqueProxy, WireFault>> {
+): Promise<Result<OpaqueProxy, WireError>> {
   const { clock, rng, logs, tuning } = deps;
   const log = logs.component('proxy');
   const peers = createPeers(deps.wire, clock, logs.component('peers'));
@@ -137,22 +137,22 @@
   });
 
   function onMoved(): void {
-    const b = follower.controlState();
-    const serving = b.configuration.serving;
-    if (serving && b.version !== tableVersion) {
-      tableVersion = b.version;
+    const state = follower.controlState();
+    const serving = state.configuration.serving;
+    if (serving && state.version !== tableVersion) {
+      tableVersion = state.version;
       table = createRouteTable(serving);
       limit();
     }
     function preemptive(model: string): readonly string[] {
-      return b.zoneSets[model]?.preemptive ?? [];
+      return state.zoneSets[model]?.preemptive ?? [];
     }
     function coldMs(model: string): number {
       return (table?.traits(model)?.coldS ?? 0) * 1_000;
     }
-    registry.applyZones(b.evacuated, preemptive, clock.mono(), coldMs);
-    registry.setSharingProxies(b.proxies);
-    budget.setSharingProxies(Object.keys(b.proxies).length);
+    registry.applyZones(state.evacuated, preemptive, clock.mono(), coldMs);
+    registry.setSharingProxies(state.proxies);
+    budget.setSharingProxies(Object.keys(state.proxies).length);
     relay.wake();
   }
   follower.events.on('moved', onMoved);
@@ -166,7 +166,7 @@
   const httpServer = await deps.httpServer.open(id.front, (req) => relay.handle(req));
   if (!httpServer.ok) {
     await peers.close();
-    return err(httpServer.fault);
+    return err(httpServer.error);
   }
   const front = httpServer.value;
   function limit(): void {
@@ -177,13 +177,13 @@
 
   let count = 0;
   let incarnation = firstIncarnation;
-  function onOutlived(m: MessageOf<'outlived'>): null {
-    if (m.reporter === id.name && m.incarnation >= incarnation) incarnation = m.incarnation + 1;
+  function onOutlived(message: MessageOf<'outlived'>): null {
+    if (message.reporter === id.name && message.incarnation >= incarnation) incarnation = message.incarnation + 1;
     return null;
   }
   peers.on('outlived', onOutlived);
   function report(): void {
-    const t = relay.tally();
+    const tally = relay.tally();
     count += 1;
     const health: Report['health'] = {};
     const now = clock.mono();
@@ -194,10 +194,10 @@
       run: id.run,
       incarnation,
       count,
-      requests: t.requests,
-      shed: t.shed,
-      attempted: t.attempted,
-      retried: t.retried,
+      requests: tally.requests,
+      shed: tally.shed,
+      attempted: tally.attempted,
+      retried: tally.retried,
       slot: follower.controlState().slot,
       health,
       http: id.front,
@@ -226,8 +226,8 @@
     follower.sendToController({ kind: 'usage', told: { name: id.name, run: id.run, count: loadsSent, rows } });
   }
   const telling = every(clock, USAGE_MS, sendLoad);
-  function onFleetLoad(m: MessageOf<'fleetLoad'>): null {
-    registry.applyFleetLoad(m.rows, clock.mono());
+  function onFleetLoad(message: MessageOf<'fleetLoad'>): null {
+    registry.applyFleetLoad(message.rows, clock.mono());
     relay.wake();
     return null;
   }
--- a/src/coordination/edge/placer.ts
+++ b/src/coordination/edge/placer.ts
@@ -62,8 +62,8 @@
   readonly rng: Rng;
 };
 
-function isAlive(n: NodeInfo): boolean {
-  return n.status === 'alive';
+function isAlive(node: NodeInfo): boolean {
+  return node.status === 'alive';
 }
 
 /** The proxies that membership has as up. */
@@ -82,15 +82,15 @@
   constructor(private readonly deps: PlacementServiceDeps) {
     this.deps.membership.events.on('changed', () => this.onChanged());
 
-    for (const p of this.deps.policies) if (p.name !== 'room') this.withoutCapacity.push(p);
+    for (const policy of this.deps.policies) if (policy.name !== 'room') this.withoutCapacity.push(policy);
   }
 
   resolved(model: string): ResolvedModel | null {
-    const b = this.deps.follower.controlState();
-    if (this.modelsAt !== b.version) {
+    const state = this.deps.follower.controlState();
+    if (this.modelsAt !== state.version) {
       this.models = new Map();
-      for (const rm of resolveAll(b.configuration)) this.models.set(rm.model, rm);
-      this.modelsAt = b.version;
+      for (const resolved of resolveAll(state.configuration)) this.models.set(resolved.model, resolved);
+      this.modelsAt = state.version;
     }
     return this.models.get(model) ?? null;
   }
@@ -103,10 +103,10 @@
     if (this.upProxies) return this.upProxies;
     const all: NodeInfo[] = [];
     const byZone = new Map<string, NodeInfo[]>();
-    for (const n of this.deps.membership.all()) {
-      if (n.role !== 'proxy' || !isUp(n)) continue;
-      all.push(n);
-      byZone.set(n.zone, [...(byZone.get(n.zone) ?? []), n]);
+    for (const node of this.deps.membership.all()) {
+      if (node.role !== 'proxy' || !isUp(node)) continue;
+      all.push(node);
+      byZone.set(node.zone, [...(byZone.get(node.zone) ?? []), node]);
     }
     this.upProxies = { all, byZone, zones: new Set(byZone.keys()) };
     return this.upProxies;
@@ -114,7 +114,7 @@
 
   private contextOf(where: Where, all: readonly Candidate[]): SelectionContext {
     let loadSum = 0;
-    for (const c of all) loadSum += Math.min(1, c.running / c.limit);
+    for (const candidate of all) loadSum += Math.min(1, candidate.running / candidate.limit);
     return {
       ...this.callerOf(where),
       ownRegion: this.deps.self.region,
@@ -139,14 +139,14 @@
   }
 
   private candidatesOf(where: Where, complete: boolean): Candidate[] {
-    const rm = this.resolved(where.model);
-    if (!rm) return [];
+    const resolved = this.resolved(where.model);
+    if (!resolved) return [];
     const { model, parts, homes } = where;
     return this.deps.table.candidates({
       model,
       parts,
       homes,
-      values: rm.values,
+      values: resolved.values,
       zone: this.deps.self.zone,
       near: this.callerOf(where).zone,
       zonesWithProxy: this.proxiesUp().zones,
@@ -178,7 +178,7 @@
     if (!allowed) return bound.asked;
     if (!bound.asked) return allowed;
     const both: string[] = [];
-    for (const r of allowed) if (bound.asked.includes(r)) both.push(r);
+    for (const region of allowed) if (bound.asked.includes(region)) both.push(region);
     return both;
   }
 
@@ -202,14 +202,14 @@
   ): NodeInfo | null {
     let best: NodeInfo | null = null;
     let top = -Infinity;
-    for (const n of among) {
-      if (without.includes(n.name) || (homes !== null && !homes.includes(n.region))) continue;
-      let score = n.status === 'alive' ? 0 : -2;
-      if (n.zone === worker.zone) score += 3;
-      else if (n.region === worker.region) score += 2;
-      score += (n.name === this.deps.self.name ? 0.99 : hash32(`${seed}|${n.name}`) / 4294967296) * 0.5;
+    for (const node of among) {
+      if (without.includes(node.name) || (homes !== null && !homes.includes(node.region))) continue;
+      let score = node.status === 'alive' ? 0 : -2;
+      if (node.zone === worker.zone) score += 3;
+      else if (node.region === worker.region) score += 2;
+      score += (node.name === this.deps.self.name ? 0.99 : hash32(`${seed}|${node.name}`) / 4294967296) * 0.5;
       if (score > top) {
-        best = n;
+        best = node;
         top = score;
       }
     }
@@ -217,13 +217,13 @@
   }
 
   place(request: PlacementRequest): Result<Placement, Failure> {
-    const b = this.deps.follower.controlState();
+    const state = this.deps.follower.controlState();
     if (!this.deps.ready()) return err(rejection('notReady'));
-    const mapping = request.mapping === undefined ? null : (b.configuration.mappings?.[request.mapping] ?? null);
+    const mapping = request.mapping === undefined ? null : (state.configuration.mappings?.[request.mapping] ?? null);
     if (request.mapping !== undefined && !mapping) return err({ tag: 'unknownModel' });
     const model = mapping?.model ?? request.model ?? '';
-    const rm = this.resolved(model);
-    if (!rm) return err({ tag: 'unknownModel' });
+    const resolved = this.resolved(model);
+    if (!resolved) return err({ tag: 'unknownModel' });
     const bound: Bound = { mapping: request.mapping ?? null, kind: request.kind ?? null, asked: request.homes ?? null };
     const homes = this.homesOf(model, bound);
     if (homes !== null && homes.length === 0) return err(rejection('outsideHomes'));
@@ -253,7 +253,7 @@
     return ok({
       proxy: node.name,
       address: node.http,
-      ticket: signAdmissionToken(token, b.ticketKey),
+      ticket: signAdmissionToken(token, state.ticketKey),
       requestId,
       expiresInMs: TOKEN_LIFETIME_MS,
     });
--- a/src/coordination/edge/proxy-http-server.ts
+++ b/src/coordination/edge/proxy-http-server.ts
@@ -57,18 +57,18 @@
 
   async function place(req: HttpRequest): Promise<HttpReply> {
     const request = readPlacementRequest(req.body);
-    if (!request.ok) return failureReply(request.fault, 1);
+    if (!request.ok) return failureReply(request.error, 1);
     if ((request.value.model === undefined) === (request.value.mapping === undefined)) {
       return failureReply({ tag: 'malformed', detail: 'name either a model or a mapping' }, 1);
     }
     const placed = placement.place(request.value);
     if (placed.ok) return { status: 200, body: placed.value };
-    if (placed.fault.tag === 'shed') {
+    if (placed.error.tag === 'shed') {
       dispatcher.countRejected();
       if (request.value.model !== undefined) dispatcher.countRequest(request.value.model);
       count(modelOf(request.value), request.value.mapping ?? null, { outcome: 'shed', firstMs: null, wholeMs: null });
     }
-    return failureReply(placed.fault, 1);
+    return failureReply(placed.error, 1);
   }
 
   function tokenOf(req: HttpRequest): AdmissionToken | Failure {
@@ -111,7 +111,7 @@
     if ('tag' in token) return failureReply(token, 1);
     if (!usedTokens.use(token, clock.mono())) return failureReply(rejection('ticketUsed'), 1);
     const body = readSubmit(req.body);
-    if (!body.ok) return failureReply(body.fault, 1);
+    if (!body.ok) return failureReply(body.error, 1);
     if (body.value.requestId !== token.requestId) return failureReply(rejection('ticketForeign'), 1);
     const unsized = req.headers['content-length'] === undefined;
     if (unsized && JSON.stringify(body.value).length > mostBytes(token))
@@ -156,9 +156,9 @@
         : follower.controlState().configuration.mappings?.[request.mapping]?.model;
     return mapped ?? request.model ?? '';
   }
-  function count(model: string, mapping: string | null, e: Ended): void {
-    recordIn(counts, model, e);
-    if (mapping !== null) recordIn(counts, routeSubject(mapping), e);
+  function count(model: string, mapping: string | null, ended: Ended): void {
+    recordIn(counts, model, ended);
+    if (mapping !== null) recordIn(counts, routeSubject(mapping), ended);
   }
 
   async function health(): Promise<HttpReply> {
--- a/src/coordination/edge/proxy.ts
+++ b/src/coordination/edge/proxy.ts
@@ -7,7 +7,7 @@
 import type { CountTable } from '../../state/aim-counts.js';
 import { createWorkerTable } from '../../state/worker-table.js';
 import { every, delay } from '../../transport/clock.js';
-import type { WireFault, Address } from '../../transport/wire.js';
+import type { WireError, Address } from '../../transport/wire.js';
 import { createClaimClient } from './claim-client.js';
 import { createPlatformClient } from '../scaling/cloud-client.js';
 import { createDispatcher } from './dispatcher.js';
@@ -47,7 +47,7 @@
 const COUNTS_EVERY = 10;
 const STOP_WAIT_MS = 10_000;
 
-export async function startProxy(id: NodeIdentity, deps: NodeDeps): Promise<Result<Proxy, WireFault>> {
+export async function startProxy(id: NodeIdentity, deps: NodeDeps): Promise<Result<Proxy, WireError>> {
   const { clock, rng, logs, httpClient } = deps;
   const log = logs.component('proxy');
   const peers = createPeers(deps.wire, clock, logs.component('peers'));
@@ -118,23 +118,23 @@
   let count = 0;
   const counts: CountTable = {};
   let incarnation = life;
-  function onOutlived(m: MessageOf<'outlived'>): null {
-    if (m.reporter === id.name && m.incarnation >= incarnation) incarnation = m.incarnation + 1;
+  function onOutlived(message: MessageOf<'outlived'>): null {
+    if (message.reporter === id.name && message.incarnation >= incarnation) incarnation = message.incarnation + 1;
     return null;
   }
   peers.on('outlived', onOutlived);
   function report(): void {
-    const t = dispatcher.tally();
+    const tally = dispatcher.tally();
     count += 1;
     const told: Report = {
       reporter: id.name,
       run: id.run,
       incarnation,
       count,
-      requests: t.requests,
-      shed: t.shed,
-      attempted: t.attempted,
-      retried: t.retried,
+      requests: tally.requests,
+      shed: tally.shed,
+      attempted: tally.attempted,
+      retried: tally.retried,
       slot: follower.controlState().slot,
       health: watch.verdicts(),
       http: id.http,
@@ -150,26 +150,26 @@
 
   function status(): unknown {
     const workers = [];
-    for (const r of table.rows()) {
+    for (const row of table.rows()) {
       workers.push({
-        id: r.listed.id,
-        model: r.listed.model,
-        zone: r.listed.zone,
-        kind: r.listed.kind,
-        state: r.listed.state,
-        leaving: r.leaving,
-        ready: r.ready,
-        silences: r.missedProbes,
-        inFlight: r.inFlight,
-        reported: r.reported,
+        id: row.listed.id,
+        model: row.listed.model,
+        zone: row.listed.zone,
+        kind: row.listed.kind,
+        state: row.listed.state,
+        leaving: row.leaving,
+        ready: row.ready,
+        silences: row.missedProbes,
+        inFlight: row.inFlight,
+        reported: row.reported,
       });
     }
-    const b = follower.controlState();
+    const state = follower.controlState();
     return {
       name: id.name,
       role: 'proxy',
-      slot: b.slot,
-      version: b.version,
+      slot: state.slot,
+      version: state.version,
       fresh: ready(),
       partitioned: follower.partitioned(),
       platformAgeMs: watch.listAgeMs(),
@@ -179,25 +179,25 @@
     };
   }
 
-  function meter(m: Meters): void {
-    const t = dispatcher.tally();
-    for (const [model, n] of Object.entries(t.requests))
-      m.count('millfield_requests_total', 'Requests asked for', n, { model });
-    m.count('millfield_shed_total', 'Requests shed as not run', t.shed);
-    m.count('millfield_attempts_total', 'Attempts to workers', t.attempted);
-    m.count('millfield_retries_total', 'Attempts beyond the first', t.retried);
-    m.count('millfield_streams_cut_total', 'Streams that broke off', t.cut);
-    m.set('millfield_line_length', 'Requests waiting for a worker', t.waiting);
-    m.set('millfield_requests_open', 'Requests in flight at workers', t.inFlight);
-    m.set('millfield_slot', 'Newest ledger slot', follower.controlState().slot);
-    m.set('millfield_version', 'Configuration in force', follower.controlState().version);
-    m.set('millfield_serving', '1 once a controller was heard', ready() ? 1 : 0);
-    m.set('millfield_partitioned', '1 while no controller is heard', follower.partitioned() ? 1 : 0);
-    m.set('millfield_platform_age_ms', "Age of the platform's list", watch.listAgeMs() ?? -1);
-    for (const r of table.rows()) {
-      m.set('millfield_worker_in_flight', 'Requests of this proxy on a worker', r.inFlight, {
-        worker: r.listed.id,
-        model: r.listed.model,
+  function meter(meters: Meters): void {
+    const tally = dispatcher.tally();
+    for (const [model, count] of Object.entries(tally.requests))
+      meters.count('millfield_requests_total', 'Requests asked for', count, { model });
+    meters.count('millfield_shed_total', 'Requests shed as not run', tally.shed);
+    meters.count('millfield_attempts_total', 'Attempts to workers', tally.attempted);
+    meters.count('millfield_retries_total', 'Attempts beyond the first', tally.retried);
+    meters.count('millfield_streams_cut_total', 'Streams that broke off', tally.cut);
+    meters.set('millfield_line_length', 'Requests waiting for a worker', tally.waiting);
+    meters.set('millfield_requests_open', 'Requests in flight at workers', tally.inFlight);
+    meters.set('millfield_slot', 'Newest ledger slot', follower.controlState().slot);
+    meters.set('millfield_version', 'Configuration in force', follower.controlState().version);
+    meters.set('millfield_serving', '1 once a controller was heard', ready() ? 1 : 0);
+    meters.set('millfield_partitioned', '1 while no controller is heard', follower.partitioned() ? 1 : 0);
+    meters.set('millfield_platform_age_ms', "Age of the platform's list", watch.listAgeMs() ?? -1);
+    for (const row of table.rows()) {
+      meters.set('millfield_worker_in_flight', 'Requests of this proxy on a worker', row.inFlight, {
+        worker: row.listed.id,
+        model: row.listed.model,
       });
     }
   }
@@ -209,17 +209,17 @@
   const httpServer = await deps.httpServer.open(id.httpListen, routes);
   if (!httpServer.ok) {
     await peers.close();
-    return err(httpServer.fault);
+    return err(httpServer.error);
   }
   log.info(`Serves ${id.zone} at ${httpServer.value.address}, peers at ${opened.value.address}.`);
   const served = httpServer.value;
 
   function view(): ProxyView {
-    const b = follower.controlState();
+    const state = follower.controlState();
     return {
-      slot: b.slot,
-      version: b.version,
-      configuration: b.configuration,
+      slot: state.slot,
+      version: state.version,
+      configuration: state.configuration,
       serving: ready(),
       partitioned: follower.partitioned(),
     };
--- a/src/coordination/edge/pushed-list.ts
+++ b/src/coordination/edge/pushed-list.ts
@@ -49,11 +49,11 @@
     this.updates = createWorkerListUpdates(this.deps.peers, this.deps.clock, this.pace);
     this.ownDue = this.deps.clock.mono() + this.pace.ownMs * (1 + this.deps.rng.next());
 
-    this.updates.events.on('taken', (e) => this.onApplied(e));
+    this.updates.events.on('taken', (event) => this.onApplied(event));
 
     this.updates.events.on('missed', () => this.onMissed());
 
-    this.updates.events.on('woke', (e) => this.onWoke(e));
+    this.updates.events.on('woke', (event) => this.onWoke(event));
 
     this.tick();
   }
@@ -89,10 +89,10 @@
     void this.turn();
   }
 
-  private onApplied(e: { readonly contents: boolean }): void {
+  private onApplied(event: { readonly contents: boolean }): void {
     const replaced = this.own !== null && this.pushedNewest();
     if (replaced) this.own = null;
-    if ((e.contents && this.own === null) || replaced) this.emitChanged();
+    if ((event.contents && this.own === null) || replaced) this.emitChanged();
     if (this.updates.isFresh()) this.onFresh();
     else if (this.updates.reportedUnresponsive() && !this.spread) {
       this.spread = true;
@@ -114,8 +114,8 @@
     void this.queryRound();
   }
 
-  private onWoke(e: { readonly afterMs: number }): void {
-    this.deps.log.warn(`Stood still for ${Math.round(e.afterMs)} ms; the list is asked for anew.`);
+  private onWoke(event: { readonly afterMs: number }): void {
+    this.deps.log.warn(`Stood still for ${Math.round(event.afterMs)} ms; the list is asked for anew.`);
     this.ownDue = Math.min(
       this.ownDue,
       this.deps.clock.mono() + this.pace.queryTimeoutMs + OWN_JITTER_MS * this.deps.rng.next(),
@@ -157,13 +157,13 @@
     this.ownDue = from + this.pace.readMs + OWN_PAUSE_MS;
     if (!this.readsItself) this.deps.log.warn('Hears no list from any controller; reads it from the platform.');
     this.readsItself = true;
-    const got = await readWithin(this.deps.reader, this.deps.clock, this.pace.readMs);
+    const response = await readWithin(this.deps.reader, this.deps.clock, this.pace.readMs);
     this.updates.detectStandstill();
     if (this.stopped) return;
-    const good = got?.ok === true && this.deps.clock.mono() - from <= STOOD_STILL_MS;
+    const good = response?.ok === true && this.deps.clock.mono() - from <= STOOD_STILL_MS;
     this.ownBackoffMs = good ? OWN_PAUSE_MS : Math.min(OWN_PAUSE_MOST_MS, this.ownBackoffMs * 2);
     if (!this.updates.isFresh()) this.ownDue = from + this.ownBackoffMs * (1 + 0.3 * this.deps.rng.next());
-    if (good && got.ok) this.onOwnReading(got.value, from);
+    if (good && response.ok) this.onOwnReading(response.value, from);
     this.arm();
   }
 
--- a/src/coordination/edge/read-within.ts
+++ b/src/coordination/edge/read-within.ts
@@ -1,21 +1,21 @@
 import type { Result } from '../../base/result.js';
 import type { WorkerEntry } from '../../state/worker-entry.js';
 import type { Clock } from '../../transport/clock.js';
-import type { WorkerListFault, WorkerListReader } from './list-feed.js';
+import type { WorkerListError, WorkerListReader } from './list-feed.js';
 
 export function readWithin(
   reader: WorkerListReader,
   clock: Clock,
   ms: number,
-): Promise<Result<readonly WorkerEntry[], WorkerListFault> | null> {
-  function start(resolve: (got: Result<readonly WorkerEntry[], WorkerListFault> | null) => void): void {
+): Promise<Result<readonly WorkerEntry[], WorkerListError> | null> {
+  function start(resolve: (response: Result<readonly WorkerEntry[], WorkerListError> | null) => void): void {
     function late(): void {
       resolve(null);
     }
     const timer = clock.timer(ms, late);
-    function read(got: Result<readonly WorkerEntry[], WorkerListFault>): void {
+    function read(response: Result<readonly WorkerEntry[], WorkerListError>): void {
       timer.cancel();
-      resolve(got);
+      resolve(response);
     }
     void reader.read().then(read);
   }
--- a/src/coordination/edge/relay.ts
+++ b/src/coordination/edge/relay.ts
@@ -145,7 +145,7 @@
     const route = table.match(incoming.get('host') ?? '', incoming.target.split('?', 1)[0] ?? '/');
     const body = await incoming.body(table.serving.limits.bodyBytes);
     if (!body.ok) {
-      if (body.fault.tag === 'bodyTooLarge') this.answers.refuse(incoming, 413, 'bodyTooLarge', null);
+      if (body.error.tag === 'bodyTooLarge') this.answers.refuse(incoming, 413, 'bodyTooLarge', null);
       return;
     }
     await this.serveBody(incoming, route, body.value, cameAt);
--- a/src/coordination/edge/seat-queue.ts
+++ b/src/coordination/edge/seat-queue.ts
@@ -83,7 +83,7 @@
     });
     if (choice.tag !== 'chosen')
       return choice.stoppedBy === 'room' ? null : this.none(avoid.size > 0 ? 'workersShed' : 'noWorker');
-    const row = this.deps.table.begin(choice.candidate.ix);
+    const row = this.deps.table.begin(choice.candidate.index);
     if (!row) return this.none('noWorker');
     this.paceOf(token.model).record(this.deps.clock.mono());
     return { tag: 'seat', candidate: choice.candidate, row };
--- a/src/coordination/edge/silence-watch.ts
+++ b/src/coordination/edge/silence-watch.ts
@@ -34,24 +34,25 @@
   constructor(private readonly deps: UnresponsiveWorkerWatchDeps) {}
 
   begin(row: RegistryRow, call: WatchedAttempt): void {
-    const of = this.pending.get(row) ?? new Set<WatchedAttempt>();
-    this.pending.set(row, of);
-    of.add(call);
+    const watched = this.pending.get(row) ?? new Set<WatchedAttempt>();
+    this.pending.set(row, watched);
+    watched.add(call);
     this.arm();
   }
 
   end(row: RegistryRow, call: WatchedAttempt): void {
-    const of = this.pending.get(row);
-    of?.delete(call);
-    if (of?.size === 0) {
+    const watched = this.pending.get(row);
+    watched?.delete(call);
+    if (watched?.size === 0) {
       this.pending.delete(row);
       this.spokenFor.delete(row);
     }
   }
 
-  private quietMs(of: ReadonlySet<WatchedAttempt>, now: number): number {
+  private quietMs(watched: ReadonlySet<WatchedAttempt>, now: number): number {
     let least = Infinity;
-    for (const f of of) least = Math.min(least, now - Math.max(f.sentAt, f.lastEventAt));
+    for (const watchedAttempt of watched)
+      least = Math.min(least, now - Math.max(watchedAttempt.sentAt, watchedAttempt.lastEventAt));
     return least;
   }
 
@@ -76,7 +77,7 @@
       if (!first) return;
       this.deps.log.warn(`${row.entry.id} in ${row.entry.zone} can't be reached.`);
       this.suspectZone(row);
-      for (const f of [...(this.pending.get(row) ?? [])]) f.onUnresponsive();
+      for (const watchedAttempt of [...(this.pending.get(row) ?? [])]) watchedAttempt.onUnresponsive();
     };
     this.deps.connectionPool.check(row.entry.address, this.deps.registry.connectMs(row), done);
   }
@@ -90,8 +91,8 @@
         this.deps.connectionPool.open(other.entry.address) === 0
       )
         continue;
-      const of = this.pending.get(other);
-      if (of && this.quietMs(of, this.deps.clock.mono()) < this.deps.responseTimeoutMs / 2) continue;
+      const watched = this.pending.get(other);
+      if (watched && this.quietMs(watched, this.deps.clock.mono()) < this.deps.responseTimeoutMs / 2) continue;
       other.unproven = true;
       this.check(other);
     }
@@ -106,9 +107,9 @@
 
   private checkAll(): void {
     const now = this.deps.clock.mono();
-    for (const [row, of] of this.pending) {
+    for (const [row, watched] of this.pending) {
       if (
-        this.quietMs(of, now) < this.deps.responseTimeoutMs ||
+        this.quietMs(watched, now) < this.deps.responseTimeoutMs ||
         now - (this.spokenFor.get(row) ?? -RECHECK_MS) < RECHECK_MS
       )
         continue;
--- a/src/coordination/edge/worker-call.ts
+++ b/src/coordination/edge/worker-call.ts
@@ -13,7 +13,7 @@
 import type { WorkerRow } from '../../state/worker-row.js';
 import type { WorkerTable } from '../../state/worker-table.js';
 import type { Clock } from '../../transport/clock.js';
-import type { HttpAnswer, HttpClient, HttpFault } from '../../transport/http.js';
+import type { HttpAnswer, HttpClient, HttpError } from '../../transport/http.js';
 import type { Log } from '../../transport/log.js';
 import type { PendingCall, PendingCalls } from './flights.js';
 
@@ -52,7 +52,7 @@
 type GoodLine =
   | { readonly tag: 'piece'; readonly piece: { readonly n: number; readonly text: string } }
   | { readonly tag: 'seal'; readonly seal: ResponseDigest };
-type NextLine = GoodLine | { readonly tag: 'fault'; readonly outcome: AttemptOutcome; readonly failure: Failure };
+type NextLine = GoodLine | { readonly tag: 'error'; readonly outcome: AttemptOutcome; readonly failure: Failure };
 
 const RETRY_AFTER_S = 1;
 const WORKER_FAILED: Failure = { tag: 'workerFailed' };
@@ -64,7 +64,7 @@
   async function callWorker(call: WorkerCall): Promise<WorkerCallEnd> {
     const { candidate, run } = call;
     const watched = pending.begin(call.row, call.pieceWaitMs);
-    const got = await httpClient.call({
+    const response = await httpClient.call({
       method: 'POST',
       address: candidate.address,
       path: RUN_PATH,
@@ -73,22 +73,22 @@
       stream: run.stream,
       signal: watched.abort.signal,
     });
-    if (got.ok && got.value.status === 200 && run.stream) return streamEnd(call, watched, got.value);
+    if (response.ok && response.value.status === 200 && run.stream) return streamEnd(call, watched, response.value);
     end(watched);
-    if (!got.ok) return faultEnd(candidate, got.fault);
-    return got.value.status === 200 ? completeEnd(call, got.value.body) : refusalEnd(call, got.value);
+    if (!response.ok) return errorEnd(candidate, response.error);
+    return response.value.status === 200 ? completeEnd(call, response.value.body) : refusalEnd(call, response.value);
   }
 
-  function faultEnd(candidate: Candidate, fault: HttpFault): WorkerCallEnd {
-    if (fault.tag === 'neverSent') table.recordMissedProbe(candidate.id);
-    return { tag: 'failed', outcome: outcomeOf(fault), failure: WORKER_FAILED };
+  function errorEnd(candidate: Candidate, error: HttpError): WorkerCallEnd {
+    if (error.tag === 'neverSent') table.recordMissedProbe(candidate.id);
+    return { tag: 'failed', outcome: outcomeOf(error), failure: WORKER_FAILED };
   }
 
   function refusalEnd({ candidate, run }: WorkerCall, answer: HttpAnswer): WorkerCallEnd {
     const notRun = readNotRun(answer.body);
     const ours = notRun.ok && notRun.value.requestId === run.requestId && notRun.value.attemptId === run.attemptId;
     if (answer.status === 503 && ours) {
-      table.recordRefused(candidate.ix);
+      table.recordRefused(candidate.index);
       return { tag: 'failed', outcome: { tag: 'notExecuted', retryAfterS: RETRY_AFTER_S }, failure: WORKER_FAILED };
     }
     answer.abandon();
@@ -107,7 +107,7 @@
     const check = startDigest(call.run.requestId, call.run.attemptId);
     const lines = answer.lines[Symbol.asyncIterator]();
     const first = await heard();
-    if (first.tag === 'fault') {
+    if (first.tag === 'error') {
       end(watched);
       answer.abandon();
       return { tag: 'failed', outcome: first.outcome, failure: first.failure };
@@ -123,7 +123,7 @@
     async function* relay(head: GoodLine): AsyncGenerator<AnswerLine> {
       try {
         for (let at: NextLine = head; ; at = await heard()) {
-          if (at.tag === 'fault') {
+          if (at.tag === 'error') {
             deps.onCut();
             yield {
               error:
@@ -154,8 +154,8 @@
   return callWorker;
 }
 
-function outcomeOf(fault: HttpFault): AttemptOutcome {
-  switch (fault.tag) {
+function outcomeOf(error: HttpError): AttemptOutcome {
+  switch (error.tag) {
     case 'neverSent':
       return { tag: 'notConnected' };
     case 'broken':
@@ -175,11 +175,11 @@
 
 async function nextLine(lines: AsyncIterator<Result<unknown, unknown>>, check: DigestCheck): Promise<NextLine> {
   const next = await lines.next();
-  if (next.done || !next.value.ok) return { tag: 'fault', outcome: { tag: 'answerCut' }, failure: WORKER_FAILED };
+  if (next.done || !next.value.ok) return { tag: 'error', outcome: { tag: 'answerCut' }, failure: WORKER_FAILED };
   const read = readStreamLine(next.value.value);
-  if (!read.ok) return { tag: 'fault', outcome: { tag: 'garbled' }, failure: BAD_SEAL };
+  if (!read.ok) return { tag: 'error', outcome: { tag: 'garbled' }, failure: BAD_SEAL };
   const line = read.value;
-  const fault = 'piece' in line ? addChunk(check, line.piece) : checkDigest(check, line.seal);
-  if (fault) return { tag: 'fault', outcome: { tag: 'garbled' }, failure: BAD_SEAL };
+  const error = 'piece' in line ? addChunk(check, line.piece) : checkDigest(check, line.seal);
+  if (error) return { tag: 'error', outcome: { tag: 'garbled' }, failure: BAD_SEAL };
   return 'piece' in line ? { tag: 'piece', piece: line.piece } : { tag: 'seal', seal: line.seal };
 }
--- a/src/coordination/edge/worker-watch.ts
+++ b/src/coordination/edge/worker-watch.ts
@@ -49,36 +49,36 @@
   }
 
   private async pollList(): Promise<void> {
-    const got = await this.deps.source.read();
-    if (got.ok) {
-      const asOf = this.deps.clock.mono() - got.value.ageMs;
+    const response = await this.deps.source.read();
+    if (response.ok) {
+      const asOf = this.deps.clock.mono() - response.value.ageMs;
       if (this.listedAt !== null && asOf < this.listedAt) return;
       this.listedAt = asOf;
-      this.deps.table.applyList(got.value.workers, this.deps.clock.mono());
+      this.deps.table.applyList(response.value.workers, this.deps.clock.mono());
       this.deps.onChange();
       this.probeStrangers();
     }
-    if (got.ok === this.blind) {
+    if (response.ok === this.blind) {
       this.deps.log.warn(
-        got.ok
+        response.ok
           ? 'The platform answers again.'
-          : `The platform's list was not to be had (${got.fault.tag}); the last one grows old.`,
+          : `The platform's list was not to be had (${response.error.tag}); the last one grows old.`,
       );
     }
-    this.blind = !got.ok;
+    this.blind = !response.ok;
   }
 
   private async probe(listed: Listed): Promise<void> {
     if (this.probing.has(listed.id)) return;
     this.probing.add(listed.id);
-    const got = await this.deps.httpClient.call({
+    const response = await this.deps.httpClient.call({
       method: 'GET',
       address: listed.address,
       path: HEALTH_PATH,
       timeoutMs: PROBE_WAIT_MS,
     });
     this.probing.delete(listed.id);
-    const read = got.ok ? readHealth(got.value.body) : null;
+    const read = response.ok ? readHealth(response.value.body) : null;
     if (read?.ok && read.value.id === listed.id)
       this.deps.table.recordHealth(listed.id, read.value, this.deps.clock.mono());
     else this.deps.table.recordMissedProbe(listed.id);
--- a/src/coordination/http-servers.test.ts
+++ b/src/coordination/http-servers.test.ts
@@ -18,9 +18,9 @@
   body?: unknown,
   headers = {},
 ): Promise<Got> {
-  const got = await fleet.call({ method, address, path, headers, ...(body === undefined ? {} : { body }) });
-  if (!got.ok) throw new Error(got.fault.tag);
-  return { status: got.value.status, body: got.value.body, headers: got.value.headers };
+  const response = await fleet.call({ method, address, path, headers, ...(body === undefined ? {} : { body }) });
+  if (!response.ok) throw new Error(response.error.tag);
+  return { status: response.value.status, body: response.value.body, headers: response.value.headers };
 }
 function proxy(i: number): string {
   return fleet.proxies[i]?.http ?? '';
@@ -34,9 +34,9 @@
   readonly proxy: string;
 };
 async function placed(over: object = {}): Promise<Placement> {
-  const got = await call(proxy(0), 'POST', '/v1/place', { ...ask, ...over });
-  expect(got.status).toBe(200);
-  return got.body as Placement;
+  const response = await call(proxy(0), 'POST', '/v1/place', { ...ask, ...over });
+  expect(response.status).toBe(200);
+  return response.body as Placement;
 }
 function send(p: Placement, over: object = {}, address = p.address): Promise<Got> {
   return call(
@@ -59,8 +59,8 @@
     ['an unknown key', { ...ask, colour: 'red' }],
     ['no body', undefined],
   ])('place turns away %s', async (_what, body) => {
-    const got = await call(proxy(0), 'POST', '/v1/place', body ?? 7);
-    expect([got.status, (got.body as { error: { tag: string } }).error.tag]).toEqual([400, 'malformed']);
+    const response = await call(proxy(0), 'POST', '/v1/place', body ?? 7);
+    expect([response.status, (response.body as { error: { tag: string } }).error.tag]).toEqual([400, 'malformed']);
   });
 
   test('a place answer goes by the zone of the caller, whichever proxy it asked', async () => {
@@ -75,19 +75,19 @@
 
   test('an unknown model or mapping is told as such', async () => {
     for (const over of [{ model: 'ghost' }, { model: undefined, mapping: 'ghost' }]) {
-      const got = await call(proxy(1), 'POST', '/v1/place', { ...ask, ...over });
-      expect([got.status, got.body]).toEqual([404, { error: { tag: 'unknownModel' } }]);
+      const response = await call(proxy(1), 'POST', '/v1/place', { ...ask, ...over });
+      expect([response.status, response.body]).toEqual([404, { error: { tag: 'unknownModel' } }]);
     }
   });
 
   test('homes that no worker stands in are shed, not run', async () => {
-    const got = await call(proxy(0), 'POST', '/v1/place', {
+    const response = await call(proxy(0), 'POST', '/v1/place', {
       ...ask,
       model: 'card-gateway',
       kind: 'card',
       homes: ['romania'],
     });
-    expect([got.status, got.body]).toEqual([503, rejection('outsideHomes')]);
+    expect([response.status, response.body]).toEqual([503, rejection('outsideHomes')]);
   });
 
   test('a ticket serves once, at its proxy, in its time', async () => {
@@ -123,8 +123,8 @@
     const once = { model: 'card-gateway', kind: 'card', repeatable: false };
     const now = SIM_WALL + fleet.world.now();
     const told = async (key: string): Promise<unknown[]> => {
-      const got = await send(await placed(once), { key });
-      return [got.status, (got.body as { error?: { tag: string } }).error?.tag ?? 'ran'];
+      const response = await send(await placed(once), { key });
+      return [response.status, (response.body as { error?: { tag: string } }).error?.tag ?? 'ran'];
     };
     expect(await told('auth-991')).toEqual([400, 'malformed']);
     expect(await told(runKey('late', now + 13 * 3_600_000))).toEqual([400, 'malformed']);
@@ -188,9 +188,9 @@
     ['a name of the language', { path: ['deployment', '__proto__', 'nExtra'], value: 1 }],
   ])('a wrong type at any depth is told with its place, and not agreed: %s', async (_what, change) => {
     const base = await version();
-    const got = await core('POST', '/v1/configuration/amend', { base, changes: [change] });
-    expect(got.status).toBe(422);
-    expect((got.body as { error: { faults: { path: string }[] } }).error.faults.length).toBeGreaterThan(0);
+    const response = await core('POST', '/v1/configuration/amend', { base, changes: [change] });
+    expect(response.status).toBe(422);
+    expect((response.body as { error: { faults: { path: string }[] } }).error.faults.length).toBeGreaterThan(0);
     expect(await version()).toBe(base);
   });
 
@@ -201,11 +201,14 @@
         { model: 'summary', kind: `kind-of-request-number-${i}` },
       ]),
     );
-    const got = await core('POST', '/v1/configuration/amend', {
+    const response = await core('POST', '/v1/configuration/amend', {
       base: await version(),
       changes: [{ path: ['mappings'], value: mappings }],
     });
-    expect([got.status, (got.body as { error: { tag: string } }).error.tag]).toEqual([413, 'changesTooLarge']);
+    expect([response.status, (response.body as { error: { tag: string } }).error.tag]).toEqual([
+      413,
+      'changesTooLarge',
+    ]);
     expect((await core('POST', '/v1/configuration/burn', {})).status).toBe(404);
     expect(
       (await core('POST', '/v1/configuration', { base: await version(), configuration: {}, colour: 1 })).status,
@@ -213,12 +216,12 @@
   });
 
   test('read back tells raw, resolved, and the level of each value', async () => {
-    const got = (await core('GET', '/v1/configuration')).body as {
+    const response = (await core('GET', '/v1/configuration')).body as {
       configuration: object;
       resolved: { model: string; values: Record<string, unknown>; levels: Record<string, string> }[];
     };
-    const summary = got.resolved.find((r) => r.model === 'summary');
-    expect(got.configuration).toMatchObject({ deployment: { lineLimit: 50 } });
+    const summary = response.resolved.find((r) => r.model === 'summary');
+    expect(response.configuration).toMatchObject({ deployment: { lineLimit: 50 } });
     expect([
       summary?.values['lineLimit'],
       summary?.levels['lineLimit'],
--- a/src/coordination/ledger/aim-keeper.ts
+++ b/src/coordination/ledger/aim-keeper.ts
@@ -31,7 +31,7 @@
   ) {
     this.startedAt = this.clock.mono();
 
-    this.peers.on('counts', (m) => this.onCounts(m));
+    this.peers.on('counts', (message) => this.onCounts(message));
     this.turning = every(this.clock, 1_000, () => this.closePast());
   }
 
@@ -44,12 +44,13 @@
       this.book.close(this.closed, Object.keys(this.ledger.controlState().proxies));
   }
 
-  private onCounts(m: MessageOf<'counts'>): null {
+  private onCounts(message: MessageOf<'counts'>): null {
     this.closePast();
-    this.book.record(m.reporter, m.incarnation, m.totals, this.minute());
-    if (m.by === undefined)
+    this.book.record(message.reporter, message.incarnation, message.totals, this.minute());
+    if (message.by === undefined)
       for (const to of this.ledger.controlState().members)
-        if (to.name !== this.ledger.self.name) void this.peers.send(to.address, { ...m, by: this.ledger.self.name });
+        if (to.name !== this.ledger.self.name)
+          void this.peers.send(to.address, { ...message, by: this.ledger.self.name });
     return null;
   }
 
@@ -57,7 +58,7 @@
     this.closePast();
     const table: CountTable = {};
     recordIn(table, CHANGES_SUBJECT, { outcome: 'good', firstMs: null, wholeMs: ms });
-    for (const [subject, c] of Object.entries(table)) this.book.recordOwn(subject, c, this.minute());
+    for (const [subject, counts] of Object.entries(table)) this.book.recordOwn(subject, counts, this.minute());
   }
 
   last(minutes: number): MinuteCounts {
--- a/src/coordination/ledger/catch-up.ts
+++ b/src/coordination/ledger/catch-up.ts
@@ -68,7 +68,7 @@
     });
     this.receiver = createSnapshotReceiver(this.deps.peers, this.deps.clock, this.deps.log);
 
-    this.deps.peers.on('fetch', (m) => this.onFetch(m));
+    this.deps.peers.on('fetch', (message) => this.onFetch(message));
   }
 
   private keepsFrom(slot: number): boolean {
@@ -120,7 +120,7 @@
   /** All at once, so that the disk syncs a page and not each slot. */
   private async learnAll(batches: readonly SlotBatch[]): Promise<void> {
     const learning: Promise<void>[] = [];
-    for (const b of batches) learning.push(this.deps.learn(b.slot, b.batch));
+    for (const second of batches) learning.push(this.deps.learn(second.slot, second.batch));
     await Promise.all(learning);
   }
 
@@ -128,14 +128,15 @@
     return this.snapshots.offer('controller', slot);
   }
 
-  private onFetch(m: MessageOf<'fetch'>): Message {
-    if (m.ledger !== '' && m.ledger !== this.deps.controlState().ledger) return { kind: 'fetched', batches: [] };
+  private onFetch(message: MessageOf<'fetch'>): Message {
+    if (message.ledger !== '' && message.ledger !== this.deps.controlState().ledger)
+      return { kind: 'fetched', batches: [] };
     const snapshot =
-      m.ledger === ''
-        ? this.offerToController(m.from)
-        : snapshotInstead(this.deps.store, m.from, (slot) => this.offerToController(slot));
+      message.ledger === ''
+        ? this.offerToController(message.from)
+        : snapshotInstead(this.deps.store, message.from, (slot) => this.offerToController(slot));
     if (snapshot) return { kind: 'fetched', snapshot, batches: [] };
-    return { kind: 'fetched', batches: [...(this.deps.store.page(m.from, PAGE_BYTES) ?? [])] };
+    return { kind: 'fetched', batches: [...(this.deps.store.page(message.from, PAGE_BYTES) ?? [])] };
   }
 }
 
--- a/src/coordination/ledger/claims.test.ts
+++ b/src/coordination/ledger/claims.test.ts
@@ -42,8 +42,8 @@
   const own: Handlers = new Map();
   r.handlers.set(address, own);
   async function call(to: string, m: Message): Promise<unknown> {
-    const got = r.lost.next(m) ? null : await r.handlers.get(to)?.get(m.kind)?.(m);
-    return got ? { ok: true, value: got } : { ok: false, fault: { tag: 'peerSilent', address: to } };
+    const response = r.lost.next(m) ? null : await r.handlers.get(to)?.get(m.kind)?.(m);
+    return response ? { ok: true, value: response } : { ok: false, error: { tag: 'peerSilent', address: to } };
   }
   return { call, on: (kind: string, fn: never) => own.set(kind, fn) } as unknown as Peers;
 }
@@ -166,8 +166,8 @@
     for (let hour = 0; hour < 50; hour += 1) {
       const at = born + hour * HOUR_MS;
       const claims = Array.from({ length: 200 }, (_, i) => ({ key: `k${hour}-${i}`, by: 't1', born: at }));
-      const got = await v.ask({ ...claim(r, '', ''), claims });
-      expect(got?.kind === 'claimAnswer' && got.answers.every((a) => a.tag === 'claimed')).toBe(true);
+      const response = await v.ask({ ...claim(r, '', ''), claims });
+      expect(response?.kind === 'claimAnswer' && response.answers.every((a) => a.tag === 'claimed')).toBe(true);
       await r.world.advance(HOUR_MS);
       most = Math.max(most, v.size());
       for (const back of [1, 20, 24, 30, 49]) {
--- a/src/coordination/ledger/claims.ts
+++ b/src/coordination/ledger/claims.ts
@@ -22,7 +22,7 @@
 import type { Disk } from '../../transport/disk.js';
 import type { Log } from '../../transport/log.js';
 import { openRing } from '../../transport/ring.js';
-import type { Opened, RingFault, RingShape } from '../../transport/ring.js';
+import type { Opened, RingError, RingShape } from '../../transport/ring.js';
 import type { Ledger } from './ledger.js';
 import type { Peers } from '../members/peers.js';
 
@@ -58,11 +58,11 @@
   return record[0] !== RECORD_MARK;
 }
 
-function isRanges(u: unknown): u is readonly HourRange[] {
-  return Array.isArray(u) && u.every(isRange);
+function isRanges(value: unknown): value is readonly HourRange[] {
+  return Array.isArray(value) && value.every(isRange);
 }
-function isRange(u: unknown): boolean {
-  return Array.isArray(u) && u.length === 2 && Number.isInteger(u[0]) && Number.isInteger(u[1]);
+function isRange(value: unknown): boolean {
+  return Array.isArray(value) && value.length === 2 && Number.isInteger(value[0]) && Number.isInteger(value[1]);
 }
 
 function encodedRecord(record: Buffer, uptime: number): Buffer {
@@ -91,7 +91,7 @@
   shape: RingShape,
   clock: Clock,
   log: Log,
-): Promise<Result<Claims, RingFault>> {
+): Promise<Result<Claims, RingError>> {
   const opened = await openRing(disk, shape);
   if (!opened.ok) return opened;
   const { snapshot, records } = opened.value;
@@ -144,11 +144,11 @@
     this.openedAt = this.clock.mono();
     this.queue = createBatchQueue((commands) => this.work(commands));
 
-    this.peers.on('claim', (m) => this.onClaim(m));
+    this.peers.on('claim', (message) => this.onClaim(message));
 
-    this.peers.on('claimEnds', (m) => this.onEnds(m));
+    this.peers.on('claimEnds', (message) => this.onEnds(message));
 
-    this.peers.on('claimsAsk', (m) => this.onPageRequest(m));
+    this.peers.on('claimsAsk', (message) => this.onPageRequest(message));
     this.heartbeatTimer = every(this.clock, 1_000, () => this.heartbeat());
     this.forgetting = every(this.clock, FORGET_EVERY_MS, () => this.forget());
   }
@@ -184,29 +184,29 @@
     const answers: (ClaimAnswer[] | null)[] = [];
     const writes: Buffer[] = [];
     let complete = false;
-    for (const c of commands) {
-      if (c.tag === 'claim' && c.members !== membersDigest(this.ledger.controlState().members)) {
+    for (const command of commands) {
+      if (command.tag === 'claim' && command.members !== membersDigest(this.ledger.controlState().members)) {
         answers.push(null);
         continue;
       }
       const ownAnswers: ClaimAnswer[] = [];
       answers.push(ownAnswers);
       const now = this.uptime();
-      if (c.tag === 'claim') {
-        for (const claim of c.claims) {
+      if (command.tag === 'claim') {
+        for (const claim of command.claims) {
           const step = this.table.claim(claim, now);
           if (step.record) writes.push(encodedRecord(step.record, now));
           ownAnswers.push(step.answer);
         }
-      } else if (c.tag === 'end') {
-        for (const e of c.ends) {
-          const record = this.table.end(e, now);
+      } else if (command.tag === 'end') {
+        for (const event of command.ends) {
+          const record = this.table.end(event, now);
           if (record) writes.push(encodedRecord(record, now));
         }
-      } else if (c.tag === 'rebuild') {
-        this.table.addForgotten(c.forgotten);
-        for (const r of c.records) this.table.merge(r, now);
-        this.readyFor = c.member;
+      } else if (command.tag === 'rebuild') {
+        this.table.addForgotten(command.forgotten);
+        for (const buffer of command.records) this.table.merge(buffer, now);
+        this.readyFor = command.member;
         complete = true;
       } else this.table.forgetBefore(now - CLAIMS_KEPT_MS);
     }
@@ -214,10 +214,10 @@
     this.aheadOfDisk = true;
     if (complete || this.opened.ring.crowded()) return (await this.compacted()) ? answers : commands.map(none);
     const written = await this.opened.ring.append(writes);
-    if (!written.ok && written.fault.tag === 'ringFull') return (await this.compacted()) ? answers : commands.map(none);
+    if (!written.ok && written.error.tag === 'ringFull') return (await this.compacted()) ? answers : commands.map(none);
     this.aheadOfDisk = !written.ok;
     if (written.ok) return answers;
-    this.log.error(`Cannot write claims (${written.fault.tag}); none is granted.`);
+    this.log.error(`Cannot write claims (${written.error.tag}); none is granted.`);
     return commands.map(none);
   }
 
@@ -227,35 +227,35 @@
       Buffer.concat([Buffer.from(`${JSON.stringify(head)}\n`), this.table.packed()]),
     );
     this.aheadOfDisk = !done.ok;
-    if (!done.ok) this.log.error(`Cannot write claims (${done.fault.tag}); none is granted.`);
+    if (!done.ok) this.log.error(`Cannot write claims (${done.error.tag}); none is granted.`);
     return done.ok;
   }
 
-  private mayAnswer(of: string): boolean {
-    return of === this.ledger.controlState().ledger && this.ready() && !this.aheadOfDisk;
+  private mayAnswer(ledgerName: string): boolean {
+    return ledgerName === this.ledger.controlState().ledger && this.ready() && !this.aheadOfDisk;
   }
 
   // The members are compared again when the claim comes into the table (in work): whoever reads all claims asks a voter that
   // knows it as a member, and such a voter grants nothing more for the members before.
-  private async onClaim(m: MessageOf<'claim'>): Promise<Message> {
+  private async onClaim(message: MessageOf<'claim'>): Promise<Message> {
     if (
-      m.ledger !== this.ledger.controlState().ledger ||
+      message.ledger !== this.ledger.controlState().ledger ||
       !this.ready() ||
-      m.members !== membersDigest(this.ledger.controlState().members)
+      message.members !== membersDigest(this.ledger.controlState().members)
     )
       return { kind: 'cannotVote' };
-    const answers = await this.queue.put({ tag: 'claim', members: m.members, claims: m.claims });
+    const answers = await this.queue.put({ tag: 'claim', members: message.members, claims: message.claims });
     return answers ? { kind: 'claimAnswer', voter: this.me(), answers } : { kind: 'cannotVote' };
   }
 
-  private async onEnds(m: MessageOf<'claimEnds'>): Promise<Message> {
-    if (m.ledger !== this.ledger.controlState().ledger || !this.ready()) return { kind: 'cannotVote' };
-    return { kind: 'done', agreed: (await this.queue.put({ tag: 'end', ends: m.ends })) !== null };
+  private async onEnds(message: MessageOf<'claimEnds'>): Promise<Message> {
+    if (message.ledger !== this.ledger.controlState().ledger || !this.ready()) return { kind: 'cannotVote' };
+    return { kind: 'done', agreed: (await this.queue.put({ tag: 'end', ends: message.ends })) !== null };
   }
 
-  private onPageRequest(m: MessageOf<'claimsAsk'>): Message {
-    if (!this.mayAnswer(m.ledger) || !this.knowsMember(m.asker)) return { kind: 'cannotVote' };
-    const page = this.table.page(m.from, PAGE);
+  private onPageRequest(message: MessageOf<'claimsAsk'>): Message {
+    if (!this.mayAnswer(message.ledger) || !this.knowsMember(message.asker)) return { kind: 'cannotVote' };
+    const page = this.table.page(message.from, PAGE);
     return {
       kind: 'claimsPage',
       voter: this.me(),
@@ -266,23 +266,24 @@
   }
 
   private knowsMember(id: string): boolean {
-    for (const m of this.ledger.controlState().members) if (memberId(m) === id) return true;
+    for (const member of this.ledger.controlState().members) if (memberId(member) === id) return true;
     return false;
   }
 
-  private async readAll(m: Member): Promise<FetchedRecords | null> {
+  private async readAll(member: Member): Promise<FetchedRecords | null> {
     const found: Buffer[] = [];
     const forgotten: HourRange[] = [];
     for (let from = 0; from >= 0;) {
-      const got = await this.peers.call(
-        m.address,
+      const response = await this.peers.call(
+        member.address,
         { kind: 'claimsAsk', ledger: this.ledger.controlState().ledger, asker: this.me(), from },
         5_000,
       );
-      if (!got.ok || got.value.kind !== 'claimsPage' || got.value.voter !== memberId(m)) return null;
-      forgotten.push(...got.value.forgotten);
-      found.push(Buffer.from(got.value.records, 'base64'));
-      from = got.value.next;
+      if (!response.ok || response.value.kind !== 'claimsPage' || response.value.voter !== memberId(member))
+        return null;
+      forgotten.push(...response.value.forgotten);
+      found.push(Buffer.from(response.value.records, 'base64'));
+      from = response.value.next;
     }
     return { forgotten, records: found };
   }
@@ -291,19 +292,22 @@
     if (this.ready() || !this.ledger.isMember() || this.rebuilding) return;
     this.rebuilding = true;
     const members = this.ledger.controlState().members;
-    const need = members.length - majorityOf(members) + 1;
+    const quorumSize = members.length - majorityOf(members) + 1;
     const found: Buffer[] = [];
     const forgotten: HourRange[] = [];
     let answered = 0;
-    for (const m of members) {
-      if (memberId(m) === this.me()) continue;
-      const fetched = await this.readAll(m);
+    for (const member of members) {
+      if (memberId(member) === this.me()) continue;
+      const fetched = await this.readAll(member);
       if (!fetched) continue;
       answered += 1;
       forgotten.push(...fetched.forgotten);
       found.push(...fetched.records);
     }
-    if (answered >= need && (await this.queue.put({ tag: 'rebuild', member: this.me(), forgotten, records: found }))) {
+    if (
+      answered >= quorumSize &&
+      (await this.queue.put({ tag: 'rebuild', member: this.me(), forgotten, records: found }))
+    ) {
       this.log.info(`Claims were rebuilt from ${answered} others: ${this.table.size()} held.`);
     }
     this.rebuilding = false;
--- a/src/coordination/ledger/closed-orders-fetch.ts
+++ b/src/coordination/ledger/closed-orders-fetch.ts
@@ -43,14 +43,14 @@
   private readonly ticking: Timer;
 
   constructor(private readonly deps: ClosedOrdersFetchDeps) {
-    this.deps.peers.on('closedAsk', (m) => this.onPageRequest(m));
+    this.deps.peers.on('closedAsk', (message) => this.onPageRequest(message));
     this.ticking = every(this.deps.clock, ASK_EVERY_MS, () => this.tick());
   }
 
-  private onPageRequest(m: MessageOf<'closedAsk'>): Message {
-    if (m.ledger !== this.deps.controlState().ledger)
+  private onPageRequest(message: MessageOf<'closedAsk'>): Message {
+    if (message.ledger !== this.deps.controlState().ledger)
       return { kind: 'closedPage', orders: [], next: null, lacking: true };
-    const page = this.deps.closed.page(m.slots, m.after, PAGE_LENGTH);
+    const page = this.deps.closed.page(message.slots, message.after, PAGE_LENGTH);
     return { kind: 'closedPage', orders: [...page.orders], next: page.next, lacking: page.lacking };
   }
 
@@ -66,7 +66,7 @@
     const orders: string[] = [];
     let complete = true;
     let after: ClosedCursor | null = null;
-    for (let n = 0; n < MOST_PAGES; n += 1) {
+    for (let count = 0; count < MOST_PAGES; count += 1) {
       const reply = await this.deps.peers.call(
         member.address,
         { kind: 'closedAsk', ledger: this.deps.controlState().ledger, slots, after },
--- a/src/coordination/ledger/configuration-service.test.ts
+++ b/src/coordination/ledger/configuration-service.test.ts
@@ -77,8 +77,12 @@
     const s = sharedLedger();
     const service = s.serviceAfter(5);
     await s.run(service.replace(0, serving(7), 'a'));
-    const got = await s.run(service.replace(7, more === null ? null : { ...serving(9), ...more }, 'b'));
-    expect(!got || got.ok || got.fault.tag !== 'invalid' ? got : got.fault.faults.map((f) => f.path)).toEqual([path]);
+    const response = await s.run(service.replace(7, more === null ? null : { ...serving(9), ...more }, 'b'));
+    expect(
+      !response || response.ok || response.error.tag !== 'invalid'
+        ? response
+        : response.error.faults.map((f) => f.path),
+    ).toEqual([path]);
     expect(s.controlState.slot).toBe(0);
     expect(s.now().number).toBe(7);
   });
@@ -95,9 +99,9 @@
         s.serviceAfter(first).replace(7, serving(8, 2), 'x'),
         s.serviceAfter(second).replace(7, serving(9, 3), 'y'),
       ];
-      const got = await s.run(Promise.all(both));
-      const taken = (got ?? []).filter((g) => g.ok);
-      const lost = (got ?? []).filter((g) => !g.ok && g.fault.tag === 'stale');
+      const response = await s.run(Promise.all(both));
+      const taken = (response ?? []).filter((g) => g.ok);
+      const lost = (response ?? []).filter((g) => !g.ok && g.error.tag === 'stale');
       expect([taken.length, lost.length]).toEqual([1, 1]);
       expect(taken).toEqual([TAKEN(s.now().number)]);
     }
@@ -135,11 +139,11 @@
       const s = sharedLedger();
       await s.run(s.serviceAfter(5).replace(0, serving(7), 'a'));
       const sent = [serving(8, 2), serving(8, 3)];
-      const got = await s.run(
+      const response = await s.run(
         Promise.all([s.serviceAfter(first).replace(7, sent[0], 'x'), s.serviceAfter(second).replace(7, sent[1], 'y')]),
       );
-      const winner = (got ?? []).findIndex((g) => g.ok);
-      expect((got ?? []).filter((g) => g.ok).length).toBe(1);
+      const winner = (response ?? []).findIndex((g) => g.ok);
+      expect((response ?? []).filter((g) => g.ok).length).toBe(1);
       expect(shapeOf(s.now())).toEqual(shapeOf(sent[winner]));
       const again = await s.run(
         Promise.all([s.serviceAfter(second).replace(7, sent[0], 'x'), s.serviceAfter(first).replace(7, sent[1], 'y')]),
@@ -206,11 +210,11 @@
     const sends = Array.from({ length: 16 }, (_, i) =>
       s.serviceAfter(1 + ((i * 37) % 60)).replace(7, serving(8 + (i % 8)), `change-${i % 8}`),
     );
-    const got = (await s.run(Promise.all(sends))) ?? [];
-    const winners = got.map((g, i) => (g.ok ? i % 8 : -1)).filter((i) => i >= 0);
+    const response = (await s.run(Promise.all(sends))) ?? [];
+    const winners = response.map((g, i) => (g.ok ? i % 8 : -1)).filter((i) => i >= 0);
     expect(winners.length).toBe(2);
     expect(new Set(winners).size).toBe(1);
-    expect(got.filter((g) => !g.ok && g.fault.tag === 'stale').length).toBe(14);
+    expect(response.filter((g) => !g.ok && g.error.tag === 'stale').length).toBe(14);
     expect(s.now().number).toBe(8 + (winners[0] ?? -1));
   });
 
@@ -224,8 +228,8 @@
       await s.run(s.serviceAfter(5).replace(0, serving(7), 'a'));
       const slow = s.serviceAfter(first).replace(7, serving(8, 2), 'b');
       await s.world.advance(100);
-      const got = await s.run(Promise.all([slow, s.serviceAfter(second).replace(7, serving(8, 2), 'b')]));
-      expect(got).toEqual([TAKEN(8), TAKEN(8)]);
+      const response = await s.run(Promise.all([slow, s.serviceAfter(second).replace(7, serving(8, 2), 'b')]));
+      expect(response).toEqual([TAKEN(8), TAKEN(8)]);
       const { changes } = s.controlState.history;
       expect(changes.map((c) => c.revision?.number)).toEqual([7, 8]);
     }
@@ -250,8 +254,8 @@
     const s = sharedLedger();
     await s.run(s.serviceAfter(5).replace(0, serving(7), 'a'));
     for (const draft of [null, { ...serving(9), models: {} }, serving(3)]) {
-      const got = await s.run(s.serviceAfter(5).replace(3, draft, 'b'));
-      expect(got?.ok === false && ['stale', 'invalid'].includes(got.fault.tag)).toBe(true);
+      const response = await s.run(s.serviceAfter(5).replace(3, draft, 'b'));
+      expect(response?.ok === false && ['stale', 'invalid'].includes(response.error.tag)).toBe(true);
     }
     expect(shapeOf(s.now())).toEqual(shapeOf(serving(7)));
   });
--- a/src/coordination/ledger/configuration-service.ts
+++ b/src/coordination/ledger/configuration-service.ts
@@ -5,8 +5,8 @@
  */
 import { err, ok } from '../../base/result.js';
 import type { Result } from '../../base/result.js';
-import { faultAt } from '../../protocol/codecs.js';
-import type { ConfigFault } from '../../protocol/codecs.js';
+import { errorAt } from '../../protocol/codecs.js';
+import type { ConfigError } from '../../protocol/codecs.js';
 import { readServing } from '../../protocol/serving.js';
 import type { ControlState } from '../../state/control-state.js';
 import type { Change } from '../../state/entry.js';
@@ -28,23 +28,23 @@
 import type { Draft } from './proposal.js';
 
 /** Why an operator's call was not confirmed. Only `stale` and `invalid` say that it was not and will not be applied. */
-export type NumberedFault =
+export type NumberedError =
   | { readonly tag: 'stale'; readonly number: number }
-  | { readonly tag: 'invalid'; readonly faults: readonly ConfigFault[] }
+  | { readonly tag: 'invalid'; readonly faults: readonly ConfigError[] }
   | { readonly tag: 'noMajority' }
   /** It builds on a number so old that a change which was applied then may be forgotten: neither yes nor no is certain. */
   | { readonly tag: 'outcomeUnknown' };
 
 export type Accepted = { readonly tag: 'taken'; readonly number: number };
 /** What a change makes of the configuration that it builds on. */
-export type Edit = (serving: Serving) => Result<unknown, readonly ConfigFault[]>;
+export type Edit = (serving: Serving) => Result<unknown, readonly ConfigError[]>;
 
 /** `digest` is the identity of the request: the same digest is the same change, whenever and wherever it is sent. */
 export interface ConfigurationService {
-  replace(base: number, draft: unknown, digest: string): Promise<Result<Accepted, NumberedFault>>;
-  amend(base: number, edit: Edit, digest: string): Promise<Result<Accepted, NumberedFault>>;
-  read(): Promise<Result<Serving, NumberedFault>>;
-  evacuate(zone: string, begun: boolean): Promise<Result<{ readonly tag: 'taken' }, NumberedFault>>;
+  replace(base: number, draft: unknown, digest: string): Promise<Result<Accepted, NumberedError>>;
+  amend(base: number, edit: Edit, digest: string): Promise<Result<Accepted, NumberedError>>;
+  read(): Promise<Result<Serving, NumberedError>>;
+  evacuate(zone: string, begun: boolean): Promise<Result<{ readonly tag: 'taken' }, NumberedError>>;
 }
 
 export type ConfigurationServiceDeps = {
@@ -59,14 +59,14 @@
 /** Longest wait for an entry to be agreed. */
 const AGREE_MS = 3_000;
 
-const NO_MAJORITY: NumberedFault = { tag: 'noMajority' };
+const NO_MAJORITY: NumberedError = { tag: 'noMajority' };
 
-function servingOf(b: ControlState): Serving {
-  return b.configuration.serving ?? EMPTY_SERVING;
+function servingOf(state: ControlState): Serving {
+  return state.configuration.serving ?? EMPTY_SERVING;
 }
 
-function changesTo(b: ControlState, next: Serving): Change[] {
-  const before = b.configuration.serving;
+function changesTo(state: ControlState, next: Serving): Change[] {
+  const before = state.configuration.serving;
   if (!before) return [{ path: ['serving'], value: next }];
   const out: Change[] = [];
   for (const c of differences(before, next)) out.push({ ...c, path: ['serving', ...c.path] });
@@ -74,7 +74,7 @@
 }
 
 type Judged =
-  | { readonly tag: 'answer'; readonly answer: Result<Accepted, NumberedFault> }
+  | { readonly tag: 'answer'; readonly answer: Result<Accepted, NumberedError> }
   | { readonly tag: 'apply'; readonly number: number; readonly next: Serving }
   | { readonly tag: 'repeat'; readonly number: number };
 
@@ -96,7 +96,7 @@
   return answered(err({ tag: 'stale', number }));
 }
 
-function answered(answer: Result<Accepted, NumberedFault>): Judged {
+function answered(answer: Result<Accepted, NumberedError>): Judged {
   return { tag: 'answer', answer };
 }
 
@@ -121,14 +121,14 @@
 }
 
 /** The configuration that a change makes of the one it builds on. */
-function resultOf(before: Serving, edit: Edit): Result<Serving, NumberedFault> {
+function resultOf(before: Serving, edit: Edit): Result<Serving, NumberedError> {
   const made = edit(before);
-  if (!made.ok) return err({ tag: 'invalid', faults: made.fault });
+  if (!made.ok) return err({ tag: 'invalid', faults: made.error });
   const read = readServing(made.value);
-  if (!read.ok) return err({ tag: 'invalid', faults: read.fault });
+  if (!read.ok) return err({ tag: 'invalid', faults: read.error });
   const { number } = read.value;
   if (number <= before.number)
-    return err({ tag: 'invalid', faults: [faultAt(['number'], `a number above ${before.number}`, number)] });
+    return err({ tag: 'invalid', faults: [errorAt(['number'], `a number above ${before.number}`, number)] });
   return ok(withPreservedOrder(before, read.value));
 }
 
@@ -160,7 +160,7 @@
     return Promise.race([this.deps.ledger.linearizableRead(this.readTimeoutMs), this.tooLate()]);
   }
 
-  async amend(base: number, edit: Edit, digest: string): Promise<Result<Accepted, NumberedFault>> {
+  async amend(base: number, edit: Edit, digest: string): Promise<Result<Accepted, NumberedError>> {
     const request = operatorRequest(digest);
     const until = this.deps.clock.mono() + this.agreeMs;
     while (this.deps.clock.mono() < until) {
@@ -178,14 +178,14 @@
     return err(NO_MAJORITY);
   }
 
-  replace(base: number, draft: unknown, digest: string): Promise<Result<Accepted, NumberedFault>> {
+  replace(base: number, draft: unknown, digest: string): Promise<Result<Accepted, NumberedError>> {
     function replacement(): Result<unknown, never> {
       return ok(draft);
     }
     return this.amend(base, replacement, digest);
   }
 
-  async read(): Promise<Result<Serving, NumberedFault>> {
+  async read(): Promise<Result<Serving, NumberedError>> {
     return (await this.readCurrent()) ? ok(servingOf(this.deps.ledger.controlState())) : err(NO_MAJORITY);
   }
 
@@ -194,7 +194,7 @@
    * first: that one may be the later order, and the caller of this one may be long gone. Whoever still wants it sends it
    * again. For the same reason a process that stood still while it asked a majority doesn't go on.
    */
-  async evacuate(zone: string, begun: boolean): Promise<Result<{ readonly tag: 'taken' }, NumberedFault>> {
+  async evacuate(zone: string, begun: boolean): Promise<Result<{ readonly tag: 'taken' }, NumberedError>> {
     const cameAt = this.deps.clock.mono();
     if (!(await this.readCurrent()) || this.deps.clock.mono() - cameAt > this.readTimeoutMs) return err(NO_MAJORITY);
     const base = zoneVersion(this.deps.ledger.controlState().history, zone);
--- a/src/coordination/ledger/controller-choice.ts
+++ b/src/coordination/ledger/controller-choice.ts
@@ -14,7 +14,7 @@
 export interface ControllerChoice {
   followed(): Address | null;
   isSubscribed(address: Address): boolean;
-  sendToSubscribed(m: Message): void;
+  sendToSubscribed(message: Message): void;
   /** An attested beat came from this controller. */
   onAttested(from: Address): void;
   onDisconnected(address: Address): void;
@@ -84,7 +84,7 @@
         failed: this.deps.links.hasFailed(address),
       });
     };
-    for (const m of this.deps.members()) add(m.address, m.name);
+    for (const member of this.deps.members()) add(member.address, member.name);
     for (const seed of this.deps.seeds) add(seed, null);
     return rankCandidates(this.deps.self, out);
   }
@@ -95,7 +95,7 @@
 
   private turnOnFailure(): void {
     if (this.stopped) return;
-    for (const c of this.candidates()) if (!c.failed) return this.turnAway();
+    for (const candidate of this.candidates()) if (!candidate.failed) return this.turnAway();
   }
 
   private async ask(to: Address): Promise<void> {
@@ -111,9 +111,9 @@
     this.nearer = null;
     this.at.attested = this.deps.clock.mono();
     const order = this.candidates();
-    for (const c of order) {
-      if (c.address === this.currentFollowed && order.length > 1) continue;
-      this.currentFollowed = c.address;
+    for (const candidate of order) {
+      if (candidate.address === this.currentFollowed && order.length > 1) continue;
+      this.currentFollowed = candidate.address;
       break;
     }
     if (this.currentFollowed !== null) void this.ask(this.currentFollowed);
@@ -123,9 +123,9 @@
   private chooseStandby(): void {
     const was = this.standby;
     this.standby = null;
-    for (const c of this.candidates()) {
-      if (c.address === this.currentFollowed || c.failed) continue;
-      this.standby = c.address;
+    for (const candidate of this.candidates()) {
+      if (candidate.address === this.currentFollowed || candidate.failed) continue;
+      this.standby = candidate.address;
       break;
     }
     if (this.standby !== null) void this.deps.links.dial(this.standby);
@@ -162,8 +162,8 @@
     this.sendToSubscribed(this.deps.heartbeatMessage());
   }
 
-  sendToSubscribed(m: Message): void {
-    for (const to of this.subscribed) this.deps.links.send(to, m);
+  sendToSubscribed(message: Message): void {
+    for (const to of this.subscribed) this.deps.links.send(to, message);
   }
 
   private isConnected(): boolean {
@@ -178,8 +178,9 @@
 
   private seekAnyone(): void {
     this.at.soughtAt = this.deps.clock.mono();
-    for (const c of this.candidates())
-      if (!this.subscribed.has(c.address) || !this.deps.links.isConnected(c.address)) void this.ask(c.address);
+    for (const candidate of this.candidates())
+      if (!this.subscribed.has(candidate.address) || !this.deps.links.isConnected(candidate.address))
+        void this.ask(candidate.address);
   }
 
   private seekNearer(): void {
@@ -194,7 +195,7 @@
   }
 
   private nameOf(address: Address | null): string | null {
-    for (const m of this.deps.members()) if (m.address === address) return m.name;
+    for (const member of this.deps.members()) if (member.address === address) return member.name;
     return null;
   }
 
@@ -245,12 +246,12 @@
 
   all(): readonly Address[] {
     const out = new Set<Address>(this.currentFollowed === null ? [] : [this.currentFollowed]);
-    for (const c of this.candidates()) out.add(c.address);
+    for (const candidate of this.candidates()) out.add(candidate.address);
     return [...out];
   }
 
-  setTopology(of: LocationOf): void {
-    this.locationOf = of;
+  setTopology(locationOf: LocationOf): void {
+    this.locationOf = locationOf;
   }
 
   stop(): void {
--- a/src/coordination/ledger/controller-links.ts
+++ b/src/coordination/ledger/controller-links.ts
@@ -15,7 +15,7 @@
   isConnected(address: Address): boolean;
   release(address: Address): void;
   addressOf(peer: Peer): Address | null;
-  send(to: Address, m: Message): void;
+  send(to: Address, message: Message): void;
   /** Tells reports as differences to what this controller was told before. */
   sendReports(to: Address, reports: readonly Report[]): void;
   /** The controller lacks what these reports differ from: they are told whole next time. */
@@ -75,12 +75,12 @@
   }
 
   addressOf(peer: Peer): Address | null {
-    for (const [address, p] of this.connections) if (p === peer) return address;
+    for (const [address, held] of this.connections) if (held === peer) return address;
     return null;
   }
 
-  send(to: Address, m: Message): void {
-    this.connections.get(to)?.send(m);
+  send(to: Address, message: Message): void {
+    this.connections.get(to)?.send(message);
   }
 
   sendReports(to: Address, reports: readonly Report[]): void {
--- a/src/coordination/ledger/core-chaos.test.ts
+++ b/src/coordination/ledger/core-chaos.test.ts
@@ -13,8 +13,8 @@
   for (let tries = 0; core.world.now() - from < limitMs; tries += 1) {
     const name = r.running[below(core.world.rng, r.running.length)] as string;
     const zone = `z${r.serial}`;
-    const got = await core.order(name, zone);
-    if (got.result?.ok && got.result.value.outcome.tag === 'applied') {
+    const response = await core.order(name, zone);
+    if (response.result?.ok && response.result.value.outcome.tag === 'applied') {
       r.acknowledged.push(zone);
       r.serial += 1;
       return;
--- a/src/coordination/ledger/core-health-watch.test.ts
+++ b/src/coordination/ledger/core-health-watch.test.ts
@@ -47,12 +47,12 @@
 }
 
 async function get(s: Stage, name: string, path: string): Promise<{ readonly status: number; readonly body: unknown }> {
-  const got = await s.core.finish(
+  const response = await s.core.finish(
     s.httpClient.call({ method: 'GET', address: `${s.core.node(name).wire}0`, path, timeoutMs: 3_000 }),
     4_000,
   );
-  if (!got?.ok) throw new Error(`${name} does not answer ${path}`);
-  return got.value;
+  if (!response?.ok) throw new Error(`${name} does not answer ${path}`);
+  return response.value;
 }
 async function health(s: Stage, name: string): Promise<CoreHealthReport> {
   return ((await get(s, name, '/v1/status')).body as { readonly core: CoreHealthReport }).core;
@@ -396,9 +396,9 @@
     return fleet;
   }
   async function told(fleet: SimFleet): Promise<CoreHealthReport> {
-    const got = await fleet.operator(0, 'GET', '/v1/status');
-    if (!got.ok) throw new Error(got.fault.tag);
-    return (got.value.body as { readonly core: CoreHealthReport }).core;
+    const response = await fleet.operator(0, 'GET', '/v1/status');
+    if (!response.ok) throw new Error(response.error.tag);
+    return (response.value.body as { readonly core: CoreHealthReport }).core;
   }
 
   test('a lost disk costs one, until its claims were rebuilt', async () => {
--- a/src/coordination/ledger/cut-off.test.ts
+++ b/src/coordination/ledger/cut-off.test.ts
@@ -31,15 +31,15 @@
 /** An order at `at` that must be confirmed in time; the readings that begin after it, anywhere, have to hold it. */
 async function order(d: Day, at: string, withinMs = ACK_WITHIN_MS): Promise<void> {
   const zone = `z${d.zones.length}`;
-  const got = await d.core.order(at, zone, withinMs);
-  expect([at, zone, got.result, got.tookMs]).toMatchObject([
+  const response = await d.core.order(at, zone, withinMs);
+  expect([at, zone, response.result, response.tookMs]).toMatchObject([
     at,
     zone,
     { ok: true, value: { outcome: { tag: 'applied' } } },
     expect.any(Number),
   ]);
-  expect(got.tookMs).toBeLessThan(withinMs);
-  if (got.result?.ok) for (const w of d.watches.values()) w.confirmed(got.result.value.slot);
+  expect(response.tookMs).toBeLessThan(withinMs);
+  if (response.result?.ok) for (const w of d.watches.values()) w.confirmed(response.result.value.slot);
   d.zones.push(zone);
 }
 
@@ -194,8 +194,8 @@
       for (const name of [lags, lost]) {
         if (!d.core.node(name).controller) continue;
         expect(await reads(d, name)).toBeNull();
-        const got = await d.core.order(name, 'alone', 300);
-        expect(got.result?.ok).toBe(false);
+        const response = await d.core.order(name, 'alone', 300);
+        expect(response.result?.ok).toBe(false);
       }
       await d.core.world.advance(100);
     }
--- a/src/coordination/ledger/damaged-ring.ts
+++ b/src/coordination/ledger/damaged-ring.ts
@@ -2,7 +2,7 @@
 import type { Disk } from '../../transport/disk.js';
 import type { Log } from '../../transport/log.js';
 import { clearRing } from '../../transport/ring.js';
-import type { RingFault, RingShape } from '../../transport/ring.js';
+import type { RingError, RingShape } from '../../transport/ring.js';
 
 /**
  * A controller whose ring is damaged no longer knows what it promised. It must never vote again as the member that
@@ -22,12 +22,12 @@
 
 /** Opens what stands on a ring; where the ring is damaged, opens it anew under a new incarnation. */
 export async function openRenewed<T>(
-  open: () => Promise<Result<T, RingFault>>,
+  open: () => Promise<Result<T, RingError>>,
   deps: DamagedRingDeps,
-): Promise<Result<T, RingFault>> {
+): Promise<Result<T, RingError>> {
   const opened = await open();
-  if (opened.ok || opened.fault.tag !== 'ringDamaged') return opened;
-  const { file, at } = opened.fault;
+  if (opened.ok || opened.error.tag !== 'ringDamaged') return opened;
+  const { file, at } = opened.error;
   const previous = deps.self();
   if (!(await deps.renew())) return opened;
   const cleared = await clearRing(deps.disk, deps.shape);
--- a/src/coordination/ledger/fleet-load-relay.ts
+++ b/src/coordination/ledger/fleet-load-relay.ts
@@ -35,15 +35,15 @@
   ) {
     this.run = newId(this.rng, 'r');
 
-    this.peers.on('usage', (m, peer) => this.onLoad(m, peer));
+    this.peers.on('usage', (message, peer) => this.onLoad(message, peer));
 
-    this.peers.on('usages', (m) => this.onLoads(m));
+    this.peers.on('usages', (message) => this.onLoads(message));
     this.relaying = every(this.clock, RELAY_MS, () => this.relay());
   }
 
-  private onLoad(m: MessageOf<'usage'>, peer: Peer): null {
-    if (!this.own.record(m.told, this.clock.mono())) return null;
-    const { name } = m.told;
+  private onLoad(message: MessageOf<'usage'>, peer: Peer): null {
+    if (!this.own.record(message.told, this.clock.mono())) return null;
+    const { name } = message.told;
     const before = this.senders.get(name);
     this.senders.set(name, peer);
 
@@ -54,8 +54,8 @@
     return null;
   }
 
-  private onLoads(m: MessageOf<'usages'>): null {
-    this.others.record(m.told, this.clock.mono());
+  private onLoads(message: MessageOf<'usages'>): null {
+    this.others.record(message.told, this.clock.mono());
     return null;
   }
 
@@ -70,9 +70,9 @@
       this.lastOwn = text;
       this.count += 1;
       const report = { name: this.ledger.self.name, run: this.run, count: this.count, rows: mine };
-      for (const m of this.ledger.controlState().members)
-        if (memberId(m) !== memberId(this.ledger.self))
-          void this.peers.send(m.address, { kind: 'usages', told: report });
+      for (const member of this.ledger.controlState().members)
+        if (memberId(member) !== memberId(this.ledger.self))
+          void this.peers.send(member.address, { kind: 'usages', told: report });
     }
     const rows = sumOf(mine, this.others.sums(now));
     const sumsText = JSON.stringify(rows);
--- a/src/coordination/ledger/follower.test.ts
+++ b/src/coordination/ledger/follower.test.ts
@@ -36,7 +36,7 @@
               ok: true,
               value: { kind: 'snapshotPart', digest: m.digest, part: m.part, text: chunkOf(offered, m.part) ?? '' },
             }
-          : { ok: false, fault: { tag: 'peerSilent', address: to } },
+          : { ok: false, error: { tag: 'peerSilent', address: to } },
       ),
     send: () => Promise.resolve(true),
     connect: () => Promise.resolve({ ok: true, value: peer }),
--- a/src/coordination/ledger/follower.ts
+++ b/src/coordination/ledger/follower.ts
@@ -36,13 +36,13 @@
   wokeAt(): number;
   sharedNow(): number;
   readonly events: {
-    readonly on: <K extends keyof FollowerEvents>(name: K, fn: (e: FollowerEvents[K]) => void) => void;
+    readonly on: <K extends keyof FollowerEvents>(name: K, callback: (event: FollowerEvents[K]) => void) => void;
   };
   controllers(): readonly Address[];
   followed(): Address | null;
   setTopology(locationOf: (name: string) => Location | null): void;
   /** Tells the followed controller; reports go as differences to what it was told before. */
-  sendToController(m: Message): void;
+  sendToController(message: Message): void;
   stop(): void;
 }
 
@@ -102,11 +102,11 @@
 
     this.tick();
 
-    this.peers.on('changes', (m, peer) => this.onChanges(m, peer));
+    this.peers.on('changes', (message, peer) => this.onChanges(message, peer));
 
-    this.peers.on('beat', (m, peer) => this.onHeartbeat(m, peer));
+    this.peers.on('beat', (message, peer) => this.onHeartbeat(message, peer));
 
-    this.peers.on('reportsAsk', (m, peer) => this.onReportsRequest(m, peer));
+    this.peers.on('reportsAsk', (message, peer) => this.onReportsRequest(message, peer));
   }
 
   controlState(): ControlState {
@@ -151,16 +151,16 @@
     return this.currentControlState.ledger === '' || ledger === this.currentControlState.ledger;
   }
 
-  private onChanges(m: MessageOf<'changes'>, peer: Peer): null {
-    if (!this.accepts(m.ledger)) return null;
+  private onChanges(message: MessageOf<'changes'>, peer: Peer): null {
+    if (!this.accepts(message.ledger)) return null;
     const before = this.currentControlState.slot;
-    if (m.snapshot && m.snapshot.slot > before) void this.adopt(m.snapshot, peer);
+    if (message.snapshot && message.snapshot.slot > before) void this.adopt(message.snapshot, peer);
     let gap = false;
-    for (const b of m.batches) {
-      if (b.slot <= this.currentControlState.slot) continue;
-      gap = b.slot !== this.currentControlState.slot + 1;
+    for (const second of message.batches) {
+      if (second.slot <= this.currentControlState.slot) continue;
+      gap = second.slot !== this.currentControlState.slot + 1;
       if (gap) break;
-      foldBatch(this.currentControlState, b.slot, b.batch);
+      foldBatch(this.currentControlState, second.slot, second.batch);
     }
     if (gap && !this.receiver.isReceiving()) peer.send(this.followMessage());
     if (this.currentControlState.slot > before) this.onAdvanced();
@@ -186,32 +186,32 @@
 
   private onAdvanced(): void {
     const names = new Set<string>();
-    for (const m of this.currentControlState.members) names.add(m.name);
+    for (const member of this.currentControlState.members) names.add(member.name);
     this.time.retainOnly(names);
     this.events.emit('moved', { slot: this.currentControlState.slot });
     this.choice.sendToSubscribed({ kind: 'followed', name: this.self.name, slot: this.currentControlState.slot });
     this.writer.scheduleFloorSave();
   }
 
-  private onHeartbeat(m: MessageOf<'beat'>, peer: Peer): null {
+  private onHeartbeat(message: MessageOf<'beat'>, peer: Peer): null {
     this.contact.detectStandstill();
     const from = this.links.addressOf(peer);
     if (from === null || !this.choice.isSubscribed(from)) {
       peer.send({ kind: 'unfollow', name: this.self.name });
       return null;
     }
-    if (!this.accepts(m.ledger) || m.ledger === '') return null;
-    this.time.record(m.from, m.wall, this.clock.mono());
-    if (m.slot > this.currentControlState.slot && !this.receiver.isReceiving()) peer.send(this.followMessage());
-    if (this.holdsAllOf(m) && this.isNewContact(m.echo)) this.choice.onAttested(from);
+    if (!this.accepts(message.ledger) || message.ledger === '') return null;
+    this.time.record(message.from, message.wall, this.clock.mono());
+    if (message.slot > this.currentControlState.slot && !this.receiver.isReceiving()) peer.send(this.followMessage());
+    if (this.holdsAllOf(message) && this.isNewContact(message.echo)) this.choice.onAttested(from);
     return null;
   }
 
-  private holdsAllOf(m: MessageOf<'beat'>): boolean {
+  private holdsAllOf(message: MessageOf<'beat'>): boolean {
     return (
-      m.quorate &&
+      message.quorate &&
       this.currentControlState.ledger !== '' &&
-      this.currentControlState.slot >= Math.max(m.top, this.stored.floor)
+      this.currentControlState.slot >= Math.max(message.top, this.stored.floor)
     );
   }
 
@@ -220,9 +220,9 @@
     return sentAt !== null && this.contact.recordContact(sentAt);
   }
 
-  private onReportsRequest(m: MessageOf<'reportsAsk'>, peer: Peer): null {
+  private onReportsRequest(message: MessageOf<'reportsAsk'>, peer: Peer): null {
     const from = this.links.addressOf(peer);
-    if (from !== null) this.links.forgetReports(from, m.reporters);
+    if (from !== null) this.links.forgetReports(from, message.reporters);
     return null;
   }
 
@@ -245,11 +245,11 @@
     return this.time.now(this.clock.mono(), this.clock.wall());
   }
 
-  sendToController(m: Message): void {
+  sendToController(message: Message): void {
     const to = this.choice.followed();
     if (to === null) return;
-    if (m.kind === 'reports' && m.by === undefined) this.links.sendReports(to, m.reports);
-    else this.links.send(to, m);
+    if (message.kind === 'reports' && message.by === undefined) this.links.sendReports(to, message.reports);
+    else this.links.send(to, message);
   }
 
   stop(): void {
--- a/src/coordination/ledger/following.test.ts
+++ b/src/coordination/ledger/following.test.ts
@@ -51,8 +51,8 @@
 }
 
 async function inForceOrPartitioned(core: SimCore, all: readonly Edge[], at: string, zone: string): Promise<Edge[]> {
-  const got = await core.order(at, zone);
-  expect(got.result).toEqual(expect.objectContaining({ ok: true }));
+  const response = await core.order(at, zone);
+  expect(response.result).toEqual(expect.objectContaining({ ok: true }));
   const until = core.world.now() + BOUND_MS;
   const late = (e: Edge) => serves(e) && e.follower.controlState().evacuated[zone] === undefined;
   await core.until(BOUND_MS, () => !all.some(late));
--- a/src/coordination/ledger/identity.ts
+++ b/src/coordination/ledger/identity.ts
@@ -7,7 +7,7 @@
 import { parsedJson } from '../../base/parsed-json.js';
 import { err, ok } from '../../base/result.js';
 import type { Result } from '../../base/result.js';
-import type { Disk, DiskFault } from '../../transport/disk.js';
+import type { Disk, DiskError } from '../../transport/disk.js';
 import { newId } from '../../transport/rng.js';
 import type { Rng } from '../../transport/rng.js';
 import type { Address } from '../../transport/wire.js';
@@ -20,7 +20,7 @@
   readonly wasMember: boolean | null;
 };
 
-export type IdentityFault = DiskFault | { readonly tag: 'identityUnreadable' };
+export type IdentityError = DiskError | { readonly tag: 'identityUnreadable' };
 
 const IDENTITY_FILE = 'identity.json';
 
@@ -29,7 +29,7 @@
   disk: Disk,
   rng: Rng,
   bootstrapMembers: readonly Address[] | null,
-): Promise<Result<Identity, IdentityFault>> {
+): Promise<Result<Identity, IdentityError>> {
   const stored = await disk.load(IDENTITY_FILE);
   if (!stored.ok) return stored;
   if (stored.value) {
@@ -41,7 +41,7 @@
   return saved.ok ? ok(made) : saved;
 }
 
-export function saveIdentity(disk: Disk, identity: Identity): Promise<Result<null, DiskFault>> {
+export function saveIdentity(disk: Disk, identity: Identity): Promise<Result<null, DiskError>> {
   return disk.replace(IDENTITY_FILE, Buffer.from(JSON.stringify(identity)));
 }
 
--- a/src/coordination/ledger/kept-control-state.ts
+++ b/src/coordination/ledger/kept-control-state.ts
@@ -69,7 +69,7 @@
       const { ledger, slot } = this.current();
       const done = await onto.replace(FLOOR_FILE, Buffer.from(JSON.stringify({ ledger, slot })));
       if (!done.ok) {
-        this.log.warn(`Could not keep the newest slot (${done.fault.tag}).`);
+        this.log.warn(`Could not keep the newest slot (${done.error.tag}).`);
         break;
       }
       this.savedFloor = slot;
@@ -86,7 +86,7 @@
     if (this.savedSlot >= slot) return;
     const done = await onto.replace(STATE_FILE, Buffer.from(JSON.stringify(this.current())));
     if (done.ok) this.savedSlot = slot;
-    else this.log.warn(`Could not keep the control state (${done.fault.tag}).`);
+    else this.log.warn(`Could not keep the control state (${done.error.tag}).`);
   }
 
   private scheduleStateSave(): void {
--- a/src/coordination/ledger/latency.test.ts
+++ b/src/coordination/ledger/latency.test.ts
@@ -25,9 +25,9 @@
   else if (how === 'cut off') core.world.healAll();
   else core.start(name);
 }
-function inTime(got: Ordered): void {
-  expect(got.result).toMatchObject({ ok: true, value: { outcome: { tag: 'applied' } } });
-  expect(got.tookMs).toBeLessThan(1_000);
+function inTime(response: Ordered): void {
+  expect(response.result).toMatchObject({ ok: true, value: { outcome: { tag: 'applied' } } });
+  expect(response.tookMs).toBeLessThan(1_000);
 }
 async function readInTime(core: SimCore, name: string, zones: readonly string[]): Promise<void> {
   const from = core.world.now();
@@ -125,14 +125,14 @@
     const ends: number[] = [];
     const all = [0, 1, 2, 3].map(async (n) => {
       await core.finish(Promise.resolve(), 1);
-      const got = await core
+      const response = await core
         .node('h1')
         .controller?.ledger.propose(
           { cause: 'A test.', act: { tag: 'evacuation', zone: `z${n}`, begun: true } },
           1_500,
         );
       ends.push(core.world.now() - from);
-      return got?.ok;
+      return response?.ok;
     });
     expect(await core.finish(Promise.all(all), 10_000)).toEqual([false, false, false, false]);
     expect(Math.max(...ends)).toBeLessThanOrEqual(1_600);
--- a/src/coordination/ledger/lease.ts
+++ b/src/coordination/ledger/lease.ts
@@ -24,7 +24,7 @@
 
 function idsOf(members: readonly Member[]): Set<string> {
   const ids = new Set<string>();
-  for (const m of members) ids.add(memberId(m));
+  for (const member of members) ids.add(memberId(member));
   return ids;
 }
 
@@ -55,9 +55,9 @@
     this.grants = createLeaseTable(this.clock.mono(), LEASE_TERM_MS);
     this.members = this.ledger.controlState().members;
 
-    this.peers.on('leaseAsk', (m) => this.onRequest(m));
+    this.peers.on('leaseAsk', (message) => this.onRequest(message));
 
-    this.peers.on('leaseDrop', (m) => this.onDrop(m));
+    this.peers.on('leaseDrop', (message) => this.onDrop(message));
 
     void this.run();
   }
@@ -80,15 +80,21 @@
     this.members = now;
   }
 
-  private mayGrant(m: MessageOf<'leaseAsk'>): boolean {
+  private mayGrant(message: MessageOf<'leaseAsk'>): boolean {
     this.onMembersChanged();
-    if (m.ledger !== this.ledger.controlState().ledger || !this.ledger.isMember() || m.termMs > LEASE_TERM_MS)
+    if (
+      message.ledger !== this.ledger.controlState().ledger ||
+      !this.ledger.isMember() ||
+      message.termMs > LEASE_TERM_MS
+    )
       return false;
-    return this.clock.mono() >= this.othersFrom || this.ledger.controlState().leases[m.duty]?.holder === m.holder;
+    return (
+      this.clock.mono() >= this.othersFrom || this.ledger.controlState().leases[message.duty]?.holder === message.holder
+    );
   }
 
-  private onRequest(m: MessageOf<'leaseAsk'>): Message {
-    const mine = this.mayGrant(m);
+  private onRequest(message: MessageOf<'leaseAsk'>): Message {
+    const mine = this.mayGrant(message);
     return {
       kind: 'leaseAnswer',
       voter: this.me(),
@@ -96,14 +102,15 @@
         mine &&
         requestGrant(
           this.grants,
-          { role: m.duty, holder: m.holder, round: m.round, termMs: m.termMs },
+          { role: message.duty, holder: message.holder, round: message.round, termMs: message.termMs },
           this.clock.mono(),
         ),
     };
   }
 
-  private onDrop(m: MessageOf<'leaseDrop'>): null {
-    if (m.ledger === this.ledger.controlState().ledger) dropGrant(this.grants, m.duty, m.holder, m.round);
+  private onDrop(message: MessageOf<'leaseDrop'>): null {
+    if (message.ledger === this.ledger.controlState().ledger)
+      dropGrant(this.grants, message.duty, message.holder, message.round);
     return null;
   }
 
@@ -118,55 +125,57 @@
   }
 
   private async requestMajority(): Promise<'granted' | 'refused' | 'notAsked'> {
-    const b = this.ledger.controlState();
+    const state = this.ledger.controlState();
     this.round += 1;
     const request: MessageOf<'leaseAsk'> = {
       kind: 'leaseAsk',
-      ledger: b.ledger,
+      ledger: state.ledger,
       duty: this.role,
       holder: this.me(),
       termMs: LEASE_TERM_MS,
       round: this.round,
     };
-    const need = majorityOf(b.members);
+    const quorumSize = majorityOf(state.members);
     const own = this.onRequest(request);
     if (!this.isGrant(own)) return 'notAsked';
 
-    const one = async (m: Member): Promise<Message | null> => {
-      if (memberId(m) === this.me()) return own;
-      const got = await this.peers.call(m.address, request, RENEW_MS);
-      return got.ok && got.value.kind === 'leaseAnswer' && got.value.voter === memberId(m) ? got.value : null;
+    const one = async (member: Member): Promise<Message | null> => {
+      if (memberId(member) === this.me()) return own;
+      const response = await this.peers.call(member.address, request, RENEW_MS);
+      return response.ok && response.value.kind === 'leaseAnswer' && response.value.voter === memberId(member)
+        ? response.value
+        : null;
     };
 
     const decided = (votes: Votes, open: number): boolean => {
       const granted = this.grantsIn(votes);
-      return granted >= need || granted + open < need;
+      return granted >= quorumSize || granted + open < quorumSize;
     };
-    return this.grantsIn(await poll(b.members, one, decided)) >= need ? 'granted' : 'refused';
+    return this.grantsIn(await poll(state.members, one, decided)) >= quorumSize ? 'granted' : 'refused';
   }
 
-  private isGrant(m: Message): boolean {
-    return m.kind === 'leaseAnswer' && m.granted;
+  private isGrant(message: Message): boolean {
+    return message.kind === 'leaseAnswer' && message.granted;
   }
 
   private grantsIn(votes: Votes): number {
-    let n = 0;
-    for (const v of votes.values()) if (this.isGrant(v)) n += 1;
-    return n;
+    let count = 0;
+    for (const value of votes.values()) if (this.isGrant(value)) count += 1;
+    return count;
   }
 
   private dropAll(): void {
-    const b = this.ledger.controlState();
+    const state = this.ledger.controlState();
     const drop: MessageOf<'leaseDrop'> = {
       kind: 'leaseDrop',
-      ledger: b.ledger,
+      ledger: state.ledger,
       duty: this.role,
       holder: this.me(),
       round: this.round,
     };
-    for (const m of b.members) {
-      if (memberId(m) === this.me()) this.onDrop(drop);
-      else void this.peers.send(m.address, drop);
+    for (const member of state.members) {
+      if (memberId(member) === this.me()) this.onDrop(drop);
+      else void this.peers.send(member.address, drop);
     }
   }
 
--- a/src/coordination/ledger/ledger.test.ts
+++ b/src/coordination/ledger/ledger.test.ts
@@ -24,7 +24,7 @@
   const core = await bootstrapped(1);
   expect(await change(core, 'h1', 0, 300_000)).toMatchObject({
     ok: false,
-    fault: { tag: 'cannotWrite', fault: { tag: 'recordTooLarge' } },
+    error: { tag: 'cannotWrite', error: { tag: 'recordTooLarge' } },
   });
   for (const name of THREE) expect((await core.order(name, name)).result?.ok).toBe(true);
 });
@@ -44,8 +44,8 @@
       ),
     ),
   );
-  const got = await core.finish(Promise.all(all), 5_000);
-  expect(got?.map((r) => r?.ok)).toEqual([true, true, true]);
+  const response = await core.finish(Promise.all(all), 5_000);
+  expect(response?.map((r) => r?.ok)).toEqual([true, true, true]);
 });
 
 test('what is kept in memory of past slots is bounded in bytes; a member that lacks more takes the whole control state', async () => {
@@ -53,12 +53,12 @@
   core.kill('h3');
   let base = 0;
   for (let n = 0; n < 40; n += 1) {
-    const got = (await change(core, 'h1', base, 100_000)) as {
+    const response = (await change(core, 'h1', base, 100_000)) as {
       readonly ok: boolean;
       readonly value: { readonly slot: number };
     };
-    expect(got.ok).toBe(true);
-    base = got.value.slot;
+    expect(response.ok).toBe(true);
+    base = response.value.slot;
   }
   const ledger = core.node('h1').controller?.ledger;
   expect(ledger?.since(1)).toBeNull();
--- a/src/coordination/ledger/ledger.ts
+++ b/src/coordination/ledger/ledger.ts
@@ -17,7 +17,7 @@
 import type { Clock, Timer } from '../../transport/clock.js';
 import type { Disk } from '../../transport/disk.js';
 import type { Log } from '../../transport/log.js';
-import type { RingFault, RingShape } from '../../transport/ring.js';
+import type { RingError, RingShape } from '../../transport/ring.js';
 import type { Rng } from '../../transport/rng.js';
 import type { Address } from '../../transport/wire.js';
 import type { Peers } from '../members/peers.js';
@@ -31,7 +31,7 @@
 import { createOperatorBootstrap } from './operator-bootstrap.js';
 import type { Bootstrap } from './operator-bootstrap.js';
 import type { RequestMember } from './poll.js';
-import type { Agreed, Draft, ProposeFault } from './proposal.js';
+import type { Agreed, Draft, ProposeError } from './proposal.js';
 import { createProposer } from './proposer.js';
 import type { Proposer } from './proposer.js';
 import { createReplica } from './replica.js';
@@ -55,9 +55,11 @@
 
 export interface Ledger {
   controlState(): ControlState;
-  readonly events: { readonly on: <K extends keyof LedgerEvents>(name: K, fn: (e: LedgerEvents[K]) => void) => void };
+  readonly events: {
+    readonly on: <K extends keyof LedgerEvents>(name: K, callback: (event: LedgerEvents[K]) => void) => void;
+  };
   /** Agrees one entry. `noMajority` says that it was given up: it may still come to be agreed, once at most. */
-  propose(draft: Draft, waitMs: number): Promise<Result<Agreed, ProposeFault>>;
+  propose(draft: Draft, waitMs: number): Promise<Result<Agreed, ProposeError>>;
   /** True once the state is no older than anything confirmed before the call. */
   linearizableRead(waitMs: number): Promise<boolean>;
   /** The orders that were closed, as far as this controller knows them. */
@@ -103,7 +105,7 @@
 /** Kept free in a ring file for what stands around an entry in its record. */
 const RECORD_ROOM = 4_096;
 
-export async function createLedger(deps: LedgerDeps): Promise<Result<Ledger, RingFault>> {
+export async function createLedger(deps: LedgerDeps): Promise<Result<Ledger, RingError>> {
   const events = createEvents<LedgerEvents>();
   function onFold(slot: number, batch: Batch, outcomes: readonly Outcome[]): void {
     events.emit('folded', { slot, batch, outcomes });
@@ -255,7 +257,7 @@
     return this.replica.isMember();
   }
 
-  propose(draft: Draft, waitMs: number): Promise<Result<Agreed, ProposeFault>> {
+  propose(draft: Draft, waitMs: number): Promise<Result<Agreed, ProposeError>> {
     return this.proposer.propose(draft, waitMs);
   }
 
--- a/src/coordination/ledger/member-statuses.ts
+++ b/src/coordination/ledger/member-statuses.ts
@@ -63,7 +63,8 @@
 
   private others(): Member[] {
     const out: Member[] = [];
-    for (const m of this.deps.controlState().members) if (memberId(m) !== memberId(this.deps.self)) out.push(m);
+    for (const member of this.deps.controlState().members)
+      if (memberId(member) !== memberId(this.deps.self)) out.push(member);
     return out;
   }
 
@@ -81,15 +82,16 @@
   }
 
   own(): MessageOf<'memberStatus'> {
-    const b = this.deps.controlState();
+    const state = this.deps.controlState();
     const unheard: string[] = [];
-    for (const m of this.others()) if (this.sinceContactMs(memberId(m)) > UNHEARD_MS) unheard.push(memberId(m));
+    for (const member of this.others())
+      if (this.sinceContactMs(memberId(member)) > UNHEARD_MS) unheard.push(memberId(member));
     return {
       kind: 'memberStatus',
-      ledger: b.ledger,
+      ledger: state.ledger,
       voter: memberId(this.deps.self),
       address: this.deps.self.address,
-      learned: b.slot,
+      learned: state.slot,
       top: this.deps.top(),
       wall: this.deps.clock.wall(),
       ...(unheard.length > 0 ? { unheard } : {}),
@@ -98,30 +100,30 @@
   }
 
   majorityLostContact(id: string): boolean {
-    let n = this.sinceContactMs(id) > UNHEARD_MS ? 1 : 0;
-    for (const m of this.others()) {
-      const other = memberId(m);
-      if (other !== id && this.isReachable(other) && this.contacts.get(other)?.unheard.includes(id)) n += 1;
+    let count = this.sinceContactMs(id) > UNHEARD_MS ? 1 : 0;
+    for (const member of this.others()) {
+      const other = memberId(member);
+      if (other !== id && this.isReachable(other) && this.contacts.get(other)?.unheard.includes(id)) count += 1;
     }
-    return n >= majorityOf(this.deps.controlState().members);
+    return count >= majorityOf(this.deps.controlState().members);
   }
 
-  private async requestStatus(m: Member): Promise<void> {
+  private async requestStatus(member: Member): Promise<void> {
     const requestedAt = this.deps.clock.mono();
-    const got = await this.deps.peers.call(m.address, { kind: 'memberStatusAsk' }, ASK_MS);
-    if (!got.ok || got.value.kind !== 'memberStatus' || got.value.voter !== memberId(m)) return;
+    const response = await this.deps.peers.call(member.address, { kind: 'memberStatusAsk' }, ASK_MS);
+    if (!response.ok || response.value.kind !== 'memberStatus' || response.value.voter !== memberId(member)) return;
     if (requestedAt < this.since) return;
-    this.contacts.set(memberId(m), { at: requestedAt, unheard: got.value.unheard ?? [] });
-    if (got.value.ledger === this.deps.controlState().ledger)
-      this.deps.onMemberStatus({ member: m, requestedAt, memberStatus: got.value });
+    this.contacts.set(memberId(member), { at: requestedAt, unheard: response.value.unheard ?? [] });
+    if (response.value.ledger === this.deps.controlState().ledger)
+      this.deps.onMemberStatus({ member: member, requestedAt, memberStatus: response.value });
   }
 
   ask(): void {
     this.detectStandstill();
     const asked = new Set<string>();
-    for (const m of this.others()) {
-      asked.add(memberId(m));
-      void this.requestStatus(m);
+    for (const member of this.others()) {
+      asked.add(memberId(member));
+      void this.requestStatus(member);
     }
     for (const id of this.contacts.keys()) if (!asked.has(id)) this.contacts.delete(id);
   }
--- a/src/coordination/ledger/membership-changes.test.ts
+++ b/src/coordination/ledger/membership-changes.test.ts
@@ -18,12 +18,12 @@
   return core;
 }
 async function ordered(core: SimCore, name: string, zone: string): Promise<void> {
-  const got = await core.order(name, zone);
-  expect([got.result, got.tookMs]).toMatchObject([
+  const response = await core.order(name, zone);
+  expect([response.result, response.tookMs]).toMatchObject([
     { ok: true, value: { outcome: { tag: 'applied' } } },
     expect.any(Number),
   ]);
-  expect(got.tookMs).toBeLessThan(1_000);
+  expect(response.tookMs).toBeLessThan(1_000);
 }
 function identity(core: SimCore, name: string): string {
   return core.node(name).controller?.ledger.self.incarnation ?? '';
@@ -105,7 +105,7 @@
       expect(await core.until(5_000, () => core.whole(['h1', 'h3', 'h4']))).toBe(true);
       await ordered(core, 'h4', 'a');
       const alone = await core.order('h2', 'lost');
-      expect(alone.result).toMatchObject({ ok: false, fault: { tag: 'noMajority' } });
+      expect(alone.result).toMatchObject({ ok: false, error: { tag: 'noMajority' } });
       expect(alone.tookMs).toBeLessThanOrEqual(1_500);
       core.world.healAll();
       expect(await core.until(8_000, () => core.whole(['h1', 'h2', 'h3', 'h4']))).toBe(true);
@@ -152,11 +152,11 @@
     core.start('h4');
     await core.world.advance(500);
     for (const ledger of [core.node('h1').controller?.ledger.controlState().ledger ?? '', 'ledger-x']) {
-      const got = await core.finish(
+      const response = await core.finish(
         peers.call(core.node('h4').wire, { kind: 'prepare', ledger, slot: 1, ballot: { round: 9, by: 'lab' } }, 1_000),
         2_000,
       );
-      expect(got).toEqual({ ok: true, value: { kind: 'cannotVote' } });
+      expect(response).toEqual({ ok: true, value: { kind: 'cannotVote' } });
     }
     core.world.healAll();
     expect(await core.until(8_000, () => core.whole(['h1', 'h2', 'h3', 'h4']))).toBe(true);
--- a/src/coordination/ledger/membership-changes.ts
+++ b/src/coordination/ledger/membership-changes.ts
@@ -17,7 +17,7 @@
 import type { Rng } from '../../transport/rng.js';
 import type { Address } from '../../transport/wire.js';
 import type { Peers } from '../members/peers.js';
-import type { Agreed, Draft, ProposeFault } from './proposal.js';
+import type { Agreed, Draft, ProposeError } from './proposal.js';
 import type { MemberStatuses } from './member-statuses.js';
 
 export interface MembershipChanges {
@@ -35,7 +35,7 @@
   readonly seeds: readonly Address[];
   readonly controlState: () => ControlState;
   readonly memberStatuses: MemberStatuses;
-  readonly propose: (draft: Draft, waitMs: number) => Promise<Result<Agreed, ProposeFault>>;
+  readonly propose: (draft: Draft, waitMs: number) => Promise<Result<Agreed, ProposeError>>;
   readonly linearizableRead: (waitMs: number) => Promise<boolean>;
   readonly catchUp: (from: Address) => Promise<void>;
   /** Takes a new identity, and keeps it on the disk. */
@@ -65,28 +65,29 @@
     this.wasMember = this.deps.wasMember ?? this.deps.controlState().ledger !== '';
     this.isRecorded = this.deps.wasMember === true;
 
-    this.deps.peers.on('rejoin', (m) => this.onRejoin(m));
+    this.deps.peers.on('rejoin', (message) => this.onRejoin(message));
   }
 
   private ownEntry(): Member | null {
-    for (const m of this.deps.controlState().members) if (memberId(m) === memberId(this.deps.self)) return m;
+    for (const member of this.deps.controlState().members)
+      if (memberId(member) === memberId(this.deps.self)) return member;
     return null;
   }
 
   private async agree(cause: string, command: Command): Promise<boolean> {
-    const got = await this.deps.propose({ cause, act: command }, AGREE_MS);
-    return got.ok && got.value.outcome.tag === 'applied';
+    const response = await this.deps.propose({ cause, act: command }, AGREE_MS);
+    return response.ok && response.value.outcome.tag === 'applied';
   }
 
-  private async answers(m: Member): Promise<boolean> {
-    if (memberId(m) === memberId(this.deps.self)) return true;
-    const got = await this.deps.peers.call(m.address, { kind: 'memberStatusAsk' }, ASK_MS);
-    return got.ok && got.value.kind === 'memberStatus' && got.value.voter === memberId(m);
+  private async answers(member: Member): Promise<boolean> {
+    if (memberId(member) === memberId(this.deps.self)) return true;
+    const response = await this.deps.peers.call(member.address, { kind: 'memberStatusAsk' }, ASK_MS);
+    return response.ok && response.value.kind === 'memberStatus' && response.value.voter === memberId(member);
   }
 
   private async unresponsiveMembers(): Promise<Member[]> {
     const members = this.deps.controlState().members;
-    const heard = await Promise.all(members.map((m) => this.answers(m)));
+    const heard = await Promise.all(members.map((member) => this.answers(member)));
     const out: Member[] = [];
     for (let i = 0; i < members.length; i += 1) if (!heard[i]) out.push(members[i] as Member);
     return out;
@@ -106,15 +107,17 @@
     return null;
   }
 
-  private async onRejoin(m: MessageOf<'rejoin'>): Promise<Message> {
-    if (m.ledger !== this.deps.controlState().ledger || !this.ownEntry()) return { kind: 'done', agreed: false };
+  private async onRejoin(message: MessageOf<'rejoin'>): Promise<Message> {
+    if (message.ledger !== this.deps.controlState().ledger || !this.ownEntry()) return { kind: 'done', agreed: false };
     for (const old of this.deps.controlState().members)
-      if (memberId(old) === memberId(m.member) && old.address === m.member.address)
+      if (memberId(old) === memberId(message.member) && old.address === message.member.address)
         return { kind: 'done', agreed: true };
-    const command = await this.admission(m.member);
+    const command = await this.admission(message.member);
     if (!command) return { kind: 'done', agreed: false };
     const cause =
-      command.tag === 'memberAdded' ? `${m.member.name} joined.` : `${m.member.name} came new, or at a new address.`;
+      command.tag === 'memberAdded'
+        ? `${message.member.name} joined.`
+        : `${message.member.name} came new, or at a new address.`;
     return { kind: 'done', agreed: await this.agree(cause, command) };
   }
 
@@ -134,24 +137,24 @@
     const requests: Promise<void>[] = [];
 
     const one = async (to: Address): Promise<void> => {
-      const got = await this.deps.peers.call(to, { kind: 'memberStatusAsk' }, ASK_MS);
-      if (!got.ok || got.value.kind !== 'memberStatus' || got.value.ledger === '') return;
-      if (this.deps.controlState().ledger === '' || got.value.ledger === this.deps.controlState().ledger)
-        out.push(got.value);
+      const response = await this.deps.peers.call(to, { kind: 'memberStatusAsk' }, ASK_MS);
+      if (!response.ok || response.value.kind !== 'memberStatus' || response.value.ledger === '') return;
+      if (this.deps.controlState().ledger === '' || response.value.ledger === this.deps.controlState().ledger)
+        out.push(response.value);
       else this.deps.log.error(`${to} belongs to another ledger; it is ignored.`);
     };
     for (const to of targets) requests.push(one(to));
     await Promise.all(requests);
-    return out.sort((a, b) => this.furthestFirst(a, b));
+    return out.sort((left, right) => this.furthestFirst(left, right));
   }
 
-  private furthestFirst(a: MessageOf<'memberStatus'>, b: MessageOf<'memberStatus'>): number {
-    return b.learned - a.learned;
+  private furthestFirst(left: MessageOf<'memberStatus'>, right: MessageOf<'memberStatus'>): number {
+    return right.learned - left.learned;
   }
 
   private async seek(): Promise<void> {
     const targets = new Set<Address>(this.deps.contacts());
-    for (const m of this.deps.controlState().members) targets.add(m.address);
+    for (const member of this.deps.controlState().members) targets.add(member.address);
     targets.delete(this.deps.self.address);
     const heard = await this.memberStatusesOf(targets);
     const best = heard[0];
@@ -169,8 +172,8 @@
       this.deps.log.info(`No longer a member; joins anew as ${memberId(this.deps.self)}.`);
     }
     const addresses: Address[] = [];
-    for (const m of this.deps.controlState().members)
-      for (const h of heard) if (h.address === m.address) addresses.push(m.address);
+    for (const member of this.deps.controlState().members)
+      for (const h of heard) if (h.address === member.address) addresses.push(member.address);
     for (const to of shuffled(this.deps.rng, addresses).slice(0, 2)) {
       const answer = await this.deps.peers.call(
         to,
@@ -190,16 +193,16 @@
   }
 
   private turnOf(): number {
-    let n = 0;
-    for (const m of this.deps.controlState().members) {
-      if (memberId(m) === memberId(this.deps.self)) return n;
-      if (this.deps.memberStatuses.isReachable(memberId(m))) n += 1;
+    let count = 0;
+    for (const member of this.deps.controlState().members) {
+      if (memberId(member) === memberId(this.deps.self)) return count;
+      if (this.deps.memberStatuses.isReachable(memberId(member))) count += 1;
     }
-    return n;
+    return count;
   }
 
-  private isDead(m: Member): boolean {
-    const id = memberId(m);
+  private isDead(member: Member): boolean {
+    const id = memberId(member);
     return (
       id !== memberId(this.deps.self) &&
       this.deps.memberStatuses.sinceContactMs(id) >= DEAD_MS + IN_TURN_MS * this.turnOf() &&
@@ -211,7 +214,7 @@
   // run-once claim that three of five hold may then be held by one of three only; where claims are kept, an odd group stays.
   private async removeDead(): Promise<void> {
     const members = this.deps.controlState().members;
-    const dead = members.filter((m) => this.isDead(m));
+    const dead = members.filter((member) => this.isDead(member));
     const isEven = members.length % 2 === 0;
     const needed = isEven ? 1 : 2;
     const [first] = dead;
@@ -222,10 +225,11 @@
   }
 
   private hasMajority(): boolean {
-    let n = 1;
-    for (const m of this.deps.controlState().members)
-      if (memberId(m) !== memberId(this.deps.self) && this.deps.memberStatuses.isReachable(memberId(m))) n += 1;
-    return 2 * n > this.deps.controlState().members.length;
+    let count = 1;
+    for (const member of this.deps.controlState().members)
+      if (memberId(member) !== memberId(this.deps.self) && this.deps.memberStatuses.isReachable(memberId(member)))
+        count += 1;
+    return 2 * count > this.deps.controlState().members.length;
   }
 
   async turn(): Promise<void> {
@@ -261,16 +265,18 @@
     const until = this.deps.clock.mono() + HAND_OVER_MS;
     while (this.deps.clock.mono() < until) {
       const members = this.deps.controlState().members;
-      const learned = await Promise.all(members.map((m) => this.learnedBy(m)));
+      const learned = await Promise.all(members.map((member) => this.learnedBy(member)));
       if (learned.filter((slot) => this.isAllKnown(slot)).length >= majorityOf(members)) return;
       await delay(this.deps.clock, HAND_OVER_PAUSE_MS);
     }
   }
 
-  private async learnedBy(m: Member): Promise<number> {
-    if (memberId(m) === memberId(this.deps.self)) return -1;
-    const got = await this.deps.peers.call(m.address, { kind: 'memberStatusAsk' }, ASK_MS);
-    return got.ok && got.value.kind === 'memberStatus' && got.value.voter === memberId(m) ? got.value.learned : -1;
+  private async learnedBy(member: Member): Promise<number> {
+    if (memberId(member) === memberId(this.deps.self)) return -1;
+    const response = await this.deps.peers.call(member.address, { kind: 'memberStatusAsk' }, ASK_MS);
+    return response.ok && response.value.kind === 'memberStatus' && response.value.voter === memberId(member)
+      ? response.value.learned
+      : -1;
   }
 
   private isAllKnown(slot: number): boolean {
--- a/src/coordination/ledger/operator-bootstrap.ts
+++ b/src/coordination/ledger/operator-bootstrap.ts
@@ -15,11 +15,11 @@
 import type { Replica } from './replica.js';
 import { bootstrapEntry } from './self-bootstrap.js';
 
-export type BootstrapFault =
+export type BootstrapError =
   | { readonly tag: 'alreadyBootstrapped'; readonly member: string }
   | { readonly tag: 'memberSilent'; readonly address: Address };
 
-export type Bootstrap = (addresses: readonly Address[]) => Promise<Result<Agreed, BootstrapFault>>;
+export type Bootstrap = (addresses: readonly Address[]) => Promise<Result<Agreed, BootstrapError>>;
 
 export type OperatorBootstrapDeps = {
   readonly clock: Clock;
@@ -36,13 +36,13 @@
   const { clock, rng, peers, replica } = deps;
   const { self } = replica;
 
-  async function onBootstrap(m: MessageOf<'bootstrap'>): Promise<Message> {
+  async function onBootstrap(message: MessageOf<'bootstrap'>): Promise<Message> {
     const { ledger } = replica.controlState();
-    const isSame = ledger === m.ledger;
+    const isSame = ledger === message.ledger;
     if (deps.bootstrapsItself || (ledger !== '' && !isSame))
       return { kind: 'bootstrapAnswer', agreed: false, member: self };
-    if (!m.commit || isSame) return { kind: 'bootstrapAnswer', agreed: true, member: self };
-    const answer = await replica.put({ tag: 'chosen', slot: 0, batch: m.slotZero });
+    if (!message.commit || isSame) return { kind: 'bootstrapAnswer', agreed: true, member: self };
+    const answer = await replica.put({ tag: 'chosen', slot: 0, batch: message.slotZero });
     return { kind: 'bootstrapAnswer', agreed: answer.tag === 'folded', member: self };
   }
   peers.on('bootstrap', onBootstrap);
@@ -50,7 +50,7 @@
   async function requestMember(
     address: Address,
     message: MessageOf<'bootstrap'>,
-  ): Promise<Result<Member, BootstrapFault>> {
+  ): Promise<Result<Member, BootstrapError>> {
     const own = address === self.address;
     const reply = own ? ok(await onBootstrap(message)) : await peers.call(address, message, ANSWER_WAIT_MS);
     if (!reply.ok || reply.value.kind !== 'bootstrapAnswer') return err({ tag: 'memberSilent', address });
@@ -58,7 +58,7 @@
     return ok(reply.value.member);
   }
 
-  async function bootstrap(addresses: readonly Address[]): Promise<Result<Agreed, BootstrapFault>> {
+  async function bootstrap(addresses: readonly Address[]): Promise<Result<Agreed, BootstrapError>> {
     const ledger = newId(rng, 'ledger');
     const blank: Batch = { id: newId(rng, 'batch'), entries: [] };
     const members: Member[] = [];
--- a/src/coordination/ledger/operator-http-server.ts
+++ b/src/coordination/ledger/operator-http-server.ts
@@ -54,16 +54,18 @@
   const { ledger, push, latencyTargets, clock, status } = deps;
   async function agree(command: Command, cause: string, operation: string | undefined): Promise<HttpReply> {
     const from = clock.mono();
-    const got = await ledger.propose(
+    const response = await ledger.propose(
       { ...(operation === undefined ? {} : { id: operatorRequest(operation) }), cause, act: command },
       AGREE_MS,
     );
-    if (!got.ok)
+    if (!response.ok)
       return fail(
         503,
-        got.fault.tag === 'cannotWrite' ? { tag: 'cannotWrite', fault: got.fault.fault } : { tag: got.fault.tag },
+        response.error.tag === 'cannotWrite'
+          ? { tag: 'cannotWrite', fault: response.error.error }
+          : { tag: response.error.tag },
       );
-    const { slot, outcome } = got.value;
+    const { slot, outcome } = response.value;
     if (outcome.tag === 'staleVersion') return fail(409, { tag: 'staleVersion', winner: outcome.winner });
     if (outcome.tag !== 'applied') return fail(409, { tag: 'unchanged' });
     const waiting = await push.confirm(slot, CONFIRM_MS);
@@ -74,18 +76,18 @@
 
   async function configure(
     base: number,
-    make: (b: ControlState) => unknown,
+    make: (state: ControlState) => unknown,
     operation: string | undefined,
   ): Promise<HttpReply> {
     if (!(await ledger.linearizableRead(AGREE_MS))) return fail(503, { tag: 'noMajority' });
-    const b = ledger.controlState();
-    const done = operation === undefined ? null : operationOf(b, operatorRequest(operation));
-    const forgotten = operation !== undefined && versionMayBeForgotten(b.history, base);
-    if (!done && b.version !== base && forgotten) return fail(503, { tag: 'outcomeUnknown' });
-    if (!done && b.version !== base) return fail(409, { tag: 'staleVersion', winner: b.version });
-    const next = readConfiguration(make(b));
-    if (!done && !next.ok) return fail(422, { tag: 'invalidConfiguration', faults: next.fault });
-    const changes: Change[] = next.ok ? differences(b.configuration, next.value) : [];
+    const controlState = ledger.controlState();
+    const done = operation === undefined ? null : operationOf(controlState, operatorRequest(operation));
+    const forgotten = operation !== undefined && versionMayBeForgotten(controlState.history, base);
+    if (!done && controlState.version !== base && forgotten) return fail(503, { tag: 'outcomeUnknown' });
+    if (!done && controlState.version !== base) return fail(409, { tag: 'staleVersion', winner: controlState.version });
+    const next = readConfiguration(make(controlState));
+    if (!done && !next.ok) return fail(422, { tag: 'invalidConfiguration', faults: next.error });
+    const changes: Change[] = next.ok ? differences(controlState.configuration, next.value) : [];
     if (JSON.stringify(changes).length > MAX_CHANGES) return fail(413, { tag: 'changesTooLarge', most: MAX_CHANGES });
     return agree(
       { tag: 'configured', base, changes },
@@ -96,7 +98,7 @@
 
   async function apply(req: HttpRequest): Promise<HttpReply> {
     const body = readApply(req.body);
-    if (!body.ok) return fail(400, body.fault);
+    if (!body.ok) return fail(400, body.error);
     function replacement(): unknown {
       return body.ok ? body.value.configuration : null;
     }
@@ -105,31 +107,31 @@
 
   async function amend(req: HttpRequest): Promise<HttpReply> {
     const body = readAmend(req.body);
-    if (!body.ok) return fail(400, body.fault);
-    function amended(b: ControlState): unknown {
-      return body.ok ? withChanges(b.configuration, body.value.changes) : null;
+    if (!body.ok) return fail(400, body.error);
+    function amended(state: ControlState): unknown {
+      return body.ok ? withChanges(state.configuration, body.value.changes) : null;
     }
     return configure(body.value.base, amended, body.value.operation);
   }
 
   async function readBack(): Promise<HttpReply> {
     const isCurrent = await ledger.linearizableRead(AGREE_MS);
-    const b = ledger.controlState();
-    if (!isCurrent) return fail(503, { tag: 'noMajority', version: b.version });
+    const state = ledger.controlState();
+    if (!isCurrent) return fail(503, { tag: 'noMajority', version: state.version });
     return {
       status: 200,
       body: {
-        version: b.version,
-        configuration: b.configuration,
-        evacuated: Object.keys(b.evacuated).sort(),
-        resolved: resolveAll(b.configuration),
+        version: state.version,
+        configuration: state.configuration,
+        evacuated: Object.keys(state.evacuated).sort(),
+        resolved: resolveAll(state.configuration),
       },
     };
   }
 
   async function zone(req: HttpRequest, begun: boolean): Promise<HttpReply> {
     const body = readZone(req.body ?? {});
-    if (!body.ok) return fail(400, body.fault);
+    if (!body.ok) return fail(400, body.error);
     const name = req.params['zone'] ?? '';
     if (!(await ledger.linearizableRead(AGREE_MS))) return fail(503, { tag: 'noMajority' });
     if (!Object.hasOwn(ledger.controlState().configuration.zones, name))
@@ -154,11 +156,11 @@
 
   async function bootstrap(req: HttpRequest): Promise<HttpReply> {
     const body = readFound(req.body);
-    if (!body.ok) return fail(400, body.fault);
-    const got = await ledger.bootstrap(body.value.members);
-    return got.ok
+    if (!body.ok) return fail(400, body.error);
+    const response = await ledger.bootstrap(body.value.members);
+    return response.ok
       ? { status: 200, body: { acknowledged: true, ledger: ledger.controlState().ledger } }
-      : fail(409, got.fault);
+      : fail(409, response.error);
   }
 
   function reopenClaims(): Promise<HttpReply> {
@@ -183,35 +185,35 @@
   }
 
   async function history(req: HttpRequest): Promise<HttpReply> {
-    const b = ledger.controlState();
+    const state = ledger.controlState();
     const wanted = req.query['model'];
     const out = [];
-    for (const order of [...ledger.closedOrders.all(), ...Object.values(b.orders)])
+    for (const order of [...ledger.closedOrders.all(), ...Object.values(state.orders)])
       if (wanted === undefined || order.model === wanted) out.push(order);
     return {
       status: 200,
       body: {
-        slot: b.slot,
+        slot: state.slot,
         complete: ledger.closedOrders.lacking() === null,
         orders: out,
-        zoneSets: b.zoneSets,
-        targets: b.targets,
-        leases: b.leases,
+        zoneSets: state.zoneSets,
+        targets: state.targets,
+        leases: state.leases,
       },
     };
   }
 
   async function entries(req: HttpRequest): Promise<HttpReply> {
     const from = Number(req.query['from'] ?? 0);
-    const b = ledger.controlState();
+    const state = ledger.controlState();
     const first = Math.max(0, Number.isInteger(from) && from >= 0 ? from : 0);
     const batches = ledger.since(first);
     return {
       status: 200,
       body: {
-        slot: b.slot,
+        slot: state.slot,
         complete: batches !== null,
-        batches: batches ?? ledger.since(Math.max(first, b.slot - 200)) ?? [],
+        batches: batches ?? ledger.since(Math.max(first, state.slot - 200)) ?? [],
       },
     };
   }
--- a/src/coordination/ledger/operator-identity.test.ts
+++ b/src/coordination/ledger/operator-identity.test.ts
@@ -55,7 +55,7 @@
 }
 
 const taken = (number: number): unknown => ok({ tag: 'taken', number });
-const stale = (number: number): unknown => ({ ok: false, fault: { tag: 'stale', number } });
+const stale = (number: number): unknown => ({ ok: false, error: { tag: 'stale', number } });
 
 async function expectSameChange(operator: Operator, nodes: readonly string[]): Promise<void> {
   for (const node of nodes) {
@@ -144,12 +144,15 @@
   core.startAll();
   expect(await core.until(4_000, () => core.whole(THREE))).toBe(true);
   async function post(node: string, path: string, body: object): Promise<AdminAnswer> {
-    const got = await core.finish(
+    const response = await core.finish(
       httpClient.call({ method: 'POST', address: `${core.node(node).wire}0`, path, body, timeoutMs: 8_000 }),
       10_000,
     );
-    if (!got?.ok) return { status: 0, version: -1 };
-    return { status: got.value.status, version: (got.value.body as { readonly version?: number }).version ?? -1 };
+    if (!response?.ok) return { status: 0, version: -1 };
+    return {
+      status: response.value.status,
+      version: (response.value.body as { readonly version?: number }).version ?? -1,
+    };
   }
   return { core, post };
 }
--- a/src/coordination/ledger/partition.test.ts
+++ b/src/coordination/ledger/partition.test.ts
@@ -28,14 +28,14 @@
 }
 
 async function confirmed(core: SimCore, at: string, zone: string, withinMs: number): Promise<void> {
-  const got = await core.order(at, zone, withinMs);
-  expect([at, zone, got.result, got.tookMs]).toMatchObject([
+  const response = await core.order(at, zone, withinMs);
+  expect([at, zone, response.result, response.tookMs]).toMatchObject([
     at,
     zone,
     { ok: true, value: { outcome: { tag: 'applied' } } },
     expect.any(Number),
   ]);
-  expect(got.tookMs).toBeLessThan(withinMs);
+  expect(response.tookMs).toBeLessThan(withinMs);
 }
 
 describe('a member that was cut off reads through members that were removed or lag', () => {
--- a/src/coordination/ledger/poll.ts
+++ b/src/coordination/ledger/poll.ts
@@ -4,24 +4,24 @@
 import type { Member } from '../../state/entry.js';
 
 export type Votes = ReadonlyMap<string, Message>;
-export type RequestMember = (m: Member, message: Message) => Promise<Message | null>;
+export type RequestMember = (member: Member, message: Message) => Promise<Message | null>;
 
 export function poll(
   members: readonly Member[],
-  request: (m: Member) => Promise<Message | null>,
+  request: (member: Member) => Promise<Message | null>,
   enough: (votes: Votes, open: number) => boolean,
 ): Promise<Votes> {
   function start(resolve: (votes: Votes) => void): void {
     const votes = new Map<string, Message>();
     let open = members.length;
     if (open === 0) resolve(votes);
-    async function one(m: Member): Promise<void> {
-      const got = await request(m);
+    async function one(member: Member): Promise<void> {
+      const response = await request(member);
       open -= 1;
-      if (got) votes.set(memberId(m), got);
+      if (response) votes.set(memberId(member), response);
       if (open === 0 || enough(votes, open)) resolve(votes);
     }
-    for (const m of members) void one(m);
+    for (const member of members) void one(member);
   }
   return new Promise(start);
 }
--- a/src/coordination/ledger/proposer.ts
+++ b/src/coordination/ledger/proposer.ts
@@ -19,13 +19,13 @@
 import type { Address } from '../../transport/wire.js';
 import type { Peers } from '../members/peers.js';
 import type { RequestMember } from './poll.js';
-import type { Agreed, Draft, ProposeFault } from './proposal.js';
+import type { Agreed, Draft, ProposeError } from './proposal.js';
 import type { Replica } from './replica.js';
 import { runRound } from './round.js';
 
 export interface Proposer {
   /** Agrees one entry; `noMajority` after `waitMs` says that it may still come to be agreed, once at most. */
-  propose(draft: Draft, waitMs: number): Promise<Result<Agreed, ProposeFault>>;
+  propose(draft: Draft, waitMs: number): Promise<Result<Agreed, ProposeError>>;
   /** Ballots what others left open (with an empty batch of its own) until `isDone`. */
   finish(until: number, isDone: () => boolean): Promise<void>;
 }
@@ -52,7 +52,7 @@
 const MOST_BACKOFF = 3;
 
 class BatchingProposer implements Proposer {
-  private readonly queue: BatchQueue<Proposal, Result<Agreed, ProposeFault>>;
+  private readonly queue: BatchQueue<Proposal, Result<Agreed, ProposeError>>;
 
   constructor(private readonly deps: ProposerDeps) {
     this.queue = createBatchQueue((proposals) => this.work(proposals));
@@ -60,9 +60,9 @@
 
   private sendLearned(slot: number, batch: Batch): void {
     const { ledger, members } = this.deps.replica.controlState();
-    for (const m of members) {
-      if (memberId(m) === this.deps.replica.id()) continue;
-      void this.deps.peers.send(m.address, {
+    for (const member of members) {
+      if (memberId(member) === this.deps.replica.id()) continue;
+      void this.deps.peers.send(member.address, {
         kind: 'learned',
         ledger,
         slot,
@@ -74,11 +74,12 @@
 
   private async catchUpFrom(ahead: readonly Member[]): Promise<void> {
     const requests: Promise<void>[] = [];
-    for (const m of ahead) if (memberId(m) !== this.deps.replica.id()) requests.push(this.deps.catchUp(m.address));
+    for (const member of ahead)
+      if (memberId(member) !== this.deps.replica.id()) requests.push(this.deps.catchUp(member.address));
     if (requests.length > 0) await Promise.race(requests);
   }
 
-  private async ballot(batch: Batch, until: number, isDone: () => boolean): Promise<Result<null, ProposeFault>> {
+  private async ballot(batch: Batch, until: number, isDone: () => boolean): Promise<Result<null, ProposeError>> {
     let highestRound = 0;
     let longestMs = 0;
     for (let tries = 0; this.deps.clock.mono() < until; tries += 1) {
@@ -86,7 +87,7 @@
       const { ledger, members, slot: folded } = this.deps.replica.controlState();
       const slot = folded + 1;
       const from = this.deps.clock.mono();
-      const electorate = { ledger, members, need: majorityOf(members) };
+      const electorate = { ledger, members, quorumSize: majorityOf(members) };
       const own = { round: highestRound + 1, by: `${this.deps.replica.id()}/${newId(this.deps.rng, 'b')}` };
       const end = await runRound(electorate, slot, own, batch, this.deps.requesterUntil(until));
       if (end.tag === 'chosen') {
@@ -95,8 +96,8 @@
         highestRound = 0;
         continue;
       }
-      const fault = this.deps.replica.blockedBy();
-      if (fault) return err({ tag: 'cannotWrite', fault });
+      const error = this.deps.replica.blockedBy();
+      if (error) return err({ tag: 'cannotWrite', error });
       if (end.tag === 'behind') {
         await this.catchUpFrom(end.ahead);
         if (this.deps.replica.controlState().slot >= slot) highestRound = 0;
@@ -119,41 +120,41 @@
   }
 
   /** Agrees all that wait in one batch; what no longer fits comes with the next one. */
-  private async work(proposals: readonly Proposal[]): Promise<readonly Result<Agreed, ProposeFault>[]> {
+  private async work(proposals: readonly Proposal[]): Promise<readonly Result<Agreed, ProposeError>[]> {
     const now = this.deps.clock.mono();
     const entries: Entry[] = [];
     let until = now;
     let total = 0;
-    for (const p of proposals) {
+    for (const proposal of proposals) {
       if (
-        p.until <= now ||
-        operationOf(this.deps.replica.controlState(), p.entry.id) ||
-        total + p.bytes > this.deps.mostBytes
+        proposal.until <= now ||
+        operationOf(this.deps.replica.controlState(), proposal.entry.id) ||
+        total + proposal.bytes > this.deps.mostBytes
       )
         continue;
-      total += p.bytes;
-      entries.push(p.entry);
-      until = Math.min(now + SLICE_MS, Math.max(until, p.until));
+      total += proposal.bytes;
+      entries.push(proposal.entry);
+      until = Math.min(now + SLICE_MS, Math.max(until, proposal.until));
     }
-    let failed: ProposeFault = { tag: 'noMajority' };
+    let failed: ProposeError = { tag: 'noMajority' };
 
     const allFolded = (): boolean => {
-      for (const e of entries) if (!operationOf(this.deps.replica.controlState(), e.id)) return false;
+      for (const event of entries) if (!operationOf(this.deps.replica.controlState(), event.id)) return false;
       return true;
     };
     if (entries.length > 0) {
       const decided = await this.ballot({ id: newId(this.deps.rng, 'batch'), entries }, until, allFolded);
-      if (!decided.ok) failed = decided.fault;
+      if (!decided.ok) failed = decided.error;
     }
-    const results: Result<Agreed, ProposeFault>[] = [];
-    for (const p of proposals) {
-      const done = operationOf(this.deps.replica.controlState(), p.entry.id);
+    const results: Result<Agreed, ProposeError>[] = [];
+    for (const proposal of proposals) {
+      const done = operationOf(this.deps.replica.controlState(), proposal.entry.id);
       results.push(done ? ok({ slot: done.slot, outcome: done.outcome }) : err(failed));
     }
     return results;
   }
 
-  async propose(draft: Draft, waitMs: number): Promise<Result<Agreed, ProposeFault>> {
+  async propose(draft: Draft, waitMs: number): Promise<Result<Agreed, ProposeError>> {
     const until = this.deps.clock.mono() + waitMs;
     if (!(await this.deps.replica.knowsLedger(waitMs))) return err({ tag: 'notBootstrapped' });
     const entry: Entry = {
@@ -165,15 +166,15 @@
       ...(draft.fence === undefined ? {} : { fence: draft.fence }),
     };
     const bytes = Buffer.byteLength(JSON.stringify(entry));
-    if (bytes > this.deps.mostBytes) return err({ tag: 'cannotWrite', fault: { tag: 'recordTooLarge', bytes } });
+    if (bytes > this.deps.mostBytes) return err({ tag: 'cannotWrite', error: { tag: 'recordTooLarge', bytes } });
     return this.agreedWithin(entry, bytes, until);
   }
 
-  private async agreedWithin(entry: Entry, bytes: number, until: number): Promise<Result<Agreed, ProposeFault>> {
+  private async agreedWithin(entry: Entry, bytes: number, until: number): Promise<Result<Agreed, ProposeError>> {
     for (;;) {
       const queued = this.queue.put({ entry, bytes, until });
       const end = (await within(this.deps.clock, until - this.deps.clock.mono(), queued)) ?? err({ tag: 'noMajority' });
-      if (end.ok || end.fault.tag !== 'noMajority' || this.deps.clock.mono() >= until) return end;
+      if (end.ok || end.error.tag !== 'noMajority' || this.deps.clock.mono() >= until) return end;
     }
   }
 
