--- a/src/coordination/ledger/push.ts
+++ b/src/coordination/ledger/push.ts
@@ -72,19 +72,19 @@
 
     this.ledger.events.on('adopted', () => this.onFolded());
 
-    this.peers.on('follow', (m, peer) => this.onFollow(m, peer));
+    this.peers.on('follow', (message, peer) => this.onFollow(message, peer));
 
-    this.peers.on('attend', (m, peer) => this.onFollowerHeartbeat(m, peer));
+    this.peers.on('attend', (message, peer) => this.onFollowerHeartbeat(message, peer));
 
-    this.peers.on('unfollow', (m, peer) => this.onUnfollow(m, peer));
+    this.peers.on('unfollow', (message, peer) => this.onUnfollow(message, peer));
 
-    this.peers.on('followed', (m) => this.onFollowed(m));
+    this.peers.on('followed', (message) => this.onFollowed(message));
 
-    this.peers.on('confirmed', (m) => this.onConfirmed(m));
+    this.peers.on('confirmed', (message) => this.onConfirmed(message));
 
-    this.peers.on('reportsAsk', (m) => this.onReportsRequest(m));
+    this.peers.on('reportsAsk', (message) => this.onReportsRequest(message));
 
-    this.peers.on('reports', (m, peer) => this.onReports(m, peer));
+    this.peers.on('reports', (message, peer) => this.onReports(message, peer));
   }
 
   private offerToProxy(slot: number): SnapshotOffer | null {
@@ -92,19 +92,19 @@
   }
 
   /** Tells a proxy all slots it was not told yet, in pages, or offers it a snapshot to fetch. */
-  private serve(f: Follower): void {
-    const b = this.ledger.controlState();
-    if (b.ledger === '' || f.sent >= b.slot) return;
-    const snapshot = snapshotInstead(this.ledger.history, f.sent + 1, (slot) => this.offerToProxy(slot));
+  private serve(follower: Follower): void {
+    const state = this.ledger.controlState();
+    if (state.ledger === '' || follower.sent >= state.slot) return;
+    const snapshot = snapshotInstead(this.ledger.history, follower.sent + 1, (slot) => this.offerToProxy(slot));
     if (snapshot) {
-      f.peer.send({ kind: 'changes', ledger: b.ledger, snapshot, batches: [] });
-      f.sent = snapshot.slot;
+      follower.peer.send({ kind: 'changes', ledger: state.ledger, snapshot, batches: [] });
+      follower.sent = snapshot.slot;
     }
-    while (f.sent < b.slot) {
-      const batches = this.ledger.history.page(f.sent + 1, PAGE_BYTES);
+    while (follower.sent < state.slot) {
+      const batches = this.ledger.history.page(follower.sent + 1, PAGE_BYTES);
       if (!batches || batches.length === 0) return;
-      f.peer.send({ kind: 'changes', ledger: b.ledger, batches: [...batches] });
-      f.sent += batches.length;
+      follower.peer.send({ kind: 'changes', ledger: state.ledger, batches: [...batches] });
+      follower.sent += batches.length;
     }
   }
 
@@ -127,51 +127,53 @@
     this.proposing.delete(m.name);
   }
 
-  private onFollow(m: MessageOf<'follow'>, peer: Peer): null {
+  private onFollow(message: MessageOf<'follow'>, peer: Peer): null {
     const foreign =
-      m.ledger !== '' && this.ledger.controlState().ledger !== '' && m.ledger !== this.ledger.controlState().ledger;
+      message.ledger !== '' &&
+      this.ledger.controlState().ledger !== '' &&
+      message.ledger !== this.ledger.controlState().ledger;
     if (foreign) {
-      this.log.error(`${m.name} follows another ledger; it is turned away.`);
+      this.log.error(`${message.name} follows another ledger; it is turned away.`);
       peer.close();
       return null;
     }
-    const before = this.followers.get(m.name);
+    const before = this.followers.get(message.name);
     const now = this.clock.mono();
     const nonces = before?.peer === peer ? [...before.nonces] : [];
-    const f: Follower = {
-      name: m.name,
-      zone: m.zone,
-      region: m.region,
+    const follower: Follower = {
+      name: message.name,
+      zone: message.zone,
+      region: message.region,
       peer,
       nonces: nonces.slice(-NONCES_KEPT),
       attested: 0,
       lastContactAt: now,
       lastHeartbeatAt: 0,
-      sent: m.ledger === '' ? -1 : m.from - 1,
+      sent: message.ledger === '' ? -1 : message.from - 1,
     };
-    f.nonces.push({ nonce: m.nonce, at: now });
-    this.followers.set(m.name, f);
+    follower.nonces.push({ nonce: message.nonce, at: now });
+    this.followers.set(message.name, follower);
 
     const gone = (): void => {
-      if (this.followers.get(m.name)?.peer === peer) this.followers.delete(m.name);
+      if (this.followers.get(message.name)?.peer === peer) this.followers.delete(message.name);
     };
     if (before?.peer !== peer) peer.onClosed(gone);
-    this.serve(f);
+    this.serve(follower);
     this.quorumAttestation.requestSoon();
-    void this.recordProxy(m);
+    void this.recordProxy(message);
     return null;
   }
 
-  private onFollowerHeartbeat(m: MessageOf<'attend'>, peer: Peer): null {
-    const f = this.followers.get(m.name);
+  private onFollowerHeartbeat(message: MessageOf<'attend'>, peer: Peer): null {
+    const f = this.followers.get(message.name);
     if (!f || f.peer !== peer) return null;
     f.lastContactAt = this.clock.mono();
-    f.nonces = [...f.nonces.slice(-NONCES_KEPT), { nonce: m.nonce, at: f.lastContactAt }];
+    f.nonces = [...f.nonces.slice(-NONCES_KEPT), { nonce: message.nonce, at: f.lastContactAt }];
     return null;
   }
 
-  private onUnfollow(m: MessageOf<'unfollow'>, peer: Peer): null {
-    if (this.followers.get(m.name)?.peer === peer) this.followers.delete(m.name);
+  private onUnfollow(message: MessageOf<'unfollow'>, peer: Peer): null {
+    if (this.followers.get(message.name)?.peer === peer) this.followers.delete(message.name);
     return null;
   }
 
@@ -181,9 +183,9 @@
     return true;
   }
 
-  private onFollowed(m: MessageOf<'followed'>): null {
-    if (!this.recordAcknowledged(m.name, m.slot)) return null;
-    this.confirmed[m.name] = m.slot;
+  private onFollowed(message: MessageOf<'followed'>): null {
+    if (!this.recordAcknowledged(message.name, message.slot)) return null;
+    this.confirmed[message.name] = message.slot;
     if (!this.relayScheduled) this.clock.timer(CONFIRMED_MS, () => this.relayConfirmed());
     this.relayScheduled = true;
     return null;
@@ -193,32 +195,33 @@
     this.relayScheduled = false;
     const slots = this.confirmed;
     this.confirmed = {};
-    for (const m of this.others()) void this.peers.send(m.address, { kind: 'confirmed', slots });
+    for (const member of this.others()) void this.peers.send(member.address, { kind: 'confirmed', slots });
   }
 
-  private onConfirmed(m: MessageOf<'confirmed'>): null {
-    for (const [name, slot] of Object.entries(m.slots)) this.recordAcknowledged(name, slot);
+  private onConfirmed(message: MessageOf<'confirmed'>): null {
+    for (const [name, slot] of Object.entries(message.slots)) this.recordAcknowledged(name, slot);
     return null;
   }
 
   private others(): Member[] {
     const out: Member[] = [];
-    for (const m of this.ledger.controlState().members) if (memberId(m) !== memberId(this.ledger.self)) out.push(m);
+    for (const member of this.ledger.controlState().members)
+      if (memberId(member) !== memberId(this.ledger.self)) out.push(member);
     return out;
   }
 
-  private onReports(m: MessageOf<'reports'>, peer: Peer): null {
+  private onReports(message: MessageOf<'reports'>, peer: Peer): null {
     const missed: string[] = [];
-    for (const r of m.reports) {
-      const have = this.currentReports.get(r.reporter);
-      const step = mergeReport(this.currentReports, r);
+    for (const report of message.reports) {
+      const have = this.currentReports.get(report.reporter);
+      const step = mergeReport(this.currentReports, report);
       if (step === 'merged') {
-        this.lastContacts.set(r.reporter, this.clock.mono());
-        if (m.by === undefined) this.scheduleRelay(r.reporter, this.others());
-        else this.scheduleRelay(r.reporter, this.relayTo(m.by));
-      } else if (step === 'gap') missed.push(r.reporter);
-      else if (have && have.run !== r.run && have.incarnation >= r.incarnation)
-        peer.send({ kind: 'outlived', reporter: r.reporter, incarnation: have.incarnation });
+        this.lastContacts.set(report.reporter, this.clock.mono());
+        if (message.by === undefined) this.scheduleRelay(report.reporter, this.others());
+        else this.scheduleRelay(report.reporter, this.relayTo(message.by));
+      } else if (step === 'gap') missed.push(report.reporter);
+      else if (have && have.run !== report.run && have.incarnation >= report.incarnation)
+        peer.send({ kind: 'outlived', reporter: report.reporter, incarnation: have.incarnation });
     }
     if (missed.length > 0) peer.send({ kind: 'reportsAsk', by: this.ledger.self.name, reporters: missed });
     return null;
@@ -226,44 +229,45 @@
 
   private relayTo(by: string): Member[] {
     const others: Member[] = [];
-    for (const m of this.others()) if (m.name !== by) others.push(m);
+    for (const member of this.others()) if (member.name !== by) others.push(member);
     const one = others[this.relays % Math.max(1, others.length)];
     return one ? [one] : [];
   }
 
   private scheduleRelay(reporter: string, to: readonly Member[]): void {
-    for (const m of to) {
-      const names = this.pendingRelays.get(m.name) ?? new Set<string>();
+    for (const member of to) {
+      const names = this.pendingRelays.get(member.name) ?? new Set<string>();
       names.add(reporter);
-      this.pendingRelays.set(m.name, names);
+      this.pendingRelays.set(member.name, names);
     }
   }
 
-  private onReportsRequest(m: MessageOf<'reportsAsk'>): null {
-    for (const name of m.reporters) {
-      this.sentReports.get(m.by)?.delete(name);
-      for (const to of this.others()) if (to.name === m.by) this.scheduleRelay(name, [to]);
+  private onReportsRequest(message: MessageOf<'reportsAsk'>): null {
+    for (const name of message.reporters) {
+      this.sentReports.get(message.by)?.delete(name);
+      for (const to of this.others()) if (to.name === message.by) this.scheduleRelay(name, [to]);
     }
     return null;
   }
 
-  private attestedOf(f: Follower): { readonly echo: number; readonly top: number } {
-    const a = this.quorumAttestation.newest();
+  private attestedOf(follower: Follower): { readonly echo: number; readonly top: number } {
+    const first = this.quorumAttestation.newest();
     let echo = 0;
-    for (const q of f.nonces) if (a && q.at <= a.asOf) echo = Math.max(echo, q.nonce);
-    return { echo, top: a?.top ?? this.ledger.top() };
+    for (const receivedNonce of follower.nonces)
+      if (first && receivedNonce.at <= first.asOf) echo = Math.max(echo, receivedNonce.nonce);
+    return { echo, top: first?.top ?? this.ledger.top() };
   }
 
-  private sendHeartbeat(f: Follower): void {
-    const b = this.ledger.controlState();
-    const { echo, top } = this.attestedOf(f);
-    f.attested = echo;
-    f.lastHeartbeatAt = this.clock.mono();
-    f.peer.send({
+  private sendHeartbeat(follower: Follower): void {
+    const state = this.ledger.controlState();
+    const { echo, top } = this.attestedOf(follower);
+    follower.attested = echo;
+    follower.lastHeartbeatAt = this.clock.mono();
+    follower.peer.send({
       kind: 'beat',
       from: this.ledger.self.name,
-      ledger: b.ledger,
-      slot: b.slot,
+      ledger: state.ledger,
+      slot: state.slot,
       top,
       quorate: echo > 0,
       wall: this.quorumAttestation.sharedNow(),
@@ -272,44 +276,46 @@
   }
 
   private onAttestation(): void {
-    for (const f of this.followers.values()) if (f.attested === 0 && this.attestedOf(f).echo > 0) this.sendHeartbeat(f);
+    for (const follower of this.followers.values())
+      if (follower.attested === 0 && this.attestedOf(follower).echo > 0) this.sendHeartbeat(follower);
   }
 
   quorate(): boolean {
     if (!this.ledger.isMember() || !this.ledger.writable()) return false;
-    let n = 0;
-    for (const m of this.ledger.controlState().members) {
-      const at = this.ledger.lastContactAt(memberId(m));
-      if (memberId(m) === memberId(this.ledger.self) || (at !== null && this.clock.mono() - at < QUORATE_MS)) n += 1;
+    let count = 0;
+    for (const member of this.ledger.controlState().members) {
+      const at = this.ledger.lastContactAt(memberId(member));
+      if (memberId(member) === memberId(this.ledger.self) || (at !== null && this.clock.mono() - at < QUORATE_MS))
+        count += 1;
     }
-    return n >= majorityOf(this.ledger.controlState().members);
+    return count >= majorityOf(this.ledger.controlState().members);
   }
 
   private heartbeat(): void {
     const now = this.clock.mono();
-    for (const f of [...this.followers.values()]) {
-      if (now - f.lastContactAt > FOLLOWER_SILENT_MS) {
-        this.followers.delete(f.name);
+    for (const follower of [...this.followers.values()]) {
+      if (now - follower.lastContactAt > FOLLOWER_SILENT_MS) {
+        this.followers.delete(follower.name);
         continue;
       }
-      this.serve(f);
-      this.sendHeartbeat(f);
-      void this.recordProxy(f);
+      this.serve(follower);
+      this.sendHeartbeat(follower);
+      void this.recordProxy(follower);
     }
   }
 
   private gossip(): void {
     this.relays += 1;
-    for (const m of this.others()) {
-      const names = this.pendingRelays.get(m.name);
-      if (names && names.size > 0) void this.relayReports(m, names);
-      this.pendingRelays.delete(m.name);
+    for (const member of this.others()) {
+      const names = this.pendingRelays.get(member.name);
+      if (names && names.size > 0) void this.relayReports(member, names);
+      this.pendingRelays.delete(member.name);
     }
   }
 
-  private async relayReports(m: Member, names: ReadonlySet<string>): Promise<void> {
-    const before = this.sentReports.get(m.name) ?? new Map<string, Report>();
-    this.sentReports.set(m.name, before);
+  private async relayReports(member: Member, names: ReadonlySet<string>): Promise<void> {
+    const before = this.sentReports.get(member.name) ?? new Map<string, Report>();
+    this.sentReports.set(member.name, before);
     const rows: Report[] = [];
     for (const name of names) {
       const row = this.currentReports.get(name);
@@ -317,12 +323,12 @@
       rows.push(differenceTo(before.get(name), row));
       before.set(name, row);
     }
-    if (!(await this.peers.send(m.address, { kind: 'reports', by: this.ledger.self.name, reports: rows })))
-      this.sentReports.delete(m.name);
+    if (!(await this.peers.send(member.address, { kind: 'reports', by: this.ledger.self.name, reports: rows })))
+      this.sentReports.delete(member.name);
   }
 
   private onFolded(): void {
-    for (const f of this.followers.values()) this.serve(f);
+    for (const follower of this.followers.values()) this.serve(follower);
     this.onAttestation();
   }
 
--- a/src/coordination/ledger/quorum-attestation.ts
+++ b/src/coordination/ledger/quorum-attestation.ts
@@ -17,7 +17,7 @@
   newest(): Attestation | null;
   requestSoon(): void;
   sharedNow(): number;
-  readonly events: { readonly on: (name: 'attested', fn: () => void) => void };
+  readonly events: { readonly on: (name: 'attested', callback: () => void) => void };
   stop(): void;
 }
 
@@ -38,7 +38,7 @@
     private readonly ledger: Ledger,
     private readonly clock: Clock,
   ) {
-    this.ledger.events.on('heard', (e) => this.onMemberStatus(e));
+    this.ledger.events.on('heard', (receivedMemberStatus) => this.onMemberStatus(receivedMemberStatus));
     this.turning = every(this.clock, TURN_MS, () => this.turn());
   }
 
@@ -46,8 +46,8 @@
     return id === memberId(this.ledger.self);
   }
 
-  private onMemberStatus(e: ReceivedMemberStatus): void {
-    const { member, requestedAt, memberStatus } = e;
+  private onMemberStatus(receivedMemberStatus: ReceivedMemberStatus): void {
+    const { member, requestedAt, memberStatus } = receivedMemberStatus;
     if (memberStatus.wall !== undefined) this.time.record(member.name, memberStatus.wall, this.clock.mono());
     const have = this.answers.get(memberId(member));
     if (have && have.requestedAt >= requestedAt) return;
@@ -58,9 +58,9 @@
   private turn(): void {
     const names = new Set<string>([this.ledger.self.name]);
     const ids = new Set<string>();
-    for (const m of this.ledger.controlState().members) {
-      names.add(m.name);
-      ids.add(memberId(m));
+    for (const member of this.ledger.controlState().members) {
+      names.add(member.name);
+      ids.add(memberId(member));
     }
     this.time.retainOnly(names);
     this.time.record(this.ledger.self.name, this.clock.wall(), this.clock.mono());
@@ -81,22 +81,22 @@
   }
 
   newest(): Attestation | null {
-    const b = this.ledger.controlState();
+    const state = this.ledger.controlState();
     if (!this.ledger.isMember() || !this.ledger.writable()) return null;
     const known: Answer[] = [];
-    for (const m of b.members) {
-      const t = this.isOwn(memberId(m))
+    for (const member of state.members) {
+      const t = this.isOwn(memberId(member))
         ? { requestedAt: this.clock.mono(), top: this.ledger.top() }
-        : this.answers.get(memberId(m));
-      if (t && t.top <= b.slot) known.push(t);
+        : this.answers.get(memberId(member));
+      if (t && t.top <= state.slot) known.push(t);
     }
-    const need = majorityOf(b.members);
-    if (known.length < need) return null;
-    const most = known.sort(latestFirst).slice(0, need);
-    const { requestedAt } = most[need - 1] as Answer;
+    const quorumSize = majorityOf(state.members);
+    if (known.length < quorumSize) return null;
+    const most = known.sort(latestFirst).slice(0, quorumSize);
+    const { requestedAt } = most[quorumSize - 1] as Answer;
     if (this.clock.mono() - requestedAt > OLDEST_MS) return null;
     let top = -1;
-    for (const t of most) top = Math.max(top, t.top);
+    for (const answer of most) top = Math.max(top, answer.top);
     return { asOf: requestedAt, top };
   }
 
@@ -113,6 +113,6 @@
   return new PolledQuorumAttestation(ledger, clock);
 }
 
-function latestFirst(a: Answer, b: Answer): number {
-  return b.requestedAt - a.requestedAt;
+function latestFirst(left: Answer, right: Answer): number {
+  return right.requestedAt - left.requestedAt;
 }
--- a/src/coordination/ledger/repair-power.test.ts
+++ b/src/coordination/ledger/repair-power.test.ts
@@ -15,9 +15,9 @@
 async function confirmed(core: SimCore, at: string, zone: string): Promise<void> {
   const from = core.world.now();
   while (core.world.now() - from < ACK_WITHIN_MS) {
-    const got = await core.order(at, zone, ACK_WITHIN_MS - (core.world.now() - from));
-    if (got.result?.ok) {
-      expect(got.result.value.outcome.tag).toBe('applied');
+    const response = await core.order(at, zone, ACK_WITHIN_MS - (core.world.now() - from));
+    if (response.result?.ok) {
+      expect(response.result.value.outcome.tag).toBe('applied');
       return;
     }
     await core.world.advance(50);
--- a/src/coordination/ledger/replica.ts
+++ b/src/coordination/ledger/replica.ts
@@ -10,7 +10,7 @@
 import { delay } from '../../transport/clock.js';
 import type { Clock } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
-import type { RingFault } from '../../transport/ring.js';
+import type { RingError } from '../../transport/ring.js';
 import type { Store, StoreAnswer, StoreCommand } from './store.js';
 
 export interface Replica {
@@ -30,13 +30,13 @@
   /** After a failed write: tries to write the whole state anew, so that this member votes again once its disk takes it. */
   repair(): Promise<void>;
   /** Why the last vote or fold could not be written; null once something was written again. */
-  blockedBy(): RingFault | null;
+  blockedBy(): RingError | null;
 }
 
 const POLL_MS = 15;
 
 class StoreReplica implements Replica {
-  private blocked: RingFault | null = null;
+  private blocked: RingError | null = null;
 
   constructor(
     readonly store: Store,
@@ -50,7 +50,7 @@
   }
 
   isMember(): boolean {
-    for (const m of this.store.controlState().members) if (memberId(m) === this.id()) return true;
+    for (const member of this.store.controlState().members) if (memberId(member) === this.id()) return true;
     return false;
   }
 
@@ -58,8 +58,8 @@
     const answer = await this.store.put(command);
     if (answer.tag === 'cannotWrite') {
       if (!this.blocked)
-        this.log.error(`Cannot write the ring (${answer.fault.tag}); nothing is acknowledged until it can.`);
-      this.blocked = answer.fault;
+        this.log.error(`Cannot write the ring (${answer.error.tag}); nothing is acknowledged until it can.`);
+      this.blocked = answer.error;
     } else if (this.blocked && this.store.writable()) {
       this.log.info('The ring can be written again.');
       this.blocked = null;
@@ -95,7 +95,7 @@
     return this.waitUntil(isKnown, waitMs);
   }
 
-  blockedBy(): RingFault | null {
+  blockedBy(): RingError | null {
     return this.blocked;
   }
 
--- a/src/coordination/ledger/round.ts
+++ b/src/coordination/ledger/round.ts
@@ -10,7 +10,7 @@
 import { poll } from './poll.js';
 import type { RequestMember, Votes } from './poll.js';
 
-export type Electorate = { readonly ledger: string; readonly members: readonly Member[]; readonly need: number };
+export type Electorate = { readonly ledger: string; readonly members: readonly Member[]; readonly quorumSize: number };
 
 export type RoundEnd =
   | { readonly tag: 'chosen'; readonly batch: Batch }
@@ -19,9 +19,9 @@
   | { readonly tag: 'noMajority' };
 
 function tally(votes: Votes, kind: Message['kind']): number {
-  let n = 0;
-  for (const v of votes.values()) if (v.kind === kind) n += 1;
-  return n;
+  let count = 0;
+  for (const value of votes.values()) if (value.kind === kind) count += 1;
+  return count;
 }
 
 export async function runRound(
@@ -31,44 +31,44 @@
   mine: Batch,
   request: RequestMember,
 ): Promise<RoundEnd> {
-  const { ledger, members, need } = electorate;
+  const { ledger, members, quorumSize } = electorate;
   function isDecided(kind: Message['kind']): (votes: Votes, open: number) => boolean {
     function check(votes: Votes, open: number): boolean {
-      let n = 0;
-      for (const v of votes.values()) {
-        if (v.kind === 'outbid' || v.kind === 'alreadyChosen') return true;
-        if (v.kind === kind) n += 1;
+      let count = 0;
+      for (const value of votes.values()) {
+        if (value.kind === 'outbid' || value.kind === 'alreadyChosen') return true;
+        if (value.kind === kind) count += 1;
       }
-      return n >= need || n + open < need;
+      return count >= quorumSize || count + open < quorumSize;
     }
     return check;
   }
   function failureOf(votes: Votes): RoundEnd {
     let top = 0;
     const ahead: Member[] = [];
-    for (const m of members) {
-      const v = votes.get(memberId(m));
-      if (v?.kind === 'alreadyChosen') ahead.push(m);
-      else if (v?.kind === 'outbid') top = Math.max(top, v.by.round);
+    for (const member of members) {
+      const value = votes.get(memberId(member));
+      if (value?.kind === 'alreadyChosen') ahead.push(member);
+      else if (value?.kind === 'outbid') top = Math.max(top, value.by.round);
     }
     if (ahead.length > 0) return { tag: 'behind', ahead };
     return top > 0 ? { tag: 'outbid', round: top } : { tag: 'noMajority' };
   }
-  function put(message: Message): (m: Member) => Promise<Message | null> {
-    function one(m: Member): Promise<Message | null> {
-      return request(m, message);
+  function put(message: Message): (member: Member) => Promise<Message | null> {
+    function one(member: Member): Promise<Message | null> {
+      return request(member, message);
     }
     return one;
   }
 
   const promises = await poll(members, put({ kind: 'prepare', ledger, slot, ballot }), isDecided('promised'));
-  if (tally(promises, 'promised') < need) return failureOf(promises);
+  if (tally(promises, 'promised') < quorumSize) return failureOf(promises);
   let best: MessageOf<'promised'>['accepted'] = null;
-  for (const v of promises.values()) {
-    if (v.kind !== 'promised' || !v.accepted) continue;
-    if (!best || compareBallots(v.accepted.ballot, best.ballot) > 0) best = v.accepted;
+  for (const value of promises.values()) {
+    if (value.kind !== 'promised' || !value.accepted) continue;
+    if (!best || compareBallots(value.accepted.ballot, best.ballot) > 0) best = value.accepted;
   }
   const batch = best ? best.batch : mine;
   const accepts = await poll(members, put({ kind: 'accept', ledger, slot, ballot, batch }), isDecided('accepted'));
-  return tally(accepts, 'accepted') >= need ? { tag: 'chosen', batch } : failureOf(accepts);
+  return tally(accepts, 'accepted') >= quorumSize ? { tag: 'chosen', batch } : failureOf(accepts);
 }
--- a/src/coordination/ledger/second-loss.test.ts
+++ b/src/coordination/ledger/second-loss.test.ts
@@ -13,9 +13,9 @@
 }
 
 async function confirmed(core: SimCore, at: string, zone: string): Promise<void> {
-  const got = await core.order(at, zone, ACK_WITHIN_MS);
-  expect([at, zone, got.result]).toMatchObject([at, zone, { ok: true, value: { outcome: { tag: 'applied' } } }]);
-  expect(got.tookMs).toBeLessThan(ACK_WITHIN_MS);
+  const response = await core.order(at, zone, ACK_WITHIN_MS);
+  expect([at, zone, response.result]).toMatchObject([at, zone, { ok: true, value: { outcome: { tag: 'applied' } } }]);
+  expect(response.tookMs).toBeLessThan(ACK_WITHIN_MS);
 }
 
 describe('a second loss after a replacement or a repair', () => {
--- a/src/coordination/ledger/self-bootstrap.ts
+++ b/src/coordination/ledger/self-bootstrap.ts
@@ -66,7 +66,7 @@
 class SeedBallotBootstrap implements SelfBootstrap {
   private readonly bootstrapMembers: string[];
   readonly ballotOf: string | null;
-  private readonly need: number;
+  private readonly quorumSize: number;
   private readonly openedAt: number;
   private ableSince: number | null = null;
   private round = 0;
@@ -76,51 +76,52 @@
   constructor(private readonly deps: SelfBootstrapDeps) {
     this.bootstrapMembers = this.deps.bootstrapMembers ? [...this.deps.bootstrapMembers].sort() : [];
     this.ballotOf = this.deps.bootstrapMembers ? bootstrapDigest(this.bootstrapMembers) : null;
-    this.need = Math.floor(this.bootstrapMembers.length / 2) + 1;
+    this.quorumSize = Math.floor(this.bootstrapMembers.length / 2) + 1;
     this.openedAt = this.deps.clock.mono();
 
-    this.deps.peers.on('bootstrapVoteAsk', (m) => this.onRequest(m));
+    this.deps.peers.on('bootstrapVoteAsk', (message) => this.onRequest(message));
     this.ticking =
       this.ballotOf && this.deps.ledgerName() === '' ? every(this.deps.clock, TURN_MS, () => this.tick()) : null;
   }
 
-  private onRequest(m: MessageOf<'bootstrapVoteAsk'>): MessageOf<'bootstrapVoteAnswer'> {
+  private onRequest(message: MessageOf<'bootstrapVoteAsk'>): MessageOf<'bootstrapVoteAnswer'> {
     return {
       kind: 'bootstrapVoteAnswer',
       member: this.deps.self,
       ledger: this.deps.ledgerName(),
-      votes: m.bootstrapMembers === this.ballotOf,
+      votes: message.bootstrapMembers === this.ballotOf,
     };
   }
 
-  private async requestVoteOf(to: Address, of: string): Promise<Message | null> {
-    if (to === this.deps.self.address) return this.onRequest({ kind: 'bootstrapVoteAsk', bootstrapMembers: of });
-    const got = await this.deps.peers.call(to, { kind: 'bootstrapVoteAsk', bootstrapMembers: of }, ASK_MS);
-    return got.ok ? got.value : null;
+  private async requestVoteOf(to: Address, ballotName: string): Promise<Message | null> {
+    if (to === this.deps.self.address)
+      return this.onRequest({ kind: 'bootstrapVoteAsk', bootstrapMembers: ballotName });
+    const response = await this.deps.peers.call(to, { kind: 'bootstrapVoteAsk', bootstrapMembers: ballotName }, ASK_MS);
+    return response.ok ? response.value : null;
   }
 
-  private async tryBootstrap(of: string): Promise<void> {
+  private async tryBootstrap(ballotName: string): Promise<void> {
     const requests: Promise<Message | null>[] = [];
-    for (const to of this.bootstrapMembers) requests.push(this.requestVoteOf(to, of));
+    for (const to of this.bootstrapMembers) requests.push(this.requestVoteOf(to, ballotName));
     const blank: Member[] = [];
     let voters = 0;
-    for (const got of await Promise.all(requests)) {
-      if (got?.kind !== 'bootstrapVoteAnswer') continue;
-      if (got.ledger !== '') {
+    for (const response of await Promise.all(requests)) {
+      if (response?.kind !== 'bootstrapVoteAnswer') continue;
+      if (response.ledger !== '') {
         this.deps.seek();
         return;
       }
-      blank.push(got.member);
-      if (got.votes) voters += 1;
+      blank.push(response.member);
+      if (response.votes) voters += 1;
     }
     const now = this.deps.clock.mono();
     const complete = blank.length === this.bootstrapMembers.length || now - this.openedAt > WITHOUT_ALL_MS;
-    if (!complete || voters < this.need || this.deps.ledgerName() !== '') {
+    if (!complete || voters < this.quorumSize || this.deps.ledgerName() !== '') {
       this.ableSince = null;
       return;
     }
     this.ableSince ??= now;
-    if (now - this.ableSince < IN_TURN_MS * blank.findIndex((m) => this.isSelf(m))) return;
+    if (now - this.ableSince < IN_TURN_MS * blank.findIndex((member) => this.isSelf(member))) return;
     const mine = bootstrapEntry(
       this.deps.self,
       newId(this.deps.rng, 'ledger'),
@@ -130,7 +131,7 @@
       this.deps.rng,
     );
     const end = await runRound(
-      { ledger: of, members: blank, need: this.need },
+      { ledger: ballotName, members: blank, quorumSize: this.quorumSize },
       0,
       { round: this.round + 1, by: `${memberId(this.deps.self)}/${newId(this.deps.rng, 'b')}` },
       mine,
@@ -142,11 +143,11 @@
     }
     if (end.tag !== 'chosen') return;
     await this.deps.learnZero(end.batch);
-    for (const m of blank)
-      if (!this.isSelf(m))
-        void this.deps.peers.send(m.address, {
+    for (const member of blank)
+      if (!this.isSelf(member))
+        void this.deps.peers.send(member.address, {
           kind: 'learned',
-          ledger: of,
+          ledger: ballotName,
           slot: 0,
           batch: end.batch.id,
           at: this.deps.self.address,
@@ -154,13 +155,13 @@
     this.deps.log.info(`Bootstrapped the ledger with ${blank.length} controllers.`);
   }
 
-  private isSelf(m: Member): boolean {
-    return memberId(m) === memberId(this.deps.self);
+  private isSelf(member: Member): boolean {
+    return memberId(member) === memberId(this.deps.self);
   }
 
-  private async tryOnce(of: string): Promise<void> {
+  private async tryOnce(ballotName: string): Promise<void> {
     this.busy = true;
-    await this.tryBootstrap(of);
+    await this.tryBootstrap(ballotName);
     this.busy = false;
   }
 
--- a/src/coordination/ledger/snapshot-giver.ts
+++ b/src/coordination/ledger/snapshot-giver.ts
@@ -40,7 +40,7 @@
   private pinned: Pinned[] = [];
 
   constructor(private readonly deps: SnapshotSenderDeps) {
-    this.deps.peers.on('snapshotAsk', (m) => this.onRequest(m));
+    this.deps.peers.on('snapshotAsk', (message) => this.onRequest(message));
   }
 
   private isFresh(pin: Pinned): boolean {
@@ -89,15 +89,15 @@
     return offered.snapshot.offer;
   }
 
-  private onRequest(m: MessageOf<'snapshotAsk'>): Message {
+  private onRequest(message: MessageOf<'snapshotAsk'>): Message {
     for (const pin of this.pinned) {
-      if (pin.snapshot.offer.digest !== m.digest) continue;
-      const chunk = chunkOf(pin.snapshot, m.part);
+      if (pin.snapshot.offer.digest !== message.digest) continue;
+      const chunk = chunkOf(pin.snapshot, message.part);
       if (chunk === null) break;
       pin.requestedAt = this.deps.clock.mono();
-      return { kind: 'snapshotPart', digest: m.digest, part: m.part, text: chunk };
+      return { kind: 'snapshotPart', digest: message.digest, part: message.part, text: chunk };
     }
-    return { kind: 'snapshotGone', digest: m.digest };
+    return { kind: 'snapshotGone', digest: message.digest };
   }
 }
 
--- a/src/coordination/ledger/snapshots.test.ts
+++ b/src/coordination/ledger/snapshots.test.ts
@@ -61,7 +61,7 @@
         requests.push(`${to} ${(m as MessageOf<'snapshotAsk'>).part}`);
         return ask
           ? { ok: true, value: await ask(m as MessageOf<'snapshotAsk'>) }
-          : { ok: false, fault: { tag: 'peerSilent', address: to } };
+          : { ok: false, error: { tag: 'peerSilent', address: to } };
       },
     },
     clock,
--- a/src/coordination/ledger/store.test.ts
+++ b/src/coordination/ledger/store.test.ts
@@ -89,7 +89,7 @@
 
 type Life = {
   readonly store: Store | null;
-  readonly fault: string | null;
+  readonly error: string | null;
   readonly used: number;
   readonly answered: Answered;
 };
@@ -99,9 +99,9 @@
   const world = createWorld(1);
   const stopping = stoppingDisk(simDisk(platter, world.begin(world.host('h', 'z')), world), operations);
   const answered: Answered = { promised: new Map(), accepted: new Map(), learned: -1 };
-  const opened: { store: Store | null; fault: string | null; ended: boolean } = {
+  const opened: { store: Store | null; error: string | null; ended: boolean } = {
     store: null,
-    fault: null,
+    error: null,
     ended: false,
   };
   async function run(): Promise<void> {
@@ -112,7 +112,7 @@
       () => undefined,
     );
     if (!made.ok) {
-      opened.fault = made.fault.tag;
+      opened.error = made.error.tag;
       opened.ended = true;
       return;
     }
@@ -125,7 +125,7 @@
   }
   void run();
   await world.until(10_000, () => opened.ended);
-  return { store: opened.store, fault: opened.fault, used: stopping.used(), answered };
+  return { store: opened.store, error: opened.error, used: stopping.used(), answered };
 }
 
 const FATES: Readonly<Record<string, WriteFate>> = {
@@ -137,8 +137,8 @@
 };
 
 async function nothingTakenBack(where: string, platter: Platter, before: Answered): Promise<void> {
-  const { store, fault } = await live(platter, Infinity, []);
-  expect([where, fault]).toEqual([where, null]);
+  const { store, error } = await live(platter, Infinity, []);
+  expect([where, error]).toEqual([where, null]);
   const held = store as Store;
   const { slot } = held.controlState();
   expect([where, slot]).toEqual([where, expect.any(Number)]);
@@ -224,6 +224,6 @@
     const areas = ['ledger-snapshot-0', 'ledger-snapshot-1'].map((name) => platter.files.get(name)?.current as Buffer);
     const newest = areas.sort((a, b) => b.readUIntBE(14, 6) - a.readUIntBE(14, 6))[0] as Buffer;
     newest.writeUInt8(newest.readUInt8(40) ^ 0xff, 40);
-    expect((await live(platter, Infinity, [])).fault).toBe('ringDamaged');
+    expect((await live(platter, Infinity, [])).error).toBe('ringDamaged');
   });
 });
--- a/src/coordination/ledger/store.ts
+++ b/src/coordination/ledger/store.ts
@@ -23,7 +23,7 @@
 import type { RecentSlot } from '../../state/recent-slots.js';
 import type { Disk } from '../../transport/disk.js';
 import { openRing } from '../../transport/ring.js';
-import type { Opened, RingFault, RingShape } from '../../transport/ring.js';
+import type { Opened, RingError, RingShape } from '../../transport/ring.js';
 
 export type StoreCommand =
   | { readonly tag: 'prepare'; readonly slot: number; readonly ballot: Ballot }
@@ -38,7 +38,7 @@
   | { readonly tag: 'vote'; readonly vote: Vote }
   | { readonly tag: 'folded'; readonly outcomes: readonly Outcome[] }
   | { readonly tag: 'outOfOrder' }
-  | { readonly tag: 'cannotWrite'; readonly fault: RingFault };
+  | { readonly tag: 'cannotWrite'; readonly error: RingError };
 
 /**
  * What one controller holds on its disk: its votes (the acceptor), the control state that it has folded, the newest slots
@@ -91,7 +91,7 @@
   shape: RingShape,
   onFold: (slot: number, batch: Batch, outcomes: readonly Outcome[]) => void,
   onAdopt: () => void,
-): Promise<Result<Store, RingFault>> {
+): Promise<Result<Store, RingError>> {
   const opened = await openRing(disk, shape);
   if (!opened.ok) return opened;
   return ok(createRingStore(opened.value, shape, onFold, onAdopt));
@@ -182,7 +182,7 @@
     }
   }
 
-  private async compacted(): Promise<Result<null, RingFault>> {
+  private async compacted(): Promise<Result<null, RingError>> {
     return this.opened.ring.compact(
       encoded({ controlState: this.currentControlState, closed: this.closed.saved(), slots: [...this.acc.slots] }),
     );
@@ -201,19 +201,19 @@
       answers.push(this.decide(command, write));
       if (command.tag === 'adopt' || command.tag === 'fillClosed' || command.tag === 'rewrite') rewritesAll = true;
     }
-    let written: Result<null, RingFault> = ok(null);
+    let written: Result<null, RingError> = ok(null);
     if (rewritesAll) written = await this.compacted();
     else if (writes.length > 0) {
       if (this.opened.ring.crowded()) written = await this.compacted();
       if (written.ok) written = await this.opened.ring.append(writes);
-      if (!written.ok && (written.fault.tag === 'ringFull' || written.fault.tag === 'ringBroken'))
+      if (!written.ok && (written.error.tag === 'ringFull' || written.error.tag === 'ringBroken'))
         written = await this.compacted();
     }
     this.canWrite = written.ok;
     if (written.ok) return answers;
-    const fault = written.fault;
+    const error = written.error;
     function failed(): StoreAnswer {
-      return { tag: 'cannotWrite', fault };
+      return { tag: 'cannotWrite', error };
     }
     return answers.map(failed);
   }
--- a/src/coordination/members/membership.ts
+++ b/src/coordination/members/membership.ts
@@ -21,7 +21,7 @@
   all(): readonly NodeInfo[];
   get(name: string): NodeInfo | null;
   readonly events: {
-    readonly on: <K extends keyof MembershipEvents>(name: K, fn: (e: MembershipEvents[K]) => void) => void;
+    readonly on: <K extends keyof MembershipEvents>(name: K, callback: (event: MembershipEvents[K]) => void) => void;
   };
   leave(): void;
   stop(): void;
@@ -64,9 +64,9 @@
     this.members = new Map([[this.self.name, this.self]]);
     this.comparedAt = this.clock.mono();
 
-    this.peers.on('probe', (m) => this.onProbe(m));
+    this.peers.on('probe', (message) => this.onProbe(message));
 
-    this.peers.on('probeFor', (m) => this.onProbeFor(m));
+    this.peers.on('probeFor', (message) => this.onProbeFor(message));
     this.ticking = every(this.clock, PERIOD_MS, () => this.tick());
 
     this.tick();
@@ -100,8 +100,8 @@
   }
 
   private updates(): (NodeInfo | NodeUpdate)[] {
-    const fewestFirst = (a: string, b: string): number => {
-      return (this.sendCounts.get(a) ?? 0) - (this.sendCounts.get(b) ?? 0);
+    const fewestFirst = (left: string, right: string): number => {
+      return (this.sendCounts.get(left) ?? 0) - (this.sendCounts.get(right) ?? 0);
     };
     const names = [...this.sendCounts.keys()].sort(fewestFirst);
     const out: (NodeInfo | NodeUpdate)[] = [];
@@ -111,9 +111,9 @@
       const update = node?.status === 'alive' ? node : node && briefUpdate(node);
       bytes += update ? JSON.stringify(update).length : 0;
       if (bytes > NEWS_BYTES) break;
-      const n = (this.sendCounts.get(name) ?? 0) + 1;
-      if (n >= TIMES_TOLD) this.sendCounts.delete(name);
-      else this.sendCounts.set(name, n);
+      const count = (this.sendCounts.get(name) ?? 0) + 1;
+      if (count >= TIMES_TOLD) this.sendCounts.delete(name);
+      else this.sendCounts.set(name, count);
       if (update) out.push(update);
     }
     return out;
@@ -123,14 +123,14 @@
     return [...this.members.values()];
   }
 
-  private onProbe(m: MessageOf<'probe'>): Message {
-    this.applyUpdates(m.news, m.all === true && m.news.length > 1);
-    this.applyUpdates([m.from]);
-    const known = this.members.get(m.from.name);
-    const stranger = known?.run !== m.from.run;
-    const out = m.all === true ? this.all() : this.updates();
+  private onProbe(message: MessageOf<'probe'>): Message {
+    this.applyUpdates(message.news, message.all === true && message.news.length > 1);
+    this.applyUpdates([message.from]);
+    const known = this.members.get(message.from.name);
+    const stranger = known?.run !== message.from.run;
+    const out = message.all === true ? this.all() : this.updates();
     if (known && (known.status !== 'alive' || stranger)) out.push(known);
-    if (m.all !== true && (stranger || m.news.some(introduces))) out.push(this.own());
+    if (message.all !== true && (stranger || message.news.some(introduces))) out.push(this.own());
     return {
       kind: 'probeAnswer',
       reached: true,
@@ -140,20 +140,20 @@
       news: out,
     };
     function introduces(n: NodeInfo | NodeUpdate): boolean {
-      return n.name === m.from.name && 'address' in n;
+      return n.name === message.from.name && 'address' in n;
     }
   }
 
-  private async onProbeFor(m: MessageOf<'probeFor'>): Promise<Message> {
-    this.applyUpdates(m.news);
-    const node = this.members.get(m.target);
+  private async onProbeFor(message: MessageOf<'probeFor'>): Promise<Message> {
+    this.applyUpdates(message.news);
+    const node = this.members.get(message.target);
     const reached = node ? await this.probe(node.address, DIRECT_MS) : false;
     return { kind: 'probeAnswer', reached, news: this.updates() };
   }
 
   private async probe(to: Address, waitMs: number): Promise<boolean> {
     const all = this.introduced ? {} : { all: true };
-    const got = await this.peers.call(
+    const response = await this.peers.call(
       to,
       {
         kind: 'probe',
@@ -163,15 +163,16 @@
       },
       waitMs,
     );
-    if (!got.ok || got.value.kind !== 'probeAnswer') return false;
-    this.applyUpdates(got.value.news, !this.introduced);
+    if (!response.ok || response.value.kind !== 'probeAnswer') return false;
+    this.applyUpdates(response.value.news, !this.introduced);
     this.introduced = true;
-    if (got.value.from) this.applyUpdates([got.value.from]);
-    const unknown = got.value.from !== undefined && this.members.get(got.value.from.name)?.run !== got.value.from.run;
-    if (got.value.stranger === true || unknown) void this.introduce(to);
+    if (response.value.from) this.applyUpdates([response.value.from]);
+    const unknown =
+      response.value.from !== undefined && this.members.get(response.value.from.name)?.run !== response.value.from.run;
+    if (response.value.stranger === true || unknown) void this.introduce(to);
     else if (
-      got.value.sum !== undefined &&
-      got.value.sum !== this.ownSum() &&
+      response.value.sum !== undefined &&
+      response.value.sum !== this.ownSum() &&
       this.sendCounts.size === 0 &&
       this.clock.mono() - this.comparedAt > COMPARE_MS
     )
@@ -186,39 +187,39 @@
 
   private async compare(to: Address): Promise<void> {
     this.comparedAt = this.clock.mono();
-    const got = await this.peers.call(
+    const response = await this.peers.call(
       to,
       { kind: 'probe', from: briefUpdate(this.own()), all: true, news: this.all() },
       INDIRECT_MS,
     );
-    if (got.ok && got.value.kind === 'probeAnswer') this.applyUpdates(got.value.news, true);
+    if (response.ok && response.value.kind === 'probeAnswer') this.applyUpdates(response.value.news, true);
   }
 
   private async introduce(to: Address): Promise<void> {
-    const got = await this.peers.call(
+    const response = await this.peers.call(
       to,
       { kind: 'probe', from: briefUpdate(this.own()), news: [this.own()] },
       2 * DIRECT_MS,
     );
-    if (got.ok && got.value.kind === 'probeAnswer') this.applyUpdates(got.value.news);
+    if (response.ok && response.value.kind === 'probeAnswer') this.applyUpdates(response.value.news);
   }
 
   private async probeIndirectly(target: NodeInfo): Promise<boolean> {
     const others: NodeInfo[] = [];
-    for (const n of this.members.values())
-      if (n.name !== this.self.name && n.name !== target.name && n.status === 'alive') others.push(n);
+    for (const node of this.members.values())
+      if (node.name !== this.self.name && node.name !== target.name && node.status === 'alive') others.push(node);
     let reached = false;
     const requests: Promise<void>[] = [];
 
     const one = async (helper: NodeInfo): Promise<void> => {
-      const got = await this.peers.call(
+      const response = await this.peers.call(
         helper.address,
         { kind: 'probeFor', target: target.name, news: this.updates() },
         INDIRECT_MS,
       );
-      if (got.ok && got.value.kind === 'probeAnswer') {
-        this.applyUpdates(got.value.news);
-        if (got.value.reached) reached = true;
+      if (response.ok && response.value.kind === 'probeAnswer') {
+        this.applyUpdates(response.value.news);
+        if (response.value.reached) reached = true;
       }
     };
     for (const helper of shuffled(this.rng, others).slice(0, HELPERS)) requests.push(one(helper));
@@ -236,15 +237,15 @@
   }
 
   private nextOf(which: 'near' | 'far'): NodeInfo | null {
-    const isOf = (n: NodeInfo): boolean => {
-      return n.name !== this.self.name && isUp(n) && (n.region === this.self.region) === (which === 'near');
+    const isOf = (node: NodeInfo): boolean => {
+      return node.name !== this.self.name && isUp(node) && (node.region === this.self.region) === (which === 'near');
     };
     for (let name = this.rounds[which].pop(); name !== undefined; name = this.rounds[which].pop()) {
       const node = this.members.get(name);
       if (node && isOf(node)) return node;
     }
     const up: string[] = [];
-    for (const n of this.members.values()) if (isOf(n)) up.push(n.name);
+    for (const node of this.members.values()) if (isOf(node)) up.push(node.name);
     this.rounds[which] = shuffled(this.rng, up);
     const name = this.rounds[which].pop();
     return name === undefined ? null : (this.members.get(name) ?? null);
@@ -286,30 +287,30 @@
 
   private async contactSeeds(): Promise<void> {
     const known = new Set<Address>();
-    for (const n of this.members.values()) if (n.status === 'alive') known.add(n.address);
+    for (const node of this.members.values()) if (node.status === 'alive') known.add(node.address);
     for (const contact of this.contacts())
       if (!known.has(contact) && contact !== this.self.address) await this.probe(contact, 2 * DIRECT_MS);
-    await this.contactOne((n) => this.isDead(n));
+    await this.contactOne((node) => this.isDead(node));
   }
 
   // A controller that was cut off while the others were replaced knows none of those that are there now: they have to greet it.
   private async contactLostControllers(): Promise<void> {
-    if (this.self.role === 'controller') await this.contactOne((n) => this.isDeadController(n));
+    if (this.self.role === 'controller') await this.contactOne((node) => this.isDeadController(node));
   }
 
-  private async contactOne(isWanted: (n: NodeInfo) => boolean): Promise<void> {
+  private async contactOne(isWanted: (node: NodeInfo) => boolean): Promise<void> {
     const gone: NodeInfo[] = [];
-    for (const n of this.members.values()) if (isWanted(n)) gone.push(n);
+    for (const node of this.members.values()) if (isWanted(node)) gone.push(node);
     const again = shuffled(this.rng, gone)[0];
     if (again) await this.probe(again.address, DIRECT_MS);
   }
 
-  private isDead(n: NodeInfo): boolean {
-    return n.status === 'dead';
+  private isDead(node: NodeInfo): boolean {
+    return node.status === 'dead';
   }
 
-  private isDeadController(n: NodeInfo): boolean {
-    return n.role === 'controller' && this.isDead(n);
+  private isDeadController(node: NodeInfo): boolean {
+    return node.role === 'controller' && this.isDead(node);
   }
 
   private tick(): void {
@@ -322,9 +323,9 @@
 
   leave(): void {
     const gone: NodeInfo = { ...this.own(), status: 'left' };
-    for (const n of this.members.values()) {
-      if (n.name !== this.self.name && isUp(n))
-        void this.peers.send(n.address, { kind: 'probe', from: briefUpdate(gone), news: [] });
+    for (const node of this.members.values()) {
+      if (node.name !== this.self.name && isUp(node))
+        void this.peers.send(node.address, { kind: 'probe', from: briefUpdate(gone), news: [] });
     }
   }
 
--- a/src/coordination/members/moved-heads.ts
+++ b/src/coordination/members/moved-heads.ts
@@ -10,10 +10,10 @@
   currentControlState: () => ControlState,
   peers: Peers,
 ): void {
-  function onChanged(e: { readonly node: NodeInfo }): void {
-    if (e.node.role !== 'controller' || !isUp(e.node)) return;
-    for (const m of currentControlState().members)
-      if (m.name === e.node.name) peers.relocate(m.address, e.node.address);
+  function onChanged(event: { readonly node: NodeInfo }): void {
+    if (event.node.role !== 'controller' || !isUp(event.node)) return;
+    for (const member of currentControlState().members)
+      if (member.name === event.node.name) peers.relocate(member.address, event.node.address);
   }
   membership.events.on('changed', onChanged);
 }
--- a/src/coordination/members/peers.test.ts
+++ b/src/coordination/members/peers.test.ts
@@ -23,7 +23,7 @@
   const server = peers();
   server.on('memberStatusAsk', () => ({ kind: 'done', agreed: true }));
   const at = await server.open('127.0.0.1:0');
-  if (!at.ok) throw new Error(at.fault.tag);
+  if (!at.ok) throw new Error(at.error.tag);
   const friend = peers();
   const ask = () => friend.call(at.value.address, { kind: 'memberStatusAsk' }, 2_000);
   expect(await ask()).toEqual({ ok: true, value: { kind: 'done', agreed: true } });
@@ -43,6 +43,6 @@
 test('an address where no one listens is told as unreachable', async () => {
   expect(await peers().call('127.0.0.1:1', { kind: 'memberStatusAsk' }, 1_000)).toEqual({
     ok: false,
-    fault: { tag: 'peerUnreachable', address: '127.0.0.1:1' },
+    error: { tag: 'peerUnreachable', address: '127.0.0.1:1' },
   });
 });
--- a/src/coordination/members/peers.ts
+++ b/src/coordination/members/peers.ts
@@ -8,26 +8,26 @@
 import type { Message, MessageKind, MessageOf } from '../../protocol/messages.js';
 import type { Clock, Timer } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
-import type { Address, Connection, Listener, Wire, WireFault } from '../../transport/wire.js';
+import type { Address, Connection, Listener, Wire, WireError } from '../../transport/wire.js';
 
-export type PeerFault =
+export type PeerError =
   | { readonly tag: 'peerUnreachable'; readonly address: Address }
   | { readonly tag: 'peerSilent'; readonly address: Address };
 
 export type Peer = {
-  readonly send: (m: Message) => void;
-  readonly onClosed: (fn: () => void) => void;
+  readonly send: (message: Message) => void;
+  readonly onClosed: (callback: () => void) => void;
   readonly close: () => void;
 };
 
-export type Handler<K extends MessageKind> = (m: MessageOf<K>, peer: Peer) => Promise<Message> | Message | null;
+export type Handler<K extends MessageKind> = (message: MessageOf<K>, peer: Peer) => Promise<Message> | Message | null;
 
 export interface Peers {
-  open(address: Address): Promise<Result<Listener, WireFault>>;
+  open(address: Address): Promise<Result<Listener, WireError>>;
   on<K extends MessageKind>(kind: K, handler: Handler<K>): void;
-  call(to: Address, m: Message, waitMs: number): Promise<Result<Message, PeerFault>>;
-  send(to: Address, m: Message): Promise<boolean>;
-  connect(to: Address): Promise<Result<Peer, PeerFault>>;
+  call(to: Address, message: Message, waitMs: number): Promise<Result<Message, PeerError>>;
+  send(to: Address, message: Message): Promise<boolean>;
+  connect(to: Address): Promise<Result<Peer, PeerError>>;
   relocate(old: Address, now: Address): void;
   close(): Promise<void>;
 }
@@ -99,14 +99,14 @@
       else idle = this.clock.timer(Math.max(1_000, left), checkIdle);
     };
     let idle: Timer = this.clock.timer(idleMs, checkIdle);
-    function onClosed(fn: () => void): void {
-      if (link.closed) fn();
-      else watchers.push(fn);
+    function onClosed(callback: () => void): void {
+      if (link.closed) callback();
+      else watchers.push(callback);
     }
 
-    const send = (m: Message): void => {
+    const send = (message: Message): void => {
       usedAt = this.clock.mono();
-      connection.send({ t: 'tell', m });
+      connection.send({ t: 'tell', m: message });
     };
     const link: Link = {
       connection,
@@ -122,12 +122,12 @@
       responseTimer?.cancel();
       idle.cancel();
       onGone();
-      for (const w of waiting.values()) {
-        w.timer.cancel();
-        w.done(null);
+      for (const call of waiting.values()) {
+        call.timer.cancel();
+        call.done(null);
       }
       waiting.clear();
-      for (const fn of watchers) fn();
+      for (const callback of watchers) callback();
     }
     async function answer(id: number, given: Promise<Message> | Message | null): Promise<void> {
       const m = await given;
@@ -143,11 +143,11 @@
         return;
       }
       if (f.t === 'answer') {
-        const w = waiting.get(f.id);
-        if (!w) return;
+        const worker = waiting.get(f.id);
+        if (!worker) return;
         waiting.delete(f.id);
-        w.timer.cancel();
-        w.done(f.m);
+        worker.timer.cancel();
+        worker.done(f.m);
         return;
       }
       const handler = this.handlers.get(f.m.kind);
@@ -203,7 +203,7 @@
     return new Promise(start);
   }
 
-  async call(to: Address, m: Message, waitMs: number): Promise<Result<Message, PeerFault>> {
+  async call(to: Address, message: Message, waitMs: number): Promise<Result<Message, PeerError>> {
     const until = this.clock.mono() + waitMs;
     const joined = this.links.has(to);
     let link = await this.linkWithin(to, waitMs);
@@ -221,21 +221,21 @@
         done(null);
       }
       held.waiting.set(id, { done, timer: this.clock.timer(left, late) });
-      held.connection.send({ t: 'call', id, m });
+      held.connection.send({ t: 'call', id, m: message });
       if (waitMs <= SLOW_CALL_MS) held.owe();
     };
-    const got = await new Promise<Message | null>(ask);
-    return got ? ok(got) : err({ tag: 'peerSilent', address: to });
+    const response = await new Promise<Message | null>(ask);
+    return response ? ok(response) : err({ tag: 'peerSilent', address: to });
   }
 
-  async send(to: Address, m: Message): Promise<boolean> {
+  async send(to: Address, message: Message): Promise<boolean> {
     const link = await this.linkTo(to);
     if (!link || link.closed) return false;
-    link.peer.send(m);
+    link.peer.send(message);
     return true;
   }
 
-  async connect(to: Address): Promise<Result<Peer, PeerFault>> {
+  async connect(to: Address): Promise<Result<Peer, PeerError>> {
     const link = await this.linkTo(to);
     if (!link || link.closed) return err({ tag: 'peerUnreachable', address: to });
     link.isKept = true;
@@ -246,7 +246,7 @@
     this.handlers.set(kind, handler as unknown as Handler<MessageKind>);
   }
 
-  async open(address: Address): Promise<Result<Listener, WireFault>> {
+  async open(address: Address): Promise<Result<Listener, WireError>> {
     const accept = (connection: Connection): void => {
       let link: Link | null = null;
 
--- a/src/coordination/members/silent-peers.test.ts
+++ b/src/coordination/members/silent-peers.test.ts
@@ -49,9 +49,9 @@
 }
 async function heldLink(r: Room): Promise<{ closedAt: number }> {
   const told = { closedAt: 0 };
-  const got = await finish(r.world, r.a.connect('b:1'));
-  if (!got?.ok) throw new Error('not held');
-  got.value.onClosed(() => (told.closedAt = r.world.now()));
+  const response = await finish(r.world, r.a.connect('b:1'));
+  if (!response?.ok) throw new Error('not held');
+  response.value.onClosed(() => (told.closedAt = r.world.now()));
   return told;
 }
 
--- a/src/coordination/metrics-http-server.ts
+++ b/src/coordination/metrics-http-server.ts
@@ -1,7 +1,7 @@
 import type { HttpReply, Route } from '../transport/http.js';
 import type { Meters } from '../transport/meters.js';
 
-export function metricsRoute(meters: Meters, fill: (m: Meters) => void): Route {
+export function metricsRoute(meters: Meters, fill: (meters: Meters) => void): Route {
   async function tell(): Promise<HttpReply> {
     fill(meters);
     return { status: 200, headers: { 'content-type': 'text/plain; version=0.0.4' }, text: await meters.text() };
--- a/src/coordination/scaling/cloud-client.ts
+++ b/src/coordination/scaling/cloud-client.ts
@@ -15,20 +15,20 @@
 import type { HttpClient } from '../../transport/http.js';
 import type { Address } from '../../transport/wire.js';
 
-export type CloudFault =
+export type CloudError =
   | { readonly tag: 'noCapacity' }
   | { readonly tag: 'cloudSilent' }
   | { readonly tag: 'cloudNonsense'; readonly detail: string };
 
 export interface CloudClient {
-  orderMachine(order: CloudOrder): Promise<Result<Machine, CloudFault>>;
-  machines(owner: string): Promise<Result<Machine[], CloudFault>>;
-  release(machine: string): Promise<Result<null, CloudFault>>;
-  prices(): Promise<Result<Record<string, Price>, CloudFault>>;
+  orderMachine(order: CloudOrder): Promise<Result<Machine, CloudError>>;
+  machines(owner: string): Promise<Result<Machine[], CloudError>>;
+  release(machine: string): Promise<Result<null, CloudError>>;
+  prices(): Promise<Result<Record<string, Price>, CloudError>>;
 }
 
 export interface PlatformClient {
-  workers(): Promise<Result<Listed[], CloudFault>>;
+  workers(): Promise<Result<Listed[], CloudError>>;
 }
 
 const WAIT_MS = 2_000;
@@ -39,58 +39,58 @@
     private readonly address: Address,
   ) {}
 
-  async orderMachine(order: CloudOrder): Promise<Result<Machine, CloudFault>> {
-    const got = await this.httpClient.call({
+  async orderMachine(order: CloudOrder): Promise<Result<Machine, CloudError>> {
+    const response = await this.httpClient.call({
       method: 'POST',
       address: this.address,
       path: MACHINES_PATH,
       body: order,
       timeoutMs: WAIT_MS,
     });
-    if (!got.ok) return err({ tag: 'cloudSilent' });
-    if (readNoCapacity(got.value.body).ok) return err({ tag: 'noCapacity' });
-    const read = readMachine(got.value.body);
-    if (!read.ok) return err({ tag: 'cloudNonsense', detail: read.fault.detail });
+    if (!response.ok) return err({ tag: 'cloudSilent' });
+    if (readNoCapacity(response.value.body).ok) return err({ tag: 'noCapacity' });
+    const read = readMachine(response.value.body);
+    if (!read.ok) return err({ tag: 'cloudNonsense', detail: read.error.detail });
     if (read.value.machine.key !== order.key)
       return err({ tag: 'cloudNonsense', detail: 'the machine bears another key' });
     return ok(read.value.machine);
   }
 
-  async machines(owner: string): Promise<Result<Machine[], CloudFault>> {
-    const got = await this.httpClient.call({
+  async machines(owner: string): Promise<Result<Machine[], CloudError>> {
+    const response = await this.httpClient.call({
       method: 'GET',
       address: this.address,
       path: `${MACHINES_PATH}?owner=${encodeURIComponent(owner)}`,
       timeoutMs: WAIT_MS,
     });
-    if (!got.ok) return err({ tag: 'cloudSilent' });
-    const read = readMachines(got.value.body);
-    return read.ok ? ok(read.value.machines) : err({ tag: 'cloudNonsense', detail: read.fault.detail });
+    if (!response.ok) return err({ tag: 'cloudSilent' });
+    const read = readMachines(response.value.body);
+    return read.ok ? ok(read.value.machines) : err({ tag: 'cloudNonsense', detail: read.error.detail });
   }
 
-  async release(machine: string): Promise<Result<null, CloudFault>> {
-    const got = await this.httpClient.call({
+  async release(machine: string): Promise<Result<null, CloudError>> {
+    const response = await this.httpClient.call({
       method: 'DELETE',
       address: this.address,
       path: `${MACHINES_PATH}/${encodeURIComponent(machine)}`,
       timeoutMs: WAIT_MS,
     });
-    if (!got.ok) return err({ tag: 'cloudSilent' });
-    return got.value.status === 200 || got.value.status === 404
+    if (!response.ok) return err({ tag: 'cloudSilent' });
+    return response.value.status === 200 || response.value.status === 404
       ? ok(null)
-      : err({ tag: 'cloudNonsense', detail: `status ${got.value.status}` });
+      : err({ tag: 'cloudNonsense', detail: `status ${response.value.status}` });
   }
 
-  async prices(): Promise<Result<Record<string, Price>, CloudFault>> {
-    const got = await this.httpClient.call({
+  async prices(): Promise<Result<Record<string, Price>, CloudError>> {
+    const response = await this.httpClient.call({
       method: 'GET',
       address: this.address,
       path: PRICES_PATH,
       timeoutMs: WAIT_MS,
     });
-    if (!got.ok) return err({ tag: 'cloudSilent' });
-    const read = readPrices(got.value.body);
-    if (!read.ok) return err({ tag: 'cloudNonsense', detail: read.fault.detail });
+    if (!response.ok) return err({ tag: 'cloudSilent' });
+    const read = readPrices(response.value.body);
+    if (!read.ok) return err({ tag: 'cloudNonsense', detail: read.error.detail });
     const out: Record<string, Price> = {};
     for (const p of read.value.prices) out[p.zone] = { spot: p.spot, onDemand: p.onDemand };
     return ok(out);
@@ -107,16 +107,16 @@
     private readonly address: Address,
   ) {}
 
-  async workers(): Promise<Result<Listed[], CloudFault>> {
-    const got = await this.httpClient.call({
+  async workers(): Promise<Result<Listed[], CloudError>> {
+    const response = await this.httpClient.call({
       method: 'GET',
       address: this.address,
       path: WORKERS_PATH,
       timeoutMs: 900,
     });
-    if (!got.ok) return err({ tag: 'cloudSilent' });
-    const read = readWorkerList(got.value.body);
-    return read.ok ? ok(read.value.workers) : err({ tag: 'cloudNonsense', detail: read.fault.detail });
+    if (!response.ok) return err({ tag: 'cloudSilent' });
+    const read = readWorkerList(response.value.body);
+    return read.ok ? ok(read.value.workers) : err({ tag: 'cloudNonsense', detail: read.error.detail });
   }
 }
 
--- a/src/coordination/scaling/list-duty.test.ts
+++ b/src/coordination/scaling/list-duty.test.ts
@@ -9,7 +9,7 @@
 import type { Clock } from '../../transport/clock.js';
 import { createQuietLog } from '../../transport/log.js';
 import { createRng } from '../../transport/rng.js';
-import type { WorkerListFault, WorkerListFeed, WorkerListReader } from '../edge/list-feed.js';
+import type { WorkerListError, WorkerListFeed, WorkerListReader } from '../edge/list-feed.js';
 import { createPushedListFeed } from '../edge/pushed-list.js';
 import { createPeers } from '../members/peers.js';
 import type { Peers } from '../members/peers.js';
@@ -73,7 +73,7 @@
 
   function readerOf(proc: Proc): WorkerListReader {
     const clock = world.clockOf(proc);
-    function read(): Promise<Result<readonly WorkerEntry[], WorkerListFault>> {
+    function read(): Promise<Result<readonly WorkerEntry[], WorkerListError>> {
       return new Promise((resolve) => {
         const shut = platform.down || world.isCut(proc.host, platform.host) || world.isCut(platform.host, proc.host);
         calls.push({ at: world.now(), by: proc.host.name, good: !shut });
--- a/src/coordination/scaling/list-duty.ts
+++ b/src/coordination/scaling/list-duty.ts
@@ -56,15 +56,15 @@
     this.readerId = `${this.deps.self}/${newId(this.deps.rng, '').slice(1, 1 + MARK_LENGTH)}`;
     this.updates = createWorkerListUpdates(this.deps.peers, this.deps.clock, this.pace);
 
-    this.updates.events.on('taken', (e) => this.onApplied(e));
+    this.updates.events.on('taken', (event) => this.onApplied(event));
 
-    this.updates.events.on('missed', (e) => this.onMissed(e));
+    this.updates.events.on('missed', (event) => this.onMissed(event));
 
-    this.updates.events.on('outrun', (e) => this.onOutrun(e));
+    this.updates.events.on('outrun', (event) => this.onOutrun(event));
 
-    this.updates.events.on('woke', (e) => this.onWoke(e));
+    this.updates.events.on('woke', (event) => this.onWoke(event));
 
-    this.deps.peers.on('listFollow', (m, peer) => this.onFollow(m, peer));
+    this.deps.peers.on('listFollow', (message, peer) => this.onFollow(message, peer));
 
     this.arm(this.rankMs());
     this.feed = {
@@ -92,52 +92,54 @@
 
   private rankMs(): number {
     const reads = this.updates.table.number()?.[1] ?? '';
-    let n = 0;
-    for (const a of this.others()) if (a < this.deps.self && !reads.startsWith(`${a}/`)) n += 1;
-    return n * this.pace.staggerMs;
+    let count = 0;
+    for (const address of this.others()) if (address < this.deps.self && !reads.startsWith(`${address}/`)) count += 1;
+    return count * this.pace.staggerMs;
   }
 
   private armTakeover(): void {
     this.arm(Math.max(0, this.pace.freshMs - this.updates.sinceContactMs()) + 1 + this.rankMs());
   }
 
-  private sendToAll(m: WorkerListMessage): void {
-    for (const to of this.others()) void this.deps.peers.send(to, m);
-    this.sendToFollowers(m);
+  private sendToAll(message: WorkerListMessage): void {
+    for (const to of this.others()) void this.deps.peers.send(to, message);
+    this.sendToFollowers(message);
   }
 
-  private sendToFollowers(m: WorkerListMessage): void {
+  private sendToFollowers(message: WorkerListMessage): void {
     for (const [peer, at] of this.followers) {
       if (this.deps.clock.mono() - at > FOLLOWER_KEPT_MS) this.followers.delete(peer);
-      else peer.send(m);
+      else peer.send(message);
     }
   }
 
-  private onApplied(e: { readonly message: WorkerListMessage; readonly contents: boolean }): void {
-    const m = e.message;
-    if (m.number === null) return;
-    this.highest = Math.max(this.highest, m.number[0]);
-    if (this.currentReading && m.number[1] !== this.readerId) {
+  private onApplied(event: { readonly message: WorkerListMessage; readonly contents: boolean }): void {
+    const message = event.message;
+    if (message.number === null) return;
+    this.highest = Math.max(this.highest, message.number[0]);
+    if (this.currentReading && message.number[1] !== this.readerId) {
       this.currentReading = false;
-      this.deps.log.info(`${m.number[1]} reads the list now.`);
+      this.deps.log.info(`${message.number[1]} reads the list now.`);
     }
-    this.sendToFollowers(m.kind === 'listBeat' && m.ageMs === null ? m : { ...m, ageMs: this.updates.ageMs() });
-    if (e.contents) this.events.emit('changed', { entries: this.updates.table.entries() });
-    if (!this.currentReading && !this.busy && m.ageMs !== null) this.armTakeover();
+    this.sendToFollowers(
+      message.kind === 'listBeat' && message.ageMs === null ? message : { ...message, ageMs: this.updates.ageMs() },
+    );
+    if (event.contents) this.events.emit('changed', { entries: this.updates.table.entries() });
+    if (!this.currentReading && !this.busy && message.ageMs !== null) this.armTakeover();
   }
 
-  private onMissed(e: { readonly number: WorkerListVersion }): void {
-    this.highest = Math.max(this.highest, e.number[0]);
+  private onMissed(event: { readonly number: WorkerListVersion }): void {
+    this.highest = Math.max(this.highest, event.number[0]);
     this.newerSeenAt = this.deps.clock.mono();
     void this.queryPeers();
   }
 
-  private onOutrun(e: { readonly peer: Peer }): void {
-    e.peer.send({ kind: 'listBeat', number: this.updates.table.number(), ageMs: null });
+  private onOutrun(event: { readonly peer: Peer }): void {
+    event.peer.send({ kind: 'listBeat', number: this.updates.table.number(), ageMs: null });
   }
 
-  private onWoke(e: { readonly afterMs: number }): void {
-    this.deps.log.warn(`Stood still for ${Math.round(e.afterMs)} ms; another may read the list by now.`);
+  private onWoke(event: { readonly afterMs: number }): void {
+    this.deps.log.warn(`Stood still for ${Math.round(event.afterMs)} ms; another may read the list by now.`);
     this.currentReading = false;
     if (!this.busy) this.arm(0);
   }
@@ -153,7 +155,7 @@
     return { kind: 'listWhole', number: current, ageMs, sinceMs, entries: [...this.updates.table.entries()] };
   }
 
-  private onFollow(m: MessageOf<'listFollow'>, peer: Peer): Message {
+  private onFollow(message: MessageOf<'listFollow'>, peer: Peer): Message {
     this.updates.detectStandstill();
     const known = this.followers.has(peer);
     this.followers.set(peer, this.deps.clock.mono());
@@ -162,11 +164,11 @@
       this.followers.delete(peer);
     };
     if (!known) peer.onClosed(gone);
-    if (m.number !== null) this.highest = Math.max(this.highest, m.number[0]);
+    if (message.number !== null) this.highest = Math.max(this.highest, message.number[0]);
     const current = this.updates.table.number();
-    if (this.currentReading && m.number !== null && current && compareVersions(m.number, current) > 0)
+    if (this.currentReading && message.number !== null && current && compareVersions(message.number, current) > 0)
       this.renumber(current);
-    return this.answerTo(m.number);
+    return this.answerTo(message.number);
   }
 
   private async queryPeers(): Promise<void> {
@@ -189,15 +191,15 @@
     });
   }
 
-  private publish(m: WorkerListMessage): void {
-    const asOf = this.deps.clock.mono() - (m.ageMs ?? 0);
-    if (m.kind === 'listWhole') this.updates.table.applySnapshot(m.number, m.entries, asOf);
-    else if (m.kind === 'listChange')
-      this.updates.table.applyChange(m.number, m.base, { changed: m.told, gone: m.gone }, asOf);
-    else if (m.number !== null && m.ageMs !== null) this.updates.table.confirm(m.number, asOf);
-    if (m.number !== null) this.highest = Math.max(this.highest, m.number[0]);
-    if (m.ageMs !== null) this.updates.recordContact();
-    this.sendToAll(m);
+  private publish(message: WorkerListMessage): void {
+    const asOf = this.deps.clock.mono() - (message.ageMs ?? 0);
+    if (message.kind === 'listWhole') this.updates.table.applySnapshot(message.number, message.entries, asOf);
+    else if (message.kind === 'listChange')
+      this.updates.table.applyChange(message.number, message.base, { changed: message.told, gone: message.gone }, asOf);
+    else if (message.number !== null && message.ageMs !== null) this.updates.table.confirm(message.number, asOf);
+    if (message.number !== null) this.highest = Math.max(this.highest, message.number[0]);
+    if (message.ageMs !== null) this.updates.recordContact();
+    this.sendToAll(message);
   }
 
   private onRead(entries: readonly WorkerEntry[], from: number): void {
@@ -225,7 +227,7 @@
     const from = this.deps.clock.mono();
     const was = this.currentReading;
     const waiting = this.deps.clock.timer(this.pace.readMs * SLOW_SHARE, () => this.announceUnresponsive());
-    const got = await readWithin(this.deps.reader, this.deps.clock, this.pace.readMs);
+    const response = await readWithin(this.deps.reader, this.deps.clock, this.pace.readMs);
     waiting.cancel();
     this.updates.detectStandstill();
     if (this.stopped) return;
@@ -235,10 +237,10 @@
       (!was && this.updates.isFresh())
     )
       return this.armTakeover();
-    if (got?.ok) this.onRead(got.value, from);
+    if (response?.ok) this.onRead(response.value, from);
     else {
-      if (got?.fault.tag === 'listNonsense')
-        this.deps.log.warn(`The platform's list made no sense: ${got.fault.detail}.`);
+      if (response?.error.tag === 'listNonsense')
+        this.deps.log.warn(`The platform's list made no sense: ${response.error.detail}.`);
       this.announceUnresponsive();
     }
     this.arm(
--- a/src/coordination/scaling/observer.test.ts
+++ b/src/coordination/scaling/observer.test.ts
@@ -217,11 +217,11 @@
     expect(await d.core.until(25_000, () => holders(d.core).some((n) => n !== was))).toBe(true);
     d.core.world.thaw(d.core.node(was).host);
     const steps: Step[] = [{ cause: 'late', act: { tag: 'targetChanged', model: 'm', target: 50 } }];
-    const got = await d.core.finish(
+    const response = await d.core.finish(
       old?.propose({ cause: 'late', act: { tag: 'decided', steps }, fence }, 3_000) ?? Promise.resolve(null),
       10_000,
     );
-    expect(got).toMatchObject({ ok: true, value: { outcome: { tag: 'staleFence' } } });
+    expect(response).toMatchObject({ ok: true, value: { outcome: { tag: 'staleFence' } } });
     expect(controlState(d.core).targets['m']).toBe(1);
   });
 
--- a/src/coordination/scaling/observer.ts
+++ b/src/coordination/scaling/observer.ts
@@ -66,31 +66,32 @@
     const machines = new Set<string | null>();
     for (const order of Object.values(this.deps.ledger.controlState().orders)) machines.add(order.machine);
     for (const id of this.planned) if (!machines.has(id)) this.planned.delete(id);
-    for (const w of list) if (w.leaving && w.remainingMs === null && machines.has(w.id)) this.planned.add(w.id);
+    for (const worker of list)
+      if (worker.leaving && worker.remainingMs === null && machines.has(worker.id)) this.planned.add(worker.id);
   }
 
   private deadWorkers(list: readonly WorkerEntry[]): Set<string> {
     const now = this.deps.clock.mono();
     let reporters = 0;
     const votes = new Map<string, number>();
-    for (const r of this.deps.push.reports().values()) {
-      const at = this.deps.push.lastContactAt(r.reporter);
+    for (const report of this.deps.push.reports().values()) {
+      const at = this.deps.push.lastContactAt(report.reporter);
       if (at === null || now - at > REPORT_FRESH_MS) continue;
       reporters += 1;
-      for (const [id, verdict] of Object.entries(r.health))
+      for (const [id, verdict] of Object.entries(report.health))
         votes.set(id, (votes.get(id) ?? 0) + (verdict === 'unfit' ? 1 : -1));
     }
     const out = new Set<string>();
     const listed = new Set<string>();
-    for (const w of list) {
-      listed.add(w.id);
-      const n = votes.get(w.id) ?? 0;
-      const before = this.unhealthyWorkers.get(w.id);
-      if (n > 0 && n >= reporters * UNFIT_SHARE)
-        this.unhealthyWorkers.set(w.id, { since: before?.since ?? now, last: now });
-      else if (before && now - before.last > UNFIT_KEPT_MS) this.unhealthyWorkers.delete(w.id);
-      const machines = this.unhealthyWorkers.get(w.id);
-      if (machines && now - machines.since > DEAD_MS) out.add(w.id);
+    for (const worker of list) {
+      listed.add(worker.id);
+      const count = votes.get(worker.id) ?? 0;
+      const before = this.unhealthyWorkers.get(worker.id);
+      if (count > 0 && count >= reporters * UNFIT_SHARE)
+        this.unhealthyWorkers.set(worker.id, { since: before?.since ?? now, last: now });
+      else if (before && now - before.last > UNFIT_KEPT_MS) this.unhealthyWorkers.delete(worker.id);
+      const machines = this.unhealthyWorkers.get(worker.id);
+      if (machines && now - machines.since > DEAD_MS) out.add(worker.id);
     }
     for (const id of this.unhealthyWorkers.keys()) if (!listed.has(id)) this.unhealthyWorkers.delete(id);
     return out;
@@ -139,9 +140,9 @@
     const [first] = steps;
     if (!first || !this.holdsLease(fence)) return;
     const cause = steps.length === 1 ? first.cause : `${steps.length} decisions: ${first.cause}`.slice(0, CAUSE_LENGTH);
-    const got = await this.deps.ledger.propose({ cause, act: { tag: 'decided', steps }, fence }, PROPOSE_MS);
-    if (got.ok && got.value.outcome.tag === 'applied') this.deps.log.info(cause);
-    else if (got.ok) this.deps.log.warn(`Decisions did not count (${got.value.outcome.tag}).`);
+    const response = await this.deps.ledger.propose({ cause, act: { tag: 'decided', steps }, fence }, PROPOSE_MS);
+    if (response.ok && response.value.outcome.tag === 'applied') this.deps.log.info(cause);
+    else if (response.ok) this.deps.log.warn(`Decisions did not count (${response.value.outcome.tag}).`);
   }
 
   private async run(): Promise<void> {
--- a/src/coordination/scaling/scaler.ts
+++ b/src/coordination/scaling/scaler.ts
@@ -72,11 +72,11 @@
     let all = true;
     const proposals: Promise<void>[] = [];
 
-    const one = async (d: Decision): Promise<void> => {
-      const got = await this.deps.ledger.propose({ cause: d.cause, act: d.act, fence }, 3_000);
-      if (!got.ok || got.value.outcome.tag !== 'applied') all = false;
+    const one = async (decision: Decision): Promise<void> => {
+      const response = await this.deps.ledger.propose({ cause: decision.cause, act: decision.act, fence }, 3_000);
+      if (!response.ok || response.value.outcome.tag !== 'applied') all = false;
     };
-    for (const d of drafts) proposals.push(one(d));
+    for (const decision of drafts) proposals.push(one(decision));
     await Promise.all(proposals);
     return all;
   }
@@ -91,34 +91,34 @@
 
   private async pollPrices(): Promise<void> {
     if (this.pricesAt !== null && this.deps.clock.mono() - this.pricesAt < PRICES_MS) return;
-    const got = await this.deps.cloud.prices();
-    if (!got.ok) {
-      this.deps.log.warn(`Prices were not to be had (${got.fault.tag}); the last ones stand.`);
+    const response = await this.deps.cloud.prices();
+    if (!response.ok) {
+      this.deps.log.warn(`Prices were not to be had (${response.error.tag}); the last ones stand.`);
       return;
     }
-    this.prices = got.value;
+    this.prices = response.value;
     this.pricesAt = this.deps.clock.mono();
   }
 
   private deadMachines(workers: readonly Listed[] | null): Set<string> {
     const now = this.deps.clock.mono();
     const out = new Set<string>();
-    for (const w of workers ?? []) {
+    for (const worker of workers ?? []) {
       let healthy = 0;
       let unhealthy = 0;
-      for (const r of this.deps.push.reports().values()) {
-        const at = this.deps.push.lastContactAt(r.reporter);
+      for (const report of this.deps.push.reports().values()) {
+        const at = this.deps.push.lastContactAt(report.reporter);
         if (at === null || now - at > REPORT_FRESH_MS) continue;
-        if (r.health[w.id] === 'fit') healthy += 1;
-        if (r.health[w.id] === 'unfit') unhealthy += 1;
+        if (report.health[worker.id] === 'fit') healthy += 1;
+        if (report.health[worker.id] === 'unfit') unhealthy += 1;
       }
       if (healthy > 0 || unhealthy === 0) {
-        this.unhealthySince.delete(w.id);
+        this.unhealthySince.delete(worker.id);
         continue;
       }
-      const since = this.unhealthySince.get(w.id) ?? now;
-      this.unhealthySince.set(w.id, since);
-      if (now - since > DEAD_MS) out.add(w.machine);
+      const since = this.unhealthySince.get(worker.id) ?? now;
+      this.unhealthySince.set(worker.id, since);
+      if (now - since > DEAD_MS) out.add(worker.machine);
     }
     return out;
   }
@@ -147,7 +147,7 @@
       }
       for (const accelerator of this.acceleratorsOf(order)) {
         if (!this.holdsLease(fence) || this.deps.lease.leftMs() < ACTION_LEFT_MS) return;
-        const got = await this.deps.cloud.orderMachine({
+        const response = await this.deps.cloud.orderMachine({
           key: order.id,
           owner: this.deps.ledger.controlState().ledger,
           model: order.model,
@@ -155,16 +155,16 @@
           kind: order.kind,
           accelerator,
         });
-        if (got.ok) {
+        if (response.ok) {
           await this.record(fence, `The cloud took the order (${accelerator}).`, {
             tag: 'orderPlaced',
             order: order.id,
-            machine: got.value.id,
+            machine: response.value.id,
           });
           return;
         }
-        if (got.fault.tag !== 'noCapacity') {
-          this.deps.log.warn(`Order ${order.id} has no answer yet (${got.fault.tag}); it is asked again.`);
+        if (response.error.tag !== 'noCapacity') {
+          this.deps.log.warn(`Order ${order.id} has no answer yet (${response.error.tag}); it is asked again.`);
           return;
         }
       }
@@ -194,13 +194,13 @@
       if (now - since < 2 * TICK_MS) return;
       const worker = workerOf(workers, order.machine);
       if (worker && now - since < this.drainLimitMs(order.model)) {
-        const got = await this.deps.httpClient.call({
+        const response = await this.deps.httpClient.call({
           method: 'GET',
           address: worker.address,
           path: HEALTH_PATH,
           timeoutMs: 900,
         });
-        const healthy = got.ok ? readHealth(got.value.body) : null;
+        const healthy = response.ok ? readHealth(response.value.body) : null;
         if (healthy?.ok && healthy.value.running > 0) return;
       }
       if (!this.holdsLease(fence) || this.deps.lease.leftMs() < ACTION_LEFT_MS) return;
@@ -218,8 +218,8 @@
   }
 
   private valuesOf(model: string): Resolved | null {
-    for (const rm of resolveAll(this.deps.ledger.controlState().configuration))
-      if (rm.model === model) return rm.values;
+    for (const resolved of resolveAll(this.deps.ledger.controlState().configuration))
+      if (resolved.model === model) return resolved.values;
     return null;
   }
 
@@ -238,22 +238,22 @@
     const open = new Set<string>();
     for (const order of Object.values(this.deps.ledger.controlState().orders))
       if (isOpen(order.status)) open.add(order.id);
-    for (const m of machines) {
-      if (m.state === 'gone' || m.state === 'reclaiming' || open.has(m.key)) {
-        this.orphanSince.delete(m.id);
+    for (const message of machines) {
+      if (message.state === 'gone' || message.state === 'reclaiming' || open.has(message.key)) {
+        this.orphanSince.delete(message.id);
         continue;
       }
-      const since = this.orphanSince.get(m.id) ?? now;
-      this.orphanSince.set(m.id, since);
+      const since = this.orphanSince.get(message.id) ?? now;
+      this.orphanSince.set(message.id, since);
       if (now - since < ORPHAN_GRACE_MS || !this.holdsLease(fence) || this.deps.lease.leftMs() < ACTION_LEFT_MS)
         continue;
-      const released = await this.deps.cloud.release(m.id);
+      const released = await this.deps.cloud.release(message.id);
       if (!released.ok) continue;
-      this.orphanSince.delete(m.id);
-      this.deps.log.warn(`Machine ${m.id} belonged to no open order; it is given back.`);
-      await this.record(fence, `No open order holds the machine (key ${m.key}).`, {
+      this.orphanSince.delete(message.id);
+      this.deps.log.warn(`Machine ${message.id} belonged to no open order; it is given back.`);
+      await this.record(fence, `No open order holds the machine (key ${message.key}).`, {
         tag: 'orphanReleased',
-        machine: m.id,
+        machine: message.id,
       });
     }
   }
@@ -288,26 +288,26 @@
     const dead = this.deadMachines(workers);
     const failures = this.failedZones;
     this.failedZones = [];
-    for (const rm of resolveAll(this.deps.ledger.controlState().configuration)) {
-      if (!rm.values.scaled) continue;
-      const rate: Rate | null = this.rates.rate(rm.model, rm.values.windowS * 1_000);
+    for (const resolved of resolveAll(this.deps.ledger.controlState().configuration)) {
+      if (!resolved.values.scaled) continue;
+      const rate: Rate | null = this.rates.rate(resolved.model, resolved.values.windowS * 1_000);
       const failedIn: string[] = [];
-      for (const f of failures) if (f.model === rm.model) failedIn.push(f.zone);
+      for (const f of failures) if (f.model === resolved.model) failedIn.push(f.zone);
       const observation: ScalerObservation = {
         now: this.deps.clock.mono(),
         workers,
         machines,
         prices: this.prices,
-        rates: { [rm.model]: rate },
+        rates: { [resolved.model]: rate },
         deadMachines: dead,
         failedIn,
         asOf,
         knownMachines: this.knownMachines,
       };
-      for (const d of decideModel(rm, this.deps.ledger.controlState(), observation, this.memory, () =>
+      for (const decision of decideModel(resolved, this.deps.ledger.controlState(), observation, this.memory, () =>
         this.nextOrderId(),
       ))
-        wanted.push(d);
+        wanted.push(decision);
     }
     if (wanted.length > 0) await this.agree(fence, wanted);
     if (wanted.some(isIntent)) await this.resolveIntended(fence, machines);
@@ -315,7 +315,7 @@
   }
 
   private recordMachines(machines: readonly ObservedMachine[] | null): void {
-    for (const m of machines ?? []) this.knownMachines.add(m.id);
+    for (const machine of machines ?? []) this.knownMachines.add(machine.id);
     if (this.knownMachines.size < MOST_SEEN) return;
     const openMachines = new Set<string | null>();
     for (const order of Object.values(this.deps.ledger.controlState().orders)) openMachines.add(order.machine);
@@ -351,16 +351,16 @@
   return new LeasedScaler(deps);
 }
 
-function isIntent(d: Decision): boolean {
-  return d.act.tag === 'orderIntended';
+function isIntent(decision: Decision): boolean {
+  return decision.act.tag === 'orderIntended';
 }
 
 function machineByKey(machines: readonly ObservedMachine[] | null, key: string): ObservedMachine | null {
-  for (const m of machines ?? []) if (m.key === key && m.state !== 'gone') return m;
+  for (const machine of machines ?? []) if (machine.key === key && machine.state !== 'gone') return machine;
   return null;
 }
 
 function workerOf(workers: readonly Listed[] | null, machine: string | null): Listed | null {
-  for (const w of workers ?? []) if (w.machine === machine) return w;
+  for (const worker of workers ?? []) if (worker.machine === machine) return worker;
   return null;
 }
--- a/src/operator/aims.test.ts
+++ b/src/operator/aims.test.ts
@@ -25,7 +25,7 @@
 
 function faultsOf(u: unknown): string[] {
   const read = readLatencyTargets(u, cfg);
-  return read.ok ? [] : read.fault.map((f) => `${f.path}: ${f.expected}; ${f.found}`);
+  return read.ok ? [] : read.error.map((f) => `${f.path}: ${f.expected}; ${f.found}`);
 }
 
 describe('a document of aims', () => {
@@ -74,8 +74,8 @@
       address: string,
       ask: { method: 'GET' | 'POST' | 'DELETE'; path: string },
     ): Promise<{ status: number; body: unknown } | null> {
-      const got = await fleet.operator(at(address), ask.method, ask.path);
-      return got.ok ? { status: got.value.status, body: got.value.body } : null;
+      const response = await fleet.operator(at(address), ask.method, ask.path);
+      return response.ok ? { status: response.value.status, body: response.value.body } : null;
     }
     return {
       addresses: [],
--- a/src/operator/aims.ts
+++ b/src/operator/aims.ts
@@ -14,7 +14,7 @@
   if (!isTable(body) || !Array.isArray(body['minutes']) || typeof body['now'] !== 'number') return null;
   const { by, now, minutes } = body as MinuteCounts;
   const relative: Minute[] = [];
-  for (const m of minutes) relative.push({ ...m, minute: m.minute - now });
+  for (const minute of minutes) relative.push({ ...minute, minute: minute.minute - now });
   return { by, minutes: relative };
 }
 
@@ -23,23 +23,23 @@
   for (let minute = -window; minute < 0; minute += 1) {
     const counts = { [CHANGES_SUBJECT]: noCounts() };
     const unknown = [...unresponsive];
-    for (const t of all) {
-      const m = t.minutes.find(isIt);
-      if (!m) unknown.push(t.by);
+    for (const minuteAnswer of all) {
+      const m = minuteAnswer.minutes.find(isIt);
+      if (!m) unknown.push(minuteAnswer.by);
       else if (m.counts[CHANGES_SUBJECT]) addCounts(counts, CHANGES_SUBJECT, m.counts[CHANGES_SUBJECT]);
     }
     out.push({ minute, counts, unknown });
-    function isIt(m: Minute): boolean {
-      return m.minute === minute;
+    function isIt(row: Minute): boolean {
+      return row.minute === minute;
     }
   }
   return out;
 }
 
-function knownMinutes(t: MinuteAnswer): number {
-  let n = 0;
-  for (const m of t.minutes) if (m.unknown.length === 0) n += 1;
-  return n;
+function knownMinutes(minuteAnswer: MinuteAnswer): number {
+  let count = 0;
+  for (const minute of minuteAnswer.minutes) if (minute.unknown.length === 0) count += 1;
+  return count;
 }
 
 export async function reportLatencyTargets(
@@ -48,17 +48,17 @@
   latencyTargets: readonly LatencyTarget[],
 ): Promise<readonly LatencyTargetRow[] | null> {
   let window = 1;
-  for (const a of latencyTargets) window = Math.max(window, a.windowMinutes);
+  for (const latencyTarget of latencyTargets) window = Math.max(window, latencyTarget.windowMinutes);
   const answers: MinuteAnswer[] = [];
   const unresponsive: Address[] = [];
   for (const address of addresses) {
-    const got = await core.requestAt(address, latencyTargetsRequest(window));
-    const read = got?.status === 200 ? answersIn(got.body) : null;
+    const response = await core.requestAt(address, latencyTargetsRequest(window));
+    const read = response?.status === 200 ? answersIn(response.body) : null;
     if (read) answers.push(read);
     else unresponsive.push(address);
   }
   let best: MinuteAnswer | null = null;
-  for (const t of answers) if (!best || knownMinutes(t) > knownMinutes(best)) best = t;
+  for (const minuteAnswer of answers) if (!best || knownMinutes(minuteAnswer) > knownMinutes(best)) best = minuteAnswer;
   if (!best) return null;
   const changes = changesOf(answers, unresponsive, window);
   const rows: LatencyTargetRow[] = [];
--- a/src/operator/core-report.test.ts
+++ b/src/operator/core-report.test.ts
@@ -34,8 +34,8 @@
   return { address: name, member: `${name}#i`, name, slot, ledger, claims: null };
 }
 function told(statuses: readonly ControllerStatus[]): unknown[] {
-  const got = groupReport(statuses, 'ledger');
-  return [got?.agreeing, got?.spareLosses, got?.warning];
+  const response = groupReport(statuses, 'ledger');
+  return [response?.agreeing, response?.spareLosses, response?.warning];
 }
 
 describe("a majority's word", () => {
@@ -84,8 +84,11 @@
     ]);
   });
   test('a member whose loss would stop it by any word is essential', () => {
-    const got = groupReport([status('h1', health('h1', THREE)), status('h2', health('h2', THREE, ['h3']))], 'ledger');
-    expect(got?.essential).toEqual(['h1#i', 'h2#i']);
+    const response = groupReport(
+      [status('h1', health('h1', THREE)), status('h2', health('h2', THREE, ['h3']))],
+      'ledger',
+    );
+    expect(response?.essential).toEqual(['h1#i', 'h2#i']);
   });
 });
 
--- a/src/operator/core-report.ts
+++ b/src/operator/core-report.ts
@@ -85,8 +85,8 @@
 
 async function requestAll(core: Core, addresses: readonly Address[]): Promise<Answer[]> {
   async function requestStatus(address: Address): Promise<Answer> {
-    const got = await core.requestAt(address, statusRequest(), STATUS_WAIT_MS);
-    return answerIn(address, got?.status === 200 ? got.body : null);
+    const response = await core.requestAt(address, statusRequest(), STATUS_WAIT_MS);
+    return answerIn(address, response?.status === 200 ? response.body : null);
   }
   return Promise.all(addresses.map(requestStatus));
 }
@@ -120,8 +120,10 @@
   function hasGroup(status: ControllerStatus): boolean {
     return status[group] !== null;
   }
-  function newestAndKnowingFirst(a: ControllerStatus, b: ControllerStatus): number {
-    return b.slot - a.slot || Number(b[group]?.spareLosses !== null) - Number(a[group]?.spareLosses !== null);
+  function newestAndKnowingFirst(left: ControllerStatus, right: ControllerStatus): number {
+    return (
+      right.slot - left.slot || Number(right[group]?.spareLosses !== null) - Number(left[group]?.spareLosses !== null)
+    );
   }
 }
 
@@ -135,9 +137,9 @@
   return { spareLosses: worst.spareLosses, warning: worst.warning, essential: [...essential].sort() };
 }
 
-function isWorse(a: CoreHealth, b: CoreHealth): boolean {
-  if (a.spareLosses !== b.spareLosses) return (a.spareLosses ?? 0) < (b.spareLosses ?? 0);
-  return a.warning === 'noWholeQuorum' && b.warning !== 'noWholeQuorum';
+function isWorse(left: CoreHealth, right: CoreHealth): boolean {
+  if (left.spareLosses !== right.spareLosses) return (left.spareLosses ?? 0) < (right.spareLosses ?? 0);
+  return left.warning === 'noWholeQuorum' && right.warning !== 'noWholeQuorum';
 }
 
 /** Asks every controller that is named, and the members that they name; null if none answers. */
--- a/src/operator/core.ts
+++ b/src/operator/core.ts
@@ -15,24 +15,24 @@
 const WAIT_MS = 12_000;
 
 export function createCore(addresses: readonly Address[], httpClient: HttpClient): Core {
-  async function request(a: CoreRequest): Promise<CoreAnswer | null> {
+  async function request(coreRequest: CoreRequest): Promise<CoreAnswer | null> {
     let last: CoreAnswer | null = null;
     for (const address of addresses) {
-      const got = await requestAt(address, a);
-      if (!got) continue;
-      last = got;
+      const response = await requestAt(address, coreRequest);
+      if (!response) continue;
+      last = response;
       if (last.status !== 503) return last;
     }
     return last;
   }
-  async function requestAt(address: Address, a: CoreRequest, waitMs = WAIT_MS): Promise<CoreAnswer | null> {
-    const got = await httpClient.call({ ...a, address, timeoutMs: waitMs });
-    return got.ok ? { status: got.value.status, body: got.value.body } : null;
+  async function requestAt(address: Address, coreRequest: CoreRequest, waitMs = WAIT_MS): Promise<CoreAnswer | null> {
+    const response = await httpClient.call({ ...coreRequest, address, timeoutMs: waitMs });
+    return response.ok ? { status: response.value.status, body: response.value.body } : null;
   }
   async function version(): Promise<number | null> {
-    const got = await request(readRequest());
-    const n = got?.status === 200 ? (got.body as { readonly version?: unknown }).version : null;
-    return typeof n === 'number' ? n : null;
+    const response = await request(readRequest());
+    const attempt = response?.status === 200 ? (response.body as { readonly version?: unknown }).version : null;
+    return typeof attempt === 'number' ? attempt : null;
   }
   return { addresses, request, requestAt, version };
 }
--- a/src/programs/admin.ts
+++ b/src/programs/admin.ts
@@ -21,8 +21,8 @@
 type Ctx = { readonly rawArgs: string[]; readonly args: Readonly<Record<string, unknown>> };
 
 function textOf(ctx: Ctx, key: string): string | undefined {
-  const v = ctx.args[key];
-  return typeof v === 'string' ? v : undefined;
+  const value = ctx.args[key];
+  return typeof value === 'string' ? value : undefined;
 }
 
 function operationOf(ctx: Ctx): string {
@@ -30,21 +30,23 @@
 }
 
 function acknowledged(body: unknown): string {
-  const b = body as {
+  const second = body as {
     readonly acknowledged?: boolean;
     readonly version?: number;
     readonly waiting?: readonly string[];
   };
-  if (b.acknowledged)
-    return b.version === undefined ? 'Acknowledged.' : `Acknowledged: slot ${b.version} is in force on every proxy.`;
-  return `Agreed in slot ${b.version ?? '?'}, not yet confirmed by: ${(b.waiting ?? []).join(', ')}.`;
+  if (second.acknowledged)
+    return second.version === undefined
+      ? 'Acknowledged.'
+      : `Acknowledged: slot ${second.version} is in force on every proxy.`;
+  return `Agreed in slot ${second.version ?? '?'}, not yet confirmed by: ${(second.waiting ?? []).join(', ')}.`;
 }
 
 function baseOf(ctx: Ctx): number | null | undefined {
   const text = textOf(ctx, 'base');
   if (text === undefined) return undefined;
-  const n = Number(text);
-  return Number.isInteger(n) && n >= 0 ? n : null;
+  const count = Number(text);
+  return Number.isInteger(count) && count >= 0 ? count : null;
 }
 
 const CHANGE_ARGS = {
@@ -73,7 +75,7 @@
   if (!flagsFit(ctx.rawArgs, defs)) return leaveUsage();
   const made = prepare();
   if (!made.ok) {
-    complain(made.fault);
+    complain(made.error);
     return leaveUsage();
   }
   const request = baseOf(ctx);
@@ -91,7 +93,7 @@
   function prepare(): Result<MakeRequest, string> {
     const file = textOf(ctx, 'file') ?? '';
     const doc = readDocument(file);
-    if (!doc.ok) return err(`file: expected YAML or JSON at ${JSON.stringify(file)}; found ${doc.fault}`);
+    if (!doc.ok) return err(`file: expected YAML or JSON at ${JSON.stringify(file)}; found ${doc.error}`);
     const configuration = doc.value;
     function make(base: number, operation: string): CoreRequest {
       return applyRequest(base, configuration, operation);
@@ -139,19 +141,19 @@
   report(answer, ctx.args['json'] === true, shown);
 
   function shown(body: unknown): string {
-    const b = body as {
+    const second = body as {
       readonly version: number;
       readonly configuration: unknown;
       readonly evacuated: readonly string[];
       readonly resolved: readonly ResolvedRow[];
     };
-    const head = `version ${b.version}; evacuated: ${b.evacuated.length > 0 ? b.evacuated.join(', ') : 'none'}`;
-    if (ctx.args['resolved'] !== true) return `${head}\n${JSON.stringify(b.configuration, null, 2)}`;
+    const head = `version ${second.version}; evacuated: ${second.evacuated.length > 0 ? second.evacuated.join(', ') : 'none'}`;
+    if (ctx.args['resolved'] !== true) return `${head}\n${JSON.stringify(second.configuration, null, 2)}`;
     const rows: string[] = [head];
-    for (const r of b.resolved) {
-      rows.push(`${r.region}/${r.model}`);
-      for (const key of Object.keys(r.values))
-        rows.push(`  ${key} = ${JSON.stringify(r.values[key])} (${r.levels[key] ?? '?'})`);
+    for (const resolvedRow of second.resolved) {
+      rows.push(`${resolvedRow.region}/${resolvedRow.model}`);
+      for (const key of Object.keys(resolvedRow.values))
+        rows.push(`  ${key} = ${JSON.stringify(resolvedRow.values[key])} (${resolvedRow.levels[key] ?? '?'})`);
     }
     return rows.join('\n');
   }
--- a/src/programs/composition.ts
+++ b/src/programs/composition.ts
@@ -69,13 +69,13 @@
     return isSlow(lab) ? slowWire(wire, box.get<Clock>(T.clock), pathsOf(lab)) : wire;
   }
   function makeHttpClient(): HttpClient {
-    const got = createGotHttpClient(CONNECT_MS);
-    const httpClient = tally ? tally.countedHttpClient(ownPlace(), got) : got;
+    const response = createGotHttpClient(CONNECT_MS);
+    const httpClient = tally ? tally.countedHttpClient(ownPlace(), response) : response;
     return isSlow(lab) ? slowHttpClient(httpClient, box.get<Clock>(T.clock), pathsOf(lab)) : httpClient;
   }
   function makePolicies(): readonly Policy[] {
     const kept: Policy[] = [];
-    for (const p of POLICIES) if (p.name !== lab?.withoutPolicy) kept.push(p);
+    for (const policy of POLICIES) if (policy.name !== lab?.withoutPolicy) kept.push(policy);
     return kept;
   }
   function makeHttpServer(): HttpServer {
@@ -92,8 +92,8 @@
   function makeSwitches(): Switches {
     return switchesAt(lab?.switches);
   }
-  function pathsOf(of: Lab): PathTo {
-    return pathTable(settings.zone, of.zones, of.delayMs, box.get<Switches>(T.switches));
+  function pathsOf(lab: Lab): PathTo {
+    return pathTable(settings.zone, lab.zones, lab.delayMs, box.get<Switches>(T.switches));
   }
   function makeDeps(): NodeDeps {
     return {
--- a/src/programs/core-text.ts
+++ b/src/programs/core-text.ts
@@ -42,10 +42,10 @@
 }
 
 function statusText(status: ControllerStatus): string {
-  const who = `  ${cell(status.name ?? status.address, 16)}`;
-  if (!status.ledger) return `${who}does not answer`;
+  const electorate = `  ${cell(status.name ?? status.address, 16)}`;
+  if (!status.ledger) return `${electorate}does not answer`;
   const { inTouch, members, holdingAll, spareLosses, warning } = status.ledger;
-  return `${who}${cell(`slot ${status.slot}`, 12)}in touch ${inTouch} of ${members}, holding all ${holdingAll ?? 'unknown'}, spare losses ${spareLosses ?? 'unknown'}${warning === null ? '' : ` (${warning})`}`;
+  return `${electorate}${cell(`slot ${status.slot}`, 12)}in touch ${inTouch} of ${members}, holding all ${holdingAll ?? 'unknown'}, spare losses ${spareLosses ?? 'unknown'}${warning === null ? '' : ` (${warning})`}`;
 }
 
 export function coreText(report: CoreReport): string {
--- a/src/programs/daemons.ts
+++ b/src/programs/daemons.ts
@@ -47,7 +47,7 @@
   const { settings: file, ...rest } = flags;
   const read = readSettings(file, rest, needs);
   if (!read.ok) {
-    for (const f of read.fault) complain(`setting ${f.key}: expected ${f.expected}; found ${f.found}`);
+    for (const error of read.error) complain(`setting ${error.key}: expected ${error.expected}; found ${error.found}`);
     leaveUsage();
     return;
   }
@@ -55,8 +55,8 @@
   const box = compose(settings);
   const started = await start(box.get<NodeIdentity>(T.identity), box.get<NodeDeps>(T.deps));
   if (!started.ok) {
-    complain(`millfield could not start: ${JSON.stringify(started.fault)}`);
-    process.exit(codeOf(started.fault.tag));
+    complain(`millfield could not start: ${JSON.stringify(started.error)}`);
+    process.exit(codeOf(started.error.tag));
   }
   onStop(started.value.stop);
 }
@@ -64,8 +64,8 @@
 function picked(args: Readonly<Record<string, unknown>>): Record<string, string | undefined> {
   const out: Record<string, string | undefined> = {};
   for (const key of Object.keys(NODE_ARGS)) {
-    const v = args[key];
-    out[key] = typeof v === 'string' ? v : undefined;
+    const value = args[key];
+    out[key] = typeof value === 'string' ? value : undefined;
   }
   return out;
 }
--- a/src/programs/flags.ts
+++ b/src/programs/flags.ts
@@ -18,8 +18,8 @@
   }
   return out;
 }
-function dashed(c: string): string {
-  return `-${c.toLowerCase()}`;
+function dashed(character: string): string {
+  return `-${character.toLowerCase()}`;
 }
 
 export function flagsFit(rawArgs: readonly string[], defs: ArgsDef): boolean {
@@ -56,8 +56,8 @@
 function camel(name: string): string {
   return name.replace(/-([a-z])/g, upper);
 }
-function upper(_m: string, c: string): string {
-  return c.toUpperCase();
+function upper(_m: string, character: string): string {
+  return character.toUpperCase();
 }
 
 export function leave(code: ExitCode): void {
--- a/src/programs/hollow.ts
+++ b/src/programs/hollow.ts
@@ -66,14 +66,14 @@
   if (plan.proxies.length > 0) {
     const started = await startHollowProxies(plan.proxies, depsOf, clock);
     if (!started.ok) {
-      complain(`hollow proxies could not start: ${JSON.stringify(started.fault)}`);
+      complain(`hollow proxies could not start: ${JSON.stringify(started.error)}`);
       process.exit(EXIT.cannotListen);
     }
     part = started.value;
   }
 
-  function depsOf(of: HollowProxy): NodeDeps {
-    const own: Place = { role: 'proxy', zone: of.zone, region: of.region };
+  function depsOf(hollowProxy: HollowProxy): NodeDeps {
+    const own: Place = { role: 'proxy', zone: hollowProxy.zone, region: hollowProxy.region };
     const counted = tally.countedHttpClient(own, createGotHttpClient(DIAL_MS));
     return {
       clock,
@@ -88,28 +88,31 @@
     };
   }
 
-  async function startOutside(o: NonNullable<HollowPlan['outside']>): Promise<boolean> {
+  async function startOutside(options: NonNullable<HollowPlan['outside']>): Promise<boolean> {
     const local = localHttpServers(createExpressHttpServer(logs.component('standin')), createGotHttpClient(DIAL_MS));
     const journal = createNoJournal();
     const deps = { clock, rng: createOsRng(), httpServer: local.httpServer, httpClient: local.httpClient, journal };
-    const platform = await startStandinPlatform(o.platform, clock, local.httpServer, journal);
-    const cloud = await startStandinCloud({ address: o.cloud, platform: o.platform, prices: o.prices }, deps);
+    const platform = await startStandinPlatform(options.platform, clock, local.httpServer, journal);
+    const cloud = await startStandinCloud(
+      { address: options.cloud, platform: options.platform, prices: options.prices },
+      deps,
+    );
     let all = platform.ok && cloud.ok;
-    for (const w of o.workers) {
-      const got = await startStandinWorker(
+    for (const hollowWorker of options.workers) {
+      const response = await startStandinWorker(
         {
           ...WORKER_DEFAULTS,
-          id: w.id,
-          zone: w.zone,
-          region: w.region,
-          address: w.http,
-          platform: o.platform,
-          cloud: o.cloud,
+          id: hollowWorker.id,
+          zone: hollowWorker.zone,
+          region: hollowWorker.region,
+          address: hollowWorker.http,
+          platform: options.platform,
+          cloud: options.cloud,
           fixedModel: null,
         },
         deps,
       );
-      all &&= got.ok;
+      all &&= response.ok;
     }
     return all;
   }
--- a/src/programs/inspect-text.test.ts
+++ b/src/programs/inspect-text.test.ts
@@ -7,8 +7,8 @@
   expect(await fleet.start()).toBe(true);
   await fleet.run(4_000);
   async function lines(): Promise<readonly string[]> {
-    const got = await fleet.operator(0, 'GET', '/v1/status');
-    return got.ok ? statusText(got.value.body).split('\n') : [];
+    const response = await fleet.operator(0, 'GET', '/v1/status');
+    return response.ok ? statusText(response.value.body).split('\n') : [];
   }
   expect((await lines()).slice(1, 3)).toEqual([
     'core: 3 of 3 members in touch, 3 holding all, bears 1 further loss',
--- a/src/programs/inspect-text.ts
+++ b/src/programs/inspect-text.ts
@@ -51,8 +51,8 @@
   return String(value ?? '-').padEnd(width);
 }
 
-function byName(a: { readonly name: string }, b: { readonly name: string }): number {
-  return a.name < b.name ? -1 : 1;
+function byName(left: { readonly name: string }, right: { readonly name: string }): number {
+  return left.name < right.name ? -1 : 1;
 }
 
 function headRows(status: Status): string[] {
@@ -161,8 +161,8 @@
     const budget = `${pad(`${target.bad} bad of ${target.events}`, 18)} budget left ${pad(percent(target.budgetLeft), 10)}`;
     rows.push(`${pad(target.name, 28)} ${pad(target.state, 8)} ${attained} ${budget} ${use}`);
     if (target.unknownMinutes === 0) continue;
-    const of = target.unknownOf.length > 0 ? `: ${target.unknownOf.join(', ')}` : '';
-    rows.push(`  ${target.unknownMinutes} of ${target.unknownMinutes + target.knownMinutes} minutes unknown${of}`);
+    const orders = target.unknownOf.length > 0 ? `: ${target.unknownOf.join(', ')}` : '';
+    rows.push(`  ${target.unknownMinutes} of ${target.unknownMinutes + target.knownMinutes} minutes unknown${orders}`);
   }
   return rows.join('\n');
 }
--- a/src/programs/inspect.ts
+++ b/src/programs/inspect.ts
@@ -55,7 +55,7 @@
   const file = textOf(ctx, 'file') ?? '';
   const doc = readDocument(file);
   if (!doc.ok) {
-    complain(`file: expected YAML or JSON at ${JSON.stringify(file)}; found ${doc.fault}`);
+    complain(`file: expected YAML or JSON at ${JSON.stringify(file)}; found ${doc.error}`);
     return leaveUsage();
   }
   const core = coreOf(ctx.args);
@@ -66,8 +66,8 @@
     (read.body as { readonly configuration: Configuration }).configuration,
   );
   if (!latencyTargets.ok) {
-    for (const fault of latencyTargets.fault)
-      complain(`${fault.path}: expected ${fault.expected}; found ${fault.found}`);
+    for (const error of latencyTargets.error)
+      complain(`${error.path}: expected ${error.expected}; found ${error.found}`);
     return leaveUsage();
   }
   const rows = await reportLatencyTargets(core, addressesOf(ctx.args), latencyTargets.value);
--- a/src/programs/read-document.ts
+++ b/src/programs/read-document.ts
@@ -6,7 +6,7 @@
 export function readDocument(path: string): Result<unknown, string> {
   try {
     return ok(parseYaml(readFileSync(path, 'utf8')));
-  } catch (e) {
-    return err(e instanceof Error ? e.message : String(e));
+  } catch (error) {
+    return err(error instanceof Error ? error.message : String(error));
   }
 }
--- a/src/programs/runbook.ts
+++ b/src/programs/runbook.ts
@@ -54,7 +54,7 @@
   }
   const read = readRunbook(text, inputs);
   if (read.ok) return read.value;
-  for (const f of read.fault) complain(`${file}:${f.line}: ${f.reason}`);
+  for (const error of read.error) complain(`${file}:${error.line}: ${error.reason}`);
   return null;
 }
 
@@ -100,9 +100,9 @@
     request.close();
     return answer.trim() === 'yes';
   }
-  async function record(r: StepRecord): Promise<void> {
-    say(`${r.step + 1}. ${r.name}: ${r.outcome} (${r.seen})`);
-    if (!dryRun) appendFileSync(path, `${JSON.stringify(r)}\n`);
+  async function record(entry: StepRecord): Promise<void> {
+    say(`${entry.step + 1}. ${entry.name}: ${entry.outcome} (${entry.seen})`);
+    if (!dryRun) appendFileSync(path, `${JSON.stringify(entry)}\n`);
   }
   const end = await runRunbook(runbook, {
     core: coreOf(ctx.args),
--- a/src/programs/settings.ts
+++ b/src/programs/settings.ts
@@ -30,31 +30,31 @@
   readonly tally?: { readonly file: string; readonly places: string };
 };
 
-export type SettingsFault = { readonly key: string; readonly expected: string; readonly found: string };
+export type SettingsError = { readonly key: string; readonly expected: string; readonly found: string };
 
-function text(name: string, test: (s: string) => boolean): t.Type<string> {
-  function is(u: unknown): u is string {
-    return typeof u === 'string' && test(u);
+function text(name: string, test: (text: string) => boolean): t.Type<string> {
+  function is(value: unknown): value is string {
+    return typeof value === 'string' && test(value);
   }
-  function validate(u: unknown, c: t.Context): t.Validation<string> {
-    return is(u) ? t.success(u) : t.failure(u, c);
+  function validate(value: unknown, context: t.Context): t.Validation<string> {
+    return is(value) ? t.success(value) : t.failure(value, context);
   }
-  function same(s: string): string {
-    return s;
+  function same(text: string): string {
+    return text;
   }
   return new t.Type(name, is, validate, same);
 }
-function isName(s: string): boolean {
-  return /^[a-zA-Z0-9][a-zA-Z0-9._-]{0,62}$/.test(s);
+function isName(text: string): boolean {
+  return /^[a-zA-Z0-9][a-zA-Z0-9._-]{0,62}$/.test(text);
 }
-function isAddress(s: string): boolean {
-  return splitAddress(s) !== null && /^(\d{1,3}\.){3}\d{1,3}:\d+$/.test(s);
+function isAddress(text: string): boolean {
+  return splitAddress(text) !== null && /^(\d{1,3}\.){3}\d{1,3}:\d+$/.test(text);
 }
-function isPath(s: string): boolean {
-  return s.length > 0;
+function isPath(text: string): boolean {
+  return text.length > 0;
 }
-function isLevel(s: string): boolean {
-  return ['silent', 'error', 'warn', 'info'].includes(s);
+function isLevel(text: string): boolean {
+  return ['silent', 'error', 'warn', 'info'].includes(text);
 }
 
 const Name = text('a name of letters, digits, dot, dash or underscore', isName);
@@ -82,11 +82,11 @@
 };
 const REQUIRED = ['name', 'zone', 'region', 'listen', 'http', 'seeds', 'platform'] as const;
 
-function shown(u: unknown): string {
-  return u === undefined ? 'nothing' : JSON.stringify(u);
+function shown(value: unknown): string {
+  return value === undefined ? 'nothing' : JSON.stringify(value);
 }
 
-function parsedFile(path: string): Result<Record<string, unknown>, SettingsFault> {
+function parsedFile(path: string): Result<Record<string, unknown>, SettingsError> {
   let raw: string;
   try {
     raw = readFileSync(path, 'utf8');
@@ -94,8 +94,8 @@
     return err({ key: '--settings', expected: 'a readable file', found: JSON.stringify(path) });
   }
   try {
-    const v: unknown = JSON.parse(raw);
-    if (isTable(v)) return ok(v);
+    const value: unknown = JSON.parse(raw);
+    if (isTable(value)) return ok(value);
   } catch {
     return err({ key: '--settings', expected: 'a file of JSON', found: JSON.stringify(path) });
   }
@@ -108,12 +108,12 @@
   file: string | undefined,
   flags: Readonly<Record<string, string | undefined>>,
   needs: SettingsNeeds,
-): Result<NodeSettings, readonly SettingsFault[]> {
-  const faults: SettingsFault[] = [];
+): Result<NodeSettings, readonly SettingsError[]> {
+  const faults: SettingsError[] = [];
   let all: Record<string, unknown> = {};
   if (file !== undefined) {
     const read = parsedFile(file);
-    if (!read.ok) return err([read.fault]);
+    if (!read.ok) return err([read.error]);
     all = { ...read.value };
   }
   for (const [key, value] of Object.entries(flags)) {
@@ -132,20 +132,20 @@
   if (Array.isArray(seeds) && (seeds.length < 1 || seeds.length > 9))
     faults.push({ key: 'seeds', expected: 'one to nine addresses, commonly three', found: shown(seeds) });
   if (faults.length > 0) return err(faults);
-  const s = all as Partial<NodeSettings> & Pick<NodeSettings, (typeof REQUIRED)[number]>;
+  const settings = all as Partial<NodeSettings> & Pick<NodeSettings, (typeof REQUIRED)[number]>;
   return ok({
-    name: s.name,
-    zone: s.zone,
-    region: s.region,
-    listen: s.listen,
-    advertise: s.advertise ?? s.listen,
-    http: s.http,
-    httpAdvertise: s.httpAdvertise ?? s.http,
-    seeds: s.seeds,
-    dataFolder: s.dataFolder ?? null,
-    platform: s.platform,
-    cloud: s.cloud ?? s.platform,
-    logLevel: s.logLevel ?? 'info',
-    lab: s.lab ?? null,
+    name: settings.name,
+    zone: settings.zone,
+    region: settings.region,
+    listen: settings.listen,
+    advertise: settings.advertise ?? settings.listen,
+    http: settings.http,
+    httpAdvertise: settings.httpAdvertise ?? settings.http,
+    seeds: settings.seeds,
+    dataFolder: settings.dataFolder ?? null,
+    platform: settings.platform,
+    cloud: settings.cloud ?? settings.platform,
+    logLevel: settings.logLevel ?? 'info',
+    lab: settings.lab ?? null,
   });
 }
--- a/src/programs/standin.ts
+++ b/src/programs/standin.ts
@@ -26,12 +26,12 @@
 type Ctx = { readonly rawArgs: string[]; readonly args: Readonly<Record<string, unknown>> };
 
 function textOf(ctx: Ctx, key: string): string | undefined {
-  const v = ctx.args[key];
-  return typeof v === 'string' && v !== '' ? v : undefined;
+  const value = ctx.args[key];
+  return typeof value === 'string' && value !== '' ? value : undefined;
 }
 function numberOf(ctx: Ctx, key: string, fallback: number): number {
-  const n = Number(textOf(ctx, key) ?? fallback);
-  return Number.isFinite(n) ? n : fallback;
+  const count = Number(textOf(ctx, key) ?? fallback);
+  return Number.isFinite(count) ? count : fallback;
 }
 function journalOf(ctx: Ctx): Journal {
   const path = textOf(ctx, 'journal');
@@ -90,12 +90,12 @@
       journal: journalOf(ctx),
     },
   );
-  if (!started.ok) return failedStart(started.fault);
+  if (!started.ok) return failedStart(started.error);
   onStop(started.value.stop);
 }
 
-function failedStart(fault: { readonly tag: string }): void {
-  complain(`standin could not start: ${JSON.stringify(fault)}`);
+function failedStart(error: { readonly tag: string }): void {
+  complain(`standin could not start: ${JSON.stringify(error)}`);
   leave(EXIT.cannotListen);
 }
 
@@ -112,7 +112,7 @@
     createExpressHttpServer(createLogRoot('warn').component('standin')),
     journalOf(ctx),
   );
-  if (!started.ok) return failedStart(started.fault);
+  if (!started.ok) return failedStart(started.error);
   onStop(started.value.stop);
 }
 
@@ -144,7 +144,7 @@
       journal: journalOf(ctx),
     },
   );
-  if (!started.ok) return failedStart(started.fault);
+  if (!started.ok) return failedStart(started.error);
   onStop(started.value.stop);
 }
 
@@ -207,9 +207,9 @@
       for (const line of readFileSync(join(folder, file), 'utf8').split('\n'))
         if (line !== '') records.push(JSON.parse(line) as Rec);
     }
-  } catch (e) {
+  } catch (error) {
     complain(
-      `folder: expected readable journals in ${JSON.stringify(folder)}; found ${e instanceof Error ? e.message : String(e)}`,
+      `folder: expected readable journals in ${JSON.stringify(folder)}; found ${error instanceof Error ? error.message : String(error)}`,
     );
     return leaveUsage();
   }
--- a/src/programs/tally-file.ts
+++ b/src/programs/tally-file.ts
@@ -10,12 +10,12 @@
   return JSON.parse(readFileSync(path, 'utf8')) as Places;
 }
 
-export function tallyInto(s: TallySettings, extra: () => unknown): Tally {
-  const tally = createTally(readPlaces(s.places));
+export function tallyInto(tallySettings: TallySettings, extra: () => unknown): Tally {
+  const tally = createTally(readPlaces(tallySettings.places));
   function write(): void {
     const { rss, heapUsed } = process.memoryUsage();
     writeFileSync(
-      `${s.file}.new`,
+      `${tallySettings.file}.new`,
       JSON.stringify({
         at: performance.now(),
         hostMs: Number(process.hrtime.bigint()) / 1e6,
@@ -27,7 +27,7 @@
         extra: extra(),
       }),
     );
-    renameSync(`${s.file}.new`, s.file);
+    renameSync(`${tallySettings.file}.new`, tallySettings.file);
   }
   setInterval(write, WRITE_MS).unref();
   write();
--- a/src/protocol/aims.ts
+++ b/src/protocol/aims.ts
@@ -11,7 +11,7 @@
 import type { LatencyTarget, Measure } from '../state/aim-report.js';
 import { BOUNDS_MS } from '../state/aim-counts.js';
 import type { Configuration } from '../state/settings-tree.js';
-import type { ConfigFault } from './codecs.js';
+import type { ConfigError } from './codecs.js';
 
 const Measures = t.keyof(
   { success: null, firstPiece: null, whole: null, changeInForce: null, shed: null },
@@ -22,25 +22,25 @@
 const MOST_MINUTES = 24 * 60;
 const TIMED: readonly Measure[] = ['firstPiece', 'whole', 'changeInForce'];
 
-function shown(u: unknown): string {
-  return u === undefined ? 'nothing' : JSON.stringify(u);
+function shown(value: unknown): string {
+  return value === undefined ? 'nothing' : JSON.stringify(value);
 }
 
-function minutesOf(u: unknown): number | null {
-  const m = typeof u === 'string' ? WINDOW.exec(u) : null;
-  if (!m) return null;
-  const n = Number(m[1]) * (m[2] === 'h' ? 60 : 1);
-  return n >= 1 && n <= MOST_MINUTES ? n : null;
+function minutesOf(value: unknown): number | null {
+  const match = typeof value === 'string' ? WINDOW.exec(value) : null;
+  if (!match) return null;
+  const count = Number(match[1]) * (match[2] === 'h' ? 60 : 1);
+  return count >= 1 && count <= MOST_MINUTES ? count : null;
 }
 
 /** The aims of a parsed document, or every fault in it; models and mappings must be those of the configuration. */
 export function readLatencyTargets(
   doc: unknown,
   cfg: Configuration,
-): Result<readonly LatencyTarget[], readonly ConfigFault[]> {
-  const faults: ConfigFault[] = [];
+): Result<readonly LatencyTarget[], readonly ConfigError[]> {
+  const faults: ConfigError[] = [];
   const out: LatencyTarget[] = [];
-  function fault(path: string, expected: string, found: unknown): void {
+  function addError(path: string, expected: string, found: unknown): void {
     faults.push({ path, expected, found: shown(found) });
   }
   const models = new Set<string>();
@@ -48,10 +48,10 @@
     for (const model of Object.keys(branch.models ?? {})) models.add(model);
   const mappings = new Set(Object.keys(cfg.mappings ?? {}));
   const top = isTable(doc) ? doc : {};
-  for (const key of Object.keys(top)) if (key !== 'aims') fault(`/${key}`, 'aims', key);
+  for (const key of Object.keys(top)) if (key !== 'aims') addError(`/${key}`, 'aims', key);
   const list = top['aims'];
   if (!Array.isArray(list) || list.length === 0) {
-    fault('/aims', 'a list of aims', list);
+    addError('/aims', 'a list of aims', list);
     return err(faults);
   }
   const names = new Set<string>();
@@ -59,35 +59,35 @@
     const at = `/aims/${i}`;
     const target: unknown = list[i];
     if (!isTable(target)) {
-      fault(at, 'an aim', target);
+      addError(at, 'an aim', target);
       continue;
     }
     for (const key of Object.keys(target))
-      if (!(KEYS as readonly string[]).includes(key)) fault(`${at}/${key}`, `one of ${KEYS.join(', ')}`, key);
+      if (!(KEYS as readonly string[]).includes(key)) addError(`${at}/${key}`, `one of ${KEYS.join(', ')}`, key);
     const { name, measure, model, mapping, objective, withinMs, window } = target;
-    if (typeof name !== 'string' || name === '') fault(`${at}/name`, 'a name', name);
-    else if (names.has(name)) fault(`${at}/name`, 'a name that no other aim bears', name);
+    if (typeof name !== 'string' || name === '') addError(`${at}/name`, 'a name', name);
+    else if (names.has(name)) addError(`${at}/name`, 'a name that no other aim bears', name);
     else names.add(name);
     const measured = Measures.is(measure) ? measure : null;
-    if (!measured) fault(`${at}/measure`, Measures.name, measure);
+    if (!measured) addError(`${at}/measure`, Measures.name, measure);
     if (measured === 'changeInForce') {
-      if (model !== undefined) fault(`${at}/model`, 'nothing, for changes are of the whole deployment', model);
-      if (mapping !== undefined) fault(`${at}/mapping`, 'nothing, for changes are of the whole deployment', mapping);
+      if (model !== undefined) addError(`${at}/model`, 'nothing, for changes are of the whole deployment', model);
+      if (mapping !== undefined) addError(`${at}/mapping`, 'nothing, for changes are of the whole deployment', mapping);
     } else {
-      if ((model === undefined) === (mapping === undefined)) fault(at, 'either a model or a mapping', target);
+      if ((model === undefined) === (mapping === undefined)) addError(at, 'either a model or a mapping', target);
       if (model !== undefined && !models.has(written(model)))
-        fault(`${at}/model`, `one of ${[...models].sort().join(', ')}`, model);
+        addError(`${at}/model`, `one of ${[...models].sort().join(', ')}`, model);
       if (mapping !== undefined && !mappings.has(written(mapping)))
-        fault(`${at}/mapping`, `one of ${[...mappings].sort().join(', ')}`, mapping);
+        addError(`${at}/mapping`, `one of ${[...mappings].sort().join(', ')}`, mapping);
     }
     if (typeof objective !== 'number' || objective <= 0 || objective > 1)
-      fault(`${at}/objective`, 'a share above 0, up to 1', objective);
+      addError(`${at}/objective`, 'a share above 0, up to 1', objective);
     const timed = measured !== null && TIMED.includes(measured);
     if (timed && !(BOUNDS_MS as readonly unknown[]).includes(withinMs))
-      fault(`${at}/withinMs`, `one of ${BOUNDS_MS.join(', ')}`, withinMs);
-    if (!timed && withinMs !== undefined) fault(`${at}/withinMs`, 'nothing, for this measure has no time', withinMs);
+      addError(`${at}/withinMs`, `one of ${BOUNDS_MS.join(', ')}`, withinMs);
+    if (!timed && withinMs !== undefined) addError(`${at}/withinMs`, 'nothing, for this measure has no time', withinMs);
     const minutes = minutesOf(window);
-    if (minutes === null) fault(`${at}/window`, 'minutes or hours up to 24h, such as 30m', window);
+    if (minutes === null) addError(`${at}/window`, 'minutes or hours up to 24h, such as 30m', window);
     out.push({
       name: String(name),
       measure: measured ?? 'success',
--- a/src/protocol/caller-wire.ts
+++ b/src/protocol/caller-wire.ts
@@ -10,22 +10,22 @@
 import { ResponseChunkShape, ResponseDigestShape } from '../state/seal.js';
 import { PrefixBlockShape } from './worker-wire.js';
 
-const Id = Type.String({ minLength: 1, maxLength: 128 });
+const tString = Type.String({ minLength: 1, maxLength: 128 });
 const Tokens = Type.Integer({ minimum: 0, maximum: 10_000_000 });
 
 /** Question for a place: which proxy should take a request of this kind and size. */
 export const PlacementRequestShape = Type.Object(
   {
-    model: Type.Optional(Id),
-    mapping: Type.Optional(Id),
-    kind: Type.Optional(Id),
-    homes: Type.Optional(Type.Array(Id, { minItems: 1, maxItems: 64 })),
+    model: Type.Optional(tString),
+    mapping: Type.Optional(tString),
+    kind: Type.Optional(tString),
+    homes: Type.Optional(Type.Array(tString, { minItems: 1, maxItems: 64 })),
     inputTokens: Tokens,
     outputTokens: Tokens,
     parts: Type.Array(Type.String({ minLength: 1, maxLength: 128 }), { maxItems: 1_024 }),
     repeatable: Type.Boolean(),
-    zone: Type.Optional(Id),
-    without: Type.Optional(Type.Array(Id, { maxItems: 16 })),
+    zone: Type.Optional(tString),
+    without: Type.Optional(Type.Array(tString, { maxItems: 16 })),
   },
   { additionalProperties: false },
 );
@@ -34,10 +34,10 @@
 
 /** Answer to it: the proxy to go to, and a ticket that only that proxy process takes. */
 export const PlacementShape = Type.Object({
-  proxy: Id,
-  address: Id,
+  proxy: tString,
+  address: tString,
   ticket: Type.String(),
-  requestId: Id,
+  requestId: tString,
   expiresInMs: Type.Number(),
 });
 /** A checked place. */
@@ -46,11 +46,11 @@
 /** The request itself; `key` makes it run at most once. */
 export const SubmitShape = Type.Object(
   {
-    requestId: Id,
+    requestId: tString,
     parts: Type.Array(PrefixBlockShape, { maxItems: 1_024 }),
     outputTokens: Tokens,
     stream: Type.Boolean(),
-    key: Type.Optional(Id),
+    key: Type.Optional(tString),
   },
   { additionalProperties: false },
 );
--- a/src/protocol/configuration.test.ts
+++ b/src/protocol/configuration.test.ts
@@ -5,7 +5,7 @@
 
 function faults(doc: unknown): string[] {
   const read = readConfiguration(doc);
-  return read.ok ? [] : read.fault.map((f) => f.path);
+  return read.ok ? [] : read.error.map((f) => f.path);
 }
 
 describe('configuration', () => {
--- a/src/protocol/configuration.ts
+++ b/src/protocol/configuration.ts
@@ -9,8 +9,8 @@
 import { err, ok } from '../base/result.js';
 import type { Result } from '../base/result.js';
 import type { Configuration, Settings } from '../state/settings-tree.js';
-import { faultAt, faultsIn, isName, Name, Names, real, whole } from './codecs.js';
-import type { ConfigFault } from './codecs.js';
+import { errorAt, errorsIn, isName, Name, Names, real, whole } from './codecs.js';
+import type { ConfigError } from './codecs.js';
 import { readServing } from './serving.js';
 
 const SETTING_CODECS = {
@@ -40,13 +40,13 @@
 const TopShape = { zones: true, deployment: true, regions: true, mappings: true, serving: true };
 
 /** The configuration of a parsed document, or every fault in it. */
-export function readConfiguration(doc: unknown): Result<Configuration, readonly ConfigFault[]> {
-  const faults: ConfigFault[] = [];
-  function fault(path: readonly string[], expected: string, found: unknown): void {
-    faults.push(faultAt(path, expected, found));
+export function readConfiguration(doc: unknown): Result<Configuration, readonly ConfigError[]> {
+  const faults: ConfigError[] = [];
+  function addError(path: readonly string[], expected: string, found: unknown): void {
+    faults.push(errorAt(path, expected, found));
   }
   function check(path: readonly string[], codec: t.Mixed, value: unknown): void {
-    faults.push(...faultsIn(path, codec, value));
+    faults.push(...errorsIn(path, codec, value));
   }
   function table(
     path: readonly string[],
@@ -55,12 +55,12 @@
   ): Record<string, unknown> {
     if (value === undefined) return {};
     if (!isTable(value)) {
-      fault(path, 'a table', value);
+      addError(path, 'a table', value);
       return {};
     }
     for (const key of Object.keys(value)) {
-      if (known && !Object.hasOwn(known, key)) fault([...path, key], `one of ${Object.keys(known).join(', ')}`, key);
-      if (!known && !isName(key)) fault([...path, key], Name.name, key);
+      if (known && !Object.hasOwn(known, key)) addError([...path, key], `one of ${Object.keys(known).join(', ')}`, key);
+      if (!known && !isName(key)) addError([...path, key], Name.name, key);
     }
     return value;
   }
@@ -70,19 +70,19 @@
       if (Object.hasOwn(at, key)) check([...path, key], codec, at[key]);
     }
     if (Array.isArray(at['zones']))
-      for (const z of at['zones'])
-        if (!zoneNames.has(String(z))) fault([...path, 'zones'], 'zones named under /zones', z);
+      for (const zone of at['zones'])
+        if (!zoneNames.has(String(zone))) addError([...path, 'zones'], 'zones named under /zones', zone);
     const homes = isTable(at['homes']) ? at['homes'] : {};
     for (const [kind, list] of Object.entries(homes)) {
       if (!Array.isArray(list)) continue;
-      if (list.length === 0) fault([...path, 'homes', kind], 'at least one region', list);
-      for (const r of list)
-        if (!regionNames.has(String(r))) fault([...path, 'homes', kind], 'regions that hold a zone', r);
+      if (list.length === 0) addError([...path, 'homes', kind], 'at least one region', list);
+      for (const region of list)
+        if (!regionNames.has(String(region))) addError([...path, 'homes', kind], 'regions that hold a zone', region);
     }
     const low = at['minTarget'];
     const high = at['maxTarget'];
     if (typeof low === 'number' && typeof high === 'number' && low > high)
-      fault([...path, 'minTarget'], `at most maxTarget (${high})`, low);
+      addError([...path, 'minTarget'], `at most maxTarget (${high})`, low);
   }
 
   const top = table([], doc, TopShape);
@@ -93,20 +93,20 @@
   for (const [name, value] of Object.entries(zones)) {
     const zone = table(['zones', name], value, { region: true });
     if (isName(zone['region'])) regionNames.add(zone['region']);
-    else fault(['zones', name, 'region'], Name.name, zone['region']);
+    else addError(['zones', name, 'region'], Name.name, zone['region']);
   }
   settings(['deployment'], top['deployment']);
   const regions = table(['regions'], top['regions'], null);
   const modelHome = new Map<string, string>();
   for (const [region, value] of Object.entries(regions)) {
-    if (!regionNames.has(region)) fault(['regions', region], 'a region that holds a zone', region);
+    if (!regionNames.has(region)) addError(['regions', region], 'a region that holds a zone', region);
     const branch = table(['regions', region], value, BranchShape);
     settings(['regions', region, 'settings'], branch['settings']);
     const models = table(['regions', region, 'models'], branch['models'], null);
     for (const [model, own] of Object.entries(models)) {
       settings(['regions', region, 'models', model], own);
       const other = modelHome.get(model);
-      if (other) fault(['regions', region, 'models', model], `a model that is not also under ${other}`, model);
+      if (other) addError(['regions', region, 'models', model], `a model that is not also under ${other}`, model);
       modelHome.set(model, region);
     }
   }
@@ -114,13 +114,13 @@
   for (const [name, value] of Object.entries(mappings)) {
     const mapping = table(['mappings', name], value, { model: true, kind: true });
     if (!modelHome.has(String(mapping['model'])))
-      fault(['mappings', name, 'model'], 'a model named under /regions', mapping['model']);
+      addError(['mappings', name, 'model'], 'a model named under /regions', mapping['model']);
     if (mapping['kind'] !== undefined && typeof mapping['kind'] !== 'string')
-      fault(['mappings', name, 'kind'], 'a kind of request', mapping['kind']);
+      addError(['mappings', name, 'kind'], 'a kind of request', mapping['kind']);
   }
   if (top['serving'] !== undefined) {
     const serving = readServing(top['serving'], ['serving']);
-    if (!serving.ok) faults.push(...serving.fault);
+    if (!serving.ok) faults.push(...serving.error);
   }
   if (faults.length > 0) return err(faults);
   return ok({
--- a/src/protocol/messages.ts
+++ b/src/protocol/messages.ts
@@ -211,9 +211,9 @@
 for (const shape of MessageShape.anyOf) shapes.set(shape.properties.kind.const, shape);
 const checkers = new Map<unknown, TypeCheck<TSchema>>();
 
-function isMessage(u: unknown): boolean {
-  if (!isTable(u)) return false;
-  const { kind } = u;
+function isMessage(value: unknown): boolean {
+  if (!isTable(value)) return false;
+  const { kind } = value;
   let checker = checkers.get(kind);
   if (!checker) {
     const shape = shapes.get(kind);
@@ -221,7 +221,7 @@
     checker = TypeCompiler.Compile(shape);
     checkers.set(kind, checker);
   }
-  return checker.Check(u);
+  return checker.Check(value);
 }
 
 // Each kind's check is made when the first of its kind comes: making them all takes a third of a start.
--- a/src/protocol/serving.test.ts
+++ b/src/protocol/serving.test.ts
@@ -44,7 +44,7 @@
 
 function faults(path: string[], value: unknown): string[] {
   const read = readServing(withChanges(SOUND, [value === undefined ? { path } : { path, value }]));
-  return read.ok ? [] : read.fault.map((f) => `${f.path}: ${f.expected}; ${f.found}`);
+  return read.ok ? [] : read.error.map((f) => `${f.path}: ${f.expected}; ${f.found}`);
 }
 
 describe('a served configuration', () => {
@@ -117,6 +117,6 @@
 
   test('inside a whole configuration the path leads there', () => {
     const read = readConfiguration({ serving: { ...SOUND, number: 0 } });
-    expect(read.ok ? [] : read.fault.map((f) => f.path)).toEqual(['/serving/number']);
+    expect(read.ok ? [] : read.error.map((f) => f.path)).toEqual(['/serving/number']);
   });
 });
--- a/src/protocol/serving.ts
+++ b/src/protocol/serving.ts
@@ -10,29 +10,29 @@
 import { err, ok } from '../base/result.js';
 import type { Result } from '../base/result.js';
 import type { RouteSettings, EngineTraits, ModelTraits, CallerLimits, Serving, Share } from '../state/serving.js';
-import { faultAt, faultsIn, real, text, whole } from './codecs.js';
-import type { ConfigFault } from './codecs.js';
+import { errorAt, errorsIn, real, text, whole } from './codecs.js';
+import type { ConfigError } from './codecs.js';
 
 const MOST = Number.MAX_SAFE_INTEGER;
 const MOST_NAME = 256;
 
-function isFilled(s: string): boolean {
-  return s !== '' && s.length <= MOST_NAME && s !== '__proto__';
+function isFilled(text: string): boolean {
+  return text !== '' && text.length <= MOST_NAME && text !== '__proto__';
 }
-function isHost(s: string): boolean {
-  return isFilled(s) && !/[\s/]/.test(s);
+function isHost(text: string): boolean {
+  return isFilled(text) && !/[\s/]/.test(text);
 }
-function isPrefix(s: string): boolean {
-  return s.startsWith('/') && s.endsWith('/');
+function isPrefix(text: string): boolean {
+  return text.startsWith('/') && text.endsWith('/');
 }
-function isPath(s: string): boolean {
-  return s.startsWith('/');
+function isPath(text: string): boolean {
+  return text.startsWith('/');
 }
-function above(u: unknown): u is number {
-  return typeof u === 'number' && u > 0 && u <= MOST;
+function above(value: unknown): value is number {
+  return typeof value === 'number' && value > 0 && value <= MOST;
 }
-function validateAbove(u: unknown, c: t.Context): t.Validation<number> {
-  return above(u) ? t.success(u) : t.failure(u, c);
+function validateAbove(value: unknown, context: t.Context): t.Validation<number> {
+  return above(value) ? t.success(value) : t.failure(value, context);
 }
 
 const Filled = text(`a text of up to ${MOST_NAME} letters`, isFilled);
@@ -41,15 +41,15 @@
 const Count = whole(0, MOST);
 const Flag = new t.Type<boolean>('true or false', t.boolean.is, t.boolean.validate, t.identity);
 const Table = new t.Type<Record<string, unknown>>('a table', isTable, validateTable, t.identity);
-function validateTable(u: unknown, c: t.Context): t.Validation<Record<string, unknown>> {
-  return isTable(u) ? t.success(u) : t.failure(u, c);
+function validateTable(value: unknown, context: t.Context): t.Validation<Record<string, unknown>> {
+  return isTable(value) ? t.success(value) : t.failure(value, context);
 }
 function orNull<A>(codec: t.Type<A>): t.Type<A | null> {
-  function is(u: unknown): u is A | null {
-    return u === null || codec.is(u);
+  function is(value: unknown): value is A | null {
+    return value === null || codec.is(value);
   }
-  function validate(u: unknown, c: t.Context): t.Validation<A | null> {
-    return u === null ? t.success(u) : codec.validate(u, c);
+  function validate(value: unknown, context: t.Context): t.Validation<A | null> {
+    return value === null ? t.success(value) : codec.validate(value, context);
   }
   return new t.Type<A | null>(`${codec.name}, or null`, is, validate, t.identity);
 }
@@ -89,13 +89,13 @@
 const Numbered = whole(1, MOST);
 
 /** The served configuration in a value, or every fault in it, each below `path`. */
-export function readServing(u: unknown, path: readonly string[] = []): Result<Serving, readonly ConfigFault[]> {
-  const faults: ConfigFault[] = [];
-  function fault(at: readonly string[], expected: string, found: unknown): void {
-    faults.push(faultAt([...path, ...at], expected, found));
+export function readServing(document: unknown, path: readonly string[] = []): Result<Serving, readonly ConfigError[]> {
+  const faults: ConfigError[] = [];
+  function addError(at: readonly string[], expected: string, found: unknown): void {
+    faults.push(errorAt([...path, ...at], expected, found));
   }
   function check(at: readonly string[], codec: t.Mixed, value: unknown): boolean {
-    const found = faultsIn([...path, ...at], codec, value);
+    const found = errorsIn([...path, ...at], codec, value);
     faults.push(...found);
     return found.length === 0;
   }
@@ -103,14 +103,14 @@
     const out: [string, T][] = [];
     if (!check([key], Table, value)) return out;
     for (const [name, item] of Object.entries(value as Record<string, unknown>)) {
-      if (!isFilled(name)) fault([key, name], Filled.name, name);
+      if (!isFilled(name)) addError([key, name], Filled.name, name);
       else if (check([key, name], codec, item)) out.push([name, item as T]);
     }
     return out;
   }
 
-  if (!check([], Table, u)) return err(faults);
-  const top = u as Record<string, unknown>;
+  if (!check([], Table, document)) return err(faults);
+  const top = document as Record<string, unknown>;
   check(['number'], Numbered, top['number']);
   check(['limits'], Limits, top['limits']);
   items<ModelTraits>('models', top['models'], Model);
@@ -120,15 +120,15 @@
     const place = `${mapping.host.toLowerCase()} ${mapping.prefix}`;
     const other = taken.get(place);
     if (other !== undefined)
-      fault(['mappings', name, 'prefix'], `a host and prefix that ${other} does not have`, place);
+      addError(['mappings', name, 'prefix'], `a host and prefix that ${other} does not have`, place);
     taken.set(place, name);
     let sum = 0;
     for (const [i, share] of mapping.shares.entries()) {
       sum += share.share;
       if (!Object.hasOwn(models, share.model))
-        fault(['mappings', name, 'shares', String(i), 'model'], 'a model named under models', share.model);
+        addError(['mappings', name, 'shares', String(i), 'model'], 'a model named under models', share.model);
     }
-    if (!(sum > 0)) fault(['mappings', name, 'shares'], 'shares that add up to more than 0', mapping.shares);
+    if (!(sum > 0)) addError(['mappings', name, 'shares'], 'shares that add up to more than 0', mapping.shares);
   }
-  return faults.length > 0 ? err(faults) : ok(u as Serving);
+  return faults.length > 0 ? err(faults) : ok(document as Serving);
 }
--- a/src/protocol/worker-wire.ts
+++ b/src/protocol/worker-wire.ts
@@ -10,7 +10,7 @@
 import { ResponseChunkShape, ResponseDigestShape } from '../state/seal.js';
 import { readerOf } from './read-shape.js';
 
-const Id = Type.String({ minLength: 1, maxLength: 256 });
+const tString = Type.String({ minLength: 1, maxLength: 256 });
 
 /** A part of a prompt: the hash that names it, its length in tokens, its text where it is sent. */
 export const PrefixBlockShape = Type.Object({
@@ -23,9 +23,9 @@
 
 /** One attempt to run a request on a worker. */
 export const RunShape = Type.Object({
-  requestId: Id,
-  attemptId: Id,
-  model: Id,
+  requestId: tString,
+  attemptId: tString,
+  model: tString,
   parts: Type.Array(PrefixBlockShape, { maxItems: 1_024 }),
   outputTokens: Type.Integer({ minimum: 0, maximum: 10_000_000 }),
   stream: Type.Boolean(),
@@ -47,7 +47,7 @@
 export type StreamLine = Static<typeof StreamLineShape>;
 
 /** A refusal of an attempt that was not begun. */
-export const NotRunShape = Type.Object({ notRun: Type.Literal(true), requestId: Id, attemptId: Id });
+export const NotRunShape = Type.Object({ notRun: Type.Literal(true), requestId: tString, attemptId: tString });
 
 /** Checks an attempt. */
 export const readRun = readerOf(RunShape);
--- a/src/runbook/core-runbooks.test.ts
+++ b/src/runbook/core-runbooks.test.ts
@@ -37,7 +37,7 @@
 }
 function book(name: string, inputs: Record<string, string>): Runbook {
   const read = readRunbook(readFileSync(`runbooks/${name}.yaml`, 'utf8'), inputs);
-  if (!read.ok) throw new Error(JSON.stringify(read.fault));
+  if (!read.ok) throw new Error(JSON.stringify(read.error));
   return read.value;
 }
 async function play(
@@ -68,11 +68,11 @@
 describe('before planned work on the core', () => {
   test('all well: the work is asked for, and the core bears a loss again at the end', async () => {
     const d = await desk(31);
-    const got = await play(d, planned, d.core(ALL), () => {
+    const response = await play(d, planned, d.core(ALL), () => {
       d.fleet.kill('controller-2');
       d.fleet.world.at(20_000, () => void d.fleet.startNode('controller-2'));
     });
-    expect([got.end, got.asked]).toEqual([{ tag: 'done' }, ['The work']]);
+    expect([response.end, response.asked]).toEqual([{ tag: 'done' }, ['The work']]);
   });
 
   test('another member is dead: refused before anyone is asked, naming it', async () => {
@@ -81,34 +81,34 @@
     await d.fleet.run(3_000);
     const unmet = await d.fleet.finish(unmetAtStart(planned, d.core(ALL), d.clock), 60_000);
     expect(unmet?.step.name).toBe(FIRST);
-    const got = await play(d, planned, d.core(ALL));
-    expect(got.end).toMatchObject({
+    const response = await play(d, planned, d.core(ALL));
+    expect(response.end).toMatchObject({
       tag: 'stopped',
       outcome: 'unmet',
       seen: expect.stringContaining('controller-3 silent'),
     });
-    expect(got.asked).toEqual([]);
+    expect(response.asked).toEqual([]);
   });
 
   test('two are dead: refused, as no majority knows', async () => {
     const d = await desk(33);
     for (const name of ['controller-1', 'controller-3']) d.fleet.kill(name);
     await d.fleet.run(3_000);
-    const got = await play(d, planned, d.core(ALL));
-    expect(got.end).toMatchObject({
+    const response = await play(d, planned, d.core(ALL));
+    expect(response.end).toMatchObject({
       tag: 'stopped',
       outcome: 'unmet',
       seen: expect.stringContaining('no majority of the members says'),
     });
-    expect(got.asked).toEqual([]);
+    expect(response.asked).toEqual([]);
   });
 
   test('the only one that is named is cut off: the others are asked, and their word counts', async () => {
     const d = await desk(34);
     d.fleet.cutOff(['controller-1']);
     await d.fleet.run(3_000);
-    const got = await play(d, planned, d.core([0]));
-    expect(got.end).toMatchObject({
+    const response = await play(d, planned, d.core([0]));
+    expect(response.end).toMatchObject({
       tag: 'stopped',
       outcome: 'unmet',
       seen: expect.stringContaining('ledger bears 0 of at least 1 (controller-1 silent)'),
@@ -117,8 +117,8 @@
 
   test('the controller does not come back: late, and no word of success', async () => {
     const d = await desk(35);
-    const got = await play(d, planned, d.core(ALL), () => d.fleet.kill('controller-2'));
-    expect(got.end).toMatchObject({
+    const response = await play(d, planned, d.core(ALL), () => d.fleet.kill('controller-2'));
+    expect(response.end).toMatchObject({
       tag: 'stopped',
       outcome: 'late',
       step: { name: 'The core bears a further loss again' },
@@ -132,8 +132,8 @@
     if (sick) sick.platter.failing = true;
     await d.fleet.operator(0, 'POST', '/v1/zones/at-1/evacuate', {});
     await d.fleet.run(3_000);
-    const got = await play(d, planned, d.core(ALL));
-    expect(got.end).toMatchObject({
+    const response = await play(d, planned, d.core(ALL));
+    expect(response.end).toMatchObject({
       tag: 'stopped',
       outcome: 'unmet',
       seen: expect.stringContaining('controller-3 cannotWrite'),
@@ -152,14 +152,14 @@
     d.fleet.kill('controller-2');
     d.fleet.wipe('controller-2');
     await d.fleet.run(6_000);
-    const got = await play(
+    const response = await play(
       d,
       replace(d),
       d.core(ALL),
       (s) => void (s.name.startsWith('Start') && d.fleet.startNode('controller-2')),
     );
-    expect(got.end).toEqual({ tag: 'done' });
-    expect(got.records.find((r) => r.name === 'The core bears a further loss again')).toMatchObject({
+    expect(response.end).toEqual({ tag: 'done' });
+    expect(response.records.find((r) => r.name === 'The core bears a further loss again')).toMatchObject({
       outcome: 'done',
       seen: 'ledger bears 1 of at least 1; claims bears 1 of at least 1',
     });
@@ -171,13 +171,13 @@
     if (sick) sick.platter.failing = true;
     await d.fleet.operator(0, 'POST', '/v1/zones/at-1/evacuate', {});
     await d.fleet.run(3_000);
-    const got = await play(d, replace(d), d.core(ALL));
-    expect(got.end).toMatchObject({
+    const response = await play(d, replace(d), d.core(ALL));
+    expect(response.end).toMatchObject({
       tag: 'stopped',
       outcome: 'unmet',
       step: { name: step },
       seen: expect.stringContaining('ledger would stop without controller-2 (controller-3 cannotWrite)'),
     });
-    expect(got.asked).toEqual([]);
+    expect(response.asked).toEqual([]);
   });
 });
--- a/src/runbook/document.test.ts
+++ b/src/runbook/document.test.ts
@@ -16,7 +16,7 @@
 `;
 function faults(text: string, inputs: Record<string, string> | null = null): string[] {
   const read = readRunbook(text, inputs);
-  return read.ok ? [] : read.fault.map((f) => `${f.line}: ${f.reason}`);
+  return read.ok ? [] : read.error.map((f) => `${f.line}: ${f.reason}`);
 }
 
 describe('runbook documents', () => {
@@ -71,8 +71,8 @@
     ['broken YAML', (s) => `${s}\n  - name: {`, ''],
     ['no steps', (s) => s.slice(0, s.indexOf('  - name')), '1: steps: expected a list'],
   ])('%s is turned down with its line', (_what, spoil, told) => {
-    const got = faults(spoil(good));
-    expect(got.some((f) => f.startsWith(told))).toBe(true);
+    const response = faults(spoil(good));
+    expect(response.some((f) => f.startsWith(told))).toBe(true);
   });
 
   test('missing and foreign inputs are turned down', () => {
--- a/src/runbook/document.ts
+++ b/src/runbook/document.ts
@@ -42,7 +42,7 @@
   readonly steps: readonly Step[];
 };
 
-export type DocFault = { readonly line: number; readonly reason: string };
+export type DocError = { readonly line: number; readonly reason: string };
 
 type Fields = Readonly<Record<string, 'text' | 'number' | 'flag' | 'any'>>;
 type Form = { readonly needs: Fields; readonly may: Fields };
@@ -78,18 +78,19 @@
 export function readRunbook(
   text: string,
   inputs: Readonly<Record<string, string>> | null,
-): Result<Runbook, readonly DocFault[]> {
+): Result<Runbook, readonly DocError[]> {
   const counter = new LineCounter();
   const doc = parseDocument(text, { lineCounter: counter });
-  const faults: DocFault[] = [];
-  function fault(line: number, reason: string): void {
+  const faults: DocError[] = [];
+  function addError(line: number, reason: string): void {
     faults.push({ line: line, reason });
   }
   function lineOf(node: unknown): number {
     const range = (node as Node | null)?.range;
     return range ? counter.linePos(range[0]).line : 1;
   }
-  for (const e of doc.errors) fault(e.linePos?.[0].line ?? 1, e.message.split('\n')[0] as string);
+  for (const yAMLError of doc.errors)
+    addError(yAMLError.linePos?.[0].line ?? 1, yAMLError.message.split('\n')[0] as string);
   if (faults.length > 0) return err(faults);
   const top = doc.contents;
   if (!isMap(top)) return err([{ line: 1, reason: 'expected a table with runbook, about and steps' }]);
@@ -98,31 +99,33 @@
   for (const pair of top.items) {
     const key = keyOf(pair);
     if (!['runbook', 'about', 'inputs', 'steps'].includes(key))
-      fault(lineOf(pair.key), `unknown key ${key}; expected runbook, about, inputs, steps`);
+      addError(lineOf(pair.key), `unknown key ${key}; expected runbook, about, inputs, steps`);
     if (key !== 'inputs') continue;
-    if (!isMap(pair.value)) fault(lineOf(pair.key), 'inputs: expected a table of names and what they mean');
-    else for (const p of pair.value.items) declared[keyOf(p)] = isScalar(p.value) ? String(p.value.value) : '';
+    if (!isMap(pair.value)) addError(lineOf(pair.key), 'inputs: expected a table of names and what they mean');
+    else
+      for (const item of pair.value.items) declared[keyOf(item)] = isScalar(item.value) ? String(item.value.value) : '';
   }
   for (const name of Object.keys(inputs ?? {}))
     if (!Object.hasOwn(declared, name))
-      fault(1, `input ${name} is not one of this runbook: ${Object.keys(declared).join(', ') || 'it takes none'}`);
+      addError(1, `input ${name} is not one of this runbook: ${Object.keys(declared).join(', ') || 'it takes none'}`);
   if (inputs)
     for (const name of Object.keys(declared))
-      if (!Object.hasOwn(inputs, name)) fault(1, `input ${name} is missing: ${declared[name]}`);
+      if (!Object.hasOwn(inputs, name)) addError(1, `input ${name} is missing: ${declared[name]}`);
 
   function keyOf(pair: Pair): string {
     return isScalar(pair.key) ? String(pair.key.value) : '?';
   }
   function textAt(key: string): string {
-    const v = top && isMap(top) ? top.get(key) : undefined;
-    if (typeof v !== 'string' || v === '') fault(1, `${key}: expected a text`);
-    return String(v ?? '');
+    const value = top && isMap(top) ? top.get(key) : undefined;
+    if (typeof value !== 'string' || value === '') addError(1, `${key}: expected a text`);
+    return String(value ?? '');
   }
   function filled(value: unknown, line: number): unknown {
     if (typeof value !== 'string') return value;
     const whole = /^\$\{([a-zA-Z]+)\}$/.exec(value);
-    for (const m of value.matchAll(HOLD))
-      if (!Object.hasOwn(declared, m[1] as string)) fault(line, `input ${m[1]} is not declared under inputs`);
+    for (const regExpExecArray of value.matchAll(HOLD))
+      if (!Object.hasOwn(declared, regExpExecArray[1] as string))
+        addError(line, `input ${regExpExecArray[1]} is not declared under inputs`);
     if (whole && inputs) return inputs[whole[1] as string] ?? value;
     function put(_all: string, name: string): string {
       return inputs?.[name] ?? `\${${name}}`;
@@ -150,7 +153,7 @@
       !isMap(node) &&
       !(isScalar(node) && (node.value === null || node.value === true))
     ) {
-      fault(line, `${what}: expected a table`);
+      addError(line, `${what}: expected a table`);
       return out;
     }
     for (const pair of items) {
@@ -159,7 +162,7 @@
       if (key === inner) continue;
       const type = form.needs[key] ?? form.may[key];
       if (!type) {
-        fault(
+        addError(
           at,
           `${what}: unknown value ${key}; expected ${[...Object.keys(form.needs), ...Object.keys(form.may), ...(inner ? [inner] : [])].join(', ') || 'none'}`,
         );
@@ -167,17 +170,18 @@
       }
       const raw: unknown = isScalar(pair.value) ? pair.value.value : (pair.value as Node | null)?.toJS(doc);
       const value = filled(raw, at);
-      if (!typeFits(type, value)) fault(at, `${what}: ${key} must be a ${type}; found ${JSON.stringify(value)}`);
+      if (!typeFits(type, value)) addError(at, `${what}: ${key} must be a ${type}; found ${JSON.stringify(value)}`);
       out[key] = value;
     }
-    for (const key of Object.keys(form.needs)) if (!Object.hasOwn(out, key)) fault(line, `${what}: ${key} is missing`);
+    for (const key of Object.keys(form.needs))
+      if (!Object.hasOwn(out, key)) addError(line, `${what}: ${key} is missing`);
     return out;
   }
   function conditionOf(node: unknown, line: number, what: string): Condition {
     const pair = isMap(node) ? node.items[0] : undefined;
     const tag = pair ? keyOf(pair) : isScalar(node) ? String(node.value) : '';
     if (!Object.hasOwn(CONDITIONS, tag) || (isMap(node) && node.items.length !== 1)) {
-      fault(
+      addError(
         line,
         `${what}: expected one condition of ${Object.keys(CONDITIONS).join(', ')}; found ${tag || 'nothing'}`,
       );
@@ -191,13 +195,13 @@
       null,
     );
     if (tag === 'ready' && fields['atLeast'] === undefined && fields['atMost'] === undefined)
-      fault(line, 'ready: atLeast or atMost is missing');
+      addError(line, 'ready: atLeast or atMost is missing');
     return { kind: null, atLeast: null, atMost: null, address: null, ...fields, tag } as unknown as Condition;
   }
   function stepOf(node: unknown): Step | null {
     const line = lineOf(node);
     if (!isMap(node)) {
-      fault(line, 'step: expected a table');
+      addError(line, 'step: expected a table');
       return null;
     }
     let work: Work | null = null;
@@ -206,16 +210,16 @@
       const at = lineOf(pair.key);
       if (key === 'name' || key === 'ifNot') continue;
       if (!Object.hasOwn(WORKS, key)) {
-        fault(at, `unknown step ${key}; expected one of ${Object.keys(WORKS).join(', ')}`);
+        addError(at, `unknown step ${key}; expected one of ${Object.keys(WORKS).join(', ')}`);
         continue;
       }
-      if (work) fault(at, `a step does one thing; found ${work.tag} and ${key}`);
+      if (work) addError(at, `a step does one thing; found ${work.tag} and ${key}`);
       work = workOf(key as Work['tag'], pair.value, at);
     }
     const name = node.get('name');
-    if (typeof name !== 'string' || name === '') fault(line, 'step: name is missing');
+    if (typeof name !== 'string' || name === '') addError(line, 'step: name is missing');
     if (!work) {
-      if (!node.items.some(unknownWork)) fault(line, `step: expected one of ${Object.keys(WORKS).join(', ')}`);
+      if (!node.items.some(unknownWork)) addError(line, `step: expected one of ${Object.keys(WORKS).join(', ')}`);
       return null;
     }
     const ifNot = node.get('ifNot');
@@ -235,7 +239,7 @@
     if (tag !== 'wait') return { ...fieldsOf(value, WORKS[tag], tag, line, null), tag } as Work;
     const until = isMap(value) ? value.get('until', true) : undefined;
     const fields = fieldsOf(value, WORKS.wait, 'wait', line, 'until');
-    if (!until) fault(line, 'wait: until is missing');
+    if (!until) addError(line, 'wait: until is missing');
     return {
       tag,
       condition: until ? conditionOf(until, line, 'wait') : { tag: 'quorate' },
@@ -246,7 +250,7 @@
 
   const steps: Step[] = [];
   const list = top.get('steps', true);
-  if (!isSeq(list) || list.items.length === 0) fault(1, 'steps: expected a list of steps');
+  if (!isSeq(list) || list.items.length === 0) addError(1, 'steps: expected a list of steps');
   else
     for (const item of list.items) {
       const step = stepOf(item);
--- a/src/runbook/observe.ts
+++ b/src/runbook/observe.ts
@@ -30,7 +30,7 @@
  */
 export async function observeFor(
   core: Core,
-  c: Condition,
+  condition: Condition,
   clock: Clock,
   graceMs = GRACE_MS,
   lookMs = LOOK_MS,
@@ -39,7 +39,7 @@
   const until = clock.mono() + graceMs;
   let metSince: number | null = null;
   for (;;) {
-    const observed = await observe(core, c);
+    const observed = await observe(core, condition);
     const now = clock.mono();
     metSince = observed.met ? (metSince ?? now) : null;
     if (metSince !== null && now - metSince >= heldMs) return observed;
@@ -49,92 +49,102 @@
   }
 }
 
-async function observe(core: Core, c: Condition): Promise<Observation> {
-  if (c.tag === 'setting') return settingObserved(core, c.path, c.is);
-  if (c.tag === 'ready' || c.tag === 'zoneOrders') return ordersObserved(core, c);
-  if (c.tag === 'spareLosses' || c.tag === 'goesOnWithout') return coreObserved(core, c);
-  const got = await core.request(statusRequest());
-  if (!got || got.status !== 200) return { met: false, text: 'no controller answers' };
-  const s = got.body as Status;
-  switch (c.tag) {
+async function observe(core: Core, condition: Condition): Promise<Observation> {
+  if (condition.tag === 'setting') return settingObserved(core, condition.path, condition.is);
+  if (condition.tag === 'ready' || condition.tag === 'zoneOrders') return ordersObserved(core, condition);
+  if (condition.tag === 'spareLosses' || condition.tag === 'goesOnWithout') return coreObserved(core, condition);
+  const response = await core.request(statusRequest());
+  if (!response || response.status !== 200) return { met: false, text: 'no controller answers' };
+  const report = response.body as Status;
+  switch (condition.tag) {
     case 'quorate':
-      return { met: s.quorate, text: s.quorate ? 'a majority is heard' : 'no majority is heard' };
+      return { met: report.quorate, text: report.quorate ? 'a majority is heard' : 'no majority is heard' };
     case 'writable':
     case 'claimsReady': {
-      const own = await statusOf(core, s, c.name);
-      if (!own) return { met: false, text: `${c.name} does not answer` };
-      const met = c.tag === 'writable' ? own.writable : own.claimsReady;
+      const own = await statusOf(core, report, condition.name);
+      if (!own) return { met: false, text: `${condition.name} does not answer` };
+      const met = condition.tag === 'writable' ? own.writable : own.claimsReady;
       return {
         met,
-        text: `${c.name} ${met ? 'is' : 'is not'} ${c.tag === 'writable' ? 'able to write' : 'ready for claims'}`,
+        text: `${condition.name} ${met ? 'is' : 'is not'} ${condition.tag === 'writable' ? 'able to write' : 'ready for claims'}`,
       };
     }
     case 'proxiesConfirmed': {
       const late: string[] = [];
-      for (const [name, x] of Object.entries(s.proxies))
-        if (x.slot < s.slot || x.heardMs === null || x.heardMs > HEARD_MS) late.push(name);
+      for (const [name, item] of Object.entries(report.proxies))
+        if (item.slot < report.slot || item.heardMs === null || item.heardMs > HEARD_MS) late.push(name);
       return {
         met: late.length === 0,
-        text: late.length === 0 ? `all proxies stand at slot ${s.slot}` : `behind or silent: ${late.join(', ')}`,
+        text: late.length === 0 ? `all proxies stand at slot ${report.slot}` : `behind or silent: ${late.join(', ')}`,
       };
     }
     case 'node': {
       let status = 'unknown';
-      for (const n of s.nodes) if (n.name === c.name) status = n.status;
-      return { met: status === c.status, text: `${c.name} is ${status}` };
+      for (const count of report.nodes) if (count.name === condition.name) status = count.status;
+      return { met: status === condition.status, text: `${condition.name} is ${status}` };
     }
     case 'member': {
       let at: string | null = null;
-      for (const m of s.members) if (m.name === c.name) at = m.address;
+      for (const match of report.members) if (match.name === condition.name) at = match.address;
       return {
-        met: at !== null && (c.address === null || c.address === at),
-        text: at === null ? `${c.name} is no member` : `${c.name} is a member at ${at}`,
+        met: at !== null && (condition.address === null || condition.address === at),
+        text: at === null ? `${condition.name} is no member` : `${condition.name} is a member at ${at}`,
       };
     }
     case 'evacuated': {
-      const is = s.evacuated[c.zone] !== undefined;
-      return { met: is === c.is, text: `${c.zone} is ${is ? '' : 'not '}evacuated` };
+      const expected = report.evacuated[condition.zone] !== undefined;
+      return { met: expected === condition.is, text: `${condition.zone} is ${expected ? '' : 'not '}evacuated` };
     }
   }
 }
 
-async function statusOf(core: Core, s: Status, name: string): Promise<Status | null> {
-  for (const n of s.nodes) {
-    if (n.name !== name) continue;
-    const got = await core.requestAt(n.http, statusRequest());
-    return got?.status === 200 ? (got.body as Status) : null;
+async function statusOf(core: Core, status: Status, name: string): Promise<Status | null> {
+  for (const count of status.nodes) {
+    if (count.name !== name) continue;
+    const response = await core.requestAt(count.http, statusRequest());
+    return response?.status === 200 ? (response.body as Status) : null;
   }
   return null;
 }
 
 async function ordersObserved(
   core: Core,
-  c: Extract<Condition, { tag: 'ready' | 'zoneOrders' }>,
+  comparison: Extract<Condition, { tag: 'ready' | 'zoneOrders' }>,
 ): Promise<Observation> {
-  const got = await core.request(ordersRequest());
-  if (!got || got.status !== 200) return { met: false, text: 'no controller answers' };
-  const { orders } = got.body as { readonly orders: readonly Order[] };
-  let n = 0;
-  for (const o of orders) {
-    if (c.tag === 'zoneOrders') n += o.zone === c.zone && (counts(o) || o.status === 'draining') ? 1 : 0;
-    else n += o.model === c.model && o.status === 'ready' && (c.kind === null || c.kind === o.kind) ? 1 : 0;
+  const response = await core.request(ordersRequest());
+  if (!response || response.status !== 200) return { met: false, text: 'no controller answers' };
+  const { orders } = response.body as { readonly orders: readonly Order[] };
+  let count = 0;
+  for (const order of orders) {
+    if (comparison.tag === 'zoneOrders')
+      count += order.zone === comparison.zone && (counts(order) || order.status === 'draining') ? 1 : 0;
+    else
+      count +=
+        order.model === comparison.model &&
+        order.status === 'ready' &&
+        (comparison.kind === null || comparison.kind === order.kind)
+          ? 1
+          : 0;
   }
-  if (c.tag === 'zoneOrders') return { met: n <= c.atMost, text: `${n} machines on order in ${c.zone}` };
-  const met = (c.atLeast === null || n >= c.atLeast) && (c.atMost === null || n <= c.atMost);
-  return { met, text: `${n} ${c.kind ?? ''} workers of ${c.model} ready`.replace('  ', ' ') };
+  if (comparison.tag === 'zoneOrders')
+    return { met: count <= comparison.atMost, text: `${count} machines on order in ${comparison.zone}` };
+  const met =
+    (comparison.atLeast === null || count >= comparison.atLeast) &&
+    (comparison.atMost === null || count <= comparison.atMost);
+  return { met, text: `${count} ${comparison.kind ?? ''} workers of ${comparison.model} ready`.replace('  ', ' ') };
 }
 
-async function settingObserved(core: Core, path: string, is: unknown): Promise<Observation> {
-  const got = await core.request(readRequest());
-  if (!got || got.status !== 200) return { met: false, text: 'no controller with a majority answers' };
-  let at: unknown = (got.body as { readonly configuration: unknown }).configuration;
+async function settingObserved(core: Core, path: string, expected: unknown): Promise<Observation> {
+  const response = await core.request(readRequest());
+  if (!response || response.status !== 200) return { met: false, text: 'no controller with a majority answers' };
+  let at: unknown = (response.body as { readonly configuration: unknown }).configuration;
   for (const step of placeOf(path))
     at =
       typeof at === 'object' && at !== null && Object.hasOwn(at, step)
         ? (at as Record<string, unknown>)[step]
         : undefined;
   return {
-    met: JSON.stringify(at) === JSON.stringify(is),
+    met: JSON.stringify(at) === JSON.stringify(expected),
     text: `${path} is ${at === undefined ? 'not set' : JSON.stringify(at)}`,
   };
 }
--- a/src/runbook/run.test.ts
+++ b/src/runbook/run.test.ts
@@ -12,7 +12,7 @@
 
 function book(file: string, inputs: Record<string, string>): Runbook {
   const read = readRunbook(readFileSync(`runbooks/${file}.yaml`, 'utf8'), inputs);
-  if (!read.ok) throw new Error(JSON.stringify(read.fault));
+  if (!read.ok) throw new Error(JSON.stringify(read.error));
   return read.value;
 }
 
@@ -77,8 +77,8 @@
   test('a dry run changes nothing', async () => {
     const fleet = await ready(62);
     const version = fleet.controllers[0]?.controller?.ledger.controlState().version;
-    const got = await play(fleet, book('roll-out-setting', {}), () => false, [], true);
-    expect(got.end).toEqual({ tag: 'wouldDo' });
+    const response = await play(fleet, book('roll-out-setting', {}), () => false, [], true);
+    expect(response.end).toEqual({ tag: 'wouldDo' });
     expect(fleet.controllers[0]?.controller?.ledger.controlState().version).toBe(version);
   });
 
@@ -97,7 +97,7 @@
     fleet.wipe('controller-2');
     await fleet.run(6_000);
     const h = fleet.controllers[1];
-    const got = await play(
+    const response = await play(
       fleet,
       book('replace-core-machine', { name: 'controller-2', address: h?.wire ?? '' }),
       (s) => {
@@ -105,7 +105,7 @@
         return true;
       },
     );
-    expect(got.end).toEqual({ tag: 'done' });
+    expect(response.end).toEqual({ tag: 'done' });
     expect(h?.controller?.ledger.isMember()).toBe(true);
   });
 
@@ -176,8 +176,8 @@
       20_000,
     );
     expect(unmet?.step.name).toBe('All proxies are up to date');
-    const got = await play(fleet, b, yes);
-    expect(got.end).toMatchObject({ tag: 'stopped', outcome: 'unmet' });
+    const response = await play(fleet, b, yes);
+    expect(response.end).toMatchObject({ tag: 'stopped', outcome: 'unmet' });
     expect(fleet.controllers[0]?.controller?.ledger.controlState().evacuated).toEqual({});
     const late = await play(fleet, book('region-back-cold', { zone: 'hu-1', node: 'proxy-ro-1-1' }), yes);
     expect(late.end).toMatchObject({ tag: 'stopped', outcome: 'unmet' });
--- a/src/runbook/run.ts
+++ b/src/runbook/run.ts
@@ -32,7 +32,7 @@
   readonly dryRun: boolean;
   readonly before: readonly StepRecord[];
   readonly confirm: (step: Step) => Promise<boolean>;
-  readonly record: (r: StepRecord) => Promise<void>;
+  readonly record: (record: StepRecord) => Promise<void>;
 };
 
 const LOOK_MS = 1_000;
@@ -49,8 +49,8 @@
   for (const step of book.steps) {
     if (harms(step.work)) return null;
     if (step.work.tag !== 'require') continue;
-    const got = await observeFor(core, step.work.condition, clock);
-    if (!got.met) return { step, seen: got.text };
+    const response = await observeFor(core, step.work.condition, clock);
+    if (!response.met) return { step, seen: response.text };
   }
   return null;
 }
@@ -65,7 +65,7 @@
     last !== undefined && last.digest === digest && !(last.step === book.steps.length - 1 && last.outcome === 'done');
   if (goesOn) {
     runId = last.run;
-    for (const r of deps.before) if (r.run === runId && r.outcome === 'done') done.add(r.step);
+    for (const record of deps.before) if (record.run === runId && record.outcome === 'done') done.add(record.step);
   }
 
   for (let i = 0; i < book.steps.length; i += 1) {
@@ -87,14 +87,14 @@
   async function take(step: Step, i: number): Promise<[StepOutcome, string]> {
     const { work } = step;
     if (work.tag === 'require') {
-      const got = await observeFor(core, work.condition, clock);
-      return [got.met ? 'done' : 'unmet', got.text];
+      const response = await observeFor(core, work.condition, clock);
+      return [response.met ? 'done' : 'unmet', response.text];
     }
     if (deps.dryRun)
       return ['would', work.tag === 'wait' ? `would wait up to ${work.withinS} s` : `would ${describe(step)}`];
     if (work.tag === 'wait') {
-      const got = await observeFor(core, work.condition, clock, work.withinS * 1_000, LOOK_MS, work.heldS * 1_000);
-      return [got.met ? 'done' : 'late', got.text];
+      const response = await observeFor(core, work.condition, clock, work.withinS * 1_000, LOOK_MS, work.heldS * 1_000);
+      return [response.met ? 'done' : 'late', response.text];
     }
     if (!(await deps.confirm(step))) return ['declined', 'not confirmed'];
     if (work.tag === 'person') return ['done', 'a person did it'];
--- a/src/sim/beat-watch.ts
+++ b/src/sim/beat-watch.ts
@@ -34,10 +34,10 @@
     const asOf = sentAt.get(heartbeat.echo);
     if (asOf === undefined) return null;
     newest = Math.max(newest ?? 0, asOf);
-    for (const c of confirmations) {
-      if (c.at < asOf && c.slot > heartbeat.slot)
+    for (const confirmation of confirmations) {
+      if (confirmation.at < asOf && confirmation.slot > heartbeat.slot)
         core.broken.push(
-          `${at} attests the number of ${Math.round(asOf)} with slot ${heartbeat.slot}; slot ${c.slot} was confirmed at ${Math.round(c.at)}`,
+          `${at} attests the number of ${Math.round(asOf)} with slot ${heartbeat.slot}; slot ${confirmation.slot} was confirmed at ${Math.round(confirmation.at)}`,
         );
     }
     return null;
--- a/src/sim/chaos-operators.ts
+++ b/src/sim/chaos-operators.ts
@@ -3,7 +3,7 @@
  * waiting and send again to another controller, evacuate zones and hand them back. All of their calls go into a history
  * that is judged for linearizability; what the watchers must know of an answer is told to them.
  */
-import type { HttpAnswer, HttpFault } from '../transport/http.js';
+import type { HttpAnswer, HttpError } from '../transport/http.js';
 import type { Result } from '../base/result.js';
 import { below, createRng } from '../transport/rng.js';
 import type { Rng } from '../transport/rng.js';
@@ -32,20 +32,20 @@
 /** Share of confirmed changes that are sent once more. */
 const REPEATED_SHARE = 0.15;
 
-export function versionOf(a: HttpAnswer): number {
-  const b = a.body as { readonly version?: unknown } | null;
-  return typeof b?.version === 'number' ? b.version : -1;
+export function versionOf(httpAnswer: HttpAnswer): number {
+  const second = httpAnswer.body as { readonly version?: unknown } | null;
+  return typeof second?.version === 'number' ? second.version : -1;
 }
-export function configurationOf(a: HttpAnswer): unknown {
-  return (a.body as { readonly configuration?: unknown } | null)?.configuration ?? null;
+export function configurationOf(httpAnswer: HttpAnswer): unknown {
+  return (httpAnswer.body as { readonly configuration?: unknown } | null)?.configuration ?? null;
 }
 /** What the operators change in a configuration, as the text that stands for its content in their history. */
-export function contentOf(a: HttpAnswer): string {
-  const configuration = configurationOf(a) as { readonly deployment?: { readonly lineLimit?: number } } | null;
+export function contentOf(httpAnswer: HttpAnswer): string {
+  const configuration = configurationOf(httpAnswer) as { readonly deployment?: { readonly lineLimit?: number } } | null;
   return String(configuration?.deployment?.lineLimit ?? 'none');
 }
 
-function answerOf(got: Result<HttpAnswer, HttpFault>): ChangeAnswer {
+function answerOf(got: Result<HttpAnswer, HttpError>): ChangeAnswer {
   if (!got.ok) return 'unclear';
   const { status } = got.value;
   if (status === 200 || status === 202) return 'confirmed';
--- a/src/sim/chaos.ts
+++ b/src/sim/chaos.ts
@@ -46,11 +46,11 @@
 
 export async function runChaos(
   seed: number,
-  o: ChaosOptions,
+  chaosOptions: ChaosOptions,
   logsOf?: (now: () => number) => LogRoot,
 ): Promise<ChaosEnd> {
-  const shape = SHAPES[o.shape ?? 'small'];
-  const fleet = createSimFleet(seed, shape, logsOf?.(simNow), o.sabotage);
+  const shape = SHAPES[chaosOptions.shape ?? 'small'];
+  const fleet = createSimFleet(seed, shape, logsOf?.(simNow), chaosOptions.sabotage);
   function simNow(): number {
     return fleet.world.now();
   }
@@ -67,12 +67,12 @@
   if (!(await fleet.start())) fault('start', 'the fleet did not start');
   const ops = await createOperators(fleet, watchers, seed);
   const command: FaultAct = { fleet, rng, note, evacuate: ops.evacuate, crowdOfOperators: ops.crowd };
-  const endAt = world.now() + o.seconds * 1_000;
+  const endAt = world.now() + chaosOptions.seconds * 1_000;
 
   function strike(): void {
     if (world.now() >= endAt) return;
-    FAULTS[pick(rng, o.faults)](command);
-    world.at(o.everyMs * (0.5 + rng.next()), strike);
+    FAULTS[pick(rng, chaosOptions.faults)](command);
+    world.at(chaosOptions.everyMs * (0.5 + rng.next()), strike);
   }
   world.at(1_000, strike);
 
@@ -93,8 +93,8 @@
   ): void {
     void fleet.traffic({ zone, seconds, ...extra }).then(into.push.bind(into));
   }
-  for (const zone of fleet.zones) loadOn(zone, o.seconds, first);
-  await world.advance(o.seconds * 1_000 + 16_000, watchers.step);
+  for (const zone of fleet.zones) loadOn(zone, chaosOptions.seconds, first);
+  await world.advance(chaosOptions.seconds * 1_000 + 16_000, watchers.step);
   bringBack(fleet);
   await world.advance(8_000, watchers.step);
 
@@ -148,10 +148,10 @@
   const portrait: string[] = [];
   for (let i = 0; i < fleet.controllers.length; i += 1) {
     const got = await fleet.operator(i, 'GET', '/v1/status');
-    portrait.push(got.ok ? statusText(got.value.body) : `controller ${i + 1}: ${got.fault.tag}`);
+    portrait.push(got.ok ? statusText(got.value.body) : `controller ${i + 1}: ${got.error.tag}`);
   }
-  for (const s of fleet.proxies)
-    portrait.push(`${s.name} ${JSON.stringify({ ...s.proxy?.view(), configuration: undefined })}`);
+  for (const simProxy of fleet.proxies)
+    portrait.push(`${simProxy.name} ${JSON.stringify({ ...simProxy.proxy?.view(), configuration: undefined })}`);
   portrait.push(`orders: ${ordersText(fleet)}`);
   return {
     seed,
@@ -179,14 +179,14 @@
     n.platter.failing = false;
     n.platter.full = false;
   }
-  for (const h of world.hosts()) if (h.frozen) world.thaw(h);
+  for (const host of world.hosts()) if (host.frozen) world.thaw(host);
   for (const name of nodeNames({ fleet })) if (!fleet.hostOf(name).running) void fleet.startNode(name);
-  for (const w of fleet.workers) {
-    if (!w.host.running) void fleet.startNode(w.id);
+  for (const simWorker of fleet.workers) {
+    if (!simWorker.host.running) void fleet.startNode(simWorker.id);
     else
       void fleet.call({
         method: 'POST',
-        address: w.http,
+        address: simWorker.http,
         path: '/lab/fault',
         body: { mode: 'none' },
         timeoutMs: 2_000,
@@ -211,7 +211,7 @@
 
 function wholeCore(fleet: SimFleet): boolean {
   let whole = 0;
-  for (const h of fleet.controllers) if (h.controller?.claimsReady()) whole += 1;
+  for (const simController of fleet.controllers) if (simController.controller?.claimsReady()) whole += 1;
   return whole >= fleet.controllers.length - 1;
 }
 
@@ -231,7 +231,7 @@
       return 'all controllers lose power';
     case 'edges':
       for (const name of names(fleet.proxies)) fleet.kill(name);
-      for (const w of fleet.workers) if (w.fixed) fleet.kill(w.id);
+      for (const simWorker of fleet.workers) if (simWorker.fixed) fleet.kill(simWorker.id);
       return 'all proxies and fixed workers are killed';
   }
 }
@@ -296,7 +296,7 @@
       repeatable: false,
       key,
     });
-    const tag = got.ok ? 'success' : tagOf(got.fault);
+    const tag = got.ok ? 'success' : tagOf(got.error);
     if (tag !== 'alreadyAnswered' && tag !== 'outcomeUnknown')
       fault('runOnce', `${key} ran and was answered; sent again, it is told ${tag}`);
   }
@@ -311,9 +311,9 @@
   let asked = 0;
   let good = 0;
   for (const t of tallies) {
-    for (const [k, n] of Object.entries(t)) {
-      asked += n;
-      if (k.endsWith('success')) good += n;
+    for (const [key, count] of Object.entries(t)) {
+      asked += count;
+      if (key.endsWith('success')) good += count;
     }
   }
   return [asked, good];
@@ -322,7 +322,7 @@
 function statusText(body: unknown): string {
   const s = body as Readonly<Record<string, unknown>>;
   const shown: string[] = [];
-  for (const k of [
+  for (const key of [
     'name',
     'member',
     'isMember',
@@ -336,15 +336,16 @@
     'zoneSets',
     'targets',
   ])
-    shown.push(`${k} ${JSON.stringify(s[k])}`);
+    shown.push(`${key} ${JSON.stringify(s[key])}`);
   return shown.join(' ');
 }
 function ordersText(fleet: SimFleet): string {
   const out: string[] = [];
-  for (const h of fleet.controllers) {
-    const b = h.controller?.ledger.controlState();
-    if (b) for (const o of Object.values(b.orders)) out.push(`${o.kind} ${o.zone} ${o.status}`);
-    if (b) break;
+  for (const simController of fleet.controllers) {
+    const second = simController.controller?.ledger.controlState();
+    if (second)
+      for (const order of Object.values(second.orders)) out.push(`${order.kind} ${order.zone} ${order.status}`);
+    if (second) break;
   }
   return out.join('; ');
 }
--- a/src/sim/edge-day.ts
+++ b/src/sim/edge-day.ts
@@ -67,12 +67,12 @@
   };
 }
 
-function workerEntry(n: number): WorkerEntry {
+function workerEntry(count: number): WorkerEntry {
   return {
-    id: `w${n}`,
+    id: `w${count}`,
     model: 'm',
-    address: `10.0.0.${n}:80`,
-    zone: `z${n % 2}`,
+    address: `10.0.0.${count}:80`,
+    zone: `z${count % 2}`,
     region: 'r',
     release: '',
     places: 4,
@@ -170,16 +170,16 @@
 /** Runs what came while a host was frozen one by one, each with its microtasks, as an event loop does. */
 async function thaw(host: Host): Promise<void> {
   host.frozen = false;
-  for (const fn of host.parked.splice(0)) {
-    fn();
+  for (const callback of host.parked.splice(0)) {
+    callback();
     await turnOver();
   }
 }
 
-function newAsked(n: number, next: () => number): Asked {
+function newAsked(count: number, next: () => number): Asked {
   const kind = KINDS[Math.floor(next() * KINDS.length)] as AskedKind;
   return {
-    id: `q${n}`,
+    id: `q${count}`,
     kind,
     readAt: 0,
     deadlineMs: Math.round(600 + next() * 2_400),
@@ -215,8 +215,8 @@
   function isGone(): boolean {
     return gone;
   }
-  function onGone(fn: () => void): void {
-    watchers.push(fn);
+  function onGone(callback: () => void): void {
+    watchers.push(callback);
   }
   function head(status: number, raw: readonly string[]): void {
     if (gone || asked.status !== 0) return;
@@ -235,7 +235,7 @@
   }
   function left(): void {
     gone = true;
-    for (const fn of watchers) fn();
+    for (const callback of watchers) callback();
   }
   const incoming: OpaqueRequest = {
     method: 'POST',
--- a/src/sim/edge-workers.ts
+++ b/src/sim/edge-workers.ts
@@ -3,7 +3,7 @@
  * workers misbehave as they are told by chance. Each notes what came to it and what it ran.
  */
 import type { HeaderNames } from '../protocol/open-words.js';
-import type { ConnectionPool, SendEvents, SendFault, Sending, Sent } from '../transport/open-http.js';
+import type { ConnectionPool, SendEvents, SendError, Sending, Sent } from '../transport/open-http.js';
 import type { Rng } from '../transport/rng.js';
 import { eventText } from './edge-journal.js';
 import type { Arrival, Asked, EdgeJournal } from './edge-journal.js';
@@ -81,13 +81,13 @@
   function soon(ms: number): number {
     return ms * (0.5 + rng.next());
   }
-  function toProxy(ms: number, fn: () => void): void {
+  function toProxy(ms: number, callback: () => void): void {
     function deliver(): void {
-      world.run(proc, fn);
+      world.run(proc, callback);
     }
     world.at(ms, deliver);
   }
-  function fault(events: SendEvents, tag: SendFault['tag']): void {
+  function fault(events: SendEvents, tag: SendError['tag']): void {
     events.failed({ tag: options.sabotage === 'resetToldAsNotConnected' && tag === 'reset' ? 'notConnected' : tag });
   }
 
@@ -174,166 +174,166 @@
     return made;
   }
 
-  function begin(v: Visit): string {
-    v.arrival.seal = `seal-${(seals += 1)}`;
-    v.arrival.status = 200;
-    v.arrival.whole = `${v.arrival.seal} answers ${v.arrival.id}`;
-    return v.arrival.seal;
+  function begin(visit: Visit): string {
+    visit.arrival.seal = `seal-${(seals += 1)}`;
+    visit.arrival.status = 200;
+    visit.arrival.whole = `${visit.arrival.seal} answers ${visit.arrival.id}`;
+    return visit.arrival.seal;
   }
 
   /** Bytes of one visit come in order. A worker that was left speaks on now and then, as its bytes were under way. */
-  function say(v: Visit, ms: number, fn: () => void): void {
-    v.at = Math.max(v.at, world.now()) + soon(ms);
-    toProxy(v.at - world.now(), fn);
+  function say(visit: Visit, ms: number, callback: () => void): void {
+    visit.at = Math.max(visit.at, world.now()) + soon(ms);
+    toProxy(visit.at - world.now(), callback);
   }
-  function head(v: Visit, status: number, headers: Readonly<Record<string, string>>): void {
+  function head(visit: Visit, status: number, headers: Readonly<Record<string, string>>): void {
     function tell(): void {
       function get(name: string): string | null {
-        if (options.sabotage === 'idsIgnored' && name === statuses.attemptId) return v.arrival.id;
+        if (options.sabotage === 'idsIgnored' && name === statuses.attemptId) return visit.arrival.id;
         return headers[name] ?? null;
       }
-      v.events.head(status, Object.entries(headers).flat(), get);
+      visit.events.head(status, Object.entries(headers).flat(), get);
     }
-    say(v, WORK_MS, tell);
+    say(visit, WORK_MS, tell);
   }
-  function data(v: Visit, text: string): void {
+  function data(visit: Visit, text: string): void {
     function tell(): void {
-      v.events.data(Buffer.from(text));
+      visit.events.data(Buffer.from(text));
     }
-    say(v, PAUSE_MS, tell);
+    say(visit, PAUSE_MS, tell);
   }
-  function fail(v: Visit, tag: 'reset' | 'garbled'): void {
+  function fail(visit: Visit, tag: 'reset' | 'garbled'): void {
     function tell(): void {
-      if (v.left) return;
-      if (options.sabotage === 'cutToldAsEnd') v.events.end();
-      else fault(v.events, tag);
+      if (visit.left) return;
+      if (options.sabotage === 'cutToldAsEnd') visit.events.end();
+      else fault(visit.events, tag);
     }
-    say(v, PAUSE_MS, tell);
+    say(visit, PAUSE_MS, tell);
   }
-  function end(v: Visit): void {
+  function end(visit: Visit): void {
     function tell(): void {
-      if (v.left) return;
-      v.events.end();
-      const surplus = chance(options.trouble * 0.3) ? surplusOf(v) : null;
-      rest(v.address, { fresh: false, surplus });
+      if (visit.left) return;
+      visit.events.end();
+      const surplus = chance(options.trouble * 0.3) ? surplusOf(visit) : null;
+      rest(visit.address, { fresh: false, surplus });
     }
-    say(v, PAUSE_MS, tell);
+    say(visit, PAUSE_MS, tell);
   }
   function rest(address: string, connection: Connection): void {
     idle.set(address, [...(idle.get(address) ?? []), { fresh: false, surplus: connection.surplus }]);
   }
   /** A second answer to the request before, as it may lie unread when the connection is taken again. */
-  function surplusOf(v: Visit): Head {
-    const mine = { [statuses.attemptId]: v.arrival.id };
-    if (chance(0.5)) return { status: 200, headers: { ...mine, [statuses.seal]: v.arrival.seal ?? 'none' } };
+  function surplusOf(visit: Visit): Head {
+    const mine = { [statuses.attemptId]: visit.arrival.id };
+    if (chance(0.5)) return { status: 200, headers: { ...mine, [statuses.seal]: visit.arrival.seal ?? 'none' } };
     return {
       status: chance(0.5) ? 421 : 503,
       headers: chance(0.3) ? { [statuses.notRun]: '1' } : { ...mine, [statuses.notRun]: '1' },
     };
   }
 
-  function behave(v: Visit, behaviour: Behaviour): void {
-    const mine = { [statuses.attemptId]: v.arrival.id };
+  function behave(visit: Visit, behaviour: Behaviour): void {
+    const mine = { [statuses.attemptId]: visit.arrival.id };
     const refusal = { ...mine, [statuses.notRun]: '1' };
-    if (v.connection.surplus) {
-      begin(v);
-      head(v, v.connection.surplus.status, v.connection.surplus.headers);
-      data(v, 'the rest of another answer');
-      end(v);
+    if (visit.connection.surplus) {
+      begin(visit);
+      head(visit, visit.connection.surplus.status, visit.connection.surplus.headers);
+      data(visit, 'the rest of another answer');
+      end(visit);
       return;
     }
     switch (behaviour) {
       case 'refuses':
-        head(v, chance(0.5) ? 503 : 429, refusal);
-        return end(v);
+        head(visit, chance(0.5) ? 503 : 429, refusal);
+        return end(visit);
       case 'refusesWithoutId':
-        head(v, 503, { [statuses.notRun]: '1' });
-        return end(v);
+        head(visit, 503, { [statuses.notRun]: '1' });
+        return end(visit);
       case 'wrongWorker':
-        head(v, 421, mine);
-        return end(v);
+        head(visit, 421, mine);
+        return end(visit);
       case 'resetBeforeRun':
-        return fail(v, 'reset');
+        return fail(visit, 'reset');
       case 'foreignRefusal':
-        begin(v);
-        head(v, chance(0.5) ? 421 : 503, { ...refusal, [statuses.attemptId]: 'another' });
-        return end(v);
+        begin(visit);
+        head(visit, chance(0.5) ? 421 : 503, { ...refusal, [statuses.attemptId]: 'another' });
+        return end(visit);
       case 'foreignAnswer':
-        begin(v);
-        head(v, 200, { [statuses.attemptId]: 'another', [statuses.seal]: 'seal-of-another' });
-        data(v, 'an answer for another');
-        return end(v);
+        begin(visit);
+        head(visit, 200, { [statuses.attemptId]: 'another', [statuses.seal]: 'seal-of-another' });
+        data(visit, 'an answer for another');
+        return end(visit);
       default:
-        runAs(v, behaviour, { ...mine, [statuses.seal]: begin(v) });
+        runAs(visit, behaviour, { ...mine, [statuses.seal]: begin(visit) });
     }
   }
 
-  function runAs(v: Visit, behaviour: Behaviour, sealed: Readonly<Record<string, string>>): void {
-    const mine = { [statuses.attemptId]: v.arrival.id };
+  function runAs(visit: Visit, behaviour: Behaviour, sealed: Readonly<Record<string, string>>): void {
+    const mine = { [statuses.attemptId]: visit.arrival.id };
     switch (behaviour) {
       case 'resetAfterRun':
-        return fail(v, 'reset');
+        return fail(visit, 'reset');
       case 'garbage':
-        return fail(v, 'garbled');
+        return fail(visit, 'garbled');
       case 'silent':
-        return goDark(v);
+        return goDark(visit);
       case 'encoded':
-        head(v, 200, { ...sealed, 'content-encoding': 'gzip' });
-        return end(v);
+        head(visit, 200, { ...sealed, 'content-encoding': 'gzip' });
+        return end(visit);
       case 'withoutSeal':
-        head(v, 200, mine);
-        return end(v);
+        head(visit, 200, mine);
+        return end(visit);
       case 'fails':
       case 'fails503':
-        v.arrival.status = behaviour === 'fails' ? 500 : 503;
-        head(v, v.arrival.status, sealed);
-        data(v, 'failed');
-        return end(v);
+        visit.arrival.status = behaviour === 'fails' ? 500 : 503;
+        head(visit, visit.arrival.status, sealed);
+        data(visit, 'failed');
+        return end(visit);
       default:
-        if (v.asked.kind === 'stream' || v.asked.kind === 'resumable') stream(v, behaviour, sealed);
-        else answer(v, behaviour, sealed);
+        if (visit.asked.kind === 'stream' || visit.asked.kind === 'resumable') stream(visit, behaviour, sealed);
+        else answer(visit, behaviour, sealed);
     }
   }
 
-  function answer(v: Visit, behaviour: Behaviour, sealed: Readonly<Record<string, string>>): void {
-    const { whole } = v.arrival;
-    head(v, 200, sealed);
-    data(v, whole.slice(0, 9));
-    if (behaviour === 'cut' || behaviour === 'midEvent') return fail(v, 'reset');
-    if (behaviour === 'silentMidway') return goDark(v);
-    data(v, whole.slice(9));
-    end(v);
+  function answer(visit: Visit, behaviour: Behaviour, sealed: Readonly<Record<string, string>>): void {
+    const { whole } = visit.arrival;
+    head(visit, 200, sealed);
+    data(visit, whole.slice(0, 9));
+    if (behaviour === 'cut' || behaviour === 'midEvent') return fail(visit, 'reset');
+    if (behaviour === 'silentMidway') return goDark(visit);
+    data(visit, whole.slice(9));
+    end(visit);
   }
 
-  function stream(v: Visit, behaviour: Behaviour, sealed: Readonly<Record<string, string>>): void {
-    const breakAt = v.from + 1 + Math.floor(rng.next() * Math.max(1, v.asked.events - v.from));
-    head(v, 200, sealed);
-    for (let n = v.from + 1; n <= v.asked.events; n += 1) {
-      const text = eventText(v.arrival.id, n);
+  function stream(visit: Visit, behaviour: Behaviour, sealed: Readonly<Record<string, string>>): void {
+    const breakAt = visit.from + 1 + Math.floor(rng.next() * Math.max(1, visit.asked.events - visit.from));
+    head(visit, 200, sealed);
+    for (let count = visit.from + 1; count <= visit.asked.events; count += 1) {
+      const text = eventText(visit.arrival.id, count);
       const middle = Math.floor(rng.next() * text.length);
-      data(v, text.slice(0, middle));
-      if (n === breakAt && behaviour === 'midEvent') return fail(v, 'reset');
-      data(v, text.slice(middle));
-      if (n !== breakAt) continue;
-      if (behaviour === 'cut') return fail(v, 'reset');
-      if (behaviour === 'repeatsEvent') data(v, text);
+      data(visit, text.slice(0, middle));
+      if (count === breakAt && behaviour === 'midEvent') return fail(visit, 'reset');
+      data(visit, text.slice(middle));
+      if (count !== breakAt) continue;
+      if (behaviour === 'cut') return fail(visit, 'reset');
+      if (behaviour === 'repeatsEvent') data(visit, text);
       if (behaviour === 'silentMidway') {
-        goDark(v);
-        v.at = world.now() + REVIVES_AFTER_MS;
+        goDark(visit);
+        visit.at = world.now() + REVIVES_AFTER_MS;
       }
     }
-    end(v);
+    end(visit);
   }
 
   /** The worker can't be reached for a while; its answer comes when it can. */
-  function goDark(v: Visit): void {
-    dark.add(v.address);
+  function goDark(visit: Visit): void {
+    dark.add(visit.address);
     function light(): void {
-      dark.delete(v.address);
+      dark.delete(visit.address);
     }
     world.at(soon(REVIVES_AFTER_MS), light);
-    if (v.asked.kind === 'once' || v.asked.kind === 'repeatable') return;
-    v.at = world.now() + REVIVES_AFTER_MS;
+    if (visit.asked.kind === 'once' || visit.asked.kind === 'repeatable') return;
+    visit.at = world.now() + REVIVES_AFTER_MS;
   }
 
   function check(address: string, waitMs: number, done: (reached: boolean) => void): void {
