--- a/src/sim/faults.ts
+++ b/src/sim/faults.ts
@@ -15,315 +15,316 @@
   return xs[below(rng, xs.length)] as T;
 }
 
-function after(a: FaultAct, ms: number, fn: () => void): void {
-  a.fleet.world.at(ms, fn);
+function after(faultAct: FaultAct, ms: number, callback: () => void): void {
+  faultAct.fleet.world.at(ms, callback);
 }
 
-function bounce(a: FaultAct, name: string, ms: number): void {
+function bounce(faultAct: FaultAct, name: string, ms: number): void {
   function back(): void {
-    if (!a.fleet.hostOf(name).running) void a.fleet.startNode(name);
+    if (!faultAct.fleet.hostOf(name).running) void faultAct.fleet.startNode(name);
   }
-  after(a, ms, back);
+  after(faultAct, ms, back);
 }
 
 export function inZone(fleet: SimFleet, zone: string): string[] {
   const out: string[] = [];
   for (const n of [...fleet.controllers, ...fleet.proxies]) if (n.host.zone === zone) out.push(n.name);
-  for (const w of fleet.workers) if (w.zone === zone) out.push(w.id);
+  for (const simWorker of fleet.workers) if (simWorker.zone === zone) out.push(simWorker.id);
   return out;
 }
 
 function isUp(fleet: SimFleet, name: string): boolean {
-  for (const h of fleet.controllers) if (h.name === name) return h.controller !== null;
-  for (const s of fleet.proxies) if (s.name === name) return s.proxy !== null;
+  for (const node of fleet.controllers) if (node.name === name) return node.controller !== null;
+  for (const simProxy of fleet.proxies) if (simProxy.name === name) return simProxy.proxy !== null;
   return true;
 }
 
 export function names(list: readonly { readonly name: string }[]): string[] {
   const out: string[] = [];
-  for (const x of list) out.push(x.name);
+  for (const item of list) out.push(item.name);
   return out;
 }
 
-export function nodeNames(a: { readonly fleet: SimFleet }): string[] {
-  return [...names(a.fleet.proxies), ...names(a.fleet.controllers)];
+export function nodeNames(first: { readonly fleet: SimFleet }): string[] {
+  return [...names(first.fleet.proxies), ...names(first.fleet.controllers)];
 }
 
-function runningHeads(a: FaultAct): number {
-  let n = 0;
-  for (const h of a.fleet.controllers)
-    if (h.host.running && h.controller?.ledger.isMember() && h.controller.claimsReady()) n += 1;
-  return n;
+function runningHeads(faultAct: FaultAct): number {
+  let count = 0;
+  for (const node of faultAct.fleet.controllers)
+    if (node.host.running && node.controller?.ledger.isMember() && node.controller.claimsReady()) count += 1;
+  return count;
 }
 
-function killWorker(a: FaultAct): void {
-  const w = pick(a.rng, a.fleet.workers);
-  a.note(`kills ${w.id}`);
-  a.fleet.kill(w.id);
-  bounce(a, w.id, 1_000 + below(a.rng, 6_000));
+function killWorker(faultAct: FaultAct): void {
+  const simWorker = pick(faultAct.rng, faultAct.fleet.workers);
+  faultAct.note(`kills ${simWorker.id}`);
+  faultAct.fleet.kill(simWorker.id);
+  bounce(faultAct, simWorker.id, 1_000 + below(faultAct.rng, 6_000));
 }
-function lab(a: FaultAct, address: string, path: string, body: unknown): void {
-  void a.fleet.call({ method: 'POST', address, path, body, timeoutMs: 2_000 });
+function lab(faultAct: FaultAct, address: string, path: string, body: unknown): void {
+  void faultAct.fleet.call({ method: 'POST', address, path, body, timeoutMs: 2_000 });
 }
-function spell(a: FaultAct, address: string, mode: string, ms: number): void {
-  lab(a, address, '/lab/fault', { mode });
+function spell(faultAct: FaultAct, address: string, mode: string, ms: number): void {
+  lab(faultAct, address, '/lab/fault', { mode });
   function back(): void {
-    lab(a, address, '/lab/fault', { mode: 'none' });
+    lab(faultAct, address, '/lab/fault', { mode: 'none' });
   }
-  after(a, ms, back);
-}
-function silenceWorker(a: FaultAct): void {
-  const w = pick(a.rng, a.fleet.workers);
-  a.note(`silences ${w.id}`);
-  spell(a, w.http, 'silent', 2_000 + below(a.rng, 8_000));
-}
-function lyingWorker(a: FaultAct): void {
-  const w = pick(a.rng, a.fleet.workers);
-  const mode = pick(a.rng, ['truncate', 'wrongSeal', 'swapPieces', 'refuse']);
-  a.note(`${w.id} does ${mode}`);
-  spell(a, w.http, mode, 3_000 + below(a.rng, 4_000));
-}
-function coldWorker(a: FaultAct): void {
-  const w = pick(a.rng, a.fleet.workers);
-  a.note(`${w.id} goes cold`);
-  lab(a, w.http, '/lab/cold', {});
-}
-function reclaim(a: FaultAct): void {
-  for (const machine of readySpot(a)) {
-    if (a.rng.next() < 0.5) continue;
-    const remainingMs = 500 + below(a.rng, 4_000);
-    a.note(`reclaims ${machine} within ${remainingMs}`);
-    lab(a, a.fleet.cloudAddress, '/lab/reclaim', { machine, remainingMs });
+  after(faultAct, ms, back);
+}
+function silenceWorker(faultAct: FaultAct): void {
+  const simWorker = pick(faultAct.rng, faultAct.fleet.workers);
+  faultAct.note(`silences ${simWorker.id}`);
+  spell(faultAct, simWorker.http, 'silent', 2_000 + below(faultAct.rng, 8_000));
+}
+function lyingWorker(faultAct: FaultAct): void {
+  const simWorker = pick(faultAct.rng, faultAct.fleet.workers);
+  const mode = pick(faultAct.rng, ['truncate', 'wrongSeal', 'swapPieces', 'refuse']);
+  faultAct.note(`${simWorker.id} does ${mode}`);
+  spell(faultAct, simWorker.http, mode, 3_000 + below(faultAct.rng, 4_000));
+}
+function coldWorker(faultAct: FaultAct): void {
+  const simWorker = pick(faultAct.rng, faultAct.fleet.workers);
+  faultAct.note(`${simWorker.id} goes cold`);
+  lab(faultAct, simWorker.http, '/lab/cold', {});
+}
+function reclaim(faultAct: FaultAct): void {
+  for (const machine of readySpot(faultAct)) {
+    if (faultAct.rng.next() < 0.5) continue;
+    const remainingMs = 500 + below(faultAct.rng, 4_000);
+    faultAct.note(`reclaims ${machine} within ${remainingMs}`);
+    lab(faultAct, faultAct.fleet.cloudAddress, '/lab/reclaim', { machine, remainingMs });
     return;
   }
 }
-function dryZone(a: FaultAct): void {
-  const zone = pick(a.rng, a.fleet.zones);
-  a.note(`no spot in ${zone}`);
-  lab(a, a.fleet.cloudAddress, '/lab/zone', { zone, spot: false });
+function dryZone(faultAct: FaultAct): void {
+  const zone = pick(faultAct.rng, faultAct.fleet.zones);
+  faultAct.note(`no spot in ${zone}`);
+  lab(faultAct, faultAct.fleet.cloudAddress, '/lab/zone', { zone, spot: false });
   function back(): void {
-    lab(a, a.fleet.cloudAddress, '/lab/zone', { zone, spot: true });
+    lab(faultAct, faultAct.fleet.cloudAddress, '/lab/zone', { zone, spot: true });
   }
-  after(a, 5_000 + below(a.rng, 10_000), back);
-}
-function loseReplies(a: FaultAct): void {
-  a.note('cloud loses replies');
-  lab(a, a.fleet.cloudAddress, '/lab/lose', { replies: 1 + below(a.rng, 3) });
-}
-function platformFault(a: FaultAct): void {
-  const mode = pick(a.rng, ['down', 'nonsense']);
-  a.note(`platform ${mode}`);
-  spell(a, a.fleet.platformAddress, mode, 1_000 + below(a.rng, 4_000));
-}
-function killHead(a: FaultAct): void {
-  const name = pick(a.rng, names(a.fleet.controllers));
-  a.note(`kills ${name}`);
-  a.fleet.kill(name);
-  bounce(a, name, 500 + below(a.rng, 8_000));
-}
-function powerHead(a: FaultAct): void {
-  const name = pick(a.rng, names(a.fleet.controllers));
-  a.note(`${name} loses power`);
-  a.fleet.powerLoss(name);
-  bounce(a, name, 500 + below(a.rng, 8_000));
-}
-function powerAllHeads(a: FaultAct): void {
-  a.note('all controllers lose power');
-  for (const name of names(a.fleet.controllers)) {
-    a.fleet.powerLoss(name);
-    bounce(a, name, 500 + below(a.rng, 3_000));
+  after(faultAct, 5_000 + below(faultAct.rng, 10_000), back);
+}
+function loseReplies(faultAct: FaultAct): void {
+  faultAct.note('cloud loses replies');
+  lab(faultAct, faultAct.fleet.cloudAddress, '/lab/lose', { replies: 1 + below(faultAct.rng, 3) });
+}
+function platformFault(faultAct: FaultAct): void {
+  const mode = pick(faultAct.rng, ['down', 'nonsense']);
+  faultAct.note(`platform ${mode}`);
+  spell(faultAct, faultAct.fleet.platformAddress, mode, 1_000 + below(faultAct.rng, 4_000));
+}
+function killHead(faultAct: FaultAct): void {
+  const name = pick(faultAct.rng, names(faultAct.fleet.controllers));
+  faultAct.note(`kills ${name}`);
+  faultAct.fleet.kill(name);
+  bounce(faultAct, name, 500 + below(faultAct.rng, 8_000));
+}
+function powerHead(faultAct: FaultAct): void {
+  const name = pick(faultAct.rng, names(faultAct.fleet.controllers));
+  faultAct.note(`${name} loses power`);
+  faultAct.fleet.powerLoss(name);
+  bounce(faultAct, name, 500 + below(faultAct.rng, 8_000));
+}
+function powerAllHeads(faultAct: FaultAct): void {
+  faultAct.note('all controllers lose power');
+  for (const name of names(faultAct.fleet.controllers)) {
+    faultAct.fleet.powerLoss(name);
+    bounce(faultAct, name, 500 + below(faultAct.rng, 3_000));
   }
 }
-function wipeHead(a: FaultAct): void {
-  if (runningHeads(a) < a.fleet.controllers.length) return;
-  const name = pick(a.rng, names(a.fleet.controllers));
-  a.note(`${name} loses its disk`);
-  a.fleet.kill(name);
-  a.fleet.wipe(name);
-  bounce(a, name, 500 + below(a.rng, 4_000));
-}
-function killProxy(a: FaultAct): void {
-  const name = pick(a.rng, names(a.fleet.proxies));
-  a.note(`kills ${name}`);
-  a.fleet.kill(name);
-  bounce(a, name, 200 + below(a.rng, 5_000));
-}
-function killMany(a: FaultAct): void {
-  a.note('kills many');
-  for (const name of nodeNames(a)) {
-    if (a.rng.next() < 0.5) continue;
-    a.fleet.kill(name);
-    bounce(a, name, 500 + below(a.rng, 3_000));
+function wipeHead(faultAct: FaultAct): void {
+  if (runningHeads(faultAct) < faultAct.fleet.controllers.length) return;
+  const name = pick(faultAct.rng, names(faultAct.fleet.controllers));
+  faultAct.note(`${name} loses its disk`);
+  faultAct.fleet.kill(name);
+  faultAct.fleet.wipe(name);
+  bounce(faultAct, name, 500 + below(faultAct.rng, 4_000));
+}
+function killProxy(faultAct: FaultAct): void {
+  const name = pick(faultAct.rng, names(faultAct.fleet.proxies));
+  faultAct.note(`kills ${name}`);
+  faultAct.fleet.kill(name);
+  bounce(faultAct, name, 200 + below(faultAct.rng, 5_000));
+}
+function killMany(faultAct: FaultAct): void {
+  faultAct.note('kills many');
+  for (const name of nodeNames(faultAct)) {
+    if (faultAct.rng.next() < 0.5) continue;
+    faultAct.fleet.kill(name);
+    bounce(faultAct, name, 500 + below(faultAct.rng, 3_000));
   }
 }
-function freeze(a: FaultAct): void {
-  const name = pick(a.rng, nodeNames(a));
-  const host = a.fleet.hostOf(name);
+function freeze(faultAct: FaultAct): void {
+  const name = pick(faultAct.rng, nodeNames(faultAct));
+  const host = faultAct.fleet.hostOf(name);
   if (!host.running || host.frozen) return;
-  a.note(`freezes ${name}`);
-  a.fleet.world.freeze(host);
+  faultAct.note(`freezes ${name}`);
+  faultAct.fleet.world.freeze(host);
   function thaw(): void {
-    a.fleet.world.thaw(host);
+    faultAct.fleet.world.thaw(host);
   }
-  after(a, 500 + below(a.rng, 9_000), thaw);
+  after(faultAct, 500 + below(faultAct.rng, 9_000), thaw);
 }
-function jumpClock(a: FaultAct): void {
-  const name = pick(a.rng, nodeNames(a));
-  const ms = (a.rng.next() < 0.5 ? -1 : 1) * (1_000 + below(a.rng, 3_600_000));
-  a.note(`${name}'s clock jumps ${ms}`);
-  a.fleet.hostOf(name).wallOffset += ms;
+function jumpClock(faultAct: FaultAct): void {
+  const name = pick(faultAct.rng, nodeNames(faultAct));
+  const ms = (faultAct.rng.next() < 0.5 ? -1 : 1) * (1_000 + below(faultAct.rng, 3_600_000));
+  faultAct.note(`${name}'s clock jumps ${ms}`);
+  faultAct.fleet.hostOf(name).wallOffset += ms;
 }
-function cutRegion(a: FaultAct): void {
-  const zone = pick(a.rng, a.fleet.zones);
+function cutRegion(faultAct: FaultAct): void {
+  const zone = pick(faultAct.rng, faultAct.fleet.zones);
   const inside: string[] = [];
-  for (const h of a.fleet.world.hosts()) if (h.zone === zone) inside.push(h.name);
-  a.note(`cuts ${zone} off`);
-  a.fleet.cutOff(inside);
-  after(a, 1_000 + below(a.rng, 9_000), a.fleet.world.healAll);
-}
-function cutOne(a: FaultAct): void {
-  const name = pick(a.rng, nodeNames(a));
-  a.note(`cuts ${name} off`);
-  a.fleet.cutOff([name]);
-  after(a, 1_000 + below(a.rng, 9_000), a.fleet.world.healAll);
-}
-function oneWay(a: FaultAct): void {
-  const all = nodeNames(a);
-  const from = pick(a.rng, all);
-  const to = pick(a.rng, all);
-  a.note(`${from} is not heard by ${to}`);
-  a.fleet.world.cut(from, to);
-  after(a, 1_000 + below(a.rng, 9_000), a.fleet.world.healAll);
-}
-function fullDisk(a: FaultAct): void {
-  const h = pick(a.rng, a.fleet.controllers);
-  a.note(`${h.name}'s disk fails writes`);
-  h.platter.failing = true;
+  for (const host of faultAct.fleet.world.hosts()) if (host.zone === zone) inside.push(host.name);
+  faultAct.note(`cuts ${zone} off`);
+  faultAct.fleet.cutOff(inside);
+  after(faultAct, 1_000 + below(faultAct.rng, 9_000), faultAct.fleet.world.healAll);
+}
+function cutOne(faultAct: FaultAct): void {
+  const name = pick(faultAct.rng, nodeNames(faultAct));
+  faultAct.note(`cuts ${name} off`);
+  faultAct.fleet.cutOff([name]);
+  after(faultAct, 1_000 + below(faultAct.rng, 9_000), faultAct.fleet.world.healAll);
+}
+function oneWay(faultAct: FaultAct): void {
+  const all = nodeNames(faultAct);
+  const from = pick(faultAct.rng, all);
+  const to = pick(faultAct.rng, all);
+  faultAct.note(`${from} is not heard by ${to}`);
+  faultAct.fleet.world.cut(from, to);
+  after(faultAct, 1_000 + below(faultAct.rng, 9_000), faultAct.fleet.world.healAll);
+}
+function fullDisk(faultAct: FaultAct): void {
+  const node = pick(faultAct.rng, faultAct.fleet.controllers);
+  faultAct.note(`${node.name}'s disk fails writes`);
+  node.platter.failing = true;
   function back(): void {
-    h.platter.failing = false;
+    node.platter.failing = false;
   }
-  after(a, 2_000 + below(a.rng, 3_000), back);
+  after(faultAct, 2_000 + below(faultAct.rng, 3_000), back);
   function restart(): void {
-    a.fleet.kill(h.name);
-    bounce(a, h.name, 200);
+    faultAct.fleet.kill(node.name);
+    bounce(faultAct, node.name, 200);
   }
-  after(a, 5_100, restart);
+  after(faultAct, 5_100, restart);
 }
-function evacuate(a: FaultAct): void {
-  const zone = pick(a.rng, a.fleet.zones);
-  a.note(`evacuates ${zone}`);
-  a.evacuate(zone, 9_000 + below(a.rng, 6_000));
+function evacuate(faultAct: FaultAct): void {
+  const zone = pick(faultAct.rng, faultAct.fleet.zones);
+  faultAct.note(`evacuates ${zone}`);
+  faultAct.evacuate(zone, 9_000 + below(faultAct.rng, 6_000));
 }
-function crowdOfOperators(a: FaultAct): void {
-  a.note('six operators at once, some of them wrong');
-  a.crowdOfOperators();
+function crowdOfOperators(faultAct: FaultAct): void {
+  faultAct.note('six operators at once, some of them wrong');
+  faultAct.crowdOfOperators();
 }
-function readySpot(a: FaultAct): string[] {
+function readySpot(faultAct: FaultAct): string[] {
   const out: string[] = [];
-  for (const h of a.fleet.controllers) {
-    for (const o of Object.values(h.controller?.ledger.controlState().orders ?? {}))
-      if (o.kind === 'spot' && o.status === 'ready' && o.machine !== null) out.push(o.machine);
+  for (const node of faultAct.fleet.controllers) {
+    for (const order of Object.values(node.controller?.ledger.controlState().orders ?? {}))
+      if (order.kind === 'spot' && order.status === 'ready' && order.machine !== null) out.push(order.machine);
     if (out.length > 0) break;
   }
   return out;
 }
-function drainWorker(a: FaultAct): void {
-  const machines = readySpot(a);
+function drainWorker(faultAct: FaultAct): void {
+  const machines = readySpot(faultAct);
   if (machines.length === 0) return;
-  const machine = pick(a.rng, machines);
-  const remainingMs = 3_000 + below(a.rng, 6_000);
-  a.note(`drains ${machine} within ${remainingMs}`);
-  lab(a, a.fleet.platformAddress, '/lab/drain', { machine, remainingMs });
-}
-function freezeWorker(a: FaultAct): void {
-  const w = pick(a.rng, a.fleet.workers);
-  if (!w.host.running || w.host.frozen) return;
-  a.note(`freezes ${w.id}`);
-  a.fleet.world.freeze(w.host);
+  const machine = pick(faultAct.rng, machines);
+  const remainingMs = 3_000 + below(faultAct.rng, 6_000);
+  faultAct.note(`drains ${machine} within ${remainingMs}`);
+  lab(faultAct, faultAct.fleet.platformAddress, '/lab/drain', { machine, remainingMs });
+}
+function freezeWorker(faultAct: FaultAct): void {
+  const simWorker = pick(faultAct.rng, faultAct.fleet.workers);
+  if (!simWorker.host.running || simWorker.host.frozen) return;
+  faultAct.note(`freezes ${simWorker.id}`);
+  faultAct.fleet.world.freeze(simWorker.host);
   function thaw(): void {
-    a.fleet.world.thaw(w.host);
+    faultAct.fleet.world.thaw(simWorker.host);
   }
-  after(a, 1_000 + below(a.rng, 8_000), thaw);
+  after(faultAct, 1_000 + below(faultAct.rng, 8_000), thaw);
 }
-function stallWorker(a: FaultAct): void {
-  const w = pick(a.rng, a.fleet.workers);
-  a.note(`${w.id} stalls between pieces`);
-  spell(a, w.http, 'stall', 2_000 + below(a.rng, 3_000));
+function stallWorker(faultAct: FaultAct): void {
+  const simWorker = pick(faultAct.rng, faultAct.fleet.workers);
+  faultAct.note(`${simWorker.id} stalls between pieces`);
+  spell(faultAct, simWorker.http, 'stall', 2_000 + below(faultAct.rng, 3_000));
 }
-function replaceWorkers(a: FaultAct): void {
-  a.note('replaces the fixed workers one by one, at new addresses');
+function replaceWorkers(faultAct: FaultAct): void {
+  faultAct.note('replaces the fixed workers one by one, at new addresses');
   let ms = 0;
-  for (const w of a.fleet.workers) {
-    if (!w.fixed) continue;
+  for (const simWorker of faultAct.fleet.workers) {
+    if (!simWorker.fixed) continue;
     function move(): void {
-      a.fleet.moveWorker(w.id);
+      faultAct.fleet.moveWorker(simWorker.id);
     }
-    after(a, ms, move);
+    after(faultAct, ms, move);
     ms += 3_500;
   }
 }
-function regionLost(a: FaultAct): void {
-  const zone = pick(a.rng, a.fleet.zones);
-  a.note(`${zone} loses power, and comes back cold`);
-  const ms = 3_000 + below(a.rng, 6_000);
-  for (const name of inZone(a.fleet, zone)) {
-    a.fleet.powerLoss(name);
-    bounce(a, name, ms);
+function regionLost(faultAct: FaultAct): void {
+  const zone = pick(faultAct.rng, faultAct.fleet.zones);
+  faultAct.note(`${zone} loses power, and comes back cold`);
+  const ms = 3_000 + below(faultAct.rng, 6_000);
+  for (const name of inZone(faultAct.fleet, zone)) {
+    faultAct.fleet.powerLoss(name);
+    bounce(faultAct, name, ms);
   }
 }
-function splitThree(a: FaultAct): void {
-  a.note('the core falls into three');
-  for (const h of a.fleet.controllers)
-    for (const k of a.fleet.controllers) if (h !== k) a.fleet.world.cut(h.name, k.name);
-  after(a, 2_000 + below(a.rng, 6_000), a.fleet.world.healAll);
-}
-function moveHead(a: FaultAct): void {
-  if (runningHeads(a) < a.fleet.controllers.length) return;
-  const at = below(a.rng, a.fleet.controllers.length);
-  a.note(`controller-${at + 1} moves to a new address`);
-  a.fleet.moveController(at);
-}
-function turbulence(a: FaultAct): void {
-  a.note('messages come twice, late and out of order');
-  a.fleet.turbulence({ slow: 0.1, twice: 0.1, overtake: 0.1 });
+function splitThree(faultAct: FaultAct): void {
+  faultAct.note('the core falls into three');
+  for (const node of faultAct.fleet.controllers)
+    for (const target of faultAct.fleet.controllers)
+      if (node !== target) faultAct.fleet.world.cut(node.name, target.name);
+  after(faultAct, 2_000 + below(faultAct.rng, 6_000), faultAct.fleet.world.healAll);
+}
+function moveHead(faultAct: FaultAct): void {
+  if (runningHeads(faultAct) < faultAct.fleet.controllers.length) return;
+  const at = below(faultAct.rng, faultAct.fleet.controllers.length);
+  faultAct.note(`controller-${at + 1} moves to a new address`);
+  faultAct.fleet.moveController(at);
+}
+function turbulence(faultAct: FaultAct): void {
+  faultAct.note('messages come twice, late and out of order');
+  faultAct.fleet.turbulence({ slow: 0.1, twice: 0.1, overtake: 0.1 });
   function calm(): void {
-    a.fleet.turbulence(CALM);
+    faultAct.fleet.turbulence(CALM);
   }
-  after(a, 2_000 + below(a.rng, 4_000), calm);
+  after(faultAct, 2_000 + below(faultAct.rng, 4_000), calm);
 }
-function noRoom(a: FaultAct): void {
-  const n = pick(a.rng, [...a.fleet.controllers, ...a.fleet.proxies]);
-  a.note(`${n.name}'s disk has no room`);
+function noRoom(faultAct: FaultAct): void {
+  const n = pick(faultAct.rng, [...faultAct.fleet.controllers, ...faultAct.fleet.proxies]);
+  faultAct.note(`${n.name}'s disk has no room`);
   n.platter.full = true;
-  if (a.rng.next() < 0.5) {
-    a.fleet.kill(n.name);
-    bounce(a, n.name, 500);
+  if (faultAct.rng.next() < 0.5) {
+    faultAct.fleet.kill(n.name);
+    bounce(faultAct, n.name, 500);
   }
   function room(): void {
     n.platter.full = false;
-    if (a.fleet.hostOf(n.name).running && !isUp(a.fleet, n.name)) a.fleet.kill(n.name);
-    bounce(a, n.name, 100);
+    if (faultAct.fleet.hostOf(n.name).running && !isUp(faultAct.fleet, n.name)) faultAct.fleet.kill(n.name);
+    bounce(faultAct, n.name, 100);
   }
-  after(a, 2_000 + below(a.rng, 4_000), room);
+  after(faultAct, 2_000 + below(faultAct.rng, 4_000), room);
 }
-function powerProxy(a: FaultAct): void {
-  const name = pick(a.rng, names(a.fleet.proxies));
-  a.note(`${name} loses power`);
-  a.fleet.powerLoss(name);
-  bounce(a, name, 500 + below(a.rng, 4_000));
+function powerProxy(faultAct: FaultAct): void {
+  const name = pick(faultAct.rng, names(faultAct.fleet.proxies));
+  faultAct.note(`${name} loses power`);
+  faultAct.fleet.powerLoss(name);
+  bounce(faultAct, name, 500 + below(faultAct.rng, 4_000));
 }
-function outsideUnseen(a: FaultAct): void {
-  const what = pick(a.rng, ['platform', 'cloud']);
+function outsideUnseen(faultAct: FaultAct): void {
+  const what = pick(faultAct.rng, ['platform', 'cloud']);
   const blind: string[] = [];
-  for (const name of nodeNames(a)) if (a.rng.next() < 0.5) blind.push(name);
-  a.note(`${blind.join()} can't reach the ${what}`);
-  for (const name of blind) a.fleet.world.cut(name, what);
-  after(a, 2_000 + below(a.rng, 8_000), a.fleet.world.healAll);
-}
-function crowd(a: FaultAct): void {
-  const zone = pick(a.rng, a.fleet.zones);
-  a.note(`a crowd in ${zone}`);
-  void a.fleet.traffic({ zone, seconds: 3, perSecond: 60, name: `crowd-${zone}-${a.fleet.world.now()}` });
+  for (const name of nodeNames(faultAct)) if (faultAct.rng.next() < 0.5) blind.push(name);
+  faultAct.note(`${blind.join()} can't reach the ${what}`);
+  for (const name of blind) faultAct.fleet.world.cut(name, what);
+  after(faultAct, 2_000 + below(faultAct.rng, 8_000), faultAct.fleet.world.healAll);
+}
+function crowd(faultAct: FaultAct): void {
+  const zone = pick(faultAct.rng, faultAct.fleet.zones);
+  faultAct.note(`a crowd in ${zone}`);
+  void faultAct.fleet.traffic({ zone, seconds: 3, perSecond: 60, name: `crowd-${zone}-${faultAct.fleet.world.now()}` });
 }
 
 export const FAULTS = {
--- a/src/sim/lag-scenarios.ts
+++ b/src/sim/lag-scenarios.ts
@@ -56,18 +56,25 @@
 const WHOLE_LIFE: readonly OrderStage[] = ['intended', 'placed', 'ready', 'lost'];
 
 /** One step in the life of an order, with a cause as the scaler names it. */
-function stepOf(n: number, series: string, stage: OrderStage): Step {
-  const order = `${series}-${n}-7f3a9c`;
+function stepOf(count: number, series: string, stage: OrderStage): Step {
+  const order = `${series}-${count}-7f3a9c`;
   switch (stage) {
     case 'intended':
       return {
-        cause: `Spot ${n % 7} of 9 (target 8 + extra 1).`,
-        act: { tag: 'orderIntended', order, model: 'model-a', zone: `zone-${n % 6}`, kind: 'spot', accelerator: 'any' },
+        cause: `Spot ${count % 7} of 9 (target 8 + extra 1).`,
+        act: {
+          tag: 'orderIntended',
+          order,
+          model: 'model-a',
+          zone: `zone-${count % 6}`,
+          kind: 'spot',
+          accelerator: 'any',
+        },
       };
     case 'placed':
       return {
-        cause: `machine-${n} appeared in zone-${n % 6}.`,
-        act: { tag: 'orderPlaced', order, machine: `machine-${series}-${n}` },
+        cause: `machine-${count} appeared in zone-${count % 6}.`,
+        act: { tag: 'orderPlaced', order, machine: `machine-${series}-${count}` },
       };
     case 'ready':
       return { cause: 'The worker is listed as serving, and warm.', act: { tag: 'orderReady', order } };
@@ -78,7 +85,7 @@
 
 async function decide(core: SimCore, series: string, from: number, to: number, stage: OrderStage): Promise<void> {
   const steps: Step[] = [];
-  for (let n = from; n < to; n += 1) steps.push(stepOf(n, series, stage));
+  for (let count = from; count < to; count += 1) steps.push(stepOf(count, series, stage));
   await agree(core, 'The scaler decided.', { tag: 'decided', steps });
 }
 
@@ -96,12 +103,12 @@
 }
 
 export async function addChanges(core: SimCore, count: number): Promise<void> {
-  for (let n = 0; n < count; n += 1) {
+  for (let total = 0; total < count; total += 1) {
     const base = core.node('h1').controller?.ledger.controlState().version ?? 0;
     await agree(core, `The operator changed 1 settings on version ${base}.`, {
       tag: 'configured',
       base,
-      changes: [{ path: ['deployment', `setting${n % 50}`], value: n }],
+      changes: [{ path: ['deployment', `setting${total % 50}`], value: total }],
     });
   }
 }
--- a/src/sim/linearizability.ts
+++ b/src/sim/linearizability.ts
@@ -162,8 +162,8 @@
   return events.sort(earlier);
 }
 
-function earlier(a: Event, b: Event): number {
-  return a.at - b.at || Number(a.isEnd) - Number(b.isEnd);
+function earlier(left: Event, right: Event): number {
+  return left.at - right.at || Number(left.isEnd) - Number(right.isEnd);
 }
 
 function isUnclear(call: OperatorCall): call is ChangeCall {
@@ -269,8 +269,8 @@
   return `${version.id}:${ids.sort(ascending).join()}`;
 }
 
-function ascending(a: number, b: number): number {
-  return a - b;
+function ascending(left: number, right: number): number {
+  return left - right;
 }
 
 /** Names what can't be explained, by the plainest reason that the calls before it give. */
--- a/src/sim/model/agreement-state.ts
+++ b/src/sim/model/agreement-state.ts
@@ -136,8 +136,8 @@
 function withAcceptor(node: NodeState, acceptor: Acceptor): NodeState {
   return { ...node, slots: [...acceptor.slots].sort(bySlot) };
 }
-function bySlot(a: readonly [number, SlotState], b: readonly [number, SlotState]): number {
-  return a[0] - b[0];
+function bySlot(left: readonly [number, SlotState], right: readonly [number, SlotState]): number {
+  return left[0] - right[0];
 }
 
 export type Promised = { readonly node: NodeState; readonly accepted: Accepted | null };
--- a/src/sim/model/agreement-steps.ts
+++ b/src/sim/model/agreement-steps.ts
@@ -81,7 +81,7 @@
 
 /** All smallest majorities of an electorate out of some of its members. */
 export function majorities(electorate: readonly string[], from: readonly string[]): string[][] {
-  const need = Math.floor(electorate.length / 2) + 1;
+  const quorumSize = Math.floor(electorate.length / 2) + 1;
   let sets: string[][] = [[]];
   for (const name of from) {
     if (!electorate.includes(name)) continue;
@@ -90,7 +90,7 @@
     sets = [...sets, ...larger];
   }
   const out: string[][] = [];
-  for (const set of sets) if (set.length === need) out.push(set);
+  for (const set of sets) if (set.length === quorumSize) out.push(set);
   return out;
 }
 
--- a/src/sim/model/model-group.ts
+++ b/src/sim/model/model-group.ts
@@ -173,7 +173,7 @@
     const started = await startController(identityOf(node, rng), deps, { ledger: shape, claims: shape });
     if (!world.alive(proc)) return;
     if (!started.ok) {
-      facts.fail('starts', `${node.name} did not start: ${started.fault.tag}`);
+      facts.fail('starts', `${node.name} did not start: ${started.error.tag}`);
       return;
     }
     node.controller = started.value;
@@ -182,8 +182,8 @@
   }
   function observe(node: ModelNode, controller: Controller): void {
     const { ledger } = controller;
-    function folded(e: { readonly slot: number; readonly batch: Batch }): void {
-      facts.slots.noteFolded(node.name, e.slot, e.batch, ledger.controlState());
+    function folded(event: { readonly slot: number; readonly batch: Batch }): void {
+      facts.slots.noteFolded(node.name, event.slot, event.batch, ledger.controlState());
     }
     function adopted(): void {
       facts.slots.noteAdopted(node.name, ledger.controlState());
--- a/src/sim/model/operator-calls.ts
+++ b/src/sim/model/operator-calls.ts
@@ -57,8 +57,8 @@
     if (got.ok) {
       confirmedCalls += 1;
       answers.noteTaken(change.token);
-    } else if (got.fault.tag === 'stale') answers.noteRefused(change.token);
-    else if (got.fault.tag === 'invalid') group.facts.fail('valid', `change ${change.token} was called invalid`);
+    } else if (got.error.tag === 'stale') answers.noteRefused(change.token);
+    else if (got.error.tag === 'invalid') group.facts.fail('valid', `change ${change.token} was called invalid`);
   }
   function change(node: ModelNode, onOlder: boolean): void {
     const newest = answers.newestNumber();
--- a/src/sim/model/same-value.ts
+++ b/src/sim/model/same-value.ts
@@ -1,16 +1,16 @@
 /** Deep equality of JSON values, whatever the order of their keys. */
 import { isTable } from '../../base/is-table.js';
 
-export function sameValue(a: unknown, b: unknown): boolean {
-  if (Object.is(a, b)) return true;
-  if (Array.isArray(a) && Array.isArray(b)) {
-    if (a.length !== b.length) return false;
-    for (let i = 0; i < a.length; i += 1) if (!sameValue(a[i], b[i])) return false;
+export function sameValue(left: unknown, right: unknown): boolean {
+  if (Object.is(left, right)) return true;
+  if (Array.isArray(left) && Array.isArray(right)) {
+    if (left.length !== right.length) return false;
+    for (let i = 0; i < left.length; i += 1) if (!sameValue(left[i], right[i])) return false;
     return true;
   }
-  if (!isTable(a) || !isTable(b) || Array.isArray(a) || Array.isArray(b)) return false;
-  const keys = Object.keys(a);
-  if (keys.length !== Object.keys(b).length) return false;
-  for (const key of keys) if (!Object.hasOwn(b, key) || !sameValue(a[key], b[key])) return false;
+  if (!isTable(left) || !isTable(right) || Array.isArray(left) || Array.isArray(right)) return false;
+  const keys = Object.keys(left);
+  if (keys.length !== Object.keys(right).length) return false;
+  for (const key of keys) if (!Object.hasOwn(right, key) || !sameValue(left[key], right[key])) return false;
   return true;
 }
--- a/src/sim/model/vote-facts.ts
+++ b/src/sim/model/vote-facts.ts
@@ -28,8 +28,8 @@
 
 const NOTHING: Ballot = { round: 0, by: '' };
 
-function later(a: Ballot, b: Ballot): Ballot {
-  return compareBallots(a, b) > 0 ? a : b;
+function later(left: Ballot, right: Ballot): Ballot {
+  return compareBallots(left, right) > 0 ? left : right;
 }
 
 function checkPromise(
--- a/src/sim/model/watched-disk.ts
+++ b/src/sim/model/watched-disk.ts
@@ -5,7 +5,7 @@
  */
 import { ok } from '../../base/result.js';
 import type { Result } from '../../base/result.js';
-import type { Disk, DiskFault, DiskFile } from '../../transport/disk.js';
+import type { Disk, DiskError, DiskFile } from '../../transport/disk.js';
 
 export type PowerSwitch = {
   /** Whether the process that owns the disk still has power. */
@@ -28,23 +28,23 @@
   }
 
   function watchFile(file: DiskFile): DiskFile {
-    function write(at: number, data: Buffer): Promise<Result<null, DiskFault>> {
-      function work(): Promise<Result<null, DiskFault>> {
+    function write(at: number, data: Buffer): Promise<Result<null, DiskError>> {
+      function work(): Promise<Result<null, DiskError>> {
         return file.write(at, data);
       }
       return guarded(work);
     }
-    function sync(): Promise<Result<null, DiskFault>> {
+    function sync(): Promise<Result<null, DiskError>> {
       return guarded(file.sync);
     }
     return { ...file, write, sync };
   }
-  async function preallocated(name: string, size: number): Promise<Result<DiskFile, DiskFault>> {
+  async function preallocated(name: string, size: number): Promise<Result<DiskFile, DiskError>> {
     const made = await inner.preallocated(name, size);
     return made.ok ? ok(watchFile(made.value)) : made;
   }
-  function replace(name: string, data: Buffer): Promise<Result<null, DiskFault>> {
-    function work(): Promise<Result<null, DiskFault>> {
+  function replace(name: string, data: Buffer): Promise<Result<null, DiskError>> {
+    function work(): Promise<Result<null, DiskError>> {
       return inner.replace(name, data);
     }
     return guarded(work);
--- a/src/sim/model/watched-wire.ts
+++ b/src/sim/model/watched-wire.ts
@@ -6,7 +6,7 @@
 import { err, ok } from '../../base/result.js';
 import type { Result } from '../../base/result.js';
 import type { Frame, Message } from '../../protocol/messages.js';
-import type { Address, Connection, ConnectionEvents, Listener, Wire, WireFault } from '../../transport/wire.js';
+import type { Address, Connection, ConnectionEvents, Listener, Wire, WireError } from '../../transport/wire.js';
 import type { VoteFacts, VoteRequest } from './vote-facts.js';
 
 /** Says of each frame, when it is sent, whether the network loses it. */
@@ -54,14 +54,14 @@
   function listen(
     address: Address,
     onConnection: (connection: Connection) => void,
-  ): Promise<Result<Listener, WireFault>> {
+  ): Promise<Result<Listener, WireError>> {
     function accepted(connection: Connection): void {
       onConnection(watchConnection(connection, votes, loses));
     }
     // A process that died in the middle of its start opens nothing.
     return isAlive() ? inner.listen(address, accepted) : Promise.resolve(err({ tag: 'addressInUse', address }));
   }
-  async function dial(address: Address): Promise<Result<Connection, WireFault>> {
+  async function dial(address: Address): Promise<Result<Connection, WireError>> {
     const dialled = await inner.dial(address);
     return dialled.ok ? ok(watchConnection(dialled.value, votes, loses)) : dialled;
   }
--- a/src/sim/racing-day.ts
+++ b/src/sim/racing-day.ts
@@ -111,9 +111,9 @@
     patienceMs(day.rng),
     day.rng.next() < 0.5 ? service.replace(base, servingOf(change), request) : amended(service, change),
   );
-  if (!answer || (!answer.ok && (answer.fault.tag === 'noMajority' || answer.fault.tag === 'outcomeUnknown')))
+  if (!answer || (!answer.ok && (answer.error.tag === 'noMajority' || answer.error.tag === 'outcomeUnknown')))
     return 'unclear';
-  const told: ChangeAnswer = answer.ok ? 'confirmed' : answer.fault.tag === 'stale' ? 'stale' : 'invalid';
+  const told: ChangeAnswer = answer.ok ? 'confirmed' : answer.error.tag === 'stale' ? 'stale' : 'invalid';
   noteAnswer(told);
   return told;
 }
@@ -166,8 +166,8 @@
   while (!day.isOver) {
     await delay(day.clock, 5_000 + below(day.rng, 15_000));
     const ledger = day.core.node(anyNode(day)).controller?.ledger;
-    for (let n = 0; n < ENTRIES_OF_A_BURST; n += 1) {
-      void ledger?.propose({ cause: 'A racing day.', act: { tag: 'targetChanged', model: 'm', target: n } }, 1_500);
+    for (let count = 0; count < ENTRIES_OF_A_BURST; count += 1) {
+      void ledger?.propose({ cause: 'A racing day.', act: { tag: 'targetChanged', model: 'm', target: count } }, 1_500);
     }
   }
 }
@@ -226,7 +226,7 @@
   const troubles: string[] = [];
   core.startAll();
   if (!(await core.until(5_000, isWhole))) broken.push('the core did not come together');
-  for (let n = 0; n < OPERATORS; n += 1) void operate(day);
+  for (let count = 0; count < OPERATORS; count += 1) void operate(day);
   for (const zone of ZONES) void zoneOrders(day, zone);
   void ordinaryEntries(day);
   const endAt = core.world.now() + options.seconds * 1_000;
--- a/src/sim/racing-troubles.ts
+++ b/src/sim/racing-troubles.ts
@@ -12,93 +12,93 @@
 type Struck = { readonly core: SimCore; readonly running: string[]; readonly rng: Rng; readonly name: string };
 type Trouble = (struck: Struck) => Promise<string>;
 
-async function spell(s: Struck): Promise<void> {
-  await s.core.world.advance(200 + below(s.rng, LONGEST_MS));
+async function spell(struck: Struck): Promise<void> {
+  await struck.core.world.advance(200 + below(struck.rng, LONGEST_MS));
 }
 
-async function kill(s: Struck): Promise<string> {
-  s.core.kill(s.name);
-  await spell(s);
-  s.core.start(s.name);
-  return `${s.name} is killed`;
+async function kill(struck: Struck): Promise<string> {
+  struck.core.kill(struck.name);
+  await spell(struck);
+  struck.core.start(struck.name);
+  return `${struck.name} is killed`;
 }
-async function losePower(s: Struck): Promise<string> {
-  s.core.powerLoss(s.name);
-  await spell(s);
-  s.core.start(s.name);
-  return `${s.name} loses power`;
+async function losePower(struck: Struck): Promise<string> {
+  struck.core.powerLoss(struck.name);
+  await spell(struck);
+  struck.core.start(struck.name);
+  return `${struck.name} loses power`;
 }
-async function freeze(s: Struck): Promise<string> {
-  const host = s.core.node(s.name).host;
-  s.core.world.freeze(host);
-  await spell(s);
-  s.core.world.thaw(host);
-  return `${s.name} is frozen`;
+async function freeze(struck: Struck): Promise<string> {
+  const host = struck.core.node(struck.name).host;
+  struck.core.world.freeze(host);
+  await spell(struck);
+  struck.core.world.thaw(host);
+  return `${struck.name} is frozen`;
 }
-async function cutOff(s: Struck): Promise<string> {
-  s.core.cutOff([s.name]);
-  if (s.rng.next() < 0.3) await s.core.world.advance(LONG_CUT_MS);
-  else await spell(s);
-  s.core.world.healAll();
-  return `${s.name} is cut off`;
+async function cutOff(struck: Struck): Promise<string> {
+  struck.core.cutOff([struck.name]);
+  if (struck.rng.next() < 0.3) await struck.core.world.advance(LONG_CUT_MS);
+  else await spell(struck);
+  struck.core.world.healAll();
+  return `${struck.name} is cut off`;
 }
 /** A link that comes and goes: an order that was proposed before a cut is agreed or given up after it. */
-async function flap(s: Struck): Promise<string> {
-  for (let n = 0; n < FLAPS; n += 1) {
-    s.core.cutOff([s.name]);
-    await s.core.world.advance(100 + below(s.rng, LONGEST_FLAP_MS));
-    s.core.world.healAll();
-    await s.core.world.advance(below(s.rng, 500));
+async function flap(struck: Struck): Promise<string> {
+  for (let count = 0; count < FLAPS; count += 1) {
+    struck.core.cutOff([struck.name]);
+    await struck.core.world.advance(100 + below(struck.rng, LONGEST_FLAP_MS));
+    struck.core.world.healAll();
+    await struck.core.world.advance(below(struck.rng, 500));
   }
-  return `${s.name} comes and goes`;
+  return `${struck.name} comes and goes`;
 }
-async function cutOneWay(s: Struck): Promise<string> {
-  const isOutward = s.rng.next() < 0.5;
-  for (const other of s.running) {
-    if (other === s.name) continue;
-    s.core.world.cut(isOutward ? s.name : other, isOutward ? other : s.name);
+async function cutOneWay(struck: Struck): Promise<string> {
+  const isOutward = struck.rng.next() < 0.5;
+  for (const other of struck.running) {
+    if (other === struck.name) continue;
+    struck.core.world.cut(isOutward ? struck.name : other, isOutward ? other : struck.name);
   }
-  await spell(s);
-  s.core.world.healAll();
-  return `${s.name} is cut off one way, ${isOutward ? 'out' : 'in'}wards`;
+  await spell(struck);
+  struck.core.world.healAll();
+  return `${struck.name} is cut off one way, ${isOutward ? 'out' : 'in'}wards`;
 }
-async function loseDisk(s: Struck): Promise<string> {
-  s.core.powerLoss(s.name);
-  s.core.wipe(s.name);
-  await spell(s);
-  s.core.start(s.name);
-  return `${s.name} loses its disk`;
+async function loseDisk(struck: Struck): Promise<string> {
+  struck.core.powerLoss(struck.name);
+  struck.core.wipe(struck.name);
+  await spell(struck);
+  struck.core.start(struck.name);
+  return `${struck.name} loses its disk`;
 }
-async function losePowerEverywhere(s: Struck): Promise<string> {
-  for (const name of s.running) s.core.powerLoss(name);
-  await spell(s);
-  for (const name of s.running) s.core.start(name);
+async function losePowerEverywhere(struck: Struck): Promise<string> {
+  for (const name of struck.running) struck.core.powerLoss(name);
+  await spell(struck);
+  for (const name of struck.running) struck.core.start(name);
   return 'all lose power';
 }
-async function restartWhileCutOff(s: Struck): Promise<string> {
-  s.core.cutOff([s.name]);
-  await spell(s);
-  s.core.kill(s.name);
-  s.core.start(s.name);
-  await spell(s);
-  s.core.world.healAll();
-  return `${s.name} is cut off and restarts meanwhile`;
+async function restartWhileCutOff(struck: Struck): Promise<string> {
+  struck.core.cutOff([struck.name]);
+  await spell(struck);
+  struck.core.kill(struck.name);
+  struck.core.start(struck.name);
+  await spell(struck);
+  struck.core.world.healAll();
+  return `${struck.name} is cut off and restarts meanwhile`;
 }
-async function replace(s: Struck): Promise<string> {
-  const next = s.core.add(`n${s.core.nodes.length}`).name;
-  s.core.seeds(s.running.slice(0, 3));
-  const isPlanned = s.rng.next() < 0.5;
+async function replace(struck: Struck): Promise<string> {
+  const next = struck.core.add(`n${struck.core.nodes.length}`).name;
+  struck.core.seeds(struck.running.slice(0, 3));
+  const isPlanned = struck.rng.next() < 0.5;
   if (isPlanned) {
-    s.core.start(next);
-    await s.core.world.advance(1_500 + below(s.rng, 3_000));
-    await s.core.end(s.name);
+    struck.core.start(next);
+    await struck.core.world.advance(1_500 + below(struck.rng, 3_000));
+    await struck.core.end(struck.name);
   } else {
-    s.core.powerLoss(s.name);
-    await s.core.world.advance(below(s.rng, 3_000));
-    s.core.start(next);
+    struck.core.powerLoss(struck.name);
+    await struck.core.world.advance(below(struck.rng, 3_000));
+    struck.core.start(next);
   }
-  s.running.splice(s.running.indexOf(s.name), 1, next);
-  return `${s.name} is replaced by ${next}, ${isPlanned ? 'planned' : 'lost'}`;
+  struck.running.splice(struck.running.indexOf(struck.name), 1, next);
+  return `${struck.name} is replaced by ${next}, ${isPlanned ? 'planned' : 'lost'}`;
 }
 
 const TROUBLES: readonly Trouble[] = [
--- a/src/sim/replay.ts
+++ b/src/sim/replay.ts
@@ -80,10 +80,10 @@
   const out = new Uint8Array(steps);
   const upS = (downS * upShare) / (1 - upShare);
   let up = rng.next() < upShare;
-  for (let t = 0; t < steps;) {
+  for (let time = 0; time < steps;) {
     const lasts = Math.max(1, Math.round((-Math.log(1 - rng.next()) * (up ? upS : downS)) / STEP_S));
-    if (up) out.fill(1, t, Math.min(steps, t + lasts));
-    t += lasts;
+    if (up) out.fill(1, time, Math.min(steps, time + lasts));
+    time += lasts;
     up = !up;
   }
   return out;
@@ -93,7 +93,8 @@
   const { regions, zones, regionOf, steps } = placeOf(hours);
   const rng = createRng(seed * 65_537 + TRACES.indexOf('reported'));
   const regionUp = new Map<string, Uint8Array>();
-  for (const r of regions) regionUp.set(r, alternating(rng, 1 - (REGION_DOWN[r] as number), REGION_OUTAGE_S, steps));
+  for (const region of regions)
+    regionUp.set(region, alternating(rng, 1 - (REGION_DOWN[region] as number), REGION_OUTAGE_S, steps));
   const own = new Map<string, Uint8Array>();
   for (let i = 0; i < zones.length; i += 1) {
     const zone = zones[i] as string;
@@ -120,21 +121,21 @@
   const rng = createRng(seed * 65_537 + TRACES.indexOf(name));
   const { regions, zones, regionOf, steps } = placeOf(hours);
   const rooms = new Map<string, Uint8Array>();
-  for (const z of zones) rooms.set(z, new Uint8Array(steps).fill(ROOM));
+  for (const zone of zones) rooms.set(zone, new Uint8Array(steps).fill(ROOM));
 
   function drought(zone: string, from: number): void {
     const length = Math.ceil((habit.upEach * (0.3 + 1.4 * rng.next())) / STEP_S);
     rooms.get(zone)?.fill(0, from, Math.min(steps, from + length));
   }
   for (const region of regions) {
-    for (const z of zones) {
-      if (regionOf[z] !== region) continue;
-      for (let t = 0; t < steps; t += 1) {
+    for (const zone of zones) {
+      if (regionOf[zone] !== region) continue;
+      for (let time = 0; time < steps; time += 1) {
         if (rng.next() > STEP_S / habit.downEach) continue;
-        drought(z, t);
+        drought(zone, time);
         for (const other of zones)
-          if (other !== z && regionOf[other] === region && rng.next() < habit.shared)
-            drought(other, Math.min(steps - 1, t + Math.floor(rng.next() * 6)));
+          if (other !== zone && regionOf[other] === region && rng.next() < habit.shared)
+            drought(other, Math.min(steps - 1, time + Math.floor(rng.next() * 6)));
       }
     }
   }
@@ -189,8 +190,8 @@
     for (const zone of trace.zones) {
       const inZone: Instance[] = [];
       for (const i of live) if (i.kind === 'spot' && i.zone === zone) inZone.push(i);
-      for (let n = inZone.length; n > trace.room(zone, step); n -= 1) {
-        const victim = inZone[n - 1] as Instance;
+      for (let count = inZone.length; count > trace.room(zone, step); count -= 1) {
+        const victim = inZone[count - 1] as Instance;
         live = live.filter(isNot(victim.id));
         preemptions += 1;
         buyer.lost(victim, now);
@@ -242,9 +243,9 @@
 function skyserve(trace: Trace, rule: ReplayRule): Buyer {
   const zones: Record<string, { region: string }> = {};
   const prices: Record<string, { spot: number; onDemand: number }> = {};
-  for (const z of trace.zones) {
-    zones[z] = { region: trace.regionOf[z] as string };
-    prices[z] = { spot: SPOT_PRICE, onDemand: ON_DEMAND_PRICE };
+  for (const zone of trace.zones) {
+    zones[zone] = { region: trace.regionOf[zone] as string };
+    prices[zone] = { spot: SPOT_PRICE, onDemand: ON_DEMAND_PRICE };
   }
   const configuration: Configuration = {
     zones,
@@ -252,7 +253,7 @@
     regions: { east: { models: { m: {} } } },
   };
   const controlState = { ...emptyControlState(), configuration };
-  const rm = resolveModel(configuration, 'east', 'm');
+  const resolved = resolveModel(configuration, 'east', 'm');
   const memory: ScalerMemory = new Map();
   const machines = new Map<string, Instance>();
   const seen = new Set<string>();
@@ -282,7 +283,7 @@
       workers.push({ id: i.id, machine: i.id, state: i.readyAt <= now ? ('ready' as const) : ('loading' as const) });
     }
     const decisions = decideModel(
-      rm,
+      resolved,
       controlState,
       {
         now: now * 1_000,
@@ -300,11 +301,11 @@
     );
     failedIn = [];
     const acts: Command[] = [];
-    for (const d of decisions) acts.push(d.act);
+    for (const decision of decisions) acts.push(decision.act);
     fold(acts, now * 1_000);
     const out = [];
-    for (const o of ordersOf(controlState, 'm'))
-      if (o.status === 'intended') out.push({ key: o.id, zone: o.zone, kind: o.kind });
+    for (const order of ordersOf(controlState, 'm'))
+      if (order.status === 'intended') out.push({ key: order.id, zone: order.zone, kind: order.kind });
     return out;
   }
   function launched(i: Instance, now: number): void {
@@ -322,10 +323,10 @@
   }
   function drops(now: number): readonly string[] {
     const out: string[] = [];
-    for (const o of ordersOf(controlState, 'm')) {
-      if (o.status !== 'draining') continue;
-      if (o.machine !== null) out.push(o.machine);
-      fold([{ tag: 'orderReleased', order: o.id }], now * 1_000);
+    for (const order of ordersOf(controlState, 'm')) {
+      if (order.status !== 'draining') continue;
+      if (order.machine !== null) out.push(order.machine);
+      fold([{ tag: 'orderReleased', order: order.id }], now * 1_000);
     }
     return out;
   }
@@ -343,7 +344,7 @@
     const out = [];
     const held = new Map<string, number>();
     for (const i of live) held.set(i.zone, (held.get(i.zone) ?? 0) + 1);
-    for (let n = live.length; n < wanted; n += 1) {
+    for (let count = live.length; count < wanted; count += 1) {
       serial += 1;
       const zone = name === 'staticSpread' ? leastHeld(held) : (trace.zones[turn % trace.zones.length] as string);
       turn += 1;
@@ -354,7 +355,7 @@
   }
   function leastHeld(held: ReadonlyMap<string, number>): string {
     let best = trace.zones[0] as string;
-    for (const z of trace.zones) if ((held.get(z) ?? 0) < (held.get(best) ?? 0)) best = z;
+    for (const zone of trace.zones) if ((held.get(zone) ?? 0) < (held.get(best) ?? 0)) best = zone;
     return best;
   }
   function nothing(): void {}
--- a/src/sim/sabotage.ts
+++ b/src/sim/sabotage.ts
@@ -25,7 +25,7 @@
     state.operations = [];
     state.history.changes = [];
   }
-  if (sabotage.readsWithoutMajority) Object.assign(ledger, { settle: alwaysSettled });
+  if (sabotage.readsWithoutMajority) Object.assign(ledger, { linearizableRead: alwaysSettled });
   if (!sabotage.forgetsChanges) return;
   ledger.events.on('folded', forgetChanges);
   ledger.events.on('adopted', forgetChanges);
--- a/src/sim/sim-core.ts
+++ b/src/sim/sim-core.ts
@@ -1,7 +1,7 @@
 import { startController } from '../coordination/controller.js';
 import type { WorkerListReader } from '../coordination/edge/list-feed.js';
 import type { Controller } from '../coordination/controller.js';
-import type { Agreed, ProposeFault } from '../coordination/ledger/proposal.js';
+import type { Agreed, ProposeError } from '../coordination/ledger/proposal.js';
 import type { Result } from '../base/result.js';
 import { POLICIES } from '../state/policies.js';
 import { createQuietLog } from '../transport/log.js';
@@ -40,7 +40,7 @@
   readonly claims?: boolean;
 };
 
-export type Ordered = { readonly result: Result<Agreed, ProposeFault> | null; readonly tookMs: number };
+export type Ordered = { readonly result: Result<Agreed, ProposeError> | null; readonly tookMs: number };
 
 export type Lab = { readonly wire: Wire; readonly clock: Clock; readonly httpClient: HttpClient };
 
@@ -103,20 +103,20 @@
       bootstrap: false,
       controller: null,
     };
-    for (const n of nodes) world.setDelay(n.host.zone, zone, shape.regionMs);
+    for (const node of nodes) world.setDelay(node.host.zone, zone, shape.regionMs);
     nodes.push(made);
     return made;
   }
   for (let i = 1; i <= shape.controllers; i += 1) add(`h${i}`).bootstrap = true;
   setSeeds(nodes.slice(0, shape.seeds).map(nameOf));
 
-  function nameOf(n: CoreNode): string {
-    return n.name;
+  function nameOf(node: CoreNode): string {
+    return node.name;
   }
   function node(name: string): CoreNode {
     return nodes.find(isIt) as CoreNode;
-    function isIt(n: CoreNode): boolean {
-      return n.name === name;
+    function isIt(node: CoreNode): boolean {
+      return node.name === name;
     }
   }
   function setSeeds(names: readonly string[]): void {
@@ -130,8 +130,8 @@
     return createRng(Math.imul(seed, 7_919) + procs * 104_729);
   }
 
-  async function startOne(n: CoreNode): Promise<void> {
-    const proc = world.begin(n.host);
+  async function startOne(node: CoreNode): Promise<void> {
+    const proc = world.begin(node.host);
     const rng = procRng();
     const deps = {
       clock: world.clockOf(proc),
@@ -139,25 +139,25 @@
       wire: net.wireOf(proc),
       httpServer: http.httpServerOf(proc),
       httpClient: http.httpClientOf(proc),
-      disk: simDisk(n.platter, proc, world),
+      disk: simDisk(node.platter, proc, world),
       logs,
       policies: POLICIES,
       meters: createMeters,
-      listReader: shape.listReader?.(world.clockOf(proc), n.host) ?? null,
+      listReader: shape.listReader?.(world.clockOf(proc), node.host) ?? null,
     };
     const identity = {
-      name: n.name,
+      name: node.name,
       run: newId(rng, 'run'),
-      zone: n.host.zone,
-      region: n.host.zone,
-      listen: n.wire,
-      advertised: n.wire,
-      httpListen: `${n.wire}0`,
-      http: `${n.wire}0`,
+      zone: node.host.zone,
+      region: node.host.zone,
+      listen: node.wire,
+      advertised: node.wire,
+      httpListen: `${node.wire}0`,
+      http: `${node.wire}0`,
       seeds,
       platform: '10.0.9.9:1',
       cloud: null,
-      bootstrap: n.bootstrap,
+      bootstrap: node.bootstrap,
       diskBytes: shape.diskBytes ?? DISK_BYTES,
       claims: shape.claims ?? false,
       operatorHttpServer: shape.operatorHttpServer ?? false,
@@ -166,18 +166,18 @@
     const started = await startController(identity, deps);
     if (!world.alive(proc)) return;
     if (!started.ok) {
-      broken.push(`${n.name} did not start: ${started.fault.tag}`);
+      broken.push(`${node.name} did not start: ${started.error.tag}`);
       return;
     }
-    n.controller = started.value;
-    watch(n.name, started.value);
+    node.controller = started.value;
+    watch(node.name, started.value);
   }
   function watch(name: string, controller: Controller): void {
-    function folded(e: { readonly slot: number; readonly batch: unknown }): void {
-      const text = JSON.stringify(e.batch);
-      const held = chosen.get(e.slot);
-      if (held === undefined) chosen.set(e.slot, text);
-      else if (held !== text) broken.push(`${name} folded another batch into slot ${e.slot}`);
+    function folded(event: { readonly slot: number; readonly batch: unknown }): void {
+      const text = JSON.stringify(event.batch);
+      const held = chosen.get(event.slot);
+      if (held === undefined) chosen.set(event.slot, text);
+      else if (held !== text) broken.push(`${name} folded another batch into slot ${event.slot}`);
       oneLedger();
     }
     function oneLedger(): void {
@@ -200,13 +200,13 @@
     void startOne(node(name));
   }
   function startAll(): void {
-    for (const n of nodes) if (!n.host.running) start(n.name);
+    for (const node of nodes) if (!node.host.running) start(node.name);
   }
   function kill(name: string): void {
-    const n = node(name);
-    world.kill(n.host);
-    n.controller = null;
-    n.bootstrap = false;
+    const otherNode = node(name);
+    world.kill(otherNode.host);
+    otherNode.controller = null;
+    otherNode.bootstrap = false;
   }
   async function end(name: string): Promise<void> {
     const stopping = node(name).controller?.stop();
@@ -222,15 +222,16 @@
     loseDisk(node(name).platter);
   }
   function cutOff(names: readonly string[]): void {
-    for (const a of nodes) {
-      for (const b of nodes) if (names.includes(a.name) !== names.includes(b.name)) world.cut(a.name, b.name);
+    for (const node of nodes) {
+      for (const otherNode of nodes)
+        if (names.includes(node.name) !== names.includes(otherNode.name)) world.cut(node.name, otherNode.name);
     }
   }
 
   async function finish<T>(work: Promise<T>, limitMs: number): Promise<T | null> {
     const box: { value: T | null; done: boolean } = { value: null, done: false };
-    function settled(v: T): void {
-      box.value = v;
+    function settled(t: T): void {
+      box.value = t;
       box.done = true;
     }
     void work.then(settled);
--- a/src/sim/sim-disk.ts
+++ b/src/sim/sim-disk.ts
@@ -1,6 +1,6 @@
 import { err, ok } from '../base/result.js';
 import type { Result } from '../base/result.js';
-import type { Disk, DiskFault, DiskFile } from '../transport/disk.js';
+import type { Disk, DiskError, DiskFile } from '../transport/disk.js';
 import { below } from '../transport/rng.js';
 import type { Proc, World } from './world.js';
 
@@ -31,8 +31,8 @@
   let index = 0;
   for (const file of platter.files.values()) {
     const kept = Buffer.from(file.synced);
-    for (const w of file.unsynced) {
-      w.data.copy(kept, w.at, 0, fate(w.data.length, index));
+    for (const write of file.unsynced) {
+      write.data.copy(kept, write.at, 0, fate(write.data.length, index));
       index += 1;
     }
     file.current = kept;
@@ -49,23 +49,23 @@
     return done > operations ? new Promise<T>(never) : work();
   }
   function never(): void {}
-  async function preallocated(name: string, size: number): Promise<Result<DiskFile, DiskFault>> {
+  async function preallocated(name: string, size: number): Promise<Result<DiskFile, DiskError>> {
     const opened = await disk.preallocated(name, size);
     if (!opened.ok) return opened;
     const file = opened.value;
-    function write(at: number, data: Buffer): Promise<Result<null, DiskFault>> {
-      function go(): Promise<Result<null, DiskFault>> {
+    function write(at: number, data: Buffer): Promise<Result<null, DiskError>> {
+      function go(): Promise<Result<null, DiskError>> {
         return file.write(at, data);
       }
       return guarded(go);
     }
-    function sync(): Promise<Result<null, DiskFault>> {
+    function sync(): Promise<Result<null, DiskError>> {
       return guarded(file.sync);
     }
     return ok({ read: file.read, write, sync });
   }
-  function replace(name: string, data: Buffer): Promise<Result<null, DiskFault>> {
-    function go(): Promise<Result<null, DiskFault>> {
+  function replace(name: string, data: Buffer): Promise<Result<null, DiskError>> {
+    function go(): Promise<Result<null, DiskError>> {
       return disk.replace(name, data);
     }
     return guarded(go);
@@ -84,7 +84,7 @@
   const clock = world.clockOf(proc);
 
   function later<T>(work: () => T): Promise<T> {
-    function start(resolve: (v: T) => void): void {
+    function start(resolve: (t: T) => void): void {
       function done(): void {
         resolve(work());
       }
@@ -93,26 +93,26 @@
     return new Promise(start);
   }
 
-  function broken(file: string): Result<never, DiskFault> {
+  function broken(file: string): Result<never, DiskError> {
     return err({ tag: 'diskFailed', file, code: 'EIO' });
   }
 
   function fileOf(name: string, file: File): DiskFile {
-    function read(length = file.current.length): Promise<Result<Buffer, DiskFault>> {
+    function read(length = file.current.length): Promise<Result<Buffer, DiskError>> {
       return Promise.resolve(ok(Buffer.from(file.current.subarray(0, length))));
     }
-    function write(at: number, data: Buffer): Promise<Result<null, DiskFault>> {
+    function write(at: number, data: Buffer): Promise<Result<null, DiskError>> {
       if (platter.failing) return Promise.resolve(broken(name));
       data.copy(file.current, at);
       file.unsynced.push({ at, data: Buffer.from(data) });
       return Promise.resolve(ok(null));
     }
-    function sync(): Promise<Result<null, DiskFault>> {
+    function sync(): Promise<Result<null, DiskError>> {
       const covered = file.unsynced.length;
-      function done(): Result<null, DiskFault> {
+      function done(): Result<null, DiskError> {
         if (platter.failing) return broken(name);
         if (platter.lies) return ok(null);
-        for (const w of file.unsynced.splice(0, covered)) w.data.copy(file.synced, w.at);
+        for (const write of file.unsynced.splice(0, covered)) write.data.copy(file.synced, write.at);
         return ok(null);
       }
       return later(done);
@@ -120,10 +120,10 @@
     return { read, write, sync };
   }
 
-  function list(): Promise<Result<string[], DiskFault>> {
+  function list(): Promise<Result<string[], DiskError>> {
     return Promise.resolve(ok([...platter.files.keys()].sort()));
   }
-  function preallocated(name: string, size: number): Promise<Result<DiskFile, DiskFault>> {
+  function preallocated(name: string, size: number): Promise<Result<DiskFile, DiskError>> {
     const have = platter.files.get(name);
     if (have && have.current.length >= size) return Promise.resolve(ok(fileOf(name, have)));
     if (platter.full) return Promise.resolve(err({ tag: 'diskFull', file: name }));
@@ -131,8 +131,8 @@
     platter.files.set(name, made);
     return Promise.resolve(ok(fileOf(name, made)));
   }
-  function replace(name: string, data: Buffer): Promise<Result<null, DiskFault>> {
-    function done(): Result<null, DiskFault> {
+  function replace(name: string, data: Buffer): Promise<Result<null, DiskError>> {
+    function done(): Result<null, DiskError> {
       if (platter.failing) return broken(name);
       if (platter.full) return err({ tag: 'diskFull', file: name });
       platter.files.set(name, { current: Buffer.from(data), synced: Buffer.from(data), unsynced: [] });
@@ -140,7 +140,7 @@
     }
     return later(done);
   }
-  function load(name: string): Promise<Result<Buffer | null, DiskFault>> {
+  function load(name: string): Promise<Result<Buffer | null, DiskError>> {
     const have = platter.files.get(name);
     return Promise.resolve(ok(have ? Buffer.from(have.current) : null));
   }
--- a/src/sim/sim-fleet.ts
+++ b/src/sim/sim-fleet.ts
@@ -15,7 +15,7 @@
 import type { Policy } from '../state/policies.js';
 import type { Result } from '../base/result.js';
 import { REQUESTS_PATH } from '../protocol/caller-wire.js';
-import type { HttpClient, HttpAnswer, HttpCall, HttpFault } from '../transport/http.js';
+import type { HttpClient, HttpAnswer, HttpCall, HttpError } from '../transport/http.js';
 import type { Journal } from '../transport/journal.js';
 import { createQuietLog } from '../transport/log.js';
 import type { LogRoot } from '../transport/log.js';
@@ -75,7 +75,7 @@
   readonly moveController: (at: number) => void;
   readonly moveWorker: (id: string) => void;
   readonly keepOldSeeds: () => void;
-  readonly turbulence: (t: Turbulence) => void;
+  readonly turbulence: (turbulence: Turbulence) => void;
   readonly shape: FleetShape;
   readonly zones: readonly string[];
   readonly holder: () => number;
@@ -84,14 +84,14 @@
   readonly cutOff: (names: readonly string[]) => void;
   readonly call: (
     c: Omit<HttpCall, 'timeoutMs'> & { readonly timeoutMs?: number },
-  ) => Promise<Result<HttpAnswer, HttpFault>>;
+  ) => Promise<Result<HttpAnswer, HttpError>>;
   readonly operator: (
     at: number,
     method: 'GET' | 'POST' | 'DELETE',
     path: string,
     body?: unknown,
     timeoutMs?: number,
-  ) => Promise<Result<HttpAnswer, HttpFault>>;
+  ) => Promise<Result<HttpAnswer, HttpError>>;
   readonly traffic: (
     s: Partial<CallerSettings> & { readonly zone: string; readonly seconds: number },
   ) => Promise<CallerTally>;
@@ -128,8 +128,8 @@
   let port = 10_000;
   let procs = 0;
   for (const [pair, ms] of Object.entries(shape.delayMs)) {
-    const [a, b] = pair.split('|');
-    world.setDelay(a as string, b as string, ms);
+    const [first, second] = pair.split('|');
+    world.setDelay(first as string, second as string, ms);
   }
 
   function address(): string {
@@ -178,7 +178,7 @@
   }
 
   const policies: Policy[] = [];
-  for (const p of POLICIES) if (p.name !== sabotage.withoutPolicy) policies.push(p);
+  for (const policy of POLICIES) if (policy.name !== sabotage.withoutPolicy) policies.push(policy);
   const platformAddress = address();
   const cloudAddress = address();
   const lab = world.host('lab', 'lab');
@@ -212,7 +212,7 @@
       const deps = depsOf(proc, made.platter);
       const started = await startController(identityOf(name, zone, made.wire, made.http, deps), deps, shapesOf(shape));
       if (!started.ok) {
-        records.push({ who: 'sim', at: world.now(), event: 'startFailed', node: name, fault: started.fault });
+        records.push({ who: 'sim', at: world.now(), event: 'startFailed', node: name, fault: started.error });
         return;
       }
       made.controller = started.value;
@@ -222,8 +222,8 @@
     starters.set(name, start);
     return made;
   }
-  function wireOf(h: SimController): string {
-    return h.wire;
+  function wireOf(simController: SimController): string {
+    return simController.wire;
   }
 
   function identityOf(name: string, zone: string, wire: string, httpAddress: string, deps: NodeDeps): NodeIdentity {
@@ -244,15 +244,15 @@
 
   function watchLedger(name: string, controller: Controller): void {
     let last = controller.ledger.controlState().slot;
-    function folded(e: { readonly slot: number; readonly batch: { readonly id: string } }): void {
-      const text = JSON.stringify(e.batch);
-      const held = chosen.get(e.slot);
-      if (held === undefined) chosen.set(e.slot, text);
+    function folded(event: { readonly slot: number; readonly batch: { readonly id: string } }): void {
+      const text = JSON.stringify(event.batch);
+      const held = chosen.get(event.slot);
+      if (held === undefined) chosen.set(event.slot, text);
       else if (held !== text)
-        violations.push({ rule: 'oneLedger', detail: `${name} folded another batch into slot ${e.slot}` });
-      if (e.slot <= last)
-        violations.push({ rule: 'oneLedger', detail: `${name} went back from slot ${last} to ${e.slot}` });
-      last = e.slot;
+        violations.push({ rule: 'oneLedger', detail: `${name} folded another batch into slot ${event.slot}` });
+      if (event.slot <= last)
+        violations.push({ rule: 'oneLedger', detail: `${name} went back from slot ${last} to ${event.slot}` });
+      last = event.slot;
     }
     controller.ledger.events.on('folded', folded);
   }
@@ -345,8 +345,8 @@
     forget(name);
   }
   function forget(name: string): void {
-    for (const h of controllers) if (h.name === name) h.controller = null;
-    for (const s of proxies) if (s.name === name) s.proxy = null;
+    for (const simController of controllers) if (simController.name === name) simController.controller = null;
+    for (const simProxy of proxies) if (simProxy.name === name) simProxy.proxy = null;
   }
   function platterOf(name: string): Platter | null {
     for (const n of [...controllers, ...proxies]) if (n.name === name) return n.platter;
@@ -365,47 +365,47 @@
   }
 
   function moveController(at: number): void {
-    const h = controllers[at] as SimController;
-    kill(h.name);
-    h.http = address();
-    h.wire = address();
-    void startNode(h.name);
+    const simController = controllers[at] as SimController;
+    kill(simController.name);
+    simController.http = address();
+    simController.wire = address();
+    void startNode(simController.name);
   }
   function moveWorker(id: string): void {
-    const w = workers.find(isIt);
-    if (!w) return;
+    const worker = workers.find(isIt);
+    if (!worker) return;
     kill(id);
-    w.http = address();
+    worker.http = address();
     void startNode(id);
-    function isIt(x: SimWorker): boolean {
-      return x.id === id;
+    function isIt(simWorker: SimWorker): boolean {
+      return simWorker.id === id;
     }
   }
   function holder(): number {
     for (let i = 0; i < controllers.length; i += 1) {
-      const h = controllers[i] as SimController;
-      if (h.controller && !h.host.frozen && h.controller.holdsScaler()) return i;
+      const simController = controllers[i] as SimController;
+      if (simController.controller && !simController.host.frozen && simController.controller.holdsScaler()) return i;
     }
     return -1;
   }
 
   function cutOff(names: readonly string[]): void {
     const inside = new Set(names);
-    for (const a of world.hosts()) {
-      for (const b of world.hosts()) {
-        if (a.zone === 'lab' || b.zone === 'lab') continue;
-        if (inside.has(a.name) !== inside.has(b.name)) world.cut(a.name, b.name);
+    for (const host of world.hosts()) {
+      for (const otherHost of world.hosts()) {
+        if (host.zone === 'lab' || otherHost.zone === 'lab') continue;
+        if (inside.has(host.name) !== inside.has(otherHost.name)) world.cut(host.name, otherHost.name);
       }
     }
   }
 
   function call(
     c: Omit<HttpCall, 'timeoutMs'> & { readonly timeoutMs?: number },
-  ): Promise<Result<HttpAnswer, HttpFault>> {
+  ): Promise<Result<HttpAnswer, HttpError>> {
     return finish(labHttpClient.call({ timeoutMs: 12_000, ...c }), 13_000).then(orTimedOut);
   }
-  function orTimedOut(r: Result<HttpAnswer, HttpFault> | null): Result<HttpAnswer, HttpFault> {
-    return r ?? { ok: false, fault: { tag: 'timedOut' } };
+  function orTimedOut(r: Result<HttpAnswer, HttpError> | null): Result<HttpAnswer, HttpError> {
+    return r ?? { ok: false, error: { tag: 'timedOut' } };
   }
 
   function operator(
@@ -414,7 +414,7 @@
     path: string,
     body?: unknown,
     timeoutMs?: number,
-  ): Promise<Result<HttpAnswer, HttpFault>> {
+  ): Promise<Result<HttpAnswer, HttpError>> {
     const limit = timeoutMs === undefined ? {} : { timeoutMs };
     return call({
       method,
@@ -428,9 +428,9 @@
   async function finish<T>(work: Promise<T>, limitMs: number): Promise<T | null> {
     let done = false;
     let value: T | null = null;
-    function settled(v: T): void {
+    function settled(t: T): void {
       done = true;
-      value = v;
+      value = t;
     }
     void work.then(settled);
     function isDone(): boolean {
@@ -454,23 +454,23 @@
   function nameOf(n: { readonly name: string }): string {
     return n.name;
   }
-  function idOf(w: SimWorker): string {
-    return w.id;
+  function idOf(simWorker: SimWorker): string {
+    return simWorker.id;
   }
   function allKnown(): boolean {
-    const b = controllers[0]?.controller?.ledger.controlState();
-    return b !== undefined && Object.keys(b.proxies).length === proxies.length;
+    const second = controllers[0]?.controller?.ledger.controlState();
+    return second !== undefined && Object.keys(second.proxies).length === proxies.length;
   }
 
   function allReady(): boolean {
-    for (const h of controllers) {
-      const b = h.controller?.ledger.controlState();
-      if (!b) continue;
+    for (const simController of controllers) {
+      const second = simController.controller?.ledger.controlState();
+      if (!second) continue;
       let ready = 0;
       let open = 0;
-      for (const o of Object.values(b.orders)) {
+      for (const order of Object.values(second.orders)) {
         open += 1;
-        if (o.kind === 'spot' && o.status === 'ready') ready += 1;
+        if (order.kind === 'spot' && order.status === 'ready') ready += 1;
       }
       if (ready > 0 && ready === open) return true;
     }
@@ -483,8 +483,8 @@
     const name = s.name ?? `caller-${s.zone}-${procs}`;
     const proc = world.begin(world.host(name, s.zone));
     const near: string[] = [];
-    for (const x of proxies) if (x.host.zone === s.zone) near.push(x.http);
-    for (const x of proxies) if (x.host.zone !== s.zone) near.push(x.http);
+    for (const simProxy of proxies) if (simProxy.host.zone === s.zone) near.push(simProxy.http);
+    for (const simProxy of proxies) if (simProxy.host.zone !== s.zone) near.push(simProxy.http);
     return runCaller(
       {
         name,
--- a/src/sim/sim-http.ts
+++ b/src/sim/sim-http.ts
@@ -5,12 +5,12 @@
   HttpServer,
   HttpAnswer,
   HttpCall,
-  HttpFault,
+  HttpError,
   HttpReply,
   HttpRequest,
   Route,
 } from '../transport/http.js';
-import type { Address, Listener, WireFault } from '../transport/wire.js';
+import type { Address, Listener, WireError } from '../transport/wire.js';
 import type { Host, Proc, World } from './world.js';
 
 type Open = { readonly proc: Proc; readonly routes: readonly Route[] };
@@ -25,25 +25,25 @@
 
 function match(route: Route, method: string, path: string): Record<string, string> | null {
   if (route.method !== method) return null;
-  const a = route.path.split('/');
-  const b = path.split('/');
-  if (a.length !== b.length) return null;
+  const first = route.path.split('/');
+  const second = path.split('/');
+  if (first.length !== second.length) return null;
   const params: Record<string, string> = {};
-  for (let i = 0; i < a.length; i += 1) {
-    const want = a[i] as string;
-    if (want.startsWith(':')) params[want.slice(1)] = decodeURIComponent(b[i] as string);
-    else if (want !== b[i]) return null;
+  for (let i = 0; i < first.length; i += 1) {
+    const want = first[i] as string;
+    if (want.startsWith(':')) params[want.slice(1)] = decodeURIComponent(second[i] as string);
+    else if (want !== second[i]) return null;
   }
   return params;
 }
 
-function copied(v: unknown): unknown {
-  return v === undefined ? undefined : (JSON.parse(JSON.stringify(v)) as unknown);
+function copied(value: unknown): unknown {
+  return value === undefined ? undefined : (JSON.parse(JSON.stringify(value)) as unknown);
 }
 
-async function* nothing(): AsyncGenerator<Result<unknown, HttpFault>> {}
+async function* nothing(): AsyncGenerator<Result<unknown, HttpError>> {}
 
-type Item = { readonly queue: Result<unknown, HttpFault> | null };
+type Item = { readonly queue: Result<unknown, HttpError> | null };
 
 export type BodySeen = (host: Host, path: string, body: unknown) => void;
 
@@ -53,25 +53,25 @@
   let made = 0;
 
   function onKill(host: Host): void {
-    for (const [address, d] of httpServers) if (d.proc.host === host) httpServers.delete(address);
+    for (const [address, open] of httpServers) if (open.proc.host === host) httpServers.delete(address);
     const fns = onDeath.get(host);
     onDeath.delete(host);
-    for (const fn of fns ?? []) fn();
+    for (const callback of fns ?? []) callback();
   }
   world.onKill(onKill);
 
-  function watchDeath(host: Host, fn: () => void): () => void {
+  function watchDeath(host: Host, callback: () => void): () => void {
     const set = onDeath.get(host) ?? new Set();
-    set.add(fn);
+    set.add(callback);
     onDeath.set(host, set);
     function off(): void {
-      set.delete(fn);
+      set.delete(callback);
     }
     return off;
   }
 
   function httpServerOf(proc: Proc): HttpServer {
-    function open(address: Address, routes: readonly Route[]): Promise<Result<Listener, WireFault>> {
+    function open(address: Address, routes: readonly Route[]): Promise<Result<Listener, WireError>> {
       if (httpServers.has(address)) return Promise.resolve(err({ tag: 'addressInUse', address }));
       httpServers.set(address, { proc, routes });
       world.own(address, proc.host);
@@ -85,35 +85,35 @@
   }
 
   function httpClientOf(proc: Proc): HttpClient {
-    function call(c: HttpCall): Promise<Result<HttpAnswer, HttpFault>> {
+    function call(httpCall: HttpCall): Promise<Result<HttpAnswer, HttpError>> {
       made += 1;
-      function start(resolve: (r: Result<HttpAnswer, HttpFault>) => void): void {
-        exchange(proc, c, resolve);
+      function start(resolve: (result: Result<HttpAnswer, HttpError>) => void): void {
+        exchange(proc, httpCall, resolve);
       }
       return new Promise(start);
     }
     return { call };
   }
 
-  function exchange(proc: Proc, c: HttpCall, resolve: (r: Result<HttpAnswer, HttpFault>) => void): void {
+  function exchange(proc: Proc, call: HttpCall, resolve: (result: Result<HttpAnswer, HttpError>) => void): void {
     let answered = false;
     let over = false;
-    const target = world.ownerOf(c.address);
-    const deadline = world.at(Math.min(c.timeoutMs, 2 ** 31), expire);
-    let broke: ((f: HttpFault) => void) | null = null;
-    c.signal?.addEventListener('abort', aborted);
+    const target = world.ownerOf(call.address);
+    const deadline = world.at(Math.min(call.timeoutMs, 2 ** 31), expire);
+    let broke: ((httpError: HttpError) => void) | null = null;
+    call.signal?.addEventListener('abort', aborted);
     function aborted(): void {
       if (!answered) linearizableRead(err({ tag: 'broken' }));
       else abandon();
     }
 
-    function linearizableRead(r: Result<HttpAnswer, HttpFault>): void {
+    function linearizableRead(result: Result<HttpAnswer, HttpError>): void {
       if (answered) return;
       answered = true;
-      if (!r.ok || !c.stream) finish();
+      if (!result.ok || !call.stream) finish();
       world.run(proc, go);
       function go(): void {
-        resolve(r);
+        resolve(result);
       }
     }
     function finish(): void {
@@ -129,20 +129,20 @@
       linearizableRead(err({ tag: 'neverSent' }));
     }
     if (!target || !target.powered) {
-      world.at(Math.min(CONNECT_MS, c.timeoutMs), neverSent);
+      world.at(Math.min(CONNECT_MS, call.timeoutMs), neverSent);
       return;
     }
     const there = target;
     if (world.isCut(proc.host, there) || world.isCut(there, proc.host)) {
       if (world.isCut(proc.host, there) && world.rng.next() < 0.5)
-        world.at(Math.min(CONNECT_MS, c.timeoutMs), neverSent);
+        world.at(Math.min(CONNECT_MS, call.timeoutMs), neverSent);
       else if (!world.isCut(proc.host, there)) world.at(world.delay(proc.host, there), arrive);
       return;
     }
     world.at(world.delay(proc.host, there), arrive);
 
     function arrive(): void {
-      const httpServer = httpServers.get(c.address);
+      const httpServer = httpServers.get(call.address);
       if (!httpServer || !world.alive(httpServer.proc)) {
         back(neverSent);
         return;
@@ -156,34 +156,34 @@
         if (answered) broke?.({ tag: 'broken' });
         else linearizableRead(err({ tag: 'broken' }));
       }
-      const d = httpServer;
+      const open = httpServer;
       const cameAt = world.now();
-      world.run(d.proc, serve);
+      world.run(open.proc, serve);
       function serve(): void {
-        void handle(d, off, cameAt);
+        void handle(open, off, cameAt);
       }
     }
 
-    function back(fn: () => void): void {
+    function back(callback: () => void): void {
       if (world.isCut(there, proc.host)) return;
-      world.at(world.delay(there, proc.host), fn);
+      world.at(world.delay(there, proc.host), callback);
     }
 
     async function handle(httpServer: Open, off: () => void, cameAt: number): Promise<void> {
-      const [path, search] = c.path.split('?') as [string, string | undefined];
+      const [path, search] = call.path.split('?') as [string, string | undefined];
       const query: Record<string, string> = {};
-      for (const [k, v] of new URLSearchParams(search ?? '')) query[k] = v;
+      for (const [key, value] of new URLSearchParams(search ?? '')) query[key] = value;
       let reply: HttpReply = { status: 404, body: { error: { tag: 'unknownPath' } } };
       for (const route of httpServer.routes) {
-        const params = match(route, c.method, path);
+        const params = match(route, call.method, path);
         if (!params) continue;
         const req: HttpRequest = {
-          method: c.method,
+          method: call.method,
           path,
           params,
           query,
-          headers: { ...c.headers },
-          body: copied(c.body),
+          headers: { ...call.headers },
+          body: copied(call.body),
           gone,
           cameAt,
         };
@@ -213,12 +213,12 @@
         wake?.();
         wake = null;
       }
-      function breakOff(fault: HttpFault): void {
+      function breakOff(fault: HttpError): void {
         over = true;
         push({ queue: err(fault) });
         push({ queue: null });
       }
-      async function* received(): AsyncGenerator<Result<unknown, HttpFault>> {
+      async function* received(): AsyncGenerator<Result<unknown, HttpError>> {
         try {
           for (;;) {
             const item = items.shift();
--- a/src/sim/sim-ledger.ts
+++ b/src/sim/sim-ledger.ts
@@ -1,7 +1,7 @@
 import { err, ok } from '../base/result.js';
 import type { Result } from '../base/result.js';
 import type { Ledger } from '../coordination/ledger/ledger.js';
-import type { Agreed, Draft, ProposeFault } from '../coordination/ledger/proposal.js';
+import type { Agreed, Draft, ProposeError } from '../coordination/ledger/proposal.js';
 import { emptyControlState, foldBatch } from '../state/control-state.js';
 import type { ControlState, Outcome } from '../state/control-state.js';
 import type { Command, Entry } from '../state/entry.js';
@@ -49,7 +49,7 @@
     return !isCut;
   }
   function ledgerAfter(ms: number): Pick<Ledger, 'controlState' | 'linearizableRead' | 'propose'> {
-    async function propose(draft: Draft, waitMs: number): Promise<Result<Agreed, ProposeFault>> {
+    async function propose(draft: Draft, waitMs: number): Promise<Result<Agreed, ProposeError>> {
       await delay(clock, ms);
       proposals += 1;
       const done = fold(draft.id ?? `op-${proposals}`, draft.act);
--- a/src/sim/sim-wire.ts
+++ b/src/sim/sim-wire.ts
@@ -1,6 +1,6 @@
 import { err, ok } from '../base/result.js';
 import type { Result } from '../base/result.js';
-import type { Address, Connection, ConnectionEvents, Listener, Wire, WireFault } from '../transport/wire.js';
+import type { Address, Connection, ConnectionEvents, Listener, Wire, WireError } from '../transport/wire.js';
 import { createLinkRates, createPipe } from './link-rates.js';
 import type { LinkRates, Pipe } from './link-rates.js';
 import type { Host, Proc, World } from './world.js';
@@ -23,7 +23,7 @@
 const SLOW_MS = 400;
 
 export type SimNet = {
-  readonly disturb: (t: Turbulence) => void;
+  readonly disturb: (turbulence: Turbulence) => void;
   readonly rates: LinkRates;
   readonly wireOf: (proc: Proc) => Wire;
   readonly sent: () => { readonly frames: number; readonly bytes: number };
@@ -40,17 +40,17 @@
   let bytes = 0;
   let air = CALM;
 
-  function disturb(t: Turbulence): void {
-    air = t;
+  function disturb(turbulence: Turbulence): void {
+    air = turbulence;
   }
 
   function onKill(host: Host): void {
-    for (const [address, l] of listeners) if (l.proc.host === host) listeners.delete(address);
+    for (const [address, listening] of listeners) if (listening.proc.host === host) listeners.delete(address);
     for (const pair of [...pairs]) {
-      const [a, b] = pair;
-      if (a.proc.host !== host && b.proc.host !== host) continue;
-      const gone = a.proc.host === host ? a : b;
-      const left = gone === a ? b : a;
+      const [end, farEnd] = pair;
+      if (end.proc.host !== host && farEnd.proc.host !== host) continue;
+      const gone = end.proc.host === host ? end : farEnd;
+      const left = gone === end ? farEnd : end;
       gone.closed = true;
       if (host.powered) deliver(gone, left, null);
     }
@@ -58,9 +58,9 @@
   world.onKill(onKill);
 
   function onHeal(): void {
-    for (const [a, b] of pairs) {
-      flush(a, b);
-      flush(b, a);
+    for (const [end, farEnd] of pairs) {
+      flush(end, farEnd);
+      flush(farEnd, end);
     }
   }
   world.onHeal(onHeal);
@@ -74,9 +74,9 @@
       closeEnd(to);
       return;
     }
-    for (const h of held) post(from, to, h.body);
-    function tooOld(h: Held): boolean {
-      return world.now() - h.since > HELD_MOST_MS;
+    for (const frame of held) post(from, to, frame.body);
+    function tooOld(held: Held): boolean {
+      return world.now() - held.since > HELD_MOST_MS;
     }
   }
 
@@ -166,7 +166,7 @@
     function listen(
       address: Address,
       onConnection: (connection: Connection) => void,
-    ): Promise<Result<Listener, WireFault>> {
+    ): Promise<Result<Listener, WireError>> {
       if (listeners.has(address)) return Promise.resolve(err({ tag: 'addressInUse', address }));
       listeners.set(address, { proc, onConnection });
       world.own(address, proc.host);
@@ -177,8 +177,8 @@
       return Promise.resolve(ok({ address, close }));
     }
 
-    function dial(address: Address): Promise<Result<Connection, WireFault>> {
-      function start(resolve: (r: Result<Connection, WireFault>) => void): void {
+    function dial(address: Address): Promise<Result<Connection, WireError>> {
+      function start(resolve: (result: Result<Connection, WireError>) => void): void {
         const target = world.ownerOf(address);
         function fail(): void {
           world.run(proc, failed);
--- a/src/sim/stage.ts
+++ b/src/sim/stage.ts
@@ -1,5 +1,5 @@
 import type { CallerTally } from '../standin/caller.js';
-import type { HttpAnswer, HttpFault } from '../transport/http.js';
+import type { HttpAnswer, HttpError } from '../transport/http.js';
 import type { Result } from '../base/result.js';
 import type { SimFleet } from './sim-fleet.js';
 
@@ -9,47 +9,47 @@
   readonly told: Told;
   readonly expect: (rule: string, held: boolean, detail: string) => void;
 };
-export type Play = (s: Stage) => Promise<void>;
+export type Play = (stage: Stage) => Promise<void>;
 
 export function share(t: CallerTally | null, what: string): number {
   let all = 0;
   let hit = 0;
-  for (const [k, n] of Object.entries(t ?? {})) {
-    all += n;
-    if (k.includes(what)) hit += n;
+  for (const [key, count] of Object.entries(t ?? {})) {
+    all += count;
+    if (key.includes(what)) hit += count;
   }
   return all === 0 ? 0 : hit / all;
 }
 
-export function statusOf(r: Result<HttpAnswer, HttpFault>): number {
-  return r.ok ? r.value.status : 0;
+export function statusOf(result: Result<HttpAnswer, HttpError>): number {
+  return result.ok ? result.value.status : 0;
 }
-export function versionOf(r: Result<HttpAnswer, HttpFault>): number {
-  return r.ok ? ((r.value.body as { readonly version?: number } | null)?.version ?? -1) : -1;
+export function versionOf(result: Result<HttpAnswer, HttpError>): number {
+  return result.ok ? ((result.value.body as { readonly version?: number } | null)?.version ?? -1) : -1;
 }
-export function waitingOf(r: Result<HttpAnswer, HttpFault>): readonly string[] {
-  return r.ok ? ((r.value.body as { readonly waiting?: readonly string[] } | null)?.waiting ?? []) : [];
+export function waitingOf(result: Result<HttpAnswer, HttpError>): readonly string[] {
+  return result.ok ? ((result.value.body as { readonly waiting?: readonly string[] } | null)?.waiting ?? []) : [];
 }
 
 export function amend(
-  f: SimFleet,
+  simFleet: SimFleet,
   at: number,
   base: number,
   value: number,
   operation?: string,
-): Promise<Result<HttpAnswer, HttpFault>> {
-  return f.operator(at, 'POST', '/v1/configuration/amend', {
+): Promise<Result<HttpAnswer, HttpError>> {
+  return simFleet.operator(at, 'POST', '/v1/configuration/amend', {
     base,
     changes: [{ path: ['deployment', 'lineLimit'], value }],
     ...(operation ? { operation } : {}),
   });
 }
-export async function versionAt(f: SimFleet, at: number): Promise<number> {
-  return versionOf(await f.operator(at, 'GET', '/v1/configuration'));
+export async function versionAt(simFleet: SimFleet, at: number): Promise<number> {
+  return versionOf(await simFleet.operator(at, 'GET', '/v1/configuration'));
 }
 
-export async function servesAgain(s: Stage, limitMs: number, zone: string): Promise<void> {
-  const { fleet } = s;
+export async function servesAgain(stage: Stage, limitMs: number, zone: string): Promise<void> {
+  const { fleet } = stage;
   const from = fleet.world.now();
   const seen = fleet.records.length;
   const probe = fleet.traffic({
@@ -72,22 +72,22 @@
   }
   await fleet.until(limitMs + 5_000, success);
   const at = firstSuccess();
-  s.told.recoverMs = at === null ? null : Math.round(at - from);
-  s.expect('serveAgain', at !== null && at - from <= limitMs, `first success after ${s.told.recoverMs} ms`);
+  stage.told.recoverMs = at === null ? null : Math.round(at - from);
+  stage.expect('serveAgain', at !== null && at - from <= limitMs, `first success after ${stage.told.recoverMs} ms`);
   await fleet.finish(probe, 200_000);
 }
 
-export function namesIn(f: SimFleet, zone: string): string[] {
+export function namesIn(simFleet: SimFleet, zone: string): string[] {
   const out: string[] = [];
-  for (const h of f.world.hosts()) if (h.zone === zone) out.push(h.name);
+  for (const host of simFleet.world.hosts()) if (host.zone === zone) out.push(host.name);
   return out;
 }
 
 export async function reclaimAll(fleet: SimFleet, remainingMs: number): Promise<() => boolean> {
   const gone = new Set<string>();
-  for (const h of fleet.controllers) {
-    for (const o of Object.values(h.controller?.ledger.controlState().orders ?? {}))
-      if (o.machine !== null) gone.add(o.machine);
+  for (const simController of fleet.controllers) {
+    for (const order of Object.values(simController.controller?.ledger.controlState().orders ?? {}))
+      if (order.machine !== null) gone.add(order.machine);
   }
   for (const machine of gone)
     await fleet.call({
@@ -97,9 +97,9 @@
       body: { machine, remainingMs },
     });
   function replaced(): boolean {
-    for (const h of fleet.controllers) {
-      for (const o of Object.values(h.controller?.ledger.controlState().orders ?? {}))
-        if (o.machine !== null && gone.has(o.machine)) return false;
+    for (const simController of fleet.controllers) {
+      for (const order of Object.values(simController.controller?.ledger.controlState().orders ?? {}))
+        if (order.machine !== null && gone.has(order.machine)) return false;
     }
     return fleet.allReady();
   }
--- a/src/sim/watchers.ts
+++ b/src/sim/watchers.ts
@@ -8,7 +8,7 @@
   readonly agreed: (version: number, value: number) => void;
   readonly acknowledged: (version: number, value: number) => void;
   readonly newest: () => number;
-  readonly read: (who: string, floor: number, version: number, configuration: unknown) => void;
+  readonly read: (electorate: string, floor: number, version: number, configuration: unknown) => void;
   readonly evacuated: (zone: string) => void;
   readonly restored: (zone: string) => void;
   readonly end: () => void;
@@ -19,19 +19,19 @@
 const IN_FORCE_MS = 3_000;
 const STEP_MS = 50;
 
-function sorted(u: unknown): unknown {
-  if (Array.isArray(u)) return u.map(sorted);
-  if (typeof u !== 'object' || u === null) return u;
+function sorted(value: unknown): unknown {
+  if (Array.isArray(value)) return value.map(sorted);
+  if (typeof value !== 'object' || value === null) return value;
   const out: Record<string, unknown> = {};
-  for (const k of Object.keys(u).sort()) out[k] = sorted((u as Record<string, unknown>)[k]);
+  for (const key of Object.keys(value).sort()) out[key] = sorted((value as Record<string, unknown>)[key]);
   return out;
 }
-function canonical(u: unknown): string {
-  return JSON.stringify(sorted(u));
+function canonical(value: unknown): string {
+  return JSON.stringify(sorted(value));
 }
-function valueIn(u: unknown): number | null {
-  const v = (u as { readonly deployment?: { readonly lineLimit?: unknown } } | null)?.deployment?.lineLimit;
-  return typeof v === 'number' ? v : null;
+function valueIn(value: unknown): number | null {
+  const reading = (value as { readonly deployment?: { readonly lineLimit?: unknown } } | null)?.deployment?.lineLimit;
+  return typeof reading === 'number' ? reading : null;
 }
 
 type Seen = {
@@ -71,23 +71,23 @@
 
   function seen(): Seen[] {
     const out: Seen[] = [];
-    for (const s of fleet.proxies) {
-      const v = s.proxy?.view();
-      if (v)
+    for (const simProxy of fleet.proxies) {
+      const value = simProxy.proxy?.view();
+      if (value)
         out.push({
-          name: s.name,
-          slot: v.slot,
-          version: v.version,
-          configuration: v.configuration,
-          serves: v.serving,
+          name: simProxy.name,
+          slot: value.slot,
+          version: value.version,
+          configuration: value.configuration,
+          serves: value.serving,
           core: false,
         });
     }
-    for (const h of fleet.controllers) {
-      const l = h.controller?.ledger;
+    for (const simController of fleet.controllers) {
+      const l = simController.controller?.ledger;
       if (l)
         out.push({
-          name: h.name,
+          name: simController.name,
           slot: l.controlState().slot,
           version: l.controlState().version,
           configuration: l.controlState().configuration,
@@ -110,41 +110,49 @@
     return world.now() - (disturbedAt.get(name) ?? world.now());
   }
   function coreCalm(): boolean {
-    let n = 0;
-    for (const h of fleet.controllers) if (calmFor(h.name) >= 2 * IN_FORCE_MS) n += 1;
-    return n > fleet.controllers.length / 2;
+    let count = 0;
+    for (const simController of fleet.controllers) if (calmFor(simController.name) >= 2 * IN_FORCE_MS) count += 1;
+    return count > fleet.controllers.length / 2;
   }
 
-  function forward(n: Seen): void {
-    const life = fleet.hostOf(n.name).life;
-    const before = last.get(n.name);
-    const comparable = before && (!n.core || before.life === life);
-    if (comparable && (n.slot < before.slot || n.version < before.version))
+  function forward(seen: Seen): void {
+    const life = fleet.hostOf(seen.name).life;
+    const before = last.get(seen.name);
+    const comparable = before && (!seen.core || before.life === life);
+    if (comparable && (seen.slot < before.slot || seen.version < before.version))
       fault(
         'noOlderVersion',
-        `${n.name} went from slot ${before.slot} version ${before.version} to slot ${n.slot} version ${n.version}`,
+        `${seen.name} went from slot ${before.slot} version ${before.version} to slot ${seen.slot} version ${seen.version}`,
       );
-    last.set(n.name, { slot: n.slot, version: n.version, life });
+    last.set(seen.name, { slot: seen.slot, version: seen.version, life });
   }
 
-  function textOf(c: Configuration): string {
-    const have = texts.get(c);
+  function textOf(configuration: Configuration): string {
+    const have = texts.get(configuration);
     if (have !== undefined) return have;
-    const made = canonical(c);
-    texts.set(c, made);
+    const made = canonical(configuration);
+    texts.set(configuration, made);
     return made;
   }
 
-  function checkContent(who: string, version: number, text: string, value: number | null): void {
+  function checkContent(electorate: string, version: number, text: string, value: number | null): void {
     const known = contents.get(version);
     if (known === undefined) contents.set(version, text);
     else if (known !== text)
-      faultOnce('oneContent', `${who} ${version}`, `${who} holds another configuration under version ${version}`);
+      faultOnce(
+        'oneContent',
+        `${electorate} ${version}`,
+        `${electorate} holds another configuration under version ${version}`,
+      );
     if (value !== null && refusedValues.has(value))
-      faultOnce('refusedSeen', `${who} ${value}`, `${who} holds ${value}, which was refused`);
+      faultOnce('refusedSeen', `${electorate} ${value}`, `${electorate} holds ${value}, which was refused`);
     const agreedValue = values.get(version);
     if (agreedValue !== undefined && value !== agreedValue)
-      faultOnce('readBack', `${who} ${version}`, `${who} holds ${value} in version ${version}, not ${agreedValue}`);
+      faultOnce(
+        'readBack',
+        `${electorate} ${version}`,
+        `${electorate} holds ${value} in version ${version}, not ${agreedValue}`,
+      );
   }
 
   function step(): void {
@@ -152,37 +160,39 @@
     nextAt = world.now() + STEP_MS;
     noteDisturbed();
     const core = coreCalm();
-    for (const n of seen()) {
-      if (n.version > 0) checkContent(n.name, n.version, textOf(n.configuration), valueIn(n.configuration));
-      if (!n.serves) continue;
-      forward(n);
-      if (!n.core && n.version < newest.version)
+    for (const slots of seen()) {
+      if (slots.version > 0)
+        checkContent(slots.name, slots.version, textOf(slots.configuration), valueIn(slots.configuration));
+      if (!slots.serves) continue;
+      forward(slots);
+      if (!slots.core && slots.version < newest.version)
         faultOnce(
           'inForce',
-          `${n.name} ${newest.version}`,
-          `${n.name} serves version ${n.version} though ${newest.version} was acknowledged`,
+          `${slots.name} ${newest.version}`,
+          `${slots.name} serves version ${slots.version} though ${newest.version} was acknowledged`,
         );
       if (
         newestAgreed.version < 0 ||
         !core ||
-        calmFor(n.name) < 2 * IN_FORCE_MS ||
+        calmFor(slots.name) < 2 * IN_FORCE_MS ||
         world.now() - newestAgreed.at < IN_FORCE_MS
       )
         continue;
       watched += STEP_MS;
-      if (n.version < newestAgreed.version)
+      if (slots.version < newestAgreed.version)
         faultOnce(
           'inForce',
-          `${n.name} ${newestAgreed.version} late`,
-          `${n.name} holds version ${n.version} more than 3 s after ${newestAgreed.version} was agreed`,
+          `${slots.name} ${newestAgreed.version} late`,
+          `${slots.name} holds version ${slots.version} more than 3 s after ${newestAgreed.version} was agreed`,
         );
     }
   }
 
   function refused(value: number): void {
     refusedValues.add(value);
-    for (const n of seen())
-      if (n.version > 0) checkContent(n.name, n.version, textOf(n.configuration), valueIn(n.configuration));
+    for (const slots of seen())
+      if (slots.version > 0)
+        checkContent(slots.name, slots.version, textOf(slots.configuration), valueIn(slots.configuration));
   }
   function won(base: number, version: number): void {
     const other = winners.get(base);
@@ -197,38 +207,38 @@
   function acknowledged(version: number, value: number): void {
     agreed(version, value);
     if (version > newest.version) newest = { version, at: world.now() };
-    for (const n of seen())
-      if (!n.core && n.serves && n.version < version)
-        fault('inForce', `${n.name} serves version ${n.version} though ${version} was acknowledged`);
+    for (const slots of seen())
+      if (!slots.core && slots.serves && slots.version < version)
+        fault('inForce', `${slots.name} serves version ${slots.version} though ${version} was acknowledged`);
   }
   function newestVersion(): number {
     return newest.version;
   }
-  function read(who: string, floor: number, version: number, configuration: unknown): void {
-    if (version < floor) fault('readBack', `${who} reads version ${version}, ${floor} was acknowledged before`);
-    checkContent(who, version, canonical(configuration), valueIn(configuration));
+  function read(electorate: string, floor: number, version: number, configuration: unknown): void {
+    if (version < floor) fault('readBack', `${electorate} reads version ${version}, ${floor} was acknowledged before`);
+    checkContent(electorate, version, canonical(configuration), valueIn(configuration));
     const value = values.get(version);
     if (value === undefined) return;
     const base = fleet.shape.configuration as { readonly deployment?: object };
     const whole = canonical({ ...base, deployment: { ...base.deployment, lineLimit: value } });
     if (canonical(configuration) !== whole)
-      fault('readBack', `${who} reads a tree that is not the one acknowledged as version ${version}`);
+      fault('readBack', `${electorate} reads a tree that is not the one acknowledged as version ${version}`);
   }
   function evacuated(zone: string): void {
     evacuations.push({ zone, from: world.now() + EVACUATION_MS, until: Infinity });
   }
   function restored(zone: string): void {
-    for (const e of evacuations) if (e.zone === zone && e.until === Infinity) e.until = world.now();
+    for (const event of evacuations) if (event.zone === zone && event.until === Infinity) event.until = world.now();
   }
 
   function mostRunning(zone: string, model: string, sinceMs: number): number | null {
-    const rm = settingsOf(model);
-    if (sinceMs >= rm.rampS * 1_000) return null;
-    const ramped = Math.max(1, Math.floor((rm.limit * sinceMs) / (rm.rampS * 1_000)));
+    const resolved = settingsOf(model);
+    if (sinceMs >= resolved.rampS * 1_000) return null;
+    const ramped = Math.max(1, Math.floor((resolved.limit * sinceMs) / (resolved.rampS * 1_000)));
     let near = 0;
     let far = 0;
-    for (const s of fleet.proxies) {
-      if (s.host.zone === zone) near += 1;
+    for (const simProxy of fleet.proxies) {
+      if (simProxy.host.zone === zone) near += 1;
       else far += 1;
     }
     return ramped * near + far + 1;
@@ -272,9 +282,9 @@
       if (!attempted.has(requestId)) firsts += 1;
       attempted.add(requestId);
       const came = typeof rec['came'] === 'number' ? rec['came'] : at;
-      for (const e of evacuations) {
-        if (rec['zone'] === e.zone && came > e.from && came < e.until)
-          fault('evacuated', `${requestId} reached ${worker} ${(came - e.from).toFixed(0)} ms too late`);
+      for (const event of evacuations) {
+        if (rec['zone'] === event.zone && came > event.from && came < event.until)
+          fault('evacuated', `${requestId} reached ${worker} ${(came - event.from).toFixed(0)} ms too late`);
       }
       const ready = readyAt.get(worker);
       const most =
@@ -309,24 +319,27 @@
     }
     if (rec['event'] === 'gone') live.delete(String(rec['machine']));
   }
-  for (const h of fleet.controllers) {
-    const b = h.controller?.ledger.controlState();
-    if (!b) continue;
+  for (const simController of fleet.controllers) {
+    const second = simController.controller?.ledger.controlState();
+    if (!second) continue;
     for (const [machine, key] of live) {
-      if (!b.orders[key])
+      if (!second.orders[key])
         fleet.violations.push({
           rule: 'accounted',
-          detail: `machine ${machine} runs, but order ${key} is not open for ${h.name}`,
+          detail: `machine ${machine} runs, but order ${key} is not open for ${simController.name}`,
         });
     }
     const known = new Map<string, string>();
-    for (const o of [...(h.controller?.ledger.closedOrders.all() ?? []), ...Object.values(b.orders)])
-      known.set(o.id, o.events[0]?.author ?? '');
+    for (const order of [
+      ...(simController.controller?.ledger.closedOrders.all() ?? []),
+      ...Object.values(second.orders),
+    ])
+      known.set(order.id, order.events[0]?.author ?? '');
     for (const [key, machine] of ever)
       if (!known.get(key))
         fleet.violations.push({
           rule: 'accounted',
-          detail: `${h.name} can't tell who ordered ${machine} (order ${key})`,
+          detail: `${simController.name} can't tell who ordered ${machine} (order ${key})`,
         });
   }
 }
--- a/src/sim/world.ts
+++ b/src/sim/world.ts
@@ -5,7 +5,7 @@
 import type { Rng } from '../transport/rng.js';
 import type { Address } from '../transport/wire.js';
 
-type Event = { readonly at: number; readonly seq: number; readonly fn: () => void; off: boolean };
+type Event = { readonly at: number; readonly seq: number; readonly callback: () => void; off: boolean };
 
 export type Host = {
   readonly name: string;
@@ -23,13 +23,13 @@
 export type World = {
   readonly rng: Rng;
   readonly now: () => number;
-  readonly at: (ms: number, fn: () => void) => Timer;
+  readonly at: (ms: number, callback: () => void) => Timer;
   readonly host: (name: string, zone: string) => Host;
   readonly hosts: () => readonly Host[];
   readonly begin: (host: Host) => Proc;
   readonly alive: (proc: Proc) => boolean;
   readonly clockOf: (proc: Proc) => Clock;
-  readonly run: (proc: Proc, fn: () => void) => void;
+  readonly run: (proc: Proc, callback: () => void) => void;
   readonly kill: (host: Host) => void;
   readonly freeze: (host: Host) => void;
   readonly thaw: (host: Host) => void;
@@ -40,8 +40,8 @@
   readonly healAll: () => void;
   readonly isCut: (from: Host, to: Host) => boolean;
   readonly isTouched: (name: string) => boolean;
-  readonly onHeal: (fn: () => void) => void;
-  readonly onKill: (fn: (host: Host) => void) => void;
+  readonly onHeal: (callback: () => void) => void;
+  readonly onKill: (callback: (host: Host) => void) => void;
   readonly setDelay: (zoneA: string, zoneB: string, ms: number) => void;
   readonly delay: (from: Host, to: Host) => number;
   readonly advance: (ms: number, everyStep?: () => void) => Promise<void>;
@@ -52,8 +52,8 @@
 export const SIM_WALL = 1_800_000_000_000;
 const SAME_ZONE_MS = 0.3;
 
-function earlier(a: Event, b: Event): number {
-  return a.at - b.at || a.seq - b.seq;
+function earlier(left: Event, right: Event): number {
+  return left.at - right.at || left.seq - right.seq;
 }
 
 export function createWorld(seed: number): World {
@@ -72,8 +72,8 @@
   function now(): number {
     return time;
   }
-  function at(ms: number, fn: () => void): Timer {
-    const event: Event = { at: time + Math.max(0, ms), seq: (seq += 1), fn, off: false };
+  function at(ms: number, callback: () => void): Timer {
+    const event: Event = { at: time + Math.max(0, ms), seq: (seq += 1), callback, off: false };
     heap.push(event);
     function cancel(): void {
       event.off = true;
@@ -90,42 +90,42 @@
   function allHosts(): readonly Host[] {
     return [...hosts.values()];
   }
-  function begin(h: Host): Proc {
-    h.life += 1;
-    h.running = true;
-    h.frozen = false;
-    h.powered = true;
-    h.parked.length = 0;
-    return { host: h, life: h.life };
-  }
-  function alive(p: Proc): boolean {
-    return p.host.running && p.host.life === p.life;
-  }
-  function run(p: Proc, fn: () => void): void {
-    if (!alive(p)) return;
-    if (p.host.frozen) {
-      p.host.parked.push(later);
+  function begin(host: Host): Proc {
+    host.life += 1;
+    host.running = true;
+    host.frozen = false;
+    host.powered = true;
+    host.parked.length = 0;
+    return { host: host, life: host.life };
+  }
+  function alive(proc: Proc): boolean {
+    return proc.host.running && proc.host.life === proc.life;
+  }
+  function run(proc: Proc, callback: () => void): void {
+    if (!alive(proc)) return;
+    if (proc.host.frozen) {
+      proc.host.parked.push(later);
       return;
     }
-    fn();
+    callback();
     function later(): void {
-      if (alive(p)) fn();
+      if (alive(proc)) callback();
     }
   }
-  function clockOf(p: Proc): Clock {
+  function clockOf(proc: Proc): Clock {
     function mono(): number {
       return time;
     }
     function wall(): number {
-      return SIM_WALL + time + p.host.wallOffset;
+      return SIM_WALL + time + proc.host.wallOffset;
     }
-    function timer(ms: number, fn: () => void): Timer {
+    function timer(ms: number, callback: () => void): Timer {
       function fire(): void {
-        run(p, fired);
+        run(proc, fired);
       }
       let off = false;
       function fired(): void {
-        if (!off) fn();
+        if (!off) callback();
       }
       const inner = at(ms, fire);
       function cancel(): void {
@@ -136,23 +136,23 @@
     }
     return { mono, wall, timer };
   }
-  function kill(h: Host): void {
-    if (!h.running) return;
-    h.running = false;
-    h.frozen = false;
-    h.parked.length = 0;
-    for (const fn of killers) fn(h);
+  function kill(host: Host): void {
+    if (!host.running) return;
+    host.running = false;
+    host.frozen = false;
+    host.parked.length = 0;
+    for (const callback of killers) callback(host);
   }
-  function freeze(h: Host): void {
-    h.frozen = true;
+  function freeze(host: Host): void {
+    host.frozen = true;
   }
-  function thaw(h: Host): void {
-    h.frozen = false;
-    const waiting = h.parked.splice(0);
-    for (const fn of waiting) fn();
+  function thaw(host: Host): void {
+    host.frozen = false;
+    const waiting = host.parked.splice(0);
+    for (const callback of waiting) callback();
   }
-  function own(address: Address, h: Host): void {
-    owners.set(address, h);
+  function own(address: Address, host: Host): void {
+    owners.set(address, host);
   }
   function ownerOf(address: Address): Host | null {
     return owners.get(address) ?? null;
@@ -162,11 +162,11 @@
   }
   function heal(from: string, to: string): void {
     cuts.delete(`${from}>${to}`);
-    for (const fn of healers) fn();
+    for (const callback of healers) callback();
   }
   function healAll(): void {
     cuts.clear();
-    for (const fn of healers) fn();
+    for (const callback of healers) callback();
   }
   function isCut(from: Host, to: Host): boolean {
     return cuts.has(`${from.name}>${to.name}`);
@@ -176,9 +176,9 @@
     for (const pair of cuts) if (pair.startsWith(`${name}>`) || pair.endsWith(`>${name}`)) return true;
     return false;
   }
-  function setDelay(a: string, b: string, ms: number): void {
-    delays.set(`${a}|${b}`, ms);
-    delays.set(`${b}|${a}`, ms);
+  function setDelay(address: string, second: string, ms: number): void {
+    delays.set(`${address}|${second}`, ms);
+    delays.set(`${second}|${address}`, ms);
   }
   function delay(from: Host, to: Host): number {
     const base = from.zone === to.zone ? SAME_ZONE_MS : (delays.get(`${from.zone}|${to.zone}`) ?? 1);
@@ -192,7 +192,7 @@
     time = next.at;
     if (next.off) return true;
     handled += 1;
-    next.fn();
+    next.callback();
     await turnOver();
     return true;
   }
@@ -214,11 +214,11 @@
   function events(): number {
     return handled;
   }
-  function onHeal(fn: () => void): void {
-    healers.push(fn);
+  function onHeal(callback: () => void): void {
+    healers.push(callback);
   }
-  function onKill(fn: (h: Host) => void): void {
-    killers.push(fn);
+  function onKill(callback: (host: Host) => void): void {
+    killers.push(callback);
   }
   return {
     rng,
--- a/src/standin/caller.ts
+++ b/src/standin/caller.ts
@@ -1,5 +1,5 @@
 import { createClientOver } from '../client/client.js';
-import type { ClientRequest, ClientFault } from '../client/client.js';
+import type { ClientRequest, ClientError } from '../client/client.js';
 import { sha256 } from '../base/digest.js';
 import { runKey } from '../state/run-key.js';
 import { bootstrapDigest } from './mark.js';
@@ -39,21 +39,25 @@
   readonly journal: Journal;
 };
 
-export function tagOf(fault: ClientFault): string {
-  if (fault.tag !== 'failed') return fault.tag;
-  return fault.failure.tag === 'shed' ? `shed:${fault.failure.reason}` : fault.failure.tag;
+export function tagOf(error: ClientError): string {
+  if (error.tag !== 'failed') return error.tag;
+  return error.failure.tag === 'shed' ? `shed:${error.failure.reason}` : error.failure.tag;
 }
 
-export function isNotRun(fault: ClientFault): boolean {
-  return fault.tag === 'noProxy' || (fault.tag === 'failed' && fault.failure.tag === 'shed');
+export function isNotRun(error: ClientError): boolean {
+  return error.tag === 'noProxy' || (error.tag === 'failed' && error.failure.tag === 'shed');
 }
 
-export async function runCaller(s: CallerSettings, deps: CallerDeps): Promise<CallerTally> {
+export async function runCaller(callerSettings: CallerSettings, deps: CallerDeps): Promise<CallerTally> {
   const { clock, rng, journal } = deps;
-  const client = createClientOver({ proxies: s.proxies, zone: s.zone }, deps.httpClient, clock);
+  const client = createClientOver(
+    { proxies: callerSettings.proxies, zone: callerSettings.zone },
+    deps.httpClient,
+    clock,
+  );
   const tally: CallerTally = {};
   const open = new Set<Promise<void>>();
-  const until = clock.mono() + s.seconds * 1_000;
+  const until = clock.mono() + callerSettings.seconds * 1_000;
 
   function count(what: string): void {
     tally[what] = (tally[what] ?? 0) + 1;
@@ -72,8 +76,8 @@
     count(ask.repeatable ? `stream ${result}` : `once ${result}`);
     journal.record({
       who: 'caller',
-      caller: s.name,
-      zone: s.zone,
+      caller: callerSettings.name,
+      zone: callerSettings.zone,
       at: clock.wall(),
       submission,
       requestId,
@@ -94,10 +98,18 @@
   async function card(): Promise<void> {
     const key = runKey(newId(rng, 'key'), clock.wall());
     const ask: ClientRequest = {
-      model: s.runOnceModel as string,
-      ...(s.kind === null ? {} : { kind: s.kind }),
-      ...(s.homes ? { homes: s.homes } : {}),
-      parts: [{ hash: bootstrapDigest({ key, kind: s.kind, homes: s.homes ?? null }, newId(rng, 'card')), tokens: 24 }],
+      model: callerSettings.runOnceModel as string,
+      ...(callerSettings.kind === null ? {} : { kind: callerSettings.kind }),
+      ...(callerSettings.homes ? { homes: callerSettings.homes } : {}),
+      parts: [
+        {
+          hash: bootstrapDigest(
+            { key, kind: callerSettings.kind, homes: callerSettings.homes ?? null },
+            newId(rng, 'card'),
+          ),
+          tokens: 24,
+        },
+      ],
       outputTokens: 8,
       repeatable: false,
       key,
@@ -119,29 +131,29 @@
         );
         return;
       }
-      const { fault } = got;
-      note(submission, ask, startedAt, null, tagOf(fault), 'requestId' in fault ? fault.requestId : null, null, null);
-      if (!isNotRun(fault) || tries >= s.patience) return;
-      await delay(clock, 1_000 * (fault.tag === 'failed' ? Math.max(1, fault.retryAfterS) : 1));
+      const { error } = got;
+      note(submission, ask, startedAt, null, tagOf(error), 'requestId' in error ? error.requestId : null, null, null);
+      if (!isNotRun(error) || tries >= callerSettings.patience) return;
+      await delay(clock, 1_000 * (error.tag === 'failed' ? Math.max(1, error.retryAfterS) : 1));
     }
   }
 
   async function summary(): Promise<void> {
-    const model = s.streamModels[below(rng, s.streamModels.length)] as string;
-    const prefix = below(rng, s.prefixes);
+    const model = callerSettings.streamModels[below(rng, callerSettings.streamModels.length)] as string;
+    const prefix = below(rng, callerSettings.prefixes);
     const ask: ClientRequest = {
       model,
       parts: [
         { hash: `${model}-rules`, tokens: 400 },
-        { hash: `${model}-history-${prefix}`, tokens: s.historyTokens ?? 1_500 },
+        { hash: `${model}-history-${prefix}`, tokens: callerSettings.historyTokens ?? 1_500 },
         {
-          hash: bootstrapDigest({ key: null, kind: null, homes: s.homes ?? null }, newId(rng, 'case')),
+          hash: bootstrapDigest({ key: null, kind: null, homes: callerSettings.homes ?? null }, newId(rng, 'case')),
           tokens: 60 + below(rng, 200),
         },
       ],
-      outputTokens: s.outputTokens ?? 40 + below(rng, 120),
+      outputTokens: callerSettings.outputTokens ?? 40 + below(rng, 120),
       repeatable: true,
-      ...(s.homes ? { homes: s.homes } : {}),
+      ...(callerSettings.homes ? { homes: callerSettings.homes } : {}),
     };
     const startedAt = clock.mono();
     const submission = newId(rng, 'sub');
@@ -152,8 +164,8 @@
         ask,
         startedAt,
         null,
-        tagOf(got.fault),
-        'requestId' in got.fault ? got.fault.requestId : null,
+        tagOf(got.error),
+        'requestId' in got.error ? got.error.requestId : null,
         null,
         null,
       );
@@ -161,26 +173,28 @@
     }
     const given = { text: '', pieces: 0 };
     let firstAt: number | null = null;
-    for await (const e of got.value.events) {
-      if (e.tag === 'piece') {
+    for await (const clientEvent of got.value.events) {
+      if (clientEvent.tag === 'piece') {
         firstAt ??= clock.mono();
-        given.text += e.text;
+        given.text += clientEvent.text;
         given.pieces += 1;
-      } else if (e.tag === 'sealed') {
-        note(submission, ask, startedAt, firstAt, 'success', got.value.requestId, given, e.attemptId);
-      } else note(submission, ask, startedAt, firstAt, tagOf(e.fault), got.value.requestId, given, null);
+      } else if (clientEvent.tag === 'sealed') {
+        note(submission, ask, startedAt, firstAt, 'success', got.value.requestId, given, clientEvent.attemptId);
+      } else note(submission, ask, startedAt, firstAt, tagOf(clientEvent.error), got.value.requestId, given, null);
     }
   }
 
   while (clock.mono() < until) {
-    const once = s.runOnceModel !== null && (s.streamModels.length === 0 || rng.next() < s.runOnceShare);
+    const once =
+      callerSettings.runOnceModel !== null &&
+      (callerSettings.streamModels.length === 0 || rng.next() < callerSettings.runOnceShare);
     const work = once ? card() : summary();
     open.add(work);
     void work.then(done);
     function done(): void {
       open.delete(work);
     }
-    await delay(clock, (-Math.log(1 - rng.next()) * 1_000) / s.perSecond);
+    await delay(clock, (-Math.log(1 - rng.next()) * 1_000) / callerSettings.perSecond);
   }
   await Promise.all([...open]);
   return tally;
--- a/src/standin/check.ts
+++ b/src/standin/check.ts
@@ -15,12 +15,12 @@
 type Ran = { readonly worker: string; readonly region: string; readonly attemptId: string; readonly at: number };
 
 function str(rec: Rec, key: string): string {
-  const v = rec[key];
-  return typeof v === 'string' ? v : '';
+  const value = rec[key];
+  return typeof value === 'string' ? value : '';
 }
 function num(rec: Rec, key: string): number {
-  const v = rec[key];
-  return typeof v === 'number' ? v : 0;
+  const value = rec[key];
+  return typeof value === 'number' ? value : 0;
 }
 
 export function checkRecords(records: readonly Rec[], rules: CheckRules): CheckReport {
@@ -33,8 +33,8 @@
   const keysRun = new Map<string, string[]>();
   const callers: Rec[] = [];
 
-  function count(what: string, n = 1): void {
-    counts[what] = (counts[what] ?? 0) + n;
+  function count(what: string, total = 1): void {
+    counts[what] = (counts[what] ?? 0) + total;
   }
   function noteLeaving(rec: Rec): void {
     const machine = str(rec, 'machine');
@@ -46,8 +46,8 @@
   }
 
   const sorted = [...records].sort(byTime);
-  function byTime(a: Rec, b: Rec): number {
-    return num(a, 'at') - num(b, 'at');
+  function byTime(left: Rec, right: Rec): number {
+    return num(left, 'at') - num(right, 'at');
   }
   for (const rec of sorted) {
     if (rec['who'] === 'caller') {
@@ -122,8 +122,8 @@
   }
 
   function isPrefix(rec: Rec, requestId: string, runs: readonly Ran[]): boolean {
-    for (const r of runs)
-      if (sha256(textOf(requestId, r.attemptId, num(rec, 'pieces'))) === str(rec, 'text')) return true;
+    for (const ran of runs)
+      if (sha256(textOf(requestId, ran.attemptId, num(rec, 'pieces'))) === str(rec, 'text')) return true;
     return false;
   }
 
@@ -134,7 +134,7 @@
       return;
     }
     let known = false;
-    for (const r of runs) if (r.attemptId === str(rec, 'attemptId')) known = true;
+    for (const ran of runs) if (ran.attemptId === str(rec, 'attemptId')) known = true;
     if (!known) fault('sealed', `${requestId} was told a success of a dispatch that never began`);
     if (sha256(textOf(requestId, str(rec, 'attemptId'), num(end, 'pieces'))) !== str(rec, 'text'))
       fault('spliced', `${requestId} was given a text that is not its worker's`);
@@ -143,10 +143,10 @@
 
 function textOf(requestId: string, attemptId: string, pieces: number): string {
   let text = '';
-  for (let n = 0; n < pieces; n += 1) text += `${requestId.slice(-6)}/${attemptId.slice(-6)}/${n} `;
+  for (let count = 0; count < pieces; count += 1) text += `${requestId.slice(-6)}/${attemptId.slice(-6)}/${count} `;
   return text;
 }
 
-function workerOf(r: Ran): string {
-  return r.worker;
+function workerOf(ran: Ran): string {
+  return ran.worker;
 }
--- a/src/standin/cloud.ts
+++ b/src/standin/cloud.ts
@@ -11,7 +11,7 @@
 import type { Journal } from '../transport/journal.js';
 import { newId } from '../transport/rng.js';
 import type { Rng } from '../transport/rng.js';
-import type { Address, WireFault } from '../transport/wire.js';
+import type { Address, WireError } from '../transport/wire.js';
 
 export type CloudSettings = {
   readonly address: Address;
@@ -49,13 +49,16 @@
 
 const IDLE_FRESH_MS = 3_000;
 
-export async function startStandinCloud(s: CloudSettings, deps: CloudDeps): Promise<Result<StandinCloud, WireFault>> {
+export async function startStandinCloud(
+  settings: CloudSettings,
+  deps: CloudDeps,
+): Promise<Result<StandinCloud, WireError>> {
   const { clock, rng, httpClient, journal } = deps;
   const idle = new Map<string, Slot>();
   const held = new Map<string, Held>();
   const byKey = new Map<string, string>();
   const dry = new Set<string>();
-  const prices = new Map<string, Price>(Object.entries(s.prices));
+  const prices = new Map<string, Price>(Object.entries(settings.prices));
   let loseReplies = 0;
   let pricesDown = false;
 
@@ -66,11 +69,11 @@
   async function onIdle(req: HttpRequest): Promise<HttpReply> {
     const read = readIdle(req.body);
     if (!read.ok) return { status: 400, body: {} };
-    for (const h of held.values()) {
-      if (h.slot.id !== read.value.id || h.machine.state === 'gone') continue;
-      if (h.machine.state === 'starting') return { status: 200, body: {} };
-      h.machine = { ...h.machine, state: 'gone' };
-      note('gone', { machine: h.machine.id, key: h.machine.key });
+    for (const rental of held.values()) {
+      if (rental.slot.id !== read.value.id || rental.machine.state === 'gone') continue;
+      if (rental.machine.state === 'starting') return { status: 200, body: {} };
+      rental.machine = { ...rental.machine, state: 'gone' };
+      note('gone', { machine: rental.machine.id, key: rental.machine.key });
     }
     idle.set(read.value.id, { ...read.value, at: clock.mono() });
     return { status: 200, body: {} };
@@ -85,9 +88,9 @@
 
   async function place(req: HttpRequest): Promise<HttpReply> {
     const read = readOrder(req.body);
-    if (!read.ok) return { status: 400, body: { error: read.fault } };
+    if (!read.ok) return { status: 400, body: { error: read.error } };
     const order = read.value;
-    const already = s.forgetsKeys === true ? undefined : byKey.get(order.key);
+    const already = settings.forgetsKeys === true ? undefined : byKey.get(order.key);
     const reply = already ? shown(already) : await fresh(order);
     if (loseReplies > 0) {
       loseReplies -= 1;
@@ -115,8 +118,8 @@
       model: order.model,
       state: 'starting',
     };
-    const h: Held = { machine, order, slot, since: clock.mono() };
-    held.set(id, h);
+    const rental: Held = { machine, order, slot, since: clock.mono() };
+    held.set(id, rental);
     byKey.set(order.key, id);
     note('machine', {
       machine: id,
@@ -126,41 +129,47 @@
       model: order.model,
       worker: slot.id,
     });
-    void start(h);
+    void start(rental);
     return shown(id);
   }
 
-  async function start(h: Held): Promise<void> {
+  async function start(held: Held): Promise<void> {
     const got = await httpClient.call({
       method: 'POST',
-      address: h.slot.address,
+      address: held.slot.address,
       path: '/lab/boot',
-      body: { machine: h.machine.id, model: h.order.model, kind: h.order.kind },
+      body: { machine: held.machine.id, model: held.order.model, kind: held.order.kind },
       timeoutMs: 3_000,
     });
-    if (h.machine.state !== 'starting') return;
+    if (held.machine.state !== 'starting') return;
     const booted = got.ok && got.value.status === 200;
-    h.machine = { ...h.machine, state: booted ? 'running' : 'gone' };
-    if (!booted) note('gone', { machine: h.machine.id, key: h.machine.key });
+    held.machine = { ...held.machine, state: booted ? 'running' : 'gone' };
+    if (!booted) note('gone', { machine: held.machine.id, key: held.machine.key });
   }
 
   async function list(req: HttpRequest): Promise<HttpReply> {
     const machines: Machine[] = [];
-    for (const h of held.values())
+    for (const rental of held.values())
       if (
-        h.order.owner === req.query['owner'] &&
-        h.machine.state !== 'gone' &&
-        clock.mono() - h.since >= (s.listLagMs ?? 0)
+        rental.order.owner === req.query['owner'] &&
+        rental.machine.state !== 'gone' &&
+        clock.mono() - rental.since >= (settings.listLagMs ?? 0)
       )
-        machines.push(h.machine);
+        machines.push(rental.machine);
     return { status: 200, body: { machines } };
   }
 
-  async function end(h: Held): Promise<void> {
-    if (h.machine.state === 'gone') return;
-    h.machine = { ...h.machine, state: 'gone' };
-    note('gone', { machine: h.machine.id, key: h.machine.key });
-    await httpClient.call({ method: 'POST', address: h.slot.address, path: '/lab/halt', body: {}, timeoutMs: 3_000 });
+  async function end(held: Held): Promise<void> {
+    if (held.machine.state === 'gone') return;
+    held.machine = { ...held.machine, state: 'gone' };
+    note('gone', { machine: held.machine.id, key: held.machine.key });
+    await httpClient.call({
+      method: 'POST',
+      address: held.slot.address,
+      path: '/lab/halt',
+      body: {},
+      timeoutMs: 3_000,
+    });
   }
 
   async function release(req: HttpRequest): Promise<HttpReply> {
@@ -179,7 +188,7 @@
     note('reclaiming', { machine: h.machine.id, key: h.machine.key, remainingMs: ms });
     await httpClient.call({
       method: 'POST',
-      address: s.platform,
+      address: settings.platform,
       path: `/lab/workers/${h.slot.id}/drain`,
       body: { remainingMs: ms },
       timeoutMs: 2_000,
@@ -193,7 +202,7 @@
 
   async function zoneFault(req: HttpRequest): Promise<HttpReply> {
     const read = readZoneFault(req.body);
-    if (!read.ok) return { status: 400, body: { error: read.fault } };
+    if (!read.ok) return { status: 400, body: { error: read.error } };
     const { zone, spot, onDemand } = read.value;
     if (spot !== undefined) mark(`spot ${zone}`, spot);
     if (onDemand !== undefined) mark(`onDemand ${zone}`, onDemand);
@@ -206,26 +215,26 @@
   }
   async function lose(req: HttpRequest): Promise<HttpReply> {
     const read = readLose(req.body);
-    if (!read.ok) return { status: 400, body: { error: read.fault } };
+    if (!read.ok) return { status: 400, body: { error: read.error } };
     loseReplies = read.value.replies;
     return { status: 200, body: {} };
   }
   async function reprice(req: HttpRequest): Promise<HttpReply> {
     const read = readPrice(req.body);
-    if (!read.ok) return { status: 400, body: { error: read.fault } };
+    if (!read.ok) return { status: 400, body: { error: read.error } };
     prices.set(read.value.zone, { spot: read.value.spot, onDemand: read.value.onDemand });
     return { status: 200, body: {} };
   }
   async function failPrices(req: HttpRequest): Promise<HttpReply> {
     const read = readDown(req.body);
-    if (!read.ok) return { status: 400, body: { error: read.fault } };
+    if (!read.ok) return { status: 400, body: { error: read.error } };
     pricesDown = read.value.down;
     return { status: 200, body: {} };
   }
   async function tellPrices(): Promise<HttpReply> {
     if (pricesDown) return { status: 500, text: 'down' };
     const out = [];
-    for (const [zone, p] of prices) out.push({ zone, ...p });
+    for (const [zone, price] of prices) out.push({ zone, ...price });
     return { status: 200, body: { prices: out } };
   }
   async function all(): Promise<HttpReply> {
@@ -233,11 +242,11 @@
   }
   function machines(): readonly Machine[] {
     const out: Machine[] = [];
-    for (const h of held.values()) out.push(h.machine);
+    for (const rental of held.values()) out.push(rental.machine);
     return out;
   }
 
-  const opened = await deps.httpServer.open(s.address, [
+  const opened = await deps.httpServer.open(settings.address, [
     { method: 'POST', path: '/lab/idle', handle: onIdle },
     { method: 'POST', path: MACHINES_PATH, handle: place },
     { method: 'GET', path: MACHINES_PATH, handle: list },
--- a/src/standin/hollow.ts
+++ b/src/standin/hollow.ts
@@ -8,9 +8,9 @@
 import { HEALTH_PATH } from '../protocol/worker-wire.js';
 import { every, delay } from '../transport/clock.js';
 import type { Clock } from '../transport/clock.js';
-import type { HttpClient, HttpServer, HttpAnswer, HttpCall, HttpFault, HttpReply, Route } from '../transport/http.js';
+import type { HttpClient, HttpServer, HttpAnswer, HttpCall, HttpError, HttpReply, Route } from '../transport/http.js';
 import { newId } from '../transport/rng.js';
-import type { Address, Listener, WireFault } from '../transport/wire.js';
+import type { Address, Listener, WireError } from '../transport/wire.js';
 
 export type HollowPart = {
   readonly tally: () => {
@@ -36,7 +36,7 @@
 
 // A server without callers: nothing listens, so all that a proxy does is control.
 export function hollowHttpServer(): HttpServer {
-  async function open(address: Address): Promise<Result<Listener, WireFault>> {
+  async function open(address: Address): Promise<Result<Listener, WireError>> {
     return ok({ address, close: nothing });
   }
   return { open };
@@ -48,10 +48,10 @@
 // The proxies of a process share one reading of the list each second, and workers' health is answered from it, so that hollow workers need no connections.
 export function hollowWorkers(httpClient: HttpClient, clock: Clock): HttpClient {
   const listed = new Map<Address, Listed>();
-  let reading: Promise<Result<HttpAnswer, HttpFault>> | null = null;
+  let reading: Promise<Result<HttpAnswer, HttpError>> | null = null;
   let readAt = 0;
-  async function call(c: HttpCall): Promise<Result<HttpAnswer, HttpFault>> {
-    const known = c.path === HEALTH_PATH ? listed.get(c.address) : undefined;
+  async function call(httpCall: HttpCall): Promise<Result<HttpAnswer, HttpError>> {
+    const known = httpCall.path === HEALTH_PATH ? listed.get(httpCall.address) : undefined;
     if (known)
       return ok(
         answer({
@@ -63,18 +63,18 @@
           readyForMs: 60_000,
         }),
       );
-    if (c.path !== WORKERS_PATH) return httpClient.call(c);
+    if (httpCall.path !== WORKERS_PATH) return httpClient.call(httpCall);
     if (reading === null || clock.mono() - readAt > SHARED_MS) {
       readAt = clock.mono();
-      reading = read(c);
+      reading = read(httpCall);
     }
     return reading;
   }
-  async function read(c: HttpCall): Promise<Result<HttpAnswer, HttpFault>> {
-    const got = await httpClient.call(c);
+  async function read(call: HttpCall): Promise<Result<HttpAnswer, HttpError>> {
+    const got = await httpClient.call(call);
     if (got.ok) {
       const list = readWorkerList(got.value.body);
-      if (list.ok) for (const w of list.value.workers) listed.set(w.address, w);
+      if (list.ok) for (const worker of list.value.workers) listed.set(worker.address, worker);
     }
     return got;
   }
@@ -96,26 +96,26 @@
   httpClient: HttpClient,
 ): { readonly httpServer: HttpServer; readonly httpClient: HttpClient } {
   const opened = new Map<Address, readonly Route[]>();
-  async function open(address: Address, routes: readonly Route[]): Promise<Result<Listener, WireFault>> {
+  async function open(address: Address, routes: readonly Route[]): Promise<Result<Listener, WireError>> {
     const got = await httpServer.open(address, routes);
     if (got.ok) opened.set(address, routes);
     return got;
   }
-  async function call(c: HttpCall): Promise<Result<HttpAnswer, HttpFault>> {
-    const route = opened.get(c.address)?.find(isIt);
-    if (!route) return httpClient.call(c);
+  async function call(httpCall: HttpCall): Promise<Result<HttpAnswer, HttpError>> {
+    const route = opened.get(httpCall.address)?.find(isIt);
+    if (!route) return httpClient.call(httpCall);
     const reply: HttpReply = await route.handle({
-      method: c.method,
-      path: c.path,
+      method: httpCall.method,
+      path: httpCall.path,
       params: {},
       query: {},
       headers: {},
-      body: c.body,
+      body: httpCall.body,
       gone: never,
     });
     return ok({ ...answer(reply.body ?? null), status: reply.status });
-    function isIt(r: Route): boolean {
-      return r.method === c.method && r.path === c.path;
+    function isIt(route: Route): boolean {
+      return route.method === httpCall.method && route.path === httpCall.path;
     }
   }
   return { httpServer: { open }, httpClient: { call } };
@@ -126,39 +126,44 @@
 
 export async function startHollowProxies(
   wanted: readonly HollowProxy[],
-  depsOf: (of: HollowProxy) => NodeDeps,
+  depsOf: (hollowProxy: HollowProxy) => NodeDeps,
   clock: Clock,
-): Promise<Result<HollowPart, WireFault>> {
+): Promise<Result<HollowPart, WireError>> {
   type Held = { readonly of: HollowProxy; proxy: Proxy | null };
   const held: Held[] = [];
   const inForceAt: Record<number, number> = {};
   let least = 0;
   let partitionedMost = 0;
 
-  async function start(h: Held): Promise<Result<null, WireFault>> {
-    const deps = depsOf(h.of);
-    const id: NodeIdentity = { ...h.of, run: newId(deps.rng, 'run'), advertised: h.of.listen, httpListen: h.of.http };
+  async function start(held: Held): Promise<Result<null, WireError>> {
+    const deps = depsOf(held.of);
+    const id: NodeIdentity = {
+      ...held.of,
+      run: newId(deps.rng, 'run'),
+      advertised: held.of.listen,
+      httpListen: held.of.http,
+    };
     const got = await startProxy(id, deps);
     if (!got.ok) return got;
-    h.proxy = got.value;
+    held.proxy = got.value;
     return ok(null);
   }
-  for (const of of wanted) {
-    const h: Held = { of, proxy: null };
-    held.push(h);
-    const got = await start(h);
-    if (!got.ok) return err(got.fault);
+  for (const hollowProxy of wanted) {
+    const proxy: Held = { of: hollowProxy, proxy: null };
+    held.push(proxy);
+    const got = await start(proxy);
+    if (!got.ok) return err(got.error);
     await delay(clock, STARTS_EVERY_MS);
   }
 
   function look(): void {
     let now = Infinity;
     let partitioned = 0;
-    for (const h of held) {
-      const v = h.proxy?.view();
-      if (!v) continue;
-      now = Math.min(now, v.version);
-      if (v.partitioned) partitioned += 1;
+    for (const proxy of held) {
+      const value = proxy.proxy?.view();
+      if (!value) continue;
+      now = Math.min(now, value.version);
+      if (value.partitioned) partitioned += 1;
     }
     partitionedMost = Math.max(partitionedMost, partitioned);
     if (now === Infinity || now <= least) return;
@@ -171,10 +176,10 @@
   function tally(): ReturnType<HollowPart['tally']> {
     let serving = 0;
     let partitioned = 0;
-    for (const h of held) {
-      const v = h.proxy?.view();
-      if (v?.serving) serving += 1;
-      if (v?.partitioned) partitioned += 1;
+    for (const proxy of held) {
+      const value = proxy.proxy?.view();
+      if (value?.serving) serving += 1;
+      if (value?.partitioned) partitioned += 1;
     }
     return { proxies: held.length, serving, partitioned, leastVersion: least, inForceAt, partitionedMost };
   }
@@ -182,18 +187,18 @@
   let next = 0;
   async function restart(count: number): Promise<void> {
     for (let i = 0; i < count && held.length > 0; i += 1) {
-      const h = held[next % held.length] as Held;
+      const proxy = held[next % held.length] as Held;
       next += 1;
-      const old = h.proxy;
-      h.proxy = null;
+      const old = proxy.proxy;
+      proxy.proxy = null;
       await old?.stop();
-      await start(h);
+      await start(proxy);
     }
   }
   async function stop(): Promise<void> {
     looking.cancel();
     const all: Promise<void>[] = [];
-    for (const h of held) if (h.proxy) all.push(h.proxy.stop());
+    for (const proxy of held) if (proxy.proxy) all.push(proxy.proxy.stop());
     await Promise.all(all);
   }
   return ok({ tally, restart, stop });
--- a/src/standin/platform.ts
+++ b/src/standin/platform.ts
@@ -8,7 +8,7 @@
 import type { Clock } from '../transport/clock.js';
 import type { HttpServer, HttpReply, HttpRequest } from '../transport/http.js';
 import type { Journal } from '../transport/journal.js';
-import type { Address, WireFault } from '../transport/wire.js';
+import type { Address, WireError } from '../transport/wire.js';
 
 export type StandinPlatform = { readonly address: Address; readonly stop: () => Promise<void> };
 
@@ -29,7 +29,7 @@
   clock: Clock,
   httpServer: HttpServer,
   journal: Journal,
-): Promise<Result<StandinPlatform, WireFault>> {
+): Promise<Result<StandinPlatform, WireError>> {
   const held = new Map<string, Held>();
   const drains = new Map<string, Drain>();
   const hidden = new Set<string>();
@@ -37,7 +37,7 @@
 
   async function heartbeat(req: HttpRequest): Promise<HttpReply> {
     const read = readListed(req.body);
-    if (!read.ok) return { status: 400, body: { error: read.fault } };
+    if (!read.ok) return { status: 400, body: { error: read.error } };
     held.set(read.value.id, { listed: read.value, at: clock.mono() });
     return { status: 200, body: {} };
   }
@@ -47,16 +47,16 @@
     if (mode === 'nonsense') return { status: 200, body: { workers: 'many' } };
     const now = clock.mono();
     const workers: Listed[] = [];
-    for (const [id, h] of held) {
-      if (now - h.at > FORGET_MS) {
+    for (const [id, worker] of held) {
+      if (now - worker.at > FORGET_MS) {
         held.delete(id);
         continue;
       }
       if (hidden.has(id)) continue;
       const drain = drains.get(id);
-      if (drain && drain.machine === h.listed.machine)
-        workers.push({ ...h.listed, state: 'draining', remainingMs: Math.max(0, drain.by - now) });
-      else workers.push(h.listed);
+      if (drain && drain.machine === worker.listed.machine)
+        workers.push({ ...worker.listed, state: 'draining', remainingMs: Math.max(0, drain.by - now) });
+      else workers.push(worker.listed);
     }
     return { status: 200, body: { workers } };
   }
@@ -69,32 +69,32 @@
   async function drainMachine(req: HttpRequest): Promise<HttpReply> {
     const read = readDrainMachine(req.body);
     if (read.ok)
-      for (const h of held.values())
-        if (h.listed.machine === read.value.machine) return drained(h, read.value.remainingMs);
+      for (const worker of held.values())
+        if (worker.listed.machine === read.value.machine) return drained(worker, read.value.remainingMs);
     return { status: 404, body: {} };
   }
-  function drained(h: Held, remainingMs: number): HttpReply {
+  function drained(held: Held, remainingMs: number): HttpReply {
     journal.record({
       who: 'platform',
       at: clock.wall(),
       event: 'draining',
-      machine: h.listed.machine,
-      worker: h.listed.id,
+      machine: held.listed.machine,
+      worker: held.listed.id,
     });
-    drains.set(h.listed.id, { machine: h.listed.machine, by: clock.mono() + remainingMs });
+    drains.set(held.listed.id, { machine: held.listed.machine, by: clock.mono() + remainingMs });
     return { status: 200, body: {} };
   }
   async function hide(req: HttpRequest): Promise<HttpReply> {
     const read = readHide(req.body);
     const id = req.params['id'] ?? '';
-    if (!read.ok) return { status: 400, body: { error: read.fault } };
+    if (!read.ok) return { status: 400, body: { error: read.error } };
     if (read.value.hidden) hidden.add(id);
     else hidden.delete(id);
     return { status: 200, body: {} };
   }
   async function fault(req: HttpRequest): Promise<HttpReply> {
     const read = readFault(req.body);
-    if (!read.ok) return { status: 400, body: { error: read.fault } };
+    if (!read.ok) return { status: 400, body: { error: read.error } };
     mode = read.value.mode;
     return { status: 200, body: {} };
   }
--- a/src/standin/slow-net.ts
+++ b/src/standin/slow-net.ts
@@ -2,9 +2,9 @@
 import type { Result } from '../base/result.js';
 import type { Clock } from '../transport/clock.js';
 import { delay } from '../transport/clock.js';
-import type { HttpClient, HttpAnswer, HttpCall, HttpFault } from '../transport/http.js';
+import type { HttpClient, HttpAnswer, HttpCall, HttpError } from '../transport/http.js';
 import type { Switches } from '../transport/switch-file.js';
-import type { Address, Connection, ConnectionEvents, Wire, WireFault } from '../transport/wire.js';
+import type { Address, Connection, ConnectionEvents, Wire, WireError } from '../transport/wire.js';
 
 export type Path = { readonly delayMs: number; readonly outCut: () => boolean; readonly inCut: () => boolean };
 export type PathTo = (address: Address) => Path;
@@ -79,7 +79,7 @@
     }
     return { peer: connection.peer, send, attach, close: connection.close };
   }
-  async function dial(address: Address): Promise<Result<Connection, WireFault>> {
+  async function dial(address: Address): Promise<Result<Connection, WireError>> {
     const path = pathTo(address);
     if (path.outCut() || path.inCut()) {
       await delay(clock, CONNECT_MS);
@@ -93,7 +93,7 @@
 }
 
 export function slowHttpClient(httpClient: HttpClient, clock: Clock, pathTo: PathTo): HttpClient {
-  async function* slowLines(lines: HttpAnswer['lines'], path: Path): AsyncGenerator<Result<unknown, HttpFault>> {
+  async function* slowLines(lines: HttpAnswer['lines'], path: Path): AsyncGenerator<Result<unknown, HttpError>> {
     let first = true;
     for await (const line of lines) {
       if (first) await delay(clock, path.delayMs);
@@ -102,22 +102,22 @@
       yield line;
     }
   }
-  async function call(c: HttpCall): Promise<Result<HttpAnswer, HttpFault>> {
-    const path = pathTo(c.address);
-    const until = clock.mono() + c.timeoutMs;
+  async function call(httpCall: HttpCall): Promise<Result<HttpAnswer, HttpError>> {
+    const path = pathTo(httpCall.address);
+    const until = clock.mono() + httpCall.timeoutMs;
     if (path.delayMs > 0) await delay(clock, path.delayMs);
     if (path.outCut()) {
-      await delay(clock, Math.min(CONNECT_MS, c.timeoutMs));
+      await delay(clock, Math.min(CONNECT_MS, httpCall.timeoutMs));
       return err({ tag: 'neverSent' });
     }
-    const got = await httpClient.call(c);
-    while (path.inCut() && c.signal?.aborted !== true) {
+    const got = await httpClient.call(httpCall);
+    while (path.inCut() && httpCall.signal?.aborted !== true) {
       if (clock.mono() >= until) return err({ tag: 'timedOut' });
       await delay(clock, HELD_LOOK_MS);
     }
-    if (c.signal?.aborted === true) return err({ tag: 'broken' });
+    if (httpCall.signal?.aborted === true) return err({ tag: 'broken' });
     if (!got.ok) return got;
-    if (c.stream) return ok({ ...got.value, lines: slowLines(got.value.lines, path) });
+    if (httpCall.stream) return ok({ ...got.value, lines: slowLines(got.value.lines, path) });
     if (path.delayMs > 0) await delay(clock, path.delayMs);
     return got;
   }
--- a/src/standin/tally.ts
+++ b/src/standin/tally.ts
@@ -1,5 +1,5 @@
 import { isTable } from '../base/is-table.js';
-import type { HttpClient, HttpAnswer, HttpCall, HttpFault } from '../transport/http.js';
+import type { HttpClient, HttpAnswer, HttpCall, HttpError } from '../transport/http.js';
 import type { Result } from '../base/result.js';
 import type { Address, WireMeter } from '../transport/wire.js';
 
@@ -18,9 +18,9 @@
 const HEADERS_BYTES = 300;
 const WEIGHED_EACH = 16;
 
-export function distance(a: Place, b: Place): 'inZone' | 'betweenZones' | 'betweenRegions' {
-  if (a.region !== b.region) return 'betweenRegions';
-  return a.zone === b.zone ? 'inZone' : 'betweenZones';
+export function distance(left: Place, right: Place): 'inZone' | 'betweenZones' | 'betweenRegions' {
+  if (left.region !== right.region) return 'betweenRegions';
+  return left.zone === right.zone ? 'inZone' : 'betweenZones';
 }
 
 function kindOf(body: unknown): string {
@@ -33,12 +33,12 @@
   const rows: Record<string, TallyRow> = {};
   const weights = new Map<string, { calls: number; bytes: number }>();
 
-  function add(key: string, n: number, bytes: number): void {
+  function add(key: string, count: number, bytes: number): void {
     const row = rows[key];
     if (row) {
-      row.n += n;
+      row.n += count;
       row.bytes += bytes;
-    } else rows[key] = { n, bytes };
+    } else rows[key] = { n: count, bytes };
   }
 
   function keyOf(own: Place, peer: Address, what: string): string {
@@ -59,21 +59,21 @@
   }
 
   function weigh(key: string, body: unknown): number {
-    const w = weights.get(key) ?? { calls: 0, bytes: 0 };
-    if (w.calls % WEIGHED_EACH === 0) w.bytes = body === undefined ? 0 : JSON.stringify(body).length;
-    w.calls += 1;
-    weights.set(key, w);
-    return w.bytes + HEADERS_BYTES;
+    const worker = weights.get(key) ?? { calls: 0, bytes: 0 };
+    if (worker.calls % WEIGHED_EACH === 0) worker.bytes = body === undefined ? 0 : JSON.stringify(body).length;
+    worker.calls += 1;
+    weights.set(key, worker);
+    return worker.bytes + HEADERS_BYTES;
   }
 
   function countedHttpClient(own: Place, httpClient: HttpClient): HttpClient {
-    async function call(c: HttpCall): Promise<Result<HttpAnswer, HttpFault>> {
-      const path = c.path.replace(/\?.*$/, '').replace(/\/[^/]*\d[^/]*$/, '/:id');
-      const out = keyOf(own, c.address, `out ${c.method}:${path}`);
-      add(out, 1, weigh(out, c.body));
-      const got = await httpClient.call(c);
-      const back = keyOf(own, c.address, `in ${c.method}:${path}`);
-      if (got.ok) add(back, 1, weigh(back, c.stream ? undefined : got.value.body));
+    async function call(httpCall: HttpCall): Promise<Result<HttpAnswer, HttpError>> {
+      const path = httpCall.path.replace(/\?.*$/, '').replace(/\/[^/]*\d[^/]*$/, '/:id');
+      const out = keyOf(own, httpCall.address, `out ${httpCall.method}:${path}`);
+      add(out, 1, weigh(out, httpCall.body));
+      const got = await httpClient.call(httpCall);
+      const back = keyOf(own, httpCall.address, `in ${httpCall.method}:${path}`);
+      if (got.ok) add(back, 1, weigh(back, httpCall.stream ? undefined : got.value.body));
       return got;
     }
     return { call };
--- a/src/standin/worker.ts
+++ b/src/standin/worker.ts
@@ -13,7 +13,7 @@
 import type { Journal } from '../transport/journal.js';
 import { newId } from '../transport/rng.js';
 import type { Rng } from '../transport/rng.js';
-import type { Address, Listener, WireFault } from '../transport/wire.js';
+import type { Address, Listener, WireError } from '../transport/wire.js';
 
 export type WorkerSettings = {
   readonly id: string;
@@ -75,9 +75,9 @@
 const CACHE_CHAINS = 4_096;
 
 export async function startStandinWorker(
-  s: WorkerSettings,
+  workerSettings: WorkerSettings,
   deps: WorkerDeps,
-): Promise<Result<StandinWorker, WireFault>> {
+): Promise<Result<StandinWorker, WireError>> {
   const { clock, rng, journal, httpClient } = deps;
   let state: State = 'idle';
   let model = '';
@@ -94,10 +94,10 @@
   function note(event: string, run: Run | null, extra: Readonly<Record<string, unknown>> = {}): void {
     journal.record({
       who: 'worker',
-      worker: s.id,
+      worker: workerSettings.id,
       machine,
-      region: s.region,
-      zone: s.zone,
+      region: workerSettings.region,
+      zone: workerSettings.zone,
       at: clock.wall(),
       event,
       ...(run ? { requestId: run.requestId, attemptId: run.attemptId } : {}),
@@ -117,7 +117,7 @@
       note('ready', null);
       void heartbeat();
     }
-    clock.timer(s.loadMs, done);
+    clock.timer(workerSettings.loadMs, done);
   }
 
   function halt(): void {
@@ -125,7 +125,7 @@
     state = 'idle';
     drainBy = null;
     note('halted', null);
-    if (s.fixedModel !== null) boot(`${s.id}-fixed`, s.fixedModel, 'fixed');
+    if (workerSettings.fixedModel !== null) boot(`${workerSettings.id}-fixed`, workerSettings.fixedModel, 'fixed');
   }
 
   function boot(on: string, what: string, as: 'spot' | 'onDemand' | 'fixed'): void {
@@ -146,9 +146,9 @@
     if (state === 'idle') {
       await httpClient.call({
         method: 'POST',
-        address: s.cloud,
+        address: workerSettings.cloud,
         path: '/lab/idle',
-        body: { id: s.id, address: s.address, zone: s.zone },
+        body: { id: workerSettings.id, address: workerSettings.address, zone: workerSettings.zone },
         timeoutMs: 900,
       });
       return;
@@ -156,15 +156,15 @@
     const left = remaining();
     await httpClient.call({
       method: 'POST',
-      address: s.platform,
+      address: workerSettings.platform,
       path: '/lab/workers',
       body: {
-        id: s.id,
+        id: workerSettings.id,
         machine,
-        address: s.address,
+        address: workerSettings.address,
         model,
-        zone: s.zone,
-        region: s.region,
+        zone: workerSettings.zone,
+        region: workerSettings.region,
         kind,
         state,
         ...(left === undefined ? {} : { remainingMs: left }),
@@ -191,15 +191,15 @@
     for (const part of run.parts) all += part.tokens;
     const hit = cachedTokens(run);
     note('prefill', run, { tokens: all, hit });
-    await delay(clock, 1 + ((all - hit) * s.prefillUsPerToken) / 1_000);
+    await delay(clock, 1 + ((all - hit) * workerSettings.prefillUsPerToken) / 1_000);
   }
 
-  function textOf(run: Run, n: number): string {
-    return `${run.requestId.slice(-6)}/${run.attemptId.slice(-6)}/${n} `;
+  function textOf(run: Run, count: number): string {
+    return `${run.requestId.slice(-6)}/${run.attemptId.slice(-6)}/${count} `;
   }
 
   function pieceCount(run: Run): number {
-    return Math.max(1, Math.ceil(run.outputTokens / s.tokensPerPiece));
+    return Math.max(1, Math.ceil(run.outputTokens / workerSettings.tokensPerPiece));
   }
 
   async function* produce(run: Run, mine: number): AsyncGenerator<unknown> {
@@ -207,13 +207,13 @@
     try {
       await prefill(run);
       const total = pieceCount(run);
-      for (let n = 0; n < total; n += 1) {
-        await delay(clock, s.decodeMsPerPiece);
+      for (let count = 0; count < total; count += 1) {
+        await delay(clock, workerSettings.decodeMsPerPiece);
         if (mine !== life) return;
-        if (mode === 'truncate' && n >= total / 2) return;
-        if (mode === 'stall' && n > 0) await delay(clock, 600_000);
-        const piece = { n: mode === 'swapPieces' && n === 1 ? 2 : n, text: textOf(run, n) };
-        addChunk(check, { n, text: piece.text });
+        if (mode === 'truncate' && count >= total / 2) return;
+        if (mode === 'stall' && count > 0) await delay(clock, 600_000);
+        const piece = { n: mode === 'swapPieces' && count === 1 ? 2 : count, text: textOf(run, count) };
+        addChunk(check, { n: count, text: piece.text });
         yield { piece };
       }
       const digest = closeDigest(check, run.attemptId);
@@ -223,17 +223,17 @@
       running -= 1;
     }
   }
-  function flip(c: string): string {
-    return c === '0' ? '1' : '0';
+  function flip(character: string): string {
+    return character === '0' ? '1' : '0';
   }
 
   async function run(req: HttpRequest): Promise<HttpReply> {
     const read = readRun(req.body);
-    if (!read.ok) return { status: 400, body: { error: read.fault } };
+    if (!read.ok) return { status: 400, body: { error: read.error } };
     const ask = read.value;
     note('arrived', ask, { model: ask.model, state, running, mark: markIn(ask.parts), came: req.cameAt ?? null });
     if (mode === 'silent') await delay(clock, 600_000);
-    if (state !== 'ready' || ask.model !== model || running >= s.capacity || mode === 'refuse') {
+    if (state !== 'ready' || ask.model !== model || running >= workerSettings.capacity || mode === 'refuse') {
       note('refused', ask);
       return { status: 503, body: { notRun: true, requestId: ask.requestId, attemptId: ask.attemptId } };
     }
@@ -258,7 +258,7 @@
     return {
       status: 200,
       body: {
-        id: s.id,
+        id: workerSettings.id,
         incarnation,
         model,
         state,
@@ -290,7 +290,7 @@
   }
   async function onFault(req: HttpRequest): Promise<HttpReply> {
     const read = readFault(req.body);
-    if (!read.ok) return { status: 400, body: { error: read.fault } };
+    if (!read.ok) return { status: 400, body: { error: read.error } };
     mode = read.value.mode;
     note('fault', null, { mode });
     return { status: 200, body: {} };
@@ -311,10 +311,10 @@
     { method: 'POST', path: '/lab/fault', handle: onFault },
     { method: 'POST', path: '/lab/cold', handle: onCold },
   ];
-  const opened = await deps.httpServer.open(s.address, routes);
+  const opened = await deps.httpServer.open(workerSettings.address, routes);
   if (!opened.ok) return opened;
   const httpServer: Listener = opened.value;
-  if (s.fixedModel !== null) boot(`${s.id}-fixed`, s.fixedModel, 'fixed');
+  if (workerSettings.fixedModel !== null) boot(`${workerSettings.id}-fixed`, workerSettings.fixedModel, 'fixed');
 
   function tick(): void {
     void heartbeat();
--- a/src/state/acceptor.ts
+++ b/src/state/acceptor.ts
@@ -39,17 +39,17 @@
 /** Phase 1: promises to take part in no lower ballot, and tells what was accepted before. */
 export function prepare(acc: Acceptor, slot: number, ballot: Ballot): Vote {
   if (slot < acc.floor) return { tag: 'alreadyChosen' };
-  const st = slotOf(acc, slot);
-  if (compareBallots(ballot, st.promised) <= 0) return { tag: 'outbid', by: st.promised };
-  acc.slots.set(slot, { promised: ballot, accepted: st.accepted });
-  return { tag: 'promised', accepted: st.accepted };
+  const slotState = slotOf(acc, slot);
+  if (compareBallots(ballot, slotState.promised) <= 0) return { tag: 'outbid', by: slotState.promised };
+  acc.slots.set(slot, { promised: ballot, accepted: slotState.accepted });
+  return { tag: 'promised', accepted: slotState.accepted };
 }
 
 /** Phase 2: accepts the batch unless a higher ballot was promised. */
 export function accept(acc: Acceptor, slot: number, ballot: Ballot, batch: Batch): Vote {
   if (slot < acc.floor) return { tag: 'alreadyChosen' };
-  const st = slotOf(acc, slot);
-  if (compareBallots(ballot, st.promised) < 0) return { tag: 'outbid', by: st.promised };
+  const slotState = slotOf(acc, slot);
+  if (compareBallots(ballot, slotState.promised) < 0) return { tag: 'outbid', by: slotState.promised };
   acc.slots.set(slot, { promised: ballot, accepted: { ballot, batch } });
   return { tag: 'accepted' };
 }
@@ -74,6 +74,6 @@
 /** The highest slot with an accepted batch; -1 if there is none. */
 export function highestAccepted(acc: Acceptor): number {
   let top = -1;
-  for (const [slot, st] of acc.slots) if (st.accepted && slot > top) top = slot;
+  for (const [slot, slotState] of acc.slots) if (slotState.accepted && slot > top) top = slot;
   return top;
 }
--- a/src/state/aim-book.ts
+++ b/src/state/aim-book.ts
@@ -28,14 +28,14 @@
   }
 
   record(reporter: string, incarnation: number, totals: CountTable, minute: number): void {
-    const o = this.openOf(minute);
+    const open = this.openOf(minute);
     const before = this.lastTotals.get(reporter);
-    o.heard.add(reporter);
-    if (before && before.incarnation !== incarnation) o.lost.add(reporter);
+    open.heard.add(reporter);
+    if (before && before.incarnation !== incarnation) open.lost.add(reporter);
     if (before) {
       const base = before.incarnation === incarnation ? before.totals : {};
-      for (const [subject, c] of Object.entries(totals)) addCounts(o.counts, subject, c, base[subject]);
-    } else o.lost.add(reporter);
+      for (const [subject, counts] of Object.entries(totals)) addCounts(open.counts, subject, counts, base[subject]);
+    } else open.lost.add(reporter);
     this.lastTotals.set(reporter, { incarnation, totals });
   }
 
@@ -44,17 +44,17 @@
   }
 
   close(minute: number, known: readonly string[]): void {
-    const o = this.openOf(minute);
+    const open = this.openOf(minute);
     this.open.delete(minute);
-    const unknown = new Set(o.lost);
-    for (const name of known) if (!o.heard.has(name)) unknown.add(name);
-    this.minutes.push({ minute, counts: o.counts, unknown: [...unknown].sort() });
+    const unknown = new Set(open.lost);
+    for (const name of known) if (!open.heard.has(name)) unknown.add(name);
+    this.minutes.push({ minute, counts: open.counts, unknown: [...unknown].sort() });
     if (this.minutes.length > KEPT_MINUTES) this.minutes = this.minutes.slice(-KEPT_MINUTES);
   }
 
   since(minute: number): readonly Minute[] {
     const out: Minute[] = [];
-    for (const m of this.minutes) if (m.minute >= minute) out.push(m);
+    for (const row of this.minutes) if (row.minute >= minute) out.push(row);
     return out;
   }
 }
--- a/src/state/aim-counts.ts
+++ b/src/state/aim-counts.ts
@@ -30,11 +30,11 @@
   return new Array<number>(BOUNDS_MS.length + 1).fill(0);
 }
 
-export function recordIn(table: CountTable, subject: string, e: Ended): void {
-  const c = (table[subject] ??= noCounts());
-  c[e.outcome] += 1;
-  if (e.firstMs !== null) bump(c.first, e.firstMs);
-  if (e.wholeMs !== null) bump(c.whole, e.wholeMs);
+export function recordIn(table: CountTable, subject: string, ended: Ended): void {
+  const counts = (table[subject] ??= noCounts());
+  counts[ended.outcome] += 1;
+  if (ended.firstMs !== null) bump(counts.first, ended.firstMs);
+  if (ended.wholeMs !== null) bump(counts.whole, ended.wholeMs);
 }
 function bump(buckets: number[], ms: number): void {
   let at = 0;
@@ -42,21 +42,21 @@
   buckets[at] = (buckets[at] as number) + 1;
 }
 
-export function addCounts(to: CountTable, subject: string, c: Counts, minus: Counts = noCounts()): void {
+export function addCounts(to: CountTable, subject: string, counts: Counts, minus: Counts = noCounts()): void {
   const sum = (to[subject] ??= noCounts());
-  for (const k of ['good', 'shed', 'failed'] as const) sum[k] += Math.max(0, c[k] - minus[k]);
-  for (const k of ['first', 'whole'] as const)
+  for (const key of ['good', 'shed', 'failed'] as const) sum[key] += Math.max(0, counts[key] - minus[key]);
+  for (const key of ['first', 'whole'] as const)
     for (let i = 0; i <= BOUNDS_MS.length; i += 1)
-      sum[k][i] = (sum[k][i] as number) + Math.max(0, (c[k][i] as number) - (minus[k][i] as number));
+      sum[key][i] = (sum[key][i] as number) + Math.max(0, (counts[key][i] as number) - (minus[key][i] as number));
 }
 
 export function within(buckets: readonly number[], ms: number): { readonly good: number; readonly all: number } {
   let good = 0;
   let all = 0;
   for (let i = 0; i < buckets.length; i += 1) {
-    const n = buckets[i] as number;
-    all += n;
-    if (i < BOUNDS_MS.length && (BOUNDS_MS[i] as number) <= ms) good += n;
+    const count = buckets[i] as number;
+    all += count;
+    if (i < BOUNDS_MS.length && (BOUNDS_MS[i] as number) <= ms) good += count;
   }
   return { good, all };
 }
--- a/src/state/aim-report.ts
+++ b/src/state/aim-report.ts
@@ -35,18 +35,18 @@
   return target.mapping === null ? (target.model ?? '') : routeSubject(target.mapping);
 }
 
-function weighed(target: LatencyTarget, c: Counts): { readonly good: number; readonly all: number } {
-  const asked = c.good + c.shed + c.failed;
+function weighed(target: LatencyTarget, counts: Counts): { readonly good: number; readonly all: number } {
+  const asked = counts.good + counts.shed + counts.failed;
   switch (target.measure) {
     case 'success':
-      return { good: c.good, all: asked };
+      return { good: counts.good, all: asked };
     case 'shed':
-      return { good: asked - c.shed, all: asked };
+      return { good: asked - counts.shed, all: asked };
     case 'firstPiece':
-      return within(c.first, target.withinMs ?? 0);
+      return within(counts.first, target.withinMs ?? 0);
     case 'whole':
     case 'changeInForce':
-      return within(c.whole, target.withinMs ?? 0);
+      return within(counts.whole, target.withinMs ?? 0);
   }
 }
 
@@ -60,12 +60,12 @@
   const sum: CountTable = { [subject]: noCounts() };
   const unknownOf = new Set<string>();
   let known = 0;
-  for (const m of minutes) {
-    if (m.minute < from || m.minute >= nowMinute) continue;
-    const c = m.counts[subject];
-    if (c) addCounts(sum, subject, c);
-    if (m.unknown.length === 0) known += 1;
-    for (const name of m.unknown) unknownOf.add(name);
+  for (const minute of minutes) {
+    if (minute.minute < from || minute.minute >= nowMinute) continue;
+    const counts = minute.counts[subject];
+    if (counts) addCounts(sum, subject, counts);
+    if (minute.unknown.length === 0) known += 1;
+    for (const name of minute.unknown) unknownOf.add(name);
   }
   const unknownMinutes = target.windowMinutes - known;
   const { good, all } = weighed(target, sum[subject] as Counts);
--- a/src/state/attempt-budget.ts
+++ b/src/state/attempt-budget.ts
@@ -12,7 +12,7 @@
   take(model: string, now: number): boolean;
   /** Returns one that was taken and then not sent. */
   refund(model: string): void;
-  setSharingProxies(n: number): void;
+  setSharingProxies(count: number): void;
 }
 
 /** The rule: share, slack and window. */
@@ -27,11 +27,11 @@
 
   constructor(private readonly bounds: BudgetBounds) {}
 
-  private recent(of: Map<string, number[]>, model: string, now: number): number[] {
-    let list = of.get(model);
+  private recent(table: Map<string, number[]>, model: string, now: number): number[] {
+    let list = table.get(model);
     if (!list) {
       list = [];
-      of.set(model, list);
+      table.set(model, list);
     }
     while (list.length > 0 && now - (list[0] as number) > this.bounds.windowMs) list.shift();
     return list;
@@ -57,8 +57,8 @@
     this.further.get(model)?.pop();
   }
 
-  setSharingProxies(n: number): void {
-    this.sharingCount = Math.max(1, n);
+  setSharingProxies(count: number): void {
+    this.sharingCount = Math.max(1, count);
   }
 }
 
--- a/src/state/attempt-outcome.test.ts
+++ b/src/state/attempt-outcome.test.ts
@@ -75,8 +75,8 @@
         { repeatability: 'resumable', canResume: false },
         { repeatability: 'resumable', leftMs: 0 },
       ] as const) {
-        const got = status(outcome, { ...over, answerBegun: true });
-        expect(outcome.tag === 'workerFailed' || !stays.includes(last) ? got : 'cut').toBe('cut');
+        const response = status(outcome, { ...over, answerBegun: true });
+        expect(outcome.tag === 'workerFailed' || !stays.includes(last) ? response : 'cut').toBe('cut');
       }
     });
 
@@ -98,8 +98,13 @@
         for (const leftMs of [0, 5_000])
           for (const left of [true, false])
             for (const ranBefore of [true, false]) {
-              const got = status(outcome, { repeatability, leftMs, acquireAttempt: () => left, mayHaveRun: ranBefore });
-              if (got === 'refuse') expect([mayHaveRun(outcome), ranBefore]).toEqual([false, false]);
+              const response = status(outcome, {
+                repeatability,
+                leftMs,
+                acquireAttempt: () => left,
+                mayHaveRun: ranBefore,
+              });
+              if (response === 'refuse') expect([mayHaveRun(outcome), ranBefore]).toEqual([false, false]);
             }
     });
   },
--- a/src/state/ballot.ts
+++ b/src/state/ballot.ts
@@ -10,8 +10,8 @@
 export const NO_BALLOT: Ballot = { round: 0, by: '' };
 
 /** Below, at or above 0 as `a` is lower than, equal to or higher than `b`. */
-export function compareBallots(a: Ballot, b: Ballot): number {
-  if (a.round !== b.round) return a.round - b.round;
-  if (a.by === b.by) return 0;
-  return a.by < b.by ? -1 : 1;
+export function compareBallots(left: Ballot, right: Ballot): number {
+  if (left.round !== right.round) return left.round - right.round;
+  if (left.by === right.by) return 0;
+  return left.by < right.by ? -1 : 1;
 }
--- a/src/state/candidate.ts
+++ b/src/state/candidate.ts
@@ -1,5 +1,5 @@
 export type Candidate = {
-  readonly ix: number;
+  readonly index: number;
   readonly id: string;
   readonly address: string;
   readonly zone: string;
--- a/src/state/candidates.ts
+++ b/src/state/candidates.ts
@@ -22,16 +22,16 @@
   all: readonly Candidate[],
 ): Candidate[] {
   const keys = new Map<Candidate, string>();
-  for (const c of all) {
-    const unhealthyRank = c.failed ? 2 : c.location !== null && !c.location.up ? 1 : 0;
-    const unnamed = c.name === null ? 1 : 0;
+  for (const candidate of all) {
+    const unhealthyRank = candidate.failed ? 2 : candidate.location !== null && !candidate.location.up ? 1 : 0;
+    const unnamed = candidate.name === null ? 1 : 0;
     keys.set(
-      c,
-      `${unhealthyRank}${unnamed}${networkDistance(own, c.location)}${sha256(`${own.name} ${c.name ?? c.address}`)}`,
+      candidate,
+      `${unhealthyRank}${unnamed}${networkDistance(own, candidate.location)}${sha256(`${own.name} ${candidate.name ?? candidate.address}`)}`,
     );
   }
   return [...all].sort(byKey);
-  function byKey(a: Candidate, b: Candidate): number {
-    return (keys.get(a) ?? '') < (keys.get(b) ?? '') ? -1 : 1;
+  function byKey(left: Candidate, right: Candidate): number {
+    return (keys.get(left) ?? '') < (keys.get(right) ?? '') ? -1 : 1;
   }
 }
--- a/src/state/claim-table.ts
+++ b/src/state/claim-table.ts
@@ -73,51 +73,51 @@
     return made;
   }
 
-  private slotOf(b: Bucket, key: Buffer): number {
-    const mask = b.index.length - 1;
+  private slotOf(bucket: Bucket, key: Buffer): number {
+    const mask = bucket.index.length - 1;
     let at = key.readUInt32LE(0) & mask;
     for (;;) {
-      const row = (b.index[at] as number) - 1;
-      if (row < 0 || b.rows.compare(key, 0, KEY_BYTES, row * CLAIM_RECORD, row * CLAIM_RECORD + KEY_BYTES) === 0)
+      const row = (bucket.index[at] as number) - 1;
+      if (row < 0 || bucket.rows.compare(key, 0, KEY_BYTES, row * CLAIM_RECORD, row * CLAIM_RECORD + KEY_BYTES) === 0)
         return at;
       at = (at + 1) & mask;
     }
   }
 
-  private rowOf(b: Bucket, key: Buffer): Buffer | null {
-    const row = (b.index[this.slotOf(b, key)] as number) - 1;
-    return row < 0 ? null : b.rows.subarray(row * CLAIM_RECORD, (row + 1) * CLAIM_RECORD);
+  private rowOf(bucket: Bucket, key: Buffer): Buffer | null {
+    const row = (bucket.index[this.slotOf(bucket, key)] as number) - 1;
+    return row < 0 ? null : bucket.rows.subarray(row * CLAIM_RECORD, (row + 1) * CLAIM_RECORD);
   }
 
-  private grow(b: Bucket): void {
-    const rows = Buffer.alloc(b.rows.length * 2);
-    b.rows.copy(rows);
-    b.rows = rows;
-    b.index = new Int32Array(b.index.length * 2);
-    for (let i = 0; i < b.count; i += 1)
-      b.index[this.slotOf(b, rows.subarray(i * CLAIM_RECORD, i * CLAIM_RECORD + KEY_BYTES))] = i + 1;
+  private grow(bucket: Bucket): void {
+    const rows = Buffer.alloc(bucket.rows.length * 2);
+    bucket.rows.copy(rows);
+    bucket.rows = rows;
+    bucket.index = new Int32Array(bucket.index.length * 2);
+    for (let i = 0; i < bucket.count; i += 1)
+      bucket.index[this.slotOf(bucket, rows.subarray(i * CLAIM_RECORD, i * CLAIM_RECORD + KEY_BYTES))] = i + 1;
   }
 
   private insert(record: Buffer, uptime: number): void {
-    const b = this.bucketOf(hourOf(record), uptime);
-    if ((b.count + 1) * CLAIM_RECORD > b.rows.length) this.grow(b);
-    b.index[this.slotOf(b, record)] = b.count + 1;
-    record.copy(b.rows, b.count * CLAIM_RECORD);
-    b.count += 1;
-    b.lastAt = Math.max(b.lastAt, uptime);
+    const bucket = this.bucketOf(hourOf(record), uptime);
+    if ((bucket.count + 1) * CLAIM_RECORD > bucket.rows.length) this.grow(bucket);
+    bucket.index[this.slotOf(bucket, record)] = bucket.count + 1;
+    record.copy(bucket.rows, bucket.count * CLAIM_RECORD);
+    bucket.count += 1;
+    bucket.lastAt = Math.max(bucket.lastAt, uptime);
     this.claimCount += 1;
   }
 
   private find(key: Buffer, hour: number): Buffer | null {
-    const b = this.buckets.get(hour);
-    return b ? this.rowOf(b, key) : null;
+    const second = this.buckets.get(hour);
+    return second ? this.rowOf(second, key) : null;
   }
 
-  claim(c: Claim, uptime: number): ClaimStep {
-    const hour = Math.floor(c.born / HOUR_MS);
+  claim(claim: Claim, uptime: number): ClaimStep {
+    const hour = Math.floor(claim.born / HOUR_MS);
     if (this.currentForgotten.has(hour)) return { answer: { tag: 'tooOld' }, record: null };
-    const key = digest(c.key, KEY_BYTES);
-    const by = digest(c.by, BY_BYTES);
+    const key = digest(claim.key, KEY_BYTES);
+    const by = digest(claim.by, BY_BYTES);
     const row = this.find(key, hour);
     if (!row && this.claimCount >= this.most) return { answer: { tag: 'full' }, record: null };
     const mine = row !== null && row.subarray(KEY_BYTES, HOUR_AT).equals(by);
@@ -131,13 +131,13 @@
     return { answer: { tag: 'claimed' }, record };
   }
 
-  end(e: ClaimEnd, uptime: number): Buffer | null {
-    const hour = Math.floor(e.born / HOUR_MS);
+  end(event: ClaimEnd, uptime: number): Buffer | null {
+    const hour = Math.floor(event.born / HOUR_MS);
     if (this.currentForgotten.has(hour)) return null;
-    const key = digest(e.key, KEY_BYTES);
-    const by = digest(e.by, BY_BYTES);
+    const key = digest(event.key, KEY_BYTES);
+    const by = digest(event.by, BY_BYTES);
     const row = this.find(key, hour);
-    const record = recordOf(key, by, hour, e.outcome === 'answered' ? ANSWERED : RELEASED);
+    const record = recordOf(key, by, hour, event.outcome === 'answered' ? ANSWERED : RELEASED);
     if (!row) {
       if (this.claimCount >= this.most) return null;
       this.insert(record, uptime);
@@ -145,7 +145,7 @@
     }
     if (row[STATE_AT] === ANSWERED) return null;
     const mine = row.subarray(KEY_BYTES, HOUR_AT).equals(by);
-    if (e.outcome === 'released' && (!mine || row[STATE_AT] === RELEASED)) return null;
+    if (event.outcome === 'released' && (!mine || row[STATE_AT] === RELEASED)) return null;
     record.copy(row);
     return record;
   }
@@ -167,21 +167,21 @@
   }
 
   forgetBefore(uptime: number): void {
-    for (const b of this.buckets.values()) {
-      if (b.lastAt >= uptime) continue;
-      this.drop(b);
-      this.currentForgotten.add([b.hour, b.hour]);
+    for (const bucket of this.buckets.values()) {
+      if (bucket.lastAt >= uptime) continue;
+      this.drop(bucket);
+      this.currentForgotten.add([bucket.hour, bucket.hour]);
     }
   }
 
-  private drop(b: Bucket): void {
-    this.buckets.delete(b.hour);
-    this.claimCount -= b.count;
+  private drop(bucket: Bucket): void {
+    this.buckets.delete(bucket.hour);
+    this.claimCount -= bucket.count;
   }
 
   addForgotten(ranges: readonly HourRange[]): void {
-    for (const r of ranges) this.currentForgotten.add(r);
-    for (const b of this.buckets.values()) if (this.currentForgotten.has(b.hour)) this.drop(b);
+    for (const hourRange of ranges) this.currentForgotten.add(hourRange);
+    for (const bucket of this.buckets.values()) if (this.currentForgotten.has(bucket.hour)) this.drop(bucket);
   }
 
   private ordered(): Bucket[] {
@@ -190,14 +190,14 @@
 
   page(from: number, most: number): ClaimPage {
     const fromHour = Math.floor(from / POSITIONS);
-    for (const b of this.ordered()) {
-      if (b.hour < fromHour) continue;
-      const first = b.hour === fromHour ? from % POSITIONS : 0;
-      if (first >= b.count) continue;
-      const last = Math.min(b.count, first + most);
+    for (const bucket of this.ordered()) {
+      if (bucket.hour < fromHour) continue;
+      const first = bucket.hour === fromHour ? from % POSITIONS : 0;
+      if (first >= bucket.count) continue;
+      const last = Math.min(bucket.count, first + most);
       return {
-        records: Buffer.from(b.rows.subarray(first * CLAIM_RECORD, last * CLAIM_RECORD)),
-        next: b.hour * POSITIONS + last,
+        records: Buffer.from(bucket.rows.subarray(first * CLAIM_RECORD, last * CLAIM_RECORD)),
+        next: bucket.hour * POSITIONS + last,
       };
     }
     return { records: Buffer.alloc(0), next: -1 };
@@ -205,12 +205,12 @@
 
   packed(): Buffer {
     const chunks: Buffer[] = [];
-    for (const b of this.ordered()) {
+    for (const bucket of this.ordered()) {
       const head = Buffer.alloc(HEAD_BYTES);
-      head.writeUInt32BE(b.hour, 0);
-      head.writeUInt32BE(b.count, 4);
-      head.writeDoubleBE(b.lastAt, 8);
-      chunks.push(head, b.rows.subarray(0, b.count * CLAIM_RECORD));
+      head.writeUInt32BE(bucket.hour, 0);
+      head.writeUInt32BE(bucket.count, 4);
+      head.writeDoubleBE(bucket.lastAt, 8);
+      chunks.push(head, bucket.rows.subarray(0, bucket.count * CLAIM_RECORD));
     }
     return Buffer.concat(chunks);
   }
@@ -220,9 +220,9 @@
   }
 
   bytes(): number {
-    let n = 0;
-    for (const b of this.buckets.values()) n += b.rows.length + b.index.byteLength;
-    return n;
+    let count = 0;
+    for (const bucket of this.buckets.values()) count += bucket.rows.length + bucket.index.byteLength;
+    return count;
   }
 
   forgotten(): readonly HourRange[] {
@@ -234,8 +234,8 @@
   return new HourlyClaimTable(most);
 }
 
-function byHour(a: Bucket, b: Bucket): number {
-  return a.hour - b.hour;
+function byHour(left: Bucket, right: Bucket): number {
+  return left.hour - right.hour;
 }
 
 export function unpackClaims(table: ClaimTable, packed: Buffer): void {
--- a/src/state/closed-orders.ts
+++ b/src/state/closed-orders.ts
@@ -42,8 +42,8 @@
 /** At some 700 bytes each, and hundreds of orders a day, this is what an operator can be told of the last days. */
 export const MOST_CLOSED = 2_000;
 
-function compare(a: ClosedCursor, b: ClosedCursor): number {
-  return a.slot - b.slot || (a.id < b.id ? -1 : a.id > b.id ? 1 : 0);
+function compare(left: ClosedCursor, right: ClosedCursor): number {
+  return left.slot - right.slot || (left.id < right.id ? -1 : left.id > right.id ? 1 : 0);
 }
 
 function closedOf(order: Order, text: string): ClosedOrder | null {
--- a/src/state/core-health.ts
+++ b/src/state/core-health.ts
@@ -70,8 +70,8 @@
   return member.holdsAll ? null : 'behind';
 }
 
-function reach(a: MemberView, b: MemberView): boolean {
-  return !a.unheard.includes(b.id) && !b.unheard.includes(a.id);
+function reach(left: MemberView, right: MemberView): boolean {
+  return !left.unheard.includes(right.id) && !right.unheard.includes(left.id);
 }
 
 /** Whether the members that remain include one that reaches a majority of whole ones, itself among them. */
--- a/src/state/event-splitter.ts
+++ b/src/state/event-splitter.ts
@@ -42,8 +42,8 @@
 }
 
 function idOf(bytes: Buffer): number | null {
-  const m = /(?:^|\n)id: ?(\d+)\r?\n/.exec(bytes.toString('latin1'));
-  return m ? Number(m[1]) : null;
+  const match = /(?:^|\n)id: ?(\d+)\r?\n/.exec(bytes.toString('latin1'));
+  return match ? Number(match[1]) : null;
 }
 
 const COLON = 58;
--- a/src/state/fleet-load.ts
+++ b/src/state/fleet-load.ts
@@ -36,12 +36,12 @@
 
   sums(now: number): LoadRows {
     const out: LoadRows = {};
-    for (const [name, h] of this.reports) {
-      if (now - h.at > this.staleMs) {
+    for (const [name, timedReport] of this.reports) {
+      if (now - timedReport.at > this.staleMs) {
         this.reports.delete(name);
         continue;
       }
-      for (const [id, row] of Object.entries(h.report.rows)) addTo(out, id, row);
+      for (const [id, row] of Object.entries(timedReport.report.rows)) addTo(out, id, row);
     }
     return out;
   }
@@ -58,8 +58,8 @@
   out[id] = had ? [had[0] + row[0], had[1] + row[1], had[2] + row[2], had[3] + row[3], had[4] + row[4]] : [...row];
 }
 
-export function sumOf(a: LoadRows, b: LoadRows): LoadRows {
-  const out: LoadRows = { ...a };
-  for (const [id, row] of Object.entries(b)) addTo(out, id, row);
+export function sumOf(left: LoadRows, right: LoadRows): LoadRows {
+  const out: LoadRows = { ...left };
+  for (const [id, row] of Object.entries(right)) addTo(out, id, row);
   return out;
 }
--- a/src/state/fold-members.ts
+++ b/src/state/fold-members.ts
@@ -23,7 +23,7 @@
 
 export function membersDigest(members: readonly Member[]): string {
   const ids: string[] = [];
-  for (const m of members) ids.push(memberId(m));
+  for (const member of members) ids.push(memberId(member));
   return sha256(ids.join());
 }
 
--- a/src/state/health.ts
+++ b/src/state/health.ts
@@ -3,12 +3,12 @@
 import { Type } from '@sinclair/typebox';
 import type { Static } from '@sinclair/typebox';
 
-const Id = Type.String({ minLength: 1, maxLength: 256 });
+const tString = Type.String({ minLength: 1, maxLength: 256 });
 
 /** A health report; a new incarnation means that the worker restarted and holds nothing. */
 export const HealthShape = Type.Object({
-  id: Id,
-  incarnation: Id,
+  id: tString,
+  incarnation: tString,
   model: Type.String(),
   state: Type.Union([Type.Literal('idle'), Type.Literal('loading'), Type.Literal('ready'), Type.Literal('draining')]),
   remainingMs: Type.Optional(Type.Number()),
--- a/src/state/home-worker.ts
+++ b/src/state/home-worker.ts
@@ -28,31 +28,31 @@
 
 /** Tokens of a prompt's shared parts. */
 export function sharedTokens(blocks: readonly PrefixBlock[]): number {
-  let n = 0;
-  for (let i = 0; i < blocks.length - 1; i += 1) n += (blocks[i] as PrefixBlock).tokens;
-  return n;
+  let count = 0;
+  for (let i = 0; i < blocks.length - 1; i += 1) count += (blocks[i] as PrefixBlock).tokens;
+  return count;
 }
 
 type Ranked = { readonly hash: number; readonly row: RegistryRow };
 
-function byHash(a: Ranked, b: Ranked): number {
-  return b.hash - a.hash;
+function byHash(left: Ranked, right: Ranked): number {
+  return right.hash - left.hash;
 }
 function ranked(rows: readonly RegistryRow[], key: string): RegistryRow[] {
   const all: Ranked[] = [];
   for (const row of rows) all.push({ hash: hash32(`${key}|${row.entry.id}`), row });
   return all.sort(byHash).map(rowOf);
 }
-function rowOf(r: Ranked): RegistryRow {
-  return r.row;
+function rowOf(ranked: Ranked): RegistryRow {
+  return ranked.row;
 }
 function highest(rows: readonly RegistryRow[], key: string): RegistryRow | null {
   let top: RegistryRow | null = null;
   let high = -1;
   for (const row of rows) {
-    const h = hash32(`${key}|${row.entry.id}`);
-    if (h <= high) continue;
-    high = h;
+    const hash = hash32(`${key}|${row.entry.id}`);
+    if (hash <= high) continue;
+    high = hash;
     top = row;
   }
   return top;
--- a/src/state/hour-ranges.ts
+++ b/src/state/hour-ranges.ts
@@ -27,14 +27,14 @@
   add(range: HourRange): void {
     const sorted = [...this.ranges, range].sort(byStart);
     const merged: HourRange[] = [];
-    for (const r of sorted) {
+    for (const hourRange of sorted) {
       const last = merged[merged.length - 1];
-      if (last && r[0] - last[1] <= GAP) merged[merged.length - 1] = [last[0], Math.max(last[1], r[1])];
-      else merged.push(r);
+      if (last && hourRange[0] - last[1] <= GAP) merged[merged.length - 1] = [last[0], Math.max(last[1], hourRange[1])];
+      else merged.push(hourRange);
     }
     while (merged.length > MOST) {
-      const [a, b] = merged as [HourRange, HourRange];
-      merged.splice(0, 2, [a[0], b[1]]);
+      const [hourRange, second] = merged as [HourRange, HourRange];
+      merged.splice(0, 2, [hourRange[0], second[1]]);
     }
     this.ranges = merged;
   }
@@ -49,6 +49,6 @@
   return new MergedHourRanges();
 }
 
-function byStart(a: HourRange, b: HourRange): number {
-  return a[0] - b[0];
+function byStart(left: HourRange, right: HourRange): number {
+  return left[0] - right[0];
 }
--- a/src/state/indices.ts
+++ b/src/state/indices.ts
@@ -5,9 +5,9 @@
 
 /** `of` gives a new name a number; `find` does not. */
 export interface Indices {
-  of(name: string): number;
+  indexOf(name: string): number;
   find(name: string): number | null;
-  nameOf(ix: number): string;
+  nameOf(index: number): string;
   size(): number;
 }
 
@@ -15,7 +15,7 @@
   private readonly byName = new Map<string, number>();
   private readonly names: string[] = [];
 
-  of(name: string): number {
+  indexOf(name: string): number {
     const have = this.byName.get(name);
     if (have !== undefined) return have;
     this.byName.set(name, this.names.length);
@@ -27,8 +27,8 @@
     return this.byName.get(name) ?? null;
   }
 
-  nameOf(ix: number): string {
-    return this.names[ix] ?? '';
+  nameOf(index: number): string {
+    return this.names[index] ?? '';
   }
 
   size(): number {
--- a/src/state/list-book.ts
+++ b/src/state/list-book.ts
@@ -27,29 +27,32 @@
 
 const DRIFT_MS = 250;
 
-export function compareVersions(a: WorkerListVersion, b: WorkerListVersion): number {
-  if (a[0] !== b[0]) return a[0] - b[0];
-  if (a[1] !== b[1]) return a[1] < b[1] ? -1 : 1;
-  return a[2] - b[2];
+export function compareVersions(left: WorkerListVersion, right: WorkerListVersion): number {
+  if (left[0] !== right[0]) return left[0] - right[0];
+  if (left[1] !== right[1]) return left[1] < right[1] ? -1 : 1;
+  return left[2] - right[2];
 }
 
-export function isEmptyChange(c: WorkerListChange): boolean {
-  return c.changed.length === 0 && c.gone.length === 0;
+export function isEmptyChange(workerListChange: WorkerListChange): boolean {
+  return workerListChange.changed.length === 0 && workerListChange.gone.length === 0;
 }
 
-export function agedEntry(e: WorkerEntry, ms: number): WorkerEntry {
-  if (ms <= 0 || (e.remainingMs === null && e.coldMs === 0)) return e;
+export function agedEntry(event: WorkerEntry, ms: number): WorkerEntry {
+  if (ms <= 0 || (event.remainingMs === null && event.coldMs === 0)) return event;
   return {
-    ...e,
-    remainingMs: e.remainingMs === null ? null : Math.max(0, e.remainingMs - ms),
-    coldMs: Math.max(0, e.coldMs - ms),
+    ...event,
+    remainingMs: event.remainingMs === null ? null : Math.max(0, event.remainingMs - ms),
+    coldMs: Math.max(0, event.coldMs - ms),
   };
 }
 
-function sameEntry(a: WorkerEntry, b: WorkerEntry): boolean {
-  if (Math.abs(a.coldMs - b.coldMs) > DRIFT_MS || (a.remainingMs === null) !== (b.remainingMs === null)) return false;
-  if (Math.abs((a.remainingMs ?? 0) - (b.remainingMs ?? 0)) > DRIFT_MS) return false;
-  return JSON.stringify({ ...a, remainingMs: 0, coldMs: 0 }) === JSON.stringify({ ...b, remainingMs: 0, coldMs: 0 });
+function sameEntry(left: WorkerEntry, right: WorkerEntry): boolean {
+  if (Math.abs(left.coldMs - right.coldMs) > DRIFT_MS || (left.remainingMs === null) !== (right.remainingMs === null))
+    return false;
+  if (Math.abs((left.remainingMs ?? 0) - (right.remainingMs ?? 0)) > DRIFT_MS) return false;
+  return (
+    JSON.stringify({ ...left, remainingMs: 0, coldMs: 0 }) === JSON.stringify({ ...right, remainingMs: 0, coldMs: 0 })
+  );
 }
 
 class VersionedWorkerListTable implements WorkerListTable {
@@ -105,10 +108,10 @@
     const changed: WorkerEntry[] = [];
     const gone: string[] = [];
     const ids = new Set<string>();
-    for (const e of entries) {
-      ids.add(e.id);
-      const row = this.rows.get(e.id);
-      if (!row || !sameEntry(agedEntry(row.entry, asOf - row.at), e)) changed.push(e);
+    for (const event of entries) {
+      ids.add(event.id);
+      const row = this.rows.get(event.id);
+      if (!row || !sameEntry(agedEntry(row.entry, asOf - row.at), event)) changed.push(event);
     }
     for (const id of this.rows.keys()) if (!ids.has(id)) gone.push(id);
     return { changed, gone };
--- a/src/state/members.ts
+++ b/src/state/members.ts
@@ -50,13 +50,14 @@
 /** A sum over the live nodes, by which two tables are compared. */
 export function sumOf(members: Members): number {
   let sum = 0;
-  for (const n of members.values()) if (isUp(n)) sum = (sum + digest(`${n.name} ${n.run} ${n.incarnation}`)) >>> 0;
+  for (const node of members.values())
+    if (isUp(node)) sum = (sum + digest(`${node.name} ${node.run} ${node.incarnation}`)) >>> 0;
   return sum;
 }
 function digest(text: string): number {
-  let h = 0x811c9dc5;
-  for (let i = 0; i < text.length; i += 1) h = Math.imul(h ^ text.charCodeAt(i), 0x01000193);
-  return h >>> 0;
+  let hash = 0x811c9dc5;
+  for (let i = 0; i < text.length; i += 1) hash = Math.imul(hash ^ text.charCodeAt(i), 0x01000193);
+  return hash >>> 0;
 }
 
 /** Whether a node is taken to be there. */
--- a/src/state/observed-orders.ts
+++ b/src/state/observed-orders.ts
@@ -61,7 +61,7 @@
   list: readonly WorkerEntry[],
 ): Step[] {
   const listed = new Set<string | null>();
-  for (const w of list) listed.add(w.id);
+  for (const worker of list) listed.add(worker.id);
   const steps: Step[] = [];
   for (const order of Object.values(controlState.orders)) {
     if (configured.has(order.model) || listed.has(order.machine) || steps.length >= MOST_STEPS) continue;
@@ -80,12 +80,12 @@
   const { model, values } = rule;
   const steps: Step[] = [];
   const zones: string[] = [];
-  for (const z of rule.zones) if (controlState.evacuated[z] === undefined) zones.push(z);
+  for (const zone of rule.zones) if (controlState.evacuated[zone] === undefined) zones.push(zone);
   const before = controlState.zoneSets[model];
   let sets: ZoneSets = before ? alignZones(before, zones) : initialZones(zones);
   let why = before ? 'The enabled zones changed.' : 'The model is new: all enabled zones are active.';
   const listed = new Map<string, WorkerEntry>();
-  for (const w of observation.list) if (w.model === model) listed.set(w.id, w);
+  for (const worker of observation.list) if (worker.model === model) listed.set(worker.id, worker);
   let standing: Order[] = [];
 
   const target = decideTarget();
@@ -136,13 +136,14 @@
   function recordSince(): Order[] {
     const orders = ordersOf(controlState, model);
     const open = new Set<string>();
-    for (const o of orders) open.add(o.id);
+    for (const order of orders) open.add(order.id);
     for (const since of [memory.intendedSince, memory.goneSince])
       for (const id of since.keys()) if (!open.has(id)) since.delete(id);
-    for (const o of orders) {
-      if (o.status === 'intended' && !memory.intendedSince.has(o.id)) memory.intendedSince.set(o.id, observation.now);
-      if (o.machine === null || listed.has(o.machine)) memory.goneSince.delete(o.id);
-      else if (!memory.goneSince.has(o.id)) memory.goneSince.set(o.id, observation.now);
+    for (const order of orders) {
+      if (order.status === 'intended' && !memory.intendedSince.has(order.id))
+        memory.intendedSince.set(order.id, observation.now);
+      if (order.machine === null || listed.has(order.machine)) memory.goneSince.delete(order.id);
+      else if (!memory.goneSince.has(order.id)) memory.goneSince.set(order.id, observation.now);
     }
     return orders;
   }
@@ -172,18 +173,18 @@
   function isResolved(order: Order): boolean {
     if (full()) return false;
     if (order.machine === null) return isIntendedResolved(order);
-    const w = listed.get(order.machine);
-    if (!w) return isMissingResolved(order);
+    const worker = listed.get(order.machine);
+    if (!worker) return isMissingResolved(order);
     if (order.status === 'draining') return true;
-    if (w.leaving && w.remainingMs !== null)
-      lose(order, `Taken away at short notice: ${Math.round(w.remainingMs)} ms were left.`);
-    else if (w.leaving)
+    if (worker.leaving && worker.remainingMs !== null)
+      lose(order, `Taken away at short notice: ${Math.round(worker.remainingMs)} ms were left.`);
+    else if (worker.leaving)
       steps.push({
         cause: 'The platform empties the worker in order.',
         act: { tag: 'orderDraining', order: order.id },
       });
-    else if (observation.dead.has(w.id)) lose(order, 'Listed, but for long no proxy finds it fit.');
-    else if (order.status === 'placed' && w.coldMs === 0) {
+    else if (observation.dead.has(worker.id)) lose(order, 'Listed, but for long no proxy finds it fit.');
+    else if (order.status === 'placed' && worker.coldMs === 0) {
       steps.push({ cause: 'The worker is listed as serving, and warm.', act: { tag: 'orderReady', order: order.id } });
       launched(order.kind, order.zone);
       standing.push({ ...order, status: 'ready' });
@@ -215,81 +216,89 @@
 
   function adoptNew(): void {
     const machines = new Set<string | null>();
-    for (const o of openOrders) machines.add(o.machine);
+    for (const order of openOrders) machines.add(order.machine);
     const adopted: { order: string; zone: string; machine: string; ready: boolean }[] = [];
-    for (const w of listed.values()) {
-      if (machines.has(w.id) || w.leaving || observation.dead.has(w.id)) continue;
-      const order = oldestIntended(w.zone);
-      if (order) matchOrder(order, w);
+    for (const worker of listed.values()) {
+      if (machines.has(worker.id) || worker.leaving || observation.dead.has(worker.id)) continue;
+      const order = oldestIntended(worker.zone);
+      if (order) matchOrder(order, worker);
       else if (adopted.length < MOST_ADOPTED)
-        adopted.push({ order: `found-${w.id}`, zone: w.zone, machine: w.id, ready: w.coldMs === 0 });
+        adopted.push({
+          order: `found-${worker.id}`,
+          zone: worker.zone,
+          machine: worker.id,
+          ready: worker.coldMs === 0,
+        });
     }
     if (adopted.length === 0) return;
     const cause = before
       ? 'Appeared in the list without an order of ours.'
       : 'Stood in the list when the model was first looked at.';
     steps.push({ cause, act: { tag: 'ordersAdopted', model, kind: 'spot', adopted } });
-    for (const a of adopted) {
+    for (const first of adopted) {
       standing.push({
-        id: a.order,
+        id: first.order,
         model,
-        zone: a.zone,
+        zone: first.zone,
         kind: 'spot',
         accelerator: 'any',
-        status: a.ready ? 'ready' : 'placed',
-        machine: a.machine,
+        status: first.ready ? 'ready' : 'placed',
+        machine: first.machine,
         events: [],
       });
-      if (a.ready) launched('spot', a.zone);
+      if (first.ready) launched('spot', first.zone);
     }
   }
   function oldestIntended(zone: string): Order | null {
     let best: Order | null = null;
-    for (const o of standing)
-      if (o.status === 'intended' && o.zone === zone && (best === null || firstSlot(o) < firstSlot(best))) best = o;
+    for (const order of standing)
+      if (order.status === 'intended' && order.zone === zone && (best === null || firstSlot(order) < firstSlot(best)))
+        best = order;
     return best;
   }
-  function matchOrder(order: Order, w: WorkerEntry): void {
+  function matchOrder(order: Order, worker: WorkerEntry): void {
     if (full()) return;
-    const ready = w.coldMs === 0;
+    const ready = worker.coldMs === 0;
     steps.push({
-      cause: `${w.id} appeared in ${w.zone}.`,
-      act: { tag: 'orderPlaced', order: order.id, machine: w.id },
+      cause: `${worker.id} appeared in ${worker.zone}.`,
+      act: { tag: 'orderPlaced', order: order.id, machine: worker.id },
     });
     if (ready) {
       steps.push({ cause: 'The worker is listed as serving, and warm.', act: { tag: 'orderReady', order: order.id } });
       launched(order.kind, order.zone);
     }
     standing = standing.map(moved);
-    function moved(o: Order): Order {
-      return o.id === order.id ? { ...o, status: ready ? 'ready' : 'placed', machine: w.id } : o;
+    function moved(candidate: Order): Order {
+      return candidate.id === order.id
+        ? { ...candidate, status: ready ? 'ready' : 'placed', machine: worker.id }
+        : candidate;
     }
   }
 
   function ofKind(kind: Kind): Order[] {
     const out: Order[] = [];
-    for (const o of standing) if (o.kind === kind && zones.includes(o.zone)) out.push(o);
+    for (const order of standing) if (order.kind === kind && zones.includes(order.zone)) out.push(order);
     return out;
   }
   function readySpot(): number {
-    let n = 0;
-    for (const o of ofKind('spot')) if (o.status === 'ready') n += 1;
-    return n;
+    let count = 0;
+    for (const order of ofKind('spot')) if (order.status === 'ready') count += 1;
+    return count;
   }
 
   function decideKind(kind: Kind, wanted: number): void {
     const list = ofKind(kind);
     const occupied = new Set<string>();
-    for (const o of list) occupied.add(o.zone);
+    for (const order of list) occupied.add(order.zone);
     const from: ZoneSets = kind === 'spot' ? sets : { active: zones, preemptive: [] };
-    for (let n = list.length; n < wanted && !full(); n += 1) {
+    for (let count = list.length; count < wanted && !full(); count += 1) {
       const zone = kind === 'spot' ? selectNextZone(from, rule.zones, occupied, samePrice) : (zones[0] ?? null);
       if (zone === null) return;
       occupied.add(zone);
       const cause =
         kind === 'spot'
-          ? `Spot ${n + 1} of ${wanted} (target ${target} + extra ${values.nExtra}).`
-          : `Fallback ${n + 1} of ${wanted}: ${readySpot()} spot ready of ${target + values.nExtra}.`;
+          ? `Spot ${count + 1} of ${wanted} (target ${target} + extra ${values.nExtra}).`
+          : `Fallback ${count + 1} of ${wanted}: ${readySpot()} spot ready of ${target + values.nExtra}.`;
       steps.push({
         cause,
         act: {
@@ -303,24 +312,24 @@
       });
     }
     let over = list.length - wanted;
-    for (const o of [...list].sort(firstToGo)) {
+    for (const order of [...list].sort(firstToGo)) {
       if (over <= 0 || full()) return;
       over -= 1;
-      if (o.status === 'intended')
-        steps.push({ cause: `Only ${wanted} are wanted; withdrawn.`, act: { tag: 'orderReleased', order: o.id } });
+      if (order.status === 'intended')
+        steps.push({ cause: `Only ${wanted} are wanted; withdrawn.`, act: { tag: 'orderReleased', order: order.id } });
       else if (kind === 'onDemand')
         steps.push({
           cause: `Enough spot is ready: ${readySpot()} of ${target + values.nExtra}.`,
-          act: { tag: 'orderDraining', order: o.id },
+          act: { tag: 'orderDraining', order: order.id },
         });
     }
   }
 }
 
-function sameMembers(a: ZoneSets, b: ZoneSets): boolean {
+function sameMembers(left: ZoneSets, right: ZoneSets): boolean {
   return (
-    [...a.active].sort().join() === [...b.active].sort().join() &&
-    [...a.preemptive].sort().join() === [...b.preemptive].sort().join()
+    [...left.active].sort().join() === [...right.active].sort().join() &&
+    [...left.preemptive].sort().join() === [...right.preemptive].sort().join()
   );
 }
 function samePrice(): number {
@@ -329,8 +338,8 @@
 function firstSlot(order: Order): number {
   return order.events[0]?.slot ?? Number.MAX_SAFE_INTEGER;
 }
-function firstToGo(a: Order, b: Order): number {
-  const ra = a.status === 'intended' ? 0 : 1;
-  const rb = b.status === 'intended' ? 0 : 1;
-  return ra !== rb ? ra - rb : firstSlot(b) - firstSlot(a);
+function firstToGo(left: Order, right: Order): number {
+  const leftRank = left.status === 'intended' ? 0 : 1;
+  const rightRank = right.status === 'intended' ? 0 : 1;
+  return leftRank !== rightRank ? leftRank - rightRank : firstSlot(right) - firstSlot(left);
 }
--- a/src/state/placement-cost.ts
+++ b/src/state/placement-cost.ts
@@ -58,8 +58,9 @@
     ms += Math.max(0, sharedTokens(request.parts) - known) * this.tuning.sharedMs;
     if (unread + backlog > this.tuning.stallTokens) ms += (row.running + row.otherLoad.running) * this.tuning.stallMs;
     const kvTokens = request.traits?.engine?.kvTokens ?? 0;
-    const kv = row.kv + row.otherLoad.kv + request.tokens + request.outTokens;
-    if (kvTokens > 0 && kv > kvTokens * this.tuning.kvFraction) ms += this.tuning.kvMs * (kv / kvTokens);
+    const neededKvTokens = row.kvTokens + row.otherLoad.kvTokens + request.tokens + request.outTokens;
+    if (kvTokens > 0 && neededKvTokens > kvTokens * this.tuning.kvFraction)
+      ms += this.tuning.kvMs * (neededKvTokens / kvTokens);
     return ms;
   }
 
--- a/src/state/policies.test.ts
+++ b/src/state/policies.test.ts
@@ -3,7 +3,7 @@
 import { selectAmong, POLICIES } from './policies.js';
 
 const base: Candidate = {
-  ix: 0,
+  index: 0,
   id: 'w0',
   address: 'a',
   zone: 'z1',
@@ -31,8 +31,8 @@
   return { ...base, ...over };
 }
 function chosen(all: readonly Candidate[], c: Partial<SelectionContext> = {}): string {
-  const got = selectAmong(all, { ...ctx, ...c }, POLICIES);
-  return got.tag === 'chosen' ? got.candidate.id : `none: ${got.stoppedBy}`;
+  const response = selectAmong(all, { ...ctx, ...c }, POLICIES);
+  return response.tag === 'chosen' ? response.candidate.id : `none: ${response.stoppedBy}`;
 }
 
 describe('placement', () => {
@@ -54,19 +54,19 @@
   });
 
   test('the known prefix draws a request even to another zone', () => {
-    const far = one({ ix: 1, id: 'far', zone: 'z2', region: 'r2', knownFraction: 0.8 });
+    const far = one({ index: 1, id: 'far', zone: 'z2', region: 'r2', knownFraction: 0.8 });
     expect(chosen([base, far])).toBe('far');
   });
 
   test('past its bound the holder of the prefix spills to the next inside the homes', () => {
-    const busy = one({ ix: 1, id: 'busy', knownFraction: 1, running: 7 });
-    const idle = one({ ix: 2, id: 'idle' });
-    const abroad = one({ ix: 3, id: 'abroad', region: 'r9', zone: 'z9' });
+    const busy = one({ index: 1, id: 'busy', knownFraction: 1, running: 7 });
+    const idle = one({ index: 2, id: 'idle' });
+    const abroad = one({ index: 3, id: 'abroad', region: 'r9', zone: 'z9' });
     expect(chosen([busy, idle, abroad], { meanLoad: 0.3, homes: ['r1'] })).toBe('idle');
   });
 
   test('strangers to a prefix agree on its worker by its hash', () => {
-    const all = ['a', 'b', 'c', 'd'].map((id, ix) => one({ ix, id }));
+    const all = ['a', 'b', 'c', 'd'].map((id, ix) => one({ index: ix, id }));
     const picks = new Set<string>();
     for (let i = 0; i < 40; i += 1) {
       expect(chosen(all, { seed: `p${i}` })).toBe(chosen([...all].reverse(), { seed: `p${i}` }));
