--- a/src/state/policies.ts
+++ b/src/state/policies.ts
@@ -3,8 +3,8 @@
 
 export type Policy = {
   readonly name: string;
-  readonly filter?: (c: Candidate, ctx: SelectionContext) => boolean;
-  readonly score?: (c: Candidate, ctx: SelectionContext) => number;
+  readonly filter?: (candidate: Candidate, ctx: SelectionContext) => boolean;
+  readonly score?: (candidate: Candidate, ctx: SelectionContext) => number;
 };
 
 const AFFINITY_WEIGHT = 4;
@@ -15,41 +15,41 @@
 const BOUND = 1.25;
 const BOUND_SLACK = 0.25;
 
-function filterHomes(c: Candidate, ctx: SelectionContext): boolean {
-  return ctx.homes === null || ctx.homes.includes(c.region);
+function filterHomes(candidate: Candidate, ctx: SelectionContext): boolean {
+  return ctx.homes === null || ctx.homes.includes(candidate.region);
 }
-function filterDraining(c: Candidate): boolean {
-  return !c.leaving;
+function filterDraining(candidate: Candidate): boolean {
+  return !candidate.leaving;
 }
-function filterEvacuated(c: Candidate): boolean {
-  return !c.evacuated;
+function filterEvacuated(candidate: Candidate): boolean {
+  return !candidate.evacuated;
 }
-function filterUnhealthy(c: Candidate): boolean {
-  return c.healthy;
+function filterUnhealthy(candidate: Candidate): boolean {
+  return candidate.healthy;
 }
-function filterPartition(c: Candidate, ctx: SelectionContext): boolean {
-  return !ctx.partitioned || (c.region === ctx.ownRegion && c.answersUs);
+function filterPartition(candidate: Candidate, ctx: SelectionContext): boolean {
+  return !ctx.partitioned || (candidate.region === ctx.ownRegion && candidate.answersUs);
 }
-function filterTried(c: Candidate, ctx: SelectionContext): boolean {
-  return !ctx.avoid.has(c.ix);
+function filterTried(candidate: Candidate, ctx: SelectionContext): boolean {
+  return !ctx.avoid.has(candidate.index);
 }
-function filterFull(c: Candidate): boolean {
-  return c.running < c.limit;
+function filterFull(candidate: Candidate): boolean {
+  return candidate.running < candidate.limit;
 }
-function withinBound(c: Candidate, ctx: SelectionContext): boolean {
-  return c.running / c.limit <= ctx.meanLoad * BOUND + BOUND_SLACK;
+function withinBound(candidate: Candidate, ctx: SelectionContext): boolean {
+  return candidate.running / candidate.limit <= ctx.meanLoad * BOUND + BOUND_SLACK;
 }
-function scorePrefix(c: Candidate, ctx: SelectionContext): number {
-  if (!withinBound(c, ctx)) return 0;
-  const sticky = !c.agreed ? 0 : hash32(`${ctx.seed}|${c.id}`) / 4294967296;
-  return AFFINITY_WEIGHT * c.knownFraction + STICKY_WEIGHT * sticky;
+function scorePrefix(candidate: Candidate, ctx: SelectionContext): number {
+  if (!withinBound(candidate, ctx)) return 0;
+  const sticky = !candidate.agreed ? 0 : hash32(`${ctx.seed}|${candidate.id}`) / 4294967296;
+  return AFFINITY_WEIGHT * candidate.knownFraction + STICKY_WEIGHT * sticky;
 }
-function scoreLoad(c: Candidate): number {
-  return -USAGE_WEIGHT * (c.running / c.limit);
+function scoreLoad(candidate: Candidate): number {
+  return -USAGE_WEIGHT * (candidate.running / candidate.limit);
 }
-function scoreDistance(c: Candidate, ctx: SelectionContext): number {
-  if (c.zone === ctx.zone) return 0;
-  return c.region === ctx.region ? -OTHER_ZONE : -OTHER_REGION;
+function scoreDistance(candidate: Candidate, ctx: SelectionContext): number {
+  if (candidate.zone === ctx.zone) return 0;
+  return candidate.region === ctx.region ? -OTHER_ZONE : -OTHER_REGION;
 }
 
 export const PREFIX_POLICY: Policy = { name: 'prefix', score: scorePrefix };
@@ -72,20 +72,20 @@
 
 export function selectAmong(all: readonly Candidate[], ctx: SelectionContext, policies: readonly Policy[]): Choice {
   let left = all;
-  for (const p of policies) {
-    if (!p.filter) continue;
+  for (const policy of policies) {
+    if (!policy.filter) continue;
     const remaining: Candidate[] = [];
-    for (const c of left) if (p.filter(c, ctx)) remaining.push(c);
-    if (remaining.length === 0) return { tag: 'none', stoppedBy: left.length === 0 ? 'model' : p.name };
+    for (const candidate of left) if (policy.filter(candidate, ctx)) remaining.push(candidate);
+    if (remaining.length === 0) return { tag: 'none', stoppedBy: left.length === 0 ? 'model' : policy.name };
     left = remaining;
   }
   let best: Candidate | null = null;
   let top = -Infinity;
-  for (const c of left) {
+  for (const candidate of left) {
     let score = 0;
-    for (const p of policies) if (p.score) score += p.score(c, ctx);
-    if (score > top || (score === top && best !== null && c.id < best.id)) {
-      best = c;
+    for (const policy of policies) if (policy.score) score += policy.score(candidate, ctx);
+    if (score > top || (score === top && best !== null && candidate.id < best.id)) {
+      best = candidate;
       top = score;
     }
   }
--- a/src/state/prefix-cache.ts
+++ b/src/state/prefix-cache.ts
@@ -17,23 +17,23 @@
   constructor(private readonly most: number) {}
 
   known(blocks: readonly PrefixBlock[]): number {
-    let n = 0;
-    for (const p of blocks) {
-      if (!this.tokensById.has(p.id)) break;
-      n += p.tokens;
+    let count = 0;
+    for (const prefixBlock of blocks) {
+      if (!this.tokensById.has(prefixBlock.id)) break;
+      count += prefixBlock.tokens;
     }
-    return n;
+    return count;
   }
 
   record(blocks: readonly PrefixBlock[]): void {
-    for (const p of blocks) {
-      const had = this.tokensById.get(p.id);
+    for (const prefixBlock of blocks) {
+      const had = this.tokensById.get(prefixBlock.id);
       if (had !== undefined) {
-        this.tokensById.delete(p.id);
+        this.tokensById.delete(prefixBlock.id);
         this.sum -= had;
       }
-      this.tokensById.set(p.id, p.tokens);
-      this.sum += p.tokens;
+      this.tokensById.set(prefixBlock.id, prefixBlock.tokens);
+      this.sum += prefixBlock.tokens;
     }
     for (const [id, tokens] of this.tokensById) {
       if (this.sum <= this.most) break;
--- a/src/state/prefix-table.ts
+++ b/src/state/prefix-table.ts
@@ -23,8 +23,8 @@
   private chains(model: number, blocks: readonly string[]): string[] {
     const out: string[] = [];
     let chain = String(model);
-    for (const p of blocks) {
-      chain = `${chain}>${p}`;
+    for (const path of blocks) {
+      chain = `${chain}>${path}`;
       out.push(chain);
     }
     return out;
@@ -35,19 +35,20 @@
   }
 
   learn(model: number, blocks: readonly string[], worker: number): void {
-    const me = this.tagged(worker);
+    const tagged = this.tagged(worker);
     for (const chain of this.chains(model, blocks)) {
-      const holders: number[] = [me];
-      for (const w of this.currentHolders.peek(chain) ?? []) if (w !== me && holders.length < HOLDERS) holders.push(w);
+      const holders: number[] = [tagged];
+      for (const worker of this.currentHolders.peek(chain) ?? [])
+        if (worker !== tagged && holders.length < HOLDERS) holders.push(worker);
       this.currentHolders.set(chain, holders);
     }
   }
 
   knownBlocks(model: number, blocks: readonly string[], worker: number): number {
-    const me = this.tagged(worker);
+    const tagged = this.tagged(worker);
     const all = this.chains(model, blocks);
-    for (let n = all.length; n > 0; n -= 1) {
-      if (this.currentHolders.peek(all[n - 1] as string)?.includes(me)) return n;
+    for (let count = all.length; count > 0; count -= 1) {
+      if (this.currentHolders.peek(all[count - 1] as string)?.includes(tagged)) return count;
     }
     return 0;
   }
@@ -59,9 +60,9 @@
   holders(model: number, blocks: readonly string[]): readonly number[] {
     const out = new Set<number>();
     const all = this.chains(model, blocks);
-    for (let n = all.length; n > 0 && out.size < HOLDERS; n -= 1) {
-      for (const w of this.currentHolders.peek(all[n - 1] as string) ?? [])
-        if (this.tagged(Math.floor(w / 65_536)) === w) out.add(Math.floor(w / 65_536));
+    for (let count = all.length; count > 0 && out.size < HOLDERS; count -= 1) {
+      for (const worker of this.currentHolders.peek(all[count - 1] as string) ?? [])
+        if (this.tagged(Math.floor(worker / 65_536)) === worker) out.add(Math.floor(worker / 65_536));
     }
     return [...out];
   }
--- a/src/state/rates.ts
+++ b/src/state/rates.ts
@@ -26,20 +26,20 @@
   observe(at: number, reports: Iterable<Report>, complete: boolean): void {
     const first = this.samples.length === 0;
     const next: Record<string, number> = { ...this.running };
-    for (const r of reports) {
-      const before = this.lastReports.get(r.reporter);
-      const restarted = before !== undefined && before.incarnation !== r.incarnation;
-      for (const [model, n] of Object.entries(r.requests)) {
-        const base = restarted ? 0 : before ? (before.last[model] ?? 0) : first ? n : 0;
-        next[model] = (next[model] ?? 0) + Math.max(0, n - base);
+    for (const report of reports) {
+      const before = this.lastReports.get(report.reporter);
+      const restarted = before !== undefined && before.incarnation !== report.incarnation;
+      for (const [model, count] of Object.entries(report.requests)) {
+        const base = restarted ? 0 : before ? (before.last[model] ?? 0) : first ? count : 0;
+        next[model] = (next[model] ?? 0) + Math.max(0, count - base);
       }
-      this.lastReports.set(r.reporter, { incarnation: r.incarnation, last: r.requests });
+      this.lastReports.set(report.reporter, { incarnation: report.incarnation, last: report.requests });
     }
     this.running = next;
     this.samples.push({ at, totals: next, complete });
     if (this.samples.length % 256 === 0) this.samples = this.samples.filter(fresh);
-    function fresh(s: Sample): boolean {
-      return s.at >= at - KEPT_MS;
+    function fresh(sample: Sample): boolean {
+      return sample.at >= at - KEPT_MS;
     }
   }
 
@@ -49,16 +49,16 @@
     let from: Sample | null = null;
     let complete = true;
     for (let i = this.samples.length - 1; i >= 0; i -= 1) {
-      const s = this.samples[i] as Sample;
-      if (!s.complete) complete = false;
-      if (last.at - s.at >= windowMs) {
-        from = s;
+      const sample = this.samples[i] as Sample;
+      if (!sample.complete) complete = false;
+      if (last.at - sample.at >= windowMs) {
+        from = sample;
         break;
       }
     }
     if (!from) return null;
-    const n = (last.totals[model] ?? 0) - (from.totals[model] ?? 0);
-    return { perSecond: (n * 1_000) / (last.at - from.at), complete };
+    const count = (last.totals[model] ?? 0) - (from.totals[model] ?? 0);
+    return { perSecond: (count * 1_000) / (last.at - from.at), complete };
   }
 
   reset(): void {
--- a/src/state/recent-slots.ts
+++ b/src/state/recent-slots.ts
@@ -61,10 +61,10 @@
     if (!all) return null;
     const out: RecentSlot[] = [];
     let size = 0;
-    for (const k of all) {
-      size += k.bytes;
+    for (const keptSlot of all) {
+      size += keptSlot.bytes;
       if (out.length > 0 && size > mostBytes) break;
-      out.push({ slot: k.slot, batch: k.batch });
+      out.push({ slot: keptSlot.slot, batch: keptSlot.batch });
     }
     return out;
   }
@@ -77,7 +77,7 @@
     const all = this.slotsSince(from);
     if (!all) return null;
     let size = 0;
-    for (const k of all) size += k.bytes;
+    for (const keptSlot of all) size += keptSlot.bytes;
     return size;
   }
 }
--- a/src/state/registry-row.ts
+++ b/src/state/registry-row.ts
@@ -27,7 +27,7 @@
   cold: RateGuard;
   running: number;
   unread: number;
-  kv: number;
+  kvTokens: number;
   otherLoad: WorkerLoad;
   reportedLoad: WorkerLoad;
   fails: number;
@@ -39,7 +39,7 @@
   prefixCache: PrefixCache;
   runs: RunCounts;
   owners: {
-    readonly of: Readonly<Record<string, SharingProxy>>;
+    readonly proxies: Readonly<Record<string, SharingProxy>>;
     readonly most: number;
     readonly names: readonly string[];
   } | null;
@@ -49,12 +49,12 @@
 export type WorkerLoad = {
   readonly running: number;
   readonly unread: number;
-  readonly kv: number;
+  readonly kvTokens: number;
   readonly bad: number;
   readonly ran: number;
 };
 /** Nothing. */
-export const NO_LOAD: WorkerLoad = { running: 0, unread: 0, kv: 0, bad: 0, ran: 0 };
+export const NO_LOAD: WorkerLoad = { running: 0, unread: 0, kvTokens: 0, bad: 0, ran: 0 };
 
 /** Window in which the starts of a cold worker are counted: a little over the second that its rate is for. */
 const COLD_WINDOW_MS = 1_150;
@@ -70,7 +70,7 @@
     cold: createRateGuard(COLD_WINDOW_MS),
     running: 0,
     unread: 0,
-    kv: 0,
+    kvTokens: 0,
     otherLoad: NO_LOAD,
     reportedLoad: NO_LOAD,
     fails: 0,
@@ -97,7 +97,7 @@
   return {
     running: Math.max(0, sum[0] - reportedLoad.running),
     unread: Math.max(0, sum[1] - reportedLoad.unread),
-    kv: Math.max(0, sum[2] - reportedLoad.kv),
+    kvTokens: Math.max(0, sum[2] - reportedLoad.kvTokens),
     bad: Math.max(0, sum[3] - reportedLoad.bad),
     ran: Math.max(0, sum[4] - reportedLoad.ran),
   };
--- a/src/state/reports.ts
+++ b/src/state/reports.ts
@@ -13,9 +13,9 @@
 export type ReportStep = 'merged' | 'old' | 'gap';
 
 /** Whether `a` is of a later life, or later in the same life. */
-export function newer(a: Report, b: Report): boolean {
-  if (a.incarnation !== b.incarnation) return a.incarnation > b.incarnation;
-  return a.count > b.count;
+export function newer(left: Report, right: Report): boolean {
+  if (left.incarnation !== right.incarnation) return left.incarnation > right.incarnation;
+  return left.count > right.count;
 }
 
 /** Takes a report into the table. */
--- a/src/state/route-table.ts
+++ b/src/state/route-table.ts
@@ -21,17 +21,17 @@
   constructor(readonly serving: Serving) {
     for (const [name, settings] of Object.entries(this.serving.mappings)) {
       const host = settings.host.toLowerCase();
-      const of = this.hosts.get(host) ?? new Map<string, MatchedRoute>();
-      this.hosts.set(host, of);
-      of.set(settings.prefix, { name, settings });
+      const routes = this.hosts.get(host) ?? new Map<string, MatchedRoute>();
+      this.hosts.set(host, routes);
+      routes.set(settings.prefix, { name, settings });
     }
   }
 
   match(host: string, path: string): MatchedRoute | null {
-    const of = this.hosts.get(bare(host));
-    if (!of) return null;
+    const routes = this.hosts.get(bare(host));
+    if (!routes) return null;
     for (let end = path.lastIndexOf('/'); end >= 0; end = end === 0 ? -1 : path.lastIndexOf('/', end - 1)) {
-      const found = of.get(path.slice(0, end + 1));
+      const found = routes.get(path.slice(0, end + 1));
       if (found) return found;
     }
     return null;
--- a/src/state/run-key.ts
+++ b/src/state/run-key.ts
@@ -8,7 +8,7 @@
 /** A key with the time of its making, in Unix milliseconds. */
 export type RunKey = { readonly text: string; readonly born: number };
 /** Why a text is no usable key. */
-export type RunKeyFault = 'withoutBirth' | 'fromTheFuture' | 'tooOld';
+export type RunKeyError = 'withoutBirth' | 'fromTheFuture' | 'tooOld';
 
 /** How long after its making a key may be used: as long as claims are remembered. */
 export const KEY_LIFE_MS = 24 * HOUR_MS;
@@ -21,7 +21,7 @@
 }
 
 /** Reads a key against shared time; makers' clocks may run ahead by up to twelve hours. */
-export function readRunKey(text: string, now: number): RunKey | RunKeyFault {
+export function readRunKey(text: string, now: number): RunKey | RunKeyError {
   const born = Number(BIRTH.exec(text)?.[1] ?? Number.NaN);
   if (Number.isNaN(born)) return 'withoutBirth';
   if (born > now + AHEAD_MS) return 'fromTheFuture';
--- a/src/state/scaler-decide.ts
+++ b/src/state/scaler-decide.ts
@@ -40,19 +40,19 @@
   return order.events[0]?.slot ?? 0;
 }
 function placedSlot(order: Order): number {
-  for (const e of order.events) if (e.status === 'placed') return e.slot;
+  for (const orderEvent of order.events) if (orderEvent.status === 'placed') return orderEvent.slot;
   return 0;
 }
 
 /** What to change for a model now; zone sets first, if they changed. */
 export function decideModel(
-  rm: ResolvedModel,
+  resolved: ResolvedModel,
   controlState: ControlState,
   observation: ScalerObservation,
   memory: ScalerMemory,
   nextOrderId: () => string,
 ): Decision[] {
-  const { model, values } = rm;
+  const { model, values } = resolved;
   const out: Decision[] = [];
   const mem = memoryOf(memory, model);
   const zones = openZones(values.zones, controlState);
@@ -77,10 +77,10 @@
 
   function recordPlaced(): void {
     const open = new Set<string>();
-    for (const o of orders) {
-      if (o.machine === null) continue;
-      open.add(o.id);
-      if (!mem.placedSince.has(o.id)) mem.placedSince.set(o.id, observation.now);
+    for (const order of orders) {
+      if (order.machine === null) continue;
+      open.add(order.id);
+      if (!mem.placedSince.has(order.id)) mem.placedSince.set(order.id, observation.now);
     }
     for (const id of mem.placedSince.keys()) if (!open.has(id)) mem.placedSince.delete(id);
   }
@@ -168,7 +168,7 @@
   }
 
   function workerOf(order: Order): ObservedWorker | null {
-    for (const w of observation.workers ?? []) if (w.machine === order.machine) return w;
+    for (const worker of observation.workers ?? []) if (worker.machine === order.machine) return worker;
     return null;
   }
 
@@ -177,7 +177,7 @@
     if (placedSlot(order) > observation.asOf) return null;
     if (observation.machines) {
       let seen: ObservedMachine | null = null;
-      for (const m of observation.machines) if (m.id === order.machine) seen = m;
+      for (const machine of observation.machines) if (machine.id === order.machine) seen = machine;
       if (
         !seen &&
         !observation.knownMachines.has(order.machine) &&
@@ -213,7 +213,7 @@
   }
   function ofKind(kind: Kind): Order[] {
     const list: Order[] = [];
-    for (const o of standing) if (o.kind === kind) list.push(o);
+    for (const order of standing) if (order.kind === kind) list.push(order);
     return list;
   }
   function intend(kind: Kind, zone: string, cause: string): void {
@@ -234,20 +234,20 @@
     const spot = ofKind('spot');
     const wanted = zones.length === 0 ? 0 : target + values.nExtra;
     const occupied = new Set<string>();
-    for (const o of spot) occupied.add(o.zone);
+    for (const order of spot) occupied.add(order.zone);
     const isResting = resting('spot');
-    for (let n = spot.length; n < wanted; n += 1) {
+    for (let count = spot.length; count < wanted; count += 1) {
       const awake: ZoneSets = { active: withoutResting(sets.active), preemptive: sets.preemptive };
       const zone = selectNextZone(awake, values.zones, occupied, spotPrice);
       if (zone === null) return;
       occupied.add(zone);
-      intend('spot', zone, `Spot ${n + 1} of ${wanted} (target ${target} + extra ${values.nExtra}).`);
+      intend('spot', zone, `Spot ${count + 1} of ${wanted} (target ${target} + extra ${values.nExtra}).`);
     }
     shrink(spot, wanted, spotPrice, `Only ${wanted} spot workers are wanted.`);
 
-    function withoutResting(xs: readonly string[]): string[] {
+    function withoutResting(items: readonly string[]): string[] {
       const ready: string[] = [];
-      for (const z of xs) if (!isResting(z)) ready.push(z);
+      for (const zone of items) if (!isResting(zone)) ready.push(zone);
       return ready;
     }
   }
@@ -255,15 +255,15 @@
   function decideOnDemand(): void {
     const fallback = ofKind('onDemand');
     let ready = 0;
-    for (const o of ofKind('spot')) if (o.status === 'ready') ready += 1;
+    for (const order of ofKind('spot')) if (order.status === 'ready') ready += 1;
     const wanted = zones.length === 0 ? 0 : decideMixture(target, values.nExtra, ready).onDemand;
     const isResting = resting('onDemand');
-    for (let n = fallback.length; n < wanted; n += 1) {
+    for (let count = fallback.length; count < wanted; count += 1) {
       const awake: string[] = [];
-      for (const z of zones) if (!isResting(z)) awake.push(z);
+      for (const zone of zones) if (!isResting(zone)) awake.push(zone);
       const zone = cheapest(awake, values.zones, onDemandPrice);
       if (zone === null) return;
-      intend('onDemand', zone, `Fallback ${n + 1} of ${wanted}: ${ready} spot ready of ${target + values.nExtra}.`);
+      intend('onDemand', zone, `Fallback ${count + 1} of ${wanted}: ${ready} spot ready of ${target + values.nExtra}.`);
     }
     shrink(fallback, wanted, onDemandPrice, `Enough spot is ready: ${ready} of ${target + values.nExtra}.`);
   }
@@ -275,12 +275,12 @@
       if (order.status === 'intended') continue;
       out.push({ cause, act: { tag: 'orderDraining', order: order.id } });
     }
-    function firstToGo(a: Order, b: Order): number {
-      const ra = a.status === 'ready' ? 1 : 0;
-      const rb = b.status === 'ready' ? 1 : 0;
-      if (ra !== rb) return ra - rb;
-      const dear = priceOf(b.zone) - priceOf(a.zone);
-      return dear !== 0 ? dear : startedSlot(b) - startedSlot(a);
+    function firstToGo(left: Order, right: Order): number {
+      const leftRank = left.status === 'ready' ? 1 : 0;
+      const rightRank = right.status === 'ready' ? 1 : 0;
+      if (leftRank !== rightRank) return leftRank - rightRank;
+      const dear = priceOf(right.zone) - priceOf(left.zone);
+      return dear !== 0 ? dear : startedSlot(right) - startedSlot(left);
     }
   }
 }
@@ -288,7 +288,7 @@
 /** The zones that exist and are not evacuated. */
 export function openZones(zones: readonly string[], controlState: ControlState): string[] {
   const out: string[] = [];
-  for (const z of zones)
-    if (controlState.evacuated[z] === undefined && controlState.configuration.zones[z]) out.push(z);
+  for (const zone of zones)
+    if (controlState.evacuated[zone] === undefined && controlState.configuration.zones[zone]) out.push(zone);
   return out;
 }
--- a/src/state/seal.ts
+++ b/src/state/seal.ts
@@ -9,12 +9,12 @@
 import { createHash } from 'node:crypto';
 import type { Hash } from 'node:crypto';
 
-const Id = Type.String({ minLength: 1, maxLength: 256 });
+const tString = Type.String({ minLength: 1, maxLength: 256 });
 
 /** A seal as workers send it. */
 export const ResponseDigestShape = Type.Object({
-  requestId: Id,
-  attemptId: Id,
+  requestId: tString,
+  attemptId: tString,
   pieces: Type.Integer({ minimum: 0 }),
   digest: Type.String(),
 });
--- a/src/state/serving-order.ts
+++ b/src/state/serving-order.ts
@@ -10,8 +10,8 @@
 
 const GAP = 1_024;
 
-function byPosition(a: readonly [string, Positioned], b: readonly [string, Positioned]): number {
-  return a[1].at - b[1].at;
+function byPosition(left: readonly [string, Positioned], right: readonly [string, Positioned]): number {
+  return left[1].at - right[1].at;
 }
 
 function positioned<T extends Positioned>(
--- a/src/state/settings-tree.ts
+++ b/src/state/settings-tree.ts
@@ -106,9 +106,9 @@
   const levels: Record<string, Level> = {};
   for (const key of Object.keys(DEFAULTS)) {
     for (const [level, settings] of tiers) {
-      const v = settings[key as keyof Settings];
-      if (v === undefined) continue;
-      values[key] = v;
+      const value = settings[key as keyof Settings];
+      if (value === undefined) continue;
+      values[key] = value;
       levels[key] = level;
       break;
     }
@@ -127,14 +127,14 @@
 
 export function differences(from: unknown, to: unknown): Change[] {
   const out: Change[] = [];
-  function walk(path: readonly string[], a: unknown, b: unknown): void {
-    if (isTable(a) && isTable(b)) {
-      const keys = new Set([...Object.keys(a), ...Object.keys(b)]);
-      for (const k of [...keys].sort()) walk([...path, k], own(a, k), own(b, k));
+  function walk(path: readonly string[], first: unknown, second: unknown): void {
+    if (isTable(first) && isTable(second)) {
+      const keys = new Set([...Object.keys(first), ...Object.keys(second)]);
+      for (const key of [...keys].sort()) walk([...path, key], own(first, key), own(second, key));
       return;
     }
-    if (JSON.stringify(a) === JSON.stringify(b)) return;
-    out.push(b === undefined ? { path: [...path] } : { path: [...path], value: b });
+    if (JSON.stringify(first) === JSON.stringify(second)) return;
+    out.push(second === undefined ? { path: [...path] } : { path: [...path], value: second });
   }
   walk([], from, to);
   return out;
--- a/src/state/shared-time.ts
+++ b/src/state/shared-time.ts
@@ -21,12 +21,12 @@
     for (const name of this.offsets.keys()) if (!names.has(name)) this.offsets.delete(name);
   }
 
-  private ascending(a: number, b: number): number {
-    return a - b;
+  private ascending(left: number, right: number): number {
+    return left - right;
   }
 
   now(mono: number, ownWall: number): number {
-    const sorted = [...this.offsets.values()].sort((a, b) => this.ascending(a, b));
+    const sorted = [...this.offsets.values()].sort((left, right) => this.ascending(left, right));
     const middle = sorted[Math.floor((sorted.length - 1) / 2)];
     return middle === undefined ? ownWall : mono + middle;
   }
--- a/src/state/snapshot-parts.test.ts
+++ b/src/state/snapshot-parts.test.ts
@@ -60,7 +60,7 @@
     const mixed = createAssembly(one.offer);
     addChunk(mixed, 0, chunkOf(one, 0) ?? '');
     addChunk(mixed, 1, chunkOf(other, 1) ?? '');
-    expect(assembled(mixed)).toEqual({ ok: false, fault: { tag: 'digestDiffers' } });
+    expect(assembled(mixed)).toEqual({ ok: false, error: { tag: 'digestDiffers' } });
   });
 
   test('an offer above the bound is known before anything is fetched', () => {
--- a/src/state/snapshot-parts.ts
+++ b/src/state/snapshot-parts.ts
@@ -24,7 +24,7 @@
 /** What was received so far of one offered snapshot. */
 export type Assembly = { readonly offer: SnapshotOffer; readonly parts: string[] };
 
-export type AssemblyFault = { readonly tag: 'digestDiffers' };
+export type AssemblyError = { readonly tag: 'digestDiffers' };
 
 /** With the escaping of JSON within JSON a part stays below 64 KB, which narrow links carry in one round trip. */
 export const CHUNK_LENGTH = 40_000;
@@ -69,7 +69,7 @@
 }
 
 /** The whole text, once all parts are there and their digest is the one that was offered. */
-export function assembled(assembly: Assembly): Result<string, AssemblyFault> {
+export function assembled(assembly: Assembly): Result<string, AssemblyError> {
   const text = assembly.parts.join('');
   return sha256(text) === assembly.offer.digest ? ok(text) : err({ tag: 'digestDiffers' });
 }
--- a/src/state/worker-owners.ts
+++ b/src/state/worker-owners.ts
@@ -30,14 +30,14 @@
   }
 
   ownersOf(row: RegistryRow, most: number): readonly string[] {
-    if (row.owners && row.owners.of === this.proxies && row.owners.most === most) return row.owners.names;
+    if (row.owners && row.owners.proxies === this.proxies && row.owners.most === most) return row.owners.names;
     const ranks: { readonly name: string; readonly near: boolean; readonly hash: number }[] = [];
-    for (const [name, s] of Object.entries(this.proxies))
-      ranks.push({ name, near: s.region === row.entry.region, hash: hash32(`${row.entry.id}|${name}`) });
+    for (const [name, sharingProxy] of Object.entries(this.proxies))
+      ranks.push({ name, near: sharingProxy.region === row.entry.region, hash: hash32(`${row.entry.id}|${name}`) });
     ranks.sort(nearFirst);
     const names: string[] = [];
-    for (const r of ranks.slice(0, most)) names.push(r.name);
-    row.owners = { of: this.proxies, most, names };
+    for (const rank of ranks.slice(0, most)) names.push(rank.name);
+    row.owners = { proxies: this.proxies, most, names };
     return names;
   }
 }
@@ -48,8 +48,8 @@
 }
 
 function nearFirst(
-  a: { readonly near: boolean; readonly hash: number },
-  b: { readonly near: boolean; readonly hash: number },
+  left: { readonly near: boolean; readonly hash: number },
+  right: { readonly near: boolean; readonly hash: number },
 ): number {
-  return Number(b.near) - Number(a.near) || b.hash - a.hash;
+  return Number(right.near) - Number(left.near) || right.hash - left.hash;
 }
--- a/src/state/worker-pools.test.ts
+++ b/src/state/worker-pools.test.ts
@@ -6,7 +6,8 @@
 function rows(n: number): WorkerRow[] {
   return Array.from(
     { length: n },
-    (_, ix) => ({ ix, listed: { id: `w${ix}`, model: 'm', zone: `z${ix % 6}`, region: `r${ix % 3}` } }) as WorkerRow,
+    (_, ix) =>
+      ({ index: ix, listed: { id: `w${ix}`, model: 'm', zone: `z${ix % 6}`, region: `r${ix % 3}` } }) as WorkerRow,
   );
 }
 function poolsOf(all: readonly WorkerRow[]): ReturnType<typeof createWorkerPools> {
@@ -29,7 +30,7 @@
     const p = poolsOf(all);
     const few = p.sample({ ...ask, holders: [all[1_234] as WorkerRow] }) ?? [];
     expect(few.length).toBeLessThanOrEqual(LOOKED_AT + 8);
-    expect(few.some((x) => x.row.ix === 1_234)).toBe(true);
+    expect(few.some((x) => x.row.index === 1_234)).toBe(true);
     expect(few.filter((x) => x.row.listed.zone === 'z0').length).toBeGreaterThanOrEqual(24);
   });
 
@@ -39,11 +40,11 @@
     const agreed = (p: typeof a): number[] =>
       (p.sample(ask) ?? [])
         .filter((x) => x.agreed)
-        .map((x) => x.row.ix)
+        .map((x) => x.row.index)
         .sort();
     expect(agreed(a)).toEqual(agreed(b));
     const seen = new Set<number>();
-    for (let i = 0; i < 60; i += 1) for (const x of a.sample(ask) ?? []) seen.add(x.row.ix);
+    for (let i = 0; i < 60; i += 1) for (const x of a.sample(ask) ?? []) seen.add(x.row.index);
     expect(seen.size).toBe(600);
   });
 
--- a/src/state/worker-pools.ts
+++ b/src/state/worker-pools.ts
@@ -41,17 +41,17 @@
     for (const row of rows) {
       const { model, region, zone } = row.listed;
       push(this.byModel, model, row);
-      const of = regions.get(model) ?? new Map<string, WorkerRow[]>();
-      regions.set(model, of);
-      push(of, region, row);
+      const byRegion = regions.get(model) ?? new Map<string, WorkerRow[]>();
+      regions.set(model, byRegion);
+      push(byRegion, region, row);
       push(near, `${model}|${zone}`, row);
     }
     this.rings = new Map();
     this.zones = new Map();
-    for (const [model, of] of regions) {
+    for (const [model, byRegion] of regions) {
       if ((this.byModel.get(model)?.length ?? 0) <= LOOKED_AT) continue;
       const made = new Map<string, Ring>();
-      for (const [region, list] of of) made.set(region, this.ringOf(list));
+      for (const [region, list] of byRegion) made.set(region, this.ringOf(list));
       this.rings.set(model, made);
     }
     for (const [key, list] of near) if (list.length > 0) this.zones.set(key, { at: [], rows: list, cursor: 0 });
@@ -62,10 +62,10 @@
   }
 
   sample(query: PoolQuery): readonly Picked[] | null {
-    const of = this.rings.get(query.model);
-    if (!of) return null;
+    const byRegion = this.rings.get(query.model);
+    if (!byRegion) return null;
     const regions: Ring[] = [];
-    for (const [region, ring] of of) if (query.homes === null || query.homes.includes(region)) regions.push(ring);
+    for (const [region, ring] of byRegion) if (query.homes === null || query.homes.includes(region)) regions.push(ring);
     if (regions.length === 0) return [];
     const agreed = new Set<WorkerRow>();
     const others = new Set<WorkerRow>(query.holders);
@@ -81,9 +81,9 @@
     return out;
   }
 
-  private addNext(into: Set<WorkerRow>, ring: Ring, n: number): void {
-    addRange(into, ring.rows, ring.cursor, n);
-    ring.cursor = (ring.cursor + n) % ring.rows.length;
+  private addNext(into: Set<WorkerRow>, ring: Ring, count: number): void {
+    addRange(into, ring.rows, ring.cursor, count);
+    ring.cursor = (ring.cursor + count) % ring.rows.length;
   }
 }
 
@@ -97,8 +97,8 @@
   else into.set(key, [row]);
 }
 
-function addRange(into: Set<WorkerRow>, rows: readonly WorkerRow[], from: number, n: number): void {
-  for (let i = 0; i < Math.min(n, rows.length); i += 1) into.add(rows[(from + i) % rows.length] as WorkerRow);
+function addRange(into: Set<WorkerRow>, rows: readonly WorkerRow[], from: number, count: number): void {
+  for (let i = 0; i < Math.min(count, rows.length); i += 1) into.add(rows[(from + i) % rows.length] as WorkerRow);
 }
 
 function firstFrom(at: readonly number[], hash: number): number {
@@ -116,14 +116,14 @@
 function hashed(row: WorkerRow): HashedRow {
   return { hash: hash32(row.listed.id), row };
 }
-function byHash(a: HashedRow, b: HashedRow): number {
-  return a.hash - b.hash || (a.row.listed.id < b.row.listed.id ? -1 : 1);
+function byHash(left: HashedRow, right: HashedRow): number {
+  return left.hash - right.hash || (left.row.listed.id < right.row.listed.id ? -1 : 1);
 }
-function hashOf(p: HashedRow): number {
-  return p.hash;
+function hashOf(hashedRow: HashedRow): number {
+  return hashedRow.hash;
 }
-function rowOf(p: HashedRow): WorkerRow {
-  return p.row;
+function rowOf(hashedRow: HashedRow): WorkerRow {
+  return hashedRow.row;
 }
 function agreedOn(row: WorkerRow): Picked {
   return { row, agreed: true };
--- a/src/state/worker-registry.test.ts
+++ b/src/state/worker-registry.test.ts
@@ -61,9 +61,9 @@
     let sent = 0;
     for (const b of all) {
       for (let i = 0; i < 100; i += 1) {
-        const got = b.selectWorker(ask());
-        if (got.tag !== 'row') break;
-        b.reserve(got.row, ask());
+        const response = b.selectWorker(ask());
+        if (response.tag !== 'row') break;
+        b.reserve(response.row, ask());
         sent += 1;
       }
     }
@@ -85,8 +85,8 @@
     ];
     const chosen = new Set(
       all.map((b) => {
-        const got = b.selectWorker(ask({ parts, tokens: 8_000, pinned: true }));
-        return got.tag === 'row' ? got.row.entry.id : '';
+        const response = b.selectWorker(ask({ parts, tokens: 8_000, pinned: true }));
+        return response.tag === 'row' ? response.row.entry.id : '';
       }),
     );
     expect(chosen.size).toBe(1);
@@ -145,9 +145,9 @@
   b!.applyFleetLoad(a!.load(200), 200);
   for (const book of [a!, b!]) {
     for (let i = 0; i < 20; i += 1) {
-      const got = book.selectWorker(ask({ now: 2_000 }));
-      expect(got.tag === 'row' && got.row.entry.id).toBe('w1');
-      if (got.tag === 'row') book.reserve(got.row, ask({ now: 2_000 })).end();
+      const response = book.selectWorker(ask({ now: 2_000 }));
+      expect(response.tag === 'row' && response.row.entry.id).toBe('w1');
+      if (response.tag === 'row') book.reserve(response.row, ask({ now: 2_000 })).end();
     }
   }
   for (let i = 0; i < 60; i += 1) a!.recordServed(row, 9_000);
@@ -159,8 +159,8 @@
   const row = [...a!.rows()][0]!;
   for (let i = 0; i < 30; i += 1) a!.recordServed(row, 50);
   a!.recordSpoiled(row, 60);
-  const got = a!.selectWorker(ask({ now: 1_000 }));
-  expect(got.tag === 'row' && got.waitMs).toBeLessThan(100);
+  const response = a!.selectWorker(ask({ now: 1_000 }));
+  expect(response.tag === 'row' && response.waitMs).toBeLessThan(100);
 });
 
 test('a worker that was out of reach may be another life: others go first until the list had time to tell', () => {
@@ -169,9 +169,9 @@
   b!.markUnresponsive(row, 100);
   b!.markReachable(row, 3_000);
   for (let i = 0; i < 10; i += 1) {
-    const got = b!.selectWorker(ask({ now: 3_100 }));
-    expect(got.tag === 'row' && got.row.entry.id).toBe('w1');
-    if (got.tag === 'row') b!.reserve(got.row, ask({ now: 3_100 }));
+    const response = b!.selectWorker(ask({ now: 3_100 }));
+    expect(response.tag === 'row' && response.row.entry.id).toBe('w1');
+    if (response.tag === 'row') b!.reserve(response.row, ask({ now: 3_100 }));
   }
   const later = b!.selectWorker(ask({ now: 6_000 }));
   expect(later.tag === 'row' && later.row.entry.id).toBe('w0');
--- a/src/state/worker-registry.ts
+++ b/src/state/worker-registry.ts
@@ -101,8 +101,8 @@
     this.byModel = new Map();
     for (const row of this.currentRows.values()) {
       if (!row.present) continue;
-      const of = this.byModel.get(row.entry.model);
-      if (of) of.push(row);
+      const sameModel = this.byModel.get(row.entry.model);
+      if (sameModel) sameModel.push(row);
       else this.byModel.set(row.entry.model, [row]);
     }
     this.listed = true;
@@ -134,9 +134,9 @@
     return row.cold.hasCapacity(request.now, this.coldStartQuota(row, request.traits));
   }
 
-  private coldStartQuota(row: RegistryRow, t: ModelTraits): number {
+  private coldStartQuota(row: RegistryRow, traits: ModelTraits): number {
     const sharingProxies = this.owners.sharingCount();
-    const whole = Math.floor((t.coldRateS * this.tuning.coldOver + this.tuning.coldSlack) * this.tuning.coldGuard);
+    const whole = Math.floor((traits.coldRateS * this.tuning.coldOver + this.tuning.coldSlack) * this.tuning.coldGuard);
     if (whole >= LEAST_SHARE * sharingProxies) return Math.max(1, Math.floor(whole / sharingProxies));
     const names = this.owners.ownersOf(row, Math.max(1, Math.floor(whole / LEAST_SHARE)));
     return names.includes(this.self.name) ? Math.max(1, Math.floor(whole / names.length)) : 0;
@@ -184,10 +184,10 @@
   reserve(row: RegistryRow, request: SelectionRequest): Reservation {
     const known = request.pinned ? row.prefixCache.known(request.parts) : 0;
     const unread = Math.max(0, request.tokens - known);
-    const kv = request.tokens + request.outTokens;
+    const kvTokens = request.tokens + request.outTokens;
     row.running += 1;
     row.unread += unread;
-    row.kv += kv;
+    row.kvTokens += kvTokens;
     if (row.coldUntil > request.now) row.cold.record(request.now);
     if (request.pinned) row.prefixCache.record(request.parts);
     let reading = true;
@@ -201,7 +201,7 @@
       if (over) return;
       over = true;
       row.running -= 1;
-      row.kv -= kv;
+      row.kvTokens -= kvTokens;
     }
     return { read, end };
   }
@@ -271,12 +271,12 @@
       row.reportedLoad = {
         running: row.running,
         unread: rounded(row.unread, 100),
-        kv: rounded(row.kv, 1_000),
+        kvTokens: rounded(row.kvTokens, 1_000),
         bad: row.runs.bad(now),
         ran: row.runs.ran(now),
       };
-      const { running, unread, kv, bad, ran } = row.reportedLoad;
-      if (running > 0 || bad > 0) out[row.entry.id] = [running, unread, kv, bad, ran];
+      const { running, unread, kvTokens, bad, ran } = row.reportedLoad;
+      if (running > 0 || bad > 0) out[row.entry.id] = [running, unread, kvTokens, bad, ran];
     }
     return out;
   }
@@ -309,8 +309,8 @@
   return new CostedWorkerRegistry(self, tuning);
 }
 
-function rounded(n: number, step: number): number {
-  return Math.round(n / step) * step;
+function rounded(count: number, step: number): number {
+  return Math.round(count / step) * step;
 }
 function none(): readonly string[] {
   return [];
--- a/src/state/worker-row.ts
+++ b/src/state/worker-row.ts
@@ -1,7 +1,7 @@
 import type { Listed } from './listed.js';
 
 export type WorkerRow = {
-  readonly ix: number;
+  readonly index: number;
   listed: Listed;
   present: boolean;
   leaving: boolean;
@@ -21,9 +21,9 @@
 const ANSWER_FRESH_MS = 3_500;
 export const WIDEST = 1_024;
 
-export function freshRow(ix: number, listed: Listed): WorkerRow {
+export function freshRow(index: number, listed: Listed): WorkerRow {
   return {
-    ix,
+    index,
     listed,
     present: true,
     leaving: false,
--- a/src/state/worker-table.ts
+++ b/src/state/worker-table.ts
@@ -18,12 +18,12 @@
   recordMissedProbe(id: string): void;
   applyControlState(controlState: ControlState): void;
   rows(): readonly WorkerRow[];
-  row(ix: number): WorkerRow | null;
-  begin(ix: number): WorkerRow | null;
+  row(index: number): WorkerRow | null;
+  begin(index: number): WorkerRow | null;
   end(row: WorkerRow): void;
   isCurrent(row: WorkerRow): boolean;
-  recordRefused(ix: number): void;
-  recordServed(ix: number): void;
+  recordRefused(index: number): void;
+  recordServed(index: number): void;
   candidates(query: CandidateQuery): Candidate[];
   readonly prefixes: PrefixTable;
   modelIx(model: string): number;
@@ -58,25 +58,25 @@
   applyList(list: readonly Listed[], now: number): void {
     const seen = new Set<number>();
     for (const listed of list) {
-      const ix = this.names.of(listed.id);
-      seen.add(ix);
-      const row = this.table.get(ix);
+      const index = this.names.indexOf(listed.id);
+      seen.add(index);
+      const row = this.table.get(index);
       if (!row || row.listed.machine !== listed.machine) {
-        if (row) this.prefixes.forget(ix);
-        this.table.set(ix, freshRow(ix, listed));
+        if (row) this.prefixes.forget(index);
+        this.table.set(index, freshRow(index, listed));
       } else {
         row.listed = listed;
         row.present = true;
       }
-      const current = this.table.get(ix) as WorkerRow;
+      const current = this.table.get(index) as WorkerRow;
       if (listed.state === 'draining') this.setDraining(current, listed.remainingMs, now);
     }
     for (const row of this.table.values()) {
-      if (seen.has(row.ix)) continue;
+      if (seen.has(row.index)) continue;
       row.present = false;
       if (row.inFlight === 0) {
-        this.table.delete(row.ix);
-        this.prefixes.forget(row.ix);
+        this.table.delete(row.index);
+        this.prefixes.forget(row.index);
       }
     }
     this.pools.rebuild(this.table.values());
@@ -94,7 +94,7 @@
     const row = this.rowOf(id);
     if (!row) return;
     if (row.incarnation !== health.incarnation) {
-      if (row.incarnation !== null) this.prefixes.forget(row.ix);
+      if (row.incarnation !== null) this.prefixes.forget(row.index);
       row.incarnation = health.incarnation;
     }
     row.answeredAt = now;
@@ -112,8 +112,8 @@
   }
 
   private rowOf(id: string): WorkerRow | null {
-    const ix = this.names.find(id);
-    return ix === null ? null : (this.table.get(ix) ?? null);
+    const index = this.names.find(id);
+    return index === null ? null : (this.table.get(index) ?? null);
   }
 
   applyControlState(controlState: ControlState): void {
@@ -143,8 +143,8 @@
   private picked(query: CandidateQuery, model: number): readonly Picked[] {
     if (query.complete) return this.pools.all(query.model);
     const holders: WorkerRow[] = [];
-    for (const ix of this.prefixes.holders(model, query.parts)) {
-      const row = this.table.get(ix);
+    for (const index of this.prefixes.holders(model, query.parts)) {
+      const row = this.table.get(index);
       if (row?.listed.model === query.model) holders.push(row);
     }
     return (
@@ -155,7 +155,7 @@
 
   candidates(query: CandidateQuery): Candidate[] {
     const out: Candidate[] = [];
-    const model = this.models.of(query.model);
+    const model = this.models.indexOf(query.model);
     for (const { row, agreed } of this.picked(query, model)) {
       const { listed } = row;
       if (!row.present || !this.handedOver(row)) continue;
@@ -167,7 +167,7 @@
       const elsewhere = ramping && listed.zone !== query.zone && query.zonesWithProxy.has(listed.zone);
       const limit = elsewhere ? 0.5 : ramped;
       out.push({
-        ix: row.ix,
+        index: row.index,
         id: listed.id,
         address: listed.address,
         zone: listed.zone,
@@ -180,14 +180,14 @@
         limit,
         agreed,
         knownFraction:
-          query.parts.length === 0 ? 0 : this.prefixes.knownBlocks(model, query.parts, row.ix) / query.parts.length,
+          query.parts.length === 0 ? 0 : this.prefixes.knownBlocks(model, query.parts, row.index) / query.parts.length,
       });
     }
     return out;
   }
 
-  begin(ix: number): WorkerRow | null {
-    const row = this.table.get(ix) ?? null;
+  begin(index: number): WorkerRow | null {
+    const row = this.table.get(index) ?? null;
     if (row) row.inFlight += 1;
     return row;
   }
@@ -197,16 +197,16 @@
   }
 
   isCurrent(row: WorkerRow): boolean {
-    return this.table.get(row.ix) === row;
+    return this.table.get(row.index) === row;
   }
 
-  recordRefused(ix: number): void {
-    const row = this.table.get(ix);
+  recordRefused(index: number): void {
+    const row = this.table.get(index);
     if (row) row.window = Math.max(1, Math.min(row.window, row.inFlight) * NARROWED_BY);
   }
 
-  recordServed(ix: number): void {
-    const row = this.table.get(ix);
+  recordServed(index: number): void {
+    const row = this.table.get(index);
     if (row) row.window = Math.min(WIDEST, row.window + 1 / row.window);
   }
 
@@ -214,12 +214,12 @@
     return [...this.table.values()];
   }
 
-  row(ix: number): WorkerRow | null {
-    return this.table.get(ix) ?? null;
+  row(index: number): WorkerRow | null {
+    return this.table.get(index) ?? null;
   }
 
   modelIx(name: string): number {
-    return this.models.of(name);
+    return this.models.indexOf(name);
   }
 }
 
--- a/src/state/zone-sets.ts
+++ b/src/state/zone-sets.ts
@@ -15,11 +15,11 @@
 /** The sets after the zones of the configuration changed. */
 export function alignZones(sets: ZoneSets, zones: readonly string[]): ZoneSets {
   const preemptive = zones.filter(inPreemptive);
-  function inPreemptive(z: string): boolean {
-    return sets.preemptive.includes(z);
+  function inPreemptive(zone: string): boolean {
+    return sets.preemptive.includes(zone);
   }
-  function notPreemptive(z: string): boolean {
-    return !preemptive.includes(z);
+  function notPreemptive(zone: string): boolean {
+    return !preemptive.includes(zone);
   }
   return refilled({ active: zones.filter(notPreemptive), preemptive });
 }
@@ -29,11 +29,11 @@
   return { active: [...sets.active, ...sets.preemptive], preemptive: [] };
 }
 
-function without(xs: readonly string[], x: string): string[] {
-  function differs(y: string): boolean {
-    return y !== x;
+function without(zones: readonly string[], item: string): string[] {
+  function differs(other: string): boolean {
+    return other !== item;
   }
-  return xs.filter(differs);
+  return zones.filter(differs);
 }
 
 /** After a machine was taken back in a zone. With fewer than two active zones all become active again. */
@@ -56,9 +56,9 @@
 /** The cheapest of the zones; the first in `order` among equals. */
 export function cheapest(zones: readonly string[], order: readonly string[], priceOf: PriceOf): string | null {
   let best: string | null = null;
-  for (const z of order) {
-    if (!zones.includes(z)) continue;
-    if (best === null || priceOf(z) < priceOf(best)) best = z;
+  for (const zone of order) {
+    if (!zones.includes(zone)) continue;
+    if (best === null || priceOf(zone) < priceOf(best)) best = zone;
   }
   return best;
 }
@@ -70,13 +70,13 @@
   occupied: ReadonlySet<string>,
   priceOf: PriceOf,
 ): string | null {
-  function isFree(z: string): boolean {
-    return !occupied.has(z);
+  function isFree(zone: string): boolean {
+    return !occupied.has(zone);
   }
   return cheapest(sets.active.filter(isFree), order, priceOf) ?? cheapest(sets.active, order, priceOf);
 }
 
 /** Whether two pairs of sets are equal. */
-export function sameZones(a: ZoneSets, b: ZoneSets): boolean {
-  return a.active.join() === b.active.join() && a.preemptive.join() === b.preemptive.join();
+export function sameZones(left: ZoneSets, right: ZoneSets): boolean {
+  return left.active.join() === right.active.join() && left.preemptive.join() === right.preemptive.join();
 }
--- a/src/transport/clock.ts
+++ b/src/transport/clock.ts
@@ -12,7 +12,7 @@
 export type Clock = {
   readonly mono: () => number;
   readonly wall: () => number;
-  readonly timer: (ms: number, fn: () => void) => Timer;
+  readonly timer: (ms: number, callback: () => void) => Timer;
 };
 
 /** The clock of the runtime. */
@@ -23,8 +23,8 @@
   function wall(): number {
     return Date.now();
   }
-  function timer(ms: number, fn: () => void): Timer {
-    const handle = setTimeout(fn, Math.max(0, ms));
+  function timer(ms: number, callback: () => void): Timer {
+    const handle = setTimeout(callback, Math.max(0, ms));
     function cancel(): void {
       clearTimeout(handle);
     }
@@ -58,13 +58,13 @@
 }
 
 /** Calls `fn` each `ms` until cancelled; the first time after `ms`. */
-export function every(clock: Clock, ms: number, fn: () => void): Timer {
+export function every(clock: Clock, ms: number, callback: () => void): Timer {
   let stopped = false;
   let next: Timer = clock.timer(ms, tick);
   function tick(): void {
     if (stopped) return;
     next = clock.timer(ms, tick);
-    fn();
+    callback();
   }
   function cancel(): void {
     stopped = true;
--- a/src/transport/connection-pool.test.ts
+++ b/src/transport/connection-pool.test.ts
@@ -3,7 +3,7 @@
 import type { AddressInfo, Server, Socket } from 'node:net';
 import { createClock } from './clock.js';
 import { createOpaqueHttpServer } from './open-http-server.js';
-import type { OpaqueRequest, ConnectionPool, SendFault } from './open-http.js';
+import type { OpaqueRequest, ConnectionPool, SendError } from './open-http.js';
 import { createConnectionPool } from './connection-pool.js';
 
 const open: { close: () => void }[] = [];
@@ -35,10 +35,10 @@
   return o;
 }
 
-type Got = { status: number; body: string; fault: SendFault | null };
+type Got = { status: number; body: string; error: SendError | null };
 function ask(o: ConnectionPool, address: string, body: string | null = 'x', newConnection = false): Promise<Got> {
   return new Promise((done) => {
-    const got: Got = { status: 0, body: '', fault: null };
+    const response: Got = { status: 0, body: '', error: null };
     o.send(
       {
         address,
@@ -51,13 +51,13 @@
       },
       {
         head: (s) => {
-          got.status = s;
+          response.status = s;
         },
         data: (c) => {
-          got.body += c.toString();
+          response.body += c.toString();
         },
-        end: () => done(got),
-        failed: (fault) => done({ ...got, fault }),
+        end: () => done(response),
+        failed: (error) => done({ ...response, error }),
       },
     );
   });
@@ -73,7 +73,7 @@
     sock.write(OK);
   });
   const o = connectionPool();
-  for (let i = 0; i < 3; i += 1) expect(await ask(o, at)).toEqual({ status: 200, body: 'hi', fault: null });
+  for (let i = 0; i < 3; i += 1) expect(await ask(o, at)).toEqual({ status: 200, body: 'hi', error: null });
   expect(connections).toBe(1);
   expect(o.made()).toBe(1);
 });
@@ -81,8 +81,8 @@
 test('bytes behind a whole answer belong to no request', async () => {
   const at = await raw((sock) => sock.write(OK + 'HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad'));
   const o = connectionPool();
-  expect(await ask(o, at)).toMatchObject({ body: 'hi', fault: null });
-  expect(await ask(o, at)).toMatchObject({ body: 'hi', fault: null });
+  expect(await ask(o, at)).toMatchObject({ body: 'hi', error: null });
+  expect(await ask(o, at)).toMatchObject({ body: 'hi', error: null });
   expect(o.made()).toBe(2);
 });
 
@@ -98,7 +98,7 @@
   await ask(o, at);
   late!();
   while (o.idle(at) > 0) await new Promise((r) => setImmediate(r));
-  expect(await ask(o, at)).toMatchObject({ body: 'hi', fault: null });
+  expect(await ask(o, at)).toMatchObject({ body: 'hi', error: null });
   expect(o.made()).toBe(2);
 });
 
@@ -107,19 +107,19 @@
     sock.write('HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhi');
     sock.end();
   });
-  expect((await ask(connectionPool(), at)).fault).toEqual({ tag: 'reset' });
+  expect((await ask(connectionPool(), at)).error).toEqual({ tag: 'reset' });
 });
 
 test('bytes that are no answer are a broken one', async () => {
   const at = await raw((sock) => sock.write('nonsense\r\n\r\n'));
-  expect((await ask(connectionPool(), at)).fault).toEqual({ tag: 'garbled' });
+  expect((await ask(connectionPool(), at)).error).toEqual({ tag: 'garbled' });
 });
 
 test('an address without listener was never sent to', async () => {
   const at = await raw(() => undefined);
   open.splice(0).forEach((o) => o.close());
   await new Promise((r) => setImmediate(r));
-  expect((await ask(connectionPool(), at)).fault).toEqual({ tag: 'notConnected' });
+  expect((await ask(connectionPool(), at)).error).toEqual({ tag: 'notConnected' });
 });
 
 test('a connection that its worker closes is not used again', async () => {
@@ -129,7 +129,7 @@
   });
   const o = connectionPool();
   await ask(o, at);
-  expect(await ask(o, at)).toMatchObject({ body: 'hi', fault: null });
+  expect(await ask(o, at)).toMatchObject({ body: 'hi', error: null });
   expect(o.made()).toBe(2);
 });
 
@@ -138,7 +138,7 @@
   let cut = false;
   const opened = await httpServer.open('127.0.0.1:0', (req: OpaqueRequest) => {
     void req.body(100).then((b) => {
-      req.answerer.head(200, ['X-Body', b.ok ? b.value.toString() : b.fault.tag]);
+      req.answerer.head(200, ['X-Body', b.ok ? b.value.toString() : b.error.tag]);
       req.answerer.write(Buffer.from('one'));
       if (cut) req.answerer.abort();
       else req.answerer.end();
@@ -147,9 +147,9 @@
   if (!opened.ok) throw new Error('listen');
   open.push({ close: () => void opened.value.close() });
   const o = connectionPool();
-  expect(await ask(o, opened.value.address)).toMatchObject({ status: 200, body: 'one', fault: null });
+  expect(await ask(o, opened.value.address)).toMatchObject({ status: 200, body: 'one', error: null });
   cut = true;
-  expect((await ask(o, opened.value.address)).fault).toEqual({ tag: 'reset' });
+  expect((await ask(o, opened.value.address)).error).toEqual({ tag: 'reset' });
 });
 
 test('a connection that its worker forgot teaches to let connections rest for less', async () => {
@@ -165,7 +165,7 @@
   await ask(o, at);
   now = 4_000;
   forget = true;
-  expect((await ask(o, at)).fault).toEqual({ tag: 'reset' });
+  expect((await ask(o, at)).error).toEqual({ tag: 'reset' });
   forget = false;
   await ask(o, at);
   const before = o.made();
@@ -181,8 +181,8 @@
   for (const extra of ['\u0001\u0002 no answer\r\n\r\n', 'HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad']) {
     const at = await raw((sock) => sock.write(OK + extra));
     const o = connectionPool();
-    expect(await ask(o, at)).toEqual({ status: 200, body: 'hi', fault: null });
-    expect(await ask(o, at)).toEqual({ status: 200, body: 'hi', fault: null });
+    expect(await ask(o, at)).toEqual({ status: 200, body: 'hi', error: null });
+    expect(await ask(o, at)).toEqual({ status: 200, body: 'hi', error: null });
     expect(o.made()).toBe(2);
   }
 });
@@ -192,8 +192,8 @@
     sock.write('HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n' + OK),
   );
   const o = connectionPool();
-  expect(await ask(o, at)).toEqual({ status: 200, body: 'hi', fault: null });
-  expect(await ask(o, at)).toEqual({ status: 200, body: 'hi', fault: null });
+  expect(await ask(o, at)).toEqual({ status: 200, body: 'hi', error: null });
+  expect(await ask(o, at)).toEqual({ status: 200, body: 'hi', error: null });
   expect(o.made()).toBe(1);
 });
 
@@ -201,7 +201,7 @@
   const at = await raw((sock) =>
     sock.write('HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n'),
   );
-  expect((await ask(connectionPool(), at)).fault).toEqual({ tag: 'reset' });
+  expect((await ask(connectionPool(), at)).error).toEqual({ tag: 'reset' });
 });
 
 test('an answer without a length is whole when its connection ends, and broken when that is reset', async () => {
@@ -210,7 +210,7 @@
       sock.write('HTTP/1.1 200 OK\r\n\r\nhi');
       setImmediate(() => (reset ? sock.resetAndDestroy() : sock.end()));
     });
-    expect((await ask(connectionPool(), at)).fault).toEqual(reset ? { tag: 'reset' } : null);
+    expect((await ask(connectionPool(), at)).error).toEqual(reset ? { tag: 'reset' } : null);
   }
 });
 
@@ -220,7 +220,7 @@
       sock.write('HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n');
       setImmediate(() => (reset ? sock.resetAndDestroy() : sock.end()));
     });
-    expect((await ask(connectionPool(), at)).fault).toEqual({ tag: 'reset' });
+    expect((await ask(connectionPool(), at)).error).toEqual({ tag: 'reset' });
   }
 });
 
@@ -231,8 +231,8 @@
     sock.write(n === 1 ? `${OK}HTTP/1.1 20` : `0 OK\r\nContent-Length: 3\r\n\r\nbad`);
   });
   const o = connectionPool();
-  expect(await ask(o, at)).toEqual({ status: 200, body: 'hi', fault: null });
-  expect(await ask(o, at)).toEqual({ status: 0, body: '', fault: { tag: 'garbled' } });
+  expect(await ask(o, at)).toEqual({ status: 200, body: 'hi', error: null });
+  expect(await ask(o, at)).toEqual({ status: 0, body: '', error: { tag: 'garbled' } });
 });
 
 const LONG = 'x'.repeat(12_000_000);
@@ -270,10 +270,10 @@
   const worker = earlyWorker();
   const at = await worker.at;
   const o = connectionPool();
-  expect(await ask(o, at, LONG)).toEqual({ status: 200, body: 'hi', fault: null });
+  expect(await ask(o, at, LONG)).toEqual({ status: 200, body: 'hi', error: null });
   const first = worker.connections[0]!;
   expect(first.bytes).toBeLessThan(LONG.length);
-  expect(await ask(o, at)).toEqual({ status: 200, body: 'hi', fault: null });
+  expect(await ask(o, at)).toEqual({ status: 200, body: 'hi', error: null });
   expect(worker.connections).toHaveLength(2);
   first.sock.resume();
   while (o.idle(at) < 2) await new Promise((r) => setImmediate(r));
@@ -299,7 +299,7 @@
     sock.write(OK);
   });
   const o = connectionPool();
-  const fault = await new Promise((done) =>
+  const error = await new Promise((done) =>
     o.send(
       {
         address: at,
@@ -313,8 +313,8 @@
       { head: () => undefined, data: () => undefined, end: () => done(null), failed: done },
     ),
   );
-  expect(fault).toEqual({ tag: 'withheld' });
-  expect(await ask(o, at)).toEqual({ status: 200, body: 'hi', fault: null });
+  expect(error).toEqual({ tag: 'withheld' });
+  expect(await ask(o, at)).toEqual({ status: 200, body: 'hi', error: null });
   expect([o.made(), heard.includes('/held')]).toEqual([1, false]);
 });
 
@@ -350,7 +350,7 @@
   const o = connectionPool();
   await ask(o, at);
   expect(o.idle(at)).toBe(1);
-  expect(await ask(o, at, 'x', true)).toEqual({ status: 200, body: 'hi', fault: null });
+  expect(await ask(o, at, 'x', true)).toEqual({ status: 200, body: 'hi', error: null });
   expect(o.made()).toBe(2);
 });
 
@@ -382,6 +382,6 @@
   while (socks.length === 0) await new Promise((r) => setImmediate(r));
   sent.abort();
   socks[0]!.write('HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate');
-  expect(await ask(o, at)).toEqual({ status: 200, body: 'hi', fault: null });
+  expect(await ask(o, at)).toEqual({ status: 200, body: 'hi', error: null });
   expect([o.made(), heard]).toEqual([2, []]);
 });
--- a/src/transport/connection-pool.ts
+++ b/src/transport/connection-pool.ts
@@ -3,7 +3,7 @@
 import { createConnection } from 'node:net';
 import type { Socket } from 'node:net';
 import type { Clock } from './clock.js';
-import type { ConnectionPool, SendEvents, SendFault, Sending, Sent } from './open-http.js';
+import type { ConnectionPool, SendEvents, SendError, Sending, Sent } from './open-http.js';
 import { splitAddress } from './wire.js';
 import type { Address } from './wire.js';
 
@@ -71,21 +71,21 @@
   }
 
   function dial(address: Address, at: Endpoint, waitMs: number, done: (sock: Socket | null) => void): Socket | null {
-    const hp = splitAddress(address);
-    if (!hp) {
+    const hostPort = splitAddress(address);
+    if (!hostPort) {
       done(null);
       return null;
     }
     dialled += 1;
     at.open += 1;
-    const s = createConnection({ host: hp.host, port: hp.port, noDelay: true });
+    const socket = createConnection({ host: hostPort.host, port: hostPort.port, noDelay: true });
     let isDone = false;
-    function finish(got: Socket | null): void {
+    function finish(response: Socket | null): void {
       if (isDone) return;
       isDone = true;
       timer.cancel();
-      if (!got) s.destroy();
-      done(got);
+      if (!response) socket.destroy();
+      done(response);
     }
     function closed(): void {
       at.open -= 1;
@@ -96,20 +96,20 @@
       finish(null);
     }
     function connected(): void {
-      finish(s);
+      finish(socket);
     }
     const timer = clock.timer(waitMs, refused);
-    s.on('error', refused);
-    s.once('close', closed);
-    s.once('connect', connected);
-    return s;
+    socket.on('error', refused);
+    socket.once('close', closed);
+    socket.once('connect', connected);
+    return socket;
   }
 
   function check(address: Address, waitMs: number, done: (reached: boolean) => void): void {
     const at = endpointOf(address);
-    function dialledTo(s: Socket | null): void {
-      if (s) keepIdle(at, s);
-      done(s !== null);
+    function dialledTo(socket: Socket | null): void {
+      if (socket) keepIdle(at, socket);
+      done(socket !== null);
     }
     dial(address, at, waitMs, dialledTo);
   }
@@ -124,40 +124,40 @@
     let req: ClientRequest | null = null;
     let res: IncomingMessage | null = null;
 
-    function fail(fault: SendFault): void {
+    function fail(error: SendError): void {
       if (over) return;
       over = true;
       sock?.destroy();
-      events.failed(fault);
+      events.failed(error);
     }
     // What goes wrong behind a whole answer belongs to no request: its end is still to be told.
-    function broke(e?: { readonly code?: string }): void {
+    function broke(event?: { readonly code?: string }): void {
       if (over || res?.complete === true) return;
-      if (reused && res === null && restedMs > LEARNED_FROM_MS && e?.code === 'ECONNRESET') forgotten(restedMs);
-      if (e?.code?.startsWith(PARSE_ERROR) === true) fail({ tag: 'garbled' });
+      if (reused && res === null && restedMs > LEARNED_FROM_MS && event?.code === 'ECONNRESET') forgotten(restedMs);
+      if (event?.code?.startsWith(PARSE_ERROR) === true) fail({ tag: 'garbled' });
       else if (res === null && req?.writableFinished === false) fail({ tag: 'resetPartlyWritten' });
       else fail({ tag: 'reset' });
     }
 
-    function onResponse(r: IncomingMessage): void {
+    function onResponse(response: IncomingMessage): void {
       if (over) {
-        r.resume();
+        response.resume();
         return;
       }
-      res = r;
-      const keepAliveHeader = r.headers['keep-alive'];
+      res = response;
+      const keepAliveHeader = response.headers['keep-alive'];
       const timeout = typeof keepAliveHeader === 'string' ? /timeout=(\d+)/.exec(keepAliveHeader) : null;
       if (timeout) at.keepAliveMs = Number(timeout[1]) * 1_000;
       function get(name: string): string | null {
-        const v = r.headers[name];
-        return typeof v === 'string' ? v : null;
+        const value = response.headers[name];
+        return typeof value === 'string' ? value : null;
       }
       function data(chunk: Buffer): void {
         if (!over) events.data(chunk);
       }
       function end(): void {
         if (over) return;
-        if (!r.complete) {
+        if (!response.complete) {
           broke();
           return;
         }
@@ -165,19 +165,19 @@
         awaitRestOfBody();
         process.nextTick(events.end);
       }
-      r.on('data', data);
-      r.on('end', end);
-      r.on('aborted', broke);
-      r.on('error', broke);
-      events.head(r.statusCode ?? 0, r.rawHeaders, get);
+      response.on('data', data);
+      response.on('end', end);
+      response.on('aborted', broke);
+      response.on('error', broke);
+      events.head(response.statusCode ?? 0, response.rawHeaders, get);
     }
 
     // An early answer leaves the rest of the request's body due. Until it is written the connection
     // serves nobody else, and whatever the worker says meanwhile belongs to no request.
     function awaitRestOfBody(): void {
-      const s = sock;
-      if (!s || req?.writableFinished !== false) return;
-      const still = s;
+      const socket = sock;
+      if (!socket || req?.writableFinished !== false) return;
+      const still = socket;
       function drop(): void {
         written();
         still.destroy();
@@ -192,23 +192,23 @@
       still.once('free', written);
     }
 
-    function sendOn(s: Socket): void {
+    function sendOn(ownSocket: Socket): void {
       if (over) {
-        s.destroy();
+        ownSocket.destroy();
         return;
       }
-      sock = s;
-      if (s.destroyed) {
+      sock = ownSocket;
+      if (ownSocket.destroyed) {
         fail({ tag: 'resetUnwritten' });
         return;
       }
       function own(): Socket {
-        return s;
+        return ownSocket;
       }
       const head = what.headers();
       if (head === null) {
         over = true;
-        keepIdle(at, s);
+        keepIdle(at, ownSocket);
         events.failed({ tag: 'withheld' });
         return;
       }
@@ -225,15 +225,15 @@
       // An answer without a length ends with its connection. When the last bytes and a reset arrive
       // together the runtime reports a plain end; only a reset connection has lost its peer by then.
       function ended(): void {
-        if (s.remoteAddress === undefined) broke();
+        if (ownSocket.remoteAddress === undefined) broke();
       }
-      s.once('end', ended);
+      ownSocket.once('end', ended);
       function upgraded(_answer: IncomingMessage, socket: Socket): void {
         broke();
         socket.destroy();
       }
       function closed(): void {
-        s.off('end', ended);
+        ownSocket.off('end', ended);
         broke();
       }
       req.on('response', onResponse);
@@ -241,22 +241,22 @@
       req.on('close', closed);
       req.on('error', broke);
       function free(): void {
-        if (s.destroyed || !over) s.destroy();
-        else keepIdle(at, s);
+        if (ownSocket.destroyed || !over) ownSocket.destroy();
+        else keepIdle(at, ownSocket);
       }
-      s.once('free', free);
+      ownSocket.once('free', free);
       req.end(what.body ?? undefined);
     }
 
     function dialSending(): void {
       const from = clock.mono();
-      function done(s: Socket | null): void {
-        if (!s) {
+      function done(socket: Socket | null): void {
+        if (!socket) {
           fail({ tag: 'notConnected' });
           return;
         }
         events.connected?.(clock.mono() - from);
-        sendOn(s);
+        sendOn(socket);
       }
       sock = dial(what.address, at, what.connectMs, done);
     }
--- a/src/transport/disk.ts
+++ b/src/transport/disk.ts
@@ -11,37 +11,37 @@
 import type { Result } from '../base/result.js';
 
 /** Why a file operation failed; `diskFull` is told apart, as making room mends it. */
-export type DiskFault =
+export type DiskError =
   | { readonly tag: 'diskFailed'; readonly file: string; readonly code: string }
   | { readonly tag: 'diskFull'; readonly file: string };
 
 /** An open file of fixed size: reads and writes at offsets, and a sync that makes written data durable. */
 export type DiskFile = {
-  readonly read: (length?: number) => Promise<Result<Buffer, DiskFault>>;
-  readonly write: (at: number, data: Buffer) => Promise<Result<null, DiskFault>>;
-  readonly sync: () => Promise<Result<null, DiskFault>>;
+  readonly read: (length?: number) => Promise<Result<Buffer, DiskError>>;
+  readonly write: (at: number, data: Buffer) => Promise<Result<null, DiskError>>;
+  readonly sync: () => Promise<Result<null, DiskError>>;
 };
 
 /** The data folder of one node. `replace` swaps a whole file atomically; `load` gives null for a file that does not exist. */
 export type Disk = {
-  readonly list: () => Promise<Result<string[], DiskFault>>;
-  readonly preallocated: (name: string, size: number) => Promise<Result<DiskFile, DiskFault>>;
-  readonly replace: (name: string, data: Buffer) => Promise<Result<null, DiskFault>>;
-  readonly load: (name: string) => Promise<Result<Buffer | null, DiskFault>>;
+  readonly list: () => Promise<Result<string[], DiskError>>;
+  readonly preallocated: (name: string, size: number) => Promise<Result<DiskFile, DiskError>>;
+  readonly replace: (name: string, data: Buffer) => Promise<Result<null, DiskError>>;
+  readonly load: (name: string) => Promise<Result<Buffer | null, DiskError>>;
 };
 
 const BLOCK_BYTES = 4 * 1_048_576;
 
-function faultOf(file: string, e: unknown): DiskFault {
-  const code = typeof e === 'object' && e !== null && 'code' in e ? String(e.code) : 'unknown';
+function errorOf(file: string, error: unknown): DiskError {
+  const code = typeof error === 'object' && error !== null && 'code' in error ? String(error.code) : 'unknown';
   return code === 'ENOSPC' || code === 'EDQUOT' ? { tag: 'diskFull', file } : { tag: 'diskFailed', file, code };
 }
 
-async function guarded<T>(file: string, fn: () => Promise<T>): Promise<Result<T, DiskFault>> {
+async function guarded<T>(file: string, callback: () => Promise<T>): Promise<Result<T, DiskError>> {
   try {
-    return ok(await fn());
-  } catch (e) {
-    return err(faultOf(file, e));
+    return ok(await callback());
+  } catch (error) {
+    return err(errorOf(file, error));
   }
 }
 
@@ -56,7 +56,7 @@
     }
   }
 
-  function list(): Promise<Result<string[], DiskFault>> {
+  function list(): Promise<Result<string[], DiskError>> {
     async function go(): Promise<string[]> {
       await mkdir(folder, { recursive: true });
       return (await readdir(folder)).sort();
@@ -64,13 +64,13 @@
     return guarded(folder, go);
   }
 
-  function fileOf(name: string, fh: FileHandle, size: number): DiskFile {
-    function read(length = size): Promise<Result<Buffer, DiskFault>> {
+  function fileOf(name: string, handle: FileHandle, size: number): DiskFile {
+    function read(length = size): Promise<Result<Buffer, DiskError>> {
       async function go(): Promise<Buffer> {
         const buf = Buffer.alloc(Math.min(length, size));
         let at = 0;
         while (at < buf.length) {
-          const { bytesRead } = await fh.read(buf, at, buf.length - at, at);
+          const { bytesRead } = await handle.read(buf, at, buf.length - at, at);
           if (bytesRead === 0) break;
           at += bytesRead;
         }
@@ -78,20 +78,20 @@
       }
       return guarded(name, go);
     }
-    function write(at: number, data: Buffer): Promise<Result<null, DiskFault>> {
+    function write(at: number, data: Buffer): Promise<Result<null, DiskError>> {
       async function go(): Promise<null> {
         let done = 0;
         while (done < data.length) {
-          const { bytesWritten } = await fh.write(data, done, data.length - done, at + done);
+          const { bytesWritten } = await handle.write(data, done, data.length - done, at + done);
           done += bytesWritten;
         }
         return null;
       }
       return guarded(name, go);
     }
-    function sync(): Promise<Result<null, DiskFault>> {
+    function sync(): Promise<Result<null, DiskError>> {
       async function go(): Promise<null> {
-        await fh.datasync();
+        await handle.datasync();
         return null;
       }
       return guarded(name, go);
@@ -99,39 +99,39 @@
     return { read, write, sync };
   }
 
-  function preallocated(name: string, size: number): Promise<Result<DiskFile, DiskFault>> {
+  function preallocated(name: string, size: number): Promise<Result<DiskFile, DiskError>> {
     async function go(): Promise<DiskFile> {
       await mkdir(folder, { recursive: true });
       const path = join(folder, name);
-      const fh = await open(path, 'a').then(reopened);
+      const handle = await open(path, 'a').then(reopened);
       function reopened(made: FileHandle): Promise<FileHandle> {
         return made.close().then(again);
       }
       function again(): Promise<FileHandle> {
         return open(path, 'r+');
       }
-      const has = (await fh.stat()).size;
+      const has = (await handle.stat()).size;
       const block = Buffer.alloc(Math.min(BLOCK_BYTES, Math.max(0, size - has)));
       for (let at = has; at < size; at += BLOCK_BYTES) {
-        await fh.write(block, 0, Math.min(block.length, size - at), at);
+        await handle.write(block, 0, Math.min(block.length, size - at), at);
       }
-      await fh.sync();
+      await handle.sync();
       await syncFolder();
-      return fileOf(name, fh, size);
+      return fileOf(name, handle, size);
     }
     return guarded(name, go);
   }
 
-  function replace(name: string, data: Buffer): Promise<Result<null, DiskFault>> {
+  function replace(name: string, data: Buffer): Promise<Result<null, DiskError>> {
     async function go(): Promise<null> {
       await mkdir(folder, { recursive: true });
       const tmp = join(folder, `${name}.new`);
-      const fh = await open(tmp, 'w');
+      const handle = await open(tmp, 'w');
       try {
-        await fh.writeFile(data);
-        await fh.sync();
+        await handle.writeFile(data);
+        await handle.sync();
       } finally {
-        await fh.close();
+        await handle.close();
       }
       await rename(tmp, join(folder, name));
       await syncFolder();
@@ -140,13 +140,13 @@
     return guarded(name, go);
   }
 
-  function load(name: string): Promise<Result<Buffer | null, DiskFault>> {
+  function load(name: string): Promise<Result<Buffer | null, DiskError>> {
     async function go(): Promise<Buffer | null> {
       try {
         return await readFile(join(folder, name));
-      } catch (e) {
-        if (typeof e === 'object' && e !== null && 'code' in e && e.code === 'ENOENT') return null;
-        return Promise.reject(e instanceof Error ? e : new Error(String(e)));
+      } catch (error) {
+        if (typeof error === 'object' && error !== null && 'code' in error && error.code === 'ENOENT') return null;
+        return Promise.reject(error instanceof Error ? error : new Error(String(error)));
       }
     }
     return guarded(name, go);
--- a/src/transport/http-client.ts
+++ b/src/transport/http-client.ts
@@ -9,13 +9,13 @@
 import type { IncomingMessage } from 'node:http';
 import { err, ok } from '../base/result.js';
 import type { Result } from '../base/result.js';
-import type { HttpClient, HttpAnswer, HttpCall, HttpFault } from './http.js';
+import type { HttpClient, HttpAnswer, HttpCall, HttpError } from './http.js';
 
 const BEFORE_SENDING = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'ENOTFOUND', 'EADDRNOTAVAIL']);
 
-function faultOf(e: unknown): HttpFault {
-  const code = typeof e === 'object' && e !== null && 'code' in e ? String(e.code) : '';
-  const event = typeof e === 'object' && e !== null && 'event' in e ? String(e.event) : '';
+function errorOf(error: unknown): HttpError {
+  const code = typeof error === 'object' && error !== null && 'code' in error ? String(error.code) : '';
+  const event = typeof error === 'object' && error !== null && 'event' in error ? String(error.event) : '';
   if (BEFORE_SENDING.has(code) || event === 'connect' || event === 'lookup') return { tag: 'neverSent' };
   if (code === 'ETIMEDOUT') return { tag: 'timedOut' };
   return { tag: 'broken' };
@@ -23,17 +23,17 @@
 
 function headersOf(res: IncomingMessage): Record<string, string> {
   const out: Record<string, string> = {};
-  for (const [k, v] of Object.entries(res.headers)) if (typeof v === 'string') out[k] = v;
+  for (const [key, value] of Object.entries(res.headers)) if (typeof value === 'string') out[key] = value;
   return out;
 }
 
-async function* nothing(): AsyncGenerator<Result<unknown, HttpFault>> {}
+async function* nothing(): AsyncGenerator<Result<unknown, HttpError>> {}
 
 /** A client that keeps connections open; dialling takes at most `connectTimeoutMs`. */
 export function createGotHttpClient(connectTimeoutMs: number): HttpClient {
   const agent = { http: new Agent({ keepAlive: true, maxSockets: 512, maxFreeSockets: 64 }) };
 
-  async function requestWhole(call: HttpCall): Promise<Result<HttpAnswer, HttpFault>> {
+  async function requestWhole(call: HttpCall): Promise<Result<HttpAnswer, HttpError>> {
     try {
       const res = await got(`http://${call.address}${call.path}`, {
         method: call.method,
@@ -57,15 +57,15 @@
         }
       }
       return ok({ status: res.statusCode, headers: headersOf(res), body, lines: nothing(), abandon: noop });
-    } catch (e) {
-      return err(faultOf(e));
+    } catch (error) {
+      return err(errorOf(error));
     }
   }
 
   function noop(): void {}
 
-  function streamed(call: HttpCall): Promise<Result<HttpAnswer, HttpFault>> {
-    function start(resolve: (r: Result<HttpAnswer, HttpFault>) => void): void {
+  function streamed(call: HttpCall): Promise<Result<HttpAnswer, HttpError>> {
+    function start(resolve: (result: Result<HttpAnswer, HttpError>) => void): void {
       const stream = got.stream(`http://${call.address}${call.path}`, {
         method: call.method,
         agent,
@@ -77,17 +77,17 @@
         timeout: { request: call.timeoutMs, connect: connectTimeoutMs },
         ...(call.signal ? { signal: call.signal } : {}),
       });
-      let broke: HttpFault | null = null;
+      let broke: HttpError | null = null;
       let answered = false;
       function abandon(): void {
         stream.destroy();
       }
-      function failed(e: unknown): void {
-        broke = faultOf(e);
+      function failed(error: unknown): void {
+        broke = errorOf(error);
         if (!answered) resolve(err(broke));
         answered = true;
       }
-      async function* linesOf(res: IncomingMessage): AsyncGenerator<Result<unknown, HttpFault>> {
+      async function* linesOf(res: IncomingMessage): AsyncGenerator<Result<unknown, HttpError>> {
         const reader = createInterface({ input: stream, crlfDelay: Infinity });
         try {
           for await (const text of reader) {
@@ -101,8 +101,8 @@
             }
             yield ok(line);
           }
-        } catch (e) {
-          broke = faultOf(e);
+        } catch (error) {
+          broke = errorOf(error);
         } finally {
           reader.close();
           stream.destroy();
@@ -117,8 +117,8 @@
           const text = chunks.join('');
           const body: unknown = text === '' ? null : JSON.parse(text);
           resolve(ok({ status: res.statusCode ?? 0, headers: headersOf(res), body, lines: nothing(), abandon }));
-        } catch (e) {
-          resolve(err(e instanceof SyntaxError ? { tag: 'notJson' } : faultOf(e)));
+        } catch (error) {
+          resolve(err(error instanceof SyntaxError ? { tag: 'notJson' } : errorOf(error)));
         }
       }
       function response(res: IncomingMessage): void {
@@ -137,8 +137,8 @@
     return new Promise(start);
   }
 
-  function call(c: HttpCall): Promise<Result<HttpAnswer, HttpFault>> {
-    return c.stream ? streamed(c) : requestWhole(c);
+  function call(httpCall: HttpCall): Promise<Result<HttpAnswer, HttpError>> {
+    return httpCall.stream ? streamed(httpCall) : requestWhole(httpCall);
   }
   return { call };
 }
--- a/src/transport/http-server.test.ts
+++ b/src/transport/http-server.test.ts
@@ -3,7 +3,7 @@
 import { createGotHttpClient } from './http-client.js';
 import { splitAddress } from './wire.js';
 import { createExpressHttpServer } from './http-server.js';
-import type { HttpAnswer, HttpFault, HttpReply, HttpRequest, Route } from './http.js';
+import type { HttpAnswer, HttpError, HttpReply, HttpRequest, Route } from './http.js';
 import { createQuietLog } from './log.js';
 import type { Listener } from './wire.js';
 import type { Result } from '../base/result.js';
@@ -46,12 +46,12 @@
 ];
 
 async function opened(bodyWaitMs?: number): Promise<Listener> {
-  const got = await createExpressHttpServer(createQuietLog().component('httpServer'), bodyWaitMs).open(
+  const response = await createExpressHttpServer(createQuietLog().component('httpServer'), bodyWaitMs).open(
     '127.0.0.1:0',
     routes,
   );
-  if (!got.ok) throw new Error(got.fault.tag);
-  return got.value;
+  if (!response.ok) throw new Error(response.error.tag);
+  return response.value;
 }
 beforeAll(async () => {
   httpServer = await opened();
@@ -59,11 +59,11 @@
 });
 afterAll(() => Promise.all([httpServer.close(), hasty.close()]));
 
-function post(path: string, body: unknown, headers = {}): Promise<Result<HttpAnswer, HttpFault>> {
+function post(path: string, body: unknown, headers = {}): Promise<Result<HttpAnswer, HttpError>> {
   return httpClient.call({ method: 'POST', address: httpServer.address, path, body, headers, timeoutMs: 3_000 });
 }
 async function lines(path: string): Promise<unknown[]> {
-  const got = await httpClient.call({
+  const response = await httpClient.call({
     method: 'GET',
     address: httpServer.address,
     path,
@@ -71,14 +71,14 @@
     stream: true,
   });
   const out: unknown[] = [];
-  if (got.ok) for await (const line of got.value.lines) out.push(line.ok ? line.value : line.fault.tag);
+  if (response.ok) for await (const line of response.value.lines) out.push(line.ok ? line.value : line.error.tag);
   return out;
 }
 
 describe('the HTTP server and caller', () => {
   test('carry JSON, parameters and queries', async () => {
-    const got = await post('/echo/7?q=x', { a: 1 });
-    expect(got.ok && got.value.body).toEqual({ got: { a: 1 }, id: '7', q: 'x' });
+    const response = await post('/echo/7?q=x', { a: 1 });
+    expect(response.ok && response.value.body).toEqual({ got: { a: 1 }, id: '7', q: 'x' });
   });
   test('turn away what is too large or not JSON, typed', async () => {
     const large = await post('/echo/7', { a: 'x'.repeat(2_000) });
@@ -142,7 +142,7 @@
 
   test('a call that is given up ends at once, and so does the reading of its lines', async () => {
     const stop = new AbortController();
-    const got = await httpClient.call({
+    const response = await httpClient.call({
       method: 'GET',
       address: httpServer.address,
       path: '/endless',
@@ -151,9 +151,9 @@
       signal: stop.signal,
     });
     const seen: unknown[] = [];
-    if (got.ok) {
-      for await (const line of got.value.lines) {
-        seen.push(line.ok ? line.value : line.fault.tag);
+    if (response.ok) {
+      for await (const line of response.value.lines) {
+        seen.push(line.ok ? line.value : line.error.tag);
         stop.abort();
       }
     }
@@ -167,7 +167,7 @@
       signal: whole.signal,
     });
     whole.abort();
-    expect(await pending).toEqual({ ok: false, fault: { tag: 'broken' } });
+    expect(await pending).toEqual({ ok: false, error: { tag: 'broken' } });
   });
 
   test('a gate judges headers before the body is read', async () => {
@@ -188,10 +188,10 @@
     const boom = await httpClient.call({ method: 'GET', address: httpServer.address, path: '/boom', timeoutMs: 3_000 });
     expect(boom.ok && boom.value.status).toBe(500);
     const text = await httpClient.call({ method: 'GET', address: httpServer.address, path: '/text', timeoutMs: 3_000 });
-    expect(text).toEqual({ ok: false, fault: { tag: 'notJson' } });
+    expect(text).toEqual({ ok: false, error: { tag: 'notJson' } });
     const gone = await httpClient.call({ method: 'GET', address: '127.0.0.1:1', path: '/', timeoutMs: 3_000 });
-    expect(gone).toEqual({ ok: false, fault: { tag: 'neverSent' } });
+    expect(gone).toEqual({ ok: false, error: { tag: 'neverSent' } });
     const twice = await createExpressHttpServer(createQuietLog().component('httpServer')).open(httpServer.address, []);
-    expect(twice).toEqual({ ok: false, fault: { tag: 'addressInUse', address: httpServer.address } });
+    expect(twice).toEqual({ ok: false, error: { tag: 'addressInUse', address: httpServer.address } });
   });
 });
--- a/src/transport/http-server.ts
+++ b/src/transport/http-server.ts
@@ -15,7 +15,7 @@
 import type { HttpServer, HttpReply, HttpRequest, Route } from './http.js';
 import type { Log } from './log.js';
 import { splitAddress } from './wire.js';
-import type { Address, Listener, WireFault } from './wire.js';
+import type { Address, Listener, WireError } from './wire.js';
 
 const DEFAULT_MAX_BYTES = 1024 * 1024;
 const BODY_WAIT_MS = 30_000;
@@ -23,9 +23,9 @@
 
 function flat(from: Record<string, unknown>): Record<string, string> {
   const out: Record<string, string> = {};
-  for (const [k, v] of Object.entries(from)) {
-    if (typeof v === 'string') out[k] = v;
-    else if (Array.isArray(v) && typeof v[0] === 'string') out[k] = v[0];
+  for (const [key, value] of Object.entries(from)) {
+    if (typeof value === 'string') out[key] = value;
+    else if (Array.isArray(value) && typeof value[0] === 'string') out[key] = value[0];
   }
   return out;
 }
@@ -46,7 +46,7 @@
 }
 
 async function sendReply(res: Response, reply: HttpReply): Promise<void> {
-  for (const [k, v] of Object.entries(reply.headers ?? {})) res.setHeader(k, v);
+  for (const [key, value] of Object.entries(reply.headers ?? {})) res.setHeader(key, value);
   res.status(reply.status);
   if (reply.text !== undefined) {
     res.end(reply.text);
@@ -97,8 +97,8 @@
   function unknownPath(_req: Request, res: Response): void {
     res.status(404).json({ error: { tag: 'unknownPath' } });
   }
-  function failed(e: unknown, _req: Request, res: Response, _next: NextFunction): void {
-    const type = typeof e === 'object' && e !== null && 'type' in e ? String(e.type) : '';
+  function failed(error: unknown, _req: Request, res: Response, _next: NextFunction): void {
+    const type = typeof error === 'object' && error !== null && 'type' in error ? String(error.type) : '';
     if (res.headersSent) {
       res.destroy();
       return;
@@ -117,21 +117,21 @@
       res.status(400).json({ error: { tag: 'malformed', detail: 'body is not JSON' } });
       return;
     }
-    log.error(`A request broke: ${e instanceof Error ? (e.stack ?? e.message) : String(e)}.`);
+    log.error(`A request broke: ${error instanceof Error ? (error.stack ?? error.message) : String(error)}.`);
     res.status(500).json({ error: { tag: 'internal' } });
   }
 
-  function open(address: Address, routes: readonly Route[]): Promise<Result<Listener, WireFault>> {
-    const hp = splitAddress(address);
-    if (!hp) return Promise.resolve(err({ tag: 'badAddress', address }));
-    const target = hp;
+  function open(address: Address, routes: readonly Route[]): Promise<Result<Listener, WireError>> {
+    const hostPort = splitAddress(address);
+    if (!hostPort) return Promise.resolve(err({ tag: 'badAddress', address }));
+    const target = hostPort;
     const app = express();
     app.disable('x-powered-by');
     app.disable('etag');
     for (const route of routes) mount(app, route);
     app.use(unknownPath);
     app.use(failed);
-    function start(resolve: (r: Result<Listener, WireFault>) => void): void {
+    function start(resolve: (result: Result<Listener, WireError>) => void): void {
       const server = createServer(
         {
           requestTimeout: bodyWaitMs,
--- a/src/transport/http.ts
+++ b/src/transport/http.ts
@@ -4,7 +4,7 @@
  */
 
 import type { Result } from '../base/result.js';
-import type { Address, Listener, WireFault } from './wire.js';
+import type { Address, Listener, WireError } from './wire.js';
 
 /** Header fields by lower-case name. */
 export type Headers = Readonly<Record<string, string>>;
@@ -41,7 +41,7 @@
 
 /** Opens listeners that serve routes. */
 export type HttpServer = {
-  readonly open: (address: Address, routes: readonly Route[]) => Promise<Result<Listener, WireFault>>;
+  readonly open: (address: Address, routes: readonly Route[]) => Promise<Result<Listener, WireError>>;
 };
 
 /** An outgoing call. `timeoutMs` covers all of it; `stream` asks for lines as they come. */
@@ -57,7 +57,7 @@
 };
 
 /** Why a call has no answer; only `neverSent` promises that the request did not leave. */
-export type HttpFault =
+export type HttpError =
   | { readonly tag: 'neverSent' }
   | { readonly tag: 'broken' }
   | { readonly tag: 'timedOut' }
@@ -68,9 +68,9 @@
   readonly status: number;
   readonly headers: Headers;
   readonly body: unknown;
-  readonly lines: AsyncIterable<Result<unknown, HttpFault>>;
+  readonly lines: AsyncIterable<Result<unknown, HttpError>>;
   readonly abandon: () => void;
 };
 
 /** Makes outgoing calls. */
-export type HttpClient = { readonly call: (call: HttpCall) => Promise<Result<HttpAnswer, HttpFault>> };
+export type HttpClient = { readonly call: (call: HttpCall) => Promise<Result<HttpAnswer, HttpError>> };
--- a/src/transport/open-http-server.test.ts
+++ b/src/transport/open-http-server.test.ts
@@ -13,7 +13,7 @@
       res.on('data', (part: Buffer) => parts.push(part));
       res.on('end', () => resolve({ status: res.statusCode ?? 0, body: Buffer.concat(parts).toString() }));
     });
-    sent.on('error', (fault: NodeJS.ErrnoException) => resolve({ failed: fault.code ?? 'unknown' }));
+    sent.on('error', (error: NodeJS.ErrnoException) => resolve({ failed: error.code ?? 'unknown' }));
     sent.end();
   });
 }
@@ -30,7 +30,7 @@
     if (taken.target === '/held') held.push(taken);
     else answerWith(taken, 'at once');
   });
-  if (!opened.ok) throw new Error(opened.fault.tag);
+  if (!opened.ok) throw new Error(opened.error.tag);
   const server = opened.value;
   const idle = new Agent({ keepAlive: true, maxSockets: 1 });
   const busy = new Agent({ keepAlive: true, maxSockets: 1 });
--- a/src/transport/open-http-server.ts
+++ b/src/transport/open-http-server.ts
@@ -6,7 +6,7 @@
 import { closeServer, portOf } from './close-server.js';
 import type {
   Answerer,
-  BodyFault,
+  BodyError,
   OpaqueHttpServer,
   OpaqueLimits,
   OpaqueListener,
@@ -14,7 +14,7 @@
   RawHeaders,
 } from './open-http.js';
 import { splitAddress } from './wire.js';
-import type { Address, WireFault } from './wire.js';
+import type { Address, WireError } from './wire.js';
 
 const MOST_HEADER = 65_536;
 const CHECK_MS = 1_000;
@@ -25,7 +25,7 @@
   function closed(): void {
     if (over || res.writableFinished) return;
     over = true;
-    for (const fn of watchers) fn();
+    for (const callback of watchers) callback();
   }
   res.on('close', closed);
   function nothing(): void {}
@@ -50,26 +50,26 @@
   function gone(): boolean {
     return over || res.destroyed;
   }
-  function onGone(fn: () => void): void {
-    watchers.push(fn);
+  function onGone(callback: () => void): void {
+    watchers.push(callback);
   }
   return { head, write, end, abort, gone, onGone };
 }
 
 function requestOf(req: IncomingMessage, res: ServerResponse): OpaqueRequest {
   function get(name: string): string | null {
-    const v = req.headers[name];
-    return typeof v === 'string' ? v : null;
+    const value = req.headers[name];
+    return typeof value === 'string' ? value : null;
   }
-  function body(most: number): Promise<Result<Buffer, BodyFault>> {
-    function start(resolve: (r: Result<Buffer, BodyFault>) => void): void {
+  function body(most: number): Promise<Result<Buffer, BodyError>> {
+    function start(resolve: (result: Result<Buffer, BodyError>) => void): void {
       const chunks: Buffer[] = [];
       let size = 0;
       let done = false;
-      function finish(r: Result<Buffer, BodyFault>): void {
+      function finish(result: Result<Buffer, BodyError>): void {
         if (done) return;
         done = true;
-        resolve(r);
+        resolve(result);
       }
       function data(chunk: Buffer): void {
         size += chunk.length;
@@ -100,10 +100,10 @@
 }
 
 export function createOpaqueHttpServer(): OpaqueHttpServer {
-  function open(address: Address, handle: (req: OpaqueRequest) => void): Promise<Result<OpaqueListener, WireFault>> {
-    const hp = splitAddress(address);
-    if (!hp) return Promise.resolve(err({ tag: 'badAddress', address }));
-    const target = hp;
+  function open(address: Address, handle: (req: OpaqueRequest) => void): Promise<Result<OpaqueListener, WireError>> {
+    const hostPort = splitAddress(address);
+    if (!hostPort) return Promise.resolve(err({ tag: 'badAddress', address }));
+    const target = hostPort;
     let stopped = false;
     function closeIfStopped(): void {
       if (stopped) server.closeIdleConnections();
@@ -126,7 +126,7 @@
       sock.on('error', nothing);
     }
     server.on('connection', onConnection);
-    function start(resolve: (r: Result<OpaqueListener, WireFault>) => void): void {
+    function start(resolve: (result: Result<OpaqueListener, WireError>) => void): void {
       function bad(): void {
         resolve(err({ tag: 'addressInUse', address }));
       }
--- a/src/transport/open-http.ts
+++ b/src/transport/open-http.ts
@@ -1,9 +1,9 @@
 import type { Result } from '../base/result.js';
-import type { Address, Listener, WireFault } from './wire.js';
+import type { Address, Listener, WireError } from './wire.js';
 
 export type RawHeaders = readonly string[];
 
-export type BodyFault = { readonly tag: 'bodyTooLarge' } | { readonly tag: 'callerGone' };
+export type BodyError = { readonly tag: 'bodyTooLarge' } | { readonly tag: 'callerGone' };
 
 export type Answerer = {
   readonly head: (status: number, headers: RawHeaders) => void;
@@ -11,7 +11,7 @@
   readonly end: () => void;
   readonly abort: () => void;
   readonly gone: () => boolean;
-  readonly onGone: (fn: () => void) => void;
+  readonly onGone: (callback: () => void) => void;
 };
 
 export type OpaqueRequest = {
@@ -19,7 +19,7 @@
   readonly target: string;
   readonly headers: RawHeaders;
   readonly get: (name: string) => string | null;
-  readonly body: (most: number) => Promise<Result<Buffer, BodyFault>>;
+  readonly body: (most: number) => Promise<Result<Buffer, BodyError>>;
   readonly answerer: Answerer;
 };
 
@@ -32,11 +32,11 @@
 };
 
 export type OpaqueHttpServer = {
-  readonly open: (address: Address, handle: (req: OpaqueRequest) => void) => Promise<Result<OpaqueListener, WireFault>>;
+  readonly open: (address: Address, handle: (req: OpaqueRequest) => void) => Promise<Result<OpaqueListener, WireError>>;
 };
 
 /** How a sending failed; the outcomes of state/attempt-outcome.ts say what each means. */
-export type SendFault =
+export type SendError =
   | { readonly tag: 'notConnected' }
   | { readonly tag: 'withheld' }
   | { readonly tag: 'resetUnwritten' }
@@ -49,7 +49,7 @@
   readonly head: (status: number, headers: RawHeaders, get: (name: string) => string | null) => void;
   readonly data: (chunk: Buffer) => void;
   readonly end: () => void;
-  readonly failed: (fault: SendFault) => void;
+  readonly failed: (error: SendError) => void;
 };
 
 export type Sending = {
--- a/src/transport/ring.test.ts
+++ b/src/transport/ring.test.ts
@@ -4,7 +4,7 @@
 import { createWorld } from '../sim/world.js';
 import type { World } from '../sim/world.js';
 import { openRing } from './ring.js';
-import type { Opened, RingFault } from './ring.js';
+import type { Opened, RingError } from './ring.js';
 import type { Result } from '../base/result.js';
 
 const shape = { name: 'r', files: 4, fileBytes: 400, snapshotBytes: 2_000 };
@@ -15,13 +15,13 @@
   await world.until(60_000, () => value !== null);
   return (value as unknown as { v: T }).v;
 }
-function open(world: World, platter: Platter): Promise<Result<Opened, RingFault>> {
+function open(world: World, platter: Platter): Promise<Result<Opened, RingError>> {
   return within(world, openRing(simDisk(platter, world.begin(world.host('h', 'z')), world), shape));
 }
 async function opened(world: World, platter: Platter): Promise<Opened> {
-  const got = await open(world, platter);
-  if (!got.ok) throw new Error(JSON.stringify(got.fault));
-  return got.value;
+  const response = await open(world, platter);
+  if (!response.ok) throw new Error(JSON.stringify(response.error));
+  return response.value;
 }
 
 type Log = { readonly base: number; readonly items: number[] };
@@ -118,7 +118,7 @@
     const whole = Buffer.from(file?.current as Buffer);
     (file as { current: Buffer }).current[31 + 28] = 0xff;
     const bad = await open(world, platter);
-    expect(bad.ok ? null : bad.fault.tag).toBe('ringDamaged');
+    expect(bad.ok ? null : bad.error.tag).toBe('ringDamaged');
     (file as { current: Buffer }).current = whole;
     expect(readLog(await opened(world, platter))).toEqual([...Array(12).keys()]);
     const last = [...platter.files.values()][0] as { current: Buffer };
@@ -134,7 +134,7 @@
     expect((await within(world, o.ring.append([Buffer.from('0')]))).ok).toBe(true);
     (platter.files.get('r-0') as { current: Buffer }).current.write('MILL', 0);
     const older = await open(world, platter);
-    expect(older).toEqual({ ok: false, fault: { tag: 'olderFormat', file: 'r-0', needed: 'MIL2' } });
+    expect(older).toEqual({ ok: false, error: { tag: 'olderFormat', file: 'r-0', needed: 'MIL2' } });
   });
 
   test('a ring without a snapshot fills and says so; a broken disk closes it', async () => {
@@ -143,8 +143,8 @@
     const o = await opened(world, platter);
     let tag = '';
     for (let n = 0; n < 100 && tag === ''; n += 1) {
-      const got = await within(world, o.ring.append([Buffer.alloc(100)]));
-      if (!got.ok) tag = got.fault.tag;
+      const response = await within(world, o.ring.append([Buffer.alloc(100)]));
+      if (!response.ok) tag = response.error.tag;
     }
     expect(tag).toBe('ringFull');
     expect((await within(world, o.ring.compact(Buffer.from('{}')))).ok).toBe(true);
@@ -153,7 +153,7 @@
     expect((await within(world, o.ring.append([Buffer.alloc(10)]))).ok).toBe(false);
     platter.failing = false;
     const after = await within(world, o.ring.append([Buffer.alloc(10)]));
-    expect(after.ok ? '' : after.fault.tag).toBe('ringBroken');
+    expect(after.ok ? '' : after.error.tag).toBe('ringBroken');
   });
 
   test.each(['append', 'compact'] as const)(
--- a/src/transport/ring.ts
+++ b/src/transport/ring.ts
@@ -1,7 +1,7 @@
 import { crc32 } from 'node:zlib';
 import { err, ok } from '../base/result.js';
 import type { Result } from '../base/result.js';
-import type { Disk, DiskFault, DiskFile } from './disk.js';
+import type { Disk, DiskError, DiskFile } from './disk.js';
 
 export type RingShape = {
   readonly name: string;
@@ -10,8 +10,8 @@
   readonly snapshotBytes: number;
 };
 
-export type RingFault =
-  | DiskFault
+export type RingError =
+  | DiskError
   | { readonly tag: 'ringDamaged'; readonly file: string; readonly at: number }
   | { readonly tag: 'olderFormat'; readonly file: string; readonly needed: 'MIL2' }
   | { readonly tag: 'ringFull' }
@@ -34,8 +34,8 @@
  *   snapshot was written and synced, which covers them, or the ring is opened again.
  */
 export type Ring = {
-  readonly append: (records: readonly Buffer[]) => Promise<Result<null, RingFault>>;
-  readonly compact: (snapshot: Buffer) => Promise<Result<null, RingFault>>;
+  readonly append: (records: readonly Buffer[]) => Promise<Result<null, RingError>>;
+  readonly compact: (snapshot: Buffer) => Promise<Result<null, RingError>>;
   readonly crowded: () => boolean;
   readonly usedFiles: () => number;
 };
@@ -104,7 +104,7 @@
   }
 }
 
-async function snapshotIn(file: DiskFile, area: number): Promise<Result<Found | null, DiskFault>> {
+async function snapshotIn(file: DiskFile, area: number): Promise<Result<Found | null, DiskError>> {
   const head = await file.read(HEAD);
   if (!head.ok) return head;
   if (head.value.length < HEAD || head.value.readUInt32BE(0) !== MAGIC) return ok(null);
@@ -125,8 +125,8 @@
   return end;
 }
 
-function bySeq(a: Found, b: Found): number {
-  return a.seq - b.seq;
+function bySeq(left: Found, right: Found): number {
+  return left.seq - right.seq;
 }
 
 /**
@@ -135,7 +135,7 @@
  * them, while records written after them stay: a gap in the sequence.
  */
 async function syncAll(files: readonly DiskFile[]): Promise<boolean> {
-  const syncs: Promise<Result<null, DiskFault>>[] = [];
+  const syncs: Promise<Result<null, DiskError>>[] = [];
   for (const file of files) syncs.push(file.sync());
   for (const synced of await Promise.all(syncs)) if (!synced.ok) return false;
   return true;
@@ -145,7 +145,7 @@
   return buf.length >= 4 && buf.readUInt32BE(0) === OLDER_MAGIC;
 }
 
-async function olderFileIn(files: readonly DiskFile[]): Promise<Result<number, DiskFault>> {
+async function olderFileIn(files: readonly DiskFile[]): Promise<Result<number, DiskError>> {
   for (const [i, file] of files.entries()) {
     const head = await file.read(4);
     if (!head.ok) return head;
@@ -156,7 +156,7 @@
 
 const CLEARED_AT_ONCE = 1_048_576;
 
-async function clearFile(disk: Disk, name: string, bytes: number): Promise<Result<null, DiskFault>> {
+async function clearFile(disk: Disk, name: string, bytes: number): Promise<Result<null, DiskError>> {
   const opened = await disk.preallocated(name, bytes);
   if (!opened.ok) return opened;
   for (let at = 0; at < bytes; at += CLEARED_AT_ONCE) {
@@ -170,7 +170,7 @@
  * Empties a ring that is not open, so that the next opening finds it blank. Whoever calls it gives up all that the ring
  * has answered for. The files before the snapshots: what is left of a ring cleared in part is damaged or a former state.
  */
-export async function clearRing(disk: Disk, shape: RingShape): Promise<Result<null, DiskFault>> {
+export async function clearRing(disk: Disk, shape: RingShape): Promise<Result<null, DiskError>> {
   for (let i = 0; i < shape.files; i += 1) {
     const cleared = await clearFile(disk, `${shape.name}-${i}`, shape.fileBytes);
     if (!cleared.ok) return cleared;
@@ -182,7 +182,7 @@
   return ok(null);
 }
 
-export async function openRing(disk: Disk, shape: RingShape): Promise<Result<Opened, RingFault>> {
+export async function openRing(disk: Disk, shape: RingShape): Promise<Result<Opened, RingError>> {
   const files: DiskFile[] = [];
   const areas: DiskFile[] = [];
   for (let i = 0; i < shape.files; i += 1) {
@@ -200,8 +200,9 @@
     areas.push(file.value);
     const found = await snapshotIn(file.value, i);
     if (!found.ok) return found;
-    const f = found.value;
-    if (f && (!best || f.seq > best.seq || (f.seq === best.seq && f.gen > best.gen))) best = f;
+    const candidate = found.value;
+    if (candidate && (!best || candidate.seq > best.seq || (candidate.seq === best.seq && candidate.gen > best.gen)))
+      best = candidate;
   }
 
   const covers = best ? best.gen : 0;
@@ -247,7 +248,7 @@
   // A disk that can't be synced is read, and takes no record.
   let broken = !(await syncAll([...files, ...areas]));
 
-  function advance(): Result<null, RingFault> {
+  function advance(): Result<null, RingError> {
     if (gen + 1 - oldest >= shape.files) return err({ tag: 'ringFull' });
     gen += 1;
     current = (current + 1) % shape.files;
@@ -255,7 +256,7 @@
     return ok(null);
   }
 
-  async function append(payloads: readonly Buffer[]): Promise<Result<null, RingFault>> {
+  async function append(payloads: readonly Buffer[]): Promise<Result<null, RingError>> {
     if (broken) return err({ tag: 'ringBroken' });
     const touched = new Set<DiskFile>();
     let inBatch = 0;
@@ -289,7 +290,7 @@
 
   // A snapshot that failed may stand on the disk all the same, so its number is never used again. One that succeeds
   // covers whatever earlier failures left in the files: the ring takes records again after it.
-  async function compact(snapshot: Buffer): Promise<Result<null, RingFault>> {
+  async function compact(snapshot: Buffer): Promise<Result<null, RingError>> {
     if (HEAD + snapshot.length > shape.snapshotBytes) return err({ tag: 'recordTooLarge', bytes: snapshot.length });
     const to = 1 - area;
     const file = areas[to] as DiskFile;
--- a/src/transport/rng.ts
+++ b/src/transport/rng.ts
@@ -10,12 +10,12 @@
 
 /** A seeded generator (mulberry32) for tests and stand-ins. Predictable: not for secrets. */
 export function createRng(seed: number): Rng {
-  let s = seed >>> 0;
+  let seconds = seed >>> 0;
   function next(): number {
-    s = (s + 0x6d2b79f5) >>> 0;
-    let t = Math.imul(s ^ (s >>> 15), 1 | s);
-    t = (t + Math.imul(t ^ (t >>> 7), 61 | t)) ^ t;
-    return ((t ^ (t >>> 14)) >>> 0) / 4294967296;
+    seconds = (seconds + 0x6d2b79f5) >>> 0;
+    let time = Math.imul(seconds ^ (seconds >>> 15), 1 | seconds);
+    time = (time + Math.imul(time ^ (time >>> 7), 61 | time)) ^ time;
+    return ((time ^ (time >>> 14)) >>> 0) / 4294967296;
   }
   return { next };
 }
@@ -29,35 +29,35 @@
       pool = randomBytes(1536);
       at = 0;
     }
-    const n = pool.readUIntBE(at, 6);
+    const count = pool.readUIntBE(at, 6);
     at += 6;
-    return n / 281474976710656;
+    return count / 281474976710656;
   }
   return { next };
 }
 
 /** A whole number from 0 to below `n`. */
-export function below(rng: Rng, n: number): number {
-  return Math.floor(rng.next() * n);
+export function below(rng: Rng, count: number): number {
+  return Math.floor(rng.next() * count);
 }
 
 const HEX = '0123456789abcdef';
 
 /** An id of 80 random bits behind a prefix. */
 export function newId(rng: Rng, prefix: string): string {
-  let s = '';
-  for (let i = 0; i < 20; i += 1) s += HEX[below(rng, 16)];
-  return `${prefix}-${s}`;
+  let text = '';
+  for (let i = 0; i < 20; i += 1) text += HEX[below(rng, 16)];
+  return `${prefix}-${text}`;
 }
 
 /** A copy in random order (Fisher-Yates). */
-export function shuffled<T>(rng: Rng, xs: readonly T[]): T[] {
-  const out = [...xs];
+export function shuffled<T>(rng: Rng, items: readonly T[]): T[] {
+  const out = [...items];
   for (let i = out.length - 1; i > 0; i -= 1) {
     const j = below(rng, i + 1);
-    const a = out[i] as T;
+    const mixed = out[i] as T;
     out[i] = out[j] as T;
-    out[j] = a;
+    out[j] = mixed;
   }
   return out;
 }
--- a/src/transport/switch-file.ts
+++ b/src/transport/switch-file.ts
@@ -15,9 +15,9 @@
 
 const LOOK_MS = 100;
 
-function textsIn(u: unknown): ReadonlySet<string> {
+function textsIn(value: unknown): ReadonlySet<string> {
   const out = new Set<string>();
-  if (Array.isArray(u)) for (const x of u) if (typeof x === 'string') out.add(x);
+  if (Array.isArray(value)) for (const item of value) if (typeof item === 'string') out.add(item);
   return out;
 }
 
--- a/src/transport/wire.ts
+++ b/src/transport/wire.ts
@@ -15,7 +15,7 @@
 export type Address = string;
 
 /** Why no connection or listener was made. */
-export type WireFault =
+export type WireError =
   | { readonly tag: 'unreachable'; readonly address: Address }
   | { readonly tag: 'addressInUse'; readonly address: Address }
   | { readonly tag: 'badAddress'; readonly address: Address };
@@ -43,8 +43,8 @@
   readonly listen: (
     address: Address,
     onConnection: (connection: Connection) => void,
-  ) => Promise<Result<Listener, WireFault>>;
-  readonly dial: (address: Address) => Promise<Result<Connection, WireFault>>;
+  ) => Promise<Result<Listener, WireError>>;
+  readonly dial: (address: Address) => Promise<Result<Connection, WireError>>;
 };
 
 /** Counts frames and connections, for measurements. */
@@ -145,11 +145,11 @@
   function listen(
     address: Address,
     onConnection: (connection: Connection) => void,
-  ): Promise<Result<Listener, WireFault>> {
-    const hp = splitAddress(address);
-    if (!hp) return Promise.resolve(err({ tag: 'badAddress', address }));
-    const target = hp;
-    function start(resolve: (r: Result<Listener, WireFault>) => void): void {
+  ): Promise<Result<Listener, WireError>> {
+    const hostPort = splitAddress(address);
+    if (!hostPort) return Promise.resolve(err({ tag: 'badAddress', address }));
+    const target = hostPort;
+    function start(resolve: (result: Result<Listener, WireError>) => void): void {
       const open = new Set<Socket>();
       function accept(sock: Socket): void {
         open.add(sock);
@@ -179,11 +179,11 @@
     return new Promise(start);
   }
 
-  function dial(address: Address): Promise<Result<Connection, WireFault>> {
-    const hp = splitAddress(address);
-    if (!hp) return Promise.resolve(err({ tag: 'badAddress', address }));
-    const target = hp;
-    function start(resolve: (r: Result<Connection, WireFault>) => void): void {
+  function dial(address: Address): Promise<Result<Connection, WireError>> {
+    const hostPort = splitAddress(address);
+    if (!hostPort) return Promise.resolve(err({ tag: 'badAddress', address }));
+    const target = hostPort;
+    function start(resolve: (result: Result<Connection, WireError>) => void): void {
       const sock = createConnection({ host: target.host, port: target.port });
       function failed(): void {
         sock.destroy();
--- a/standin-platform/caller.ts
+++ b/standin-platform/caller.ts
@@ -106,8 +106,8 @@
       return;
     }
   }
-  function isText(x: unknown): x is string {
-    return typeof x === 'string';
+  function isText(item: unknown): item is string {
+    return typeof item === 'string';
   }
   function leaveOthers(): void {
     for (const connection of idle.splice(0)) {
@@ -131,8 +131,8 @@
       connection?.close();
     }
     const now = clock.mono();
-    function trusted(a: string): boolean {
-      return (failed.get(a) ?? 0) <= now;
+    function trusted(address: string): boolean {
+      return (failed.get(address) ?? 0) <= now;
     }
     const good = all.filter(trusted);
     const edge = shuffled(rng, good.length > 0 ? good : all)[0];
@@ -162,10 +162,10 @@
     let last: Try | null = null;
     let tries = 0;
     flying += 1;
-    for (let n = 1; n <= wish.tries + 1; n += 1) {
+    for (let count = 1; count <= wish.tries + 1; count += 1) {
       const left = until - clock.mono();
       if (left <= 0) break;
-      const connection = await connectionFor(n > 1);
+      const connection = await connectionFor(count > 1);
       if (!connection) {
         last = { end: 'noConnection', status: 0, retryAfterMs: 0, lastEvent, firstMs: null, more: true };
         await delay(clock, Math.min(100, left));
--- a/standin-platform/check-config.ts
+++ b/standin-platform/check-config.ts
@@ -4,118 +4,122 @@
 
 type Handling = { readonly at: number; readonly request: Request; readonly model: string | null };
 
-function allows(v: Version, h: Handling): boolean {
-  const m = mappingFor(v.document, h.request.asked.host, h.request.asked.path);
-  if (h.model === null) return m === null;
-  for (const s of m?.shares ?? []) if (s.model === h.model && s.share > 0) return true;
+function allows(version: Version, handling: Handling): boolean {
+  const m = mappingFor(version.document, handling.request.asked.host, handling.request.asked.path);
+  if (handling.model === null) return m === null;
+  for (const branch of m?.shares ?? []) if (branch.model === handling.model && branch.share > 0) return true;
   return false;
 }
 
-function handlings(f: Facts): readonly Handling[] {
+function handlings(facts: Facts): readonly Handling[] {
   const out: Handling[] = [];
-  for (const request of f.requests.values()) {
-    for (const v of request.visits) if (v.ran) out.push({ at: v.ran.at, request, model: v.arrived.model });
+  for (const request of facts.requests.values()) {
+    for (const visit of request.visits)
+      if (visit.ran) out.push({ at: visit.ran.at, request, model: visit.arrived.model });
     if (request.answered?.status === 404 && request.answered.seal === null)
       out.push({ at: request.answered.at, request, model: null });
   }
   return out.sort(byTime);
 }
-function byTime(a: Handling, b: Handling): number {
-  return a.at - b.at;
+function byTime(left: Handling, right: Handling): number {
+  return left.at - right.at;
 }
-function told(h: Handling): string {
-  return `${h.request.asked.attempt} ${h.model === null ? 'was refused with 404' : `ran on ${h.model}`}`;
+function told(handling: Handling): string {
+  return `${handling.request.asked.attempt} ${handling.model === null ? 'was refused with 404' : `ran on ${handling.model}`}`;
 }
 
-export function checkRoute(f: Facts, note: Note): void {
-  for (const h of handlings(f)) {
-    if (h.model === null) continue;
+export function checkRoute(facts: Facts, note: Note): void {
+  for (const handling of handlings(facts)) {
+    if (handling.model === null) continue;
     let ever = false;
-    for (const { submitted } of f.orders)
-      if (allows({ number: 0, document: submitted.document, submittedAt: 0, acknowledgedAt: 0 }, h)) ever = true;
-    if (!ever) note('ROUTE', `${told(h)}, which no configuration lets it reach`);
+    for (const { submitted } of facts.orders)
+      if (allows({ number: 0, document: submitted.document, submittedAt: 0, acknowledgedAt: 0 }, handling)) ever = true;
+    if (!ever) note('ROUTE', `${told(handling)}, which no configuration lets it reach`);
   }
 }
 
-export function checkConfig(f: Facts, note: Note): void {
-  const { applyWithinMs, revertSlackMs } = f.bounds;
+export function checkConfig(facts: Facts, note: Note): void {
+  const { applyWithinMs, revertSlackMs } = facts.bounds;
   const seen = new Map<string, { readonly number: number; readonly at: number }[]>();
-  for (const h of handlings(f)) {
-    const { asked } = h.request;
-    if (!f.inTouch(asked.edge, asked.at)) continue;
+  for (const handling of handlings(facts)) {
+    const { asked } = handling.request;
+    if (!facts.inTouch(asked.edge, asked.at)) continue;
     let floor = -1;
-    for (const v of f.versions) if (v.acknowledgedAt + applyWithinMs < asked.at) floor = Math.max(floor, v.number);
+    for (const version of facts.versions)
+      if (version.acknowledgedAt + applyWithinMs < asked.at) floor = Math.max(floor, version.number);
     let least = Infinity;
     let most = -1;
-    let fits = floor < 0 && h.model === null;
-    for (const v of f.versions) {
-      if (v.submittedAt > h.at || !allows(v, h)) continue;
-      least = Math.min(least, v.number);
-      most = Math.max(most, v.number);
-      if (v.number >= floor) fits = true;
+    let fits = floor < 0 && handling.model === null;
+    for (const version of facts.versions) {
+      if (version.submittedAt > handling.at || !allows(version, handling)) continue;
+      least = Math.min(least, version.number);
+      most = Math.max(most, version.number);
+      if (version.number >= floor) fits = true;
     }
-    if (!fits) note('CONFIG', `${told(h)} at ${asked.edge}, as no version since ${floor} allows`);
+    if (!fits) note('CONFIG', `${told(handling)} at ${asked.edge}, as no version since ${floor} allows`);
     for (const s of seen.get(asked.edge) ?? []) {
-      if (asked.at <= s.at + revertSlackMs || most >= s.number || startedSince(f, asked.edge, s.at, asked.at)) continue;
-      note('CONFIG', `${asked.edge} went back: ${told(h)} after ${s.number} was in force there`);
+      if (asked.at <= s.at + revertSlackMs || most >= s.number || startedSince(facts, asked.edge, s.at, asked.at))
+        continue;
+      note('CONFIG', `${asked.edge} went back: ${told(handling)} after ${s.number} was in force there`);
       break;
     }
-    if (least === Infinity || least <= (f.versions[0]?.number ?? 0)) continue;
+    if (least === Infinity || least <= (facts.versions[0]?.number ?? 0)) continue;
     const list = seen.get(asked.edge) ?? [];
-    list.push({ number: least, at: h.at });
+    list.push({ number: least, at: handling.at });
     seen.set(asked.edge, list);
   }
-  checkOrders(f, note);
-  checkReadBack(f, note);
+  checkOrders(facts, note);
+  checkReadBack(facts, note);
 }
-function startedSince(f: Facts, edge: string, from: number, until: number): boolean {
-  for (const p of onlyOf(f.records, 'planned'))
-    if (p.edge === edge && p.fault === 'start' && p.at >= from && p.at <= until) return true;
+function startedSince(facts: Facts, edge: string, from: number, until: number): boolean {
+  for (const planned of onlyOf(facts.records, 'planned'))
+    if (planned.edge === edge && planned.fault === 'start' && planned.at >= from && planned.at <= until) return true;
   return false;
 }
 
-function checkOrders(f: Facts, note: Note): void {
+function checkOrders(facts: Facts, note: Note): void {
   const won = new Map<number, Order>();
-  for (const o of f.orders) {
-    if (o.settled?.outcome !== 'acknowledged') continue;
-    if (!o.submitted.valid) note('CONFIG', `the invalid ${o.submitted.order} was acknowledged`);
-    const other = won.get(o.submitted.base);
-    if (other && canonical(other.submitted.document) !== canonical(o.submitted.document))
+  for (const order of facts.orders) {
+    if (order.settled?.outcome !== 'acknowledged') continue;
+    if (!order.submitted.valid) note('CONFIG', `the invalid ${order.submitted.order} was acknowledged`);
+    const other = won.get(order.submitted.base);
+    if (other && canonical(other.submitted.document) !== canonical(order.submitted.document))
       note(
         'CONFIG',
-        `${other.submitted.order} and ${o.submitted.order} were both acknowledged on top of ${o.submitted.base}`,
+        `${other.submitted.order} and ${order.submitted.order} were both acknowledged on top of ${order.submitted.base}`,
       );
-    won.set(o.submitted.base, o);
+    won.set(order.submitted.base, order);
   }
 }
 
-function checkReadBack(f: Facts, note: Note): void {
-  for (const r of onlyOf(f.records, 'readBack')) {
-    const rule = f.closingAt !== null && f.closingAt < r.at ? 'LOST' : 'CONFIG';
+function checkReadBack(facts: Facts, note: Note): void {
+  for (const readBack of onlyOf(facts.records, 'readBack')) {
+    const rule = facts.closingAt !== null && facts.closingAt < readBack.at ? 'LOST' : 'CONFIG';
     let newest = 0;
-    for (const v of f.versions) if (v.acknowledgedAt < r.at) newest = Math.max(newest, v.number);
+    for (const version of facts.versions)
+      if (version.acknowledgedAt < readBack.at) newest = Math.max(newest, version.number);
     if (newest === 0) continue;
-    const number = numberOf(r.document);
+    const number = numberOf(readBack.document);
     let isSent = false;
-    for (const v of f.versions)
-      if (v.number === number && canonical(v.document) === canonical(r.document)) isSent = true;
-    if (r.document === null) note(rule, 'the configuration did not come when it was read back');
+    for (const version of facts.versions)
+      if (version.number === number && canonical(version.document) === canonical(readBack.document)) isSent = true;
+    if (readBack.document === null) note(rule, 'the configuration did not come when it was read back');
     else if (number < newest) note(rule, `${number} was read back, though ${newest} was acknowledged`);
     else if (!isSent) note(rule, `what was read back as ${number} was not sent so`);
   }
 }
 
-export function checkAcks(f: Facts, note: Note): void {
-  for (const o of f.orders) {
-    const { submitted, settled } = o;
-    if (!submitted.valid || raced(f, o) || !f.inTouch('', submitted.at)) continue;
+export function checkAcks(facts: Facts, note: Note): void {
+  for (const order of facts.orders) {
+    const { submitted, settled } = order;
+    if (!submitted.valid || raced(facts, order) || !facts.inTouch('', submitted.at)) continue;
     if (settled?.outcome !== 'acknowledged')
       note('ACKS', `${submitted.order} was ${settled?.outcome ?? 'left'} (${settled?.status ?? 0})`);
-    else if (settled.at - submitted.at > f.bounds.ackWithinMs)
+    else if (settled.at - submitted.at > facts.bounds.ackWithinMs)
       note('ACKS', `${submitted.order} was acknowledged after ${Math.round(settled.at - submitted.at)} ms`);
   }
 }
-function raced(f: Facts, o: Order): boolean {
-  for (const other of f.orders) if (other !== o && other.submitted.base === o.submitted.base) return true;
+function raced(facts: Facts, order: Order): boolean {
+  for (const other of facts.orders) if (other !== order && other.submitted.base === order.submitted.base) return true;
   return false;
 }
--- a/standin-platform/check-requests.ts
+++ b/standin-platform/check-requests.ts
@@ -6,169 +6,170 @@
 const BREAKS: readonly string[] = ['brokenOff', 'spoiled', 'crashed'];
 const NOT_DENIED: readonly number[] = [408, 421, 429];
 
-export function checkMixed(f: Facts, note: Note): void {
-  for (const s of onlyOf(f.records, 'stray')) {
-    const status = /^HTTP\/1\.[01] (\d)/.exec(s.text)?.[1];
-    if (s.attempt !== null || status === undefined)
-      note('MIXED', `${s.edge} sent bytes that are no answer: ${JSON.stringify(s.text)}`);
-    else if (status === '2') note('MIXED', `${s.edge} sent a success where no request is waiting`);
+export function checkMixed(facts: Facts, note: Note): void {
+  for (const stray of onlyOf(facts.records, 'stray')) {
+    const status = /^HTTP\/1\.[01] (\d)/.exec(stray.text)?.[1];
+    if (stray.attempt !== null || status === undefined)
+      note('MIXED', `${stray.edge} sent bytes that are no answer: ${JSON.stringify(stray.text)}`);
+    else if (status === '2') note('MIXED', `${stray.edge} sent a success where no request is waiting`);
   }
-  for (const [id, r] of f.requests) {
-    const a = r.answered;
-    if (!a || a.status === 0) continue;
-    if (a.echo !== null && a.echo !== id) note('MIXED', `${id} got the answer of ${a.echo}`);
-    if (a.seal === null) {
-      if (a.end === 'whole' && isSuccess(a)) note('MIXED', `${id} got a success without a seal`);
+  for (const [id, request] of facts.requests) {
+    const first = request.answered;
+    if (!first || first.status === 0) continue;
+    if (first.echo !== null && first.echo !== id) note('MIXED', `${id} got the answer of ${first.echo}`);
+    if (first.seal === null) {
+      if (first.end === 'whole' && isSuccess(first)) note('MIXED', `${id} got a success without a seal`);
       continue;
     }
-    const v = f.bySeal.get(a.seal);
-    if (!v || v.arrived.attempt !== id) note('MIXED', `${id} got the seal of another request`);
-    else if (a.end === 'whole') wholeOf(id, a, v, note);
-    for (const e of a.events)
-      if (f.bySeal.get(e.run)?.arrived.attempt !== id) note('MIXED', `${id} got an event of another request`);
+    const value = facts.bySeal.get(first.seal);
+    if (!value || value.arrived.attempt !== id) note('MIXED', `${id} got the seal of another request`);
+    else if (first.end === 'whole') wholeOf(id, first, value, note);
+    for (const eventSeen of first.events)
+      if (facts.bySeal.get(eventSeen.run)?.arrived.attempt !== id)
+        note('MIXED', `${id} got an event of another request`);
   }
 }
 
-function wholeOf(id: string, a: Answered, v: Visit, note: Note): void {
-  const done = v.finished;
-  if (runsIn(a.events).size > 1) return;
-  if (!done || done.status !== a.status) {
-    note('MIXED', `${id} got ${a.status} where the worker gave ${done?.status ?? 'nothing'}`);
+function wholeOf(id: string, answered: Answered, visit: Visit, note: Note): void {
+  const done = visit.finished;
+  if (runsIn(answered.events).size > 1) return;
+  if (!done || done.status !== answered.status) {
+    note('MIXED', `${id} got ${answered.status} where the worker gave ${done?.status ?? 'nothing'}`);
     return;
   }
-  if (a.digest !== done.digest) note('MIXED', `${id} got a body that isn't the worker's whole body`);
+  if (answered.digest !== done.digest) note('MIXED', `${id} got a body that isn't the worker's whole body`);
 }
-function isSuccess(a: Answered): boolean {
-  return a.status >= 200 && a.status < 300;
+function isSuccess(answered: Answered): boolean {
+  return answered.status >= 200 && answered.status < 300;
 }
 function runsIn(events: readonly EventSeen[]): ReadonlySet<string> {
   const out = new Set<string>();
-  for (const e of events) out.add(e.run);
+  for (const eventSeen of events) out.add(eventSeen.run);
   return out;
 }
 
-export function checkUnasked(f: Facts, note: Note): void {
-  for (const v of f.visits) {
-    if (!v.ran) continue;
-    const asked = f.requests.get(v.ran.attempt)?.asked;
-    if (!asked) note('UNASKED', `${v.arrived.worker} ran ${v.ran.attempt}, which no caller sent`);
-    else if (asked.method !== v.arrived.method || asked.path !== v.arrived.path)
-      note('UNASKED', `${v.ran.attempt} ran as ${v.arrived.method} ${v.arrived.path}`);
-    else if (asked.digest !== v.ran.digest) note('UNASKED', `${v.ran.attempt} ran with a changed body`);
+export function checkUnasked(facts: Facts, note: Note): void {
+  for (const visit of facts.visits) {
+    if (!visit.ran) continue;
+    const asked = facts.requests.get(visit.ran.attempt)?.asked;
+    if (!asked) note('UNASKED', `${visit.arrived.worker} ran ${visit.ran.attempt}, which no caller sent`);
+    else if (asked.method !== visit.arrived.method || asked.path !== visit.arrived.path)
+      note('UNASKED', `${visit.ran.attempt} ran as ${visit.arrived.method} ${visit.arrived.path}`);
+    else if (asked.digest !== visit.ran.digest) note('UNASKED', `${visit.ran.attempt} ran with a changed body`);
   }
 }
 
-export function checkTwice(f: Facts, note: Note): void {
-  for (const [id, r] of f.requests) {
-    const runs = r.visits.filter(hasRun).length;
-    if (runs > 1 && !f.repeatable(r.asked)) note('TWICE', `${id} ran ${runs} times`);
+export function checkTwice(facts: Facts, note: Note): void {
+  for (const [id, request] of facts.requests) {
+    const runs = request.visits.filter(hasRun).length;
+    if (runs > 1 && !facts.repeatable(request.asked)) note('TWICE', `${id} ran ${runs} times`);
   }
 }
-function hasRun(v: Visit): boolean {
-  return v.ran !== null;
+function hasRun(visit: Visit): boolean {
+  return visit.ran !== null;
 }
 
-export function checkRefused(f: Facts, note: Note): void {
-  for (const [id, r] of f.requests) {
-    const status = r.answered?.status ?? 0;
-    if (PROMISES.includes(status) && r.visits.some(hasRun) && !f.repeatable(r.asked))
+export function checkRefused(facts: Facts, note: Note): void {
+  for (const [id, request] of facts.requests) {
+    const status = request.answered?.status ?? 0;
+    if (PROMISES.includes(status) && request.visits.some(hasRun) && !facts.repeatable(request.asked))
       note('REFUSED', `${id} was answered ${status}, and it runs`);
   }
 }
 
-export function checkDenied(f: Facts, note: Note): void {
+export function checkDenied(facts: Facts, note: Note): void {
   let denied = 0;
   let all = 0;
-  for (const r of f.requests.values()) {
-    if (r.asked.direct || !f.inTouch(r.asked.edge, r.asked.at)) continue;
+  for (const request of facts.requests.values()) {
+    if (request.asked.direct || !facts.inTouch(request.asked.edge, request.asked.at)) continue;
     all += 1;
-    const a = r.answered;
+    const first = request.answered;
     if (
-      a &&
-      a.seal === null &&
-      a.status >= 300 &&
-      a.status < 500 &&
-      !NOT_DENIED.includes(a.status) &&
-      f.mappings(r.asked).length === f.versions.length
+      first &&
+      first.seal === null &&
+      first.status >= 300 &&
+      first.status < 500 &&
+      !NOT_DENIED.includes(first.status) &&
+      facts.mappings(request.asked).length === facts.versions.length
     )
       denied += 1;
   }
   if (denied > 5 + all / 500) note('DENIED', `${denied} of ${all} proper requests were denied`);
 }
 
-export function checkOrder(f: Facts, note: Note): void {
-  for (const [id, r] of f.requests) {
-    const a = r.answered;
-    if (!a || a.events.length === 0) continue;
+export function checkOrder(facts: Facts, note: Note): void {
+  for (const [id, request] of facts.requests) {
+    const first = request.answered;
+    if (!first || first.events.length === 0) continue;
     let before: EventSeen | null = null;
-    for (const e of a.events) {
-      const from = before === null ? r.asked.lastEvent : before.id;
-      const due = before === null ? nextAfter(e, from) : before.n + 1;
-      if (e.n !== due) note('ORDER', `${id} got piece ${e.n} where ${due} was due`);
-      if (before !== null && before.run !== e.run && !resumedAt(f, r, e, before))
-        note('ORDER', `${id} got pieces of two runs joined at ${e.n}`);
-      before = e;
+    for (const eventSeen of first.events) {
+      const from = before === null ? request.asked.lastEvent : before.id;
+      const due = before === null ? nextAfter(eventSeen, from) : before.n + 1;
+      if (eventSeen.n !== due) note('ORDER', `${id} got piece ${eventSeen.n} where ${due} was due`);
+      if (before !== null && before.run !== eventSeen.run && !resumedAt(facts, request, eventSeen, before))
+        note('ORDER', `${id} got pieces of two runs joined at ${eventSeen.n}`);
+      before = eventSeen;
     }
-    if (before && a.end === 'whole' && isSuccess(a) && before.n !== before.of)
+    if (before && first.end === 'whole' && isSuccess(first) && before.n !== before.of)
       note('ORDER', `${id} ended as complete at ${before.n} of ${before.of}`);
   }
 }
-function nextAfter(e: EventSeen, lastEvent: number): number {
-  return lastEvent === 0 ? 1 : (lastEvent * e.n) / e.id + 1;
+function nextAfter(eventSeen: EventSeen, lastEvent: number): number {
+  return lastEvent === 0 ? 1 : (lastEvent * eventSeen.n) / eventSeen.id + 1;
 }
-function resumedAt(f: Facts, r: Request, e: EventSeen, before: EventSeen): boolean {
-  return f.repeatable(r.asked) && f.bySeal.get(e.run)?.arrived.lastEvent === before.id;
+function resumedAt(facts: Facts, request: Request, eventSeen: EventSeen, before: EventSeen): boolean {
+  return facts.repeatable(request.asked) && facts.bySeal.get(eventSeen.run)?.arrived.lastEvent === before.id;
 }
 
-export function checkLostRequests(f: Facts, note: Note): void {
-  const { gracePeriodS, lossSlackMs, contactMs } = f.bounds;
-  const planned = onlyOf(f.records, 'planned');
-  for (const p of planned) {
-    if (p.fault !== 'term' || p.core) continue;
-    for (const [id, r] of f.requests) {
-      const a = r.answered;
+export function checkLostRequests(facts: Facts, note: Note): void {
+  const { gracePeriodS, lossSlackMs, contactMs } = facts.bounds;
+  const planned = onlyOf(facts.records, 'planned');
+  for (const plan of planned) {
+    if (plan.fault !== 'term' || plan.core) continue;
+    for (const [id, request] of facts.requests) {
+      const first = request.answered;
       if (
-        r.asked.edge !== p.edge ||
-        a?.end !== 'cut' ||
-        a.at < p.at ||
-        r.asked.at > p.at + gracePeriodS * 1_000 + 1_000
+        request.asked.edge !== plan.edge ||
+        first?.end !== 'cut' ||
+        first.at < plan.at ||
+        request.asked.at > plan.at + gracePeriodS * 1_000 + 1_000
       )
         continue;
-      if (planned.some(isUnplanned) || f.visits.some(brokeOff)) continue;
-      const passedOn = r.visits.length > 0;
-      const stillAtWork = passedOn && a.at > p.at + gracePeriodS * 500;
-      if (!stillAtWork && (passedOn || (r.sentAt !== null && a.at > r.sentAt + lossSlackMs)))
-        note('LOST', `${id} was cut by ${p.edge} while that one was being stopped`);
+      if (planned.some(isUnplanned) || facts.visits.some(brokeOff)) continue;
+      const passedOn = request.visits.length > 0;
+      const stillAtWork = passedOn && first.at > plan.at + gracePeriodS * 500;
+      if (!stillAtWork && (passedOn || (request.sentAt !== null && first.at > request.sentAt + lossSlackMs)))
+        note('LOST', `${id} was cut by ${plan.edge} while that one was being stopped`);
       function isUnplanned(other: (typeof planned)[number]): boolean {
         return (
           other.fault !== 'term' &&
           other.fault !== 'start' &&
-          other.at > r.asked.at - contactMs &&
-          other.at < (a?.at ?? 0)
+          other.at > request.asked.at - contactMs &&
+          other.at < (first?.at ?? 0)
         );
       }
-      function brokeOff(v: Visit): boolean {
-        return v.arrived.attempt === id && v.finished !== null && BREAKS.includes(v.finished.end);
+      function brokeOff(visit: Visit): boolean {
+        return visit.arrived.attempt === id && visit.finished !== null && BREAKS.includes(visit.finished.end);
       }
     }
   }
 }
 
-export function checkRecover(f: Facts, note: Note): void {
-  const { closingAt, backAt } = f;
+export function checkRecover(facts: Facts, note: Note): void {
+  const { closingAt, backAt } = facts;
   if (closingAt === null || backAt === null) return;
-  const before = share(f, 0, closingAt);
-  const after = share(f, backAt + f.bounds.recoveryS * 1_000, Infinity);
+  const before = share(facts, 0, closingAt);
+  const after = share(facts, backAt + facts.bounds.recoveryS * 1_000, Infinity);
   if (before.all > 0 && after.all > 0 && before.served / before.all >= 0.25 && after.served / after.all < 0.25)
     note('RECOVER', `${after.served} of ${after.all} were served after the closing fault`);
 }
-function share(f: Facts, from: number, until: number): { readonly served: number; readonly all: number } {
+function share(facts: Facts, from: number, until: number): { readonly served: number; readonly all: number } {
   let served = 0;
   let all = 0;
-  for (const r of f.requests.values()) {
-    if (r.asked.direct || r.asked.at < from || r.asked.at > until) continue;
+  for (const request of facts.requests.values()) {
+    if (request.asked.direct || request.asked.at < from || request.asked.at > until) continue;
     all += 1;
-    if (r.answered?.end === 'whole' && isSuccess(r.answered)) served += 1;
+    if (request.answered?.end === 'whole' && isSuccess(request.answered)) served += 1;
   }
   return { served, all };
 }
--- a/standin-platform/check.ts
+++ b/standin-platform/check.ts
@@ -46,6 +46,6 @@
 export function brokenRules(verdicts: readonly Verdict[]): readonly string[] {
   return [...new Set(verdicts.map(ruleOf))].sort();
 }
-function ruleOf(v: Verdict): string {
-  return v.rule;
+function ruleOf(verdict: Verdict): string {
+  return verdict.rule;
 }
--- a/standin-platform/client.ts
+++ b/standin-platform/client.ts
@@ -54,7 +54,7 @@
 }
 
 type Waiting = {
-  readonly resolve: (a: Answer) => void;
+  readonly resolve: (answer: Answer) => void;
   readonly parts: Buffer[];
   readonly onBody: (part: Buffer) => void;
   readonly silenceMs: number | null;
@@ -79,16 +79,16 @@
   });
 
   function linearizableRead(end: Answer['end']): void {
-    const w = waiting;
-    if (!w) return;
+    const worker = waiting;
+    if (!worker) return;
     waiting = null;
-    w.deadline.cancel();
-    w.silence?.cancel();
-    const hints = w.head?.headers;
+    worker.deadline.cancel();
+    worker.silence?.cancel();
+    const hints = worker.head?.headers;
     if (end !== 'whole' || (hints?.get('connection') ?? '').toLowerCase() === 'close') close();
     const keep = /timeout=(\d+)/.exec(hints?.get('keep-alive') ?? '');
     if (keep) idle = clock.timer(Math.max(0, Number(keep[1]) * 1_000 - 500), close);
-    w.resolve({ end, head: w.head, body: Buffer.concat(w.parts) });
+    worker.resolve({ end, head: worker.head, body: Buffer.concat(worker.parts) });
   }
   function onHead(head: Head): void {
     if (waiting) waiting.head = head;
@@ -102,10 +102,10 @@
     heard();
   }
   function heard(): void {
-    const w = waiting;
-    if (!w || w.silenceMs === null) return;
-    w.silence?.cancel();
-    w.silence = clock.timer(w.silenceMs, silent);
+    const worker = waiting;
+    if (!worker || worker.silenceMs === null) return;
+    worker.silence?.cancel();
+    worker.silence = clock.timer(worker.silenceMs, silent);
   }
   function silent(): void {
     linearizableRead('silence');
@@ -149,7 +149,7 @@
     part: (bytes: Buffer) => void,
     onSent: () => void,
   ): Promise<Answer> {
-    function begin(resolve: (a: Answer) => void): void {
+    function begin(resolve: (answer: Answer) => void): void {
       idle?.cancel();
       size = 0;
       if (!open) {
--- a/standin-platform/deploy-file.ts
+++ b/standin-platform/deploy-file.ts
@@ -22,16 +22,16 @@
 export function readDeployFile(path: string): DeployFile {
   const doc = parse(readFileSync(path, 'utf8')) as Table;
   const roles: Role[] = [];
-  for (const [name, x] of Object.entries((doc['roles'] ?? {}) as Readonly<Record<string, Table>>)) {
-    const [command = '', ...args] = String(x['run']).split(' ');
+  for (const [name, item] of Object.entries((doc['roles'] ?? {}) as Readonly<Record<string, Table>>)) {
+    const [command = '', ...args] = String(item['run']).split(' ');
     roles.push({
       name,
       command,
       args,
-      on: String(x['on']),
-      serves: Array.isArray(x['serves']) ? x['serves'].map(String) : [],
-      share: typeof x['share'] === 'number' ? x['share'] : null,
-      count: typeof x['count'] === 'number' ? x['count'] : null,
+      on: String(item['on']),
+      serves: Array.isArray(item['serves']) ? item['serves'].map(String) : [],
+      share: typeof item['share'] === 'number' ? item['share'] : null,
+      count: typeof item['count'] === 'number' ? item['count'] : null,
     });
   }
   const packages = Array.isArray(doc['packages']) ? doc['packages'].map(String) : [];
--- a/standin-platform/document.ts
+++ b/standin-platform/document.ts
@@ -55,86 +55,86 @@
   [LIMITS.idleMs]: 15_000,
 };
 
-export function mappingToWire(m: ModelRoute): Record<string, unknown> {
-  const one = m.shares.length === 1 ? m.shares[0] : undefined;
+export function mappingToWire(modelRoute: ModelRoute): Record<string, unknown> {
+  const one = modelRoute.shares.length === 1 ? modelRoute.shares[0] : undefined;
   return {
-    [MAPPING.name]: m.name,
-    [MAPPING.host]: m.host,
-    [MAPPING.prefix]: m.prefix,
-    [MAPPING.kind]: KIND[m.kind],
-    [MAPPING.deadlineMs]: m.deadlineMs,
-    [MAPPING.aimMs]: m.aimMs,
-    [MAPPING.rank]: m.rank,
-    ...(one ? { [MAPPING.model]: one.model } : { [MAPPING.shares]: m.shares.map(shareToWire) }),
-    [MAPPING.attempts]: m.attempts,
-    [MAPPING.pinned]: m.pinned,
-    [MAPPING.resumable]: m.resumable,
-    ...(m.kind === 'stream' ? { [MAPPING.pauseMs]: m.pauseMs } : {}),
-    [MAPPING.homes]: [...m.homes],
+    [MAPPING.name]: modelRoute.name,
+    [MAPPING.host]: modelRoute.host,
+    [MAPPING.prefix]: modelRoute.prefix,
+    [MAPPING.kind]: KIND[modelRoute.kind],
+    [MAPPING.deadlineMs]: modelRoute.deadlineMs,
+    [MAPPING.aimMs]: modelRoute.aimMs,
+    [MAPPING.rank]: modelRoute.rank,
+    ...(one ? { [MAPPING.model]: one.model } : { [MAPPING.shares]: modelRoute.shares.map(shareToWire) }),
+    [MAPPING.attempts]: modelRoute.attempts,
+    [MAPPING.pinned]: modelRoute.pinned,
+    [MAPPING.resumable]: modelRoute.resumable,
+    ...(modelRoute.kind === 'stream' ? { [MAPPING.pauseMs]: modelRoute.pauseMs } : {}),
+    [MAPPING.homes]: [...modelRoute.homes],
   };
 }
 
-function shareToWire(s: Share): Record<string, unknown> {
-  return { [MAPPING.model]: s.model, [MAPPING.share]: s.share };
+function shareToWire(branch: Share): Record<string, unknown> {
+  return { [MAPPING.model]: branch.model, [MAPPING.share]: branch.share };
 }
 
-export function modelToWire(m: Model): Record<string, unknown> {
-  const engine = m.engine && {
-    [MODEL.batch]: m.engine.batch,
-    [MODEL.kvTokens]: m.engine.kvTokens,
+export function modelToWire(model: Model): Record<string, unknown> {
+  const engine = model.engine && {
+    [MODEL.batch]: model.engine.batch,
+    [MODEL.kvTokens]: model.engine.kvTokens,
     kvTokenBytes: 327_680,
     linkMbps: 740_000,
     stepSize: 5,
     models: [{ name: 'm' }],
   };
   return {
-    [MODEL.name]: m.name,
-    [MODEL.probePath]: m.probePath,
-    [MODEL.maxConns]: m.maxConns,
+    [MODEL.name]: model.name,
+    [MODEL.probePath]: model.probePath,
+    [MODEL.maxConns]: model.maxConns,
     protocol: 'h1',
     tls: false,
-    [MODEL.coldS]: m.coldS,
-    [MODEL.coldRateS]: m.coldRateS,
+    [MODEL.coldS]: model.coldS,
+    [MODEL.coldRateS]: model.coldRateS,
     ...(engine ? { [MODEL.engine]: engine } : {}),
   };
 }
 
-export function documentToWire(d: Document): Record<string, unknown> {
+export function documentToWire(document: Document): Record<string, unknown> {
   return {
-    [DOCUMENT.number]: d.number,
-    [DOCUMENT.mappings]: d.mappings.map(mappingToWire),
-    [DOCUMENT.models]: d.models.map(modelToWire),
+    [DOCUMENT.number]: document.number,
+    [DOCUMENT.mappings]: document.mappings.map(mappingToWire),
+    [DOCUMENT.models]: document.models.map(modelToWire),
     [DOCUMENT.limits]: LIMIT_VALUES,
   };
 }
 
 type Table = Readonly<Record<string, unknown>>;
 
-function table(x: unknown): Table {
-  return typeof x === 'object' && x !== null && !Array.isArray(x) ? (x as Table) : {};
+function table(item: unknown): Table {
+  return typeof item === 'object' && item !== null && !Array.isArray(item) ? (item as Table) : {};
 }
-function list(x: unknown): readonly unknown[] {
-  return Array.isArray(x) ? (x as readonly unknown[]) : [];
+function list(item: unknown): readonly unknown[] {
+  return Array.isArray(item) ? (item as readonly unknown[]) : [];
 }
-function text(x: unknown): string {
-  return typeof x === 'string' ? x : '';
+function text(item: unknown): string {
+  return typeof item === 'string' ? item : '';
 }
-function count(x: unknown): number {
-  return typeof x === 'number' ? x : 0;
+function count(item: unknown): number {
+  return typeof item === 'number' ? item : 0;
 }
 
-function shareFromWire(x: unknown): Share {
-  const t = table(x);
+function shareFromWire(item: unknown): Share {
+  const t = table(item);
   return { model: text(t[MAPPING.model]), share: count(t[MAPPING.share]) };
 }
 
-function kindFromWire(x: unknown): Kind {
-  if (x === KIND.repeatable) return 'repeatable';
-  return x === KIND.stream ? 'stream' : 'once';
+function kindFromWire(item: unknown): Kind {
+  if (item === KIND.repeatable) return 'repeatable';
+  return item === KIND.stream ? 'stream' : 'once';
 }
 
-function mappingFromWire(x: unknown): ModelRoute {
-  const t = table(x);
+function mappingFromWire(item: unknown): ModelRoute {
+  const t = table(item);
   const shares = list(t[MAPPING.shares]).map(shareFromWire);
   return {
     name: text(t[MAPPING.name]),
@@ -163,48 +163,48 @@
 
 export function mappingFor(document: unknown, host: string, path: string): ModelRoute | null {
   let best: ModelRoute | null = null;
-  for (const m of mappingsOf(document)) {
-    if (m.host !== host || !path.startsWith(m.prefix)) continue;
-    if (!best || m.prefix.length > best.prefix.length) best = m;
+  for (const modelRoute of mappingsOf(document)) {
+    if (modelRoute.host !== host || !path.startsWith(modelRoute.prefix)) continue;
+    if (!best || modelRoute.prefix.length > best.prefix.length) best = modelRoute;
   }
   return best;
 }
 
 export function amended(document: unknown, amendment: unknown): Record<string, unknown> {
-  const a = table(amendment);
-  const out: Record<string, unknown> = { ...table(document), [DOCUMENT.number]: a[DOCUMENT.number] };
+  const first = table(amendment);
+  const out: Record<string, unknown> = { ...table(document), [DOCUMENT.number]: first[DOCUMENT.number] };
   for (const key of [DOCUMENT.mappings, DOCUMENT.models]) {
-    const fresh = list(table(a[DOCUMENT.upsert])[key]);
-    const names = new Set([...list(table(a[DOCUMENT.remove])[key]).map(text), ...fresh.map(nameOf)]);
+    const fresh = list(table(first[DOCUMENT.upsert])[key]);
+    const names = new Set([...list(table(first[DOCUMENT.remove])[key]).map(text), ...fresh.map(nameOf)]);
     out[key] = [...list(out[key]).filter(keeps), ...fresh];
-    function keeps(x: unknown): boolean {
-      return !names.has(nameOf(x));
+    function keeps(item: unknown): boolean {
+      return !names.has(nameOf(item));
     }
   }
   return out;
 }
 
-function nameOf(x: unknown): string {
-  return text(table(x)['name']);
+function nameOf(item: unknown): string {
+  return text(table(item)['name']);
 }
 
-export function canonical(x: unknown): string {
-  return JSON.stringify(ordered(x));
+export function canonical(item: unknown): string {
+  return JSON.stringify(ordered(item));
 }
 
-function ordered(x: unknown): unknown {
-  if (Array.isArray(x)) {
-    const items = x.map(ordered);
+function ordered(item: unknown): unknown {
+  if (Array.isArray(item)) {
+    const items = item.map(ordered);
     return items.every(isNamed) ? items.sort(byName) : items;
   }
-  if (typeof x !== 'object' || x === null) return x;
+  if (typeof item !== 'object' || item === null) return item;
   const out: Record<string, unknown> = {};
-  for (const key of Object.keys(x).sort()) out[key] = ordered((x as Table)[key]);
+  for (const key of Object.keys(item).sort()) out[key] = ordered((item as Table)[key]);
   return out;
 }
-function isNamed(x: unknown): boolean {
-  return nameOf(x) !== '';
+function isNamed(item: unknown): boolean {
+  return nameOf(item) !== '';
 }
-function byName(a: unknown, b: unknown): number {
-  return nameOf(a) < nameOf(b) ? -1 : 1;
+function byName(left: unknown, right: unknown): number {
+  return nameOf(left) < nameOf(right) ? -1 : 1;
 }
--- a/standin-platform/events.ts
+++ b/standin-platform/events.ts
@@ -1,8 +1,8 @@
 import { parsedJson } from '../src/base/parsed-json.js';
 import type { EventSeen } from './records.js';
 
-export function eventText(e: EventSeen): string {
-  return `id: ${e.id}\ndata: ${JSON.stringify({ run: e.run, n: e.n, of: e.of })}\n\n`;
+export function eventText(eventSeen: EventSeen): string {
+  return `id: ${eventSeen.id}\ndata: ${JSON.stringify({ run: eventSeen.run, n: eventSeen.n, of: eventSeen.of })}\n\n`;
 }
 
 export type EventReader = { readonly push: (bytes: Buffer) => number; readonly seen: () => readonly EventSeen[] };
--- a/standin-platform/facts.ts
+++ b/standin-platform/facts.ts
@@ -102,11 +102,12 @@
   const versions = versionsOf(orders);
   const spans = spansOf(records, bounds);
   const bySeal = new Map<string, Visit>();
-  for (const v of visits) if (v.ran) bySeal.set(v.ran.seal, v);
+  for (const visit of visits) if (visit.ran) bySeal.set(visit.ran.seal, visit);
   const kinds = new Map<string, readonly ModelRoute[]>();
 
   function inTouch(edge: string, at: number): boolean {
-    for (const s of spans) if ((s.edge === null || s.edge === edge) && at >= s.from && at <= s.until) return false;
+    for (const span of spans)
+      if ((span.edge === null || span.edge === edge) && at >= span.from && at <= span.until) return false;
     return true;
   }
   function mappings(asked: Asked): readonly ModelRoute[] {
@@ -114,19 +115,20 @@
     const known = kinds.get(key);
     if (known) return known;
     const out: ModelRoute[] = [];
-    for (const v of versions) {
-      const m = mappingFor(v.document, asked.host, asked.path);
+    for (const version of versions) {
+      const m = mappingFor(version.document, asked.host, asked.path);
       if (m) out.push(m);
     }
     kinds.set(key, out);
     return out;
   }
   function repeatable(asked: Asked): boolean {
-    for (const m of mappings(asked)) if (m.kind === 'repeatable' || (m.kind === 'stream' && m.resumable)) return true;
+    for (const modelRoute of mappings(asked))
+      if (modelRoute.kind === 'repeatable' || (modelRoute.kind === 'stream' && modelRoute.resumable)) return true;
     return false;
   }
-  function timeOf(fault: 'closing' | 'back'): number | null {
-    for (const p of onlyOf(records, 'planned')) if (p.fault === fault) return p.at;
+  function timeOf(error: 'closing' | 'back'): number | null {
+    for (const planned of onlyOf(records, 'planned')) if (planned.fault === error) return planned.at;
     return null;
   }
   return {
@@ -150,33 +152,38 @@
   const refused = new Map<string, Refused>();
   const ran = new Map<string, Ran>();
   const finished = new Map<string, Finished>();
-  for (const r of records) {
-    if (r.what === 'refused') refused.set(r.visit, r);
-    if (r.what === 'ran') ran.set(r.visit, r);
-    if (r.what === 'finished') finished.set(r.visit, r);
+  for (const rec of records) {
+    if (rec.what === 'refused') refused.set(rec.visit, rec);
+    if (rec.what === 'ran') ran.set(rec.visit, rec);
+    if (rec.what === 'finished') finished.set(rec.visit, rec);
   }
   const out: Visit[] = [];
   for (const arrived of onlyOf(records, 'arrived')) {
-    const v = arrived.visit;
-    out.push({ arrived, refused: refused.get(v) ?? null, ran: ran.get(v) ?? null, finished: finished.get(v) ?? null });
+    const value = arrived.visit;
+    out.push({
+      arrived,
+      refused: refused.get(value) ?? null,
+      ran: ran.get(value) ?? null,
+      finished: finished.get(value) ?? null,
+    });
   }
   return out;
 }
 
 function requestsOf(records: readonly Rec[], visits: readonly Visit[]): ReadonlyMap<string, Request> {
   const at = new Map<string, Visit[]>();
-  for (const v of visits) {
-    const id = v.arrived.attempt;
+  for (const visit of visits) {
+    const id = visit.arrived.attempt;
     if (id === null) continue;
     const list = at.get(id) ?? [];
-    list.push(v);
+    list.push(visit);
     at.set(id, list);
   }
   const answered = new Map<string, Answered>();
   const sent = new Map<string, number>();
-  for (const r of records) {
-    if (r.what === 'answered') answered.set(r.attempt, r);
-    if (r.what === 'sent') sent.set(r.attempt, r.at);
+  for (const rec of records) {
+    if (rec.what === 'answered') answered.set(rec.attempt, rec);
+    if (rec.what === 'sent') sent.set(rec.attempt, rec.at);
   }
   const out = new Map<string, Request>();
   for (const asked of onlyOf(records, 'asked')) {
@@ -195,7 +202,7 @@
 }
 function settledOf(records: readonly Rec[]): ReadonlyMap<string, Settled> {
   const settled = new Map<string, Settled>();
-  for (const r of onlyOf(records, 'settled')) settled.set(r.order, r);
+  for (const fact of onlyOf(records, 'settled')) settled.set(fact.order, fact);
   return settled;
 }
 
@@ -208,29 +215,30 @@
   }
   return out.sort(byNumber);
 }
-function byNumber(a: Version, b: Version): number {
-  return a.number - b.number;
+function byNumber(left: Version, right: Version): number {
+  return left.number - right.number;
 }
 
 function emptyingsOf(records: readonly Rec[]): readonly Emptying[] {
   const settled = settledOf(records);
   const all = onlyOf(records, 'evacuated');
   const out: Emptying[] = [];
-  for (const e of all) {
-    const s = settled.get(e.order);
-    if (!e.begin || s?.outcome !== 'acknowledged') continue;
-    out.push({ zone: e.zone, from: s.at, until: takenBackAt(all, e) });
+  for (const evacuated of all) {
+    const s = settled.get(evacuated.order);
+    if (!evacuated.begin || s?.outcome !== 'acknowledged') continue;
+    out.push({ zone: evacuated.zone, from: s.at, until: takenBackAt(all, evacuated) });
   }
   return out;
 }
 function takenBackAt(all: readonly Evacuated[], began: Evacuated): number {
-  for (const e of all) if (!e.begin && e.zone === began.zone && e.at > began.at) return e.at;
+  for (const evacuated of all)
+    if (!evacuated.begin && evacuated.zone === began.zone && evacuated.at > began.at) return evacuated.at;
   return Infinity;
 }
 
 function spansOf(records: readonly Rec[], bounds: Bounds): readonly Span[] {
   const out: Span[] = [];
-  for (const p of onlyOf(records, 'planned'))
-    out.push({ edge: p.core ? null : p.edge, from: p.at, until: p.at + bounds.contactMs });
+  for (const planned of onlyOf(records, 'planned'))
+    out.push({ edge: planned.core ? null : planned.edge, from: planned.at, until: planned.at + bounds.contactMs });
   return out;
 }
--- a/standin-platform/list.ts
+++ b/standin-platform/list.ts
@@ -23,7 +23,7 @@
   readonly address: () => string;
   readonly show: (worker: Seen) => void;
   readonly drop: (id: string) => void;
-  readonly trouble: (t: ListTrouble) => void;
+  readonly trouble: (listTrouble: ListTrouble) => void;
   readonly calls: () => number;
   readonly stop: () => Promise<void>;
 };
@@ -37,8 +37,8 @@
   let recent: number[] = [];
   const server: Server = createServer(onRequest);
 
-  function later(fn: () => void): void {
-    clock.timer(spec.maxLagMs, fn);
+  function later(callback: () => void): void {
+    clock.timer(spec.maxLagMs, callback);
   }
   function show(worker: Seen): void {
     const at = clock.mono();
@@ -57,10 +57,10 @@
     }
     later(unseen);
   }
-  function trouble(t: ListTrouble): void {
-    if (mode.mode !== t.mode) records.note({ what: 'listTrouble', on: t.mode !== 'none' });
-    mode = t;
-    if (t.mode === 'down') server.closeAllConnections();
+  function trouble(listTrouble: ListTrouble): void {
+    if (mode.mode !== listTrouble.mode) records.note({ what: 'listTrouble', on: listTrouble.mode !== 'none' });
+    mode = listTrouble;
+    if (listTrouble.mode === 'down') server.closeAllConnections();
   }
 
   function onRequest(req: IncomingMessage, res: ServerResponse): void {
@@ -84,8 +84,8 @@
     const zone = url.searchParams.get(QUERY.zone);
     const from = Number((url.searchParams.get(QUERY.pageToken) ?? 'p-0').slice(2));
     const all = [...shown.values()].filter(inZone);
-    function inZone(h: Held): boolean {
-      return zone === null || h.worker.zone === zone;
+    function inZone(held: Held): boolean {
+      return zone === null || held.worker.zone === zone;
     }
     const page = all.slice(from, from + spec.pageSize);
     const next = from + spec.pageSize < all.length ? `p-${from + spec.pageSize}` : null;
@@ -97,30 +97,30 @@
     res.writeHead(status, { 'content-type': 'application/json', 'content-length': String(Buffer.byteLength(text)) });
     res.end(text);
   }
-  function entry(h: Held): Record<string, unknown> {
-    const w = h.worker;
-    const gone = clock.mono() - h.at;
+  function entry(held: Held): Record<string, unknown> {
+    const seen = held.worker;
+    const gone = clock.mono() - held.at;
     return {
-      [LISTED.model]: w.model,
-      [LISTED.address]: w.address,
-      [LISTED.zone]: w.zone,
+      [LISTED.model]: seen.model,
+      [LISTED.address]: seen.address,
+      [LISTED.zone]: seen.zone,
       [LISTED.software]: 'v1',
-      [LISTED.batch]: w.capacity,
-      [LISTED.phase]: w.phase === 'serving' ? LISTED.serving : LISTED.draining,
-      [LISTED.coldMs]: Math.max(0, Math.round(w.coldLeftMs - gone)),
-      ...(w.remainingMs === null ? {} : { [LISTED.remainingMs]: Math.max(0, Math.round(w.remainingMs - gone)) }),
-      ...(w.weights === null
+      [LISTED.batch]: seen.capacity,
+      [LISTED.phase]: seen.phase === 'serving' ? LISTED.serving : LISTED.draining,
+      [LISTED.coldMs]: Math.max(0, Math.round(seen.coldLeftMs - gone)),
+      ...(seen.remainingMs === null ? {} : { [LISTED.remainingMs]: Math.max(0, Math.round(seen.remainingMs - gone)) }),
+      ...(seen.weights === null
         ? {}
         : {
             [LISTED.stage]: 'colocated',
-            [LISTED.models]: [{ [USAGE.name]: 'm', [USAGE.weights]: w.weights, adapters: [] }],
+            [LISTED.models]: [{ [USAGE.name]: 'm', [USAGE.weights]: seen.weights, adapters: [] }],
           }),
-      [LISTED.id]: w.id,
+      [LISTED.id]: seen.id,
     };
   }
 
   let port = spec.port;
-  function listen(resolve: () => void, reject: (e: Error) => void): void {
+  function listen(resolve: () => void, reject: (error: Error) => void): void {
     server.once('error', reject);
     function up(): void {
       const at = server.address();
--- a/standin-platform/node-process.ts
+++ b/standin-platform/node-process.ts
@@ -59,10 +59,10 @@
   function signal(sig: 'SIGTERM' | 'SIGKILL' | 'SIGHUP' | 'SIGSTOP' | 'SIGCONT'): void {
     if (!child) return;
     if (sig === 'SIGTERM' || sig === 'SIGKILL') asked = true;
-    const fault = ({ SIGTERM: 'term', SIGKILL: 'kill', SIGSTOP: 'freeze', SIGCONT: 'thaw', SIGHUP: null } as const)[
+    const error = ({ SIGTERM: 'term', SIGKILL: 'kill', SIGSTOP: 'freeze', SIGCONT: 'thaw', SIGHUP: null } as const)[
       sig
     ];
-    if (fault) records.note({ what: 'planned', edge: spec.edge, core: spec.core, fault });
+    if (error) records.note({ what: 'planned', edge: spec.edge, core: spec.core, fault: error });
     child.kill(sig);
   }
   function runs(): boolean {
--- a/standin-platform/reader.ts
+++ b/standin-platform/reader.ts
@@ -77,9 +77,9 @@
     return false;
   }
 
-  function give(n: number): boolean {
-    const part = held.subarray(0, n);
-    held = held.subarray(n);
+  function give(count: number): boolean {
+    const part = held.subarray(0, count);
+    held = held.subarray(count);
     sink.body(part);
     return true;
   }
@@ -96,8 +96,8 @@
 
   function readHead(): boolean {
     const starts = Buffer.from('HTTP/1.');
-    const n = Math.min(held.length, starts.length);
-    if (!held.subarray(0, n).equals(starts.subarray(0, n)) || held.length > MOST_HEAD) {
+    const count = Math.min(held.length, starts.length);
+    if (!held.subarray(0, count).equals(starts.subarray(0, count)) || held.length > MOST_HEAD) {
       broken();
       return false;
     }
@@ -136,9 +136,9 @@
 
   function readSized(): boolean {
     if (held.length === 0) return false;
-    const n = Math.min(left, held.length);
-    left -= n;
-    give(n);
+    const count = Math.min(left, held.length);
+    left -= count;
+    give(count);
     if (left === 0) whole();
     return true;
   }
@@ -156,9 +156,9 @@
   }
   function readChunk(): boolean {
     if (held.length === 0) return false;
-    const n = Math.min(left, held.length);
-    left -= n;
-    give(n);
+    const count = Math.min(left, held.length);
+    left -= count;
+    give(count);
     if (left === 0) state = 'chunkEnd';
     return true;
   }
--- a/standin-platform/records.ts
+++ b/standin-platform/records.ts
@@ -185,16 +185,16 @@
     const full = { ...rec, at: now() } as Rec;
     kept.push(full);
     const still: Waiting[] = [];
-    for (const w of waiting) {
-      if (w.fits(full)) w.resolve(full);
-      else still.push(w);
+    for (const waiter of waiting) {
+      if (waiter.fits(full)) waiter.resolve(full);
+      else still.push(waiter);
     }
     waiting = still;
   }
   function all(): readonly Rec[] {
     return kept;
   }
-  function of<W extends Rec['what']>(what: W): readonly Told<W>[] {
+  function indexOf<W extends Rec['what']>(what: W): readonly Told<W>[] {
     return onlyOf(kept, what);
   }
   function until(fits: (rec: Rec) => boolean): Promise<Rec> {
@@ -204,7 +204,7 @@
     }
     return new Promise<Rec>(wait);
   }
-  return { note, all, of, until };
+  return { note, all, of: indexOf, until };
 }
 
 export function onlyOf<W extends Rec['what']>(records: readonly Rec[], what: W): readonly Told<W>[] {
--- a/standin-platform/report.ts
+++ b/standin-platform/report.ts
@@ -20,11 +20,11 @@
   const lines: string[] = [];
   let served = 0;
   let asked = 0;
-  for (const [name, c] of counts) {
-    served += c.served;
-    asked += c.asked;
+  for (const [name, count] of counts) {
+    served += count.served;
+    asked += count.asked;
     lines.push(
-      `${name.padEnd(10)} ${c.served} of ${c.asked} served, first byte ${percentile(c.firstMs, 0.5)} / ${percentile(c.firstMs, 0.99)} ms (p50 / p99)`,
+      `${name.padEnd(10)} ${count.served} of ${count.asked} served, first byte ${percentile(count.firstMs, 0.5)} / ${percentile(count.firstMs, 0.99)} ms (p50 / p99)`,
     );
   }
   const arrivals = onlyOf(records, 'arrived');
@@ -38,8 +38,8 @@
   const ends = endsOf(records);
   if (ends !== '') lines.push(`answers that are no success: ${ends}`);
   lines.push(...cutsIn(records));
-  for (const e of site.ownEnds()) lines.push(`${e.name} ended by itself (${e.code ?? e.signal})`);
-  for (const v of verdicts.slice(0, MOST_TOLD)) lines.push(`${v.rule}: ${v.text}`);
+  for (const end of site.ownEnds()) lines.push(`${end.name} ended by itself (${end.code ?? end.signal})`);
+  for (const verdict of verdicts.slice(0, MOST_TOLD)) lines.push(`${verdict.rule}: ${verdict.text}`);
   if (verdicts.length > MOST_TOLD) lines.push(`and ${verdicts.length - MOST_TOLD} more`);
   lines.push(verdicts.length === 0 ? 'No rule broken.' : `${verdicts.length} verdicts against rules.`);
   return { verdicts, served, asked, text: lines.join('\n') };
@@ -47,58 +47,58 @@
 
 function endsOf(records: readonly Rec[]): string {
   const counts = new Map<string, number>();
-  for (const a of onlyOf(records, 'answered')) {
-    if (a.end === 'whole' && a.status >= 200 && a.status < 300) continue;
+  for (const answered of onlyOf(records, 'answered')) {
+    if (answered.end === 'whole' && answered.status >= 200 && answered.status < 300) continue;
     const key =
-      a.end === 'whole'
-        ? `${a.status}${a.seal === null ? '' : ' of a worker'}`
-        : `${a.end}${a.status === 0 ? '' : ` in ${a.status}`}`;
+      answered.end === 'whole'
+        ? `${answered.status}${answered.seal === null ? '' : ' of a worker'}`
+        : `${answered.end}${answered.status === 0 ? '' : ` in ${answered.status}`}`;
     counts.set(key, (counts.get(key) ?? 0) + 1);
   }
   return [...counts].map(told).join(', ');
 }
 function cutsIn(records: readonly Rec[]): readonly string[] {
   const out: string[] = [];
-  for (const a of onlyOf(records, 'answered'))
-    if (a.end === 'cut' && out.length < MOST_TOLD) out.push(`  cut: ${storyOf(records, a.attempt)}`);
+  for (const answered of onlyOf(records, 'answered'))
+    if (answered.end === 'cut' && out.length < MOST_TOLD) out.push(`  cut: ${storyOf(records, answered.attempt)}`);
   return out;
 }
 function storyOf(records: readonly Rec[], attempt: string): string {
   const visits = new Set<string>();
   const steps: string[] = [];
-  for (const r of records) {
-    if (r.what === 'arrived' && r.attempt === attempt) visits.add(r.visit);
-    const mine = ('attempt' in r && r.attempt === attempt) || ('visit' in r && visits.has(r.visit));
+  for (const rec of records) {
+    if (rec.what === 'arrived' && rec.attempt === attempt) visits.add(rec.visit);
+    const mine = ('attempt' in rec && rec.attempt === attempt) || ('visit' in rec && visits.has(rec.visit));
     if (!mine) continue;
     const where =
-      r.what === 'asked'
-        ? ` ${r.path} at ${r.edge}`
-        : r.what === 'arrived'
-          ? ` at ${r.worker}`
-          : r.what === 'finished'
-            ? ` ${r.end}`
+      rec.what === 'asked'
+        ? ` ${rec.path} at ${rec.edge}`
+        : rec.what === 'arrived'
+          ? ` at ${rec.worker}`
+          : rec.what === 'finished'
+            ? ` ${rec.end}`
             : '';
-    steps.push(`${Math.round(r.at)} ${r.what}${where}`);
+    steps.push(`${Math.round(rec.at)} ${rec.what}${where}`);
   }
   return steps.join(', ');
 }
-function told([key, n]: readonly [string, number]): string {
-  return `${key} x ${n}`;
+function told([key, count]: readonly [string, number]): string {
+  return `${key} x ${count}`;
 }
 
 function isHalf(f: { readonly end: string }): boolean {
   return f.end !== 'whole';
 }
-function isResumed(a: { readonly lastEvent: number }): boolean {
-  return a.lastEvent > 0;
+function isResumed(first: { readonly lastEvent: number }): boolean {
+  return first.lastEvent > 0;
 }
-function isProbe(a: { readonly probe: boolean }): boolean {
-  return a.probe;
+function isProbe(first: { readonly probe: boolean }): boolean {
+  return first.probe;
 }
 function percentile(values: readonly number[], share: number): number {
   const sorted = [...values].sort(rising);
   return Math.round(sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * share))] ?? 0);
 }
-function rising(a: number, b: number): number {
-  return a - b;
+function rising(left: number, right: number): number {
+  return left - right;
 }
--- a/standin-platform/run.ts
+++ b/standin-platform/run.ts
@@ -15,19 +15,19 @@
   readonly say: (text: string) => void;
 };
 
-export async function runScenarios(o: RunOptions): Promise<boolean> {
+export async function runScenarios(runOptions: RunOptions): Promise<boolean> {
   let good = true;
   for (const scenario of SCENARIOS) {
-    if (o.names.length > 0 && !o.names.includes(scenario.name)) continue;
+    if (runOptions.names.length > 0 && !runOptions.names.includes(scenario.name)) continue;
     const played = await playScenario(scenario, {
       clock: createClock(),
-      rng: createRng(o.seed),
-      root: o.root,
-      deployFile: o.deployFile,
-      perS: o.perS,
-      onSite: o.onSite,
+      rng: createRng(runOptions.seed),
+      root: runOptions.root,
+      deployFile: runOptions.deployFile,
+      perS: runOptions.perS,
+      onSite: runOptions.onSite,
     });
-    o.say(`${played.text}\n${played.good ? 'Held' : 'FAILED'}: ${scenario.name}\n`);
+    runOptions.say(`${played.text}\n${played.good ? 'Held' : 'FAILED'}: ${scenario.name}\n`);
     good &&= played.good;
   }
   return good;
--- a/standin-platform/scenarios.ts
+++ b/standin-platform/scenarios.ts
@@ -20,38 +20,40 @@
 
 function busiest(site: Site, model: string, notIn = ''): PlacedWorker {
   return [...site.workers].filter(fits).sort(byRunning)[0] as PlacedWorker;
-  function fits(w: PlacedWorker): boolean {
-    return w.model === model && w.zone !== notIn && w.worker.seen().phase === 'serving';
+  function fits(placedWorker: PlacedWorker): boolean {
+    return (
+      placedWorker.model === model && placedWorker.zone !== notIn && placedWorker.worker.seen().phase === 'serving'
+    );
   }
 }
-function byRunning(a: PlacedWorker, b: PlacedWorker): number {
-  return b.worker.running() - a.worker.running();
+function byRunning(left: PlacedWorker, right: PlacedWorker): number {
+  return right.worker.running() - left.worker.running();
 }
 function busiestEdge(site: Site): SiteNode {
   const open = new Map<string, string>();
-  for (const r of site.records.all()) {
-    if (r.what === 'asked') open.set(r.attempt, r.edge);
-    if (r.what === 'answered') open.delete(r.attempt);
+  for (const rec of site.records.all()) {
+    if (rec.what === 'asked') open.set(rec.attempt, rec.edge);
+    if (rec.what === 'answered') open.delete(rec.attempt);
   }
   const edges = site.nodes.filter(isEdge);
   return edges.sort(byOpen)[0] as SiteNode;
-  function count(n: SiteNode): number {
+  function count(siteNode: SiteNode): number {
     return [...open.values()].filter(isHere).length;
     function isHere(edge: string): boolean {
-      return edge.startsWith(`${n.ip}:`);
+      return edge.startsWith(`${siteNode.ip}:`);
     }
   }
-  function byOpen(a: SiteNode, b: SiteNode): number {
-    return count(b) - count(a);
+  function byOpen(left: SiteNode, right: SiteNode): number {
+    return count(right) - count(left);
   }
 }
-function isEdge(n: SiteNode): boolean {
-  return !n.core;
+function isEdge(siteNode: SiteNode): boolean {
+  return !siteNode.core;
 }
 function controller(site: Site): SiteNode {
   return site.nodes.find(fits) as SiteNode;
-  function fits(n: SiteNode): boolean {
-    return n.core && n.zone === ZONE;
+  function fits(siteNode: SiteNode): boolean {
+    return siteNode.core && siteNode.zone === ZONE;
   }
 }
 
@@ -68,17 +70,17 @@
 async function darkWorker(site: Site): Promise<void> {
   await site.asked(80);
   const silent = [busiest(site, LLM), busiest(site, WEB)];
-  for (const w of silent) w.worker.dark(true);
+  for (const placedWorker of silent) placedWorker.worker.dark(true);
   await site.asked(160);
-  for (const w of silent) w.worker.dark(false);
+  for (const placedWorker of silent) placedWorker.worker.dark(false);
 }
 async function spoiledAnswers(site: Site): Promise<void> {
   for (const mode of ['breakOff', 'behind', 'surplus', 'garbage', 'lostAnswer', 'fail', 'refuse'] as const) {
-    for (const w of site.workers) w.worker.fault({ mode, share: 0.15 });
+    for (const placedWorker of site.workers) placedWorker.worker.fault({ mode, share: 0.15 });
     await site.asked(60);
   }
-  for (const w of site.workers) w.worker.resetIdle();
-  for (const w of site.workers) w.worker.fault(null);
+  for (const placedWorker of site.workers) placedWorker.worker.resetIdle();
+  for (const placedWorker of site.workers) placedWorker.worker.fault(null);
 }
 async function drain(site: Site): Promise<void> {
   await site.asked(80);
@@ -94,12 +96,12 @@
 async function coldReturn(site: Site): Promise<void> {
   await site.asked(60);
   const mine = site.workers.filter(ours);
-  function ours(w: PlacedWorker): boolean {
-    return w.zone === HOME_ZONE && w.model === LLM;
+  function ours(placedWorker: PlacedWorker): boolean {
+    return placedWorker.zone === HOME_ZONE && placedWorker.model === LLM;
   }
-  for (const w of mine) await site.crashWorker(w);
+  for (const placedWorker of mine) await site.crashWorker(placedWorker);
   await site.asked(120);
-  for (const w of mine) await site.restartWorker(w, 3_000);
+  for (const placedWorker of mine) await site.restartWorker(placedWorker, 3_000);
 }
 async function evacuation(site: Site): Promise<void> {
   await site.asked(30);
@@ -120,11 +122,11 @@
   const shorter = { ...SMALL, mappings: SMALL.mappings.map(hastier) };
   await Promise.all([site.operator.replace(documentOf(moved, 4), 1), site.operator.replace(documentOf(shorter, 6), 1)]);
 }
-function split(m: ModelRoute): ModelRoute {
-  return m.name === 'r-explain' ? { ...m, shares: [{ model: WEB, share: 100 }] } : m;
+function split(modelRoute: ModelRoute): ModelRoute {
+  return modelRoute.name === 'r-explain' ? { ...modelRoute, shares: [{ model: WEB, share: 100 }] } : modelRoute;
 }
-function hastier(m: ModelRoute): ModelRoute {
-  return { ...m, deadlineMs: m.deadlineMs - 500 };
+function hastier(modelRoute: ModelRoute): ModelRoute {
+  return { ...modelRoute, deadlineMs: modelRoute.deadlineMs - 500 };
 }
 async function invalid(site: Site): Promise<void> {
   await site.asked(20);
@@ -164,8 +166,8 @@
 async function allKilled(site: Site): Promise<void> {
   await site.asked(30);
   await site.operator.replace(documentOf(SMALL, 4), 1);
-  for (const n of site.nodes) if (n.core) n.process.signal('SIGKILL');
-  for (const n of site.nodes) if (n.core) await n.restart();
+  for (const siteNode of site.nodes) if (siteNode.core) siteNode.process.signal('SIGKILL');
+  for (const siteNode of site.nodes) if (siteNode.core) await siteNode.restart();
 }
 async function proxyKilled(site: Site): Promise<void> {
   await site.asked(80);
@@ -182,9 +184,9 @@
 }
 async function settingsChanged(site: Site): Promise<void> {
   await site.asked(60);
-  for (const n of site.nodes) n.rewrite();
+  for (const siteNode of site.nodes) siteNode.rewrite();
   await site.asked(60);
-  for (const n of site.nodes) n.process.signal('SIGHUP');
+  for (const siteNode of site.nodes) siteNode.process.signal('SIGHUP');
   await site.operator.replace(documentOf(SMALL, 4), 1);
 }
 async function proxyFrozen(site: Site): Promise<void> {
@@ -205,11 +207,11 @@
   await site.operator.replace(documentOf(SMALL, 9), 4);
 }
 async function proxiesRolled(site: Site): Promise<void> {
-  for (const n of site.nodes) {
-    if (n.core) continue;
+  for (const siteNode of site.nodes) {
+    if (siteNode.core) continue;
     await site.asked(60);
-    n.process.signal('SIGTERM');
-    await n.restart();
+    siteNode.process.signal('SIGTERM');
+    await siteNode.restart();
   }
 }
 async function proxyStopped(site: Site): Promise<void> {
--- a/standin-platform/site.ts
+++ b/standin-platform/site.ts
@@ -72,9 +72,9 @@
   readonly up: () => Promise<boolean>;
   readonly asked: (more: number) => Promise<unknown>;
   readonly replaceCore: (node: SiteNode) => Promise<void>;
-  readonly crashWorker: (w: PlacedWorker) => Promise<void>;
-  readonly restartWorker: (w: PlacedWorker, coldMs: number) => Promise<void>;
-  readonly drainWorker: (w: PlacedWorker, remainingMs: number | null) => void;
+  readonly crashWorker: (placedWorker: PlacedWorker) => Promise<void>;
+  readonly restartWorker: (placedWorker: PlacedWorker, coldMs: number) => Promise<void>;
+  readonly drainWorker: (placedWorker: PlacedWorker, remainingMs: number | null) => void;
   readonly ownEnds: () => readonly End[];
   readonly stop: () => Promise<void>;
 };
@@ -103,16 +103,16 @@
   let loading: Promise<unknown> = Promise.resolve();
 
   const deploy = readDeployFile(deps.deployFile);
-  for (const role of deploy.roles) for (const [z, zone] of zones.entries()) place(role, z, zone);
+  for (const role of deploy.roles) for (const [name, zone] of zones.entries()) place(role, name, zone);
 
-  function place(role: Role, z: number, zone: string): void {
+  function place(role: Role, zoneIndex: number, zone: string): void {
     const available = role.on === 'core' ? 1 : shape.edgesPerZone;
-    for (let n = 1; n <= machinesOf(role, available); n += 1) addNode(role, z, zone, n);
+    for (let count = 1; count <= machinesOf(role, available); count += 1) addNode(role, zoneIndex, zone, count);
   }
-  function addNode(role: Role, z: number, zone: string, n: number): SiteNode {
+  function addNode(role: Role, zoneIndex: number, zone: string, count: number): SiteNode {
     const core = role.on === 'core';
-    const ip = `127.${net}.${z + 1}.${core ? 200 + n : n}`;
-    const name = `${role.on}-${zone}-${n}-${role.name}`;
+    const ip = `127.${net}.${zoneIndex + 1}.${core ? 200 + count : count}`;
+    const name = `${role.on}-${zone}-${count}-${role.name}`;
     const settingsFile = join(folder, 'settings', `${name}.toml`);
     const own = createNodeProcess(
       {
@@ -152,14 +152,14 @@
 
   function serving(what: string): readonly SiteNode[] {
     return nodes.filter(has);
-    function has(n: SiteNode): boolean {
-      return n.serves.includes(what);
+    function has(siteNode: SiteNode): boolean {
+      return siteNode.serves.includes(what);
     }
   }
   function controls(): readonly string[] {
     return serving('control_plane').map(at);
-    function at(n: SiteNode): string {
-      return `${n.ip}:${PORT.control}`;
+    function at(siteNode: SiteNode): string {
+      return `${siteNode.ip}:${PORT.control}`;
     }
   }
 
@@ -222,15 +222,15 @@
   }
 
   async function startWorkers(): Promise<void> {
-    for (const [z, zone] of zones.entries()) {
-      let n = 0;
-      for (const g of shape.groups) {
-        for (let k = 0; k < g.count; k += 1) {
-          n += 1;
+    for (const [name, zone] of zones.entries()) {
+      let count = 0;
+      for (const workerGroup of shape.groups) {
+        for (let key = 0; key < workerGroup.count; key += 1) {
+          count += 1;
           const spec = {
             ...WORKER_DEFAULTS,
-            ...g,
-            ip: `127.${net}.${z + 100}.${n}`,
+            ...workerGroup,
+            ip: `127.${net}.${name + 100}.${count}`,
             port: PORT.worker,
             zone,
             region: shape.zones[zone] ?? '',
@@ -238,7 +238,7 @@
           const worker = createStandinWorker(spec, { clock, rng, records });
           await worker.start();
           list.show(worker.seen());
-          placed.push({ model: g.model, zone, worker });
+          placed.push({ model: workerGroup.model, zone, worker });
         }
       }
     }
@@ -264,29 +264,30 @@
           ),
         );
       }
-      function nearFirst(a: SiteNode, b: SiteNode): number {
-        return Number(b.zone === zone) - Number(a.zone === zone);
+      function nearFirst(left: SiteNode, right: SiteNode): number {
+        return Number(right.zone === zone) - Number(left.zone === zone);
       }
     }
-    function directoryOf(n: SiteNode): string {
-      return `${n.ip}:${PORT.directory}`;
+    function directoryOf(siteNode: SiteNode): string {
+      return `${siteNode.ip}:${PORT.directory}`;
     }
   }
 
   const operator = createOperator({ clock, rng, records, nodes: controls, withinMs: BOUNDS.ackWithinMs });
 
   async function edgesReady(): Promise<boolean> {
-    for (const n of serving('edge'))
-      if ((await ask(`${n.ip}:${PORT.readiness}`, clock, 'GET', CALL.ready, 1_000))?.status !== 200) return false;
+    for (const siteNode of serving('edge'))
+      if ((await ask(`${siteNode.ip}:${PORT.readiness}`, clock, 'GET', CALL.ready, 1_000))?.status !== 200)
+        return false;
     return true;
   }
   async function directoriesKnow(): Promise<boolean> {
-    for (const n of serving('registry')) {
+    for (const siteNode of serving('registry')) {
       const reply = await ask(
-        `${n.ip}:${PORT.directory}`,
+        `${siteNode.ip}:${PORT.directory}`,
         clock,
         'GET',
-        `${CALL.resolve}?${QUERY.name}=${HOST}&${QUERY.region}=${n.region}&${QUERY.zone}=${n.zone}`,
+        `${CALL.resolve}?${QUERY.name}=${HOST}&${QUERY.region}=${siteNode.region}&${QUERY.zone}=${siteNode.zone}`,
         1_000,
       );
       const addresses = (reply?.body as Readonly<Record<string, unknown>> | undefined)?.[RESOLVED.addresses];
@@ -295,7 +296,7 @@
     return true;
   }
   async function up(): Promise<boolean> {
-    for (const w of placed) await records.until(lists(w.worker.seen().id));
+    for (const placedWorker of placed) await records.until(lists(placedWorker.worker.seen().id));
     const until = clock.mono() + READY_MS;
     let base = false;
     while (clock.mono() < until && !base)
@@ -314,20 +315,20 @@
     return isListed;
   }
 
-  function load(l: Load): Promise<ReadonlyMap<string, Count>> {
-    const mine = loadAll(l);
+  function load(traffic: Load): Promise<ReadonlyMap<string, Count>> {
+    const mine = loadAll(traffic);
     loading = mine;
     return mine;
   }
-  async function loadAll(l: Load): Promise<ReadonlyMap<string, Count>> {
+  async function loadAll(load: Load): Promise<ReadonlyMap<string, Count>> {
     const counts = new Map<string, Count>();
     const flying: Promise<void>[] = [];
     const started = clock.mono();
-    for (let n = 0; ; n += 1) {
-      const due = (n * 1_000) / l.perS;
-      if (due >= l.forMs) break;
+    for (let count = 0; ; count += 1) {
+      const due = (count * 1_000) / load.perS;
+      if (due >= load.forMs) break;
       await delay(clock, due - (clock.mono() - started));
-      const wish = shape.wishes[n % shape.wishes.length];
+      const wish = shape.wishes[count % shape.wishes.length];
       const caller = callers[below(rng, callers.length)];
       if (wish && caller) flying.push(one(caller, wish));
     }
@@ -370,30 +371,30 @@
 
   async function replaceCore(node: SiteNode): Promise<void> {
     const role = deploy.roles.find(isCore);
-    function isCore(r: Role): boolean {
-      return r.on === 'core';
+    function isCore(role: Role): boolean {
+      return role.on === 'core';
     }
     node.process.signal('SIGKILL');
     nodes.splice(nodes.indexOf(node), 1);
     if (role) await addNode(role, zones.indexOf(node.zone), node.zone, 2).restart();
   }
-  async function crashWorker(w: PlacedWorker): Promise<void> {
-    const { id } = w.worker.seen();
-    await w.worker.crash();
+  async function crashWorker(placedWorker: PlacedWorker): Promise<void> {
+    const { id } = placedWorker.worker.seen();
+    await placedWorker.worker.crash();
     function unlisted(): void {
       list.drop(id);
     }
     clock.timer(CRASHED_SHOWN_MS, unlisted);
   }
-  async function restartWorker(w: PlacedWorker, coldMs: number): Promise<void> {
-    list.drop(w.worker.seen().id);
-    await w.worker.start({ coldMs });
-    list.show(w.worker.seen());
+  async function restartWorker(placedWorker: PlacedWorker, coldMs: number): Promise<void> {
+    list.drop(placedWorker.worker.seen().id);
+    await placedWorker.worker.start({ coldMs });
+    list.show(placedWorker.worker.seen());
   }
-  function drainWorker(w: PlacedWorker, remainingMs: number | null): void {
-    w.worker.drain(remainingMs);
-    list.show(w.worker.seen());
-    const { id } = w.worker.seen();
+  function drainWorker(placedWorker: PlacedWorker, remainingMs: number | null): void {
+    placedWorker.worker.drain(remainingMs);
+    list.show(placedWorker.worker.seen());
+    const { id } = placedWorker.worker.seen();
     function unlisted(): void {
       list.drop(id);
     }
@@ -402,35 +403,35 @@
 
   function ownEnds(): readonly End[] {
     return nodes.flatMap(endsOf);
-    function endsOf(n: SiteNode): readonly End[] {
-      return n.process.ownEnds();
+    function endsOf(siteNode: SiteNode): readonly End[] {
+      return siteNode.process.ownEnds();
     }
   }
   function killAll(): void {
-    for (const n of nodes) n.process.signal('SIGKILL');
+    for (const siteNode of nodes) siteNode.process.signal('SIGKILL');
   }
   function onExit(): void {
     killAll();
     rmSync(folder, { recursive: true, force: true });
   }
   async function stop(): Promise<void> {
-    for (const o of callers) o.close();
-    for (const n of nodes) {
-      n.process.signal('SIGCONT');
-      n.process.signal('SIGTERM');
+    for (const caller of callers) caller.close();
+    for (const siteNode of nodes) {
+      siteNode.process.signal('SIGCONT');
+      siteNode.process.signal('SIGTERM');
     }
     const late = clock.timer(LEAVE_MS, killAll);
-    for (const n of nodes) await n.process.ended();
+    for (const siteNode of nodes) await siteNode.process.ended();
     late.cancel();
     process.off('exit', onExit);
-    for (const w of placed) await w.worker.end();
+    for (const placedWorker of placed) await placedWorker.worker.end();
     await list.stop();
     rmSync(folder, { recursive: true, force: true });
   }
 
   process.on('exit', onExit);
   await startWorkers();
-  for (const n of nodes) await n.restart();
+  for (const siteNode of nodes) await siteNode.restart();
   bootstrap = false;
   startCallers();
   return {
@@ -458,8 +459,8 @@
   records: Records,
   maxLagMs: number,
 ): Promise<{ readonly list: StandinList; readonly net: number } | null> {
-  for (let k = 0; k < NETS; k += 1) {
-    const net = 20 + ((process.pid + k) % NETS);
+  for (let key = 0; key < NETS; key += 1) {
+    const net = 20 + ((process.pid + key) % NETS);
     try {
       return {
         list: await startStandinList(
--- a/standin-platform/worker.ts
+++ b/standin-platform/worker.ts
@@ -57,7 +57,7 @@
   let coldUntil = 0;
   let isDark = false;
   let lying = false;
-  let fault: Fault | null = null;
+  let error: Fault | null = null;
   let weights = spec.engine?.weights ?? 1;
   let running = 0;
   let visits = 0;
@@ -96,7 +96,7 @@
     goneAt = null;
     isDark = false;
     lying = false;
-    fault = null;
+    error = null;
     recent = [];
     memory.clear();
     coldUntil = clock.mono() + (over.coldMs ?? 0);
@@ -110,7 +110,7 @@
     note('started', over.coldMs ?? 0);
   }
   function listening(mine: Server): Promise<void> {
-    function begin(resolve: () => void, reject: (e: Error) => void): void {
+    function begin(resolve: () => void, reject: (error: Error) => void): void {
       mine.once('error', reject);
       function up(): void {
         const at = mine.address();
@@ -121,9 +121,9 @@
     }
     return new Promise<void>(begin);
   }
-  function hex(n: number): string {
+  function hex(count: number): string {
     let out = '';
-    for (let i = 0; i < n; i += 1) out += below(rng, 16).toString(16);
+    for (let i = 0; i < count; i += 1) out += below(rng, 16).toString(16);
     return out;
   }
 
@@ -201,7 +201,7 @@
       const wanted = header(req, HEADER.expectWeights);
       if (wanted !== null && Number(wanted) !== weights) return refuse(visitId, res, 421);
       if (!bearsCold()) return void fallOver();
-      if (fault?.mode === 'refuse' && rng.next() < fault.share) return refuse(visitId, res, 503);
+      if (error?.mode === 'refuse' && rng.next() < error.share) return refuse(visitId, res, 503);
     }
     if (tooLarge(req) || (running >= spec.capacity && queue.length >= spec.queue)) return refuse(visitId, res, 503);
     const digest = await digestOf(req);
@@ -309,7 +309,7 @@
     return `${id.slice(2)}.${job.id.split('#')[1] ?? '0'}.${job.digest.slice(0, 8)}.${hex(6)}`;
   }
   function hit(mode: FaultMode): boolean {
-    return fault?.mode === mode && rng.next() < fault.share;
+    return error?.mode === mode && rng.next() < error.share;
   }
   function dropped(job: Omit<Visit, 'go'>): boolean {
     return job.life !== life || job.res.destroyed;
@@ -402,13 +402,13 @@
     const breakAt = hit('breakOff') || hit('lostAnswer') ? Math.ceil(total / 2) : 0;
     let told = weights;
     const first = Math.floor(job.lastEvent / engine.tokensPerEvent) + 1;
-    for (let n = first; n <= total; n += 1) {
-      if (n > first)
+    for (let count = first; count <= total; count += 1) {
+      if (count > first)
         await delay(clock, engine.stepMs * engine.tokensPerEvent * (1 + running / spec.capacity / 4) * slow);
       await lit();
       if (dropped(job)) return finish(job, digest, 200, '', 'dropped');
-      if (clock.mono() >= job.deadlineAt || n === breakAt) return broken(job, digest, '');
-      const event: EventSeen = { id: n * engine.tokensPerEvent, run: digest, n, of: total };
+      if (clock.mono() >= job.deadlineAt || count === breakAt) return broken(job, digest, '');
+      const event: EventSeen = { id: count * engine.tokensPerEvent, run: digest, n: count, of: total };
       const text = weights === told ? eventText(event) : `${HEADER.weights}: ${weights}\n${eventText(event)}`;
       told = weights;
       hash.update(text);
@@ -495,7 +495,7 @@
     note('cold', ms);
   }
   function setFault(f: Fault | null): void {
-    fault = f;
+    error = f;
   }
   function lie(on: boolean): void {
     lying = on;
