--- a/src/client/client.ts
+++ b/src/client/client.ts
@@ -11,7 +11,7 @@
 } from '../protocol/caller-wire.js';
 import type { Failure, PlacementRequest, Placement } from '../protocol/caller-wire.js';
 import type { PrefixBlock } from '../protocol/worker-wire.js';
-import { addChunk, checkDigest, startDigest } from '../state/seal.js';
+import { addChunk, checkDigest, startDigest } from '../state/forwarding/response-digest.js';
 import { createGotHttpClient } from '../transport/http-client.js';
 import { createClock } from '../transport/clock.js';
 import type { Clock } from '../transport/clock.js';
@@ -19,7 +19,7 @@
 import type { HttpClient, HttpAnswer } from '../transport/http.js';
 import type { Address } from '../transport/wire.js';
 
-export { runKey } from '../state/run-key.js';
+export { runKey } from '../state/idempotency/run-key.js';
 
 export type ClientSettings = {
   readonly proxies: readonly Address[];
--- a/src/coordination/ledger/configuration-service.test.ts
+++ b/src/coordination/configuration/configuration-service.test.ts
@@ -1,9 +1,9 @@
 import { describe, expect, test } from '@jest/globals';
 import { err, ok } from '../../base/result.js';
-import { DEFAULT_LIMITS } from '../../state/serving.js';
-import { MAX_APPLIED_CHANGES } from '../../state/operator-history.js';
-import type { RouteSettings, Serving } from '../../state/serving.js';
-import { withChanges } from '../../state/settings-tree.js';
+import { DEFAULT_LIMITS } from '../../state/configuration/serving.js';
+import { MAX_APPLIED_CHANGES } from '../../state/consensus/operator-history.js';
+import type { RouteSettings, Serving } from '../../state/configuration/serving.js';
+import { withChanges } from '../../state/configuration/settings-tree.js';
 import { createSimLedger } from '../../sim/sim-ledger.js';
 import type { SimLedger } from '../../sim/sim-ledger.js';
 import { delay } from '../../transport/clock.js';
--- a/src/coordination/ledger/configuration-service.ts
+++ b/src/coordination/configuration/configuration-service.ts
@@ -8,24 +8,24 @@
 import { errorAt } from '../../protocol/codecs.js';
 import type { ConfigError } from '../../protocol/codecs.js';
 import { readServing } from '../../protocol/serving.js';
-import type { ControlState } from '../../state/control-state.js';
-import type { Change } from '../../state/entry.js';
+import type { ControlState } from '../../state/consensus/control-state.js';
+import type { Change } from '../../state/consensus/entry.js';
 import {
   appliedChange,
   mayBeForgotten,
   newestNumbered,
   operatorRequest,
   zoneVersion,
-} from '../../state/operator-history.js';
-import { EMPTY_SERVING } from '../../state/serving.js';
-import type { Serving } from '../../state/serving.js';
-import { withPreservedOrder } from '../../state/serving-order.js';
-import { differences, withChanges } from '../../state/settings-tree.js';
-import type { Configuration } from '../../state/settings-tree.js';
+} from '../../state/consensus/operator-history.js';
+import { EMPTY_SERVING } from '../../state/configuration/serving.js';
+import type { Serving } from '../../state/configuration/serving.js';
+import { withPreservedOrder } from '../../state/configuration/serving-order.js';
+import { differences, withChanges } from '../../state/configuration/settings-tree.js';
+import type { Configuration } from '../../state/configuration/settings-tree.js';
 import { delay } from '../../transport/clock.js';
 import type { Clock } from '../../transport/clock.js';
-import type { Ledger } from './ledger.js';
-import type { Draft } from './proposal.js';
+import type { Ledger } from '../consensus/ledger.js';
+import type { Draft } from '../consensus/proposal.js';
 
 /** Why an operator's call was not confirmed. Only `stale` and `invalid` say that it was not and will not be applied. */
 export type NumberedError =
--- a/src/coordination/ledger/aim-keeper.ts
+++ b/src/coordination/configuration/latency-target-tracker.ts
@@ -1,12 +1,12 @@
 import type { MessageOf } from '../../protocol/messages.js';
-import { createLatencyTargetTable } from '../../state/aim-book.js';
-import type { Minute } from '../../state/aim-book.js';
-import { CHANGES_SUBJECT, recordIn } from '../../state/aim-counts.js';
-import type { CountTable } from '../../state/aim-counts.js';
+import { createLatencyTargetTable } from '../../state/configuration/latency-target-table.js';
+import type { Minute } from '../../state/configuration/latency-target-table.js';
+import { CHANGES_SUBJECT, recordIn } from '../../state/configuration/latency-target-counts.js';
+import type { CountTable } from '../../state/configuration/latency-target-counts.js';
 import { every } from '../../transport/clock.js';
 import type { Clock, Timer } from '../../transport/clock.js';
-import type { Ledger } from './ledger.js';
-import type { Peers } from '../members/peers.js';
+import type { Ledger } from '../consensus/ledger.js';
+import type { Peers } from '../messaging/peers.js';
 
 export type MinuteCounts = { readonly by: string; readonly now: number; readonly minutes: readonly Minute[] };
 
--- a/src/coordination/ledger/operator-http-server.ts
+++ b/src/coordination/configuration/operator-http-server.ts
@@ -5,17 +5,17 @@
 import { Type } from '@sinclair/typebox';
 import { readConfiguration } from '../../protocol/configuration.js';
 import { readerOf } from '../../protocol/read-shape.js';
-import type { Command, Change } from '../../state/entry.js';
-import { ChangeShape } from '../../state/entry.js';
-import { memberId, operationOf } from '../../state/control-state.js';
-import type { ControlState } from '../../state/control-state.js';
-import { operatorRequest, versionMayBeForgotten } from '../../state/operator-history.js';
-import { differences, resolveAll, withChanges } from '../../state/settings-tree.js';
+import type { Command, Change } from '../../state/consensus/entry.js';
+import { ChangeShape } from '../../state/consensus/entry.js';
+import { memberId, operationOf } from '../../state/consensus/control-state.js';
+import type { ControlState } from '../../state/consensus/control-state.js';
+import { operatorRequest, versionMayBeForgotten } from '../../state/consensus/operator-history.js';
+import { differences, resolveAll, withChanges } from '../../state/configuration/settings-tree.js';
 import type { HttpReply, HttpRequest, Route } from '../../transport/http.js';
 import type { Clock } from '../../transport/clock.js';
-import type { LatencyTargetTracker } from './aim-keeper.js';
-import type { Ledger } from './ledger.js';
-import type { Push } from './push.js';
+import type { LatencyTargetTracker } from './latency-target-tracker.js';
+import type { Ledger } from '../consensus/ledger.js';
+import type { Push } from '../distribution/push.js';
 
 const Operation = Type.Optional(Type.String({ minLength: 1, maxLength: 128 }));
 const Base = Type.Integer({ minimum: 0 });
--- a/src/coordination/ledger/operator-identity.test.ts
+++ b/src/coordination/configuration/operator-identity.test.ts
@@ -2,10 +2,10 @@
 import { ok } from '../../base/result.js';
 import { createSimCore } from '../../sim/sim-core.js';
 import type { SimCore } from '../../sim/sim-core.js';
-import { DEFAULT_LIMITS } from '../../state/serving.js';
-import type { Serving } from '../../state/serving.js';
-import { createConfigurationService } from './configuration-service.js';
-import type { ConfigurationService } from './configuration-service.js';
+import { DEFAULT_LIMITS } from '../../state/configuration/serving.js';
+import type { Serving } from '../../state/configuration/serving.js';
+import { createConfigurationService } from '../configuration/configuration-service.js';
+import type { ConfigurationService } from '../configuration/configuration-service.js';
 
 const THREE = ['h1', 'h2', 'h3'];
 const ENTRIES_BETWEEN = 1_100;
--- a/src/coordination/ledger/catch-up.test.ts
+++ b/src/coordination/consensus/catch-up.test.ts
@@ -9,10 +9,10 @@
   stepOrders,
 } from '../../sim/lag-scenarios.js';
 import type { SimCore } from '../../sim/sim-core.js';
-import { foldBatch, isControlState } from '../../state/control-state.js';
-import type { ControlState } from '../../state/control-state.js';
-import type { Batch } from '../../state/entry.js';
-import { proxyState } from '../../state/proxy-state.js';
+import { foldBatch, isControlState } from '../../state/consensus/control-state.js';
+import type { ControlState } from '../../state/consensus/control-state.js';
+import type { Batch } from '../../state/consensus/entry.js';
+import { proxyState } from '../../state/consensus/proxy-state.js';
 
 const FAR_BEHIND = { orders: 2_000, changes: 1_000 };
 
--- a/src/coordination/ledger/catch-up.ts
+++ b/src/coordination/consensus/catch-up.ts
@@ -1,15 +1,15 @@
 import type { Message, MessageOf, SlotBatch } from '../../protocol/messages.js';
-import type { ControlState } from '../../state/control-state.js';
-import type { Batch } from '../../state/entry.js';
-import type { SnapshotOffer } from '../../state/snapshot-parts.js';
+import type { ControlState } from '../../state/consensus/control-state.js';
+import type { Batch } from '../../state/consensus/entry.js';
+import type { SnapshotOffer } from '../../state/consensus/snapshot-chunks.js';
 import type { Clock } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
 import type { Address } from '../../transport/wire.js';
-import type { Peers } from '../members/peers.js';
-import { createSnapshotSender } from './snapshot-giver.js';
-import type { SnapshotSender } from './snapshot-giver.js';
-import { createSnapshotReceiver } from './snapshot-taker.js';
-import type { SnapshotReceiver } from './snapshot-taker.js';
+import type { Peers } from '../messaging/peers.js';
+import { createSnapshotSender } from './snapshot-sender.js';
+import type { SnapshotSender } from './snapshot-sender.js';
+import { createSnapshotReceiver } from './snapshot-receiver.js';
+import type { SnapshotReceiver } from './snapshot-receiver.js';
 import type { Store } from './store.js';
 
 /**
--- a/src/coordination/ledger/closed-orders-fetch.ts
+++ b/src/coordination/consensus/closed-orders-fetch.ts
@@ -1,12 +1,12 @@
 import type { Message, MessageOf } from '../../protocol/messages.js';
-import { memberId } from '../../state/control-state.js';
-import type { ControlState } from '../../state/control-state.js';
-import type { ClosedCursor, ClosedOrders, SlotRange } from '../../state/closed-orders.js';
-import type { Member } from '../../state/entry.js';
+import { memberId } from '../../state/consensus/control-state.js';
+import type { ControlState } from '../../state/consensus/control-state.js';
+import type { ClosedCursor, ClosedOrders, SlotRange } from '../../state/consensus/closed-orders.js';
+import type { Member } from '../../state/consensus/entry.js';
 import { every } from '../../transport/clock.js';
 import type { Clock, Timer } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
-import type { Peers } from '../members/peers.js';
+import type { Peers } from '../messaging/peers.js';
 import type { StoreCommand } from './store.js';
 
 /**
--- a/src/coordination/ledger/settled-read.ts
+++ b/src/coordination/consensus/linearizable-read.ts
@@ -7,9 +7,9 @@
  * one of them would have accepted it, synced, and told s+1 at least.
  */
 import type { Message } from '../../protocol/messages.js';
-import { majorityOf, membersDigest } from '../../state/control-state.js';
-import type { ControlState } from '../../state/control-state.js';
-import type { Member } from '../../state/entry.js';
+import { majorityOf, membersDigest } from '../../state/consensus/control-state.js';
+import type { ControlState } from '../../state/consensus/control-state.js';
+import type { Member } from '../../state/consensus/entry.js';
 import { delay } from '../../transport/clock.js';
 import type { Clock } from '../../transport/clock.js';
 import type { Address } from '../../transport/wire.js';
--- a/src/coordination/ledger/poll.ts
+++ b/src/coordination/consensus/poll.ts
@@ -1,7 +1,7 @@
 /** Asks all members at once and resolves as soon as the answers are enough; nobody waits for the rest. */
 import type { Message } from '../../protocol/messages.js';
-import { memberId } from '../../state/control-state.js';
-import type { Member } from '../../state/entry.js';
+import { memberId } from '../../state/consensus/control-state.js';
+import type { Member } from '../../state/consensus/entry.js';
 
 export type Votes = ReadonlyMap<string, Message>;
 export type RequestMember = (member: Member, message: Message) => Promise<Message | null>;
--- a/src/coordination/ledger/proposal.ts
+++ b/src/coordination/consensus/proposal.ts
@@ -1,6 +1,6 @@
 /** What is asked of the ledger, and how it ends. */
-import type { Outcome } from '../../state/control-state.js';
-import type { Command } from '../../state/entry.js';
+import type { Outcome } from '../../state/consensus/control-state.js';
+import type { Command } from '../../state/consensus/entry.js';
 import type { RingError } from '../../transport/ring.js';
 
 export type ProposeError =
--- a/src/coordination/ledger/proposer.ts
+++ b/src/coordination/consensus/proposer.ts
@@ -6,18 +6,18 @@
  * Invariants (docs/consistency.md, section 1): slot s is balloted only once s-1 is folded, among the members after s-1,
  * whose votes count by identity; an entry keeps its id over all its ballots, so it is folded once at most.
  */
-import { createBatchQueue } from '../../base/line.js';
-import type { BatchQueue } from '../../base/line.js';
+import { createBatchQueue } from '../../base/batch-queue.js';
+import type { BatchQueue } from '../../base/batch-queue.js';
 import { err, ok } from '../../base/result.js';
 import type { Result } from '../../base/result.js';
-import { majorityOf, memberId, operationOf } from '../../state/control-state.js';
-import type { Batch, Entry, Member } from '../../state/entry.js';
+import { majorityOf, memberId, operationOf } from '../../state/consensus/control-state.js';
+import type { Batch, Entry, Member } from '../../state/consensus/entry.js';
 import { delay, within } from '../../transport/clock.js';
 import type { Clock } from '../../transport/clock.js';
 import { newId } from '../../transport/rng.js';
 import type { Rng } from '../../transport/rng.js';
 import type { Address } from '../../transport/wire.js';
-import type { Peers } from '../members/peers.js';
+import type { Peers } from '../messaging/peers.js';
 import type { RequestMember } from './poll.js';
 import type { Agreed, Draft, ProposeError } from './proposal.js';
 import type { Replica } from './replica.js';
--- a/src/coordination/ledger/replica.ts
+++ b/src/coordination/consensus/replica.ts
@@ -4,9 +4,9 @@
  *
  * Invariant: what `put` answers with anything but `cannotWrite` is on the disk.
  */
-import { memberId } from '../../state/control-state.js';
-import type { ControlState } from '../../state/control-state.js';
-import type { Batch, Member } from '../../state/entry.js';
+import { memberId } from '../../state/consensus/control-state.js';
+import type { ControlState } from '../../state/consensus/control-state.js';
+import type { Batch, Member } from '../../state/consensus/entry.js';
 import { delay } from '../../transport/clock.js';
 import type { Clock } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
--- a/src/coordination/ledger/round.ts
+++ b/src/coordination/consensus/round.ts
@@ -3,10 +3,10 @@
  * ballot, if any, and has it accepted. Pure but for `ask`; `proposer.ts` and `self-bootstrap.ts` run it.
  */
 import type { Message, MessageOf } from '../../protocol/messages.js';
-import { compareBallots } from '../../state/ballot.js';
-import type { Ballot } from '../../state/ballot.js';
-import { memberId } from '../../state/control-state.js';
-import type { Batch, Member } from '../../state/entry.js';
+import { compareBallots } from '../../state/consensus/ballot.js';
+import type { Ballot } from '../../state/consensus/ballot.js';
+import { memberId } from '../../state/consensus/control-state.js';
+import type { Batch, Member } from '../../state/consensus/entry.js';
 import { poll } from './poll.js';
 import type { RequestMember, Votes } from './poll.js';
 
--- a/src/coordination/ledger/snapshot-taker.ts
+++ b/src/coordination/consensus/snapshot-receiver.ts
@@ -1,12 +1,12 @@
 import { parsedJson } from '../../base/parsed-json.js';
-import { isControlState } from '../../state/control-state.js';
-import type { ControlState } from '../../state/control-state.js';
-import { addChunk, assembled, createAssembly, isBounded, nextChunk } from '../../state/snapshot-parts.js';
-import type { Assembly, SnapshotOffer } from '../../state/snapshot-parts.js';
+import { isControlState } from '../../state/consensus/control-state.js';
+import type { ControlState } from '../../state/consensus/control-state.js';
+import { addChunk, assembled, createAssembly, isBounded, nextChunk } from '../../state/consensus/snapshot-chunks.js';
+import type { Assembly, SnapshotOffer } from '../../state/consensus/snapshot-chunks.js';
 import type { Clock } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
 import type { Address } from '../../transport/wire.js';
-import type { Peers } from '../members/peers.js';
+import type { Peers } from '../messaging/peers.js';
 
 /**
  * Fetches an offered snapshot part by part. What came of it is kept when its giver falls silent, and the
--- a/src/coordination/ledger/snapshot-giver.ts
+++ b/src/coordination/consensus/snapshot-sender.ts
@@ -1,11 +1,11 @@
 import type { Message, MessageOf } from '../../protocol/messages.js';
-import type { ControlState } from '../../state/control-state.js';
-import { proxyState } from '../../state/proxy-state.js';
-import { isBounded, chunkOf, snapshotOf } from '../../state/snapshot-parts.js';
-import type { Snapshot, SnapshotOffer } from '../../state/snapshot-parts.js';
+import type { ControlState } from '../../state/consensus/control-state.js';
+import { proxyState } from '../../state/consensus/proxy-state.js';
+import { isBounded, chunkOf, snapshotOf } from '../../state/consensus/snapshot-chunks.js';
+import type { Snapshot, SnapshotOffer } from '../../state/consensus/snapshot-chunks.js';
 import type { Clock } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
-import type { Peers } from '../members/peers.js';
+import type { Peers } from '../messaging/peers.js';
 
 /**
  * Hands a controller's state to nodes that lag too far for single slots. A snapshot is pinned to the slot
--- a/src/coordination/ledger/snapshots.test.ts
+++ b/src/coordination/consensus/snapshots.test.ts
@@ -1,16 +1,16 @@
 import { describe, expect, test } from '@jest/globals';
 import type { Message, MessageKind, MessageOf } from '../../protocol/messages.js';
-import { emptyControlState } from '../../state/control-state.js';
-import type { ControlState } from '../../state/control-state.js';
-import { chunkCount, CHUNK_LENGTH } from '../../state/snapshot-parts.js';
-import type { SnapshotOffer } from '../../state/snapshot-parts.js';
+import { emptyControlState } from '../../state/consensus/control-state.js';
+import type { ControlState } from '../../state/consensus/control-state.js';
+import { chunkCount, CHUNK_LENGTH } from '../../state/consensus/snapshot-chunks.js';
+import type { SnapshotOffer } from '../../state/consensus/snapshot-chunks.js';
 import { createWorld } from '../../sim/world.js';
 import { delay } from '../../transport/clock.js';
 import { createQuietLog } from '../../transport/log.js';
-import { createSnapshotSender } from './snapshot-giver.js';
-import type { SnapshotView } from './snapshot-giver.js';
-import { createSnapshotReceiver } from './snapshot-taker.js';
-import type { SnapshotReceipt } from './snapshot-taker.js';
+import { createSnapshotSender } from '../consensus/snapshot-sender.js';
+import type { SnapshotView } from '../consensus/snapshot-sender.js';
+import { createSnapshotReceiver } from '../consensus/snapshot-receiver.js';
+import type { SnapshotReceipt } from '../consensus/snapshot-receiver.js';
 
 const log = createQuietLog().component('snapshots');
 
--- a/src/coordination/ledger/store.test.ts
+++ b/src/coordination/consensus/store.test.ts
@@ -2,11 +2,11 @@
 import { createPlatter, losePowerWith, simDisk, stoppingDisk } from '../../sim/sim-disk.js';
 import type { Platter, WriteFate } from '../../sim/sim-disk.js';
 import { createWorld } from '../../sim/world.js';
-import { compareBallots } from '../../state/ballot.js';
-import type { Ballot } from '../../state/ballot.js';
-import { emptyControlState, foldBatch } from '../../state/control-state.js';
-import type { ControlState } from '../../state/control-state.js';
-import type { Batch } from '../../state/entry.js';
+import { compareBallots } from '../../state/consensus/ballot.js';
+import type { Ballot } from '../../state/consensus/ballot.js';
+import { emptyControlState, foldBatch } from '../../state/consensus/control-state.js';
+import type { ControlState } from '../../state/consensus/control-state.js';
+import type { Batch } from '../../state/consensus/entry.js';
 import { openStore } from './store.js';
 import type { Store, StoreAnswer, StoreCommand } from './store.js';
 
--- a/src/coordination/ledger/store.ts
+++ b/src/coordination/consensus/store.ts
@@ -1,7 +1,7 @@
 import { ok } from '../../base/result.js';
 import type { Result } from '../../base/result.js';
-import { createBatchQueue } from '../../base/line.js';
-import type { BatchQueue } from '../../base/line.js';
+import { createBatchQueue } from '../../base/batch-queue.js';
+import type { BatchQueue } from '../../base/batch-queue.js';
 import {
   accept,
   acceptedAt,
@@ -11,16 +11,16 @@
   raiseFloor,
   restoreSlot,
   slotOf,
-} from '../../state/acceptor.js';
-import type { Acceptor, SlotState, Vote } from '../../state/acceptor.js';
-import type { Ballot } from '../../state/ballot.js';
-import { emptyControlState, foldBatch } from '../../state/control-state.js';
-import type { ControlState, Outcome } from '../../state/control-state.js';
-import type { Batch } from '../../state/entry.js';
-import { createClosedOrders } from '../../state/closed-orders.js';
-import type { ClosedOrders, SavedClosedOrders } from '../../state/closed-orders.js';
-import { createRecentSlots } from '../../state/recent-slots.js';
-import type { RecentSlot } from '../../state/recent-slots.js';
+} from '../../state/consensus/acceptor.js';
+import type { Acceptor, SlotState, Vote } from '../../state/consensus/acceptor.js';
+import type { Ballot } from '../../state/consensus/ballot.js';
+import { emptyControlState, foldBatch } from '../../state/consensus/control-state.js';
+import type { ControlState, Outcome } from '../../state/consensus/control-state.js';
+import type { Batch } from '../../state/consensus/entry.js';
+import { createClosedOrders } from '../../state/consensus/closed-orders.js';
+import type { ClosedOrders, SavedClosedOrders } from '../../state/consensus/closed-orders.js';
+import { createRecentSlots } from '../../state/consensus/recent-slots.js';
+import type { RecentSlot } from '../../state/consensus/recent-slots.js';
 import type { Disk } from '../../transport/disk.js';
 import { openRing } from '../../transport/ring.js';
 import type { Opened, RingError, RingShape } from '../../transport/ring.js';
--- a/src/coordination/ledger/voter.ts
+++ b/src/coordination/consensus/voter.ts
@@ -6,13 +6,13 @@
  * member after it under its present identity; each vote is synced before it is answered.
  */
 import type { Message, MessageOf } from '../../protocol/messages.js';
-import type { Vote } from '../../state/acceptor.js';
-import type { Ballot } from '../../state/ballot.js';
-import { memberId } from '../../state/control-state.js';
+import type { Vote } from '../../state/consensus/acceptor.js';
+import type { Ballot } from '../../state/consensus/ballot.js';
+import { memberId } from '../../state/consensus/control-state.js';
 import { within } from '../../transport/clock.js';
 import type { Clock } from '../../transport/clock.js';
 import type { Address } from '../../transport/wire.js';
-import type { Peers } from '../members/peers.js';
+import type { Peers } from '../messaging/peers.js';
 import type { Replica } from './replica.js';
 
 export type VoteRequest = MessageOf<'prepare'> | MessageOf<'accept'>;
--- a/src/coordination/controller-status.ts
+++ b/src/coordination/controller-status.ts
@@ -3,16 +3,16 @@
  * of `GET /metrics`. Both are told from this controller's own knowledge, at once and without asking anyone; while
  * it hears no majority, `quorate` is false and the figures of the core are unknown.
  */
-import { memberId } from '../state/control-state.js';
-import type { ControlState } from '../state/control-state.js';
-import type { CoreHealth } from '../state/core-health.js';
+import { memberId } from '../state/consensus/control-state.js';
+import type { ControlState } from '../state/consensus/control-state.js';
+import type { CoreHealth } from '../state/membership/core-health.js';
 import type { Clock } from '../transport/clock.js';
 import type { Meters } from '../transport/meters.js';
-import type { Claims } from './ledger/claims.js';
-import type { CoreHealthWatch } from './ledger/core-health-watch.js';
-import type { Ledger } from './ledger/ledger.js';
-import type { Push } from './ledger/push.js';
-import type { Membership } from './members/membership.js';
+import type { Claims } from './idempotency/claims.js';
+import type { CoreHealthWatch } from './membership/core-health-watch.js';
+import type { Ledger } from './consensus/ledger.js';
+import type { Push } from './distribution/push.js';
+import type { Membership } from './membership/failure-detector.js';
 
 export type ControllerStatusDeps = {
   readonly name: string;
--- a/src/coordination/cut-off-controller.test.ts
+++ b/src/coordination/cut-off-controller.test.ts
@@ -4,8 +4,8 @@
 import type { SimFleet } from '../sim/sim-fleet.js';
 import type { HttpClient } from '../transport/http.js';
 import type { Clock } from '../transport/clock.js';
-import type { CoreHealth } from '../state/core-health.js';
-import { createConfigurationService } from './ledger/configuration-service.js';
+import type { CoreHealth } from '../state/membership/core-health.js';
+import { createConfigurationService } from './configuration/configuration-service.js';
 
 /** Until then a controller may still hold itself to be in touch: the age of an answer that counts, and a turn. */
 const KNOWS_MS = 2_200;
--- a/src/coordination/cut-off-news.test.ts
+++ b/src/coordination/cut-off-news.test.ts
@@ -7,13 +7,13 @@
 import { createSimFleet } from '../sim/sim-fleet.js';
 import type { SimFleet } from '../sim/sim-fleet.js';
 import type { Host } from '../sim/world.js';
-import type { WorkerEntry } from '../state/worker-entry.js';
+import type { WorkerEntry } from '../state/discovery/worker-entry.js';
 import { delay } from '../transport/clock.js';
 import type { Clock } from '../transport/clock.js';
 import { createQuietLog } from '../transport/log.js';
-import { createDirectory } from './edge/directory.js';
-import type { WorkerListError, WorkerListReader } from './edge/list-feed.js';
-import { createPeers } from './members/peers.js';
+import { createDirectory } from './discovery/directory.js';
+import type { WorkerListError, WorkerListReader } from './discovery/worker-list-feed.js';
+import { createPeers } from './messaging/peers.js';
 
 const VICTIM = 'controller-1';
 
--- a/src/coordination/edge/directory.test.ts
+++ b/src/coordination/discovery/directory.test.ts
@@ -1,8 +1,8 @@
 import { describe, expect, test } from '@jest/globals';
 import { createWorld } from '../../sim/world.js';
-import type { Report } from '../../state/report.js';
-import { DEFAULT_LIMITS } from '../../state/serving.js';
-import type { RouteSettings, Serving } from '../../state/serving.js';
+import type { Report } from '../../state/distribution/report.js';
+import { DEFAULT_LIMITS } from '../../state/configuration/serving.js';
+import type { RouteSettings, Serving } from '../../state/configuration/serving.js';
 import { addressesFor, createDirectory, DIRECTORY_TUNING, homesOf } from './directory.js';
 import type { ProxyStatus } from './directory.js';
 
--- a/src/coordination/edge/directory.ts
+++ b/src/coordination/discovery/directory.ts
@@ -1,6 +1,6 @@
 import { hash32 } from '../../base/digest.js';
-import type { Reports } from '../../state/reports.js';
-import type { Serving } from '../../state/serving.js';
+import type { Reports } from '../../state/distribution/reports.js';
+import type { Serving } from '../../state/configuration/serving.js';
 import type { Clock } from '../../transport/clock.js';
 import type { Address } from '../../transport/wire.js';
 
--- a/src/coordination/edge/pushed-list.ts
+++ b/src/coordination/discovery/pushed-list-feed.ts
@@ -1,13 +1,13 @@
 import { createEvents } from '../../base/events.js';
-import type { WorkerEntry } from '../../state/worker-entry.js';
+import type { WorkerEntry } from '../../state/discovery/worker-entry.js';
 import type { Clock, Timer } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
 import type { Rng } from '../../transport/rng.js';
 import type { Address } from '../../transport/wire.js';
-import type { Peers } from '../members/peers.js';
-import type { WorkerListFeed, WorkerListFeedEvents, WorkerListReader } from './list-feed.js';
-import { createWorkerListUpdates, WORKER_LIST_PACE, STOOD_STILL_MS } from './list-news.js';
-import type { WorkerListPace, WorkerListUpdates } from './list-news.js';
+import type { Peers } from '../messaging/peers.js';
+import type { WorkerListFeed, WorkerListFeedEvents, WorkerListReader } from './worker-list-feed.js';
+import { createWorkerListUpdates, WORKER_LIST_PACE, STOOD_STILL_MS } from './worker-list-updates.js';
+import type { WorkerListPace, WorkerListUpdates } from './worker-list-updates.js';
 import { readWithin } from './read-within.js';
 
 export type PushedListFeedDeps = {
--- a/src/coordination/edge/read-within.ts
+++ b/src/coordination/discovery/read-within.ts
@@ -1,7 +1,7 @@
 import type { Result } from '../../base/result.js';
-import type { WorkerEntry } from '../../state/worker-entry.js';
+import type { WorkerEntry } from '../../state/discovery/worker-entry.js';
 import type { Clock } from '../../transport/clock.js';
-import type { WorkerListError, WorkerListReader } from './list-feed.js';
+import type { WorkerListError, WorkerListReader } from './worker-list-feed.js';
 
 export function readWithin(
   reader: WorkerListReader,
--- a/src/coordination/edge/silence-watch.ts
+++ b/src/coordination/discovery/unresponsive-worker-watch.ts
@@ -1,7 +1,7 @@
-import type { RegistryRow, WorkerRegistry } from '../../state/worker-registry.js';
+import type { RegistryRow, WorkerRegistry } from '../../state/discovery/worker-registry.js';
 import type { Clock } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
-import type { ConnectionPool } from '../../transport/open-http.js';
+import type { ConnectionPool } from '../../transport/opaque-http.js';
 
 export type WatchedAttempt = { readonly sentAt: number; lastEventAt: number; readonly onUnresponsive: () => void };
 
--- a/src/coordination/edge/list-feed.ts
+++ b/src/coordination/discovery/worker-list-feed.ts
@@ -1,6 +1,6 @@
 import { createEvents } from '../../base/events.js';
 import type { Result } from '../../base/result.js';
-import type { WorkerEntry } from '../../state/worker-entry.js';
+import type { WorkerEntry } from '../../state/discovery/worker-entry.js';
 import { every } from '../../transport/clock.js';
 import type { Clock, Timer } from '../../transport/clock.js';
 
--- a/src/coordination/edge/list-source.ts
+++ b/src/coordination/discovery/worker-list-source.ts
@@ -1,14 +1,14 @@
 import { err, ok } from '../../base/result.js';
 import type { Result } from '../../base/result.js';
 import type { Message } from '../../protocol/messages.js';
-import type { NodeInfo } from '../../state/node-info.js';
-import type { Listed } from '../../state/listed.js';
+import type { NodeInfo } from '../../state/membership/node-info.js';
+import type { Listed } from '../../state/discovery/listed.js';
 import type { Clock } from '../../transport/clock.js';
 import { shuffled } from '../../transport/rng.js';
 import type { Rng } from '../../transport/rng.js';
 import type { CloudError, PlatformClient } from '../scaling/cloud-client.js';
-import type { Membership } from '../members/membership.js';
-import type { Peers } from '../members/peers.js';
+import type { Membership } from '../membership/failure-detector.js';
+import type { Peers } from '../messaging/peers.js';
 
 export type WorkerListReading = {
   readonly workers: readonly Listed[];
--- a/src/coordination/edge/list-news.ts
+++ b/src/coordination/discovery/worker-list-updates.ts
@@ -1,11 +1,11 @@
 import { createEvents } from '../../base/events.js';
 import type { Message, MessageOf } from '../../protocol/messages.js';
-import { compareVersions, createWorkerListTable } from '../../state/list-book.js';
-import type { WorkerListTable, WorkerListVersion, ApplyResult } from '../../state/list-book.js';
+import { compareVersions, createWorkerListTable } from '../../state/discovery/worker-list-table.js';
+import type { WorkerListTable, WorkerListVersion, ApplyResult } from '../../state/discovery/worker-list-table.js';
 import { every } from '../../transport/clock.js';
 import type { Clock, Timer } from '../../transport/clock.js';
 import type { Address } from '../../transport/wire.js';
-import type { Peer, Peers } from '../members/peers.js';
+import type { Peer, Peers } from '../messaging/peers.js';
 
 export type WorkerListMessage = MessageOf<'listWhole'> | MessageOf<'listChange'> | MessageOf<'listBeat'>;
 
--- a/src/coordination/edge/worker-watch.ts
+++ b/src/coordination/discovery/worker-watch.ts
@@ -1,12 +1,12 @@
-import type { WorkerRow } from '../../state/worker-row.js';
-import type { WorkerTable } from '../../state/worker-table.js';
+import type { WorkerRow } from '../../state/discovery/worker-row.js';
+import type { WorkerTable } from '../../state/discovery/worker-table.js';
 import { HEALTH_PATH, readHealth } from '../../protocol/worker-wire.js';
-import type { Listed } from '../../state/listed.js';
+import type { Listed } from '../../state/discovery/listed.js';
 import { every } from '../../transport/clock.js';
 import type { Clock, Timer } from '../../transport/clock.js';
 import type { HttpClient } from '../../transport/http.js';
 import type { Log } from '../../transport/log.js';
-import type { WorkerListSource } from './list-source.js';
+import type { WorkerListSource } from './worker-list-source.js';
 
 export interface WorkerWatch {
   listAgeMs(): number | null;
--- a/src/coordination/ledger/controller-links.ts
+++ b/src/coordination/distribution/controller-links.ts
@@ -1,9 +1,9 @@
 import type { Message } from '../../protocol/messages.js';
-import type { Report } from '../../state/report.js';
-import { differenceTo } from '../../state/reports.js';
+import type { Report } from '../../state/distribution/report.js';
+import { differenceTo } from '../../state/distribution/reports.js';
 import type { Clock } from '../../transport/clock.js';
 import type { Address } from '../../transport/wire.js';
-import type { Peer, Peers } from '../members/peers.js';
+import type { Peer, Peers } from '../messaging/peers.js';
 
 /**
  * The connections that a proxy holds to controllers, and what it remembers of each address: when it last failed, and
--- a/src/coordination/ledger/controller-choice.ts
+++ b/src/coordination/distribution/controller-selector.ts
@@ -1,7 +1,7 @@
 import type { Message } from '../../protocol/messages.js';
-import { rankCandidates, networkDistance } from '../../state/candidates.js';
-import type { Candidate, Location } from '../../state/candidates.js';
-import type { Member } from '../../state/entry.js';
+import { rankCandidates, networkDistance } from '../../state/distribution/controller-candidates.js';
+import type { Candidate, Location } from '../../state/distribution/controller-candidates.js';
+import type { Member } from '../../state/consensus/entry.js';
 import type { Clock } from '../../transport/clock.js';
 import type { Address } from '../../transport/wire.js';
 import type { ControllerLinks } from './controller-links.js';
--- a/src/coordination/ledger/fleet-load-relay.ts
+++ b/src/coordination/distribution/fleet-load-relay.ts
@@ -1,12 +1,12 @@
 import type { MessageOf } from '../../protocol/messages.js';
-import { memberId } from '../../state/control-state.js';
-import { createFleetLoad, sumOf } from '../../state/fleet-load.js';
+import { memberId } from '../../state/consensus/control-state.js';
+import { createFleetLoad, sumOf } from '../../state/distribution/fleet-load.js';
 import { every } from '../../transport/clock.js';
 import type { Clock, Timer } from '../../transport/clock.js';
 import { newId } from '../../transport/rng.js';
 import type { Rng } from '../../transport/rng.js';
-import type { Peer, Peers } from '../members/peers.js';
-import type { Ledger } from './ledger.js';
+import type { Peer, Peers } from '../messaging/peers.js';
+import type { Ledger } from '../consensus/ledger.js';
 
 export interface FleetLoadRelay {
   stop(): void;
--- a/src/coordination/ledger/follower.test.ts
+++ b/src/coordination/distribution/follower.test.ts
@@ -1,11 +1,11 @@
 import { expect, test } from '@jest/globals';
 import type { Message, MessageKind } from '../../protocol/messages.js';
-import { emptyControlState } from '../../state/control-state.js';
-import { chunkOf, snapshotOf } from '../../state/snapshot-parts.js';
-import type { Snapshot } from '../../state/snapshot-parts.js';
+import { emptyControlState } from '../../state/consensus/control-state.js';
+import { chunkOf, snapshotOf } from '../../state/consensus/snapshot-chunks.js';
+import type { Snapshot } from '../../state/consensus/snapshot-chunks.js';
 import { createWorld } from '../../sim/world.js';
 import { createQuietLog } from '../../transport/log.js';
-import type { Peer, Peers } from '../members/peers.js';
+import type { Peer, Peers } from '../messaging/peers.js';
 import { createFollower } from './follower.js';
 
 const HEAD = '10.0.0.1:1';
--- a/src/coordination/ledger/follower.ts
+++ b/src/coordination/distribution/follower.ts
@@ -1,26 +1,26 @@
 import { createEvents } from '../../base/events.js';
 import type { Message, MessageOf } from '../../protocol/messages.js';
-import type { Location } from '../../state/candidates.js';
-import { foldBatch } from '../../state/control-state.js';
-import type { ControlState } from '../../state/control-state.js';
-import type { SnapshotOffer } from '../../state/snapshot-parts.js';
-import { createSharedTime } from '../../state/shared-time.js';
+import type { Location } from '../../state/distribution/controller-candidates.js';
+import { foldBatch } from '../../state/consensus/control-state.js';
+import type { ControlState } from '../../state/consensus/control-state.js';
+import type { SnapshotOffer } from '../../state/consensus/snapshot-chunks.js';
+import { createSharedTime } from '../../state/distribution/shared-time.js';
 import { every } from '../../transport/clock.js';
 import type { Clock, Timer } from '../../transport/clock.js';
 import type { Disk } from '../../transport/disk.js';
 import type { Log } from '../../transport/log.js';
 import type { Address } from '../../transport/wire.js';
-import type { Peer, Peers } from '../members/peers.js';
-import { createControllerChoice } from './controller-choice.js';
-import type { ControllerChoice, LocationOf } from './controller-choice.js';
+import type { Peer, Peers } from '../messaging/peers.js';
+import { createControllerChoice } from './controller-selector.js';
+import type { ControllerChoice, LocationOf } from './controller-selector.js';
 import { createControllerLinks } from './controller-links.js';
 import type { ControllerLinks } from './controller-links.js';
-import { createControlStateWriter, loadControlState } from './kept-control-state.js';
-import type { StoredControlState, ControlStateWriter } from './kept-control-state.js';
+import { createControlStateWriter, loadControlState } from './stored-control-state.js';
+import type { StoredControlState, ControlStateWriter } from './stored-control-state.js';
 import { createMajorityContact } from './majority-contact.js';
 import type { MajorityContact } from './majority-contact.js';
-import { createSnapshotReceiver } from './snapshot-taker.js';
-import type { SnapshotReceiver } from './snapshot-taker.js';
+import { createSnapshotReceiver } from '../consensus/snapshot-receiver.js';
+import type { SnapshotReceiver } from '../consensus/snapshot-receiver.js';
 
 export type FollowerEvents = { readonly moved: { readonly slot: number } };
 
--- a/src/coordination/ledger/following-start.test.ts
+++ b/src/coordination/distribution/following-start.test.ts
@@ -4,9 +4,9 @@
 import type { SimCore } from '../../sim/sim-core.js';
 import { createQuietLog } from '../../transport/log.js';
 import { below } from '../../transport/rng.js';
-import { createPeers } from '../members/peers.js';
-import { createFollower } from './follower.js';
-import type { Follower } from './follower.js';
+import { createPeers } from '../messaging/peers.js';
+import { createFollower } from '../distribution/follower.js';
+import type { Follower } from '../distribution/follower.js';
 
 const THREE = ['h1', 'h2', 'h3'];
 const SERVES_WITHIN_MS = 600;
--- a/src/coordination/ledger/following.test.ts
+++ b/src/coordination/distribution/following.test.ts
@@ -2,9 +2,9 @@
 import { createSimCore } from '../../sim/sim-core.js';
 import type { SimCore } from '../../sim/sim-core.js';
 import { createQuietLog } from '../../transport/log.js';
-import { createPeers } from '../members/peers.js';
-import { createFollower } from './follower.js';
-import type { Follower } from './follower.js';
+import { createPeers } from '../messaging/peers.js';
+import { createFollower } from '../distribution/follower.js';
+import type { Follower } from '../distribution/follower.js';
 
 const BOUND_MS = 2_500;
 const log = createQuietLog().component('follow');
--- a/src/coordination/ledger/push.ts
+++ b/src/coordination/distribution/push.ts
@@ -1,17 +1,17 @@
 import type { MessageOf } from '../../protocol/messages.js';
-import type { Report } from '../../state/report.js';
-import { memberId, majorityOf } from '../../state/control-state.js';
-import { differenceTo, mergeReport } from '../../state/reports.js';
-import type { Reports } from '../../state/reports.js';
-import type { Member } from '../../state/entry.js';
+import type { Report } from '../../state/distribution/report.js';
+import { memberId, majorityOf } from '../../state/consensus/control-state.js';
+import { differenceTo, mergeReport } from '../../state/distribution/reports.js';
+import type { Reports } from '../../state/distribution/reports.js';
+import type { Member } from '../../state/consensus/entry.js';
 import { every, delay } from '../../transport/clock.js';
 import type { Clock, Timer } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
-import type { SnapshotOffer } from '../../state/snapshot-parts.js';
+import type { SnapshotOffer } from '../../state/consensus/snapshot-chunks.js';
 import type { QuorumAttestation } from './quorum-attestation.js';
-import { PAGE_BYTES, snapshotInstead } from './catch-up.js';
-import type { Ledger } from './ledger.js';
-import type { Peer, Peers } from '../members/peers.js';
+import { PAGE_BYTES, snapshotInstead } from '../consensus/catch-up.js';
+import type { Ledger } from '../consensus/ledger.js';
+import type { Peer, Peers } from '../messaging/peers.js';
 
 export interface Push {
   reports(): Reports;
--- a/src/coordination/ledger/quorum-attestation.ts
+++ b/src/coordination/distribution/quorum-attestation.ts
@@ -4,12 +4,12 @@
  * it into beats to proxies. Why it holds: docs/consistency.md, section 1.
  */
 import { createEvents } from '../../base/events.js';
-import { majorityOf, memberId } from '../../state/control-state.js';
-import { createSharedTime } from '../../state/shared-time.js';
+import { majorityOf, memberId } from '../../state/consensus/control-state.js';
+import { createSharedTime } from '../../state/distribution/shared-time.js';
 import { every } from '../../transport/clock.js';
 import type { Clock, Timer } from '../../transport/clock.js';
-import type { Ledger } from './ledger.js';
-import type { ReceivedMemberStatus } from './member-statuses.js';
+import type { Ledger } from '../consensus/ledger.js';
+import type { ReceivedMemberStatus } from '../membership/member-statuses.js';
 
 export type Attestation = { readonly asOf: number; readonly top: number };
 
--- a/src/coordination/ledger/kept-control-state.ts
+++ b/src/coordination/distribution/stored-control-state.ts
@@ -1,7 +1,7 @@
 import { isTable } from '../../base/is-table.js';
 import { parsedJson } from '../../base/parsed-json.js';
-import { emptyControlState, isControlState } from '../../state/control-state.js';
-import type { ControlState } from '../../state/control-state.js';
+import { emptyControlState, isControlState } from '../../state/consensus/control-state.js';
+import type { ControlState } from '../../state/consensus/control-state.js';
 import { every } from '../../transport/clock.js';
 import type { Clock, Timer } from '../../transport/clock.js';
 import type { Disk } from '../../transport/disk.js';
--- a/src/coordination/edge/attempt.ts
+++ b/src/coordination/forwarding/attempt.ts
@@ -3,18 +3,18 @@
  * outcome. Whoever calls decides what follows. The attempt ends its connection whenever the outcome is
  * known before the answer's end, so that nothing of a late answer can meet another request.
  */
-import type { HeaderNames } from '../../protocol/open-words.js';
-import type { AttemptOutcome } from '../../state/attempt-outcome.js';
-import type { Standstill } from '../../state/standstill.js';
-import type { RegistryRow, WorkerRegistry } from '../../state/worker-registry.js';
+import type { HeaderNames } from '../../protocol/header-names.js';
+import type { AttemptOutcome } from '../../state/forwarding/attempt-outcome.js';
+import type { Standstill } from '../../state/forwarding/standstill.js';
+import type { RegistryRow, WorkerRegistry } from '../../state/discovery/worker-registry.js';
 import type { Clock } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
-import type { ConnectionPool, RawHeaders, SendEvents, SendError, Sending, Sent } from '../../transport/open-http.js';
-import { createAnswerReader } from './answer-reader.js';
-import type { CallerAnswers, BufferedResponse } from './caller-answers.js';
+import type { ConnectionPool, RawHeaders, SendEvents, SendError, Sending, Sent } from '../../transport/opaque-http.js';
+import { createAnswerReader } from './response-reader.js';
+import type { CallerAnswers, BufferedResponse } from './caller-responses.js';
 import { hasBody, requestHeaders } from './forwarded-headers.js';
 import type { RelayedRequest } from './relayed-request.js';
-import type { UnresponsiveWorkerWatch, WatchedAttempt } from './silence-watch.js';
+import type { UnresponsiveWorkerWatch, WatchedAttempt } from '../discovery/unresponsive-worker-watch.js';
 import type { ReservedWorker } from './worker-queue.js';
 
 /** How an attempt ended; `answer` is set for a held answer, be it a success or a failure. */
--- a/src/coordination/edge/caller-answers.ts
+++ b/src/coordination/forwarding/caller-responses.ts
@@ -1,6 +1,6 @@
 /** What the relay tells callers: its own refusals and failures, and workers' answers passed on. */
-import type { HeaderNames } from '../../protocol/open-words.js';
-import type { OpaqueRequest, RawHeaders } from '../../transport/open-http.js';
+import type { HeaderNames } from '../../protocol/header-names.js';
+import type { OpaqueRequest, RawHeaders } from '../../transport/opaque-http.js';
 import { answerHeaders, withoutHeader } from './forwarded-headers.js';
 import type { RelayedRequest } from './relayed-request.js';
 
--- a/src/coordination/edge/dispatcher.test.ts
+++ b/src/coordination/forwarding/dispatcher.test.ts
@@ -1,16 +1,16 @@
 import { expect, test } from '@jest/globals';
-import type { RunKey } from '../../state/run-key.js';
-import type { AdmissionToken } from '../../state/ticket.js';
-import type { WorkerRow } from '../../state/worker-row.js';
-import type { WorkerTable } from '../../state/worker-table.js';
+import type { RunKey } from '../../state/idempotency/run-key.js';
+import type { AdmissionToken } from '../../state/forwarding/admission-token.js';
+import type { WorkerRow } from '../../state/discovery/worker-row.js';
+import type { WorkerTable } from '../../state/discovery/worker-table.js';
 import { createWorld } from '../../sim/world.js';
 import { createQuietLog } from '../../transport/log.js';
 import type { HttpAnswer, HttpCall, HttpError } from '../../transport/http.js';
 import { createRng } from '../../transport/rng.js';
-import type { ClaimOutcome } from './claim-client.js';
+import type { ClaimOutcome } from '../idempotency/claim-client.js';
 import { createDispatcher } from './dispatcher.js';
 import type { Submission } from './dispatcher.js';
-import type { PlacementService } from './placer.js';
+import type { PlacementService } from './placement-service.js';
 
 type Reply = HttpError | { readonly status: number; readonly body: (call: HttpCall) => unknown };
 
--- a/src/coordination/edge/last-answers.ts
+++ b/src/coordination/forwarding/final-responses.ts
@@ -1,10 +1,10 @@
 /** The relay's last word on a request: what a decision, or the lack of a worker, means for its caller. */
-import type { AttemptOutcome, Decision } from '../../state/attempt-outcome.js';
-import type { EdgeTuning } from '../../state/edge-tuning.js';
-import type { OpaqueRequest } from '../../transport/open-http.js';
+import type { AttemptOutcome, Decision } from '../../state/forwarding/attempt-outcome.js';
+import type { EdgeTuning } from '../../state/forwarding/edge-tuning.js';
+import type { OpaqueRequest } from '../../transport/opaque-http.js';
 import type { Rng } from '../../transport/rng.js';
 import type { AttemptEnd } from './attempt.js';
-import type { CallerAnswers } from './caller-answers.js';
+import type { CallerAnswers } from './caller-responses.js';
 import type { RelayedRequest } from './relayed-request.js';
 
 export interface LastAnswers {
--- a/src/coordination/edge/forwarded-headers.ts
+++ b/src/coordination/forwarding/forwarded-headers.ts
@@ -1,6 +1,6 @@
 /** Headers on their way through the relay: which go along, and which are the relay's own. */
-import type { HeaderNames } from '../../protocol/open-words.js';
-import type { OpaqueRequest, RawHeaders } from '../../transport/open-http.js';
+import type { HeaderNames } from '../../protocol/header-names.js';
+import type { OpaqueRequest, RawHeaders } from '../../transport/opaque-http.js';
 import type { RelayedRequest } from './relayed-request.js';
 
 /** Headers that concern one connection only, and those that frame a body: each side sets its own. */
--- a/src/coordination/edge/flights.ts
+++ b/src/coordination/forwarding/pending-calls.ts
@@ -1,5 +1,5 @@
-import type { WorkerRow } from '../../state/worker-row.js';
-import type { WorkerTable } from '../../state/worker-table.js';
+import type { WorkerRow } from '../../state/discovery/worker-row.js';
+import type { WorkerTable } from '../../state/discovery/worker-table.js';
 import type { Clock } from '../../transport/clock.js';
 
 export type PendingCall = {
--- a/src/coordination/edge/placer.ts
+++ b/src/coordination/forwarding/placement-service.ts
@@ -1,22 +1,22 @@
 import { hash32 } from '../../base/digest.js';
 import { err, ok } from '../../base/result.js';
 import type { Result } from '../../base/result.js';
-import type { NodeInfo } from '../../state/node-info.js';
+import type { NodeInfo } from '../../state/membership/node-info.js';
 import type { Failure, PlacementRequest, Placement, RejectReason } from '../../protocol/caller-wire.js';
-import type { Candidate, SelectionContext } from '../../state/candidate.js';
-import { selectAmong } from '../../state/policies.js';
-import type { Choice, Policy } from '../../state/policies.js';
-import { resolveAll } from '../../state/settings-tree.js';
-import type { ResolvedModel } from '../../state/settings-tree.js';
-import { isUp } from '../../state/members.js';
-import { signAdmissionToken } from '../../state/ticket.js';
-import type { Bound, AdmissionToken } from '../../state/ticket.js';
-import type { WorkerTable } from '../../state/worker-table.js';
+import type { Candidate, SelectionContext } from '../../state/forwarding/candidate.js';
+import { selectAmong } from '../../state/forwarding/policies.js';
+import type { Choice, Policy } from '../../state/forwarding/policies.js';
+import { resolveAll } from '../../state/configuration/settings-tree.js';
+import type { ResolvedModel } from '../../state/configuration/settings-tree.js';
+import { isUp } from '../../state/membership/members.js';
+import { signAdmissionToken } from '../../state/forwarding/admission-token.js';
+import type { Bound, AdmissionToken } from '../../state/forwarding/admission-token.js';
+import type { WorkerTable } from '../../state/discovery/worker-table.js';
 import type { Clock } from '../../transport/clock.js';
 import { newId } from '../../transport/rng.js';
 import type { Rng } from '../../transport/rng.js';
-import type { Follower } from '../ledger/follower.js';
-import type { Membership } from '../members/membership.js';
+import type { Follower } from '../distribution/follower.js';
+import type { Membership } from '../membership/failure-detector.js';
 
 export type Where = {
   readonly from?: string;
--- a/src/coordination/edge/relay.test.ts
+++ b/src/coordination/forwarding/relay.test.ts
@@ -1,17 +1,17 @@
 import { expect, test } from '@jest/globals';
-import { OPEN_WORDS as W } from '../../protocol/open-words.js';
-import { createAttemptBudget } from '../../state/attempt-budget.js';
-import type { BudgetBounds } from '../../state/attempt-budget.js';
-import { createRouteTable } from '../../state/route-table.js';
-import { EDGE_TUNING } from '../../state/edge-tuning.js';
-import { DEFAULT_LIMITS } from '../../state/serving.js';
-import type { RouteSettings, Serving } from '../../state/serving.js';
-import { createWorkerRegistry } from '../../state/worker-registry.js';
-import type { WorkerEntry } from '../../state/worker-entry.js';
+import { OPEN_WORDS as W } from '../../protocol/header-names.js';
+import { createAttemptBudget } from '../../state/forwarding/attempt-budget.js';
+import type { BudgetBounds } from '../../state/forwarding/attempt-budget.js';
+import { createRouteTable } from '../../state/configuration/route-table.js';
+import { EDGE_TUNING } from '../../state/forwarding/edge-tuning.js';
+import { DEFAULT_LIMITS } from '../../state/configuration/serving.js';
+import type { RouteSettings, Serving } from '../../state/configuration/serving.js';
+import { createWorkerRegistry } from '../../state/discovery/worker-registry.js';
+import type { WorkerEntry } from '../../state/discovery/worker-entry.js';
 import { createWorld } from '../../sim/world.js';
 import { every, turnOver } from '../../transport/clock.js';
 import { createQuietLog } from '../../transport/log.js';
-import type { OpaqueRequest, ConnectionPool, RawHeaders, SendEvents, Sending } from '../../transport/open-http.js';
+import type { OpaqueRequest, ConnectionPool, RawHeaders, SendEvents, Sending } from '../../transport/opaque-http.js';
 import { createRng } from '../../transport/rng.js';
 import { createRelay } from './relay.js';
 
--- a/src/coordination/edge/relay.ts
+++ b/src/coordination/forwarding/relay.ts
@@ -3,28 +3,28 @@
  * answer on, and go on elsewhere where `decide` allows it. A request that may run once is sent again only
  * if nothing was written or its worker said under its id that it did not run it (docs/repeats.md).
  */
-import type { HeaderNames } from '../../protocol/open-words.js';
-import type { AttemptBudget } from '../../state/attempt-budget.js';
-import { decide, mayHaveRun } from '../../state/attempt-outcome.js';
-import type { RequestSituation } from '../../state/attempt-outcome.js';
-import type { EdgeTuning } from '../../state/edge-tuning.js';
-import type { MatchedRoute, RouteTable } from '../../state/route-table.js';
-import { createStandstill } from '../../state/standstill.js';
-import type { SelectionRequest, WorkerRegistry } from '../../state/worker-registry.js';
+import type { HeaderNames } from '../../protocol/header-names.js';
+import type { AttemptBudget } from '../../state/forwarding/attempt-budget.js';
+import { decide, mayHaveRun } from '../../state/forwarding/attempt-outcome.js';
+import type { RequestSituation } from '../../state/forwarding/attempt-outcome.js';
+import type { EdgeTuning } from '../../state/forwarding/edge-tuning.js';
+import type { MatchedRoute, RouteTable } from '../../state/configuration/route-table.js';
+import { createStandstill } from '../../state/forwarding/standstill.js';
+import type { SelectionRequest, WorkerRegistry } from '../../state/discovery/worker-registry.js';
 import { delay } from '../../transport/clock.js';
 import type { Clock } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
-import type { ConnectionPool, OpaqueRequest } from '../../transport/open-http.js';
+import type { ConnectionPool, OpaqueRequest } from '../../transport/opaque-http.js';
 import type { Rng } from '../../transport/rng.js';
 import { createAttempt } from './attempt.js';
 import type { AttemptEnd, Attempt } from './attempt.js';
-import { createCallerAnswers } from './caller-answers.js';
-import type { CallerAnswers } from './caller-answers.js';
-import { createLastAnswers } from './last-answers.js';
-import type { LastAnswers } from './last-answers.js';
+import { createCallerAnswers } from './caller-responses.js';
+import type { CallerAnswers } from './caller-responses.js';
+import { createLastAnswers } from './final-responses.js';
+import type { LastAnswers } from './final-responses.js';
 import { createRelayedRequest, expectedEnd } from './relayed-request.js';
 import type { RelayedRequest } from './relayed-request.js';
-import { createUnresponsiveWorkerWatch } from './silence-watch.js';
+import { createUnresponsiveWorkerWatch } from '../discovery/unresponsive-worker-watch.js';
 import { createWorkerQueue } from './worker-queue.js';
 import type { ReservedWorker, WorkerQueue } from './worker-queue.js';
 
--- a/src/coordination/edge/relayed-request.ts
+++ b/src/coordination/forwarding/relayed-request.ts
@@ -2,12 +2,12 @@
  * One request as the relay holds it from its arrival to the last byte of its answer: what is fixed by the
  * caller and the route, and what changes from attempt to attempt.
  */
-import type { HeaderNames } from '../../protocol/open-words.js';
-import type { Repeatability } from '../../state/attempt-outcome.js';
-import type { PrefixBlock } from '../../state/prefix-cache.js';
-import type { MatchedRoute } from '../../state/route-table.js';
-import type { RouteSettings } from '../../state/serving.js';
-import type { OpaqueRequest } from '../../transport/open-http.js';
+import type { HeaderNames } from '../../protocol/header-names.js';
+import type { Repeatability } from '../../state/forwarding/attempt-outcome.js';
+import type { PrefixBlock } from '../../state/discovery/prefix-cache.js';
+import type { MatchedRoute } from '../../state/configuration/route-table.js';
+import type { RouteSettings } from '../../state/configuration/serving.js';
+import type { OpaqueRequest } from '../../transport/opaque-http.js';
 import type { Rng } from '../../transport/rng.js';
 
 /** A request under way. Times are milliseconds of the process's monotonic clock. */
--- a/src/coordination/edge/answer-reader.ts
+++ b/src/coordination/forwarding/response-reader.ts
@@ -3,12 +3,12 @@
  * be passed on. Events of a stream are passed as they come, each once and in order; every other answer is
  * held until its end was seen, so that a failed one can still be made good elsewhere.
  */
-import type { HeaderNames } from '../../protocol/open-words.js';
-import type { AttemptOutcome } from '../../state/attempt-outcome.js';
-import { createEventSplitter, isComment } from '../../state/event-splitter.js';
-import type { EventSplitter } from '../../state/event-splitter.js';
-import type { RawHeaders } from '../../transport/open-http.js';
-import type { CallerAnswers, BufferedResponse } from './caller-answers.js';
+import type { HeaderNames } from '../../protocol/header-names.js';
+import type { AttemptOutcome } from '../../state/forwarding/attempt-outcome.js';
+import { createEventSplitter, isComment } from '../../state/forwarding/event-splitter.js';
+import type { EventSplitter } from '../../state/forwarding/event-splitter.js';
+import type { RawHeaders } from '../../transport/opaque-http.js';
+import type { CallerAnswers, BufferedResponse } from './caller-responses.js';
 import { numberIn } from './relayed-request.js';
 import type { RelayedRequest } from './relayed-request.js';
 
--- a/src/coordination/edge/worker-call.ts
+++ b/src/coordination/forwarding/worker-call.ts
@@ -6,16 +6,16 @@
 import type { Failure } from '../../protocol/caller-wire.js';
 import { readNotRun, readStreamLine, readCompleteResponse, RUN_PATH } from '../../protocol/worker-wire.js';
 import type { Run, StreamLine, CompleteResponse } from '../../protocol/worker-wire.js';
-import type { AttemptOutcome } from '../../state/attempt-outcome.js';
-import type { Candidate } from '../../state/candidate.js';
-import { addChunk, checkDigest, startDigest } from '../../state/seal.js';
-import type { ResponseDigest, DigestCheck } from '../../state/seal.js';
-import type { WorkerRow } from '../../state/worker-row.js';
-import type { WorkerTable } from '../../state/worker-table.js';
+import type { AttemptOutcome } from '../../state/forwarding/attempt-outcome.js';
+import type { Candidate } from '../../state/forwarding/candidate.js';
+import { addChunk, checkDigest, startDigest } from '../../state/forwarding/response-digest.js';
+import type { ResponseDigest, DigestCheck } from '../../state/forwarding/response-digest.js';
+import type { WorkerRow } from '../../state/discovery/worker-row.js';
+import type { WorkerTable } from '../../state/discovery/worker-table.js';
 import type { Clock } from '../../transport/clock.js';
 import type { HttpAnswer, HttpClient, HttpError } from '../../transport/http.js';
 import type { Log } from '../../transport/log.js';
-import type { PendingCall, PendingCalls } from './flights.js';
+import type { PendingCall, PendingCalls } from './pending-calls.js';
 
 /** A line of a stream as callers get it: pieces, and at the end exactly one seal or error. */
 export type AnswerLine = StreamLine | { readonly error: Failure };
--- a/src/coordination/edge/worker-queue.ts
+++ b/src/coordination/forwarding/worker-queue.ts
@@ -2,9 +2,14 @@
  * Finds a worker for a request, or lets it wait in a bounded queue until one has room: the more urgent
  * first, each no longer than its route's share of time allows.
  */
-import type { EdgeTuning } from '../../state/edge-tuning.js';
-import type { Standstill } from '../../state/standstill.js';
-import type { RegistryRow, Reservation, SelectionRequest, WorkerRegistry } from '../../state/worker-registry.js';
+import type { EdgeTuning } from '../../state/forwarding/edge-tuning.js';
+import type { Standstill } from '../../state/forwarding/standstill.js';
+import type {
+  RegistryRow,
+  Reservation,
+  SelectionRequest,
+  WorkerRegistry,
+} from '../../state/discovery/worker-registry.js';
 import type { Clock, Timer } from '../../transport/clock.js';
 import { rankOf } from './relayed-request.js';
 import type { RelayedRequest } from './relayed-request.js';
--- a/src/coordination/edge/seat-queue.ts
+++ b/src/coordination/forwarding/worker-slot-queue.ts
@@ -3,15 +3,15 @@
  * room. Refuses at once whoever would not get a worker in time at the pace of the queue.
  */
 import type { RejectReason } from '../../protocol/caller-wire.js';
-import type { Candidate } from '../../state/candidate.js';
-import { createQueuePacer } from '../../state/line-pace.js';
-import type { QueuePacer } from '../../state/line-pace.js';
-import type { Resolved } from '../../state/settings-tree.js';
-import type { AdmissionToken } from '../../state/ticket.js';
-import type { WorkerRow } from '../../state/worker-row.js';
-import type { WorkerTable } from '../../state/worker-table.js';
+import type { Candidate } from '../../state/forwarding/candidate.js';
+import { createQueuePacer } from '../../state/forwarding/queue-pacer.js';
+import type { QueuePacer } from '../../state/forwarding/queue-pacer.js';
+import type { Resolved } from '../../state/configuration/settings-tree.js';
+import type { AdmissionToken } from '../../state/forwarding/admission-token.js';
+import type { WorkerRow } from '../../state/discovery/worker-row.js';
+import type { WorkerTable } from '../../state/discovery/worker-table.js';
 import type { Clock, Timer } from '../../transport/clock.js';
-import type { PlacementService } from './placer.js';
+import type { PlacementService } from './placement-service.js';
 
 /** A worker with one of its places taken, or why there is none and when to come back. */
 export type WorkerSlot =
--- a/src/coordination/http-servers.test.ts
+++ b/src/coordination/http-servers.test.ts
@@ -1,5 +1,5 @@
 import { beforeAll, describe, expect, test } from '@jest/globals';
-import { runKey } from '../state/run-key.js';
+import { runKey } from '../state/idempotency/run-key.js';
 import { SIM_WALL } from '../sim/world.js';
 import { createSimFleet } from '../sim/sim-fleet.js';
 import type { SimFleet } from '../sim/sim-fleet.js';
--- a/src/coordination/edge/claim-client.ts
+++ b/src/coordination/idempotency/claim-client.ts
@@ -1,13 +1,13 @@
-import { createBatchQueue } from '../../base/line.js';
-import type { BatchQueue } from '../../base/line.js';
-import type { Claim, ClaimAnswer, ClaimEnd } from '../../state/claim.js';
-import { majorityOf, memberId, membersDigest } from '../../state/control-state.js';
-import type { ControlState } from '../../state/control-state.js';
-import type { Member } from '../../state/entry.js';
-import type { RunKey } from '../../state/run-key.js';
+import { createBatchQueue } from '../../base/batch-queue.js';
+import type { BatchQueue } from '../../base/batch-queue.js';
+import type { Claim, ClaimAnswer, ClaimEnd } from '../../state/idempotency/claim.js';
+import { majorityOf, memberId, membersDigest } from '../../state/consensus/control-state.js';
+import type { ControlState } from '../../state/consensus/control-state.js';
+import type { Member } from '../../state/consensus/entry.js';
+import type { RunKey } from '../../state/idempotency/run-key.js';
 import { delay } from '../../transport/clock.js';
 import type { Clock } from '../../transport/clock.js';
-import type { Peers } from '../members/peers.js';
+import type { Peers } from '../messaging/peers.js';
 
 export type ClaimOutcome =
   | { readonly tag: 'claimed' }
--- a/src/coordination/ledger/claims.test.ts
+++ b/src/coordination/idempotency/claims.test.ts
@@ -1,19 +1,19 @@
 import { describe, expect, test } from '@jest/globals';
 import type { Message, MessageOf } from '../../protocol/messages.js';
-import { emptyControlState, majorityOf, memberId, membersDigest } from '../../state/control-state.js';
-import type { ControlState } from '../../state/control-state.js';
-import type { Member } from '../../state/entry.js';
-import { HOUR_MS } from '../../state/claim-table.js';
+import { emptyControlState, majorityOf, memberId, membersDigest } from '../../state/consensus/control-state.js';
+import type { ControlState } from '../../state/consensus/control-state.js';
+import type { Member } from '../../state/consensus/entry.js';
+import { HOUR_MS } from '../../state/idempotency/claim-table.js';
 import { createPlatter, loseDisk, losePower, simDisk } from '../../sim/sim-disk.js';
 import type { Platter } from '../../sim/sim-disk.js';
 import { createWorld } from '../../sim/world.js';
 import type { World } from '../../sim/world.js';
 import { createQuietLog } from '../../transport/log.js';
 import type { RingShape } from '../../transport/ring.js';
-import { createClaimClient } from '../edge/claim-client.js';
+import { createClaimClient } from './claim-client.js';
 import { createClaims } from './claims.js';
-import type { Ledger } from './ledger.js';
-import type { Peers } from '../members/peers.js';
+import type { Ledger } from '../consensus/ledger.js';
+import type { Peers } from '../messaging/peers.js';
 
 const SHAPE: RingShape = { name: 'claims', files: 3, fileBytes: 16_384, snapshotBytes: 400_000 };
 const born = 500_000 * HOUR_MS;
--- a/src/coordination/ledger/claims.ts
+++ b/src/coordination/idempotency/claims.ts
@@ -3,28 +3,28 @@
  * its own. A member that is new grants nothing until it has read the claims of so many others that any majority before it
  * is met (docs/design/claims.md; docs/consistency.md, section 3).
  */
-import { createBatchQueue } from '../../base/line.js';
-import type { BatchQueue } from '../../base/line.js';
+import { createBatchQueue } from '../../base/batch-queue.js';
+import type { BatchQueue } from '../../base/batch-queue.js';
 import { parsedJson } from '../../base/parsed-json.js';
 import { isTable } from '../../base/is-table.js';
 import { err, ok } from '../../base/result.js';
 import type { Result } from '../../base/result.js';
 import type { Message, MessageOf } from '../../protocol/messages.js';
-import type { Claim, ClaimAnswer, ClaimEnd } from '../../state/claim.js';
-import { majorityOf, memberId, membersDigest } from '../../state/control-state.js';
-import { CLAIM_RECORD, createClaimTable, HOUR_MS, unpackClaims } from '../../state/claim-table.js';
-import type { ClaimTable } from '../../state/claim-table.js';
-import type { Member } from '../../state/entry.js';
-import type { HourRange } from '../../state/hour-ranges.js';
-import { KEY_LIFE_MS } from '../../state/run-key.js';
+import type { Claim, ClaimAnswer, ClaimEnd } from '../../state/idempotency/claim.js';
+import { majorityOf, memberId, membersDigest } from '../../state/consensus/control-state.js';
+import { CLAIM_RECORD, createClaimTable, HOUR_MS, unpackClaims } from '../../state/idempotency/claim-table.js';
+import type { ClaimTable } from '../../state/idempotency/claim-table.js';
+import type { Member } from '../../state/consensus/entry.js';
+import type { HourRange } from '../../state/idempotency/hour-ranges.js';
+import { KEY_LIFE_MS } from '../../state/idempotency/run-key.js';
 import { every } from '../../transport/clock.js';
 import type { Clock, Timer } from '../../transport/clock.js';
 import type { Disk } from '../../transport/disk.js';
 import type { Log } from '../../transport/log.js';
 import { openRing } from '../../transport/ring.js';
 import type { Opened, RingError, RingShape } from '../../transport/ring.js';
-import type { Ledger } from './ledger.js';
-import type { Peers } from '../members/peers.js';
+import type { Ledger } from '../consensus/ledger.js';
+import type { Peers } from '../messaging/peers.js';
 
 export interface Claims {
   ready(): boolean;
--- a/src/coordination/ledger/lease.test.ts
+++ b/src/coordination/leases/lease.test.ts
@@ -2,12 +2,12 @@
 import { createSimNet } from '../../sim/sim-wire.js';
 import { createWorld } from '../../sim/world.js';
 import type { Host, World } from '../../sim/world.js';
-import { emptyControlState, foldBatch } from '../../state/control-state.js';
-import type { Command } from '../../state/entry.js';
+import { emptyControlState, foldBatch } from '../../state/consensus/control-state.js';
+import type { Command } from '../../state/consensus/entry.js';
 import { createQuietLog } from '../../transport/log.js';
 import { createRng } from '../../transport/rng.js';
-import { createPeers } from '../members/peers.js';
-import type { Ledger } from './ledger.js';
+import { createPeers } from '../messaging/peers.js';
+import type { Ledger } from '../consensus/ledger.js';
 import { createLease } from './lease.js';
 import type { Lease } from './lease.js';
 
--- a/src/coordination/ledger/lease.ts
+++ b/src/coordination/leases/lease.ts
@@ -2,19 +2,19 @@
  * A lease on a duty: a majority of the members grants it for one term, and taking it is an entry whose slot is the fence.
  * The holder counts from before it asked and stops a margin early, so two never hold it at once (monotonic clocks only).
  */
-import { majorityOf, memberId, membersDigest } from '../../state/control-state.js';
-import { requestGrant, createLeaseTable, dropGrant } from '../../state/lease-book.js';
-import type { LeaseTable } from '../../state/lease-book.js';
+import { majorityOf, memberId, membersDigest } from '../../state/consensus/control-state.js';
+import { requestGrant, createLeaseTable, dropGrant } from '../../state/idempotency/lease-table.js';
+import type { LeaseTable } from '../../state/idempotency/lease-table.js';
 import type { Message, MessageOf } from '../../protocol/messages.js';
-import type { Member } from '../../state/entry.js';
+import type { Member } from '../../state/consensus/entry.js';
 import type { Clock } from '../../transport/clock.js';
 import { delay } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
 import type { Rng } from '../../transport/rng.js';
-import type { Ledger } from './ledger.js';
-import type { Peers } from '../members/peers.js';
-import { poll } from './poll.js';
-import type { Votes } from './poll.js';
+import type { Ledger } from '../consensus/ledger.js';
+import type { Peers } from '../messaging/peers.js';
+import { poll } from '../consensus/poll.js';
+import type { Votes } from '../consensus/poll.js';
 
 export interface Lease {
   fence(): number | null;
--- a/src/coordination/ledger/core-health-log.ts
+++ b/src/coordination/membership/core-health-log.ts
@@ -3,7 +3,7 @@
  * with the figures as `key=value`, and none while nothing changes. A state that lasts shorter than `LASTS_MS` is
  * not told.
  */
-import type { CoreHealth } from '../../state/core-health.js';
+import type { CoreHealth } from '../../state/membership/core-health.js';
 import type { Clock } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
 
--- a/src/coordination/ledger/core-health-watch.ts
+++ b/src/coordination/membership/core-health-watch.ts
@@ -6,18 +6,18 @@
  * than `IN_TOUCH_MS`: a controller that is cut off from the majority tells that it knows nothing.
  */
 import type { Message, MessageOf } from '../../protocol/messages.js';
-import { majorityOf, memberId } from '../../state/control-state.js';
-import { coreHealth } from '../../state/core-health.js';
-import type { CoreHealth, MemberView } from '../../state/core-health.js';
-import type { Member } from '../../state/entry.js';
+import { majorityOf, memberId } from '../../state/consensus/control-state.js';
+import { coreHealth } from '../../state/membership/core-health.js';
+import type { CoreHealth, MemberView } from '../../state/membership/core-health.js';
+import type { Member } from '../../state/consensus/entry.js';
 import { every } from '../../transport/clock.js';
 import type { Clock, Timer } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
-import type { Peers } from '../members/peers.js';
-import type { Claims } from './claims.js';
+import type { Peers } from '../messaging/peers.js';
+import type { Claims } from '../idempotency/claims.js';
 import { createCoreHealthLog } from './core-health-log.js';
 import type { CoreHealthLog } from './core-health-log.js';
-import type { Ledger } from './ledger.js';
+import type { Ledger } from '../consensus/ledger.js';
 import type { ReceivedMemberStatus } from './member-statuses.js';
 
 export type CoreHealthReport = {
--- a/src/coordination/members/membership.test.ts
+++ b/src/coordination/membership/failure-detector.test.ts
@@ -4,9 +4,9 @@
 import { createSimNet } from '../../sim/sim-wire.js';
 import { createWorld } from '../../sim/world.js';
 import type { World } from '../../sim/world.js';
-import { createMembership } from './membership.js';
-import type { Membership } from './membership.js';
-import { createPeers } from './peers.js';
+import { createMembership } from './failure-detector.js';
+import type { Membership } from './failure-detector.js';
+import { createPeers } from '../messaging/peers.js';
 
 type Node = { readonly name: string; membership: Membership };
 type Group = {
--- a/src/coordination/members/membership.ts
+++ b/src/coordination/membership/failure-detector.ts
@@ -4,16 +4,16 @@
  */
 import { createEvents } from '../../base/events.js';
 import type { Message, MessageOf } from '../../protocol/messages.js';
-import type { NodeInfo, NodeUpdate } from '../../state/node-info.js';
-import { briefUpdate, isUp, mergeNode, sumOf, fullUpdate } from '../../state/members.js';
-import type { Members } from '../../state/members.js';
+import type { NodeInfo, NodeUpdate } from '../../state/membership/node-info.js';
+import { briefUpdate, isUp, mergeNode, sumOf, fullUpdate } from '../../state/membership/members.js';
+import type { Members } from '../../state/membership/members.js';
 import { every } from '../../transport/clock.js';
 import type { Clock, Timer } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
 import { shuffled } from '../../transport/rng.js';
 import type { Rng } from '../../transport/rng.js';
 import type { Address } from '../../transport/wire.js';
-import type { Peers } from './peers.js';
+import type { Peers } from '../messaging/peers.js';
 
 export type MembershipEvents = { readonly changed: { readonly node: NodeInfo } };
 
--- a/src/coordination/ledger/member-statuses.ts
+++ b/src/coordination/membership/member-statuses.ts
@@ -3,11 +3,11 @@
  * is told may be ahead of what is on the disk, never behind what this controller accepted.
  */
 import type { MessageOf } from '../../protocol/messages.js';
-import { majorityOf, memberId } from '../../state/control-state.js';
-import type { ControlState } from '../../state/control-state.js';
-import type { Member } from '../../state/entry.js';
+import { majorityOf, memberId } from '../../state/consensus/control-state.js';
+import type { ControlState } from '../../state/consensus/control-state.js';
+import type { Member } from '../../state/consensus/entry.js';
 import type { Clock } from '../../transport/clock.js';
-import type { Peers } from '../members/peers.js';
+import type { Peers } from '../messaging/peers.js';
 
 export interface MemberStatuses {
   own(): MessageOf<'memberStatus'>;
--- a/src/coordination/ledger/membership-changes.test.ts
+++ b/src/coordination/membership/membership-changes.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, test } from '@jest/globals';
-import { createPeers } from '../members/peers.js';
+import { createPeers } from '../messaging/peers.js';
 import { createSimCore } from '../../sim/sim-core.js';
 import type { SimCore } from '../../sim/sim-core.js';
 import { createQuietLog } from '../../transport/log.js';
--- a/src/coordination/ledger/membership-changes.ts
+++ b/src/coordination/membership/membership-changes.ts
@@ -7,17 +7,17 @@
  */
 import type { Result } from '../../base/result.js';
 import type { Message, MessageOf } from '../../protocol/messages.js';
-import { majorityOf, memberId, MOST_MEMBERS } from '../../state/control-state.js';
-import type { ControlState } from '../../state/control-state.js';
-import type { Command, Member } from '../../state/entry.js';
+import { majorityOf, memberId, MOST_MEMBERS } from '../../state/consensus/control-state.js';
+import type { ControlState } from '../../state/consensus/control-state.js';
+import type { Command, Member } from '../../state/consensus/entry.js';
 import { delay } from '../../transport/clock.js';
 import type { Clock } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
 import { shuffled } from '../../transport/rng.js';
 import type { Rng } from '../../transport/rng.js';
 import type { Address } from '../../transport/wire.js';
-import type { Peers } from '../members/peers.js';
-import type { Agreed, Draft, ProposeError } from './proposal.js';
+import type { Peers } from '../messaging/peers.js';
+import type { Agreed, Draft, ProposeError } from '../consensus/proposal.js';
 import type { MemberStatuses } from './member-statuses.js';
 
 export interface MembershipChanges {
--- a/src/coordination/ledger/operator-bootstrap.ts
+++ b/src/coordination/membership/operator-bootstrap.ts
@@ -5,14 +5,14 @@
 import { err, ok } from '../../base/result.js';
 import type { Result } from '../../base/result.js';
 import type { Message, MessageOf } from '../../protocol/messages.js';
-import type { Batch, Member } from '../../state/entry.js';
+import type { Batch, Member } from '../../state/consensus/entry.js';
 import type { Clock } from '../../transport/clock.js';
 import { newId } from '../../transport/rng.js';
 import type { Rng } from '../../transport/rng.js';
 import type { Address } from '../../transport/wire.js';
-import type { Peers } from '../members/peers.js';
-import type { Agreed } from './proposal.js';
-import type { Replica } from './replica.js';
+import type { Peers } from '../messaging/peers.js';
+import type { Agreed } from '../consensus/proposal.js';
+import type { Replica } from '../consensus/replica.js';
 import { bootstrapEntry } from './self-bootstrap.js';
 
 export type BootstrapError =
--- a/src/coordination/members/moved-heads.ts
+++ b/src/coordination/membership/relocated-controllers.ts
@@ -1,9 +1,9 @@
-import type { NodeInfo } from '../../state/node-info.js';
-import type { ControlState } from '../../state/control-state.js';
-import type { Location } from '../../state/candidates.js';
-import { isUp } from '../../state/members.js';
-import type { Membership } from './membership.js';
-import type { Peers } from './peers.js';
+import type { NodeInfo } from '../../state/membership/node-info.js';
+import type { ControlState } from '../../state/consensus/control-state.js';
+import type { Location } from '../../state/distribution/controller-candidates.js';
+import { isUp } from '../../state/membership/members.js';
+import type { Membership } from './failure-detector.js';
+import type { Peers } from '../messaging/peers.js';
 
 export function followRelocatedControllers(
   membership: Membership,
--- a/src/coordination/ledger/self-bootstrap.ts
+++ b/src/coordination/membership/self-bootstrap.ts
@@ -4,17 +4,17 @@
  */
 import { sha256 } from '../../base/digest.js';
 import type { Message, MessageOf } from '../../protocol/messages.js';
-import { memberId } from '../../state/control-state.js';
-import type { Batch, Member } from '../../state/entry.js';
+import { memberId } from '../../state/consensus/control-state.js';
+import type { Batch, Member } from '../../state/consensus/entry.js';
 import { every } from '../../transport/clock.js';
 import type { Clock, Timer } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
 import { newId } from '../../transport/rng.js';
 import type { Rng } from '../../transport/rng.js';
 import type { Address } from '../../transport/wire.js';
-import type { Peers } from '../members/peers.js';
-import type { RequestMember } from './poll.js';
-import { runRound } from './round.js';
+import type { Peers } from '../messaging/peers.js';
+import type { RequestMember } from '../consensus/poll.js';
+import { runRound } from '../consensus/round.js';
 
 export interface SelfBootstrap {
   readonly ballotOf: string | null;
--- a/src/coordination/members/silent-peers.test.ts
+++ b/src/coordination/messaging/silent-peers.test.ts
@@ -5,8 +5,8 @@
 import type { Host, World } from '../../sim/world.js';
 import { delay } from '../../transport/clock.js';
 import { createQuietLog } from '../../transport/log.js';
-import { createPeers } from './peers.js';
-import type { Peer, Peers } from './peers.js';
+import { createPeers } from '../messaging/peers.js';
+import type { Peer, Peers } from '../messaging/peers.js';
 
 type Room = {
   readonly world: World;
--- a/src/coordination/node.ts
+++ b/src/coordination/node.ts
@@ -1,4 +1,4 @@
-import type { Policy } from '../state/policies.js';
+import type { Policy } from '../state/forwarding/policies.js';
 import type { Clock } from '../transport/clock.js';
 import type { Disk } from '../transport/disk.js';
 import type { HttpClient, HttpServer } from '../transport/http.js';
@@ -6,7 +6,7 @@
 import type { Meters } from '../transport/meters.js';
 import type { Rng } from '../transport/rng.js';
 import type { Address, Wire } from '../transport/wire.js';
-import type { WorkerListReader } from './edge/list-feed.js';
+import type { WorkerListReader } from './discovery/worker-list-feed.js';
 
 export type NodeDeps = {
   readonly clock: Clock;
--- a/src/coordination/edge/open-proxy.test.ts
+++ b/src/coordination/proxy/opaque-proxy.test.ts
@@ -1,14 +1,14 @@
 import { expect, test } from '@jest/globals';
-import { OPEN_WORDS as W } from '../../protocol/open-words.js';
+import { OPEN_WORDS as W } from '../../protocol/header-names.js';
 import { createSimCore } from '../../sim/sim-core.js';
-import { EDGE_TUNING } from '../../state/edge-tuning.js';
-import { DEFAULT_LIMITS } from '../../state/serving.js';
-import type { Report } from '../../state/report.js';
-import type { Serving } from '../../state/serving.js';
+import { EDGE_TUNING } from '../../state/forwarding/edge-tuning.js';
+import { DEFAULT_LIMITS } from '../../state/configuration/serving.js';
+import type { Report } from '../../state/distribution/report.js';
+import type { Serving } from '../../state/configuration/serving.js';
 import { createQuietLog } from '../../transport/log.js';
-import type { OpaqueRequest, ConnectionPool, SendEvents } from '../../transport/open-http.js';
+import type { OpaqueRequest, ConnectionPool, SendEvents } from '../../transport/opaque-http.js';
 import { createRng } from '../../transport/rng.js';
-import { startOpaqueProxy } from './open-proxy.js';
+import { startOpaqueProxy } from './opaque-proxy.js';
 
 const SERVING: Serving = {
   number: 1,
--- a/src/coordination/edge/proxy-http-server.ts
+++ b/src/coordination/proxy/proxy-http-server.ts
@@ -7,18 +7,18 @@
   REQUESTS_PATH,
   ADMISSION_TOKEN_HEADER,
 } from '../../protocol/caller-wire.js';
-import { routeSubject, recordIn } from '../../state/aim-counts.js';
-import type { CountTable, Ended } from '../../state/aim-counts.js';
-import { readRunKey, runKey } from '../../state/run-key.js';
-import type { RunKey } from '../../state/run-key.js';
-import { createUsedTokens, readAdmissionToken } from '../../state/ticket.js';
-import type { AdmissionToken } from '../../state/ticket.js';
+import { routeSubject, recordIn } from '../../state/configuration/latency-target-counts.js';
+import type { CountTable, Ended } from '../../state/configuration/latency-target-counts.js';
+import { readRunKey, runKey } from '../../state/idempotency/run-key.js';
+import type { RunKey } from '../../state/idempotency/run-key.js';
+import { createUsedTokens, readAdmissionToken } from '../../state/forwarding/admission-token.js';
+import type { AdmissionToken } from '../../state/forwarding/admission-token.js';
 import type { Clock } from '../../transport/clock.js';
 import type { HttpReply, HttpRequest, Route } from '../../transport/http.js';
-import type { AnswerLine, Dispatcher } from './dispatcher.js';
-import type { Follower } from '../ledger/follower.js';
-import { rejection, proxyId, TOKEN_LIFETIME_MS } from './placer.js';
-import type { PlacementService, ProxySelf } from './placer.js';
+import type { AnswerLine, Dispatcher } from '../forwarding/dispatcher.js';
+import type { Follower } from '../distribution/follower.js';
+import { rejection, proxyId, TOKEN_LIFETIME_MS } from '../forwarding/placement-service.js';
+import type { PlacementService, ProxySelf } from '../forwarding/placement-service.js';
 
 const STATUS: Readonly<Record<Failure['tag'], number>> = {
   shed: 503,
--- a/src/coordination/scaling/cloud-client.ts
+++ b/src/coordination/scaling/cloud-client.ts
@@ -10,8 +10,8 @@
 } from '../../protocol/cloud-wire.js';
 import type { CloudOrder, Machine } from '../../protocol/cloud-wire.js';
 import { readWorkerList, WORKERS_PATH } from '../../protocol/platform-wire.js';
-import type { Listed } from '../../state/listed.js';
-import type { Price } from '../../state/scaler-sight.js';
+import type { Listed } from '../../state/discovery/listed.js';
+import type { Price } from '../../state/scaling/scaler-observation.js';
 import type { HttpClient } from '../../transport/http.js';
 import type { Address } from '../../transport/wire.js';
 
--- a/src/coordination/scaling/observer.test.ts
+++ b/src/coordination/scaling/observer.test.ts
@@ -1,19 +1,19 @@
 import { describe, expect, test } from '@jest/globals';
 import { err, ok } from '../../base/result.js';
-import { ledgerRequest, ordersRequest } from '../../operator/asks.js';
+import { ledgerRequest, ordersRequest } from '../../operator/requests.js';
 import { createCore } from '../../operator/core.js';
 import { ledgerText, ordersText } from '../../programs/inspect-text.js';
 import { createSimCore } from '../../sim/sim-core.js';
 import type { SimCore } from '../../sim/sim-core.js';
-import type { ControlState } from '../../state/control-state.js';
-import type { Entry, Step } from '../../state/entry.js';
-import type { Report } from '../../state/report.js';
-import { DEFAULT_LIMITS } from '../../state/serving.js';
-import type { Settings } from '../../state/settings-tree.js';
-import type { WorkerEntry } from '../../state/worker-entry.js';
+import type { ControlState } from '../../state/consensus/control-state.js';
+import type { Entry, Step } from '../../state/consensus/entry.js';
+import type { Report } from '../../state/distribution/report.js';
+import { DEFAULT_LIMITS } from '../../state/configuration/serving.js';
+import type { Settings } from '../../state/configuration/settings-tree.js';
+import type { WorkerEntry } from '../../state/discovery/worker-entry.js';
 import { createQuietLog } from '../../transport/log.js';
-import { createPeers } from '../members/peers.js';
-import type { WorkerListReader } from '../edge/list-feed.js';
+import { createPeers } from '../messaging/peers.js';
+import type { WorkerListReader } from '../discovery/worker-list-feed.js';
 
 const ZONES = ['a', 'b', 'c'];
 const THREE = ['h1', 'h2', 'h3'];
--- a/src/coordination/scaling/observer.ts
+++ b/src/coordination/scaling/observer.ts
@@ -1,16 +1,16 @@
-import type { Step } from '../../state/entry.js';
-import { decideObserved, decideRetired, observedMemory, observedRules } from '../../state/observed-orders.js';
-import type { ObservedMemory } from '../../state/observed-orders.js';
-import type { WorkerEntry } from '../../state/worker-entry.js';
+import type { Step } from '../../state/consensus/entry.js';
+import { decideObserved, decideRetired, observedMemory, observedRules } from '../../state/scaling/observed-orders.js';
+import type { ObservedMemory } from '../../state/scaling/observed-orders.js';
+import type { WorkerEntry } from '../../state/discovery/worker-entry.js';
 import { delay } from '../../transport/clock.js';
 import type { Clock } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
 import { newId } from '../../transport/rng.js';
 import type { Rng } from '../../transport/rng.js';
-import type { WorkerListFeed } from '../edge/list-feed.js';
-import type { Lease } from '../ledger/lease.js';
-import type { Ledger } from '../ledger/ledger.js';
-import type { Push } from '../ledger/push.js';
+import type { WorkerListFeed } from '../discovery/worker-list-feed.js';
+import type { Lease } from '../leases/lease.js';
+import type { Ledger } from '../consensus/ledger.js';
+import type { Push } from '../distribution/push.js';
 import { createRateWatch, REPORT_FRESH_MS } from './rate-watch.js';
 import type { RateWatch } from './rate-watch.js';
 
--- a/src/coordination/scaling/rate-watch.ts
+++ b/src/coordination/scaling/rate-watch.ts
@@ -1,9 +1,9 @@
-import { createRateWindow } from '../../state/rates.js';
-import type { RateWindow } from '../../state/rates.js';
+import { createRateWindow } from '../../state/scaling/rates.js';
+import type { RateWindow } from '../../state/scaling/rates.js';
 import type { Clock } from '../../transport/clock.js';
-import type { Ledger } from '../ledger/ledger.js';
-import type { Push } from '../ledger/push.js';
-import type { Rate } from '../../state/target.js';
+import type { Ledger } from '../consensus/ledger.js';
+import type { Push } from '../distribution/push.js';
+import type { Rate } from '../../state/scaling/target.js';
 
 export const REPORT_FRESH_MS = 4_000;
 
--- a/src/coordination/scaling/list-duty.ts
+++ b/src/coordination/scaling/worker-list-role.ts
@@ -1,18 +1,18 @@
 import { createEvents } from '../../base/events.js';
 import type { Message, MessageOf } from '../../protocol/messages.js';
-import { compareVersions, isEmptyChange } from '../../state/list-book.js';
-import type { WorkerListVersion } from '../../state/list-book.js';
-import type { WorkerEntry } from '../../state/worker-entry.js';
+import { compareVersions, isEmptyChange } from '../../state/discovery/worker-list-table.js';
+import type { WorkerListVersion } from '../../state/discovery/worker-list-table.js';
+import type { WorkerEntry } from '../../state/discovery/worker-entry.js';
 import type { Clock, Timer } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
 import { newId } from '../../transport/rng.js';
 import type { Rng } from '../../transport/rng.js';
 import type { Address } from '../../transport/wire.js';
-import type { WorkerListFeed, WorkerListFeedEvents, WorkerListReader } from '../edge/list-feed.js';
-import { createWorkerListUpdates, WORKER_LIST_PACE, STOOD_STILL_MS } from '../edge/list-news.js';
-import type { WorkerListMessage, WorkerListPace, WorkerListUpdates } from '../edge/list-news.js';
-import { readWithin } from '../edge/read-within.js';
-import type { Peer, Peers } from '../members/peers.js';
+import type { WorkerListFeed, WorkerListFeedEvents, WorkerListReader } from '../discovery/worker-list-feed.js';
+import { createWorkerListUpdates, WORKER_LIST_PACE, STOOD_STILL_MS } from '../discovery/worker-list-updates.js';
+import type { WorkerListMessage, WorkerListPace, WorkerListUpdates } from '../discovery/worker-list-updates.js';
+import { readWithin } from '../discovery/read-within.js';
+import type { Peer, Peers } from '../messaging/peers.js';
 
 export type WorkerListRoleDeps = {
   readonly self: Address;
--- a/src/operator/core-report.test.ts
+++ b/src/operator/core-report.test.ts
@@ -1,8 +1,8 @@
 import { describe, expect, test } from '@jest/globals';
 import { createSimCore } from '../sim/sim-core.js';
 import type { SimCore } from '../sim/sim-core.js';
-import { coreHealth } from '../state/core-health.js';
-import type { CoreHealth, MemberView } from '../state/core-health.js';
+import { coreHealth } from '../state/membership/core-health.js';
+import type { CoreHealth, MemberView } from '../state/membership/core-health.js';
 import { coreText } from '../programs/core-text.js';
 import { createCore } from './core.js';
 import type { Core } from './core.js';
--- a/src/operator/core-report.ts
+++ b/src/operator/core-report.ts
@@ -7,9 +7,9 @@
  * is known, whatever a single controller says.
  */
 import { isTable } from '../base/is-table.js';
-import type { CoreHealth, CoreWarning, MemberHealth } from '../state/core-health.js';
+import type { CoreHealth, CoreWarning, MemberHealth } from '../state/membership/core-health.js';
 import type { Address } from '../transport/wire.js';
-import { statusRequest } from './asks.js';
+import { statusRequest } from './requests.js';
 import type { Core } from './core.js';
 
 /** Which membership is judged: the members as voters of the ledger, or as holders of run-once claims. */
--- a/src/operator/core.ts
+++ b/src/operator/core.ts
@@ -1,7 +1,7 @@
 import type { HttpClient } from '../transport/http.js';
 import type { Address } from '../transport/wire.js';
-import type { CoreRequest } from './asks.js';
-import { readRequest } from './asks.js';
+import type { CoreRequest } from './requests.js';
+import { readRequest } from './requests.js';
 
 export type CoreAnswer = { readonly status: number; readonly body: unknown };
 
--- a/src/operator/aims.test.ts
+++ b/src/operator/latency-targets.test.ts
@@ -1,10 +1,10 @@
 import { describe, expect, test } from '@jest/globals';
-import { readLatencyTargets } from '../protocol/aims.js';
+import { readLatencyTargets } from '../protocol/latency-targets.js';
 import { createSimFleet } from '../sim/sim-fleet.js';
 import type { SimFleet } from '../sim/sim-fleet.js';
-import type { Configuration } from '../state/settings-tree.js';
-import type { LatencyTargetRow } from '../state/aim-report.js';
-import { reportLatencyTargets } from './aims.js';
+import type { Configuration } from '../state/configuration/settings-tree.js';
+import type { LatencyTargetRow } from '../state/configuration/latency-target-report.js';
+import { reportLatencyTargets } from './latency-targets.js';
 import type { Core } from './core.js';
 
 const cfg: Configuration = {
--- a/src/operator/aims.ts
+++ b/src/operator/latency-targets.ts
@@ -1,11 +1,11 @@
-import type { MinuteCounts } from '../coordination/ledger/aim-keeper.js';
+import type { MinuteCounts } from '../coordination/configuration/latency-target-tracker.js';
 import { isTable } from '../base/is-table.js';
-import { addCounts, CHANGES_SUBJECT, noCounts } from '../state/aim-counts.js';
-import { reportLatencyTarget } from '../state/aim-report.js';
-import type { LatencyTarget, LatencyTargetRow } from '../state/aim-report.js';
-import type { Minute } from '../state/aim-book.js';
+import { addCounts, CHANGES_SUBJECT, noCounts } from '../state/configuration/latency-target-counts.js';
+import { reportLatencyTarget } from '../state/configuration/latency-target-report.js';
+import type { LatencyTarget, LatencyTargetRow } from '../state/configuration/latency-target-report.js';
+import type { Minute } from '../state/configuration/latency-target-table.js';
 import type { Address } from '../transport/wire.js';
-import { latencyTargetsRequest } from './asks.js';
+import { latencyTargetsRequest } from './requests.js';
 import type { Core } from './core.js';
 
 type MinuteAnswer = { readonly by: string; readonly minutes: readonly Minute[] };
--- a/src/operator/asks.ts
+++ b/src/operator/requests.ts
@@ -1,4 +1,4 @@
-import type { Change } from '../state/entry.js';
+import type { Change } from '../state/consensus/entry.js';
 
 export type CoreRequest = {
   readonly method: 'GET' | 'POST' | 'DELETE';
--- a/src/programs/admin.ts
+++ b/src/programs/admin.ts
@@ -12,9 +12,9 @@
   readRequest,
   reopenRequest,
   zoneRequest,
-} from '../operator/asks.js';
-import type { CoreRequest } from '../operator/asks.js';
-import { coreOf, CORE_ARGS, report } from './ask-core.js';
+} from '../operator/requests.js';
+import type { CoreRequest } from '../operator/requests.js';
+import { coreOf, CORE_ARGS, report } from './request-core.js';
 import { complain, flagsFit, leaveUsage } from './flags.js';
 import { readDocument } from './read-document.js';
 
--- a/src/programs/core-text.ts
+++ b/src/programs/core-text.ts
@@ -1,6 +1,6 @@
 /** The table that the read-only command shows of the core, and the line of it that stands in the status. */
 import type { ControllerStatus, CoreReport, GroupReport } from '../operator/core-report.js';
-import type { CoreHealth, CoreWarning } from '../state/core-health.js';
+import type { CoreHealth, CoreWarning } from '../state/membership/core-health.js';
 
 const ADVICE: Readonly<Record<CoreWarning, string>> = {
   notMember: 'WARNING: belongs to no core',
--- a/src/programs/daemons.ts
+++ b/src/programs/daemons.ts
@@ -2,7 +2,7 @@
 import type { ArgsDef } from 'citty';
 import { CONTROLLER_SHAPES, startController } from '../coordination/controller.js';
 import type { NodeDeps, NodeIdentity } from '../coordination/node.js';
-import { startProxy } from '../coordination/edge/proxy.js';
+import { startProxy } from '../coordination/proxy/proxy.js';
 import type { Result } from '../base/result.js';
 import { compose, T } from './composition.js';
 import { EXIT } from './exit-codes.js';
--- a/src/programs/hollow.ts
+++ b/src/programs/hollow.ts
@@ -8,7 +8,7 @@
 import type { Place } from '../standin/tally.js';
 import { startStandinWorker, WORKER_DEFAULTS } from '../standin/worker.js';
 import type { NodeDeps } from '../coordination/node.js';
-import { POLICIES } from '../state/policies.js';
+import { POLICIES } from '../state/forwarding/policies.js';
 import { createGotHttpClient } from '../transport/http-client.js';
 import { createClock } from '../transport/clock.js';
 import { createExpressHttpServer } from '../transport/http-server.js';
--- a/src/programs/inspect-text.ts
+++ b/src/programs/inspect-text.ts
@@ -1,7 +1,7 @@
 /** What the read-only command prints for people: status, orders, entries of the ledger, and service-level aims. */
-import type { LatencyTargetRow } from '../state/aim-report.js';
-import type { CoreHealth } from '../state/core-health.js';
-import type { Order } from '../state/order.js';
+import type { LatencyTargetRow } from '../state/configuration/latency-target-report.js';
+import type { CoreHealth } from '../state/membership/core-health.js';
+import type { Order } from '../state/scaling/order.js';
 import { ownStatusText } from './core-text.js';
 
 type ShownNode = {
--- a/src/programs/inspect.ts
+++ b/src/programs/inspect.ts
@@ -1,13 +1,13 @@
 /** The read-only command: asks controllers what they know, and prints it as a table or as JSON. It changes nothing. */
 import { defineCommand } from 'citty';
 import type { ArgsDef } from 'citty';
-import { readLatencyTargets } from '../protocol/aims.js';
-import type { Configuration } from '../state/settings-tree.js';
+import { readLatencyTargets } from '../protocol/latency-targets.js';
+import type { Configuration } from '../state/configuration/settings-tree.js';
 import { requestCoreReport } from '../operator/core-report.js';
-import { reportLatencyTargets } from '../operator/aims.js';
-import { ledgerRequest, ordersRequest, readRequest, statusRequest } from '../operator/asks.js';
-import type { CoreRequest } from '../operator/asks.js';
-import { addressesOf, coreOf, CORE_ARGS, report } from './ask-core.js';
+import { reportLatencyTargets } from '../operator/latency-targets.js';
+import { ledgerRequest, ordersRequest, readRequest, statusRequest } from '../operator/requests.js';
+import type { CoreRequest } from '../operator/requests.js';
+import { addressesOf, coreOf, CORE_ARGS, report } from './request-core.js';
 import { EXIT } from './exit-codes.js';
 import { complain, flagsFit, leave, leaveUsage, say } from './flags.js';
 import { coreText } from './core-text.js';
--- a/src/programs/runbook.ts
+++ b/src/programs/runbook.ts
@@ -10,7 +10,7 @@
 import { parsedJson } from '../base/parsed-json.js';
 import { createClock } from '../transport/clock.js';
 import { createOsRng } from '../transport/rng.js';
-import { coreOf, CORE_ARGS } from './ask-core.js';
+import { coreOf, CORE_ARGS } from './request-core.js';
 import { EXIT } from './exit-codes.js';
 import { complain, flagsFit, leave, leaveUsage, say } from './flags.js';
 
--- a/src/protocol/caller-wire.ts
+++ b/src/protocol/caller-wire.ts
@@ -7,7 +7,7 @@
 import { Type } from '@sinclair/typebox';
 import type { Static } from '@sinclair/typebox';
 import { readerOf } from './read-shape.js';
-import { ResponseChunkShape, ResponseDigestShape } from '../state/seal.js';
+import { ResponseChunkShape, ResponseDigestShape } from '../state/forwarding/response-digest.js';
 import { PrefixBlockShape } from './worker-wire.js';
 
 const tString = Type.String({ minLength: 1, maxLength: 128 });
--- a/src/protocol/configuration.ts
+++ b/src/protocol/configuration.ts
@@ -8,7 +8,7 @@
 import { isTable } from '../base/is-table.js';
 import { err, ok } from '../base/result.js';
 import type { Result } from '../base/result.js';
-import type { Configuration, Settings } from '../state/settings-tree.js';
+import type { Configuration, Settings } from '../state/configuration/settings-tree.js';
 import { errorAt, errorsIn, isName, Name, Names, real, whole } from './codecs.js';
 import type { ConfigError } from './codecs.js';
 import { readServing } from './serving.js';
--- a/src/protocol/aims.ts
+++ b/src/protocol/latency-targets.ts
@@ -8,9 +8,9 @@
 import { isTable } from '../base/is-table.js';
 import { err, ok } from '../base/result.js';
 import type { Result } from '../base/result.js';
-import type { LatencyTarget, Measure } from '../state/aim-report.js';
-import { BOUNDS_MS } from '../state/aim-counts.js';
-import type { Configuration } from '../state/settings-tree.js';
+import type { LatencyTarget, Measure } from '../state/configuration/latency-target-report.js';
+import { BOUNDS_MS } from '../state/configuration/latency-target-counts.js';
+import type { Configuration } from '../state/configuration/settings-tree.js';
 import type { ConfigError } from './codecs.js';
 
 const Measures = t.keyof(
--- a/src/protocol/platform-wire.ts
+++ b/src/protocol/platform-wire.ts
@@ -1,7 +1,7 @@
 /** The HTTP interface to a platform that lists workers. Used by proxies and controllers, which poll it. */
 
 import { Type } from '@sinclair/typebox';
-import { ListedShape } from '../state/listed.js';
+import { ListedShape } from '../state/discovery/listed.js';
 import { readerOf } from './read-shape.js';
 
 /** Checks the list of workers. */
--- a/src/protocol/serving.test.ts
+++ b/src/protocol/serving.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, test } from '@jest/globals';
-import { DEFAULT_LIMITS } from '../state/serving.js';
-import type { RouteSettings, ModelTraits, Serving } from '../state/serving.js';
-import { withChanges } from '../state/settings-tree.js';
+import { DEFAULT_LIMITS } from '../state/configuration/serving.js';
+import type { RouteSettings, ModelTraits, Serving } from '../state/configuration/serving.js';
+import { withChanges } from '../state/configuration/settings-tree.js';
 import { readConfiguration } from './configuration.js';
 import { readServing } from './serving.js';
 
--- a/src/protocol/serving.ts
+++ b/src/protocol/serving.ts
@@ -9,7 +9,14 @@
 import { isTable } from '../base/is-table.js';
 import { err, ok } from '../base/result.js';
 import type { Result } from '../base/result.js';
-import type { RouteSettings, EngineTraits, ModelTraits, CallerLimits, Serving, Share } from '../state/serving.js';
+import type {
+  RouteSettings,
+  EngineTraits,
+  ModelTraits,
+  CallerLimits,
+  Serving,
+  Share,
+} from '../state/configuration/serving.js';
 import { errorAt, errorsIn, real, text, whole } from './codecs.js';
 import type { ConfigError } from './codecs.js';
 
--- a/src/protocol/worker-wire.ts
+++ b/src/protocol/worker-wire.ts
@@ -6,8 +6,8 @@
 
 import { Type } from '@sinclair/typebox';
 import type { Static } from '@sinclair/typebox';
-import { HealthShape } from '../state/health.js';
-import { ResponseChunkShape, ResponseDigestShape } from '../state/seal.js';
+import { HealthShape } from '../state/discovery/health.js';
+import { ResponseChunkShape, ResponseDigestShape } from '../state/forwarding/response-digest.js';
 import { readerOf } from './read-shape.js';
 
 const tString = Type.String({ minLength: 1, maxLength: 256 });
--- a/src/runbook/observe-core.test.ts
+++ b/src/runbook/observe-core.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from '@jest/globals';
 import type { Core } from '../operator/core.js';
-import { coreHealth } from '../state/core-health.js';
-import type { CoreHealth, MemberView } from '../state/core-health.js';
+import { coreHealth } from '../state/membership/core-health.js';
+import type { CoreHealth, MemberView } from '../state/membership/core-health.js';
 import type { Condition } from './document.js';
 import { coreObserved } from './observe-core.js';
 
--- a/src/runbook/observe-core.ts
+++ b/src/runbook/observe-core.ts
@@ -6,7 +6,7 @@
 import type { CoreGroup, CoreReport, GroupReport } from '../operator/core-report.js';
 import type { Core } from '../operator/core.js';
 import type { Condition } from './document.js';
-import type { Observation } from './seen.js';
+import type { Observation } from './observation.js';
 
 type CoreCondition = Extract<Condition, { tag: 'spareLosses' | 'goesOnWithout' }>;
 
--- a/src/runbook/observe.ts
+++ b/src/runbook/observe.ts
@@ -1,12 +1,12 @@
 import type { Core } from '../operator/core.js';
 import { coreObserved } from './observe-core.js';
-import { ordersRequest, placeOf, readRequest, statusRequest } from '../operator/asks.js';
-import type { Order } from '../state/order.js';
-import { counts } from '../state/order.js';
+import { ordersRequest, placeOf, readRequest, statusRequest } from '../operator/requests.js';
+import type { Order } from '../state/scaling/order.js';
+import { counts } from '../state/scaling/order.js';
 import { delay } from '../transport/clock.js';
 import type { Clock } from '../transport/clock.js';
 import type { Condition } from './document.js';
-import type { Observation } from './seen.js';
+import type { Observation } from './observation.js';
 
 type Status = {
   readonly quorate: boolean;
--- a/src/runbook/run.ts
+++ b/src/runbook/run.ts
@@ -1,6 +1,6 @@
 import { sha256 } from '../base/digest.js';
-import { amendRequest, forgetRequest, placeOf, reopenRequest, zoneRequest } from '../operator/asks.js';
-import type { CoreRequest } from '../operator/asks.js';
+import { amendRequest, forgetRequest, placeOf, reopenRequest, zoneRequest } from '../operator/requests.js';
+import type { CoreRequest } from '../operator/requests.js';
 import type { Core } from '../operator/core.js';
 import type { Clock } from '../transport/clock.js';
 import { newId } from '../transport/rng.js';
--- a/src/sim/beat-watch.ts
+++ b/src/sim/beat-watch.ts
@@ -1,4 +1,4 @@
-import { createPeers } from '../coordination/members/peers.js';
+import { createPeers } from '../coordination/messaging/peers.js';
 import type { MessageOf } from '../protocol/messages.js';
 import { createQuietLog } from '../transport/log.js';
 import type { SimCore } from './sim-core.js';
--- a/src/sim/edge-day.test.ts
+++ b/src/sim/edge-day.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, jest, test } from '@jest/globals';
-import { createRelay } from '../coordination/edge/relay.js';
+import { createRelay } from '../coordination/forwarding/relay.js';
 import { runEdgeDay } from './edge-day.js';
 import type { EdgeDayOptions } from './edge-day.js';
 
@@ -48,13 +48,13 @@
     ['an answer that is begun and ended though it was cut', 'answerCut', { tag: 'passOn' }, ['order']],
   ] as const)('%s', async (_what, outcome, decision, rules) => {
     jest.resetModules();
-    const real = await import('../state/attempt-outcome.js');
+    const real = await import('../state/forwarding/attempt-outcome.js');
     jest.unstable_mockModule('../state/attempt-outcome.js', () => ({
       ...real,
       decide: (...given: Parameters<typeof real.decide>) =>
         given[0].tag === outcome ? decision : real.decide(...given),
     }));
-    const broken = await import('../coordination/edge/relay.js');
+    const broken = await import('../coordination/forwarding/relay.js');
     expect(await rulesBroken({ createRelay: broken.createRelay })).toEqual(expect.arrayContaining([...rules]));
     jest.unstable_unmockModule('../state/attempt-outcome.js');
   });
@@ -62,7 +62,7 @@
   test('a proxy that goes on at once after a standstill', async () => {
     jest.resetModules();
     jest.unstable_mockModule('../state/standstill.js', () => ({ createStandstill: () => ({ observe: () => null }) }));
-    const broken = await import('../coordination/edge/relay.js');
+    const broken = await import('../coordination/forwarding/relay.js');
     expect(await rulesBroken({ createRelay: broken.createRelay })).toContain('gone');
     jest.unstable_unmockModule('../state/standstill.js');
   });
--- a/src/sim/edge-day.ts
+++ b/src/sim/edge-day.ts
@@ -2,20 +2,20 @@
  * A day of one proxy's opaque server: callers of all kinds, workers in all kinds of trouble, and a proxy
  * that is frozen now and then. By seed, without sockets; judged from what callers and workers noted.
  */
-import { OPEN_WORDS } from '../protocol/open-words.js';
-import { createAttemptBudget } from '../state/attempt-budget.js';
-import { EDGE_TUNING } from '../state/edge-tuning.js';
-import { createRouteTable } from '../state/route-table.js';
-import type { RouteTable } from '../state/route-table.js';
-import { DEFAULT_LIMITS } from '../state/serving.js';
-import type { RouteSettings } from '../state/serving.js';
-import { createWorkerRegistry } from '../state/worker-registry.js';
-import type { WorkerEntry } from '../state/worker-entry.js';
+import { OPEN_WORDS } from '../protocol/header-names.js';
+import { createAttemptBudget } from '../state/forwarding/attempt-budget.js';
+import { EDGE_TUNING } from '../state/forwarding/edge-tuning.js';
+import { createRouteTable } from '../state/configuration/route-table.js';
+import type { RouteTable } from '../state/configuration/route-table.js';
+import { DEFAULT_LIMITS } from '../state/configuration/serving.js';
+import type { RouteSettings } from '../state/configuration/serving.js';
+import { createWorkerRegistry } from '../state/discovery/worker-registry.js';
+import type { WorkerEntry } from '../state/discovery/worker-entry.js';
 import { every, turnOver } from '../transport/clock.js';
 import { createQuietLog } from '../transport/log.js';
-import type { ConnectionPool, OpaqueRequest } from '../transport/open-http.js';
+import type { ConnectionPool, OpaqueRequest } from '../transport/opaque-http.js';
 import { createRng } from '../transport/rng.js';
-import type { Relay, RelayDeps } from '../coordination/edge/relay.js';
+import type { Relay, RelayDeps } from '../coordination/forwarding/relay.js';
 import { bodyOf, checkEdgeJournal } from './edge-journal.js';
 import type { Asked, AskedKind, BrokenRule, EdgeJournal } from './edge-journal.js';
 import { createEdgeWorkers } from './edge-workers.js';
--- a/src/sim/edge-workers.ts
+++ b/src/sim/edge-workers.ts
@@ -2,8 +2,8 @@
  * Stand-in workers of a simulated edge, and the connections to them: a twin of the connection pool whose
  * workers misbehave as they are told by chance. Each notes what came to it and what it ran.
  */
-import type { HeaderNames } from '../protocol/open-words.js';
-import type { ConnectionPool, SendEvents, SendError, Sending, Sent } from '../transport/open-http.js';
+import type { HeaderNames } from '../protocol/header-names.js';
+import type { ConnectionPool, SendEvents, SendError, Sending, Sent } from '../transport/opaque-http.js';
 import type { Rng } from '../transport/rng.js';
 import { eventText } from './edge-journal.js';
 import type { Arrival, Asked, EdgeJournal } from './edge-journal.js';
--- a/src/sim/lag-scenarios.ts
+++ b/src/sim/lag-scenarios.ts
@@ -1,7 +1,7 @@
-import type { Step } from '../state/entry.js';
-import { createFollower } from '../coordination/ledger/follower.js';
-import type { Follower } from '../coordination/ledger/follower.js';
-import { createPeers } from '../coordination/members/peers.js';
+import type { Step } from '../state/consensus/entry.js';
+import { createFollower } from '../coordination/distribution/follower.js';
+import type { Follower } from '../coordination/distribution/follower.js';
+import { createPeers } from '../coordination/messaging/peers.js';
 import { createQuietLog } from '../transport/log.js';
 import { createSimCore } from './sim-core.js';
 import type { SimCore } from './sim-core.js';
--- a/src/sim/model/agreement-state.ts
+++ b/src/sim/model/agreement-state.ts
@@ -7,12 +7,12 @@
  * A message that was sent stays: whether it is lost, late, doubled or overtaken
  * is whether and when the explorer delivers it.
  */
-import { accept, createAcceptor, prepare, restoreSlot } from '../../state/acceptor.js';
-import type { Acceptor, Accepted, SlotState } from '../../state/acceptor.js';
-import type { Ballot } from '../../state/ballot.js';
-import { emptyControlState, foldBatch, memberId } from '../../state/control-state.js';
-import type { ControlState } from '../../state/control-state.js';
-import type { Command, Batch, Member } from '../../state/entry.js';
+import { accept, createAcceptor, prepare, restoreSlot } from '../../state/consensus/acceptor.js';
+import type { Acceptor, Accepted, SlotState } from '../../state/consensus/acceptor.js';
+import type { Ballot } from '../../state/consensus/ballot.js';
+import { emptyControlState, foldBatch, memberId } from '../../state/consensus/control-state.js';
+import type { ControlState } from '../../state/consensus/control-state.js';
+import type { Command, Batch, Member } from '../../state/consensus/entry.js';
 
 /** A proposal that the explorer may start: who proposes which batch for which slot under which round. */
 export type PlannedProposal = {
--- a/src/sim/model/agreement-steps.ts
+++ b/src/sim/model/agreement-steps.ts
@@ -5,9 +5,9 @@
  * stand in ledger.ts and round.ts (who may vote, which batch a proposer must
  * take) are stated here, and broken here on purpose.
  */
-import { compareBallots } from '../../state/ballot.js';
-import type { Ballot } from '../../state/ballot.js';
-import type { Accepted, SlotState } from '../../state/acceptor.js';
+import { compareBallots } from '../../state/consensus/ballot.js';
+import type { Ballot } from '../../state/consensus/ballot.js';
+import type { Accepted, SlotState } from '../../state/consensus/acceptor.js';
 import { acceptanceOf, MACHINES, membersOf, promiseOf, withLog, withNode, withProposal } from './agreement-state.js';
 import type { AgreementState, NodeState, PlannedProposal, ProposalState } from './agreement-state.js';
 
--- a/src/sim/model/answer-facts.ts
+++ b/src/sim/model/answer-facts.ts
@@ -3,8 +3,8 @@
  * sure of a slot binds every call that starts after it; a confirmed change is in
  * force, once, on the base that it named; a refused one never is.
  */
-import type { ControlState } from '../../state/control-state.js';
-import type { Batch } from '../../state/entry.js';
+import type { ControlState } from '../../state/consensus/control-state.js';
+import type { Batch } from '../../state/consensus/entry.js';
 import type { Fail } from './broken.js';
 
 /** An operator change, known by a token in its contents that no other has. */
--- a/src/sim/model/model-group.ts
+++ b/src/sim/model/model-group.ts
@@ -6,10 +6,10 @@
  */
 import { startController } from '../../coordination/controller.js';
 import type { Controller } from '../../coordination/controller.js';
-import { createConfigurationService } from '../../coordination/ledger/configuration-service.js';
-import { memberId } from '../../state/control-state.js';
-import type { Batch } from '../../state/entry.js';
-import { POLICIES } from '../../state/policies.js';
+import { createConfigurationService } from '../../coordination/configuration/configuration-service.js';
+import { memberId } from '../../state/consensus/control-state.js';
+import type { Batch } from '../../state/consensus/entry.js';
+import { POLICIES } from '../../state/forwarding/policies.js';
 import { createQuietLog } from '../../transport/log.js';
 import { createMeters } from '../../transport/meters.js';
 import { createRng, newId } from '../../transport/rng.js';
--- a/src/sim/model/model-node.ts
+++ b/src/sim/model/model-node.ts
@@ -1,6 +1,6 @@
 /** One machine of a model group: its host and disk, which last, and the controller that runs on it, if one does. */
 import type { Controller } from '../../coordination/controller.js';
-import type { ConfigurationService } from '../../coordination/ledger/configuration-service.js';
+import type { ConfigurationService } from '../../coordination/configuration/configuration-service.js';
 import type { Platter } from '../sim-disk.js';
 import type { Host } from '../world.js';
 
--- a/src/sim/model/operator-calls.ts
+++ b/src/sim/model/operator-calls.ts
@@ -3,8 +3,8 @@
  * their re-sendings, and reads. Calls run beside the history; each records what
  * it was answered, if it was.
  */
-import { DEFAULT_LIMITS } from '../../state/serving.js';
-import type { Serving } from '../../state/serving.js';
+import { DEFAULT_LIMITS } from '../../state/configuration/serving.js';
+import type { Serving } from '../../state/configuration/serving.js';
 import type { ChangeFact } from './answer-facts.js';
 import type { ModelGroup } from './model-group.js';
 import type { ModelNode } from './model-node.js';
--- a/src/sim/model/run-history.ts
+++ b/src/sim/model/run-history.ts
@@ -4,7 +4,7 @@
  * serve again, holding all that it confirmed. The rules are looked at as facts
  * come in, and the run ends at the first that did not hold.
  */
-import { memberId } from '../../state/control-state.js';
+import { memberId } from '../../state/consensus/control-state.js';
 import { applyCommand, calm } from './apply-command.js';
 import type { Broken } from './broken.js';
 import { createFacts } from './facts.js';
--- a/src/sim/model/slot-facts.ts
+++ b/src/sim/model/slot-facts.ts
@@ -3,9 +3,9 @@
  * One slot has one batch, chosen by a majority of the members that the slot
  * before it left; states of one slot are equal however they were come by.
  */
-import { majorityOf, memberId } from '../../state/control-state.js';
-import type { ControlState } from '../../state/control-state.js';
-import type { Batch, Member } from '../../state/entry.js';
+import { majorityOf, memberId } from '../../state/consensus/control-state.js';
+import type { ControlState } from '../../state/consensus/control-state.js';
+import type { Batch, Member } from '../../state/consensus/entry.js';
 import type { Fail } from './broken.js';
 import { sameValue } from './same-value.js';
 import type { VoteFacts } from './vote-facts.js';
--- a/src/sim/model/tolerance.ts
+++ b/src/sim/model/tolerance.ts
@@ -5,7 +5,7 @@
  */
 import { isTable } from '../../base/is-table.js';
 import { parsedJson } from '../../base/parsed-json.js';
-import { memberId } from '../../state/control-state.js';
+import { memberId } from '../../state/consensus/control-state.js';
 import type { World } from '../world.js';
 import type { SlotFacts } from './slot-facts.js';
 import type { ModelNode } from './model-node.js';
--- a/src/sim/model/vote-facts.ts
+++ b/src/sim/model/vote-facts.ts
@@ -4,8 +4,8 @@
  * and an identity whose disk was lost never votes again. Nothing is taken from
  * inside an acceptor, so it can't hide what it forgot.
  */
-import { compareBallots } from '../../state/ballot.js';
-import type { Ballot } from '../../state/ballot.js';
+import { compareBallots } from '../../state/consensus/ballot.js';
+import type { Ballot } from '../../state/consensus/ballot.js';
 import type { Fail } from './broken.js';
 
 export type VoteRequest = { readonly slot: number; readonly ballot: Ballot; readonly batch: string };
--- a/src/sim/racing-day.ts
+++ b/src/sim/racing-day.ts
@@ -6,10 +6,10 @@
  * noted at the callers and judged for linearizability.
  */
 import { ok } from '../base/result.js';
-import { createConfigurationService } from '../coordination/ledger/configuration-service.js';
-import type { ConfigurationService } from '../coordination/ledger/configuration-service.js';
-import type { Serving } from '../state/serving.js';
-import { DEFAULT_LIMITS } from '../state/serving.js';
+import { createConfigurationService } from '../coordination/configuration/configuration-service.js';
+import type { ConfigurationService } from '../coordination/configuration/configuration-service.js';
+import type { Serving } from '../state/configuration/serving.js';
+import { DEFAULT_LIMITS } from '../state/configuration/serving.js';
 import { delay, within } from '../transport/clock.js';
 import { below, createRng } from '../transport/rng.js';
 import type { Rng } from '../transport/rng.js';
--- a/src/sim/racing-zones.ts
+++ b/src/sim/racing-zones.ts
@@ -3,7 +3,7 @@
  * it is confirmed, and reads at any controller that the zone is as the last confirmed order says, until it sends the
  * next one. An order that was given up and acts late shows as a zone that reads otherwise.
  */
-import type { ConfigurationService } from '../coordination/ledger/configuration-service.js';
+import type { ConfigurationService } from '../coordination/configuration/configuration-service.js';
 import { delay, within } from '../transport/clock.js';
 import type { Clock } from '../transport/clock.js';
 import { below } from '../transport/rng.js';
--- a/src/sim/replay.ts
+++ b/src/sim/replay.ts
@@ -1,11 +1,11 @@
-import { emptyControlState, foldBatch } from '../state/control-state.js';
-import type { Command, Kind } from '../state/entry.js';
-import { decideModel, ordersOf } from '../state/scaler-decide.js';
-import { recordLaunchFailed } from '../state/scaler-memory.js';
-import type { ScalerMemory } from '../state/scaler-memory.js';
-import type { ObservedMachine } from '../state/scaler-sight.js';
-import { resolveModel } from '../state/settings-tree.js';
-import type { Configuration } from '../state/settings-tree.js';
+import { emptyControlState, foldBatch } from '../state/consensus/control-state.js';
+import type { Command, Kind } from '../state/consensus/entry.js';
+import { decideModel, ordersOf } from '../state/scaling/scaler-decide.js';
+import { recordLaunchFailed } from '../state/scaling/scaler-memory.js';
+import type { ScalerMemory } from '../state/scaling/scaler-memory.js';
+import type { ObservedMachine } from '../state/scaling/scaler-observation.js';
+import { resolveModel } from '../state/configuration/settings-tree.js';
+import type { Configuration } from '../state/configuration/settings-tree.js';
 import { createRng } from '../transport/rng.js';
 import type { Rng } from '../transport/rng.js';
 
--- a/src/sim/request-scenarios.ts
+++ b/src/sim/request-scenarios.ts
@@ -4,7 +4,7 @@
 import { tagOf } from '../standin/caller.js';
 import { createClientOver } from '../client/client.js';
 import type { ClientRequest } from '../client/client.js';
-import { runKey } from '../state/run-key.js';
+import { runKey } from '../state/idempotency/run-key.js';
 import { SIM_WALL } from './world.js';
 import type { SimFleet } from './sim-fleet.js';
 import { createWatchers } from './watchers.js';
--- a/src/sim/sabotage.ts
+++ b/src/sim/sabotage.ts
@@ -1,5 +1,5 @@
 /** Deliberate breaks of a simulated fleet, each to see that a checker notices it. */
-import type { Ledger } from '../coordination/ledger/ledger.js';
+import type { Ledger } from '../coordination/consensus/ledger.js';
 
 /** Breaks in the ledger of a controller. */
 export type LedgerSabotage = {
--- a/src/sim/sim-core.ts
+++ b/src/sim/sim-core.ts
@@ -1,9 +1,9 @@
 import { startController } from '../coordination/controller.js';
-import type { WorkerListReader } from '../coordination/edge/list-feed.js';
+import type { WorkerListReader } from '../coordination/discovery/worker-list-feed.js';
 import type { Controller } from '../coordination/controller.js';
-import type { Agreed, ProposeError } from '../coordination/ledger/proposal.js';
+import type { Agreed, ProposeError } from '../coordination/consensus/proposal.js';
 import type { Result } from '../base/result.js';
-import { POLICIES } from '../state/policies.js';
+import { POLICIES } from '../state/forwarding/policies.js';
 import { createQuietLog } from '../transport/log.js';
 import type { LogRoot } from '../transport/log.js';
 import { createMeters } from '../transport/meters.js';
--- a/src/sim/sim-ledger.ts
+++ b/src/sim/sim-ledger.ts
@@ -1,10 +1,10 @@
 import { err, ok } from '../base/result.js';
 import type { Result } from '../base/result.js';
-import type { Ledger } from '../coordination/ledger/ledger.js';
-import type { Agreed, Draft, ProposeError } from '../coordination/ledger/proposal.js';
-import { emptyControlState, foldBatch } from '../state/control-state.js';
-import type { ControlState, Outcome } from '../state/control-state.js';
-import type { Command, Entry } from '../state/entry.js';
+import type { Ledger } from '../coordination/consensus/ledger.js';
+import type { Agreed, Draft, ProposeError } from '../coordination/consensus/proposal.js';
+import { emptyControlState, foldBatch } from '../state/consensus/control-state.js';
+import type { ControlState, Outcome } from '../state/consensus/control-state.js';
+import type { Command, Entry } from '../state/consensus/entry.js';
 import { delay } from '../transport/clock.js';
 import type { Clock } from '../transport/clock.js';
 import { createWorld } from './world.js';
--- a/src/sim/stored-data.ts
+++ b/src/sim/stored-data.ts
@@ -2,16 +2,16 @@
  * What controllers and a proxy keep on their disks, written and read back in the simulator. A fixture of such disks, made
  * by an earlier version, is opened by `stored-data.test.ts`: what was stored stays readable.
  */
-import { createClaims } from '../coordination/ledger/claims.js';
-import { createFollower } from '../coordination/ledger/follower.js';
-import { openIdentity } from '../coordination/ledger/identity.js';
-import { loadControlState } from '../coordination/ledger/kept-control-state.js';
-import { nextIncarnation } from '../coordination/ledger/life.js';
-import { openStore } from '../coordination/ledger/store.js';
-import { createPeers } from '../coordination/members/peers.js';
+import { createClaims } from '../coordination/idempotency/claims.js';
+import { createFollower } from '../coordination/distribution/follower.js';
+import { openIdentity } from '../coordination/membership/identity.js';
+import { loadControlState } from '../coordination/distribution/stored-control-state.js';
+import { nextIncarnation } from '../coordination/membership/incarnation.js';
+import { openStore } from '../coordination/consensus/store.js';
+import { createPeers } from '../coordination/messaging/peers.js';
 import { shapesFor } from '../coordination/controller.js';
-import { membersDigest, memberId } from '../state/control-state.js';
-import { HOUR_MS } from '../state/claim-table.js';
+import { membersDigest, memberId } from '../state/consensus/control-state.js';
+import { HOUR_MS } from '../state/idempotency/claim-table.js';
 import { createQuietLog } from '../transport/log.js';
 import { createRng } from '../transport/rng.js';
 import { createSimCore } from './sim-core.js';
--- a/src/sim/watchers.ts
+++ b/src/sim/watchers.ts
@@ -1,4 +1,4 @@
-import type { Configuration } from '../state/settings-tree.js';
+import type { Configuration } from '../state/configuration/settings-tree.js';
 import type { SimFleet } from './sim-fleet.js';
 
 export type Watchers = {
--- a/src/standin/caller.ts
+++ b/src/standin/caller.ts
@@ -1,7 +1,7 @@
 import { createClientOver } from '../client/client.js';
 import type { ClientRequest, ClientError } from '../client/client.js';
 import { sha256 } from '../base/digest.js';
-import { runKey } from '../state/run-key.js';
+import { runKey } from '../state/idempotency/run-key.js';
 import { bootstrapDigest } from './mark.js';
 import { delay } from '../transport/clock.js';
 import type { Clock } from '../transport/clock.js';
--- a/src/standin/cloud.ts
+++ b/src/standin/cloud.ts
@@ -4,7 +4,7 @@
 import { readerOf } from '../protocol/read-shape.js';
 import { MACHINES_PATH, PRICES_PATH, readOrder } from '../protocol/cloud-wire.js';
 import type { CloudOrder, Machine } from '../protocol/cloud-wire.js';
-import type { Price } from '../state/scaler-sight.js';
+import type { Price } from '../state/scaling/scaler-observation.js';
 import { delay } from '../transport/clock.js';
 import type { Clock } from '../transport/clock.js';
 import type { HttpClient, HttpServer, HttpReply, HttpRequest } from '../transport/http.js';
--- a/src/standin/hollow.ts
+++ b/src/standin/hollow.ts
@@ -1,10 +1,10 @@
 import { err, ok } from '../base/result.js';
 import type { Result } from '../base/result.js';
-import { startProxy } from '../coordination/edge/proxy.js';
-import type { Proxy } from '../coordination/edge/proxy.js';
+import { startProxy } from '../coordination/proxy/proxy.js';
+import type { Proxy } from '../coordination/proxy/proxy.js';
 import type { NodeDeps, NodeIdentity } from '../coordination/node.js';
 import { WORKERS_PATH, readWorkerList } from '../protocol/platform-wire.js';
-import type { Listed } from '../state/listed.js';
+import type { Listed } from '../state/discovery/listed.js';
 import { HEALTH_PATH } from '../protocol/worker-wire.js';
 import { every, delay } from '../transport/clock.js';
 import type { Clock } from '../transport/clock.js';
--- a/src/standin/worker.ts
+++ b/src/standin/worker.ts
@@ -6,7 +6,7 @@
 import { HEALTH_PATH, readRun, RUN_PATH } from '../protocol/worker-wire.js';
 import { markIn } from './mark.js';
 import type { Run } from '../protocol/worker-wire.js';
-import { addChunk, closeDigest, startDigest } from '../state/seal.js';
+import { addChunk, closeDigest, startDigest } from '../state/forwarding/response-digest.js';
 import { every, delay } from '../transport/clock.js';
 import type { Clock, Timer } from '../transport/clock.js';
 import type { HttpClient, HttpServer, HttpReply, HttpRequest, Route } from '../transport/http.js';
--- a/src/state/aim-report.ts
+++ b/src/state/configuration/latency-target-report.ts
@@ -1,6 +1,6 @@
-import { addCounts, CHANGES_SUBJECT, routeSubject, noCounts, within } from './aim-counts.js';
-import type { Counts, CountTable } from './aim-counts.js';
-import type { Minute } from './aim-book.js';
+import { addCounts, CHANGES_SUBJECT, routeSubject, noCounts, within } from './latency-target-counts.js';
+import type { Counts, CountTable } from './latency-target-counts.js';
+import type { Minute } from './latency-target-table.js';
 
 export type Measure = 'success' | 'firstPiece' | 'whole' | 'changeInForce' | 'shed';
 
--- a/src/state/aim-book.ts
+++ b/src/state/configuration/latency-target-table.ts
@@ -1,5 +1,5 @@
-import { addCounts } from './aim-counts.js';
-import type { Counts, CountTable } from './aim-counts.js';
+import { addCounts } from './latency-target-counts.js';
+import type { Counts, CountTable } from './latency-target-counts.js';
 
 export type Minute = { readonly minute: number; readonly counts: CountTable; readonly unknown: readonly string[] };
 
--- a/src/state/settings-tree.test.ts
+++ b/src/state/configuration/settings-tree.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, test } from '@jest/globals';
 import { changesBack, differences, resolveModel, withChanges } from './settings-tree.js';
 import type { Configuration } from './settings-tree.js';
-import { createRng, below } from '../transport/rng.js';
+import { createRng, below } from '../../transport/rng.js';
 
 const cfg: Configuration = {
   zones: { z1: { region: 'north' }, z2: { region: 'south' } },
--- a/src/state/settings-tree.ts
+++ b/src/state/configuration/settings-tree.ts
@@ -1,5 +1,5 @@
-import { isTable } from '../base/is-table.js';
-import type { Change } from './entry.js';
+import { isTable } from '../../base/is-table.js';
+import type { Change } from '../consensus/entry.js';
 import type { Serving } from './serving.js';
 
 export type Settings = {
--- a/src/state/acceptor.test.ts
+++ b/src/state/consensus/acceptor.test.ts
@@ -3,7 +3,7 @@
 import type { Acceptor } from './acceptor.js';
 import { compareBallots } from './ballot.js';
 import type { Batch } from './entry.js';
-import { below, createRng, shuffled } from '../transport/rng.js';
+import { below, createRng, shuffled } from '../../transport/rng.js';
 
 function batch(id: string): Batch {
   return { id, entries: [] };
--- a/src/state/closed-orders.test.ts
+++ b/src/state/consensus/closed-orders.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, test } from '@jest/globals';
 import { createClosedOrders, MOST_CLOSED } from './closed-orders.js';
 import type { ClosedCursor, SavedClosedOrders } from './closed-orders.js';
-import type { Order } from './order.js';
+import type { Order } from '../scaling/order.js';
 
 const ROOM = 4 * 1_048_576;
 
--- a/src/state/closed-orders.ts
+++ b/src/state/consensus/closed-orders.ts
@@ -1,6 +1,6 @@
-import { isTable } from '../base/is-table.js';
-import { parsedJson } from '../base/parsed-json.js';
-import type { Order } from './order.js';
+import { isTable } from '../../base/is-table.js';
+import { parsedJson } from '../../base/parsed-json.js';
+import type { Order } from '../scaling/order.js';
 
 /**
  * The orders that were closed, as a controller keeps them: who ordered which machine, when and why. They are
--- a/src/state/control-state.ts
+++ b/src/state/consensus/control-state.ts
@@ -3,7 +3,7 @@
  * come to the same state; nothing in here looks at a clock or at chance. Each part of the state has its fold in a module
  * of its own (`fold-members.ts`, `fold-operators.ts`, `fold-orders.ts`); this one puts them together.
  */
-import { isTable } from '../base/is-table.js';
+import { isTable } from '../../base/is-table.js';
 import type { Command, Batch, Entry, Step } from './entry.js';
 import { foldBootstrapped, foldMemberAdded, foldMemberRemoved, foldMemberReplaced } from './fold-members.js';
 import type { MembersState } from './fold-members.js';
@@ -20,8 +20,8 @@
 } from './operator-history.js';
 import { APPLIED, unfit } from './outcome.js';
 import type { Outcome } from './outcome.js';
-import { EMPTY_CONFIGURATION } from './settings-tree.js';
-import type { ZoneSets } from './zone-sets.js';
+import { EMPTY_CONFIGURATION } from '../configuration/settings-tree.js';
+import type { ZoneSets } from '../scaling/zone-sets.js';
 
 export { majorityOf, memberId, membersDigest, MOST_MEMBERS } from './fold-members.js';
 export type { Outcome } from './outcome.js';
--- a/src/state/fold-members.ts
+++ b/src/state/consensus/fold-members.ts
@@ -2,7 +2,7 @@
  * The members of the core as the ledger has them, and the fold of the entries that change them. An entry names the member
  * as it stands now, so one that comes late changes nothing.
  */
-import { sha256 } from '../base/digest.js';
+import { sha256 } from '../../base/digest.js';
 import type { Command, Member } from './entry.js';
 import { APPLIED, unfit } from './outcome.js';
 import type { Outcome } from './outcome.js';
--- a/src/state/fold-operators.ts
+++ b/src/state/consensus/fold-operators.ts
@@ -7,8 +7,8 @@
 import type { OperatorHistory } from './operator-history.js';
 import { APPLIED, unfit } from './outcome.js';
 import type { Outcome } from './outcome.js';
-import { changesBack, withChanges } from './settings-tree.js';
-import type { Configuration } from './settings-tree.js';
+import { changesBack, withChanges } from '../configuration/settings-tree.js';
+import type { Configuration } from '../configuration/settings-tree.js';
 
 export type OperatorsState = {
   /** The slot that changed the configuration last. */
--- a/src/state/fold-orders.ts
+++ b/src/state/consensus/fold-orders.ts
@@ -1,7 +1,7 @@
 /** The orders of machines, and the fold of the entries that move them on their way. */
 import type { Command, Entry } from './entry.js';
-import { isOpen, mayBecome } from './order.js';
-import type { Order, OrderEvent, OrderStatus } from './order.js';
+import { isOpen, mayBecome } from '../scaling/order.js';
+import type { Order, OrderEvent, OrderStatus } from '../scaling/order.js';
 import { APPLIED, unfit } from './outcome.js';
 import type { Outcome } from './outcome.js';
 
--- a/src/state/operator-history.ts
+++ b/src/state/consensus/operator-history.ts
@@ -3,7 +3,7 @@
  * of the request that asked for it. Only the fold writes here; the operators' servers read it to tell a request that is
  * sent again from one that is late. It is bounded by itself, so no number of other entries pushes a change out of it.
  */
-import { isTable } from '../base/is-table.js';
+import { isTable } from '../../base/is-table.js';
 import type { Change } from './entry.js';
 
 /** The operator's own numbers of a change: the one that it builds on and the one that it brings. */
--- a/src/state/proxy-state.ts
+++ b/src/state/consensus/proxy-state.ts
@@ -1,5 +1,5 @@
 import type { ControlState } from './control-state.js';
-import type { Order } from './order.js';
+import type { Order } from '../scaling/order.js';
 
 /**
  * The part of the replicated state that a proxy uses, in the same form: a proxy folds later batches into
--- a/src/state/snapshot-parts.test.ts
+++ b/src/state/consensus/snapshot-chunks.test.ts
@@ -10,7 +10,7 @@
   chunkCount,
   chunkOf,
   snapshotOf,
-} from './snapshot-parts.js';
+} from './snapshot-chunks.js';
 
 function textOf(length: number): string {
   let text = '';
--- a/src/state/snapshot-parts.ts
+++ b/src/state/consensus/snapshot-chunks.ts
@@ -1,6 +1,6 @@
-import { sha256 } from '../base/digest.js';
-import { err, ok } from '../base/result.js';
-import type { Result } from '../base/result.js';
+import { sha256 } from '../../base/digest.js';
+import { err, ok } from '../../base/result.js';
+import type { Result } from '../../base/result.js';
 import { Type } from '@sinclair/typebox';
 import type { Static } from '@sinclair/typebox';
 
--- a/src/state/home-worker.ts
+++ b/src/state/discovery/home-worker.ts
@@ -3,8 +3,8 @@
  * names the same one without asking, and few beginnings move when workers come or go.
  */
 
-import { hash32 } from '../base/digest.js';
-import type { EdgeTuning } from './edge-tuning.js';
+import { hash32 } from '../../base/digest.js';
+import type { EdgeTuning } from '../forwarding/edge-tuning.js';
 import type { PrefixBlock } from './prefix-cache.js';
 import type { RegistryRow } from './registry-row.js';
 
--- a/src/state/registry-row.ts
+++ b/src/state/discovery/registry-row.ts
@@ -4,14 +4,14 @@
  * `worker-registry.ts` alone; times are the proxy's monotonic clock, in milliseconds.
  */
 
-import type { EdgeTuning } from './edge-tuning.js';
-import type { LoadRows } from './fleet-load.js';
+import type { EdgeTuning } from '../forwarding/edge-tuning.js';
+import type { LoadRows } from '../distribution/fleet-load.js';
 import { createPrefixCache } from './prefix-cache.js';
 import type { PrefixCache } from './prefix-cache.js';
-import { createRateGuard } from './rate-guard.js';
-import type { RateGuard } from './rate-guard.js';
-import { createRunCounts } from './run-counts.js';
-import type { RunCounts } from './run-counts.js';
+import { createRateGuard } from '../forwarding/rate-guard.js';
+import type { RateGuard } from '../forwarding/rate-guard.js';
+import { createRunCounts } from '../forwarding/run-counts.js';
+import type { RunCounts } from '../forwarding/run-counts.js';
 import type { WorkerEntry } from './worker-entry.js';
 
 /** A proxy that shares the workers, as the ledger knows it. */
--- a/src/state/list-book.test.ts
+++ b/src/state/discovery/worker-list-table.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, test } from '@jest/globals';
-import { compareVersions, createWorkerListTable, isEmptyChange } from './list-book.js';
+import { compareVersions, createWorkerListTable, isEmptyChange } from './worker-list-table.js';
 import type { WorkerEntry } from './worker-entry.js';
 
 function worker(id: string, more: Partial<WorkerEntry> = {}): WorkerEntry {
--- a/src/state/worker-owners.ts
+++ b/src/state/discovery/worker-owners.ts
@@ -4,7 +4,7 @@
  * proxies nearest to the worker, then by rendezvous hashing, the same ones on every proxy.
  */
 
-import { hash32 } from '../base/digest.js';
+import { hash32 } from '../../base/digest.js';
 import type { RegistryRow, SharingProxy } from './registry-row.js';
 
 /** Knows the proxies that share, and names the owners of a worker. */
--- a/src/state/worker-pools.ts
+++ b/src/state/discovery/worker-pools.ts
@@ -1,4 +1,4 @@
-import { hash32 } from '../base/digest.js';
+import { hash32 } from '../../base/digest.js';
 import type { WorkerRow } from './worker-row.js';
 
 export type PoolQuery = {
--- a/src/state/worker-registry.test.ts
+++ b/src/state/discovery/worker-registry.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from '@jest/globals';
-import { EDGE_TUNING } from './edge-tuning.js';
-import type { ModelTraits } from './serving.js';
+import { EDGE_TUNING } from '../forwarding/edge-tuning.js';
+import type { ModelTraits } from '../configuration/serving.js';
 import { createWorkerRegistry } from './worker-registry.js';
 import type { SelectionRequest, WorkerRegistry } from './worker-registry.js';
 import type { WorkerEntry } from './worker-entry.js';
--- a/src/state/worker-registry.ts
+++ b/src/state/discovery/worker-registry.ts
@@ -5,18 +5,18 @@
  * is sent.
  */
 
-import type { EdgeTuning } from './edge-tuning.js';
-import type { LoadRows } from './fleet-load.js';
+import type { EdgeTuning } from '../forwarding/edge-tuning.js';
+import type { LoadRows } from '../distribution/fleet-load.js';
 import { homeAmong } from './home-worker.js';
-import { createPlacementCost } from './placement-cost.js';
-import type { SelectingProxy, SelectionRequest, PlacementCost } from './placement-cost.js';
+import { createPlacementCost } from '../forwarding/placement-cost.js';
+import type { SelectingProxy, SelectionRequest, PlacementCost } from '../forwarding/placement-cost.js';
 import { beyond, freshRow, NO_LOAD } from './registry-row.js';
 import type { RegistryRow, SharingProxy } from './registry-row.js';
-import type { ModelTraits } from './serving.js';
+import type { ModelTraits } from '../configuration/serving.js';
 import type { WorkerEntry } from './worker-entry.js';
 import { createWorkerOwners } from './worker-owners.js';
 
-export type { SelectingProxy, SelectionRequest } from './placement-cost.js';
+export type { SelectingProxy, SelectionRequest } from '../forwarding/placement-cost.js';
 export type { RegistryRow, SharingProxy, WorkerLoad } from './registry-row.js';
 
 /** The choice: a worker and its cost, `busy` if one may have room later, `none` if the model has no usable worker. */
--- a/src/state/worker-table.ts
+++ b/src/state/discovery/worker-table.ts
@@ -1,12 +1,12 @@
-import type { ControlState } from './control-state.js';
-import type { Candidate } from './candidate.js';
-import type { Order } from './order.js';
+import type { ControlState } from '../consensus/control-state.js';
+import type { Candidate } from '../forwarding/candidate.js';
+import type { Order } from '../scaling/order.js';
 import type { Health } from './health.js';
 import { createIndices } from './indices.js';
 import type { Listed } from './listed.js';
 import { createPrefixTable } from './prefix-table.js';
 import type { PrefixTable } from './prefix-table.js';
-import type { Resolved } from './settings-tree.js';
+import type { Resolved } from '../configuration/settings-tree.js';
 import { createWorkerPools } from './worker-pools.js';
 import type { Picked } from './worker-pools.js';
 import { freshRow, WIDEST } from './worker-row.js';
--- a/src/state/candidates.test.ts
+++ b/src/state/distribution/controller-candidates.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from '@jest/globals';
-import { rankCandidates } from './candidates.js';
-import type { Candidate } from './candidates.js';
+import { rankCandidates } from './controller-candidates.js';
+import type { Candidate } from './controller-candidates.js';
 
 const own = { name: 's1', zone: 'a-1', region: 'a' };
 function candidate(name: string | null, zone: string, more: { failed?: boolean; up?: boolean } = {}): Candidate {
--- a/src/state/candidates.ts
+++ b/src/state/distribution/controller-candidates.ts
@@ -1,4 +1,4 @@
-import { sha256 } from '../base/digest.js';
+import { sha256 } from '../../base/digest.js';
 
 export type Location = { readonly zone: string; readonly region: string; readonly up: boolean };
 
--- a/src/state/ticket.test.ts
+++ b/src/state/forwarding/admission-token.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from '@jest/globals';
-import { createUsedTokens, readAdmissionToken, signAdmissionToken } from './ticket.js';
-import type { AdmissionToken } from './ticket.js';
+import { createUsedTokens, readAdmissionToken, signAdmissionToken } from './admission-token.js';
+import type { AdmissionToken } from './admission-token.js';
 
 const token: AdmissionToken = {
   id: 't1',
--- a/src/state/ticket.ts
+++ b/src/state/forwarding/admission-token.ts
@@ -3,8 +3,8 @@
  * names. Signed with the key of the ledger, so any proxy can tell a forged one.
  */
 
-import { hmac, sameText } from '../base/digest.js';
-import { parsedJson } from '../base/parsed-json.js';
+import { hmac, sameText } from '../../base/digest.js';
+import { parsedJson } from '../../base/parsed-json.js';
 
 /** What the place was asked for; the homes are weighed by it anew when the request comes. */
 export type Bound = {
--- a/src/state/attempt-budget.test.ts
+++ b/src/state/forwarding/attempt-budget.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from '@jest/globals';
-import { createRng } from '../transport/rng.js';
+import { createRng } from '../../transport/rng.js';
 import { createAttemptBudget } from './attempt-budget.js';
 
 const BOUNDS = { ratio: 0.2, slack: 52, windowMs: 10_000 };
--- a/src/state/placement-cost.ts
+++ b/src/state/forwarding/placement-cost.ts
@@ -5,11 +5,11 @@
  */
 
 import type { EdgeTuning } from './edge-tuning.js';
-import { sharedTokens } from './home-worker.js';
-import type { PrefixBlock } from './prefix-cache.js';
-import { spoiledFraction } from './registry-row.js';
-import type { RegistryRow } from './registry-row.js';
-import type { ModelTraits } from './serving.js';
+import { sharedTokens } from '../discovery/home-worker.js';
+import type { PrefixBlock } from '../discovery/prefix-cache.js';
+import { spoiledFraction } from '../discovery/registry-row.js';
+import type { RegistryRow } from '../discovery/registry-row.js';
+import type { ModelTraits } from '../configuration/serving.js';
 
 /** The proxy that places; `held` tells open connections to an address. */
 export type SelectingProxy = {
--- a/src/state/policies.ts
+++ b/src/state/forwarding/policies.ts
@@ -1,4 +1,4 @@
-import { hash32 } from '../base/digest.js';
+import { hash32 } from '../../base/digest.js';
 import type { Candidate, SelectionContext } from './candidate.js';
 
 export type Policy = {
--- a/src/state/line-pace.test.ts
+++ b/src/state/forwarding/queue-pacer.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from '@jest/globals';
-import { createQueuePacer } from './line-pace.js';
+import { createQueuePacer } from './queue-pacer.js';
 
 test('the wait is foretold from the pace of the line, and not from too little', () => {
   const pace = createQueuePacer();
--- a/src/state/seal.test.ts
+++ b/src/state/forwarding/response-digest.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from '@jest/globals';
-import { addChunk, checkDigest, closeDigest, startDigest } from './seal.js';
+import { addChunk, checkDigest, closeDigest, startDigest } from './response-digest.js';
 
 function sealed(texts: readonly string[]): ReturnType<typeof closeDigest> {
   const check = startDigest('r1', 'd1');
--- a/src/state/claim-table.test.ts
+++ b/src/state/idempotency/claim-table.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, test } from '@jest/globals';
-import { below, createRng, shuffled } from '../transport/rng.js';
+import { below, createRng, shuffled } from '../../transport/rng.js';
 import { CLAIM_RECORD, createClaimTable, HOUR_MS, unpackClaims } from './claim-table.js';
 import type { ClaimTable } from './claim-table.js';
 
--- a/src/state/lease-book.test.ts
+++ b/src/state/idempotency/lease-table.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from '@jest/globals';
-import { requestGrant, createLeaseTable, dropGrant } from './lease-book.js';
+import { requestGrant, createLeaseTable, dropGrant } from './lease-table.js';
 
 const ask = { role: 'scaler', termMs: 100 };
 
--- a/src/state/observed-orders.test.ts
+++ b/src/state/scaling/observed-orders.test.ts
@@ -1,13 +1,13 @@
 import { describe, expect, test } from '@jest/globals';
-import { emptyControlState, foldBatch } from './control-state.js';
-import type { ControlState } from './control-state.js';
-import type { Command, Step } from './entry.js';
+import { emptyControlState, foldBatch } from '../consensus/control-state.js';
+import type { ControlState } from '../consensus/control-state.js';
+import type { Command, Step } from '../consensus/entry.js';
 import { decideObserved, decideRetired, observedMemory, observedRules } from './observed-orders.js';
 import type { ObservedMemory, ListObservation } from './observed-orders.js';
-import { DEFAULT_LIMITS } from './serving.js';
-import type { ModelTraits } from './serving.js';
-import type { Settings } from './settings-tree.js';
-import type { WorkerEntry } from './worker-entry.js';
+import { DEFAULT_LIMITS } from '../configuration/serving.js';
+import type { ModelTraits } from '../configuration/serving.js';
+import type { Settings } from '../configuration/settings-tree.js';
+import type { WorkerEntry } from '../discovery/worker-entry.js';
 
 const ZONES = ['a', 'b', 'c'];
 const TRAITS: ModelTraits = {
--- a/src/state/observed-orders.ts
+++ b/src/state/scaling/observed-orders.ts
@@ -1,14 +1,14 @@
-import type { ControlState } from './control-state.js';
-import type { Kind, Step } from './entry.js';
+import type { ControlState } from '../consensus/control-state.js';
+import type { Kind, Step } from '../consensus/entry.js';
 import { decideMixture } from './mixture.js';
 import { counts } from './order.js';
 import type { Order } from './order.js';
 import { ordersOf } from './scaler-decide.js';
-import { resolveModel } from './settings-tree.js';
-import type { Configuration, Resolved } from './settings-tree.js';
+import { resolveModel } from '../configuration/settings-tree.js';
+import type { Configuration, Resolved } from '../configuration/settings-tree.js';
 import { stepTarget } from './target.js';
 import type { PendingChange, Rate } from './target.js';
-import type { WorkerEntry } from './worker-entry.js';
+import type { WorkerEntry } from '../discovery/worker-entry.js';
 import { alignZones, handleLaunch, handlePreemption, initialZones, selectNextZone } from './zone-sets.js';
 import type { ZoneSets } from './zone-sets.js';
 
--- a/src/state/order.ts
+++ b/src/state/scaling/order.ts
@@ -3,7 +3,7 @@
  * `control-state.ts`; decided by the scaler.
  */
 
-import type { Kind } from './entry.js';
+import type { Kind } from '../consensus/entry.js';
 
 /** States of an order, from the intention to its end. */
 export type OrderStatus = 'intended' | 'placed' | 'ready' | 'draining' | 'failed' | 'lost' | 'released';
--- a/src/state/rates.ts
+++ b/src/state/scaling/rates.ts
@@ -3,7 +3,7 @@
  * report. A proxy that restarts counts from zero again and is not counted twice.
  */
 
-import type { Report } from './report.js';
+import type { Report } from '../distribution/report.js';
 import type { Rate } from './target.js';
 
 type Sample = { readonly at: number; readonly totals: Readonly<Record<string, number>>; readonly complete: boolean };
--- a/src/state/scaler-decide.test.ts
+++ b/src/state/scaling/scaler-decide.test.ts
@@ -1,14 +1,14 @@
 import { describe, expect, test } from '@jest/globals';
-import { emptyControlState, foldBatch } from './control-state.js';
-import type { ControlState } from './control-state.js';
-import type { Command } from './entry.js';
+import { emptyControlState, foldBatch } from '../consensus/control-state.js';
+import type { ControlState } from '../consensus/control-state.js';
+import type { Command } from '../consensus/entry.js';
 import { decideModel, ordersOf } from './scaler-decide.js';
 import type { Decision } from './scaler-decide.js';
 import { recordLaunchFailed } from './scaler-memory.js';
 import type { ScalerMemory } from './scaler-memory.js';
-import type { ObservedMachine, ScalerObservation } from './scaler-sight.js';
-import { resolveModel } from './settings-tree.js';
-import type { Configuration } from './settings-tree.js';
+import type { ObservedMachine, ScalerObservation } from './scaler-observation.js';
+import { resolveModel } from '../configuration/settings-tree.js';
+import type { Configuration } from '../configuration/settings-tree.js';
 
 const zones = { zone1: { region: 'r1' }, zone2: { region: 'r2' }, zone3: { region: 'r3' } };
 
--- a/src/state/scaler-decide.ts
+++ b/src/state/scaling/scaler-decide.ts
@@ -4,16 +4,16 @@
  * before anything outside is called.
  */
 
-import type { ControlState } from './control-state.js';
-import type { Command, Kind } from './entry.js';
+import type { ControlState } from '../consensus/control-state.js';
+import type { Command, Kind } from '../consensus/entry.js';
 import { decideMixture } from './mixture.js';
 import { counts } from './order.js';
 import type { Order } from './order.js';
-import type { ResolvedModel } from './settings-tree.js';
+import type { ResolvedModel } from '../configuration/settings-tree.js';
 import { stepTarget } from './target.js';
 import { memoryOf, recordLaunchFailed, recordLaunchSucceeded } from './scaler-memory.js';
 import type { ScalerMemory } from './scaler-memory.js';
-import type { ObservedMachine, ObservedWorker, ScalerObservation } from './scaler-sight.js';
+import type { ObservedMachine, ObservedWorker, ScalerObservation } from './scaler-observation.js';
 import {
   alignZones,
   cheapest,
--- a/src/state/scaler-memory.ts
+++ b/src/state/scaling/scaler-memory.ts
@@ -3,7 +3,7 @@
  * a new one waits anew, which delays orders but never doubles them.
  */
 
-import type { Kind } from './entry.js';
+import type { Kind } from '../consensus/entry.js';
 import type { PendingChange } from './target.js';
 
 /** For one model: the change of its target under way, zones at rest, and since when each order has its machine. */
--- a/src/transport/connection-pool.test.ts
+++ b/src/transport/connection-pool.test.ts
@@ -2,8 +2,8 @@
 import { createConnection, createServer } from 'node:net';
 import type { AddressInfo, Server, Socket } from 'node:net';
 import { createClock } from './clock.js';
-import { createOpaqueHttpServer } from './open-http-server.js';
-import type { OpaqueRequest, ConnectionPool, SendError } from './open-http.js';
+import { createOpaqueHttpServer } from './opaque-http-server.js';
+import type { OpaqueRequest, ConnectionPool, SendError } from './opaque-http.js';
 import { createConnectionPool } from './connection-pool.js';
 
 const open: { close: () => void }[] = [];
--- a/src/transport/connection-pool.ts
+++ b/src/transport/connection-pool.ts
@@ -3,7 +3,7 @@
 import { createConnection } from 'node:net';
 import type { Socket } from 'node:net';
 import type { Clock } from './clock.js';
-import type { ConnectionPool, SendEvents, SendError, Sending, Sent } from './open-http.js';
+import type { ConnectionPool, SendEvents, SendError, Sending, Sent } from './opaque-http.js';
 import { splitAddress } from './wire.js';
 import type { Address } from './wire.js';
 
--- a/src/transport/open-http-server.test.ts
+++ b/src/transport/opaque-http-server.test.ts
@@ -1,7 +1,7 @@
 import { Agent, request } from 'node:http';
 import { expect, test } from '@jest/globals';
-import { createOpaqueHttpServer } from './open-http-server.js';
-import type { OpaqueRequest } from './open-http.js';
+import { createOpaqueHttpServer } from './opaque-http-server.js';
+import type { OpaqueRequest } from './opaque-http.js';
 
 type Answer = { readonly status: number; readonly body: string } | { readonly failed: string };
 
--- a/src/transport/open-http-server.ts
+++ b/src/transport/opaque-http-server.ts
@@ -12,7 +12,7 @@
   OpaqueListener,
   OpaqueRequest,
   RawHeaders,
-} from './open-http.js';
+} from './opaque-http.js';
 import { splitAddress } from './wire.js';
 import type { Address, WireError } from './wire.js';
 
--- a/tools/claims.mjs
+++ b/tools/claims.mjs
@@ -3,11 +3,11 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { performance } from 'node:perf_hooks';
-import { createClaims } from '../dist/coordination/claims.js';
+import { createClaims } from '../dist/coordination/idempotency/claims.js';
 import { CONTROLLER_SHAPES } from '../dist/coordination/controller.js';
-import { emptyControlState, memberId, membersMark } from '../dist/state/control-state.js';
-import { HOUR_MS } from '../dist/state/claim-table.js';
-import { runKey } from '../dist/state/run-key.js';
+import { emptyControlState, memberId, membersDigest } from '../dist/state/consensus/control-state.js';
+import { HOUR_MS } from '../dist/state/idempotency/claim-table.js';
+import { runKey } from '../dist/state/idempotency/run-key.js';
 import { createClock } from '../dist/transport/clock.js';
 import { createFolderDisk } from '../dist/transport/disk.js';
 import { createQuietLog } from '../dist/transport/log.js';
@@ -66,7 +66,7 @@
   const got = await handlers.h2.get('claim')({
     kind: 'claim',
     ledger: 'bench',
-    members: membersMark(controlState.members),
+    members: membersDigest(controlState.members),
     claims,
   });
   took.push(performance.now() - from);
--- a/tools/digests.mjs
+++ b/tools/digests.mjs
@@ -32,7 +32,7 @@
 }
 async function edgeRuns(seed) {
   const { runEdgeDay } = await import('../dist/sim/edge-day.js');
-  const { createRelay } = await import('../dist/coordination/edge/relay.js');
+  const { createRelay } = await import('../dist/coordination/forwarding/relay.js');
   const rows = [];
   for (let day = seed * 100; day < (seed + 1) * 100; day += 1) {
     const { broken, journal } = await runEdgeDay(day, { createRelay });
--- a/tools/edge-days.mjs
+++ b/tools/edge-days.mjs
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /** Plays days of one proxy with troubled workers and callers, seed by seed, and tells the rules that they broke. */
-import { createRelay } from '../dist/coordination/edge/relay.js';
+import { createRelay } from '../dist/coordination/forwarding/relay.js';
 import { runEdgeDay } from '../dist/sim/edge-day.js';
 
 const PROGRESS_EVERY = 10_000;
--- a/tools/place.mjs
+++ b/tools/place.mjs
@@ -1,9 +1,9 @@
 #!/usr/bin/env node
 import { performance } from 'node:perf_hooks';
-import { createPlacer } from '../dist/coordination/placer.js';
-import { emptyControlState } from '../dist/state/control-state.js';
-import { POLICIES } from '../dist/state/policies.js';
-import { createWorkerTable } from '../dist/state/worker-table.js';
+import { createPlacementService } from '../dist/coordination/forwarding/placement-service.js';
+import { emptyControlState } from '../dist/state/consensus/control-state.js';
+import { POLICIES } from '../dist/state/forwarding/policies.js';
+import { createWorkerTable } from '../dist/state/discovery/worker-table.js';
 import { createRng } from '../dist/transport/rng.js';
 import { spread } from './figures.mjs';
 
@@ -52,7 +52,7 @@
   const follower = { controlState: () => controlState, partitioned: () => false, sharedNow: () => 0 };
   const clock = { mono: () => 0, wall: () => 0 };
   const given = whole ? { ...table, candidates: (ask) => table.candidates({ ...ask, whole: true }) } : table;
-  const placer = createPlacer({
+  const placer = createPlacementService({
     self: { name: 's0', run: 'r', zone: 'a-1', region: 'a', http: 's0' },
     ready: () => true,
     follower,
