--- a/src/coordination/configuration/operator-http-server.ts
+++ b/src/coordination/configuration/operator-http-server.ts
@@ -50,11 +50,17 @@
   readonly status: () => unknown;
 };
 
-export function operatorRoutes(deps: OperatorHttpServerDeps): Route[] {
-  const { ledger, push, latencyTargets, clock, status } = deps;
-  async function agree(command: Command, cause: string, operation: string | undefined): Promise<HttpReply> {
-    const from = clock.mono();
-    const response = await ledger.propose(
+/** The operators' calls of one controller. */
+interface OperatorCalls {
+  routes(): Route[];
+}
+
+class LedgerOperatorCalls implements OperatorCalls {
+  constructor(private readonly deps: OperatorHttpServerDeps) {}
+
+  private async agree(command: Command, cause: string, operation: string | undefined): Promise<HttpReply> {
+    const from = this.deps.clock.mono();
+    const response = await this.deps.ledger.propose(
       { ...(operation === undefined ? {} : { id: operatorRequest(operation) }), cause, act: command },
       AGREE_MS,
     );
@@ -68,19 +74,19 @@
     const { slot, outcome } = response.value;
     if (outcome.tag === 'staleVersion') return fail(409, { tag: 'staleVersion', winner: outcome.winner });
     if (outcome.tag !== 'applied') return fail(409, { tag: 'unchanged' });
-    const waiting = await push.confirm(slot, CONFIRM_MS);
-    latencyTargets.recordChange(waiting.length === 0 ? clock.mono() - from : Infinity);
+    const waiting = await this.deps.push.confirm(slot, CONFIRM_MS);
+    this.deps.latencyTargets.recordChange(waiting.length === 0 ? this.deps.clock.mono() - from : Infinity);
     if (waiting.length === 0) return { status: 200, body: { acknowledged: true, version: slot } };
     return { status: 202, body: { acknowledged: false, version: slot, waiting } };
   }
 
-  async function configure(
+  private async configure(
     base: number,
     make: (state: ControlState) => unknown,
     operation: string | undefined,
   ): Promise<HttpReply> {
-    if (!(await ledger.linearizableRead(AGREE_MS))) return fail(503, { tag: 'noMajority' });
-    const controlState = ledger.controlState();
+    if (!(await this.deps.ledger.linearizableRead(AGREE_MS))) return fail(503, { tag: 'noMajority' });
+    const controlState = this.deps.ledger.controlState();
     const done = operation === undefined ? null : operationOf(controlState, operatorRequest(operation));
     const forgotten = operation !== undefined && versionMayBeForgotten(controlState.history, base);
     if (!done && controlState.version !== base && forgotten) return fail(503, { tag: 'outcomeUnknown' });
@@ -89,34 +95,34 @@
     if (!done && !next.ok) return fail(422, { tag: 'invalidConfiguration', faults: next.error });
     const changes: Change[] = next.ok ? differences(controlState.configuration, next.value) : [];
     if (JSON.stringify(changes).length > MAX_CHANGES) return fail(413, { tag: 'changesTooLarge', most: MAX_CHANGES });
-    return agree(
+    return this.agree(
       { tag: 'configured', base, changes },
       `The operator changed ${changes.length} settings on version ${base}.`,
       operation,
     );
   }
 
-  async function apply(req: HttpRequest): Promise<HttpReply> {
+  private async apply(req: HttpRequest): Promise<HttpReply> {
     const body = readApply(req.body);
     if (!body.ok) return fail(400, body.error);
     function replacement(): unknown {
       return body.ok ? body.value.configuration : null;
     }
-    return configure(body.value.base, replacement, body.value.operation);
+    return this.configure(body.value.base, replacement, body.value.operation);
   }
 
-  async function amend(req: HttpRequest): Promise<HttpReply> {
+  private async amend(req: HttpRequest): Promise<HttpReply> {
     const body = readAmend(req.body);
     if (!body.ok) return fail(400, body.error);
     function amended(state: ControlState): unknown {
       return body.ok ? withChanges(state.configuration, body.value.changes) : null;
     }
-    return configure(body.value.base, amended, body.value.operation);
+    return this.configure(body.value.base, amended, body.value.operation);
   }
 
-  async function readBack(): Promise<HttpReply> {
-    const isCurrent = await ledger.linearizableRead(AGREE_MS);
-    const state = ledger.controlState();
+  private async readBack(): Promise<HttpReply> {
+    const isCurrent = await this.deps.ledger.linearizableRead(AGREE_MS);
+    const state = this.deps.ledger.controlState();
     if (!isCurrent) return fail(503, { tag: 'noMajority', version: state.version });
     return {
       status: 200,
@@ -129,72 +135,74 @@
     };
   }
 
-  async function zone(req: HttpRequest, begun: boolean): Promise<HttpReply> {
+  private async zone(req: HttpRequest, begun: boolean): Promise<HttpReply> {
     const body = readZone(req.body ?? {});
     if (!body.ok) return fail(400, body.error);
     const name = req.params['zone'] ?? '';
-    if (!(await ledger.linearizableRead(AGREE_MS))) return fail(503, { tag: 'noMajority' });
-    if (!Object.hasOwn(ledger.controlState().configuration.zones, name))
+    if (!(await this.deps.ledger.linearizableRead(AGREE_MS))) return fail(503, { tag: 'noMajority' });
+    if (!Object.hasOwn(this.deps.ledger.controlState().configuration.zones, name))
       return fail(404, { tag: 'unknownZone', zone: name });
-    return agree(
+    return this.agree(
       { tag: 'evacuation', zone: name, begun },
       begun ? `The operator evacuates ${name}.` : `The operator hands ${name} back.`,
       body.value.operation,
     );
   }
-  function evacuate(req: HttpRequest): Promise<HttpReply> {
-    return zone(req, true);
+
+  private evacuate(req: HttpRequest): Promise<HttpReply> {
+    return this.zone(req, true);
   }
-  function restore(req: HttpRequest): Promise<HttpReply> {
-    return zone(req, false);
+
+  private restore(req: HttpRequest): Promise<HttpReply> {
+    return this.zone(req, false);
   }
 
-  function forget(req: HttpRequest): Promise<HttpReply> {
+  private forget(req: HttpRequest): Promise<HttpReply> {
     const name = req.params['name'] ?? '';
-    return agree({ tag: 'proxyForgotten', name }, `The operator forgot the proxy ${name}.`, undefined);
+    return this.agree({ tag: 'proxyForgotten', name }, `The operator forgot the proxy ${name}.`, undefined);
   }
 
-  async function bootstrap(req: HttpRequest): Promise<HttpReply> {
+  private async bootstrap(req: HttpRequest): Promise<HttpReply> {
     const body = readFound(req.body);
     if (!body.ok) return fail(400, body.error);
-    const response = await ledger.bootstrap(body.value.members);
+    const response = await this.deps.ledger.bootstrap(body.value.members);
     return response.ok
-      ? { status: 200, body: { acknowledged: true, ledger: ledger.controlState().ledger } }
+      ? { status: 200, body: { acknowledged: true, ledger: this.deps.ledger.controlState().ledger } }
       : fail(409, response.error);
   }
 
-  function reopenClaims(): Promise<HttpReply> {
-    const members = ledger.controlState().members.map(memberId);
-    return agree(
+  private reopenClaims(): Promise<HttpReply> {
+    const members = this.deps.ledger.controlState().members.map(memberId);
+    return this.agree(
       { tag: 'claimsReopened', members },
       'The operator accepted that run-once claims were lost with their disks.',
       undefined,
     );
   }
 
-  async function latencyTargetMinutes(req: HttpRequest): Promise<HttpReply> {
-    if (!push.quorate()) return fail(503, { tag: 'noMajority' });
+  private async latencyTargetMinutes(req: HttpRequest): Promise<HttpReply> {
+    if (!this.deps.push.quorate()) return fail(503, { tag: 'noMajority' });
     const minutes = Number(req.query['minutes'] ?? 60);
     if (!Number.isInteger(minutes) || minutes < 1 || minutes > 1_440)
       return fail(400, { tag: 'malformed', detail: '/minutes: expected a whole number from 1 to 1440' });
-    return { status: 200, body: latencyTargets.last(minutes) };
+    return { status: 200, body: this.deps.latencyTargets.last(minutes) };
   }
 
-  async function readStatus(): Promise<HttpReply> {
-    return { status: 200, body: status() };
+  private async readStatus(): Promise<HttpReply> {
+    return { status: 200, body: this.deps.status() };
   }
 
-  async function history(req: HttpRequest): Promise<HttpReply> {
-    const state = ledger.controlState();
+  private async history(req: HttpRequest): Promise<HttpReply> {
+    const state = this.deps.ledger.controlState();
     const wanted = req.query['model'];
     const out = [];
-    for (const order of [...ledger.closedOrders.all(), ...Object.values(state.orders)])
+    for (const order of [...this.deps.ledger.closedOrders.all(), ...Object.values(state.orders)])
       if (wanted === undefined || order.model === wanted) out.push(order);
     return {
       status: 200,
       body: {
         slot: state.slot,
-        complete: ledger.closedOrders.lacking() === null,
+        complete: this.deps.ledger.closedOrders.lacking() === null,
         orders: out,
         zoneSets: state.zoneSets,
         targets: state.targets,
@@ -203,33 +211,49 @@
     };
   }
 
-  async function entries(req: HttpRequest): Promise<HttpReply> {
+  private async entries(req: HttpRequest): Promise<HttpReply> {
     const from = Number(req.query['from'] ?? 0);
-    const state = ledger.controlState();
+    const state = this.deps.ledger.controlState();
     const first = Math.max(0, Number.isInteger(from) && from >= 0 ? from : 0);
-    const batches = ledger.since(first);
+    const batches = this.deps.ledger.since(first);
     return {
       status: 200,
       body: {
         slot: state.slot,
         complete: batches !== null,
-        batches: batches ?? ledger.since(Math.max(first, state.slot - 200)) ?? [],
+        batches: batches ?? this.deps.ledger.since(Math.max(first, state.slot - 200)) ?? [],
       },
     };
   }
 
-  return [
-    { method: 'POST', path: '/v1/configuration', maxBytes: MAX_CONFIGURATION, handle: apply },
-    { method: 'POST', path: '/v1/configuration/amend', maxBytes: MAX_CONFIGURATION, handle: amend },
-    { method: 'GET', path: '/v1/configuration', handle: readBack },
-    { method: 'POST', path: '/v1/zones/:zone/evacuate', handle: evacuate },
-    { method: 'POST', path: '/v1/zones/:zone/restore', handle: restore },
-    { method: 'DELETE', path: '/v1/proxies/:name', handle: forget },
-    { method: 'POST', path: '/v1/claims/reopen', handle: reopenClaims },
-    { method: 'POST', path: '/v1/bootstrap', handle: bootstrap },
-    { method: 'GET', path: '/v1/aims', handle: latencyTargetMinutes },
-    { method: 'GET', path: '/v1/status', handle: readStatus },
-    { method: 'GET', path: '/v1/orders', handle: history },
-    { method: 'GET', path: '/v1/ledger', handle: entries },
-  ];
+  routes(): Route[] {
+    return [
+      { method: 'POST', path: '/v1/configuration', maxBytes: MAX_CONFIGURATION, handle: (req) => this.apply(req) },
+      {
+        method: 'POST',
+        path: '/v1/configuration/amend',
+        maxBytes: MAX_CONFIGURATION,
+        handle: (req) => this.amend(req),
+      },
+      { method: 'GET', path: '/v1/configuration', handle: () => this.readBack() },
+      { method: 'POST', path: '/v1/zones/:zone/evacuate', handle: (req) => this.evacuate(req) },
+      { method: 'POST', path: '/v1/zones/:zone/restore', handle: (req) => this.restore(req) },
+      { method: 'DELETE', path: '/v1/proxies/:name', handle: (req) => this.forget(req) },
+      { method: 'POST', path: '/v1/claims/reopen', handle: () => this.reopenClaims() },
+      { method: 'POST', path: '/v1/bootstrap', handle: (req) => this.bootstrap(req) },
+      { method: 'GET', path: '/v1/aims', handle: (req) => this.latencyTargetMinutes(req) },
+      { method: 'GET', path: '/v1/status', handle: () => this.readStatus() },
+      { method: 'GET', path: '/v1/orders', handle: (req) => this.history(req) },
+      { method: 'GET', path: '/v1/ledger', handle: (req) => this.entries(req) },
+    ];
+  }
+}
+
+function createOperatorCalls(deps: OperatorHttpServerDeps): OperatorCalls {
+  return new LedgerOperatorCalls(deps);
+}
+
+/** Routes of the operators' HTTP interface (docs/http.md). */
+export function operatorRoutes(deps: OperatorHttpServerDeps): Route[] {
+  return createOperatorCalls(deps).routes();
 }
--- a/src/coordination/forwarding/attempt.ts
+++ b/src/coordination/forwarding/attempt.ts
@@ -7,10 +7,11 @@
 import type { AttemptOutcome } from '../../state/forwarding/attempt-outcome.js';
 import type { Standstill } from '../../state/forwarding/standstill.js';
 import type { RegistryRow, WorkerRegistry } from '../../state/discovery/worker-registry.js';
-import type { Clock } from '../../transport/clock.js';
+import type { Clock, Timer } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
 import type { ConnectionPool, RawHeaders, SendEvents, SendError, Sending, Sent } from '../../transport/opaque-http.js';
 import { createAnswerReader } from './response-reader.js';
+import type { AnswerReader } from './response-reader.js';
 import type { CallerAnswers, BufferedResponse } from './caller-responses.js';
 import { hasBody, requestHeaders } from './forwarded-headers.js';
 import type { RelayedRequest } from './relayed-request.js';
@@ -21,7 +22,7 @@
 export type AttemptEnd = { readonly outcome: AttemptOutcome; readonly answer: BufferedResponse | null };
 
 export type AttemptDeps = {
-  readonly statuses: HeaderNames;
+  readonly headerNames: HeaderNames;
   readonly registry: WorkerRegistry;
   readonly connectionPool: ConnectionPool;
   readonly watch: UnresponsiveWorkerWatch;
@@ -42,138 +43,151 @@
 /** The worker's own status at the deadline: no sign of trouble. */
 const GATEWAY_TIMEOUT = 504;
 
-export function createAttempt(deps: AttemptDeps): Attempt {
-  const { statuses, registry, connectionPool, watch, standstill, clock, log } = deps;
+/** One attempt under way. */
+interface AttemptRun {
+  start(): void;
+}
 
-  function attempt(request: RelayedRequest, reserved: ReservedWorker): Promise<AttemptEnd> {
-    function start(resolve: (end: AttemptEnd) => void): void {
-      run(request, reserved, resolve);
-    }
-    return new Promise(start);
+class PooledAttemptRun implements AttemptRun {
+  private readonly reader: AnswerReader;
+  private readonly call: WatchedAttempt;
+  private readonly leftMs: number;
+  private sent: Sent | null = null;
+  private written = false;
+  private freshConnection = false;
+  private over = false;
+  private readonly deadline: Timer;
+
+  constructor(
+    private readonly deps: AttemptDeps,
+    private readonly request: RelayedRequest,
+    private readonly reserved: ReservedWorker,
+    private readonly resolve: (end: AttemptEnd) => void,
+  ) {
+    this.reader = createAnswerReader(this.deps.headerNames, this.request, this.deps.answers);
+    this.call = { sentAt: this.deps.clock.mono(), lastEventAt: 0, onUnresponsive: () => this.onUnresponsive() };
+    this.leftMs = this.request.deadlineAt - this.deps.clock.mono();
+
+    this.deps.watch.begin(this.reserved.row, this.call);
+    this.deadline = this.deps.clock.timer(Math.max(1, this.leftMs), () => this.late());
   }
 
-  function run(
-    request: RelayedRequest,
-    { row, reservation }: ReservedWorker,
-    resolve: (end: AttemptEnd) => void,
-  ): void {
-    const { incoming } = request;
-    const reader = createAnswerReader(statuses, request, deps.answers);
-    const call: WatchedAttempt = { sentAt: clock.mono(), lastEventAt: 0, onUnresponsive };
-    const leftMs = request.deadlineAt - clock.mono();
-    let sent: Sent | null = null;
-    let written = false;
-    let freshConnection = false;
-    let over = false;
-    watch.begin(row, call);
-    const deadline = clock.timer(Math.max(1, leftMs), late);
-
-    function finish(outcome: AttemptOutcome): void {
-      if (over) return;
-      over = true;
-      deadline.cancel();
-      watch.end(row, call);
-      reservation.end();
-      recordOutcome(row, outcome, reader.status());
-      const answer = isBuffered(request, outcome) ? reader.buffered() : null;
-      resolve({ outcome, answer });
-      deps.onEnd();
-    }
-    function abandon(outcome: AttemptOutcome): void {
-      if (over) return;
-      finish(outcome);
-      sent?.abort();
-    }
+  private finish(outcome: AttemptOutcome): void {
+    if (this.over) return;
+    this.over = true;
+    this.deadline.cancel();
+    this.deps.watch.end(this.reserved.row, this.call);
+    this.reserved.reservation.end();
+    this.recordOutcome(this.reserved.row, outcome, this.reader.status());
+    const answer = isBuffered(this.request, outcome) ? this.reader.buffered() : null;
+    this.resolve({ outcome, answer });
+    this.deps.onEnd();
+  }
 
-    function late(): void {
-      if (over) return;
-      if (written)
-        log.warn(
-          lateText(request, row, leftMs, reader.status(), clock.mono() - Math.max(call.lastEventAt, call.sentAt)),
-        );
-      abandon(written ? { tag: 'deadline' } : { tag: 'withheld' });
-    }
-    function callerGone(): void {
-      abandon({ tag: 'callerGone' });
-    }
-    function onUnresponsive(): void {
-      if (!over && written && deps.abandonsUnresponsive(request)) abandon({ tag: 'silent' });
-    }
+  private abandon(outcome: AttemptOutcome): void {
+    if (this.over) return;
+    this.finish(outcome);
+    this.sent?.abort();
+  }
 
-    /** Called when the connection is up. Null holds the request back; else it counts as sent from here. */
-    function headers(): RawHeaders | null {
-      const now = clock.mono();
-      if (over || now >= request.deadlineAt || standstill.observe(now) !== null || incoming.answerer.gone())
-        return null;
-      written = true;
-      request.attempts += 1;
-      request.writtenTo.add(row.entry.id);
-      request.reserved = false;
-      return requestHeaders(statuses, request, row.entry.id, request.deadlineAt - now);
-    }
-    function connected(ms: number): void {
-      freshConnection = true;
-      registry.recordConnectTime(row, ms);
-    }
-    function head(status: number, raw: RawHeaders, get: (name: string) => string | null): void {
-      if (over) return;
-      const coldMs = Number(get(statuses.coldMs) ?? 0);
-      if (coldMs > 0) registry.markCold(row, clock.mono(), coldMs);
-      const outcome = reader.head(status, raw, get, freshConnection);
-      if (outcome) abandon(outcome);
-    }
-    function data(chunk: Buffer): void {
-      if (over) return;
-      call.lastEventAt = clock.mono();
-      const outcome = reader.data(chunk);
-      if (request.answerBegun) reservation.read();
-      if (outcome) abandon(outcome);
-    }
-    function end(): void {
-      if (!over) finish(reader.end());
-    }
-    function failed(error: SendError): void {
-      if (!over) finish(error.tag === 'reset' || error.tag === 'garbled' ? reader.broken(error.tag) : error);
-    }
+  private late(): void {
+    if (this.over) return;
+    if (this.written)
+      this.deps.log.warn(
+        lateText(
+          this.request,
+          this.reserved.row,
+          this.leftMs,
+          this.reader.status(),
+          this.deps.clock.mono() - Math.max(this.call.lastEventAt, this.call.sentAt),
+        ),
+      );
+    this.abandon(this.written ? { tag: 'deadline' } : { tag: 'withheld' });
+  }
 
-    incoming.answerer.onGone(callerGone);
-    const sending: Sending = {
-      address: row.entry.address,
-      method: incoming.method,
-      target: incoming.target,
-      headers,
-      body: request.body.length > 0 || hasBody(incoming) ? request.body : null,
-      newConnection: request.writtenTo.has(row.entry.id),
-      connectMs: Math.min(leftMs, registry.connectMs(row)),
-    };
-    const events: SendEvents = { connected, head, data, end, failed };
-    sent = connectionPool.send(sending, events);
-    if (over) sent.abort();
+  private callerGone(): void {
+    this.abandon({ tag: 'callerGone' });
+  }
+
+  private onUnresponsive(): void {
+    if (!this.over && this.written && this.deps.abandonsUnresponsive(this.request)) this.abandon({ tag: 'silent' });
+  }
+
+  /** Called when the connection is up. Null holds the request back; else it counts as sent from here. */
+  private headers(): RawHeaders | null {
+    const now = this.deps.clock.mono();
+    if (
+      this.over ||
+      now >= this.request.deadlineAt ||
+      this.deps.standstill.observe(now) !== null ||
+      this.request.incoming.answerer.gone()
+    )
+      return null;
+    this.written = true;
+    this.request.attempts += 1;
+    this.request.writtenTo.add(this.reserved.row.entry.id);
+    this.request.reserved = false;
+    return requestHeaders(
+      this.deps.headerNames,
+      this.request,
+      this.reserved.row.entry.id,
+      this.request.deadlineAt - now,
+    );
+  }
+
+  private connected(ms: number): void {
+    this.freshConnection = true;
+    this.deps.registry.recordConnectTime(this.reserved.row, ms);
+  }
+
+  private head(status: number, raw: RawHeaders, get: (name: string) => string | null): void {
+    if (this.over) return;
+    const coldMs = Number(get(this.deps.headerNames.coldMs) ?? 0);
+    if (coldMs > 0) this.deps.registry.markCold(this.reserved.row, this.deps.clock.mono(), coldMs);
+    const outcome = this.reader.head(status, raw, get, this.freshConnection);
+    if (outcome) this.abandon(outcome);
+  }
+
+  private data(chunk: Buffer): void {
+    if (this.over) return;
+    this.call.lastEventAt = this.deps.clock.mono();
+    const outcome = this.reader.data(chunk);
+    if (this.request.answerBegun) this.reserved.reservation.read();
+    if (outcome) this.abandon(outcome);
+  }
+
+  private end(): void {
+    if (!this.over) this.finish(this.reader.end());
+  }
+
+  private failed(error: SendError): void {
+    if (!this.over)
+      this.finish(error.tag === 'reset' || error.tag === 'garbled' ? this.reader.broken(error.tag) : error);
   }
 
   /** Tells the registry what the outcome says of the worker. */
-  function recordOutcome(row: RegistryRow, outcome: AttemptOutcome, status: number): void {
-    const now = clock.mono();
+  private recordOutcome(row: RegistryRow, outcome: AttemptOutcome, status: number): void {
+    const now = this.deps.clock.mono();
     switch (outcome.tag) {
       case 'notConnected':
-        watch.unreached(row);
+        this.deps.watch.unreached(row);
         return;
       case 'wrongWorker':
-        registry.markRelocated(row);
+        this.deps.registry.markRelocated(row);
         return;
       case 'notExecuted':
-        registry.markFull(row, now, FULL_MS);
+        this.deps.registry.markFull(row, now, FULL_MS);
         return;
       case 'answered':
-        registry.recordServed(row, now);
+        this.deps.registry.recordServed(row, now);
         return;
       case 'workerFailed':
-        if (status >= 500 && status !== GATEWAY_TIMEOUT) registry.recordSpoiled(row, now);
+        if (status >= 500 && status !== GATEWAY_TIMEOUT) this.deps.registry.recordSpoiled(row, now);
         return;
       case 'garbled':
       case 'answerCut':
       case 'resetWritten':
-        registry.recordSpoiled(row, now);
+        this.deps.registry.recordSpoiled(row, now);
         return;
       case 'withheld':
       case 'resetUnwritten':
@@ -183,6 +197,44 @@
       case 'callerGone':
     }
   }
+
+  start(): void {
+    this.request.incoming.answerer.onGone(() => this.callerGone());
+    const sending: Sending = {
+      address: this.reserved.row.entry.address,
+      method: this.request.incoming.method,
+      target: this.request.incoming.target,
+      headers: () => this.headers(),
+      body: this.request.body.length > 0 || hasBody(this.request.incoming) ? this.request.body : null,
+      newConnection: this.request.writtenTo.has(this.reserved.row.entry.id),
+      connectMs: Math.min(this.leftMs, this.deps.registry.connectMs(this.reserved.row)),
+    };
+    const events: SendEvents = {
+      connected: (ms) => this.connected(ms),
+      head: (status, raw, get) => this.head(status, raw, get),
+      data: (chunk) => this.data(chunk),
+      end: () => this.end(),
+      failed: (error) => this.failed(error),
+    };
+    this.sent = this.deps.connectionPool.send(sending, events);
+    if (this.over) this.sent.abort();
+  }
+}
+
+function createAttemptRun(
+  deps: AttemptDeps,
+  request: RelayedRequest,
+  reserved: ReservedWorker,
+  resolve: (end: AttemptEnd) => void,
+): AttemptRun {
+  return new PooledAttemptRun(deps, request, reserved, resolve);
+}
+
+/** Attempts as `deps` make them; each resolves once, when its outcome is known. */
+export function createAttempt(deps: AttemptDeps): Attempt {
+  function attempt(request: RelayedRequest, reserved: ReservedWorker): Promise<AttemptEnd> {
+    return new Promise((resolve) => createAttemptRun(deps, request, reserved, resolve).start());
+  }
   return attempt;
 }
 
--- a/src/coordination/forwarding/dispatcher.test.ts
+++ b/src/coordination/forwarding/dispatcher.test.ts
@@ -30,11 +30,11 @@
   const calls: HttpCall[] = [];
   const claims: string[] = [];
   const rows = [0, 1].map(
-    (ix) =>
-      ({ ix, present: true, leaving: false, missedProbes: 0, leaveBy: null, inFlight: 0 }) as unknown as WorkerRow,
+    (index) =>
+      ({ index, present: true, leaving: false, missedProbes: 0, leaveBy: null, inFlight: 0 }) as unknown as WorkerRow,
   );
   const table = {
-    begin: (ix: number) => rows[ix] ?? null,
+    begin: (index: number) => rows[index] ?? null,
     end: () => undefined,
     isCurrent: () => true,
     recordRefused: () => undefined,
--- a/src/coordination/forwarding/relay.test.ts
+++ b/src/coordination/forwarding/relay.test.ts
@@ -99,7 +99,7 @@
   let closing = false;
   let lastEndAt: number | null = null;
   const relay = createRelay({
-    statuses: W,
+    headerNames: W,
     tuning: EDGE_TUNING,
     registry: book,
     budget,
--- a/src/coordination/forwarding/relay.ts
+++ b/src/coordination/forwarding/relay.ts
@@ -29,7 +29,7 @@
 import type { ReservedWorker, WorkerQueue } from './worker-queue.js';
 
 export type RelayDeps = {
-  readonly statuses: HeaderNames;
+  readonly headerNames: HeaderNames;
   readonly tuning: EdgeTuning;
   readonly registry: WorkerRegistry;
   readonly budget: AttemptBudget;
@@ -85,7 +85,7 @@
   private readonly attempt: Attempt;
 
   constructor(private readonly deps: RelayDeps) {
-    this.answers = createCallerAnswers(this.deps.statuses, this.deps.closing);
+    this.answers = createCallerAnswers(this.deps.headerNames, this.deps.closing);
     this.last = createLastAnswers({
       answers: this.answers,
       tuning: this.deps.tuning,
@@ -110,7 +110,7 @@
       onReached: () => this.queue.wake(),
     });
     this.attempt = createAttempt({
-      statuses: this.deps.statuses,
+      headerNames: this.deps.headerNames,
       registry: this.deps.registry,
       connectionPool: this.deps.connectionPool,
       watch,
@@ -157,11 +157,11 @@
     body: Buffer,
     cameAt: number,
   ): Promise<void> {
-    const id = incoming.get(this.deps.statuses.attemptId);
+    const id = incoming.get(this.deps.headerNames.attemptId);
     if (!route) this.answers.refuse(incoming, 404, 'noMapping', null);
     else if (id === null || id === '') this.answers.refuse(incoming, 400, 'noAttemptId', null);
     else {
-      const request = createRelayedRequest(this.deps.statuses, this.deps.rng, incoming, route, id, body, cameAt);
+      const request = createRelayedRequest(this.deps.headerNames, this.deps.rng, incoming, route, id, body, cameAt);
       const lastEndAt = this.deps.lastEndAt();
       if (lastEndAt !== null && expectedEnd(request, this.deps.clock.mono()) > lastEndAt) {
         this.last.leaving(incoming);
--- a/src/coordination/idempotency/claim-client.ts
+++ b/src/coordination/idempotency/claim-client.ts
@@ -26,6 +26,107 @@
 const ENDS_TRIED = 12;
 const ENDS_PAUSE_MS = 30_000;
 
+/** One round of claims: the members' votes on all of them, each settled as soon as its majority is known. */
+interface ClaimRound {
+  start(): void;
+}
+
+class VotedClaimRound implements ClaimRound {
+  private readonly answers: ClaimAnswer[][];
+  private readonly open: Set<number>;
+  private left: number;
+
+  constructor(
+    private readonly state: ControlState,
+    private readonly quorumSize: number,
+    private readonly claims: readonly Claim[],
+    private readonly resolvers: readonly ((claimOutcome: ClaimOutcome) => void)[],
+    private readonly peers: Peers,
+    private readonly clock: Clock,
+  ) {
+    this.answers = this.claims.map(() => this.none());
+    this.open = new Set<number>(this.claims.keys());
+    this.left = this.state.members.length;
+  }
+
+  private none(): ClaimAnswer[] {
+    return [];
+  }
+
+  private countVotes(i: number): { granted: number; refusal: ClaimAnswer | null } {
+    let granted = 0;
+    let refusal: ClaimAnswer | null = null;
+    for (const first of this.answers[i] as ClaimAnswer[]) {
+      if (first.tag === 'claimed') granted += 1;
+      else if (!refusal || weightOf(first) > weightOf(refusal)) refusal = first;
+    }
+    return { granted, refusal };
+  }
+
+  private weigh(): void {
+    for (const i of this.open) {
+      if (this.countVotes(i).granted < this.quorumSize) continue;
+      this.open.delete(i);
+      this.resolvers[i]?.({ tag: 'claimed' });
+    }
+    if (this.left === 0) this.finish();
+  }
+
+  private finish(): void {
+    for (const i of this.open) {
+      const { refusal } = this.countVotes(i);
+      this.resolvers[i]?.(refusal && refusal.tag !== 'claimed' ? refusal : { tag: 'noMajority' });
+    }
+    this.open.clear();
+  }
+
+  private finishContested(): void {
+    let contested = false;
+    for (const i of this.open) if (this.countVotes(i).refusal) contested = true;
+    if (contested) this.clock.timer(PATIENCE_MS, () => this.finish());
+  }
+
+  private async request(member: Member): Promise<void> {
+    const answer = await this.peers.call(
+      member.address,
+      {
+        kind: 'claim',
+        ledger: this.state.ledger,
+        members: membersDigest(this.state.members),
+        claims: [...this.claims],
+      },
+      WAIT_MS,
+    );
+    this.left -= 1;
+    if (
+      answer.ok &&
+      answer.value.kind === 'claimAnswer' &&
+      answer.value.voter === memberId(member) &&
+      answer.value.answers.length === this.claims.length
+    ) {
+      for (let i = 0; i < this.claims.length; i += 1) this.answers[i]?.push(answer.value.answers[i] as ClaimAnswer);
+      this.finishContested();
+    }
+    this.weigh();
+  }
+
+  start(): void {
+    if (this.state.members.length === 0) this.finish();
+    for (const member of this.state.members) void this.request(member);
+  }
+}
+
+function createClaimRound(
+  state: ControlState,
+  quorumSize: number,
+  claims: readonly Claim[],
+  resolvers: readonly ((claimOutcome: ClaimOutcome) => void)[],
+  peers: Peers,
+  clock: Clock,
+): ClaimRound {
+  return new VotedClaimRound(state, quorumSize, claims, resolvers, peers, clock);
+}
+
 class MajorityClaimClient implements ClaimClient {
   private readonly queue: BatchQueue<{ key: string; by: string; born: number }, Promise<ClaimOutcome>>;
   private readonly endings: BatchQueue<
@@ -53,75 +154,10 @@
       }
       out.push(new Promise(addResolver));
     }
-    void this.collect(state, quorumSize, claims, resolvers);
+    createClaimRound(state, quorumSize, claims, resolvers, this.peers, this.clock).start();
     return out;
   }
 
-  private async collect(
-    state: ControlState,
-    quorumSize: number,
-    claims: readonly Claim[],
-    resolvers: readonly ((claimOutcome: ClaimOutcome) => void)[],
-  ): Promise<void> {
-    const answers: ClaimAnswer[][] = claims.map(none);
-    const open = new Set<number>(claims.keys());
-    let left = state.members.length;
-    if (state.members.length === 0) finish();
-
-    function none(): ClaimAnswer[] {
-      return [];
-    }
-    function countVotes(i: number): { granted: number; refusal: ClaimAnswer | null } {
-      let granted = 0;
-      let refusal: ClaimAnswer | null = null;
-      for (const first of answers[i] as ClaimAnswer[]) {
-        if (first.tag === 'claimed') granted += 1;
-        else if (!refusal || weightOf(first) > weightOf(refusal)) refusal = first;
-      }
-      return { granted, refusal };
-    }
-    function weigh(): void {
-      for (const i of open) {
-        if (countVotes(i).granted < quorumSize) continue;
-        open.delete(i);
-        resolvers[i]?.({ tag: 'claimed' });
-      }
-      if (left === 0) finish();
-    }
-    function finish(): void {
-      for (const i of open) {
-        const { refusal } = countVotes(i);
-        resolvers[i]?.(refusal && refusal.tag !== 'claimed' ? refusal : { tag: 'noMajority' });
-      }
-      open.clear();
-    }
-
-    const finishContested = (): void => {
-      let contested = false;
-      for (const i of open) if (countVotes(i).refusal) contested = true;
-      if (contested) this.clock.timer(PATIENCE_MS, finish);
-    };
-    const ask = async (member: Member): Promise<void> => {
-      const answer = await this.peers.call(
-        member.address,
-        { kind: 'claim', ledger: state.ledger, members: membersDigest(state.members), claims: [...claims] },
-        WAIT_MS,
-      );
-      left -= 1;
-      if (
-        answer.ok &&
-        answer.value.kind === 'claimAnswer' &&
-        answer.value.voter === memberId(member) &&
-        answer.value.answers.length === claims.length
-      ) {
-        for (let i = 0; i < claims.length; i += 1) answers[i]?.push(answer.value.answers[i] as ClaimAnswer);
-        finishContested();
-      }
-      weigh();
-    };
-    for (const member of state.members) void ask(member);
-  }
-
   async claim(key: RunKey, by: string): Promise<ClaimOutcome> {
     const pending = this.queue.put({ key: key.text, by, born: key.born });
     const outcome = await pending.then((inner) => this.unwrap(inner));
--- a/src/coordination/proxy/opaque-proxy.ts
+++ b/src/coordination/proxy/opaque-proxy.ts
@@ -94,7 +94,12 @@
   const membership = createMembership(node, () => follower.controllers(), peers, clock, rng, logs.component('members'));
   followRelocatedControllers(membership, () => follower.controlState(), peers);
   const registry = createWorkerRegistry(
-    { name: id.name, zone: id.zone, region: id.region, openConnections: deps.connectionPool.idle },
+    {
+      name: id.name,
+      zone: id.zone,
+      region: id.region,
+      openConnections: (address) => deps.connectionPool.idle(address),
+    },
     tuning,
   );
   const budget = createAttemptBudget({
@@ -123,7 +128,7 @@
     return !closing && current() !== null;
   }
   const relay = createRelay({
-    statuses: deps.headerNames,
+    headerNames: deps.headerNames,
     tuning,
     registry,
     budget,
--- a/src/coordination/proxy/proxy-http-server.ts
+++ b/src/coordination/proxy/proxy-http-server.ts
@@ -51,53 +51,68 @@
   readonly counts: CountTable;
 };
 
-export function proxyRoutes(deps: ProxyHttpServerDeps): Route[] {
-  const { self, ready, follower, placement, dispatcher, clock, status, counts } = deps;
-  const usedTokens = createUsedTokens();
+/** The callers' calls of one proxy. */
+interface CallerCalls {
+  routes(): Route[];
+}
+
+class TokenCallerCalls implements CallerCalls {
+  private readonly usedTokens = createUsedTokens();
+
+  constructor(private readonly deps: ProxyHttpServerDeps) {}
 
-  async function place(req: HttpRequest): Promise<HttpReply> {
+  private async place(req: HttpRequest): Promise<HttpReply> {
     const request = readPlacementRequest(req.body);
     if (!request.ok) return failureReply(request.error, 1);
     if ((request.value.model === undefined) === (request.value.mapping === undefined)) {
       return failureReply({ tag: 'malformed', detail: 'name either a model or a mapping' }, 1);
     }
-    const placed = placement.place(request.value);
+    const placed = this.deps.placement.place(request.value);
     if (placed.ok) return { status: 200, body: placed.value };
     if (placed.error.tag === 'shed') {
-      dispatcher.countRejected();
-      if (request.value.model !== undefined) dispatcher.countRequest(request.value.model);
-      count(modelOf(request.value), request.value.mapping ?? null, { outcome: 'shed', firstMs: null, wholeMs: null });
+      this.deps.dispatcher.countRejected();
+      if (request.value.model !== undefined) this.deps.dispatcher.countRequest(request.value.model);
+      this.count(this.modelOf(request.value), request.value.mapping ?? null, {
+        outcome: 'shed',
+        firstMs: null,
+        wholeMs: null,
+      });
     }
     return failureReply(placed.error, 1);
   }
 
-  function tokenOf(req: HttpRequest): AdmissionToken | Failure {
+  private tokenOf(req: HttpRequest): AdmissionToken | Failure {
     const text = req.headers[ADMISSION_TOKEN_HEADER];
     if (text === undefined) return { tag: 'malformed', detail: `the ${ADMISSION_TOKEN_HEADER} header is missing` };
-    if (!ready()) return rejection('notReady');
-    const read = readAdmissionToken(text, follower.controlState().ticketKey, proxyId(self), follower.sharedNow());
+    if (!this.deps.ready()) return rejection('notReady');
+    const read = readAdmissionToken(
+      text,
+      this.deps.follower.controlState().ticketKey,
+      proxyId(this.deps.self),
+      this.deps.follower.sharedNow(),
+    );
     if (typeof read === 'string') return rejection(read);
-    const homes = placement.homesOf(read.model, read.bound);
-    if (homes !== null && !homes.includes(self.region)) return rejection('outsideHomes');
+    const homes = this.deps.placement.homesOf(read.model, read.bound);
+    if (homes !== null && !homes.includes(this.deps.self.region)) return rejection('outsideHomes');
     return read;
   }
 
-  function mostBytes(token: AdmissionToken): number {
-    return placement.resolved(token.model)?.values.maxBodyBytes ?? 0;
+  private mostBytes(token: AdmissionToken): number {
+    return this.deps.placement.resolved(token.model)?.values.maxBodyBytes ?? 0;
   }
 
-  function gate(req: HttpRequest): HttpReply | null {
-    const token = tokenOf(req);
+  private gate(req: HttpRequest): HttpReply | null {
+    const token = this.tokenOf(req);
     if ('tag' in token) return failureReply(token, 1);
-    return Number(req.headers['content-length'] ?? 0) > mostBytes(token)
+    return Number(req.headers['content-length'] ?? 0) > this.mostBytes(token)
       ? failureReply({ tag: 'bodyTooLarge' }, 1)
       : null;
   }
 
-  function keyOf(token: AdmissionToken, body: Submit): RunKey | Failure | null {
+  private keyOf(token: AdmissionToken, body: Submit): RunKey | Failure | null {
     if (token.repeatable) return null;
     const issued = token.expiresAt - TOKEN_LIFETIME_MS;
-    const read = readRunKey(body.key ?? runKey(token.requestId, issued), follower.sharedNow());
+    const read = readRunKey(body.key ?? runKey(token.requestId, issued), this.deps.follower.sharedNow());
     if (read === 'tooOld') return { tag: 'keyTooOld' };
     if (read === 'withoutBirth')
       return { tag: 'malformed', detail: "/key: expected an id, '@' and the Unix milliseconds of its making" };
@@ -106,25 +121,30 @@
       : read;
   }
 
-  async function submit(req: HttpRequest): Promise<HttpReply> {
-    const token = tokenOf(req);
+  private async submit(req: HttpRequest): Promise<HttpReply> {
+    const token = this.tokenOf(req);
     if ('tag' in token) return failureReply(token, 1);
-    if (!usedTokens.use(token, clock.mono())) return failureReply(rejection('ticketUsed'), 1);
+    if (!this.usedTokens.use(token, this.deps.clock.mono())) return failureReply(rejection('ticketUsed'), 1);
     const body = readSubmit(req.body);
     if (!body.ok) return failureReply(body.error, 1);
     if (body.value.requestId !== token.requestId) return failureReply(rejection('ticketForeign'), 1);
     const unsized = req.headers['content-length'] === undefined;
-    if (unsized && JSON.stringify(body.value).length > mostBytes(token))
+    if (unsized && JSON.stringify(body.value).length > this.mostBytes(token))
       return failureReply({ tag: 'bodyTooLarge' }, 1);
-    dispatcher.countRequest(token.model);
-    const key = keyOf(token, body.value);
+    this.deps.dispatcher.countRequest(token.model);
+    const key = this.keyOf(token, body.value);
     if (key !== null && 'tag' in key) return failureReply(key, 1);
-    const from = clock.mono();
-    const end = await dispatcher.submit(token, body.value, key, req.gone);
+    const from = this.deps.clock.mono();
+    const end = await this.deps.dispatcher.submit(token, body.value, key, req.gone);
     const { model, bound } = token;
-    function ended(outcome: Ended['outcome'], firstMs: number | null): void {
-      count(model, bound.mapping, { outcome, firstMs, wholeMs: outcome === 'good' ? clock.mono() - from : null });
-    }
+
+    const ended = (outcome: Ended['outcome'], firstMs: number | null): void => {
+      this.count(model, bound.mapping, {
+        outcome,
+        firstMs,
+        wholeMs: outcome === 'good' ? this.deps.clock.mono() - from : null,
+      });
+    };
     if (end.tag === 'failed') {
       ended(end.failure.tag === 'shed' ? 'shed' : 'failed', null);
       return failureReply(end.failure, end.retryAfterS);
@@ -133,45 +153,64 @@
       ended('good', null);
       return { status: 200, body: end.answer };
     }
-    return { status: 200, lines: counted(end.lines, from, ended) };
+    return { status: 200, lines: this.counted(end.lines, from, ended) };
   }
 
-  async function* counted(
+  private async *counted(
     lines: AsyncIterable<AnswerLine>,
     from: number,
     ended: (outcome: Ended['outcome'], firstMs: number | null) => void,
   ): AsyncGenerator<AnswerLine> {
     let firstMs: number | null = null;
     for await (const line of lines) {
-      if ('piece' in line) firstMs ??= clock.mono() - from;
+      if ('piece' in line) firstMs ??= this.deps.clock.mono() - from;
       else ended('seal' in line ? 'good' : 'failed', firstMs);
       yield line;
     }
   }
 
-  function modelOf(request: PlacementRequest): string {
+  private modelOf(request: PlacementRequest): string {
     const mapped =
       request.mapping === undefined
         ? undefined
-        : follower.controlState().configuration.mappings?.[request.mapping]?.model;
+        : this.deps.follower.controlState().configuration.mappings?.[request.mapping]?.model;
     return mapped ?? request.model ?? '';
   }
-  function count(model: string, mapping: string | null, ended: Ended): void {
-    recordIn(counts, model, ended);
-    if (mapping !== null) recordIn(counts, routeSubject(mapping), ended);
+
+  private count(model: string, mapping: string | null, ended: Ended): void {
+    recordIn(this.deps.counts, model, ended);
+    if (mapping !== null) recordIn(this.deps.counts, routeSubject(mapping), ended);
+  }
+
+  private async health(): Promise<HttpReply> {
+    return { status: 200, body: { name: this.deps.self.name, ready: this.deps.ready() } };
   }
 
-  async function health(): Promise<HttpReply> {
-    return { status: 200, body: { name: self.name, ready: ready() } };
+  private async readStatus(): Promise<HttpReply> {
+    return { status: 200, body: this.deps.status() };
   }
-  async function readStatus(): Promise<HttpReply> {
-    return { status: 200, body: status() };
+
+  routes(): Route[] {
+    return [
+      { method: 'POST', path: PLACE_PATH, handle: (req) => this.place(req) },
+      {
+        method: 'POST',
+        path: REQUESTS_PATH,
+        maxBytes: 64 * 1_048_576,
+        gate: (req) => this.gate(req),
+        handle: (req) => this.submit(req),
+      },
+      { method: 'GET', path: EDGE_HEALTH_PATH, handle: () => this.health() },
+      { method: 'GET', path: '/v1/status', handle: () => this.readStatus() },
+    ];
   }
+}
 
-  return [
-    { method: 'POST', path: PLACE_PATH, handle: place },
-    { method: 'POST', path: REQUESTS_PATH, maxBytes: 64 * 1_048_576, gate, handle: submit },
-    { method: 'GET', path: EDGE_HEALTH_PATH, handle: health },
-    { method: 'GET', path: '/v1/status', handle: readStatus },
-  ];
+function createCallerCalls(deps: ProxyHttpServerDeps): CallerCalls {
+  return new TokenCallerCalls(deps);
+}
+
+/** Routes of the callers' HTTP interface (docs/http.md). */
+export function proxyRoutes(deps: ProxyHttpServerDeps): Route[] {
+  return createCallerCalls(deps).routes();
 }
--- a/src/sim/edge-day.ts
+++ b/src/sim/edge-day.ts
@@ -92,7 +92,7 @@
   const connectionPool: ConnectionPool = createEdgeWorkers({
     world,
     proc,
-    statuses: OPEN_WORDS,
+    headerNames: OPEN_WORDS,
     rng,
     journal,
     sabotage: options.sabotage ?? 'none',
@@ -103,12 +103,12 @@
   const models = { m: { at: 0, probePath: '/h', maxConns: 100, coldS: 0, coldRateS: 0, engine: null } };
   const table = createRouteTable({ number: 1, mappings, models, limits: DEFAULT_LIMITS });
   const book = createWorkerRegistry(
-    { name: 'edge', zone: 'z1', region: 'r', openConnections: connectionPool.idle },
+    { name: 'edge', zone: 'z1', region: 'r', openConnections: (address) => connectionPool.idle(address) },
     EDGE_TUNING,
   );
   book.applyList([1, 2, 3, 4].map(workerEntry), 0);
   const relay = options.createRelay({
-    statuses: OPEN_WORDS,
+    headerNames: OPEN_WORDS,
     tuning: EDGE_TUNING,
     registry: book,
     budget: createAttemptBudget(BOUNDS),
--- a/src/sim/edge-workers.ts
+++ b/src/sim/edge-workers.ts
@@ -15,7 +15,7 @@
 export type EdgeWorkersOptions = {
   readonly world: World;
   readonly proc: Proc;
-  readonly statuses: HeaderNames;
+  readonly headerNames: HeaderNames;
   readonly rng: Rng;
   readonly journal: EdgeJournal;
   readonly sabotage: EdgeSabotage;
@@ -70,7 +70,7 @@
 const REACHED_SHARE = 0.4;
 
 export function createEdgeWorkers(options: EdgeWorkersOptions): ConnectionPool {
-  const { world, proc, statuses, rng, journal } = options;
+  const { world, proc, headerNames, rng, journal } = options;
   const idle = new Map<string, Connection[]>();
   const dark = new Set<string>();
   let seals = 0;
@@ -145,8 +145,8 @@
   ): Visit | null {
     const given = new Map<string, string>();
     for (let i = 0; i + 1 < headers.length; i += 2) given.set(headers[i] as string, headers[i + 1] as string);
-    const id = given.get(statuses.attemptId) ?? '';
-    const handedMs = Number(given.get(statuses.deadline));
+    const id = given.get(headerNames.attemptId) ?? '';
+    const handedMs = Number(given.get(headerNames.deadline));
     const arrival: Arrival = {
       id,
       worker: what.address,
@@ -163,7 +163,7 @@
     }
     const asked = journal.asked.find(isIt);
     if (!asked || left) return null;
-    const from = Number(given.get(statuses.lastEvent) ?? 0);
+    const from = Number(given.get(headerNames.lastEvent) ?? 0);
     const made: Visit = { arrival, asked, connection, address: what.address, events, from, at: 0, left: false };
     if (partly) begin(made);
     else
@@ -189,7 +189,7 @@
   function head(visit: Visit, status: number, headers: Readonly<Record<string, string>>): void {
     function tell(): void {
       function get(name: string): string | null {
-        if (options.sabotage === 'idsIgnored' && name === statuses.attemptId) return visit.arrival.id;
+        if (options.sabotage === 'idsIgnored' && name === headerNames.attemptId) return visit.arrival.id;
         return headers[name] ?? null;
       }
       visit.events.head(status, Object.entries(headers).flat(), get);
@@ -224,17 +224,17 @@
   }
   /** A second answer to the request before, as it may lie unread when the connection is taken again. */
   function surplusOf(visit: Visit): Head {
-    const mine = { [statuses.attemptId]: visit.arrival.id };
-    if (chance(0.5)) return { status: 200, headers: { ...mine, [statuses.seal]: visit.arrival.seal ?? 'none' } };
+    const mine = { [headerNames.attemptId]: visit.arrival.id };
+    if (chance(0.5)) return { status: 200, headers: { ...mine, [headerNames.seal]: visit.arrival.seal ?? 'none' } };
     return {
       status: chance(0.5) ? 421 : 503,
-      headers: chance(0.3) ? { [statuses.notRun]: '1' } : { ...mine, [statuses.notRun]: '1' },
+      headers: chance(0.3) ? { [headerNames.notRun]: '1' } : { ...mine, [headerNames.notRun]: '1' },
     };
   }
 
   function behave(visit: Visit, behaviour: Behaviour): void {
-    const mine = { [statuses.attemptId]: visit.arrival.id };
-    const refusal = { ...mine, [statuses.notRun]: '1' };
+    const mine = { [headerNames.attemptId]: visit.arrival.id };
+    const refusal = { ...mine, [headerNames.notRun]: '1' };
     if (visit.connection.surplus) {
       begin(visit);
       head(visit, visit.connection.surplus.status, visit.connection.surplus.headers);
@@ -247,7 +247,7 @@
         head(visit, chance(0.5) ? 503 : 429, refusal);
         return end(visit);
       case 'refusesWithoutId':
-        head(visit, 503, { [statuses.notRun]: '1' });
+        head(visit, 503, { [headerNames.notRun]: '1' });
         return end(visit);
       case 'wrongWorker':
         head(visit, 421, mine);
@@ -256,20 +256,20 @@
         return fail(visit, 'reset');
       case 'foreignRefusal':
         begin(visit);
-        head(visit, chance(0.5) ? 421 : 503, { ...refusal, [statuses.attemptId]: 'another' });
+        head(visit, chance(0.5) ? 421 : 503, { ...refusal, [headerNames.attemptId]: 'another' });
         return end(visit);
       case 'foreignAnswer':
         begin(visit);
-        head(visit, 200, { [statuses.attemptId]: 'another', [statuses.seal]: 'seal-of-another' });
+        head(visit, 200, { [headerNames.attemptId]: 'another', [headerNames.seal]: 'seal-of-another' });
         data(visit, 'an answer for another');
         return end(visit);
       default:
-        runAs(visit, behaviour, { ...mine, [statuses.seal]: begin(visit) });
+        runAs(visit, behaviour, { ...mine, [headerNames.seal]: begin(visit) });
     }
   }
 
   function runAs(visit: Visit, behaviour: Behaviour, sealed: Readonly<Record<string, string>>): void {
-    const mine = { [statuses.attemptId]: visit.arrival.id };
+    const mine = { [headerNames.attemptId]: visit.arrival.id };
     switch (behaviour) {
       case 'resetAfterRun':
         return fail(visit, 'reset');
--- a/src/sim/model/watched-wire.ts
+++ b/src/sim/model/watched-wire.ts
@@ -47,7 +47,7 @@
     }
     inner.attach({ ...events, frame });
   }
-  return { peer: inner.peer, send, close: inner.close, attach };
+  return { peer: inner.peer, send, close: () => inner.close(), attach };
 }
 
 export function watchWire(inner: Wire, votes: VoteFacts, loses: LosesFrame, isAlive: IsAlive): Wire {
--- a/src/standin/full-disk.ts
+++ b/src/standin/full-disk.ts
@@ -25,5 +25,5 @@
     }
     return unless(name, go);
   }
-  return { list: disk.list, preallocated, replace, load: disk.load };
+  return { list: () => disk.list(), preallocated, replace, load: (name) => disk.load(name) };
 }
--- a/src/standin/slow-net.ts
+++ b/src/standin/slow-net.ts
@@ -77,7 +77,7 @@
       }
       connection.attach({ frame, closed });
     }
-    return { peer: connection.peer, send, attach, close: connection.close };
+    return { peer: connection.peer, send, attach, close: () => connection.close() };
   }
   async function dial(address: Address): Promise<Result<Connection, WireError>> {
     const path = pathTo(address);
@@ -89,7 +89,7 @@
     const got = await wire.dial(address);
     return got.ok ? ok(slowConnection(got.value, path)) : got;
   }
-  return { listen: wire.listen, dial };
+  return { listen: (address, onConnection) => wire.listen(address, onConnection), dial };
 }
 
 export function slowHttpClient(httpClient: HttpClient, clock: Clock, pathTo: PathTo): HttpClient {
--- a/src/state/scaling/observed-orders.ts
+++ b/src/state/scaling/observed-orders.ts
@@ -70,158 +70,196 @@
   return steps;
 }
 
-export function decideObserved(
-  rule: ObservedRule,
-  controlState: ControlState,
-  observation: ListObservation,
-  memory: ObservedMemory,
-  nextOrderId: () => string,
-): Step[] {
-  const { model, values } = rule;
-  const steps: Step[] = [];
-  const zones: string[] = [];
-  for (const zone of rule.zones) if (controlState.evacuated[zone] === undefined) zones.push(zone);
-  const before = controlState.zoneSets[model];
-  let sets: ZoneSets = before ? alignZones(before, zones) : initialZones(zones);
-  let why = before ? 'The enabled zones changed.' : 'The model is new: all enabled zones are active.';
-  const listed = new Map<string, WorkerEntry>();
-  for (const worker of observation.list) if (worker.model === model) listed.set(worker.id, worker);
-  let standing: Order[] = [];
-
-  const target = decideTarget();
-  const openOrders = recordSince();
-  resolveOpen();
-  adoptNew();
-  decideKind('spot', zones.length === 0 ? 0 : target + values.nExtra);
-  decideKind('onDemand', zones.length === 0 ? 0 : decideMixture(target, values.nExtra, readySpot()).onDemand);
-  if (!before || !sameMembers(before, sets)) {
-    steps.unshift({
-      cause: why,
-      act: { tag: 'zonesMoved', model, active: [...sets.active], preemptive: [...sets.preemptive] },
-    });
+/** One pass over a model: what it decided stands in the steps. */
+interface ObservedDecision {
+  decide(): Step[];
+}
+
+class ObservedDecisionPass implements ObservedDecision {
+  private readonly steps: Step[] = [];
+  private readonly zones: string[] = [];
+  private readonly before: ZoneSets | undefined;
+  private sets: ZoneSets;
+  private why: string;
+  private readonly listed = new Map<string, WorkerEntry>();
+  private standing: Order[] = [];
+  private target = 0;
+  private openOrders: Order[] = [];
+
+  constructor(
+    private readonly rule: ObservedRule,
+    private readonly controlState: ControlState,
+    private readonly observation: ListObservation,
+    private readonly memory: ObservedMemory,
+    private readonly nextOrderId: () => string,
+  ) {
+    for (const zone of this.rule.zones) if (this.controlState.evacuated[zone] === undefined) this.zones.push(zone);
+    this.before = this.controlState.zoneSets[this.rule.model];
+    this.sets = this.before ? alignZones(this.before, this.zones) : initialZones(this.zones);
+    this.why = this.before ? 'The enabled zones changed.' : 'The model is new: all enabled zones are active.';
+
+    for (const worker of this.observation.list)
+      if (worker.model === this.rule.model) this.listed.set(worker.id, worker);
+  }
+
+  decide(): Step[] {
+    this.target = this.decideTarget();
+    this.openOrders = this.recordSince();
+    this.resolveOpen();
+    this.adoptNew();
+    this.decideKind('spot', this.zones.length === 0 ? 0 : this.target + this.rule.values.nExtra);
+    this.decideKind(
+      'onDemand',
+      this.zones.length === 0 ? 0 : decideMixture(this.target, this.rule.values.nExtra, this.readySpot()).onDemand,
+    );
+    if (!this.before || !sameMembers(this.before, this.sets)) {
+      this.steps.unshift({
+        cause: this.why,
+        act: {
+          tag: 'zonesMoved',
+          model: this.rule.model,
+          active: [...this.sets.active],
+          preemptive: [...this.sets.preemptive],
+        },
+      });
+    }
+    return this.steps;
   }
-  return steps;
 
-  function full(): boolean {
-    return steps.length >= MOST_STEPS;
+  private full(): boolean {
+    return this.steps.length >= MOST_STEPS;
   }
 
-  function decideTarget(): number {
-    const known = controlState.targets[model];
+  private decideTarget(): number {
+    const known = this.controlState.targets[this.rule.model];
     if (known === undefined) {
-      steps.push({
+      this.steps.push({
         cause: 'The model starts at its lowest target.',
-        act: { tag: 'targetChanged', model, target: values.minTarget },
+        act: { tag: 'targetChanged', model: this.rule.model, target: this.rule.values.minTarget },
       });
-      return values.minTarget;
+      return this.rule.values.minTarget;
     }
     const step = stepTarget(
       known,
-      observation.rate,
-      { qTar: values.qTar, holdMs: values.holdS * 1_000, minTarget: values.minTarget, maxTarget: values.maxTarget },
-      memory.pendingChange,
-      observation.now,
+      this.observation.rate,
+      {
+        qTar: this.rule.values.qTar,
+        holdMs: this.rule.values.holdS * 1_000,
+        minTarget: this.rule.values.minTarget,
+        maxTarget: this.rule.values.maxTarget,
+      },
+      this.memory.pendingChange,
+      this.observation.now,
     );
-    memory.pendingChange = step.pending;
+    this.memory.pendingChange = step.pending;
     if (step.target !== known) {
-      const shown = observation.rate === null ? 'unknown' : observation.rate.perSecond.toFixed(2);
-      steps.push({
-        cause: `Rate ${shown}/s over ${values.windowS}s against ${values.qTar}/s a worker.`,
-        act: { tag: 'targetChanged', model, target: step.target },
+      const shown = this.observation.rate === null ? 'unknown' : this.observation.rate.perSecond.toFixed(2);
+      this.steps.push({
+        cause: `Rate ${shown}/s over ${this.rule.values.windowS}s against ${this.rule.values.qTar}/s a worker.`,
+        act: { tag: 'targetChanged', model: this.rule.model, target: step.target },
       });
     }
     return step.target;
   }
 
-  function recordSince(): Order[] {
-    const orders = ordersOf(controlState, model);
+  private recordSince(): Order[] {
+    const orders = ordersOf(this.controlState, this.rule.model);
     const open = new Set<string>();
     for (const order of orders) open.add(order.id);
-    for (const since of [memory.intendedSince, memory.goneSince])
+    for (const since of [this.memory.intendedSince, this.memory.goneSince])
       for (const id of since.keys()) if (!open.has(id)) since.delete(id);
     for (const order of orders) {
-      if (order.status === 'intended' && !memory.intendedSince.has(order.id))
-        memory.intendedSince.set(order.id, observation.now);
-      if (order.machine === null || listed.has(order.machine)) memory.goneSince.delete(order.id);
-      else if (!memory.goneSince.has(order.id)) memory.goneSince.set(order.id, observation.now);
+      if (order.status === 'intended' && !this.memory.intendedSince.has(order.id))
+        this.memory.intendedSince.set(order.id, this.observation.now);
+      if (order.machine === null || this.listed.has(order.machine)) this.memory.goneSince.delete(order.id);
+      else if (!this.memory.goneSince.has(order.id)) this.memory.goneSince.set(order.id, this.observation.now);
     }
     return orders;
   }
-  function forMs(since: ReadonlyMap<string, number>, order: Order): number {
-    return observation.now - (since.get(order.id) ?? observation.now);
+
+  private forMs(since: ReadonlyMap<string, number>, order: Order): number {
+    return this.observation.now - (since.get(order.id) ?? this.observation.now);
   }
 
-  function lose(order: Order, cause: string): void {
+  private lose(order: Order, cause: string): void {
     const preempted = order.kind === 'spot';
-    steps.push({ cause, act: { tag: 'orderLost', order: order.id, preempted } });
-    if (preempted) demote(order.zone, `A spot worker was lost in ${order.zone}.`);
+    this.steps.push({ cause, act: { tag: 'orderLost', order: order.id, preempted } });
+    if (preempted) this.demote(order.zone, `A spot worker was lost in ${order.zone}.`);
   }
-  function demote(zone: string, cause: string): void {
-    const moved = handlePreemption(sets, zone);
-    if (moved !== sets) why = cause;
-    sets = moved;
+
+  private demote(zone: string, cause: string): void {
+    const moved = handlePreemption(this.sets, zone);
+    if (moved !== this.sets) this.why = cause;
+    this.sets = moved;
   }
-  function launched(kind: Kind, zone: string): void {
-    const moved = kind === 'spot' ? handleLaunch(sets, zone) : sets;
-    if (moved !== sets) why = `A launch became ready in ${zone}.`;
-    sets = moved;
+
+  private launched(kind: Kind, zone: string): void {
+    const moved = kind === 'spot' ? handleLaunch(this.sets, zone) : this.sets;
+    if (moved !== this.sets) this.why = `A launch became ready in ${zone}.`;
+    this.sets = moved;
   }
 
-  function resolveOpen(): void {
-    for (const order of openOrders) if (!isResolved(order) && counts(order)) standing.push(order);
+  private resolveOpen(): void {
+    for (const order of this.openOrders) if (!this.isResolved(order) && counts(order)) this.standing.push(order);
   }
-  function isResolved(order: Order): boolean {
-    if (full()) return false;
-    if (order.machine === null) return isIntendedResolved(order);
-    const worker = listed.get(order.machine);
-    if (!worker) return isMissingResolved(order);
+
+  private isResolved(order: Order): boolean {
+    if (this.full()) return false;
+    if (order.machine === null) return this.isIntendedResolved(order);
+    const worker = this.listed.get(order.machine);
+    if (!worker) return this.isMissingResolved(order);
     if (order.status === 'draining') return true;
     if (worker.leaving && worker.remainingMs !== null)
-      lose(order, `Taken away at short notice: ${Math.round(worker.remainingMs)} ms were left.`);
+      this.lose(order, `Taken away at short notice: ${Math.round(worker.remainingMs)} ms were left.`);
     else if (worker.leaving)
-      steps.push({
+      this.steps.push({
         cause: 'The platform empties the worker in order.',
         act: { tag: 'orderDraining', order: order.id },
       });
-    else if (observation.dead.has(worker.id)) lose(order, 'Listed, but for long no proxy finds it fit.');
+    else if (this.observation.dead.has(worker.id)) this.lose(order, 'Listed, but for long no proxy finds it fit.');
     else if (order.status === 'placed' && worker.coldMs === 0) {
-      steps.push({ cause: 'The worker is listed as serving, and warm.', act: { tag: 'orderReady', order: order.id } });
-      launched(order.kind, order.zone);
-      standing.push({ ...order, status: 'ready' });
+      this.steps.push({
+        cause: 'The worker is listed as serving, and warm.',
+        act: { tag: 'orderReady', order: order.id },
+      });
+      this.launched(order.kind, order.zone);
+      this.standing.push({ ...order, status: 'ready' });
     } else return false;
     return true;
   }
-  function isIntendedResolved(order: Order): boolean {
-    if (!zones.includes(order.zone))
-      steps.push({ cause: `${order.zone} is not enabled.`, act: { tag: 'orderReleased', order: order.id } });
-    else if (forMs(memory.intendedSince, order) > values.launchTimeoutS * 1_000) {
-      steps.push({
-        cause: `Nothing came of it within ${values.launchTimeoutS}s.`,
+
+  private isIntendedResolved(order: Order): boolean {
+    if (!this.zones.includes(order.zone))
+      this.steps.push({ cause: `${order.zone} is not enabled.`, act: { tag: 'orderReleased', order: order.id } });
+    else if (this.forMs(this.memory.intendedSince, order) > this.rule.values.launchTimeoutS * 1_000) {
+      this.steps.push({
+        cause: `Nothing came of it within ${this.rule.values.launchTimeoutS}s.`,
         act: { tag: 'orderFailed', order: order.id },
       });
-      if (order.kind === 'spot') demote(order.zone, `A launch in ${order.zone} never came.`);
+      if (order.kind === 'spot') this.demote(order.zone, `A launch in ${order.zone} never came.`);
     } else return false;
     return true;
   }
-  function isMissingResolved(order: Order): boolean {
-    if (forMs(memory.goneSince, order) < VANISHED_MS) return false;
-    if (order.status === 'draining' || observation.planned.has(order.machine as string)) {
-      steps.push({
+
+  private isMissingResolved(order: Order): boolean {
+    if (this.forMs(this.memory.goneSince, order) < VANISHED_MS) return false;
+    if (order.status === 'draining' || this.observation.planned.has(order.machine as string)) {
+      this.steps.push({
         cause: 'Emptied in order, and gone from the list.',
         act: { tag: 'orderReleased', order: order.id },
       });
-    } else lose(order, 'Gone from the list without notice.');
+    } else this.lose(order, 'Gone from the list without notice.');
     return true;
   }
 
-  function adoptNew(): void {
+  private adoptNew(): void {
     const machines = new Set<string | null>();
-    for (const order of openOrders) machines.add(order.machine);
+    for (const order of this.openOrders) machines.add(order.machine);
     const adopted: { order: string; zone: string; machine: string; ready: boolean }[] = [];
-    for (const worker of listed.values()) {
-      if (machines.has(worker.id) || worker.leaving || observation.dead.has(worker.id)) continue;
-      const order = oldestIntended(worker.zone);
-      if (order) matchOrder(order, worker);
+    for (const worker of this.listed.values()) {
+      if (machines.has(worker.id) || worker.leaving || this.observation.dead.has(worker.id)) continue;
+      const order = this.oldestIntended(worker.zone);
+      if (order) this.matchOrder(order, worker);
       else if (adopted.length < MOST_ADOPTED)
         adopted.push({
           order: `found-${worker.id}`,
@@ -231,14 +269,14 @@
         });
     }
     if (adopted.length === 0) return;
-    const cause = before
+    const cause = this.before
       ? 'Appeared in the list without an order of ours.'
       : 'Stood in the list when the model was first looked at.';
-    steps.push({ cause, act: { tag: 'ordersAdopted', model, kind: 'spot', adopted } });
+    this.steps.push({ cause, act: { tag: 'ordersAdopted', model: this.rule.model, kind: 'spot', adopted } });
     for (const first of adopted) {
-      standing.push({
+      this.standing.push({
         id: first.order,
-        model,
+        model: this.rule.model,
         zone: first.zone,
         kind: 'spot',
         accelerator: 'any',
@@ -246,28 +284,33 @@
         machine: first.machine,
         events: [],
       });
-      if (first.ready) launched('spot', first.zone);
+      if (first.ready) this.launched('spot', first.zone);
     }
   }
-  function oldestIntended(zone: string): Order | null {
+
+  private oldestIntended(zone: string): Order | null {
     let best: Order | null = null;
-    for (const order of standing)
+    for (const order of this.standing)
       if (order.status === 'intended' && order.zone === zone && (best === null || firstSlot(order) < firstSlot(best)))
         best = order;
     return best;
   }
-  function matchOrder(order: Order, worker: WorkerEntry): void {
-    if (full()) return;
+
+  private matchOrder(order: Order, worker: WorkerEntry): void {
+    if (this.full()) return;
     const ready = worker.coldMs === 0;
-    steps.push({
+    this.steps.push({
       cause: `${worker.id} appeared in ${worker.zone}.`,
       act: { tag: 'orderPlaced', order: order.id, machine: worker.id },
     });
     if (ready) {
-      steps.push({ cause: 'The worker is listed as serving, and warm.', act: { tag: 'orderReady', order: order.id } });
-      launched(order.kind, order.zone);
+      this.steps.push({
+        cause: 'The worker is listed as serving, and warm.',
+        act: { tag: 'orderReady', order: order.id },
+      });
+      this.launched(order.kind, order.zone);
     }
-    standing = standing.map(moved);
+    this.standing = this.standing.map(moved);
     function moved(candidate: Order): Order {
       return candidate.id === order.id
         ? { ...candidate, status: ready ? 'ready' : 'placed', machine: worker.id }
@@ -275,57 +318,83 @@
     }
   }
 
-  function ofKind(kind: Kind): Order[] {
+  private ofKind(kind: Kind): Order[] {
     const out: Order[] = [];
-    for (const order of standing) if (order.kind === kind && zones.includes(order.zone)) out.push(order);
+    for (const order of this.standing) if (order.kind === kind && this.zones.includes(order.zone)) out.push(order);
     return out;
   }
-  function readySpot(): number {
+
+  private readySpot(): number {
     let count = 0;
-    for (const order of ofKind('spot')) if (order.status === 'ready') count += 1;
+    for (const order of this.ofKind('spot')) if (order.status === 'ready') count += 1;
     return count;
   }
 
-  function decideKind(kind: Kind, wanted: number): void {
-    const list = ofKind(kind);
+  private decideKind(kind: Kind, wanted: number): void {
+    const list = this.ofKind(kind);
     const occupied = new Set<string>();
     for (const order of list) occupied.add(order.zone);
-    const from: ZoneSets = kind === 'spot' ? sets : { active: zones, preemptive: [] };
-    for (let count = list.length; count < wanted && !full(); count += 1) {
-      const zone = kind === 'spot' ? selectNextZone(from, rule.zones, occupied, samePrice) : (zones[0] ?? null);
+    const from: ZoneSets = kind === 'spot' ? this.sets : { active: this.zones, preemptive: [] };
+    for (let count = list.length; count < wanted && !this.full(); count += 1) {
+      const zone =
+        kind === 'spot' ? selectNextZone(from, this.rule.zones, occupied, samePrice) : (this.zones[0] ?? null);
       if (zone === null) return;
       occupied.add(zone);
       const cause =
         kind === 'spot'
-          ? `Spot ${count + 1} of ${wanted} (target ${target} + extra ${values.nExtra}).`
-          : `Fallback ${count + 1} of ${wanted}: ${readySpot()} spot ready of ${target + values.nExtra}.`;
-      steps.push({
+          ? `Spot ${count + 1} of ${wanted} (target ${this.target} + extra ${this.rule.values.nExtra}).`
+          : `Fallback ${count + 1} of ${wanted}: ${this.readySpot()} spot ready of ${this.target + this.rule.values.nExtra}.`;
+      this.steps.push({
         cause,
         act: {
           tag: 'orderIntended',
-          order: nextOrderId(),
-          model,
+          order: this.nextOrderId(),
+          model: this.rule.model,
           zone,
           kind,
-          accelerator: values.accelerators[0] ?? 'any',
+          accelerator: this.rule.values.accelerators[0] ?? 'any',
         },
       });
     }
     let over = list.length - wanted;
     for (const order of [...list].sort(firstToGo)) {
-      if (over <= 0 || full()) return;
+      if (over <= 0 || this.full()) return;
       over -= 1;
       if (order.status === 'intended')
-        steps.push({ cause: `Only ${wanted} are wanted; withdrawn.`, act: { tag: 'orderReleased', order: order.id } });
+        this.steps.push({
+          cause: `Only ${wanted} are wanted; withdrawn.`,
+          act: { tag: 'orderReleased', order: order.id },
+        });
       else if (kind === 'onDemand')
-        steps.push({
-          cause: `Enough spot is ready: ${readySpot()} of ${target + values.nExtra}.`,
+        this.steps.push({
+          cause: `Enough spot is ready: ${this.readySpot()} of ${this.target + this.rule.values.nExtra}.`,
           act: { tag: 'orderDraining', order: order.id },
         });
     }
   }
 }
 
+function createObservedDecision(
+  rule: ObservedRule,
+  controlState: ControlState,
+  observation: ListObservation,
+  memory: ObservedMemory,
+  nextOrderId: () => string,
+): ObservedDecision {
+  return new ObservedDecisionPass(rule, controlState, observation, memory, nextOrderId);
+}
+
+/** The steps that bring a model's orders closer to what the list shows and the rate asks for. */
+export function decideObserved(
+  rule: ObservedRule,
+  controlState: ControlState,
+  observation: ListObservation,
+  memory: ObservedMemory,
+  nextOrderId: () => string,
+): Step[] {
+  return createObservedDecision(rule, controlState, observation, memory, nextOrderId).decide();
+}
+
 function sameMembers(left: ZoneSets, right: ZoneSets): boolean {
   return (
     [...left.active].sort().join() === [...right.active].sort().join() &&
--- a/src/state/scaling/scaler-decide.ts
+++ b/src/state/scaling/scaler-decide.ts
@@ -12,7 +12,7 @@
 import type { ResolvedModel } from '../configuration/settings-tree.js';
 import { stepTarget } from './target.js';
 import { memoryOf, recordLaunchFailed, recordLaunchSucceeded } from './scaler-memory.js';
-import type { ScalerMemory } from './scaler-memory.js';
+import type { ScalerMemory, ModelMemory } from './scaler-memory.js';
 import type { ObservedMachine, ObservedWorker, ScalerObservation } from './scaler-observation.js';
 import {
   alignZones,
@@ -44,121 +44,143 @@
   return 0;
 }
 
-/** What to change for a model now; zone sets first, if they changed. */
-export function decideModel(
-  resolved: ResolvedModel,
-  controlState: ControlState,
-  observation: ScalerObservation,
-  memory: ScalerMemory,
-  nextOrderId: () => string,
-): Decision[] {
-  const { model, values } = resolved;
-  const out: Decision[] = [];
-  const mem = memoryOf(memory, model);
-  const zones = openZones(values.zones, controlState);
-  const before = controlState.zoneSets[model];
-  let sets: ZoneSets = before ? alignZones(before, zones) : initialZones(zones);
-  let why = before ? 'The enabled zones changed.' : 'The model is new: all enabled zones are active.';
+/** One pass over a model: what it decided stands in `out`. */
+interface ModelDecision {
+  decide(): Decision[];
+}
 
-  for (const zone of observation.failedIn) demote(zone, `No spot capacity in ${zone}.`);
-  const target = decideTarget();
-  const orders = ordersOf(controlState, model);
-  recordPlaced();
-  const standing = resolveOrders();
-  decideSpot();
-  decideOnDemand();
-  if (!before || !sameZones(before, sets)) {
-    out.unshift({
-      cause: why,
-      act: { tag: 'zonesMoved', model, active: [...sets.active], preemptive: [...sets.preemptive] },
-    });
+class ModelDecisionPass implements ModelDecision {
+  private readonly out: Decision[] = [];
+  private readonly mem: ModelMemory;
+  private readonly zones: string[];
+  private readonly before: ZoneSets | undefined;
+  private sets: ZoneSets;
+  private why: string;
+  private target = 0;
+  private orders: Order[] = [];
+  private standing: Order[] = [];
+
+  constructor(
+    private readonly resolved: ResolvedModel,
+    private readonly controlState: ControlState,
+    private readonly observation: ScalerObservation,
+    private readonly memory: ScalerMemory,
+    private readonly nextOrderId: () => string,
+  ) {
+    this.mem = memoryOf(this.memory, this.resolved.model);
+    this.zones = openZones(this.resolved.values.zones, this.controlState);
+    this.before = this.controlState.zoneSets[this.resolved.model];
+    this.sets = this.before ? alignZones(this.before, this.zones) : initialZones(this.zones);
+    this.why = this.before ? 'The enabled zones changed.' : 'The model is new: all enabled zones are active.';
+  }
+
+  decide(): Decision[] {
+    for (const zone of this.observation.failedIn) this.demote(zone, `No spot capacity in ${zone}.`);
+    this.target = this.decideTarget();
+    this.orders = ordersOf(this.controlState, this.resolved.model);
+    this.recordPlaced();
+    this.standing = this.resolveOrders();
+    this.decideSpot();
+    this.decideOnDemand();
+    if (!this.before || !sameZones(this.before, this.sets)) {
+      this.out.unshift({
+        cause: this.why,
+        act: {
+          tag: 'zonesMoved',
+          model: this.resolved.model,
+          active: [...this.sets.active],
+          preemptive: [...this.sets.preemptive],
+        },
+      });
+    }
+    return this.out;
   }
-  return out;
 
-  function recordPlaced(): void {
+  private recordPlaced(): void {
     const open = new Set<string>();
-    for (const order of orders) {
+    for (const order of this.orders) {
       if (order.machine === null) continue;
       open.add(order.id);
-      if (!mem.placedSince.has(order.id)) mem.placedSince.set(order.id, observation.now);
+      if (!this.mem.placedSince.has(order.id)) this.mem.placedSince.set(order.id, this.observation.now);
     }
-    for (const id of mem.placedSince.keys()) if (!open.has(id)) mem.placedSince.delete(id);
+    for (const id of this.mem.placedSince.keys()) if (!open.has(id)) this.mem.placedSince.delete(id);
   }
-  function placedForMs(order: Order): number {
-    return observation.now - (mem.placedSince.get(order.id) ?? observation.now);
+
+  private placedForMs(order: Order): number {
+    return this.observation.now - (this.mem.placedSince.get(order.id) ?? this.observation.now);
   }
 
-  function decideTarget(): number {
+  private decideTarget(): number {
     const rule = {
-      qTar: values.qTar,
-      holdMs: values.holdS * 1_000,
-      minTarget: values.minTarget,
-      maxTarget: values.maxTarget,
+      qTar: this.resolved.values.qTar,
+      holdMs: this.resolved.values.holdS * 1_000,
+      minTarget: this.resolved.values.minTarget,
+      maxTarget: this.resolved.values.maxTarget,
     };
-    const known = controlState.targets[model];
-    const rate = observation.rates[model] ?? null;
+    const known = this.controlState.targets[this.resolved.model];
+    const rate = this.observation.rates[this.resolved.model] ?? null;
     if (known === undefined) {
-      out.push({
+      this.out.push({
         cause: 'The model starts at its lowest target.',
-        act: { tag: 'targetChanged', model, target: values.minTarget },
+        act: { tag: 'targetChanged', model: this.resolved.model, target: this.resolved.values.minTarget },
       });
-      return values.minTarget;
+      return this.resolved.values.minTarget;
     }
-    const step = stepTarget(known, rate, rule, mem.pendingChange, observation.now);
-    mem.pendingChange = step.pending;
+    const step = stepTarget(known, rate, rule, this.mem.pendingChange, this.observation.now);
+    this.mem.pendingChange = step.pending;
     if (step.target !== known) {
       const shown = rate === null ? 'unknown' : rate.perSecond.toFixed(2);
-      out.push({
-        cause: `Rate ${shown}/s over ${values.windowS}s against ${values.qTar}/s a worker.`,
-        act: { tag: 'targetChanged', model, target: step.target },
+      this.out.push({
+        cause: `Rate ${shown}/s over ${this.resolved.values.windowS}s against ${this.resolved.values.qTar}/s a worker.`,
+        act: { tag: 'targetChanged', model: this.resolved.model, target: step.target },
       });
     }
     return step.target;
   }
 
-  function lose(order: Order, cause: string): void {
+  private lose(order: Order, cause: string): void {
     const preempted = order.kind === 'spot';
-    out.push({ cause, act: { tag: 'orderLost', order: order.id, preempted } });
-    if (preempted) demote(order.zone, `A spot worker was lost in ${order.zone}.`);
+    this.out.push({ cause, act: { tag: 'orderLost', order: order.id, preempted } });
+    if (preempted) this.demote(order.zone, `A spot worker was lost in ${order.zone}.`);
   }
 
-  function demote(zone: string, cause: string): void {
-    sets = handlePreemption(sets, zone);
-    why = cause;
+  private demote(zone: string, cause: string): void {
+    this.sets = handlePreemption(this.sets, zone);
+    this.why = cause;
   }
 
-  function resolveOrders(): Order[] {
+  private resolveOrders(): Order[] {
     const left: Order[] = [];
-    for (const order of orders) {
+    for (const order of this.orders) {
       if (!counts(order)) continue;
-      const reason = lossOf(order);
+      const reason = this.lossOf(order);
       if (reason) {
-        lose(order, reason);
+        this.lose(order, reason);
         continue;
       }
-      if (controlState.evacuated[order.zone] !== undefined && order.status !== 'intended') {
-        out.push({ cause: `${order.zone} is being evacuated.`, act: { tag: 'orderDraining', order: order.id } });
+      if (this.controlState.evacuated[order.zone] !== undefined && order.status !== 'intended') {
+        this.out.push({ cause: `${order.zone} is being evacuated.`, act: { tag: 'orderDraining', order: order.id } });
         continue;
       }
       if (order.status === 'placed') {
-        if (workerOf(order)?.state === 'ready') {
-          out.push({ cause: 'The worker is ready.', act: { tag: 'orderReady', order: order.id } });
-          recordLaunchSucceeded(memory, model, order.kind, order.zone);
+        if (this.workerOf(order)?.state === 'ready') {
+          this.out.push({ cause: 'The worker is ready.', act: { tag: 'orderReady', order: order.id } });
+          recordLaunchSucceeded(this.memory, this.resolved.model, order.kind, order.zone);
           if (order.kind === 'spot') {
-            const moved = handleLaunch(sets, order.zone);
-            if (moved !== sets) why = `A launch became ready in ${order.zone}.`;
-            sets = moved;
+            const moved = handleLaunch(this.sets, order.zone);
+            if (moved !== this.sets) this.why = `A launch became ready in ${order.zone}.`;
+            this.sets = moved;
           }
           left.push({ ...order, status: 'ready' });
           continue;
         }
-        if (placedForMs(order) > values.launchTimeoutS * 1_000) {
-          out.push({
-            cause: `Not ready within ${values.launchTimeoutS}s.`,
+        if (this.placedForMs(order) > this.resolved.values.launchTimeoutS * 1_000) {
+          this.out.push({
+            cause: `Not ready within ${this.resolved.values.launchTimeoutS}s.`,
             act: { tag: 'orderDraining', order: order.id },
           });
-          recordLaunchFailed(memory, model, order.kind, order.zone, observation.now);
-          if (order.kind === 'spot') demote(order.zone, `A launch in ${order.zone} never became ready.`);
+          recordLaunchFailed(this.memory, this.resolved.model, order.kind, order.zone, this.observation.now);
+          if (order.kind === 'spot') this.demote(order.zone, `A launch in ${order.zone} never became ready.`);
           continue;
         }
       }
@@ -167,83 +189,91 @@
     return left;
   }
 
-  function workerOf(order: Order): ObservedWorker | null {
-    for (const worker of observation.workers ?? []) if (worker.machine === order.machine) return worker;
+  private workerOf(order: Order): ObservedWorker | null {
+    for (const worker of this.observation.workers ?? []) if (worker.machine === order.machine) return worker;
     return null;
   }
 
-  function lossOf(order: Order): string | null {
+  private lossOf(order: Order): string | null {
     if (order.status === 'intended' || order.machine === null) return null;
-    if (placedSlot(order) > observation.asOf) return null;
-    if (observation.machines) {
+    if (placedSlot(order) > this.observation.asOf) return null;
+    if (this.observation.machines) {
       let seen: ObservedMachine | null = null;
-      for (const machine of observation.machines) if (machine.id === order.machine) seen = machine;
+      for (const machine of this.observation.machines) if (machine.id === order.machine) seen = machine;
       if (
         !seen &&
-        !observation.knownMachines.has(order.machine) &&
-        !isUnlisted(order) &&
-        placedForMs(order) < LIST_LAG_MS
+        !this.observation.knownMachines.has(order.machine) &&
+        !this.isUnlisted(order) &&
+        this.placedForMs(order) < LIST_LAG_MS
       )
         return null;
       if (!seen || seen.state === 'gone') return 'The cloud reports the machine gone.';
       if (seen.state === 'reclaiming') return 'The cloud is reclaiming the machine.';
     }
-    if (workerOf(order)?.state === 'draining') return 'The platform lists the worker as leaving.';
-    if (order.status === 'ready' && observation.deadMachines.has(order.machine))
+    if (this.workerOf(order)?.state === 'draining') return 'The platform lists the worker as leaving.';
+    if (order.status === 'ready' && this.observation.deadMachines.has(order.machine))
       return 'The worker no longer answers probes.';
     return null;
   }
 
-  function isUnlisted(order: Order): boolean {
-    return order.status === 'ready' && observation.workers !== null && workerOf(order) === null;
+  private isUnlisted(order: Order): boolean {
+    return order.status === 'ready' && this.observation.workers !== null && this.workerOf(order) === null;
   }
 
-  function spotPrice(zone: string): number {
-    return observation.prices[zone]?.spot ?? Number.MAX_VALUE;
+  private spotPrice(zone: string): number {
+    return this.observation.prices[zone]?.spot ?? Number.MAX_VALUE;
   }
-  function onDemandPrice(zone: string): number {
-    return observation.prices[zone]?.onDemand ?? Number.MAX_VALUE;
+
+  private onDemandPrice(zone: string): number {
+    return this.observation.prices[zone]?.onDemand ?? Number.MAX_VALUE;
   }
-  function resting(kind: Kind): (zone: string) => boolean {
-    function check(zone: string): boolean {
-      const delay = mem.retryDelay.get(`${kind} ${zone}`);
-      return delay !== undefined && delay.until > observation.now;
-    }
+
+  private resting(kind: Kind): (zone: string) => boolean {
+    const check = (zone: string): boolean => {
+      const delay = this.mem.retryDelay.get(`${kind} ${zone}`);
+      return delay !== undefined && delay.until > this.observation.now;
+    };
     return check;
   }
-  function ofKind(kind: Kind): Order[] {
+
+  private ofKind(kind: Kind): Order[] {
     const list: Order[] = [];
-    for (const order of standing) if (order.kind === kind) list.push(order);
+    for (const order of this.standing) if (order.kind === kind) list.push(order);
     return list;
   }
-  function intend(kind: Kind, zone: string, cause: string): void {
-    out.push({
+
+  private intend(kind: Kind, zone: string, cause: string): void {
+    this.out.push({
       cause,
       act: {
         tag: 'orderIntended',
-        order: nextOrderId(),
-        model,
+        order: this.nextOrderId(),
+        model: this.resolved.model,
         zone,
         kind,
-        accelerator: values.accelerators[0] ?? 'any',
+        accelerator: this.resolved.values.accelerators[0] ?? 'any',
       },
     });
   }
 
-  function decideSpot(): void {
-    const spot = ofKind('spot');
-    const wanted = zones.length === 0 ? 0 : target + values.nExtra;
+  private decideSpot(): void {
+    const spot = this.ofKind('spot');
+    const wanted = this.zones.length === 0 ? 0 : this.target + this.resolved.values.nExtra;
     const occupied = new Set<string>();
     for (const order of spot) occupied.add(order.zone);
-    const isResting = resting('spot');
+    const isResting = this.resting('spot');
     for (let count = spot.length; count < wanted; count += 1) {
-      const awake: ZoneSets = { active: withoutResting(sets.active), preemptive: sets.preemptive };
-      const zone = selectNextZone(awake, values.zones, occupied, spotPrice);
+      const awake: ZoneSets = { active: withoutResting(this.sets.active), preemptive: this.sets.preemptive };
+      const zone = selectNextZone(awake, this.resolved.values.zones, occupied, (zone) => this.spotPrice(zone));
       if (zone === null) return;
       occupied.add(zone);
-      intend('spot', zone, `Spot ${count + 1} of ${wanted} (target ${target} + extra ${values.nExtra}).`);
+      this.intend(
+        'spot',
+        zone,
+        `Spot ${count + 1} of ${wanted} (target ${this.target} + extra ${this.resolved.values.nExtra}).`,
+      );
     }
-    shrink(spot, wanted, spotPrice, `Only ${wanted} spot workers are wanted.`);
+    this.shrink(spot, wanted, (zone) => this.spotPrice(zone), `Only ${wanted} spot workers are wanted.`);
 
     function withoutResting(items: readonly string[]): string[] {
       const ready: string[] = [];
@@ -252,28 +282,38 @@
     }
   }
 
-  function decideOnDemand(): void {
-    const fallback = ofKind('onDemand');
+  private decideOnDemand(): void {
+    const fallback = this.ofKind('onDemand');
     let ready = 0;
-    for (const order of ofKind('spot')) if (order.status === 'ready') ready += 1;
-    const wanted = zones.length === 0 ? 0 : decideMixture(target, values.nExtra, ready).onDemand;
-    const isResting = resting('onDemand');
+    for (const order of this.ofKind('spot')) if (order.status === 'ready') ready += 1;
+    const wanted =
+      this.zones.length === 0 ? 0 : decideMixture(this.target, this.resolved.values.nExtra, ready).onDemand;
+    const isResting = this.resting('onDemand');
     for (let count = fallback.length; count < wanted; count += 1) {
       const awake: string[] = [];
-      for (const zone of zones) if (!isResting(zone)) awake.push(zone);
-      const zone = cheapest(awake, values.zones, onDemandPrice);
+      for (const zone of this.zones) if (!isResting(zone)) awake.push(zone);
+      const zone = cheapest(awake, this.resolved.values.zones, (zone) => this.onDemandPrice(zone));
       if (zone === null) return;
-      intend('onDemand', zone, `Fallback ${count + 1} of ${wanted}: ${ready} spot ready of ${target + values.nExtra}.`);
+      this.intend(
+        'onDemand',
+        zone,
+        `Fallback ${count + 1} of ${wanted}: ${ready} spot ready of ${this.target + this.resolved.values.nExtra}.`,
+      );
     }
-    shrink(fallback, wanted, onDemandPrice, `Enough spot is ready: ${ready} of ${target + values.nExtra}.`);
+    this.shrink(
+      fallback,
+      wanted,
+      (zone) => this.onDemandPrice(zone),
+      `Enough spot is ready: ${ready} of ${this.target + this.resolved.values.nExtra}.`,
+    );
   }
 
-  function shrink(list: readonly Order[], wanted: number, priceOf: (zone: string) => number, cause: string): void {
+  private shrink(list: readonly Order[], wanted: number, priceOf: (zone: string) => number, cause: string): void {
     const surplus = [...list].sort(firstToGo);
     for (let i = 0; i < list.length - wanted; i += 1) {
       const order = surplus[i] as Order;
       if (order.status === 'intended') continue;
-      out.push({ cause, act: { tag: 'orderDraining', order: order.id } });
+      this.out.push({ cause, act: { tag: 'orderDraining', order: order.id } });
     }
     function firstToGo(left: Order, right: Order): number {
       const leftRank = left.status === 'ready' ? 1 : 0;
@@ -285,6 +325,27 @@
   }
 }
 
+function createModelDecision(
+  resolved: ResolvedModel,
+  controlState: ControlState,
+  observation: ScalerObservation,
+  memory: ScalerMemory,
+  nextOrderId: () => string,
+): ModelDecision {
+  return new ModelDecisionPass(resolved, controlState, observation, memory, nextOrderId);
+}
+
+/** What to change for a model now; zone sets first, if they changed. */
+export function decideModel(
+  resolved: ResolvedModel,
+  controlState: ControlState,
+  observation: ScalerObservation,
+  memory: ScalerMemory,
+  nextOrderId: () => string,
+): Decision[] {
+  return createModelDecision(resolved, controlState, observation, memory, nextOrderId).decide();
+}
+
 /** The zones that exist and are not evacuated. */
 export function openZones(zones: readonly string[], controlState: ControlState): string[] {
   const out: string[] = [];
--- a/src/transport/connection-pool.test.ts
+++ b/src/transport/connection-pool.test.ts
@@ -31,7 +31,7 @@
 
 function connectionPool(): ConnectionPool {
   const o = createConnectionPool(createClock());
-  open.push({ close: o.stop });
+  open.push({ close: () => o.stop() });
   return o;
 }
 
@@ -161,7 +161,7 @@
   let now = 0;
   const clock = { ...createClock(), mono: () => now };
   const o = createConnectionPool(clock);
-  open.push({ close: o.stop });
+  open.push({ close: () => o.stop() });
   await ask(o, at);
   now = 4_000;
   forget = true;
--- a/src/transport/disk.ts
+++ b/src/transport/disk.ts
@@ -23,12 +23,12 @@
 };
 
 /** The data folder of one node. `replace` swaps a whole file atomically; `load` gives null for a file that does not exist. */
-export type Disk = {
-  readonly list: () => Promise<Result<string[], DiskError>>;
-  readonly preallocated: (name: string, size: number) => Promise<Result<DiskFile, DiskError>>;
-  readonly replace: (name: string, data: Buffer) => Promise<Result<null, DiskError>>;
-  readonly load: (name: string) => Promise<Result<Buffer | null, DiskError>>;
-};
+export interface Disk {
+  list(): Promise<Result<string[], DiskError>>;
+  preallocated(name: string, size: number): Promise<Result<DiskFile, DiskError>>;
+  replace(name: string, data: Buffer): Promise<Result<null, DiskError>>;
+  load(name: string): Promise<Result<Buffer | null, DiskError>>;
+}
 
 const BLOCK_BYTES = 4 * 1_048_576;
 
@@ -45,10 +45,11 @@
   }
 }
 
-/** A disk over a folder, made when first needed. */
-export function createFolderDisk(folder: string): Disk {
-  async function syncFolder(): Promise<void> {
-    const dir = await open(folder, 'r');
+class FolderDisk implements Disk {
+  constructor(private readonly folder: string) {}
+
+  private async syncFolder(): Promise<void> {
+    const dir = await open(this.folder, 'r');
     try {
       await dir.sync();
     } finally {
@@ -56,15 +57,15 @@
     }
   }
 
-  function list(): Promise<Result<string[], DiskError>> {
-    async function go(): Promise<string[]> {
-      await mkdir(folder, { recursive: true });
-      return (await readdir(folder)).sort();
-    }
-    return guarded(folder, go);
+  list(): Promise<Result<string[], DiskError>> {
+    const go = async (): Promise<string[]> => {
+      await mkdir(this.folder, { recursive: true });
+      return (await readdir(this.folder)).sort();
+    };
+    return guarded(this.folder, go);
   }
 
-  function fileOf(name: string, handle: FileHandle, size: number): DiskFile {
+  private fileOf(name: string, handle: FileHandle, size: number): DiskFile {
     function read(length = size): Promise<Result<Buffer, DiskError>> {
       async function go(): Promise<Buffer> {
         const buf = Buffer.alloc(Math.min(length, size));
@@ -99,10 +100,10 @@
     return { read, write, sync };
   }
 
-  function preallocated(name: string, size: number): Promise<Result<DiskFile, DiskError>> {
-    async function go(): Promise<DiskFile> {
-      await mkdir(folder, { recursive: true });
-      const path = join(folder, name);
+  preallocated(name: string, size: number): Promise<Result<DiskFile, DiskError>> {
+    const go = async (): Promise<DiskFile> => {
+      await mkdir(this.folder, { recursive: true });
+      const path = join(this.folder, name);
       const handle = await open(path, 'a').then(reopened);
       function reopened(made: FileHandle): Promise<FileHandle> {
         return made.close().then(again);
@@ -116,16 +117,16 @@
         await handle.write(block, 0, Math.min(block.length, size - at), at);
       }
       await handle.sync();
-      await syncFolder();
-      return fileOf(name, handle, size);
-    }
+      await this.syncFolder();
+      return this.fileOf(name, handle, size);
+    };
     return guarded(name, go);
   }
 
-  function replace(name: string, data: Buffer): Promise<Result<null, DiskError>> {
-    async function go(): Promise<null> {
-      await mkdir(folder, { recursive: true });
-      const tmp = join(folder, `${name}.new`);
+  replace(name: string, data: Buffer): Promise<Result<null, DiskError>> {
+    const go = async (): Promise<null> => {
+      await mkdir(this.folder, { recursive: true });
+      const tmp = join(this.folder, `${name}.new`);
       const handle = await open(tmp, 'w');
       try {
         await handle.writeFile(data);
@@ -133,24 +134,27 @@
       } finally {
         await handle.close();
       }
-      await rename(tmp, join(folder, name));
-      await syncFolder();
+      await rename(tmp, join(this.folder, name));
+      await this.syncFolder();
       return null;
-    }
+    };
     return guarded(name, go);
   }
 
-  function load(name: string): Promise<Result<Buffer | null, DiskError>> {
-    async function go(): Promise<Buffer | null> {
+  load(name: string): Promise<Result<Buffer | null, DiskError>> {
+    const go = async (): Promise<Buffer | null> => {
       try {
-        return await readFile(join(folder, name));
+        return await readFile(join(this.folder, name));
       } catch (error) {
         if (typeof error === 'object' && error !== null && 'code' in error && error.code === 'ENOENT') return null;
         return Promise.reject(error instanceof Error ? error : new Error(String(error)));
       }
-    }
+    };
     return guarded(name, go);
   }
+}
 
-  return { list, preallocated, replace, load };
+/** A disk over a folder, made when first needed. */
+export function createFolderDisk(folder: string): Disk {
+  return new FolderDisk(folder);
 }
--- a/src/transport/http-server.ts
+++ b/src/transport/http-server.ts
@@ -66,9 +66,13 @@
   res.end();
 }
 
-/** A server that logs to `log` and waits at most `bodyWaitMs` for a whole request. */
-export function createExpressHttpServer(log: Log, bodyWaitMs = BODY_WAIT_MS): HttpServer {
-  function mount(app: Express, route: Route): void {
+class ExpressHttpServer implements HttpServer {
+  constructor(
+    private readonly log: Log,
+    private readonly bodyWaitMs = BODY_WAIT_MS,
+  ) {}
+
+  private mount(app: Express, route: Route): void {
     function gate(req: Request, res: Response, next: NextFunction): void {
       const early = route.gate?.(shaped(req, res));
       if (!early) {
@@ -94,10 +98,11 @@
     app[verb](route.path, gate, parse, handle);
   }
 
-  function unknownPath(_req: Request, res: Response): void {
+  private unknownPath(_req: Request, res: Response): void {
     res.status(404).json({ error: { tag: 'unknownPath' } });
   }
-  function failed(error: unknown, _req: Request, res: Response, _next: NextFunction): void {
+
+  private failed(error: unknown, _req: Request, res: Response, _next: NextFunction): void {
     const type = typeof error === 'object' && error !== null && 'type' in error ? String(error.type) : '';
     if (res.headersSent) {
       res.destroy();
@@ -117,26 +122,27 @@
       res.status(400).json({ error: { tag: 'malformed', detail: 'body is not JSON' } });
       return;
     }
-    log.error(`A request broke: ${error instanceof Error ? (error.stack ?? error.message) : String(error)}.`);
+    this.log.error(`A request broke: ${error instanceof Error ? (error.stack ?? error.message) : String(error)}.`);
     res.status(500).json({ error: { tag: 'internal' } });
   }
 
-  function open(address: Address, routes: readonly Route[]): Promise<Result<Listener, WireError>> {
+  open(address: Address, routes: readonly Route[]): Promise<Result<Listener, WireError>> {
     const hostPort = splitAddress(address);
     if (!hostPort) return Promise.resolve(err({ tag: 'badAddress', address }));
     const target = hostPort;
     const app = express();
     app.disable('x-powered-by');
     app.disable('etag');
-    for (const route of routes) mount(app, route);
-    app.use(unknownPath);
-    app.use(failed);
-    function start(resolve: (result: Result<Listener, WireError>) => void): void {
+    for (const route of routes) this.mount(app, route);
+    app.use((_req, res) => this.unknownPath(_req, res));
+    app.use((error: unknown, req: Request, res: Response, next: NextFunction) => this.failed(error, req, res, next));
+
+    const start = (resolve: (result: Result<Listener, WireError>) => void): void => {
       const server = createServer(
         {
-          requestTimeout: bodyWaitMs,
-          headersTimeout: bodyWaitMs,
-          connectionsCheckingInterval: Math.min(1_000, bodyWaitMs / 4),
+          requestTimeout: this.bodyWaitMs,
+          headersTimeout: this.bodyWaitMs,
+          connectionsCheckingInterval: Math.min(1_000, this.bodyWaitMs / 4),
         },
         app,
       );
@@ -155,8 +161,12 @@
       }
       server.once('error', bad);
       server.listen(target.port, target.host, ready);
-    }
+    };
     return new Promise(start);
   }
-  return { open };
+}
+
+/** A server that logs to `log` and waits at most `bodyWaitMs` for a whole request. */
+export function createExpressHttpServer(log: Log, bodyWaitMs = BODY_WAIT_MS): HttpServer {
+  return new ExpressHttpServer(log, bodyWaitMs);
 }
--- a/src/transport/http.ts
+++ b/src/transport/http.ts
@@ -40,9 +40,9 @@
 };
 
 /** Opens listeners that serve routes. */
-export type HttpServer = {
-  readonly open: (address: Address, routes: readonly Route[]) => Promise<Result<Listener, WireError>>;
-};
+export interface HttpServer {
+  open(address: Address, routes: readonly Route[]): Promise<Result<Listener, WireError>>;
+}
 
 /** An outgoing call. `timeoutMs` covers all of it; `stream` asks for lines as they come. */
 export type HttpCall = {
--- a/src/transport/opaque-http.ts
+++ b/src/transport/opaque-http.ts
@@ -64,14 +64,16 @@
   readonly connectMs: number;
 };
 
-export type Sent = { readonly abort: () => void };
+export interface Sent {
+  abort(): void;
+}
 
-export type ConnectionPool = {
-  readonly send: (what: Sending, events: SendEvents) => Sent;
-  readonly check: (address: Address, waitMs: number, done: (reached: boolean) => void) => void;
-  readonly open: (address: Address) => number;
-  readonly idle: (address: Address) => number;
-  readonly forget: (address: Address) => void;
-  readonly made: () => number;
-  readonly stop: () => void;
-};
+export interface ConnectionPool {
+  send(what: Sending, events: SendEvents): Sent;
+  check(address: Address, waitMs: number, done: (reached: boolean) => void): void;
+  open(address: Address): number;
+  idle(address: Address): number;
+  forget(address: Address): void;
+  made(): number;
+  stop(): void;
+}
--- a/src/transport/ring.ts
+++ b/src/transport/ring.ts
@@ -33,12 +33,12 @@
  * - After a write or a sync that failed it is unknown what the files hold, so no record is taken until a whole
  *   snapshot was written and synced, which covers them, or the ring is opened again.
  */
-export type Ring = {
-  readonly append: (records: readonly Buffer[]) => Promise<Result<null, RingError>>;
-  readonly compact: (snapshot: Buffer) => Promise<Result<null, RingError>>;
-  readonly crowded: () => boolean;
-  readonly usedFiles: () => number;
-};
+export interface Ring {
+  append(records: readonly Buffer[]): Promise<Result<null, RingError>>;
+  compact(snapshot: Buffer): Promise<Result<null, RingError>>;
+  crowded(): boolean;
+  usedFiles(): number;
+}
 
 export type Opened = { readonly ring: Ring; readonly snapshot: Buffer | null; readonly records: readonly Buffer[] };
 
@@ -182,9 +182,29 @@
   return ok(null);
 }
 
-export async function openRing(disk: Disk, shape: RingShape): Promise<Result<Opened, RingError>> {
+/** Where the next record goes, and what the files hold. */
+type RingEnd = {
+  /** Number of the newest record. */
+  readonly seq: number;
+  /** Number of the file that is written. */
+  readonly gen: number;
+  /** Index of the file that is written; -1 before the first. */
+  readonly file: number;
+  /** Offset of the next record in it. */
+  readonly at: number;
+  /** Number of the oldest file that no snapshot covers. */
+  readonly oldest: number;
+  /** Area of the newest snapshot. */
+  readonly area: number;
+  /** A disk that can't be synced is read, and takes no record. */
+  readonly broken: boolean;
+};
+
+type Areas = { readonly areas: readonly DiskFile[]; readonly best: Found | null };
+type Replayed = { readonly records: readonly Buffer[]; readonly seq: number; readonly last: Found | null };
+
+async function openFiles(disk: Disk, shape: RingShape): Promise<Result<DiskFile[], RingError>> {
   const files: DiskFile[] = [];
-  const areas: DiskFile[] = [];
   for (let i = 0; i < shape.files; i += 1) {
     const file = await disk.preallocated(`${shape.name}-${i}`, shape.fileBytes);
     if (!file.ok) return file;
@@ -192,7 +212,18 @@
   }
   const older = await olderFileIn(files);
   if (!older.ok) return older;
-  if (older.value >= 0) return err({ tag: 'olderFormat', file: `${shape.name}-${older.value}`, needed: 'MIL2' });
+  return older.value >= 0
+    ? err({ tag: 'olderFormat', file: `${shape.name}-${older.value}`, needed: 'MIL2' })
+    : ok(files);
+}
+
+function isNewer(found: Found, than: Found | null): boolean {
+  return !than || found.seq > than.seq || (found.seq === than.seq && found.gen > than.gen);
+}
+
+/** Opens both areas; the newest snapshot that reads back whole is the one that counts. */
+async function openAreas(disk: Disk, shape: RingShape): Promise<Result<Areas, RingError>> {
+  const areas: DiskFile[] = [];
   let best: Found | null = null;
   for (let i = 0; i < 2; i += 1) {
     const file = await disk.preallocated(`${shape.name}-snapshot-${i}`, shape.snapshotBytes);
@@ -200,88 +231,142 @@
     areas.push(file.value);
     const found = await snapshotIn(file.value, i);
     if (!found.ok) return found;
-    const candidate = found.value;
-    if (candidate && (!best || candidate.seq > best.seq || (candidate.seq === best.seq && candidate.gen > best.gen)))
-      best = candidate;
+    if (found.value && isNewer(found.value, best)) best = found.value;
   }
+  return ok({ areas, best });
+}
 
-  const covers = best ? best.gen : 0;
-  const ends: number[] = [];
-  const all: Found[] = [];
-  for (const [i, file] of files.entries()) {
-    const buf = await file.read();
-    if (!buf.ok) return buf;
-    all.push(...recordsIn(buf.value, i, covers));
-    ends.push(endOf(buf.value));
-  }
-  all.sort(bySeq);
+/** The records that follow on the snapshot without a gap; a gap before the newest batch is damage. */
+function replayed(all: readonly Found[], best: Found | null, shape: RingShape): Result<Replayed, RingError> {
   const records: Buffer[] = [];
   let seq = best ? best.seq : 0;
   let last: Found | null = null;
-  for (const rec of all) {
-    if (rec.seq === seq + 1) {
-      records.push(rec.payload);
-      seq = rec.seq;
-      last = rec;
-    } else if (rec.batchStart > seq + 1 || rec.seq <= seq) {
-      return err({ tag: 'ringDamaged', file: `${shape.name}-${rec.file}`, at: rec.at });
+  for (const found of all) {
+    if (found.seq === seq + 1) {
+      records.push(found.payload);
+      seq = found.seq;
+      last = found;
+    } else if (found.batchStart > seq + 1 || found.seq <= seq) {
+      return err({ tag: 'ringDamaged', file: `${shape.name}-${found.file}`, at: found.at });
     }
   }
-  let gen = last ? last.gen : covers;
-  for (let i = 0; i < files.length; i += 1) {
+  return ok({ records, seq, last });
+}
+
+/** Cuts what a loss of power left of the newest batch, so that no later record is read behind it. */
+async function cutTorn(
+  files: readonly DiskFile[],
+  ends: readonly number[],
+  all: readonly Found[],
+  { seq, last }: Replayed,
+): Promise<Result<null, DiskError>> {
+  for (const [i, file] of files.entries()) {
     const from = last && last.file === i ? last.next : 0;
-    let torn = false;
-    for (const rec of all) if (rec.file === i && rec.seq > seq) torn = true;
-    if (!torn && last?.file !== i) continue;
+    const torn = all.some((found) => found.file === i && found.seq > seq);
     const end = ends[i] as number;
-    if (end <= from) continue;
-    const wiped = await (files[i] as DiskFile).write(from, Buffer.alloc(end - from));
+    if ((!torn && last?.file !== i) || end <= from) continue;
+    const wiped = await file.write(from, Buffer.alloc(end - from));
     if (!wiped.ok) return wiped;
-    const synced = await (files[i] as DiskFile).sync();
+    const synced = await file.sync();
     if (!synced.ok) return synced;
   }
+  return ok(null);
+}
+
+/** Opens a ring and gives what it holds: the newest snapshot and all records since. */
+export async function openRing(disk: Disk, shape: RingShape): Promise<Result<Opened, RingError>> {
+  const opened = await openFiles(disk, shape);
+  if (!opened.ok) return opened;
+  const files = opened.value;
+  const snapshots = await openAreas(disk, shape);
+  if (!snapshots.ok) return snapshots;
+  const { areas, best } = snapshots.value;
+  const covers = best ? best.gen : 0;
+  const ends: number[] = [];
+  const all: Found[] = [];
+  for (const [i, file] of files.entries()) {
+    const content = await file.read();
+    if (!content.ok) return content;
+    all.push(...recordsIn(content.value, i, covers));
+    ends.push(endOf(content.value));
+  }
+  all.sort(bySeq);
+  const found = replayed(all, best, shape);
+  if (!found.ok) return found;
+  const { records, seq, last } = found.value;
+  const cut = await cutTorn(files, ends, all, found.value);
+  if (!cut.ok) return cut;
+  const broken = !(await syncAll([...files, ...areas]));
+  const ring = createRing(files, areas, shape, {
+    seq,
+    gen: last ? last.gen : covers,
+    file: last ? last.file : -1,
+    at: last ? last.next : shape.fileBytes,
+    oldest: covers + 1,
+    area: best ? best.file : 1,
+    broken,
+  });
+  return ok({ ring, snapshot: best ? best.payload : null, records });
+}
+
+class FileRing implements Ring {
+  private seq: number;
+  private gen: number;
+  private current: number;
+  private at: number;
+  private oldest: number;
+  private area: number;
+  private broken: boolean;
 
-  let current = last ? last.file : -1;
-  let at = last ? last.next : shape.fileBytes;
-  let oldest = covers + 1;
-  let area = best ? best.file : 1;
-  // A disk that can't be synced is read, and takes no record.
-  let broken = !(await syncAll([...files, ...areas]));
-
-  function advance(): Result<null, RingError> {
-    if (gen + 1 - oldest >= shape.files) return err({ tag: 'ringFull' });
-    gen += 1;
-    current = (current + 1) % shape.files;
-    at = 0;
+  constructor(
+    private readonly files: readonly DiskFile[],
+    private readonly areas: readonly DiskFile[],
+    private readonly shape: RingShape,
+    private readonly end: RingEnd,
+  ) {
+    this.seq = this.end.seq;
+    this.gen = this.end.gen;
+    this.current = this.end.file;
+    this.at = this.end.at;
+    this.oldest = this.end.oldest;
+    this.area = this.end.area;
+    this.broken = this.end.broken;
+  }
+
+  private advance(): Result<null, RingError> {
+    if (this.gen + 1 - this.oldest >= this.shape.files) return err({ tag: 'ringFull' });
+    this.gen += 1;
+    this.current = (this.current + 1) % this.shape.files;
+    this.at = 0;
     return ok(null);
   }
 
-  async function append(payloads: readonly Buffer[]): Promise<Result<null, RingError>> {
-    if (broken) return err({ tag: 'ringBroken' });
+  async append(payloads: readonly Buffer[]): Promise<Result<null, RingError>> {
+    if (this.broken) return err({ tag: 'ringBroken' });
     const touched = new Set<DiskFile>();
     let inBatch = 0;
     for (const payload of payloads) {
       const size = HEAD + payload.length;
-      if (size > shape.fileBytes) return err({ tag: 'recordTooLarge', bytes: payload.length });
-      if (at + size > shape.fileBytes) {
-        const moved = advance();
+      if (size > this.shape.fileBytes) return err({ tag: 'recordTooLarge', bytes: payload.length });
+      if (this.at + size > this.shape.fileBytes) {
+        const moved = this.advance();
         if (!moved.ok) return moved;
       }
-      const file = files[current] as DiskFile;
-      const wrote = await file.write(at, packed(gen, seq + 1, inBatch, payload));
+      const file = this.files[this.current] as DiskFile;
+      const wrote = await file.write(this.at, packed(this.gen, this.seq + 1, inBatch, payload));
       if (!wrote.ok) {
-        broken = true;
+        this.broken = true;
         return wrote;
       }
-      at += size;
-      seq += 1;
+      this.at += size;
+      this.seq += 1;
       inBatch += 1;
       touched.add(file);
     }
     for (const file of touched) {
       const synced = await file.sync();
       if (!synced.ok) {
-        broken = true;
+        this.broken = true;
         return synced;
       }
     }
@@ -290,29 +375,35 @@
 
   // A snapshot that failed may stand on the disk all the same, so its number is never used again. One that succeeds
   // covers whatever earlier failures left in the files: the ring takes records again after it.
-  async function compact(snapshot: Buffer): Promise<Result<null, RingError>> {
-    if (HEAD + snapshot.length > shape.snapshotBytes) return err({ tag: 'recordTooLarge', bytes: snapshot.length });
-    const to = 1 - area;
-    const file = areas[to] as DiskFile;
-    seq += 1;
-    const wrote = await file.write(0, packed(gen, seq, 0, snapshot));
+  async compact(snapshot: Buffer): Promise<Result<null, RingError>> {
+    if (HEAD + snapshot.length > this.shape.snapshotBytes)
+      return err({ tag: 'recordTooLarge', bytes: snapshot.length });
+    const to = 1 - this.area;
+    const file = this.areas[to] as DiskFile;
+    this.seq += 1;
+    const wrote = await file.write(0, packed(this.gen, this.seq, 0, snapshot));
     const synced = wrote.ok ? await file.sync() : wrote;
     if (!synced.ok) {
-      broken = true;
+      this.broken = true;
       return synced;
     }
-    broken = false;
-    area = to;
-    oldest = gen + 1;
-    at = shape.fileBytes;
+    this.broken = false;
+    this.area = to;
+    this.oldest = this.gen + 1;
+    this.at = this.shape.fileBytes;
     return ok(null);
   }
 
-  function usedFiles(): number {
-    return gen + 1 - oldest;
+  usedFiles(): number {
+    return this.gen + 1 - this.oldest;
   }
-  function crowded(): boolean {
-    return usedFiles() >= Math.max(1, shape.files - 1);
+
+  crowded(): boolean {
+    return this.usedFiles() >= Math.max(1, this.shape.files - 1);
   }
-  return ok({ ring: { append, compact, crowded, usedFiles }, snapshot: best ? best.payload : null, records });
+}
+
+/** The ring behind what was read; it appends after `end`. */
+function createRing(files: readonly DiskFile[], areas: readonly DiskFile[], shape: RingShape, end: RingEnd): Ring {
+  return new FileRing(files, areas, shape, end);
 }
--- a/src/transport/wire.ts
+++ b/src/transport/wire.ts
@@ -28,24 +28,21 @@
 };
 
 /** An open connection. `send` neither waits nor fails: what a dead peer does not take is lost. */
-export type Connection = {
+export interface Connection {
   readonly peer: Address;
-  readonly send: (body: unknown) => void;
-  readonly close: () => void;
-  readonly attach: (events: ConnectionEvents) => void;
-};
+  send(body: unknown): void;
+  close(): void;
+  attach(events: ConnectionEvents): void;
+}
 
 /** Something that listens at an address until closed. */
 export type Listener = { readonly address: Address; readonly close: () => Promise<void> };
 
 /** Dials and listens. */
-export type Wire = {
-  readonly listen: (
-    address: Address,
-    onConnection: (connection: Connection) => void,
-  ) => Promise<Result<Listener, WireError>>;
-  readonly dial: (address: Address) => Promise<Result<Connection, WireError>>;
-};
+export interface Wire {
+  listen(address: Address, onConnection: (connection: Connection) => void): Promise<Result<Listener, WireError>>;
+  dial(address: Address): Promise<Result<Connection, WireError>>;
+}
 
 /** Counts frames and connections, for measurements. */
 export type WireMeter = {
@@ -68,97 +65,138 @@
 const MAX_FRAME = 64 * 1024 * 1024;
 const MAX_UNSENT = 64 * 1024 * 1024;
 
-/** Connections over TCP; dialling takes at most `dialTimeoutMs`. */
-export function createTcpWire(log: Log, dialTimeoutMs: number, meter: WireMeter | null = null): Wire {
-  function connectionOf(sock: Socket, peer: Address, dialled: boolean): Connection {
-    meter?.connections(peer, dialled, 1);
-    let events: ConnectionEvents | null = null;
-    let chunks: string[] = [];
-    let size = 0;
-    let done = false;
-    sock.setEncoding('utf8');
-    sock.setNoDelay(true);
-    sock.pause();
-
-    function finish(): void {
-      if (done) return;
-      done = true;
-      sock.destroy();
-      meter?.connections(peer, dialled, -1);
-      events?.closed();
-    }
-    function closeInvalid(why: string): void {
-      log.warn(`Connection to ${peer} ended: ${why}.`);
-      finish();
+class TcpConnection implements Connection {
+  private events: ConnectionEvents | null = null;
+  private chunks: string[] = [];
+  private size = 0;
+  private done = false;
+
+  constructor(
+    private readonly sock: Socket,
+    readonly peer: Address,
+    private readonly dialled: boolean,
+    private readonly log: Log,
+    private readonly meter: WireMeter | null,
+  ) {
+    this.meter?.connections(this.peer, this.dialled, 1);
+
+    this.sock.setEncoding('utf8');
+
+    this.sock.setNoDelay(true);
+
+    this.sock.pause();
+
+    this.sock.on('data', (chunk) => this.data(chunk));
+
+    this.sock.on('error', () => this.close());
+
+    this.sock.on('close', () => this.close());
+  }
+
+  close(): void {
+    if (this.done) return;
+    this.done = true;
+    this.sock.destroy();
+    this.meter?.connections(this.peer, this.dialled, -1);
+    this.events?.closed();
+  }
+
+  private closeInvalid(why: string): void {
+    this.log.warn(`Connection to ${this.peer} ended: ${why}.`);
+    this.close();
+  }
+
+  private onLine(text: string): void {
+    if (this.done) return;
+    let body: unknown;
+    try {
+      body = JSON.parse(text);
+    } catch {
+      this.closeInvalid('a frame was not JSON');
+      return;
     }
-    function queue(text: string): void {
-      if (done) return;
-      let body: unknown;
-      try {
-        body = JSON.parse(text);
-      } catch {
-        closeInvalid('a frame was not JSON');
+    this.meter?.frame('in', this.peer, this.dialled, text.length + 1, body);
+    this.events?.frame(body);
+  }
+
+  private data(chunk: string | Buffer): void {
+    this.events?.heard?.();
+    const lines = chunk.toString().split('\n');
+    for (let i = 0; i < lines.length; i += 1) {
+      const line = lines[i] as string;
+      this.chunks.push(line);
+      this.size += line.length;
+      if (this.size > MAX_FRAME) {
+        this.closeInvalid('a frame was over the size limit');
         return;
       }
-      meter?.frame('in', peer, dialled, text.length + 1, body);
-      events?.frame(body);
-    }
-    function data(chunk: string | Buffer): void {
-      events?.heard?.();
-      const lines = chunk.toString().split('\n');
-      for (let i = 0; i < lines.length; i += 1) {
-        const line = lines[i] as string;
-        chunks.push(line);
-        size += line.length;
-        if (size > MAX_FRAME) {
-          closeInvalid('a frame was over the size limit');
-          return;
-        }
-        if (i < lines.length - 1) {
-          const frame = chunks.join('');
-          chunks = [];
-          size = 0;
-          queue(frame);
-          if (done) return;
-        }
+      if (i < lines.length - 1) {
+        const frame = this.chunks.join('');
+        this.chunks = [];
+        this.size = 0;
+        this.onLine(frame);
+        if (this.done) return;
       }
     }
-    sock.on('data', data);
-    sock.on('error', finish);
-    sock.on('close', finish);
-
-    function send(body: unknown): void {
-      if (done) return;
-      const text = `${JSON.stringify(body)}\n`;
-      meter?.frame('out', peer, dialled, text.length, body);
-      sock.write(text);
-      if (sock.writableLength > MAX_UNSENT) closeInvalid('the peer reads too slowly');
-    }
-    function attach(to: ConnectionEvents): void {
-      events = to;
-      if (done) to.closed();
-      else sock.resume();
-    }
-    return { peer, send, close: finish, attach };
   }
 
-  function listen(
-    address: Address,
-    onConnection: (connection: Connection) => void,
-  ): Promise<Result<Listener, WireError>> {
+  send(body: unknown): void {
+    if (this.done) return;
+    const text = `${JSON.stringify(body)}\n`;
+    this.meter?.frame('out', this.peer, this.dialled, text.length, body);
+    this.sock.write(text);
+    if (this.sock.writableLength > MAX_UNSENT) this.closeInvalid('the peer reads too slowly');
+  }
+
+  attach(to: ConnectionEvents): void {
+    this.events = to;
+    if (this.done) to.closed();
+    else this.sock.resume();
+  }
+}
+
+/** One connection: frames in and out, bounded in size. */
+function createTcpConnection(
+  sock: Socket,
+  peer: Address,
+  dialled: boolean,
+  log: Log,
+  meter: WireMeter | null,
+): Connection {
+  return new TcpConnection(sock, peer, dialled, log, meter);
+}
+
+class TcpWire implements Wire {
+  constructor(
+    private readonly log: Log,
+    private readonly dialTimeoutMs: number,
+    private readonly meter: WireMeter | null = null,
+  ) {}
+
+  listen(address: Address, onConnection: (connection: Connection) => void): Promise<Result<Listener, WireError>> {
     const hostPort = splitAddress(address);
     if (!hostPort) return Promise.resolve(err({ tag: 'badAddress', address }));
     const target = hostPort;
-    function start(resolve: (result: Result<Listener, WireError>) => void): void {
+
+    const start = (resolve: (result: Result<Listener, WireError>) => void): void => {
       const open = new Set<Socket>();
-      function accept(sock: Socket): void {
+
+      const accept = (sock: Socket): void => {
         open.add(sock);
         function gone(): void {
           open.delete(sock);
         }
         sock.on('close', gone);
-        onConnection(connectionOf(sock, `${sock.remoteAddress ?? '?'}:${sock.remotePort ?? 0}`, false));
-      }
+        onConnection(
+          createTcpConnection(
+            sock,
+            `${sock.remoteAddress ?? '?'}:${sock.remotePort ?? 0}`,
+            false,
+            this.log,
+            this.meter,
+          ),
+        );
+      };
       const server: Server = createServer(accept);
       function failed(): void {
         resolve(err({ tag: 'addressInUse', address }));
@@ -175,33 +213,38 @@
       }
       server.once('error', failed);
       server.listen(target.port, target.host, ready);
-    }
+    };
     return new Promise(start);
   }
 
-  function dial(address: Address): Promise<Result<Connection, WireError>> {
+  dial(address: Address): Promise<Result<Connection, WireError>> {
     const hostPort = splitAddress(address);
     if (!hostPort) return Promise.resolve(err({ tag: 'badAddress', address }));
     const target = hostPort;
-    function start(resolve: (result: Result<Connection, WireError>) => void): void {
+
+    const start = (resolve: (result: Result<Connection, WireError>) => void): void => {
       const sock = createConnection({ host: target.host, port: target.port });
       function failed(): void {
         sock.destroy();
         resolve(err({ tag: 'unreachable', address }));
       }
-      function connected(): void {
+      sock.setTimeout(this.dialTimeoutMs);
+      sock.once('timeout', failed);
+      sock.once('error', failed);
+
+      const connected = (): void => {
         sock.setTimeout(0);
         sock.off('error', failed);
         sock.off('timeout', failed);
-        resolve(ok(connectionOf(sock, address, true)));
-      }
-      sock.setTimeout(dialTimeoutMs);
-      sock.once('timeout', failed);
-      sock.once('error', failed);
+        resolve(ok(createTcpConnection(sock, address, true, this.log, this.meter)));
+      };
       sock.once('connect', connected);
-    }
+    };
     return new Promise(start);
   }
+}
 
-  return { listen, dial };
+/** Connections over TCP; dialling takes at most `dialTimeoutMs`. */
+export function createTcpWire(log: Log, dialTimeoutMs: number, meter: WireMeter | null = null): Wire {
+  return new TcpWire(log, dialTimeoutMs, meter);
 }
