--- a/src/client/client.ts
+++ b/src/client/client.ts
@@ -1,3 +1,7 @@
+/**
+ * The callers' library: asks a proxy for a placement, sends the request there with its admission token, checks the
+ * response digest, and tries another proxy where that is safe (docs/repeats.md).
+ */
 import { err, ok } from '../base/result.js';
 import type { Result } from '../base/result.js';
 import {
@@ -21,6 +25,7 @@
 
 export { runKey } from '../state/idempotency/run-key.js';
 
+/** Proxies to ask, the caller's zone, and how long a placement and a request may take, in milliseconds. */
 export type ClientSettings = {
   readonly proxies: readonly Address[];
   readonly zone?: string;
@@ -31,6 +36,7 @@
 /** Former name of `ClientRequest`, kept for callers that import it. */
 export type ClientAsk = ClientRequest;
 
+/** A request: its model or route, its prompt by prefix blocks, and whether it may run more than once. */
 export type ClientRequest = {
   readonly model?: string;
   readonly mapping?: string;
@@ -42,6 +48,7 @@
   readonly key?: string;
 };
 
+/** Why a request has no answer. Only `failed` with `notRun`, and `noProxy`, promise that it did not run. */
 export type ClientError =
   | {
       readonly tag: 'failed';
@@ -53,6 +60,7 @@
   | { readonly tag: 'wrongSeal'; readonly requestId: string }
   | { readonly tag: 'outcomeUnknown'; readonly requestId: string };
 
+/** A complete answer whose digest was checked. */
 export type ClientAnswer = {
   readonly requestId: string;
   readonly attemptId: string;
@@ -60,13 +68,16 @@
   readonly pieces: number;
 };
 
+/** One event of a stream; the last one is `sealed` or `fault`. */
 export type ClientEvent =
   | { readonly tag: 'piece'; readonly n: number; readonly text: string }
   | { readonly tag: 'sealed'; readonly attemptId: string }
   | { readonly tag: 'fault'; readonly error: ClientError };
 
+/** A stream that has begun. */
 export type ClientStream = { readonly requestId: string; readonly events: AsyncIterable<ClientEvent> };
 
+/** Sends requests; never rejects. */
 export type Client = {
   readonly send: (request: ClientRequest) => Promise<Result<ClientAnswer, ClientError>>;
   readonly stream: (request: ClientRequest) => Promise<Result<ClientStream, ClientError>>;
@@ -77,10 +88,12 @@
 const PLACINGS = 3;
 const SILENT_REST_MS = 5_000;
 
+/** A client over HTTP. */
 export function createClient(settings: ClientSettings): Client {
   return createClientOver(settings, createGotHttpClient(1_000), createClock());
 }
 
+/** A client over a given HTTP client, clock and source of randomness, for tests. */
 export function createClientOver(settings: ClientSettings, httpClient: HttpClient, clock: Clock): Client {
   const edges = createEdgeWatch(httpClient, clock);
   const unresponsiveAt = new Map<Address, number>();
--- a/src/client/edge-watch.ts
+++ b/src/client/edge-watch.ts
@@ -1,14 +1,17 @@
+/** Health checks of the proxy that serves a request, so that a dead one is noticed before the request's deadline. */
 import { EDGE_HEALTH_PATH } from '../protocol/caller-wire.js';
 import { delay } from '../transport/clock.js';
 import type { Clock } from '../transport/clock.js';
 import type { HttpClient } from '../transport/http.js';
 import type { Address } from '../transport/wire.js';
 
+/** A watch of one proxy; `stop` ends it. */
 export type EdgeWatch = { readonly follow: (proxy: Address, onDown: () => void) => () => void };
 
 const LOOK_MS = 1_000;
 const SILENCES_DARK = 3;
 
+/** Watches a proxy and calls `onDown` once it has missed several probes. */
 export function createEdgeWatch(httpClient: HttpClient, clock: Clock): EdgeWatch {
   const followers = new Map<Address, Set<() => void>>();
 
--- a/src/coordination/configuration/configuration-service.ts
+++ b/src/coordination/configuration/configuration-service.ts
@@ -35,6 +35,7 @@
   /** It builds on a number so old that a change which was applied then may be forgotten: neither yes nor no is certain. */
   | { readonly tag: 'outcomeUnknown' };
 
+/** A confirmed change and the operator's number that is in force with it. */
 export type Accepted = { readonly tag: 'taken'; readonly number: number };
 /** What a change makes of the configuration that it builds on. */
 export type Edit = (serving: Serving) => Result<unknown, readonly ConfigError[]>;
@@ -47,6 +48,7 @@
   evacuate(zone: string, begun: boolean): Promise<Result<{ readonly tag: 'taken' }, NumberedError>>;
 }
 
+/** The ledger to read and propose on; waits are in milliseconds. */
 export type ConfigurationServiceDeps = {
   readonly ledger: Pick<Ledger, 'controlState' | 'linearizableRead' | 'propose'>;
   readonly clock: Clock;
@@ -210,6 +212,7 @@
   }
 }
 
+/** The operators' calls over one controller's ledger. */
 export function createConfigurationService(deps: ConfigurationServiceDeps): ConfigurationService {
   return new LedgerConfigurationService(deps);
 }
--- a/src/coordination/configuration/latency-target-tracker.ts
+++ b/src/coordination/configuration/latency-target-tracker.ts
@@ -1,3 +1,7 @@
+/**
+ * Counts, by minute, how requests and changes fared, for reports on service-level targets. Every controller has its
+ * own counts; `operator/latency-targets.ts` puts those of all together.
+ */
 import type { MessageOf } from '../../protocol/messages.js';
 import { createLatencyTargetTable } from '../../state/configuration/latency-target-table.js';
 import type { Minute } from '../../state/configuration/latency-target-table.js';
@@ -8,8 +12,10 @@
 import type { Ledger } from '../consensus/ledger.js';
 import type { Peers } from '../messaging/peers.js';
 
+/** Counts of the last minutes as one controller, `by`, knows them; `now` is its current minute. */
 export type MinuteCounts = { readonly by: string; readonly now: number; readonly minutes: readonly Minute[] };
 
+/** Records changes of its own controller and gives the last minutes. */
 export interface LatencyTargetTracker {
   recordChange(ms: number): void;
   last(minutes: number): MinuteCounts;
@@ -71,6 +77,7 @@
   }
 }
 
+/** Tracks the counts that proxies send and shares them with the other controllers. */
 export function createLatencyTargetTracker(ledger: Ledger, peers: Peers, clock: Clock): LatencyTargetTracker {
   return new MinuteCountTracker(ledger, peers, clock);
 }
--- a/src/coordination/configuration/operator-http-server.ts
+++ b/src/coordination/configuration/operator-http-server.ts
@@ -15,7 +15,7 @@
 import type { Clock } from '../../transport/clock.js';
 import type { LatencyTargetTracker } from './latency-target-tracker.js';
 import type { Ledger } from '../consensus/ledger.js';
-import type { Push } from '../distribution/push.js';
+import type { ChangeDistribution } from '../distribution/change-distribution.js';
 
 const Operation = Type.Optional(Type.String({ minLength: 1, maxLength: 128 }));
 const Base = Type.Integer({ minimum: 0 });
@@ -42,9 +42,10 @@
   return { status, ...(status === 503 ? { headers: { 'retry-after': '1' } } : {}), body: { error } };
 }
 
+/** What the operators' calls read and change; `status` is the body of the status answer. */
 export type OperatorHttpServerDeps = {
   readonly ledger: Ledger;
-  readonly push: Push;
+  readonly distribution: ChangeDistribution;
   readonly latencyTargets: LatencyTargetTracker;
   readonly clock: Clock;
   readonly status: () => unknown;
@@ -74,7 +75,7 @@
     const { slot, outcome } = response.value;
     if (outcome.tag === 'staleVersion') return fail(409, { tag: 'staleVersion', winner: outcome.winner });
     if (outcome.tag !== 'applied') return fail(409, { tag: 'unchanged' });
-    const waiting = await this.deps.push.confirm(slot, CONFIRM_MS);
+    const waiting = await this.deps.distribution.confirm(slot, CONFIRM_MS);
     this.deps.latencyTargets.recordChange(waiting.length === 0 ? this.deps.clock.mono() - from : Infinity);
     if (waiting.length === 0) return { status: 200, body: { acknowledged: true, version: slot } };
     return { status: 202, body: { acknowledged: false, version: slot, waiting } };
@@ -181,7 +182,7 @@
   }
 
   private async latencyTargetMinutes(req: HttpRequest): Promise<HttpReply> {
-    if (!this.deps.push.quorate()) return fail(503, { tag: 'noMajority' });
+    if (!this.deps.distribution.quorate()) return fail(503, { tag: 'noMajority' });
     const minutes = Number(req.query['minutes'] ?? 60);
     if (!Number.isInteger(minutes) || minutes < 1 || minutes > 1_440)
       return fail(400, { tag: 'malformed', detail: '/minutes: expected a whole number from 1 to 1440' });
--- a/src/coordination/consensus/catch-up.ts
+++ b/src/coordination/consensus/catch-up.ts
@@ -1,3 +1,4 @@
+/** How a controller that lags gets the slots that it lacks, or a snapshot, from another one; and how it serves them. */
 import type { Message, MessageOf, SlotBatch } from '../../protocol/messages.js';
 import type { ControlState } from '../../state/consensus/control-state.js';
 import type { Batch } from '../../state/consensus/entry.js';
@@ -23,6 +24,7 @@
   readonly snapshots: SnapshotSender;
 }
 
+/** The store that is caught up; `learn` folds a chosen batch into its slot. */
 export type CatchUpDeps = {
   readonly peers: Pick<Peers, 'call' | 'on'>;
   readonly clock: Clock;
@@ -140,6 +142,7 @@
   }
 }
 
+/** Catches up by fetching, and answers the fetches of others. */
 export function createCatchUp(deps: CatchUpDeps): CatchUp {
   return new LogCatchUp(deps);
 }
--- a/src/coordination/consensus/closed-orders-fetch.ts
+++ b/src/coordination/consensus/closed-orders-fetch.ts
@@ -1,3 +1,4 @@
+/** Fetches the closed orders that a controller did not fold itself, because it took a snapshot. */
 import type { Message, MessageOf } from '../../protocol/messages.js';
 import { memberId } from '../../state/consensus/control-state.js';
 import type { ControlState } from '../../state/consensus/control-state.js';
@@ -17,6 +18,7 @@
   stop(): void;
 }
 
+/** The closed orders to complete; `put` writes what was fetched. */
 export type ClosedOrdersFetchDeps = {
   readonly peers: Pick<Peers, 'call' | 'on'>;
   readonly clock: Clock;
@@ -113,6 +115,7 @@
   }
 }
 
+/** Fetches in the background until nothing lacks; `stop` ends it. */
 export function createClosedOrdersFetch(deps: ClosedOrdersFetchDeps): ClosedOrdersFetch {
   return new ClosedOrdersFetcher(deps);
 }
--- a/src/coordination/consensus/damaged-ring.ts
+++ b/src/coordination/consensus/damaged-ring.ts
@@ -1,3 +1,4 @@
+/** What a controller does whose log is damaged on the disk: it rejoins blank, under a new incarnation. */
 import type { Result } from '../../base/result.js';
 import type { Disk } from '../../transport/disk.js';
 import type { Log } from '../../transport/log.js';
--- a/src/coordination/consensus/ledger.ts
+++ b/src/coordination/consensus/ledger.ts
@@ -47,12 +47,14 @@
 import type { RecentSlot } from '../../state/consensus/recent-slots.js';
 import type { CatchUp } from './catch-up.js';
 
+/** What happens to the ledger: a slot was folded, a snapshot was adopted, a member's status came. */
 export type LedgerEvents = {
   readonly folded: { readonly slot: number; readonly batch: Batch; readonly outcomes: readonly Outcome[] };
   readonly adopted: { readonly slot: number };
   readonly heard: ReceivedMemberStatus;
 };
 
+/** The replicated log of one controller, and the state that it folds to. */
 export interface Ledger {
   controlState(): ControlState;
   readonly events: {
@@ -78,8 +80,13 @@
   stop(): void;
 }
 
+/** What lagging nodes are served: pages of recent slots, or a snapshot. */
 export type LedgerHistory = SnapshotSender & Pick<Store, 'page' | 'bytesSince'>;
 
+/**
+ * What a ledger is made of. `renew` takes a new incarnation, `noteMember` keeps on the disk that this one is a
+ * member.
+ */
 export type LedgerDeps = {
   readonly clock: Clock;
   readonly rng: Rng;
@@ -105,6 +112,7 @@
 /** Kept free in a ring file for what stands around an entry in its record. */
 const RECORD_ROOM = 4_096;
 
+/** Opens the ledger on a disk. The error says why the disk can't be used. */
 export async function createLedger(deps: LedgerDeps): Promise<Result<Ledger, RingError>> {
   const events = createEvents<LedgerEvents>();
   function onFold(slot: number, batch: Batch, outcomes: readonly Outcome[]): void {
--- a/src/coordination/consensus/linearizable-read.ts
+++ b/src/coordination/consensus/linearizable-read.ts
@@ -18,6 +18,7 @@
 import type { Proposer } from './proposer.js';
 import type { Replica } from './replica.js';
 
+/** The replica to bring up to date; `requesterUntil` asks members until a moment. */
 export type LinearizableReadDeps = {
   readonly clock: Clock;
   readonly replica: Replica;
--- a/src/coordination/consensus/poll.ts
+++ b/src/coordination/consensus/poll.ts
@@ -3,9 +3,12 @@
 import { memberId } from '../../state/consensus/control-state.js';
 import type { Member } from '../../state/consensus/entry.js';
 
+/** Answers by the id of the member that gave them. */
 export type Votes = ReadonlyMap<string, Message>;
+/** Sends a message to one member; null if no answer of that member came. */
 export type RequestMember = (member: Member, message: Message) => Promise<Message | null>;
 
+/** Sends to all members; `enough` is asked after each answer, with the number of those still open. */
 export function poll(
   members: readonly Member[],
   request: (member: Member) => Promise<Message | null>,
--- a/src/coordination/consensus/proposer.ts
+++ b/src/coordination/consensus/proposer.ts
@@ -23,6 +23,7 @@
 import type { Replica } from './replica.js';
 import { runRound } from './round.js';
 
+/** Proposes entries and finishes slots that others left open. */
 export interface Proposer {
   /** Agrees one entry; `noMajority` after `waitMs` says that it may still come to be agreed, once at most. */
   propose(draft: Draft, waitMs: number): Promise<Result<Agreed, ProposeError>>;
@@ -30,6 +31,7 @@
   finish(until: number, isDone: () => boolean): Promise<void>;
 }
 
+/** The replica that proposes, and how it reaches the members. */
 export type ProposerDeps = {
   readonly clock: Clock;
   readonly rng: Rng;
@@ -183,6 +185,7 @@
   }
 }
 
+/** A proposer that puts all waiting entries into one batch. */
 export function createProposer(deps: ProposerDeps): Proposer {
   return new BatchingProposer(deps);
 }
--- a/src/coordination/consensus/replica.ts
+++ b/src/coordination/consensus/replica.ts
@@ -13,6 +13,7 @@
 import type { RingError } from '../../transport/ring.js';
 import type { Store, StoreAnswer, StoreCommand } from './store.js';
 
+/** The store of one controller under its present identity. */
 export interface Replica {
   readonly store: Store;
   readonly self: Member;
@@ -104,6 +105,7 @@
   }
 }
 
+/** A replica over a store; `self` may change its incarnation while it runs. */
 export function createReplica(store: Store, self: Member, clock: Clock, log: Log): Replica {
   return new StoreReplica(store, self, clock, log);
 }
--- a/src/coordination/consensus/round.ts
+++ b/src/coordination/consensus/round.ts
@@ -10,8 +10,10 @@
 import { poll } from './poll.js';
 import type { RequestMember, Votes } from './poll.js';
 
+/** The members that vote on a slot, and how many make a quorum. */
 export type Electorate = { readonly ledger: string; readonly members: readonly Member[]; readonly quorumSize: number };
 
+/** How a round ended; `behind` names members that already know the slot. */
 export type RoundEnd =
   | { readonly tag: 'chosen'; readonly batch: Batch }
   | { readonly tag: 'outbid'; readonly round: number }
@@ -24,6 +26,7 @@
   return count;
 }
 
+/** Runs both phases for one slot under one ballot. */
 export async function runRound(
   electorate: Electorate,
   slot: number,
--- a/src/coordination/consensus/snapshot-receiver.ts
+++ b/src/coordination/consensus/snapshot-receiver.ts
@@ -1,3 +1,4 @@
+/** Receives a snapshot chunk by chunk, and resumes one that was interrupted. */
 import { parsedJson } from '../../base/parsed-json.js';
 import { isControlState } from '../../state/consensus/control-state.js';
 import type { ControlState } from '../../state/consensus/control-state.js';
@@ -18,6 +19,7 @@
   isReceiving(): boolean;
 }
 
+/** How receiving a snapshot ended. */
 export type SnapshotReceipt =
   | { readonly tag: 'whole'; readonly state: ControlState }
   /** The giver fell silent or was lost; what came is kept. */
@@ -104,6 +106,7 @@
   }
 }
 
+/** A receiver without any chunk yet. */
 export function createSnapshotReceiver(peers: Pick<Peers, 'call'>, clock: Clock, log: Log): SnapshotReceiver {
   return new ResumingSnapshotReceiver(peers, clock, log);
 }
--- a/src/coordination/consensus/snapshot-sender.ts
+++ b/src/coordination/consensus/snapshot-sender.ts
@@ -1,3 +1,4 @@
+/** Serves snapshots of the state, pinned to the slot at which they were made. */
 import type { Message, MessageOf } from '../../protocol/messages.js';
 import type { ControlState } from '../../state/consensus/control-state.js';
 import { proxyState } from '../../state/consensus/proxy-state.js';
@@ -20,6 +21,7 @@
 /** All that is replicated, or only what a proxy uses of it. */
 export type SnapshotView = 'controller' | 'proxy';
 
+/** The state to serve; `keepsFrom` tells whether all slots from one on are still kept as batches. */
 export type SnapshotSenderDeps = {
   readonly peers: Pick<Peers, 'on'>;
   readonly clock: Clock;
@@ -101,6 +103,7 @@
   }
 }
 
+/** A sender without any pinned snapshot. */
 export function createSnapshotSender(deps: SnapshotSenderDeps): SnapshotSender {
   return new PinnedSnapshotSender(deps);
 }
--- a/src/coordination/consensus/store.ts
+++ b/src/coordination/consensus/store.ts
@@ -1,3 +1,4 @@
+/** What a controller holds on its disk, and the one place that writes it. */
 import { ok } from '../../base/result.js';
 import type { Result } from '../../base/result.js';
 import { createBatchQueue } from '../../base/batch-queue.js';
@@ -25,6 +26,7 @@
 import { openRing } from '../../transport/ring.js';
 import type { Opened, RingError, RingShape } from '../../transport/ring.js';
 
+/** A change of the store. Commands that wait together share one write and one sync. */
 export type StoreCommand =
   | { readonly tag: 'prepare'; readonly slot: number; readonly ballot: Ballot }
   | { readonly tag: 'accept'; readonly slot: number; readonly ballot: Ballot; readonly batch: Batch }
@@ -34,6 +36,7 @@
   /** Writes the whole state anew, after which a ring that was broken takes records again. */
   | { readonly tag: 'rewrite' };
 
+/** What became of a command; anything but `cannotWrite` is on the disk. */
 export type StoreAnswer =
   | { readonly tag: 'vote'; readonly vote: Vote }
   | { readonly tag: 'folded'; readonly outcomes: readonly Outcome[] }
--- a/src/coordination/consensus/voter.ts
+++ b/src/coordination/consensus/voter.ts
@@ -15,12 +15,15 @@
 import type { Peers } from '../messaging/peers.js';
 import type { Replica } from './replica.js';
 
+/** A message of either phase of a ballot. */
 export type VoteRequest = MessageOf<'prepare'> | MessageOf<'accept'>;
 
+/** Answers the messages of a ballot. */
 export interface Voter {
   onVote(request: VoteRequest): Promise<Message>;
 }
 
+/** The replica that votes, and how it catches up first. */
 export type VoterDeps = {
   readonly clock: Clock;
   readonly peers: Pick<Peers, 'on'>;
@@ -85,6 +88,7 @@
   }
 }
 
+/** A voter that answers `prepare`, `accept` and `learned`. */
 export function createVoter(deps: VoterDeps): Voter {
   return new ReplicaVoter(deps);
 }
--- a/src/coordination/controller-status.ts
+++ b/src/coordination/controller-status.ts
@@ -11,20 +11,22 @@
 import type { Claims } from './idempotency/claims.js';
 import type { CoreHealthWatch } from './membership/core-health-watch.js';
 import type { Ledger } from './consensus/ledger.js';
-import type { Push } from './distribution/push.js';
+import type { ChangeDistribution } from './distribution/change-distribution.js';
 import type { Membership } from './membership/failure-detector.js';
 
+/** What the status is read from. */
 export type ControllerStatusDeps = {
   readonly name: string;
   readonly ledger: Ledger;
   readonly claims: Claims;
-  readonly push: Push;
+  readonly distribution: ChangeDistribution;
   readonly coreHealth: CoreHealthWatch;
   readonly membership: Membership;
   readonly clock: Clock;
   readonly holdsScaler: () => boolean;
 };
 
+/** The status answer and the gauges of one controller. */
 export interface ControllerStatus {
   /** The body of the status answer. */
   body(): unknown;
@@ -40,10 +42,10 @@
   private proxyRows(): Record<string, unknown> {
     const rows: Record<string, unknown> = {};
     for (const name of Object.keys(this.deps.ledger.controlState().proxies)) {
-      const report = this.deps.push.reports().get(name);
-      const at = this.deps.push.lastContactAt(name);
+      const report = this.deps.distribution.reports().get(name);
+      const at = this.deps.distribution.lastContactAt(name);
       rows[name] = {
-        slot: this.deps.push.confirmedSlot(name),
+        slot: this.deps.distribution.confirmedSlot(name),
         heardMs: at === null ? null : Math.round(this.deps.clock.mono() - at),
         shed: report?.shed ?? null,
         attempted: report?.attempted ?? null,
@@ -55,7 +57,7 @@
 
   private workerRows(): Record<string, WorkerVerdicts> {
     const rows: Record<string, WorkerVerdicts> = {};
-    for (const report of this.deps.push.reports().values()) {
+    for (const report of this.deps.distribution.reports().values()) {
       for (const [worker, verdict] of Object.entries(report.health)) {
         const seen = rows[worker] ?? { fit: 0, unfit: 0 };
         seen[verdict] += 1;
@@ -76,7 +78,7 @@
       slot: state.slot,
       version: state.version,
       writable: this.deps.ledger.writable(),
-      quorate: this.deps.push.quorate(),
+      quorate: this.deps.distribution.quorate(),
       core: this.deps.coreHealth.current(),
       claimsReady: this.deps.claims.ready(),
       claimsHeld: this.deps.claims.size(),
@@ -97,7 +99,7 @@
     const state = this.deps.ledger.controlState();
     meters.set('millfield_slot', 'Newest ledger slot', state.slot);
     meters.set('millfield_version', 'Configuration in force', state.version);
-    meters.set('millfield_quorate', '1 while a majority is heard', this.deps.push.quorate() ? 1 : 0);
+    meters.set('millfield_quorate', '1 while a majority is heard', this.deps.distribution.quorate() ? 1 : 0);
     meters.set('millfield_writable', '1 while the ring takes writes', this.deps.ledger.writable() ? 1 : 0);
     meters.set('millfield_holds_scaler', '1 on the holder of the scaler duty', this.deps.holdsScaler() ? 1 : 0);
     meters.set('millfield_claims_held', 'Run-once keys remembered', this.deps.claims.size());
@@ -105,7 +107,7 @@
     meters.set(
       'millfield_proxies_behind',
       'Proxies that have not confirmed the newest slot',
-      this.deps.push.unconfirmed(state.slot).length,
+      this.deps.distribution.unconfirmed(state.slot).length,
     );
     const health = this.deps.coreHealth.current();
     meterCore(meters, 'ledger', health.ledger);
@@ -118,6 +120,7 @@
   }
 }
 
+/** A status that reads everything at the moment it is asked for. */
 export function createControllerStatus(deps: ControllerStatusDeps): ControllerStatus {
   return new LocalControllerStatus(deps);
 }
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -1,3 +1,7 @@
+/**
+ * Composes a controller: identity, ledger, claims, change distribution, failure detector, leases and scaling.
+ * Whatever it opens it closes in `stop`, in reverse order.
+ */
 import { err, ok } from '../base/result.js';
 import type { Result } from '../base/result.js';
 import type { NodeInfo } from '../state/membership/node-info.js';
@@ -31,17 +35,18 @@
 import { createQuorumAttestation } from './distribution/quorum-attestation.js';
 import { createControllerStatus } from './controller-status.js';
 import { createCoreHealthWatch } from './membership/core-health-watch.js';
-import { createPush } from './distribution/push.js';
-import type { Push } from './distribution/push.js';
+import { createChangeDistribution } from './distribution/change-distribution.js';
+import type { ChangeDistribution } from './distribution/change-distribution.js';
 import { createWorkerListRole } from './scaling/worker-list-role.js';
 import { createObserver } from './scaling/observer.js';
 import { createScaler } from './scaling/scaler.js';
 import type { Scaler } from './scaling/scaler.js';
 
+/** A running controller. */
 export type Controller = {
   readonly wire: Address;
   readonly http: Address;
-  readonly push: Pick<Push, 'reports' | 'lastContactAt' | 'quorate'>;
+  readonly distribution: Pick<ChangeDistribution, 'reports' | 'lastContactAt' | 'quorate'>;
   readonly ledger: Ledger;
   readonly claimsReady: () => boolean;
   readonly holdsScaler: () => boolean;
@@ -49,17 +54,21 @@
   readonly stop: () => Promise<void>;
 };
 
+/** Why a controller could not start. */
 export type ControllerError = WireError | RingError | { readonly tag: 'noDisk' } | IdentityError;
 
+/** Sizes of the two rings on a controller's disk. */
 export type ControllerShapes = { readonly ledger: RingShape; readonly claims: RingShape };
 
 const MB = 1_048_576;
 
+/** Rings of a controller with room enough: 96 MB and 164 MB. */
 export const CONTROLLER_SHAPES: ControllerShapes = {
   ledger: { name: 'ledger', files: 6, fileBytes: 8 * MB, snapshotBytes: 48 * MB },
   claims: { name: 'claims', files: 6, fileBytes: 4 * MB, snapshotBytes: 70 * MB },
 };
 
+/** Rings that fit a disk of `diskBytes` bytes. */
 export function shapesFor(diskBytes: number): ControllerShapes {
   const unit = Math.max(MB / 4, Math.min(8 * MB, Math.floor(diskBytes / 64)));
   return {
@@ -68,6 +77,7 @@
   };
 }
 
+/** Starts a controller. The error says what could not be opened; everything opened before is closed then. */
 export async function startController(
   id: NodeIdentity,
   deps: NodeDeps,
@@ -163,7 +173,7 @@
     log: logs.component('core'),
   });
   const quorumAttestation = createQuorumAttestation(ledger, clock);
-  const push = createPush(ledger, quorumAttestation, peers, clock, logs.component('push'));
+  const distribution = createChangeDistribution(ledger, quorumAttestation, peers, clock, logs.component('push'));
   const fleetLoad = createFleetLoadRelay(ledger, peers, clock, rng);
   const latencyTargets = createLatencyTargetTracker(ledger, peers, clock);
   const lease =
@@ -202,7 +212,7 @@
       ? createObserver({
           ledger,
           lease,
-          push,
+          distribution,
           feed: list.feed,
           zones: id.zones ?? [],
           clock,
@@ -214,7 +224,7 @@
     return createScaler({
       ledger,
       lease: held,
-      push,
+      distribution,
       cloud: createCloudClient(httpClient, cloud),
       platform: createPlatformClient(httpClient, id.platform),
       httpClient,
@@ -232,13 +242,13 @@
     name: id.name,
     ledger,
     claims: claims.value,
-    push,
+    distribution,
     coreHealth,
     membership,
     clock,
     holdsScaler,
   });
-  const routes = operatorRoutes({ ledger, push, latencyTargets, clock, status: () => status.body() });
+  const routes = operatorRoutes({ ledger, distribution, latencyTargets, clock, status: () => status.body() });
   function openHttpServer(): Promise<Result<Listener, WireError>> {
     return deps.httpServer.open(id.httpListen, [
       ...routes,
@@ -262,7 +272,7 @@
     lease?.stop();
     membership.leave();
     membership.stop();
-    push.stop();
+    distribution.stop();
     fleetLoad.stop();
     quorumAttestation.stop();
     coreHealth.stop();
@@ -280,7 +290,7 @@
   return ok({
     wire: opened.value.address,
     http: served?.address ?? id.http,
-    push,
+    push: distribution,
     ledger,
     claimsReady: () => claims.value.ready(),
     holdsScaler,
--- a/src/coordination/cut-off-news.test.ts
+++ b/src/coordination/cut-off-news.test.ts
@@ -67,9 +67,9 @@
 
   function namesOf(fleet: SimFleet): () => string[] {
     const clock: Clock = { mono: fleet.world.now, wall: fleet.world.now, timer: fleet.world.at };
-    const push = fleet.controllers[0]?.controller?.push;
-    if (!push) throw new Error('not up');
-    const directory = createDirectory(push, () => null, 'hungary', clock);
+    const distribution = fleet.controllers[0]?.controller?.distribution;
+    if (!distribution) throw new Error('not up');
+    const directory = createDirectory(distribution, () => null, 'hungary', clock);
     const byAddress = new Map(fleet.proxies.map((s) => [s.http, s.name]));
     return () =>
       directory
--- a/src/coordination/discovery/directory.ts
+++ b/src/coordination/discovery/directory.ts
@@ -1,9 +1,11 @@
+/** Which proxies a caller is led to, from the reports that proxies send to controllers. */
 import { hash32 } from '../../base/digest.js';
 import type { Reports } from '../../state/distribution/reports.js';
 import type { Serving } from '../../state/configuration/serving.js';
 import type { Clock } from '../../transport/clock.js';
 import type { Address } from '../../transport/wire.js';
 
+/** A proxy by its last report, and how long ago that was, in milliseconds. */
 export type ProxyStatus = {
   readonly name: string;
   readonly zone: string;
@@ -14,8 +16,14 @@
   readonly sinceContactMs: number;
 };
 
+/** Who asks: the host that it calls, its zone and its region. */
 export type Caller = { readonly host: string; readonly zone: string; readonly region: string };
 
+/**
+ * Times (milliseconds) and bounds of the directory. A proxy without contact for `unheardMs` is taken for down, and
+ * for `forgottenMs` for gone; `warmMs` is how long a new controller waits for first reports; `most` bounds an
+ * answer.
+ */
 export type DirectoryTuning = {
   readonly sinceContactMs: number;
   readonly forgottenMs: number;
@@ -26,6 +34,7 @@
   readonly minFraction: number;
 };
 
+/** The tuning in use. */
 export const DIRECTORY_TUNING: DirectoryTuning = {
   sinceContactMs: 2_000,
   forgottenMs: 30_000,
@@ -136,8 +145,10 @@
   return left.rank - right.rank;
 }
 
+/** The newest reports, and when each proxy was last in contact. */
 export type ProxyReports = { readonly reports: () => Reports; readonly lastContactAt: (name: string) => number | null };
 
+/** Answers look-ups. */
 export interface Directory {
   addressesFor(caller: Caller): DirectoryAnswer;
 }
--- a/src/coordination/discovery/pushed-list-feed.ts
+++ b/src/coordination/discovery/pushed-list-feed.ts
@@ -1,3 +1,7 @@
+/**
+ * The list of workers as a proxy has it: pushed by the controller that reads it, and read from the platform itself
+ * only when no controller sends any.
+ */
 import { createEvents } from '../../base/events.js';
 import type { WorkerEntry } from '../../state/discovery/worker-entry.js';
 import type { Clock, Timer } from '../../transport/clock.js';
@@ -10,6 +14,7 @@
 import type { WorkerListPace, WorkerListUpdates } from './worker-list-updates.js';
 import { readWithin } from './read-within.js';
 
+/** Controllers to ask, and the reader that is the last resort. */
 export type PushedListFeedDeps = {
   readonly reader: WorkerListReader;
   readonly controllers: () => Iterable<Address>;
@@ -188,6 +193,7 @@
   }
 }
 
+/** A feed that asks at once and then follows. */
 export function createPushedListFeed(deps: PushedListFeedDeps): WorkerListFeed {
   return new PushedListFeed(deps);
 }
--- a/src/coordination/discovery/read-within.ts
+++ b/src/coordination/discovery/read-within.ts
@@ -1,8 +1,10 @@
+/** Bounds the time of a reading of the list. */
 import type { Result } from '../../base/result.js';
 import type { WorkerEntry } from '../../state/discovery/worker-entry.js';
 import type { Clock } from '../../transport/clock.js';
 import type { WorkerListError, WorkerListReader } from './worker-list-feed.js';
 
+/** The list, or null if reading takes longer than `ms` milliseconds; the reading itself goes on. */
 export function readWithin(
   reader: WorkerListReader,
   clock: Clock,
--- a/src/coordination/discovery/unresponsive-worker-watch.ts
+++ b/src/coordination/discovery/unresponsive-worker-watch.ts
@@ -1,10 +1,16 @@
+/**
+ * Finds workers that stopped responding: where all attempts at a worker are quiet it dials the worker, and one that
+ * can't be reached is marked unresponsive until it can.
+ */
 import type { RegistryRow, WorkerRegistry } from '../../state/discovery/worker-registry.js';
 import type { Clock } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
 import type { ConnectionPool } from '../../transport/opaque-http.js';
 
+/** An attempt at a worker; `lastEventAt` is when its last byte came, by the monotonic clock. */
 export type WatchedAttempt = { readonly sentAt: number; lastEventAt: number; readonly onUnresponsive: () => void };
 
+/** To be told when attempts begin and end, and of connections that failed. */
 export interface UnresponsiveWorkerWatch {
   begin(row: RegistryRow, call: WatchedAttempt): void;
   end(row: RegistryRow, call: WatchedAttempt): void;
@@ -12,6 +18,7 @@
   stop(): void;
 }
 
+/** `responseTimeoutMs` is how long all attempts at a worker may be quiet before it is dialled. */
 export type UnresponsiveWorkerWatchDeps = {
   readonly registry: WorkerRegistry;
   readonly connectionPool: ConnectionPool;
@@ -140,6 +147,7 @@
   }
 }
 
+/** A watch that looks only while there is something to watch. */
 export function createUnresponsiveWorkerWatch(deps: UnresponsiveWorkerWatchDeps): UnresponsiveWorkerWatch {
   return new DiallingWorkerWatch(deps);
 }
--- a/src/coordination/discovery/worker-list-feed.ts
+++ b/src/coordination/discovery/worker-list-feed.ts
@@ -1,16 +1,21 @@
+/** The list of workers as an interface, and a feed that polls it. */
 import { createEvents } from '../../base/events.js';
 import type { Result } from '../../base/result.js';
 import type { WorkerEntry } from '../../state/discovery/worker-entry.js';
 import { every } from '../../transport/clock.js';
 import type { Clock, Timer } from '../../transport/clock.js';
 
+/** `changed` comes with the whole list. */
 export type WorkerListFeedEvents = { readonly changed: { readonly entries: readonly WorkerEntry[] } };
 
+/** Why a reading failed: no answer, or one that makes no sense. */
 export type WorkerListError =
   { readonly tag: 'listSilent' } | { readonly tag: 'listNonsense'; readonly detail: string };
 
+/** Reads the list from where it is kept. */
 export type WorkerListReader = { readonly read: () => Promise<Result<readonly WorkerEntry[], WorkerListError>> };
 
+/** The newest list; `asOf` is when it was read, by the monotonic clock, null before the first. */
 export interface WorkerListFeed {
   entries(): readonly WorkerEntry[];
   asOf(): number | null;
@@ -69,6 +74,7 @@
   }
 }
 
+/** A feed that reads the list each `everyMs` milliseconds. */
 export function createPolledFeed(reader: WorkerListReader, clock: Clock, everyMs: number): WorkerListFeed {
   return new PolledListFeed(reader, clock, everyMs);
 }
--- a/src/coordination/discovery/worker-list-source.ts
+++ b/src/coordination/discovery/worker-list-source.ts
@@ -1,3 +1,7 @@
+/**
+ * The list for a proxy with its own connection to the platform; while the platform does not answer, the list of a
+ * peer.
+ */
 import { err, ok } from '../../base/result.js';
 import type { Result } from '../../base/result.js';
 import type { Message } from '../../protocol/messages.js';
@@ -10,16 +14,19 @@
 import type { Membership } from '../membership/failure-detector.js';
 import type { Peers } from '../messaging/peers.js';
 
+/** A list and its age in milliseconds; `secondHand` if a peer gave it. */
 export type WorkerListReading = {
   readonly workers: readonly Listed[];
   readonly ageMs: number;
   readonly secondHand: boolean;
 };
 
+/** Reads the newest list that can be had. */
 export interface WorkerListSource {
   read(): Promise<Result<WorkerListReading, CloudError>>;
 }
 
+/** The platform, and the peers that are asked in its place. */
 export type WorkerListSourceDeps = {
   readonly name: string;
   readonly platform: PlatformClient;
@@ -82,6 +89,7 @@
   }
 }
 
+/** A source that also answers the requests of peers. */
 export function createWorkerListSource(deps: WorkerListSourceDeps): WorkerListSource {
   return new PlatformListSource(deps);
 }
--- a/src/coordination/discovery/worker-list-updates.ts
+++ b/src/coordination/discovery/worker-list-updates.ts
@@ -1,3 +1,7 @@
+/**
+ * Updates of the worker list between nodes: snapshots, changes and confirmations, each with the version it leads to.
+ * Used by the controller that reads the list, by the other controllers and by proxies.
+ */
 import { createEvents } from '../../base/events.js';
 import type { Message, MessageOf } from '../../protocol/messages.js';
 import { compareVersions, createWorkerListTable } from '../../state/discovery/worker-list-table.js';
@@ -7,8 +11,13 @@
 import type { Address } from '../../transport/wire.js';
 import type { Peer, Peers } from '../messaging/peers.js';
 
+/** The messages that carry the list. */
 export type WorkerListMessage = MessageOf<'listWhole'> | MessageOf<'listChange'> | MessageOf<'listBeat'>;
 
+/**
+ * `taken`: the table moved on; `missed`: an update can't be applied; `outrun`: the sender is behind; `woke`: the
+ * process had stood still.
+ */
 export type WorkerListUpdateEvents = {
   readonly taken: { readonly message: WorkerListMessage; readonly contents: boolean };
   readonly missed: { readonly number: WorkerListVersion };
@@ -16,8 +25,10 @@
   readonly woke: { readonly afterMs: number };
 };
 
+/** What asking a node brought: a fresh list, an old one, or no answer. */
 export type QueryResult = 'fresh' | 'stale' | 'silent';
 
+/** Times of reading and passing on the list, in milliseconds. */
 export type WorkerListPace = {
   readonly everyMs: number;
   readonly freshMs: number;
@@ -28,6 +39,7 @@
   readonly renewMs: number;
 };
 
+/** The pace in use. */
 export const WORKER_LIST_PACE: WorkerListPace = {
   everyMs: 1_000,
   freshMs: 1_250,
@@ -38,6 +50,7 @@
   renewMs: 4_000,
 };
 
+/** The table that updates are applied to, and how old it is. */
 export interface WorkerListUpdates {
   readonly table: WorkerListTable;
   readonly events: {
@@ -56,6 +69,7 @@
   stop(): void;
 }
 
+/** A longer gap between two looks says that the process stood still, in milliseconds. */
 export const STOOD_STILL_MS = 1_500;
 const TURN_MS = 500;
 const DISTRUST_MS = 2_500;
@@ -184,6 +198,7 @@
   }
 }
 
+/** Applies the updates that come, once a node was asked for the list. */
 export function createWorkerListUpdates(peers: Peers, clock: Clock, pace: WorkerListPace): WorkerListUpdates {
   return new PeerWorkerListUpdates(peers, clock, pace);
 }
--- a/src/coordination/discovery/worker-watch.ts
+++ b/src/coordination/discovery/worker-watch.ts
@@ -1,3 +1,4 @@
+/** Health checks of workers by a proxy: reads the list each second and probes workers, near ones more often. */
 import type { WorkerRow } from '../../state/discovery/worker-row.js';
 import type { WorkerTable } from '../../state/discovery/worker-table.js';
 import { HEALTH_PATH, readHealth } from '../../protocol/worker-wire.js';
@@ -8,6 +9,7 @@
 import type { Log } from '../../transport/log.js';
 import type { WorkerListSource } from './worker-list-source.js';
 
+/** What the checks found. */
 export interface WorkerWatch {
   listAgeMs(): number | null;
   listReadAt(): number | null;
@@ -23,6 +25,7 @@
 const FAR_A_SECOND = 8;
 const PROBE_WAIT_MS = 900;
 
+/** The table to keep up to date; `onChange` is called after each change. */
 export type WorkerWatchDeps = {
   readonly zone: string;
   readonly table: WorkerTable;
@@ -145,6 +148,7 @@
   }
 }
 
+/** Begins to read and to probe at once. */
 export function createWorkerWatch(deps: WorkerWatchDeps): WorkerWatch {
   return new ProbingWorkerWatch(deps);
 }
--- a/src/coordination/distribution/controller-links.ts
+++ b/src/coordination/distribution/controller-links.ts
@@ -1,3 +1,4 @@
+/** The connections of a proxy to controllers. */
 import type { Message } from '../../protocol/messages.js';
 import type { Report } from '../../state/distribution/report.js';
 import { differenceTo } from '../../state/distribution/reports.js';
@@ -112,6 +113,7 @@
   }
 }
 
+/** No connections yet; `onLost` is called with the address of each that ends. */
 export function createControllerLinks(
   peers: Pick<Peers, 'connect'>,
   clock: Clock,
--- a/src/coordination/distribution/controller-selector.ts
+++ b/src/coordination/distribution/controller-selector.ts
@@ -1,3 +1,4 @@
+/** Which controller a proxy follows. */
 import type { Message } from '../../protocol/messages.js';
 import { rankCandidates, networkDistance } from '../../state/distribution/controller-candidates.js';
 import type { Candidate, Location } from '../../state/distribution/controller-candidates.js';
@@ -11,7 +12,7 @@
  * another one when the followed one is lost or silent, asks all while none attests, and looks for a nearer one now and
  * then. Those that are asked to tell changes are few: mostly the followed one alone.
  */
-export interface ControllerChoice {
+export interface ControllerSelector {
   followed(): Address | null;
   isSubscribed(address: Address): boolean;
   sendToSubscribed(message: Message): void;
@@ -27,9 +28,11 @@
   stop(): void;
 }
 
+/** The location of a controller by its name, null if unknown. */
 export type LocationOf = (name: string) => Location | null;
 
-export type ControllerChoiceDeps = {
+/** The controllers to choose from, the links to them, and the messages that subscribe and keep a subscription. */
+export type ControllerSelectorDeps = {
   readonly self: { readonly name: string; readonly zone: string; readonly region: string };
   readonly seeds: readonly Address[];
   readonly members: () => readonly Member[];
@@ -51,7 +54,7 @@
 
 type Times = { attested: number; touched: number; soughtAt: number; attended: number; looked: number };
 
-class NearestControllerChoice implements ControllerChoice {
+class NearestControllerSelector implements ControllerSelector {
   private readonly subscribed = new Set<Address>();
   private readonly at: Times;
   private locationOf: LocationOf = nowhere;
@@ -60,7 +63,7 @@
   private nearer: Address | null = null;
   private stopped = false;
 
-  constructor(private readonly deps: ControllerChoiceDeps) {
+  constructor(private readonly deps: ControllerSelectorDeps) {
     this.at = {
       attested: this.deps.clock.mono(),
       touched: this.deps.clock.mono(),
@@ -259,8 +262,9 @@
   }
 }
 
-export function createControllerChoice(deps: ControllerChoiceDeps): ControllerChoice {
-  return new NearestControllerChoice(deps);
+/** Follows nobody until the first turn. */
+export function createControllerSelector(deps: ControllerSelectorDeps): ControllerSelector {
+  return new NearestControllerSelector(deps);
 }
 
 function nowhere(): null {
--- a/src/coordination/distribution/fleet-load-relay.ts
+++ b/src/coordination/distribution/fleet-load-relay.ts
@@ -1,3 +1,4 @@
+/** Sums the loads that proxies report on workers, so that each proxy knows what the others run there. */
 import type { MessageOf } from '../../protocol/messages.js';
 import { memberId } from '../../state/consensus/control-state.js';
 import { createFleetLoad, sumOf } from '../../state/distribution/fleet-load.js';
@@ -8,6 +9,7 @@
 import type { Peer, Peers } from '../messaging/peers.js';
 import type { Ledger } from '../consensus/ledger.js';
 
+/** Relays until it is stopped. */
 export interface FleetLoadRelay {
   stop(): void;
 }
@@ -86,6 +88,9 @@
   }
 }
 
+/**
+ * Collects loads of the proxies connected here, exchanges sums with the other controllers, and sends the total back.
+ */
 export function createFleetLoadRelay(ledger: Ledger, peers: Peers, clock: Clock, rng: Rng): FleetLoadRelay {
   return new GossipingLoadRelay(ledger, peers, clock, rng);
 }
--- a/src/coordination/distribution/follower.ts
+++ b/src/coordination/distribution/follower.ts
@@ -1,3 +1,4 @@
+/** A proxy's subscription to the ledger. */
 import { createEvents } from '../../base/events.js';
 import type { Message, MessageOf } from '../../protocol/messages.js';
 import type { Location } from '../../state/distribution/controller-candidates.js';
@@ -11,8 +12,8 @@
 import type { Log } from '../../transport/log.js';
 import type { Address } from '../../transport/wire.js';
 import type { Peer, Peers } from '../messaging/peers.js';
-import { createControllerChoice } from './controller-selector.js';
-import type { ControllerChoice, LocationOf } from './controller-selector.js';
+import { createControllerSelector } from './controller-selector.js';
+import type { ControllerSelector, LocationOf } from './controller-selector.js';
 import { createControllerLinks } from './controller-links.js';
 import type { ControllerLinks } from './controller-links.js';
 import { createControlStateWriter, loadControlState } from './stored-control-state.js';
@@ -22,6 +23,7 @@
 import { createSnapshotReceiver } from '../consensus/snapshot-receiver.js';
 import type { SnapshotReceiver } from '../consensus/snapshot-receiver.js';
 
+/** `moved`: the state now stands at this slot. */
 export type FollowerEvents = { readonly moved: { readonly slot: number } };
 
 /**
@@ -46,10 +48,12 @@
   stop(): void;
 }
 
+/** The proxy that follows. */
 export type FollowerSelf = { readonly name: string; readonly zone: string; readonly region: string };
 
 const TICK_MS = 100;
 
+/** Loads what the disk keeps, then follows the controllers from there on. */
 export async function createFollower(
   self: FollowerSelf,
   seeds: readonly Address[],
@@ -71,7 +75,7 @@
   private readonly receiver: SnapshotReceiver;
   private readonly contact: MajorityContact;
   private readonly links: ControllerLinks;
-  private readonly choice: ControllerChoice;
+  private readonly choice: ControllerSelector;
   private readonly writer: ControlStateWriter;
   private readonly ticking: Timer;
 
@@ -88,7 +92,7 @@
     this.receiver = createSnapshotReceiver(this.peers, this.clock, this.log);
     this.contact = createMajorityContact(this.clock, (gapMs) => this.onStandstill(gapMs));
     this.links = createControllerLinks(this.peers, this.clock, (address) => this.onLost(address));
-    this.choice = createControllerChoice({
+    this.choice = createControllerSelector({
       self: this.self,
       seeds: this.seeds,
       members: () => this.members(),
--- a/src/coordination/distribution/majority-contact.ts
+++ b/src/coordination/distribution/majority-contact.ts
@@ -1,3 +1,4 @@
+/** When a proxy last had contact with a majority of controllers. */
 import type { Clock } from '../../transport/clock.js';
 
 /**
@@ -83,6 +84,7 @@
   }
 }
 
+/** No contact yet; `onStandstill` is told of each standstill of the process, with its length in milliseconds. */
 export function createMajorityContact(clock: Clock, onStandstill: (gapMs: number) => void): MajorityContact {
   return new NonceMajorityContact(clock, onStandstill);
 }
--- a/src/coordination/distribution/quorum-attestation.ts
+++ b/src/coordination/distribution/quorum-attestation.ts
@@ -11,8 +11,13 @@
 import type { Ledger } from '../consensus/ledger.js';
 import type { ReceivedMemberStatus } from '../membership/member-statuses.js';
 
+/**
+ * This controller held everything confirmed before `asOf` (monotonic clock); `top` is the newest slot that was known
+ * then.
+ */
 export type Attestation = { readonly asOf: number; readonly top: number };
 
+/** The newest attestation, and time as the controllers agree on it. */
 export interface QuorumAttestation {
   newest(): Attestation | null;
   requestSoon(): void;
@@ -109,6 +114,7 @@
   }
 }
 
+/** Attests from the statuses that members send. */
 export function createQuorumAttestation(ledger: Ledger, clock: Clock): QuorumAttestation {
   return new PolledQuorumAttestation(ledger, clock);
 }
--- /dev/null
+++ b/src/coordination/distribution/report-exchange.ts
@@ -0,0 +1,118 @@
+/**
+ * The newest report of each proxy on every controller: takes reports from the proxies that are subscribed here, and passes
+ * them on to the other controllers as differences, once a second.
+ */
+import type { MessageOf } from '../../protocol/messages.js';
+import { otherMembers } from '../../state/consensus/fold-members.js';
+import type { Member } from '../../state/consensus/entry.js';
+import type { Report } from '../../state/distribution/report.js';
+import { differenceTo, mergeReport } from '../../state/distribution/reports.js';
+import type { Reports } from '../../state/distribution/reports.js';
+import { every } from '../../transport/clock.js';
+import type { Clock, Timer } from '../../transport/clock.js';
+import type { Ledger } from '../consensus/ledger.js';
+import type { Peer, Peers } from '../messaging/peers.js';
+
+const GOSSIP_INTERVAL_MS = 1_000;
+
+/** Exchanges reports until `close` is called. */
+export class ReportExchange {
+  /** The newest report by proxy. */
+  readonly reports: Reports = new Map();
+  private readonly lastContacts = new Map<string, number>();
+  /** By controller: the reports that were sent to it, which the next differences build on. */
+  private readonly sentReports = new Map<string, Map<string, Report>>();
+  /** By controller: proxies whose reports are to be passed on. */
+  private readonly pendingRelays = new Map<string, Set<string>>();
+  private rounds = 0;
+  private readonly gossipTimer: Timer;
+
+  constructor(
+    private readonly ledger: Ledger,
+    private readonly peers: Peers,
+    private readonly clock: Clock,
+  ) {
+    this.gossipTimer = every(clock, GOSSIP_INTERVAL_MS, () => this.gossip());
+    peers.on('reportsAsk', (message) => this.onReportsRequest(message));
+    peers.on('reports', (message, peer) => this.onReports(message, peer));
+  }
+
+  /** When a report of this proxy came last, from itself or another controller; monotonic clock, null if never. */
+  lastContactAt(proxy: string): number | null {
+    return this.lastContacts.get(proxy) ?? null;
+  }
+
+  close(): void {
+    this.gossipTimer.cancel();
+  }
+
+  private onReports(message: MessageOf<'reports'>, peer: Peer): null {
+    const missed: string[] = [];
+    for (const report of message.reports) {
+      const known = this.reports.get(report.reporter);
+      const step = mergeReport(this.reports, report);
+      if (step === 'merged') this.onMerged(report.reporter, message.by);
+      else if (step === 'gap') missed.push(report.reporter);
+      else if (known && known.run !== report.run && known.incarnation >= report.incarnation)
+        peer.send({ kind: 'outlived', reporter: report.reporter, incarnation: known.incarnation });
+    }
+    if (missed.length > 0) peer.send({ kind: 'reportsAsk', by: this.ledger.self.name, reporters: missed });
+    return null;
+  }
+
+  /** A report of a proxy goes to all others; one that a controller passed on goes to one more, in turn. */
+  private onMerged(proxy: string, by: string | undefined): void {
+    this.lastContacts.set(proxy, this.clock.mono());
+    this.scheduleRelay(proxy, by === undefined ? this.others() : this.nextBesides(by));
+  }
+
+  private nextBesides(by: string): Member[] {
+    const others = this.others().filter((member) => member.name !== by);
+    const next = others[this.rounds % Math.max(1, others.length)];
+    return next ? [next] : [];
+  }
+
+  private scheduleRelay(proxy: string, to: readonly Member[]): void {
+    for (const member of to) {
+      const proxies = this.pendingRelays.get(member.name) ?? new Set<string>();
+      proxies.add(proxy);
+      this.pendingRelays.set(member.name, proxies);
+    }
+  }
+
+  /** A controller lacks what differences were built on: the whole reports go to it next. */
+  private onReportsRequest(message: MessageOf<'reportsAsk'>): null {
+    for (const proxy of message.reporters) {
+      this.sentReports.get(message.by)?.delete(proxy);
+      for (const member of this.others()) if (member.name === message.by) this.scheduleRelay(proxy, [member]);
+    }
+    return null;
+  }
+
+  private gossip(): void {
+    this.rounds += 1;
+    for (const member of this.others()) {
+      const proxies = this.pendingRelays.get(member.name);
+      if (proxies && proxies.size > 0) void this.relay(member, proxies);
+      this.pendingRelays.delete(member.name);
+    }
+  }
+
+  private async relay(member: Member, proxies: ReadonlySet<string>): Promise<void> {
+    const sent = this.sentReports.get(member.name) ?? new Map<string, Report>();
+    this.sentReports.set(member.name, sent);
+    const differences: Report[] = [];
+    for (const proxy of proxies) {
+      const report = this.reports.get(proxy);
+      if (!report) continue;
+      differences.push(differenceTo(sent.get(proxy), report));
+      sent.set(proxy, report);
+    }
+    const message = { kind: 'reports' as const, by: this.ledger.self.name, reports: differences };
+    if (!(await this.peers.send(member.address, message))) this.sentReports.delete(member.name);
+  }
+
+  private others(): Member[] {
+    return otherMembers(this.ledger.controlState().members, this.ledger.self);
+  }
+}
--- a/src/coordination/distribution/stored-control-state.ts
+++ b/src/coordination/distribution/stored-control-state.ts
@@ -1,3 +1,4 @@
+/** The control state as a proxy keeps it on its disk. */
 import { isTable } from '../../base/is-table.js';
 import { parsedJson } from '../../base/parsed-json.js';
 import { emptyControlState, isControlState } from '../../state/consensus/control-state.js';
@@ -17,6 +18,7 @@
   readonly floor: number;
 };
 
+/** Writes the state now and then, and its slot at once. */
 export interface ControlStateWriter {
   /** Writes the newest slot, unless it stands on the disk already. */
   scheduleFloorSave(): void;
--- a/src/coordination/forwarding/attempt.ts
+++ b/src/coordination/forwarding/attempt.ts
@@ -10,9 +10,9 @@
 import type { Clock, Timer } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
 import type { ConnectionPool, RawHeaders, SendEvents, SendError, Sending, Sent } from '../../transport/opaque-http.js';
-import { createAnswerReader } from './response-reader.js';
-import type { AnswerReader } from './response-reader.js';
-import type { CallerAnswers, BufferedResponse } from './caller-responses.js';
+import { createResponseReader } from './response-reader.js';
+import type { ResponseReader } from './response-reader.js';
+import type { CallerResponses, BufferedResponse } from './caller-responses.js';
 import { hasBody, requestHeaders } from './forwarded-headers.js';
 import type { RelayedRequest } from './relayed-request.js';
 import type { UnresponsiveWorkerWatch, WatchedAttempt } from '../discovery/unresponsive-worker-watch.js';
@@ -21,13 +21,14 @@
 /** How an attempt ended; `answer` is set for a held answer, be it a success or a failure. */
 export type AttemptEnd = { readonly outcome: AttemptOutcome; readonly answer: BufferedResponse | null };
 
+/** What an attempt needs; `onEnd` is called when the worker's slot is free again. */
 export type AttemptDeps = {
   readonly headerNames: HeaderNames;
   readonly registry: WorkerRegistry;
   readonly connectionPool: ConnectionPool;
   readonly watch: UnresponsiveWorkerWatch;
   readonly standstill: Standstill;
-  readonly answers: CallerAnswers;
+  readonly answers: CallerResponses;
   readonly clock: Clock;
   readonly log: Log;
   /** True if an attempt whose worker can't be reached is to be given up for another one. */
@@ -36,6 +37,7 @@
   readonly onEnd: () => void;
 };
 
+/** Makes one attempt; resolves once its outcome is known, never rejects. */
 export type Attempt = (request: RelayedRequest, reserved: ReservedWorker) => Promise<AttemptEnd>;
 
 /** A worker that turned a request away is passed over for so long. */
@@ -49,7 +51,7 @@
 }
 
 class PooledAttemptRun implements AttemptRun {
-  private readonly reader: AnswerReader;
+  private readonly reader: ResponseReader;
   private readonly call: WatchedAttempt;
   private readonly leftMs: number;
   private sent: Sent | null = null;
@@ -64,7 +66,7 @@
     private readonly reserved: ReservedWorker,
     private readonly resolve: (end: AttemptEnd) => void,
   ) {
-    this.reader = createAnswerReader(this.deps.headerNames, this.request, this.deps.answers);
+    this.reader = createResponseReader(this.deps.headerNames, this.request, this.deps.answers);
     this.call = { sentAt: this.deps.clock.mono(), lastEventAt: 0, onUnresponsive: () => this.onUnresponsive() };
     this.leftMs = this.request.deadlineAt - this.deps.clock.mono();
 
--- a/src/coordination/forwarding/caller-responses.ts
+++ b/src/coordination/forwarding/caller-responses.ts
@@ -7,7 +7,8 @@
 /** A worker's answer, held until its end was seen. */
 export type BufferedResponse = { readonly status: number; readonly headers: RawHeaders; readonly body: Buffer };
 
-export interface CallerAnswers {
+/** Responses to callers: the relay's own, and those of workers passed on. */
+export interface CallerResponses {
   /** Answers with a failure of the relay's own; a 503 tells when to come back. */
   refuse(incoming: OpaqueRequest, status: number, tag: string, retryAfterS: number | null): void;
   /** Passes a worker's whole answer on. */
@@ -21,7 +22,7 @@
 const CONTENT_TOO_LARGE = 413;
 const BAD_GATEWAY = 502;
 
-class HttpCallerAnswers implements CallerAnswers {
+class HttpCallerResponses implements CallerResponses {
   constructor(
     private readonly headerNames: HeaderNames,
     private readonly closing: () => boolean,
@@ -66,6 +67,7 @@
   }
 }
 
-export function createCallerAnswers(headerNames: HeaderNames, closing: () => boolean): CallerAnswers {
-  return new HttpCallerAnswers(headerNames, closing);
+/** Responses in the platform's header names; while `closing`, each is the last on its connection. */
+export function createCallerResponses(headerNames: HeaderNames, closing: () => boolean): CallerResponses {
+  return new HttpCallerResponses(headerNames, closing);
 }
--- a/src/coordination/forwarding/dispatcher.test.ts
+++ b/src/coordination/forwarding/dispatcher.test.ts
@@ -49,7 +49,7 @@
     choose: ({ avoid }: { avoid: ReadonlySet<number> }) => {
       const row = rows.find((r) => !avoid.has(r.index));
       return row
-        ? { tag: 'chosen', candidate: { ix: row.index, id: `w${row.index}`, address: `w${row.index}` } }
+        ? { tag: 'chosen', candidate: { index: row.index, id: `w${row.index}`, address: `w${row.index}` } }
         : { tag: 'none', stoppedBy: 'untried' };
     },
   } as unknown as PlacementService;
--- a/src/coordination/forwarding/dispatcher.ts
+++ b/src/coordination/forwarding/dispatcher.ts
@@ -36,6 +36,7 @@
   | { readonly tag: 'stream'; readonly lines: AsyncIterable<AnswerLine> }
   | { readonly tag: 'failed'; readonly failure: Failure; readonly retryAfterS: number };
 
+/** Counts since the process began, and what is queued and in flight now. */
 export type Tally = {
   readonly requests: Readonly<Record<string, number>>;
   readonly shed: number;
@@ -46,6 +47,7 @@
   readonly inFlight: number;
 };
 
+/** Serves requests whose admission token was checked. */
 export interface Dispatcher {
   /** Serves a request whose ticket was checked; `key` is set for one that may run once. */
   submit(token: AdmissionToken, body: Submit, key: RunKey | null, gone: () => boolean): Promise<Submission>;
@@ -57,6 +59,7 @@
   stop(): void;
 }
 
+/** What a dispatcher works with; while `ready` is false nothing is sent. */
 export type DispatcherDeps = {
   readonly ready: () => boolean;
   readonly placement: PlacementService;
@@ -312,6 +315,7 @@
   }
 }
 
+/** A dispatcher without any request. */
 export function createDispatcher(deps: DispatcherDeps): Dispatcher {
   return new TokenDispatcher(deps);
 }
--- a/src/coordination/forwarding/final-responses.ts
+++ b/src/coordination/forwarding/final-responses.ts
@@ -4,10 +4,11 @@
 import type { OpaqueRequest } from '../../transport/opaque-http.js';
 import type { Rng } from '../../transport/rng.js';
 import type { AttemptEnd } from './attempt.js';
-import type { CallerAnswers } from './caller-responses.js';
+import type { CallerResponses } from './caller-responses.js';
 import type { RelayedRequest } from './relayed-request.js';
 
-export interface LastAnswers {
+/** The last answer to a caller, by what was decided. */
+export interface FinalResponses {
   /** Carries out what was decided after the last attempt. */
   decided(request: RelayedRequest, end: AttemptEnd, decision: Decision): void;
   /** No worker was found in time; `noneInReach` if there is none at all, busy or not. */
@@ -18,8 +19,9 @@
   leaving(incoming: OpaqueRequest): void;
 }
 
-export type LastAnswersDeps = {
-  readonly answers: CallerAnswers;
+/** `onRefused` and `onTruncated` count refusals and answers that broke off. */
+export type FinalResponsesDeps = {
+  readonly answers: CallerResponses;
   readonly tuning: EdgeTuning;
   readonly rng: Rng;
   readonly onRefused: () => void;
@@ -31,8 +33,8 @@
 /** A caller that is sent on to another proxy needn't wait. */
 const ELSEWHERE_S = 0.05;
 
-class RelayLastAnswers implements LastAnswers {
-  constructor(private readonly deps: LastAnswersDeps) {}
+class RelayFinalResponses implements FinalResponses {
+  constructor(private readonly deps: FinalResponsesDeps) {}
 
   decided(request: RelayedRequest, end: AttemptEnd, decision: Decision): void {
     switch (decision.tag) {
@@ -95,8 +97,9 @@
   }
 }
 
-export function createLastAnswers(deps: LastAnswersDeps): LastAnswers {
-  return new RelayLastAnswers(deps);
+/** Final responses that ask refused callers to come back after a random delay. */
+export function createFinalResponses(deps: FinalResponsesDeps): FinalResponses {
+  return new RelayFinalResponses(deps);
 }
 
 function refusalTag(outcome: AttemptOutcome): string {
--- a/src/coordination/forwarding/pending-calls.ts
+++ b/src/coordination/forwarding/pending-calls.ts
@@ -1,13 +1,19 @@
+/**
+ * Calls to workers that are in flight, and when one of them has to be given up: its worker is gone, replaced or
+ * unresponsive.
+ */
 import type { WorkerRow } from '../../state/discovery/worker-row.js';
 import type { WorkerTable } from '../../state/discovery/worker-table.js';
 import type { Clock } from '../../transport/clock.js';
 
+/** A call in flight; `abort` ends it, `onEvent` is to be called for each event of a stream. */
 export type PendingCall = {
   readonly row: WorkerRow;
   readonly abort: AbortController;
   readonly onEvent: () => void;
 };
 
+/** All calls in flight. */
 export interface PendingCalls {
   begin(row: WorkerRow, pieceWaitMs: number): PendingCall;
   end(call: PendingCall): boolean;
@@ -73,6 +79,7 @@
   }
 }
 
+/** No calls yet. */
 export function createPendingCalls(table: WorkerTable, clock: Clock): PendingCalls {
   return new WatchedPendingCalls(table, clock);
 }
--- a/src/coordination/forwarding/placement-service.ts
+++ b/src/coordination/forwarding/placement-service.ts
@@ -1,3 +1,7 @@
+/**
+ * Chooses a worker and a proxy for a request by the placement policies, and signs the admission token that lets the
+ * caller in.
+ */
 import { hash32 } from '../../base/digest.js';
 import { err, ok } from '../../base/result.js';
 import type { Result } from '../../base/result.js';
@@ -18,6 +22,7 @@
 import type { Follower } from '../distribution/follower.js';
 import type { Membership } from '../membership/failure-detector.js';
 
+/** What is known of a request when a worker is chosen. */
 export type Where = {
   readonly from?: string;
   readonly model: string;
@@ -26,6 +31,7 @@
   readonly avoid: ReadonlySet<number>;
 };
 
+/** Places requests, and chooses workers for those that were admitted. */
 export interface PlacementService {
   place(request: PlacementRequest): Result<Placement, Failure>;
   choose(where: Where): Choice;
@@ -33,6 +39,7 @@
   homesOf(model: string, bound: Bound): readonly string[] | null;
 }
 
+/** This proxy, as callers and other proxies know it. */
 export type ProxySelf = {
   readonly name: string;
   readonly run: string;
@@ -41,16 +48,20 @@
   readonly http: string;
 };
 
+/** How long an admission token may be used, in milliseconds. */
 export const TOKEN_LIFETIME_MS = 30_000;
 
+/** The identity of one proxy process, as tokens name it. */
 export function proxyId(node: { readonly name: string; readonly run: string }): string {
   return `${node.name}#${node.run}`;
 }
 
+/** A failure that promises that the request did not run. */
 export function rejection(reason: RejectReason): Failure {
   return { tag: 'shed', notRun: true, reason };
 }
 
+/** What placement decides by. */
 export type PlacementServiceDeps = {
   readonly self: ProxySelf;
   readonly ready: () => boolean;
@@ -260,6 +271,7 @@
   }
 }
 
+/** A service over one proxy's view of the deployment. */
 export function createPlacementService(deps: PlacementServiceDeps): PlacementService {
   return new PolicyPlacementService(deps);
 }
--- a/src/coordination/forwarding/relay.ts
+++ b/src/coordination/forwarding/relay.ts
@@ -18,16 +18,17 @@
 import type { Rng } from '../../transport/rng.js';
 import { createAttempt } from './attempt.js';
 import type { AttemptEnd, Attempt } from './attempt.js';
-import { createCallerAnswers } from './caller-responses.js';
-import type { CallerAnswers } from './caller-responses.js';
-import { createLastAnswers } from './final-responses.js';
-import type { LastAnswers } from './final-responses.js';
+import { createCallerResponses } from './caller-responses.js';
+import type { CallerResponses } from './caller-responses.js';
+import { createFinalResponses } from './final-responses.js';
+import type { FinalResponses } from './final-responses.js';
 import { createRelayedRequest, expectedEnd } from './relayed-request.js';
 import type { RelayedRequest } from './relayed-request.js';
 import { createUnresponsiveWorkerWatch } from '../discovery/unresponsive-worker-watch.js';
 import { createWorkerQueue } from './worker-queue.js';
 import type { ReservedWorker, WorkerQueue } from './worker-queue.js';
 
+/** What the relay works with; `table` is null while the routes are not known. */
 export type RelayDeps = {
   readonly headerNames: HeaderNames;
   readonly tuning: EdgeTuning;
@@ -43,6 +44,7 @@
   readonly lastEndAt: () => number | null;
 };
 
+/** Counts since the process began, and what is queued and in flight now. */
 export type RelayTally = {
   requests: Record<string, number>;
   shed: number;
@@ -54,6 +56,7 @@
   waiting: number;
 };
 
+/** Serves opaque requests. */
 export interface Relay {
   handle(req: OpaqueRequest): void;
   /** To be called when workers, zones or places changed: whoever waits is looked at again. */
@@ -79,14 +82,14 @@
   };
 
   private readonly standstill = createStandstill();
-  private readonly answers: CallerAnswers;
-  private readonly last: LastAnswers;
+  private readonly answers: CallerResponses;
+  private readonly last: FinalResponses;
   private readonly queue: WorkerQueue;
   private readonly attempt: Attempt;
 
   constructor(private readonly deps: RelayDeps) {
-    this.answers = createCallerAnswers(this.deps.headerNames, this.deps.closing);
-    this.last = createLastAnswers({
+    this.answers = createCallerResponses(this.deps.headerNames, this.deps.closing);
+    this.last = createFinalResponses({
       answers: this.answers,
       tuning: this.deps.tuning,
       rng: this.deps.rng,
@@ -294,6 +297,7 @@
   }
 }
 
+/** A relay without any request. */
 export function createRelay(deps: RelayDeps): Relay {
   return new OpaqueRelay(deps);
 }
--- a/src/coordination/forwarding/response-reader.ts
+++ b/src/coordination/forwarding/response-reader.ts
@@ -8,11 +8,12 @@
 import { createEventSplitter, isComment } from '../../state/forwarding/event-splitter.js';
 import type { EventSplitter } from '../../state/forwarding/event-splitter.js';
 import type { RawHeaders } from '../../transport/opaque-http.js';
-import type { CallerAnswers, BufferedResponse } from './caller-responses.js';
+import type { CallerResponses, BufferedResponse } from './caller-responses.js';
 import { numberIn } from './relayed-request.js';
 import type { RelayedRequest } from './relayed-request.js';
 
-export interface AnswerReader {
+/** Takes one worker's response as it comes. */
+export interface ResponseReader {
   /** Each returns the outcome as soon as it is known, else null. */
   head(
     status: number,
@@ -35,7 +36,7 @@
 /** A worker's whole answer is held in memory up to this size. */
 const MOST_HELD_BYTES = 1_048_576;
 
-class CheckedAnswerReader implements AnswerReader {
+class CheckedResponseReader implements ResponseReader {
   private currentStatus = 0;
   private headers: RawHeaders = [];
   private chunks: Buffer[] = [];
@@ -46,7 +47,7 @@
   constructor(
     private readonly names: HeaderNames,
     private readonly request: RelayedRequest,
-    private readonly answers: CallerAnswers,
+    private readonly answers: CallerResponses,
   ) {}
 
   private isSuccess(): boolean {
@@ -87,7 +88,7 @@
   }
 
   private passEvents(from: EventSplitter, chunk: Buffer): AttemptOutcome | null {
-    const events = from.push(chunk);
+    const events = from.distribution(chunk);
     if (events.length > 0) this.answers.begin(this.request, this.currentStatus, this.headers);
     for (const event of events) {
       if (event.id === null) this.request.unnumbered = this.request.unnumbered || !isComment(event.bytes);
@@ -124,6 +125,11 @@
   }
 }
 
-export function createAnswerReader(names: HeaderNames, request: RelayedRequest, answers: CallerAnswers): AnswerReader {
-  return new CheckedAnswerReader(names, request, answers);
+/** A reader for the response to one attempt of a request. */
+export function createResponseReader(
+  names: HeaderNames,
+  request: RelayedRequest,
+  answers: CallerResponses,
+): ResponseReader {
+  return new CheckedResponseReader(names, request, answers);
 }
--- a/src/coordination/forwarding/worker-call.ts
+++ b/src/coordination/forwarding/worker-call.ts
@@ -26,6 +26,7 @@
   | { readonly tag: 'stream'; readonly lines: AsyncIterable<AnswerLine> }
   | { readonly tag: 'failed'; readonly outcome: AttemptOutcome; readonly failure: Failure };
 
+/** One call: the worker, what is sent, and until when (monotonic clock, milliseconds). */
 export type WorkerCall = {
   readonly candidate: Candidate;
   readonly row: WorkerRow;
@@ -37,6 +38,7 @@
   readonly sealed: () => void;
 };
 
+/** What calls are made with. */
 export type WorkerCallDeps = {
   readonly table: WorkerTable;
   readonly pending: PendingCalls;
@@ -58,6 +60,7 @@
 const WORKER_FAILED: Failure = { tag: 'workerFailed' };
 const BAD_SEAL: Failure = { tag: 'badSeal' };
 
+/** Makes calls; each resolves at its end or, for a stream, at its first good line. */
 export function createWorkerCalls(deps: WorkerCallDeps): (call: WorkerCall) => Promise<WorkerCallEnd> {
   const { table, pending, httpClient, clock, log } = deps;
 
--- a/src/coordination/forwarding/worker-queue.ts
+++ b/src/coordination/forwarding/worker-queue.ts
@@ -17,6 +17,7 @@
 /** A worker with one of its places held. */
 export type ReservedWorker = { readonly row: RegistryRow; readonly reservation: Reservation };
 
+/** Reserves workers for requests. */
 export interface WorkerQueue {
   /** A worker, or null when the wait was over, the queue full or the caller gone. */
   reserve(request: RelayedRequest): Promise<ReservedWorker | null>;
@@ -27,6 +28,7 @@
   waiting(): number;
 }
 
+/** The workers, and `selectionFor`, which says what a request needs. */
 export type WorkerQueueDeps = {
   readonly registry: WorkerRegistry;
   readonly tuning: EdgeTuning;
@@ -153,6 +155,7 @@
   }
 }
 
+/** An empty queue. */
 export function createWorkerQueue(deps: WorkerQueueDeps): WorkerQueue {
   return new RankedWorkerQueue(deps);
 }
--- a/src/coordination/forwarding/worker-slot-queue.ts
+++ b/src/coordination/forwarding/worker-slot-queue.ts
@@ -29,6 +29,7 @@
   readonly gone: () => boolean;
 };
 
+/** Acquires slots of workers. */
 export interface WorkerSlotQueue {
   acquire(request: SlotRequest): Promise<WorkerSlot>;
   /** Gives a place back. */
@@ -39,6 +40,7 @@
   close(): void;
 }
 
+/** Placement and the workers; while `ready` is false everyone is rejected. */
 export type WorkerSlotQueueDeps = {
   readonly ready: () => boolean;
   readonly placement: PlacementService;
@@ -157,6 +159,7 @@
   }
 }
 
+/** Empty queues, one for each model. */
 export function createWorkerSlotQueue(deps: WorkerSlotQueueDeps): WorkerSlotQueue {
   return new ModelSlotQueue(deps);
 }
--- a/src/coordination/idempotency/claim-client.ts
+++ b/src/coordination/idempotency/claim-client.ts
@@ -1,3 +1,4 @@
+/** The proxy's side of run-once claims: asks all controllers, and counts their votes. */
 import { createBatchQueue } from '../../base/batch-queue.js';
 import type { BatchQueue } from '../../base/batch-queue.js';
 import type { Claim, ClaimAnswer, ClaimEnd } from '../../state/idempotency/claim.js';
@@ -9,6 +10,7 @@
 import type { Clock } from '../../transport/clock.js';
 import type { Peers } from '../messaging/peers.js';
 
+/** Whether a key was claimed; only `claimed` lets the request run. */
 export type ClaimOutcome =
   | { readonly tag: 'claimed' }
   | { readonly tag: 'noMajority' }
@@ -16,6 +18,7 @@
   | { readonly tag: 'tooOld' }
   | { readonly tag: 'taken'; readonly answered: boolean };
 
+/** Claims keys and reports how their attempts ended. */
 export interface ClaimClient {
   claim(key: RunKey, by: string): Promise<ClaimOutcome>;
   end(key: RunKey, by: string, outcome: 'released' | 'answered'): void;
@@ -192,6 +195,7 @@
   }
 }
 
+/** A client that puts claims which wait together into one message. */
 export function createClaimClient(currentControlState: () => ControlState, peers: Peers, clock: Clock): ClaimClient {
   return new MajorityClaimClient(currentControlState, peers, clock);
 }
--- a/src/coordination/idempotency/claims.ts
+++ b/src/coordination/idempotency/claims.ts
@@ -26,6 +26,7 @@
 import type { Ledger } from '../consensus/ledger.js';
 import type { Peers } from '../messaging/peers.js';
 
+/** The claims of one controller; `ready` once it may vote on any. */
 export interface Claims {
   ready(): boolean;
   size(): number;
@@ -45,7 +46,9 @@
 
 type Head = { readonly readyFor: string; readonly uptime: number; readonly forgotten: readonly HourRange[] };
 
+/** How long claims are remembered: longer than any key may be used. */
 export const CLAIMS_KEPT_MS = KEY_LIFE_MS + 2 * HOUR_MS;
+/** Most claims that are remembered, whatever the disk would hold. */
 export const MOST_CLAIMS = 2_500_000;
 const HEAD_ROOM = 16_384;
 const PAGE = 20_000;
@@ -73,6 +76,7 @@
   return out;
 }
 
+/** Claims of a controller that keeps none. */
 export function noClaims(): Claims {
   function ready(): boolean {
     return false;
@@ -84,6 +88,7 @@
   return { ready, size, stop };
 }
 
+/** Opens the claims on a disk. The error says why the disk can't be used. */
 export async function createClaims(
   ledger: Ledger,
   peers: Peers,
--- a/src/coordination/leases/lease.ts
+++ b/src/coordination/leases/lease.ts
@@ -16,6 +16,7 @@
 import { poll } from '../consensus/poll.js';
 import type { Votes } from '../consensus/poll.js';
 
+/** A lease on a singleton role; `fence` is the fencing token while it is held, else null. */
 export interface Lease {
   fence(): number | null;
   leftMs(): number;
@@ -28,6 +29,7 @@
   return ids;
 }
 
+/** Length of a lease from its grant, in milliseconds. */
 export const LEASE_TERM_MS = 6_000;
 const MARGIN_MS = 1_000;
 const RENEW_MS = 1_000;
@@ -224,6 +226,7 @@
   }
 }
 
+/** Competes for the lease until stopped, and grants it to others as a member. */
 export function createLease(role: string, ledger: Ledger, peers: Peers, clock: Clock, rng: Rng, log: Log): Lease {
   return new MajorityLease(role, ledger, peers, clock, rng, log);
 }
--- a/src/coordination/membership/core-health-log.ts
+++ b/src/coordination/membership/core-health-log.ts
@@ -7,6 +7,7 @@
 import type { Clock } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
 
+/** Logs changes of the health; equal conditions are logged once. */
 export interface CoreHealthLog {
   record(health: CoreHealth): void;
 }
--- a/src/coordination/membership/core-health-watch.ts
+++ b/src/coordination/membership/core-health-watch.ts
@@ -20,6 +20,7 @@
 import type { Ledger } from '../consensus/ledger.js';
 import type { ReceivedMemberStatus } from './member-statuses.js';
 
+/** The health of the controllers, as one of them sees it. */
 export type CoreHealthReport = {
   /** Health of the members that agree on the ledger. */
   readonly ledger: CoreHealth;
@@ -27,11 +28,13 @@
   readonly claims: CoreHealth | null;
 };
 
+/** The newest judgement. */
 export interface CoreHealthWatch {
   current(): CoreHealthReport;
   stop(): void;
 }
 
+/** What the judgement is made from. */
 export type CoreHealthWatchDeps = {
   readonly ledger: Pick<Ledger, 'controlState' | 'self' | 'top' | 'writable' | 'events'>;
   /** Null where claims are not in use. */
@@ -208,6 +211,7 @@
   }
 }
 
+/** Judges twice a second until stopped. */
 export function createCoreHealthWatch(deps: CoreHealthWatchDeps): CoreHealthWatch {
   return new PollingHealthWatch(deps);
 }
--- a/src/coordination/membership/failure-detector.ts
+++ b/src/coordination/membership/failure-detector.ts
@@ -15,8 +15,10 @@
 import type { Address } from '../../transport/wire.js';
 import type { Peers } from '../messaging/peers.js';
 
+/** `changed`: the status or address of a node is another one now. */
 export type MembershipEvents = { readonly changed: { readonly node: NodeInfo } };
 
+/** The nodes that are known, and their status. */
 export interface Membership {
   all(): readonly NodeInfo[];
   get(name: string): NodeInfo | null;
@@ -334,6 +336,7 @@
   }
 }
 
+/** Begins to probe; `contacts` are addresses that are tried while nobody there is known. */
 export function createMembership(
   self: NodeInfo,
   contacts: () => Iterable<Address>,
--- a/src/coordination/membership/identity.ts
+++ b/src/coordination/membership/identity.ts
@@ -12,6 +12,7 @@
 import type { Rng } from '../../transport/rng.js';
 import type { Address } from '../../transport/wire.js';
 
+/** The identity of a controller, as its disk keeps it (`identity.json`). */
 export type Identity = {
   readonly incarnation: string;
   /** The seeds of the very first start, if this disk may help to found the ledger. */
@@ -20,6 +21,7 @@
   readonly wasMember: boolean | null;
 };
 
+/** Why no identity could be read or written. */
 export type IdentityError = DiskError | { readonly tag: 'identityUnreadable' };
 
 const IDENTITY_FILE = 'identity.json';
@@ -41,6 +43,7 @@
   return saved.ok ? ok(made) : saved;
 }
 
+/** Writes the identity; it is on the disk once this resolves. */
 export function saveIdentity(disk: Disk, identity: Identity): Promise<Result<null, DiskError>> {
   return disk.replace(IDENTITY_FILE, Buffer.from(JSON.stringify(identity)));
 }
--- a/src/coordination/membership/incarnation.ts
+++ b/src/coordination/membership/incarnation.ts
@@ -1,3 +1,4 @@
+/** Counts the starts of a node on its disk, for the failure detector. */
 import { isTable } from '../../base/is-table.js';
 import { parsedJson } from '../../base/parsed-json.js';
 import type { Disk } from '../../transport/disk.js';
@@ -6,6 +7,7 @@
 const LIFE_FILE = 'life.json';
 const STEPS_IN_A_LIFE = 4_096;
 
+/** The first incarnation of this start; without a disk, 0. */
 export async function nextIncarnation(disk: Disk | null, log: Log): Promise<number> {
   if (!disk) return 0;
   const stored = await disk.load(LIFE_FILE);
--- a/src/coordination/membership/member-statuses.ts
+++ b/src/coordination/membership/member-statuses.ts
@@ -9,6 +9,7 @@
 import type { Clock } from '../../transport/clock.js';
 import type { Peers } from '../messaging/peers.js';
 
+/** The newest status of each member, and who has lost contact with whom. */
 export interface MemberStatuses {
   own(): MessageOf<'memberStatus'>;
   ask(): void;
@@ -18,6 +19,7 @@
   majorityLostContact(id: string): boolean;
 }
 
+/** The members to ask and what this one answers; `onMemberStatus` is told of each status. */
 export type MemberStatusesDeps = {
   readonly clock: Clock;
   readonly peers: Peers;
@@ -28,6 +30,7 @@
   readonly onMemberStatus: (contacts: ReceivedMemberStatus) => void;
 };
 
+/** A member's status, and when it was asked for (monotonic clock). */
 export type ReceivedMemberStatus = {
   readonly member: Member;
   readonly requestedAt: number;
@@ -36,6 +39,7 @@
 
 type Contact = { readonly at: number; readonly unheard: readonly string[] };
 
+/** How often members are asked, in milliseconds. */
 export const MEMBER_STATUS_MS = 500;
 const ASK_MS = 1_000;
 const UNHEARD_MS = 2_500;
@@ -129,6 +133,7 @@
   }
 }
 
+/** No statuses yet. */
 export function createMemberStatuses(deps: MemberStatusesDeps): MemberStatuses {
   return new PolledMemberStatuses(deps);
 }
--- a/src/coordination/membership/membership-changes.ts
+++ b/src/coordination/membership/membership-changes.ts
@@ -20,11 +20,13 @@
 import type { Agreed, Draft, ProposeError } from '../consensus/proposal.js';
 import type { MemberStatuses } from './member-statuses.js';
 
+/** `turn` is to be called each half second; `leave` before this controller ends. */
 export interface MembershipChanges {
   turn(): Promise<void>;
   leave(): Promise<void>;
 }
 
+/** What changes of the group are decided and proposed with. */
 export type MembershipChangesDeps = {
   readonly clock: Clock;
   readonly rng: Rng;
@@ -284,6 +286,7 @@
   }
 }
 
+/** Joins, admits, and removes dead members, one step a turn. */
 export function createMembershipChanges(deps: MembershipChangesDeps): MembershipChanges {
   return new LedgerMembershipChanges(deps);
 }
--- a/src/coordination/membership/operator-bootstrap.ts
+++ b/src/coordination/membership/operator-bootstrap.ts
@@ -15,12 +15,15 @@
 import type { Replica } from '../consensus/replica.js';
 import { bootstrapEntry } from './self-bootstrap.js';
 
+/** Why no ledger was made: a controller is not blank, or does not answer. */
 export type BootstrapError =
   | { readonly tag: 'alreadyBootstrapped'; readonly member: string }
   | { readonly tag: 'memberSilent'; readonly address: Address };
 
+/** Makes a ledger of the blank controllers at these addresses. */
 export type Bootstrap = (addresses: readonly Address[]) => Promise<Result<Agreed, BootstrapError>>;
 
+/** The replica that takes part. */
 export type OperatorBootstrapDeps = {
   readonly clock: Clock;
   readonly rng: Rng;
@@ -32,6 +35,7 @@
 
 const ANSWER_WAIT_MS = 1_000;
 
+/** Takes part in the bootstraps of others, and makes one when called. */
 export function createOperatorBootstrap(deps: OperatorBootstrapDeps): Bootstrap {
   const { clock, rng, peers, replica } = deps;
   const { self } = replica;
--- a/src/coordination/membership/relocated-controllers.ts
+++ b/src/coordination/membership/relocated-controllers.ts
@@ -1,3 +1,4 @@
+/** Controllers that serve at another address than the ledger has. */
 import type { NodeInfo } from '../../state/membership/node-info.js';
 import type { ControlState } from '../../state/consensus/control-state.js';
 import type { Location } from '../../state/distribution/controller-candidates.js';
@@ -5,6 +6,7 @@
 import type { Membership } from './failure-detector.js';
 import type { Peers } from '../messaging/peers.js';
 
+/** Leads connections to a controller to the address that the failure detector has of it. */
 export function followRelocatedControllers(
   membership: Membership,
   currentControlState: () => ControlState,
@@ -18,6 +20,7 @@
   membership.events.on('changed', onChanged);
 }
 
+/** Locations of nodes, as the failure detector knows them. */
 export function locationsOf(membership: Membership): (name: string) => Location | null {
   function spot(name: string): Location | null {
     const node = membership.get(name);
--- a/src/coordination/membership/self-bootstrap.ts
+++ b/src/coordination/membership/self-bootstrap.ts
@@ -16,11 +16,13 @@
 import type { RequestMember } from '../consensus/poll.js';
 import { runRound } from '../consensus/round.js';
 
+/** `ballotOf` is the name under which slot zero is balloted; null on a disk without a vote. */
 export interface SelfBootstrap {
   readonly ballotOf: string | null;
   stop(): void;
 }
 
+/** The seeds of the first start, and how this controller votes and learns. */
 export type SelfBootstrapDeps = {
   readonly clock: Clock;
   readonly rng: Rng;
@@ -39,6 +41,7 @@
 const IN_TURN_MS = 800;
 const WITHOUT_ALL_MS = 3_000;
 
+/** The batch of slot zero. */
 export function bootstrapEntry(
   self: Member,
   ledger: string,
@@ -179,6 +182,7 @@
   }
 }
 
+/** Tries until the ledger is known. */
 export function createSelfBootstrap(deps: SelfBootstrapDeps): SelfBootstrap {
   return new SeedBallotBootstrap(deps);
 }
--- a/src/coordination/messaging/peers.ts
+++ b/src/coordination/messaging/peers.ts
@@ -13,12 +13,15 @@
 
 export type { Peer } from './peer-link.js';
 
+/** Why a call has no answer. Neither says whether the message arrived. */
 export type PeerError =
   | { readonly tag: 'peerUnreachable'; readonly address: Address }
   | { readonly tag: 'peerSilent'; readonly address: Address };
 
+/** Handles one kind of message; what it returns answers a call. */
 export type Handler<K extends MessageKind> = (message: MessageOf<K>, peer: Peer) => Promise<Message> | Message | null;
 
+/** Messages to and from other nodes. */
 export interface Peers {
   open(address: Address): Promise<Result<Listener, WireError>>;
   on<K extends MessageKind>(kind: K, handler: Handler<K>): void;
@@ -167,6 +170,7 @@
   }
 }
 
+/** No connections yet; `open` listens. */
 export function createPeers(wire: Wire, clock: Clock, log: Log): Peers {
   return new WirePeers(wire, clock, log);
 }
--- a/src/coordination/node.ts
+++ b/src/coordination/node.ts
@@ -1,3 +1,4 @@
+/** What every node is given by the program that runs it. */
 import type { Policy } from '../state/forwarding/policies.js';
 import type { Clock } from '../transport/clock.js';
 import type { Disk } from '../transport/disk.js';
@@ -8,6 +9,7 @@
 import type { Address, Wire } from '../transport/wire.js';
 import type { WorkerListReader } from './discovery/worker-list-feed.js';
 
+/** Clock, randomness, network, disk and logs; simulated ones in tests. */
 export type NodeDeps = {
   readonly clock: Clock;
   readonly rng: Rng;
@@ -21,6 +23,7 @@
   readonly listReader?: WorkerListReader | null;
 };
 
+/** Name, place and addresses of a node. */
 export type NodeIdentity = {
   readonly name: string;
   readonly run: string;
--- a/src/coordination/proxy/opaque-proxy.test.ts
+++ b/src/coordination/proxy/opaque-proxy.test.ts
@@ -154,7 +154,7 @@
     sent[i]?.end();
   }
   function reported(): Report | undefined {
-    return core.node('h1').controller!.push.reports().get('s1');
+    return core.node('h1').controller!.distribution.reports().get('s1');
   }
   async function configure(): Promise<void> {
     const ledger = core.node('h1').controller!.ledger;
--- a/src/coordination/proxy/opaque-proxy.ts
+++ b/src/coordination/proxy/opaque-proxy.ts
@@ -1,3 +1,4 @@
+/** Composes a proxy for opaque requests: follower, failure detector, worker list, relay and its HTTP server. */
 import { err, ok } from '../../base/result.js';
 import type { Result } from '../../base/result.js';
 import type { MessageOf } from '../../protocol/messages.js';
@@ -25,6 +26,7 @@
 import { createRelay } from '../forwarding/relay.js';
 import type { RelayTally } from '../forwarding/relay.js';
 
+/** Name, location and addresses of the proxy. */
 export type OpaqueProxyIdentity = {
   readonly name: string;
   readonly run: string;
@@ -35,6 +37,7 @@
   readonly seeds: readonly Address[];
 };
 
+/** What the proxy works with; `feed` makes the feed of the worker list. */
 export type OpaqueProxyDeps = {
   readonly clock: Clock;
   readonly rng: Rng;
@@ -47,6 +50,7 @@
   readonly feed: (peers: Peers, controllers: () => readonly Address[]) => WorkerListFeed;
 };
 
+/** A running proxy. `drain` serves on for a while and returns before `longestMs` are over; `stop` closes everything. */
 export type OpaqueProxy = {
   readonly front: Address;
   readonly ready: () => boolean;
@@ -69,6 +73,7 @@
 const LINGER_MS = 3_000;
 const LAST_CALL_MS = 1_500;
 
+/** Starts a proxy. The error says which address can't be served. */
 export async function startOpaqueProxy(
   id: OpaqueProxyIdentity,
   deps: OpaqueProxyDeps,
--- a/src/coordination/proxy/proxy-http-server.ts
+++ b/src/coordination/proxy/proxy-http-server.ts
@@ -1,3 +1,4 @@
+/** The callers' HTTP interface of a proxy: placements, and requests with an admission token (docs/http.md). */
 import type { Failure, PlacementRequest, Submit } from '../../protocol/caller-wire.js';
 import {
   EDGE_HEALTH_PATH,
@@ -33,6 +34,7 @@
   cut: 502,
 };
 
+/** The HTTP reply for a failure; 503 and 502 say when to come back. */
 export function failureReply(failure: Failure, retryAfterS: number): HttpReply {
   const isTokenError = failure.tag === 'shed' && failure.reason.startsWith('ticket');
   const status = isTokenError ? 409 : STATUS[failure.tag];
@@ -40,6 +42,7 @@
   return { status, headers: waits ? { 'retry-after': String(retryAfterS) } : {}, body: { error: failure } };
 }
 
+/** What the callers' calls work with. */
 export type ProxyHttpServerDeps = {
   readonly self: ProxySelf;
   readonly ready: () => boolean;
--- a/src/coordination/proxy/proxy.ts
+++ b/src/coordination/proxy/proxy.ts
@@ -1,3 +1,7 @@
+/**
+ * Composes a proxy for requests with admission tokens: follower, failure detector, health checks, placement,
+ * dispatcher and its HTTP server.
+ */
 import { err, ok } from '../../base/result.js';
 import type { Result } from '../../base/result.js';
 import type { MessageOf } from '../../protocol/messages.js';
@@ -26,6 +30,7 @@
 import { proxyRoutes } from './proxy-http-server.js';
 import { createWorkerWatch } from '../discovery/worker-watch.js';
 
+/** What the proxy knows of the ledger. */
 export type ProxyView = {
   readonly slot: number;
   readonly version: number;
@@ -34,6 +39,7 @@
   readonly partitioned: boolean;
 };
 
+/** A running proxy; `stop` drains it first. */
 export type Proxy = {
   readonly wire: Address;
   readonly http: Address;
@@ -47,6 +53,7 @@
 const COUNTS_EVERY = 10;
 const STOP_WAIT_MS = 10_000;
 
+/** Starts a proxy. The error says which address can't be served. */
 export async function startProxy(id: NodeIdentity, deps: NodeDeps): Promise<Result<Proxy, WireError>> {
   const { clock, rng, logs, httpClient } = deps;
   const log = logs.component('proxy');
--- a/src/coordination/scaling/cloud-client.ts
+++ b/src/coordination/scaling/cloud-client.ts
@@ -1,3 +1,4 @@
+/** Calls to the cloud that machines are ordered from, and to the platform that lists workers. */
 import { err, ok } from '../../base/result.js';
 import type { Result } from '../../base/result.js';
 import {
@@ -15,11 +16,13 @@
 import type { HttpClient } from '../../transport/http.js';
 import type { Address } from '../../transport/wire.js';
 
+/** Why a call failed; after `cloudSilent` the machine may have been ordered. */
 export type CloudError =
   | { readonly tag: 'noCapacity' }
   | { readonly tag: 'cloudSilent' }
   | { readonly tag: 'cloudNonsense'; readonly detail: string };
 
+/** Orders, lists and releases machines. An order's key makes it idempotent. */
 export interface CloudClient {
   orderMachine(order: CloudOrder): Promise<Result<Machine, CloudError>>;
   machines(owner: string): Promise<Result<Machine[], CloudError>>;
@@ -27,6 +30,7 @@
   prices(): Promise<Result<Record<string, Price>, CloudError>>;
 }
 
+/** Lists workers. */
 export interface PlatformClient {
   workers(): Promise<Result<Listed[], CloudError>>;
 }
@@ -97,6 +101,7 @@
   }
 }
 
+/** A client of the cloud at `address`. */
 export function createCloudClient(httpClient: HttpClient, address: Address): CloudClient {
   return new HttpCloudClient(httpClient, address);
 }
@@ -120,6 +125,7 @@
   }
 }
 
+/** A client of the platform at `address`. */
 export function createPlatformClient(httpClient: HttpClient, address: Address): PlatformClient {
   return new HttpPlatformClient(httpClient, address);
 }
--- a/src/coordination/scaling/observer.ts
+++ b/src/coordination/scaling/observer.ts
@@ -1,3 +1,7 @@
+/**
+ * The scaler where a platform starts workers by itself: it decides orders, and finds in the worker list what became
+ * of them.
+ */
 import type { Step } from '../../state/consensus/entry.js';
 import { decideObserved, decideRetired, observedMemory, observedRules } from '../../state/scaling/observed-orders.js';
 import type { ObservedMemory } from '../../state/scaling/observed-orders.js';
@@ -10,14 +14,15 @@
 import type { WorkerListFeed } from '../discovery/worker-list-feed.js';
 import type { Lease } from '../leases/lease.js';
 import type { Ledger } from '../consensus/ledger.js';
-import type { Push } from '../distribution/push.js';
+import type { ChangeDistribution } from '../distribution/change-distribution.js';
 import { createRateWatch, REPORT_FRESH_MS } from './rate-watch.js';
 import type { RateWatch } from './rate-watch.js';
 
+/** The lease under which it decides, and what it decides by. */
 export type ObserverDeps = {
   readonly ledger: Ledger;
   readonly lease: Lease;
-  readonly push: Pick<Push, 'reports' | 'lastContactAt'>;
+  readonly distribution: Pick<ChangeDistribution, 'reports' | 'lastContactAt'>;
   readonly feed: Pick<WorkerListFeed, 'entries' | 'asOf'>;
   readonly zones: readonly string[];
   readonly clock: Clock;
@@ -25,6 +30,7 @@
   readonly log: Log;
 };
 
+/** Decides each second while the lease is held. */
 export interface Observer {
   stop(): void;
 }
@@ -49,7 +55,7 @@
   private stopped = false;
 
   constructor(private readonly deps: ObserverDeps) {
-    this.rates = createRateWatch(this.deps.ledger, this.deps.push, this.deps.clock);
+    this.rates = createRateWatch(this.deps.ledger, this.deps.distribution, this.deps.clock);
 
     void this.run();
   }
@@ -74,8 +80,8 @@
     const now = this.deps.clock.mono();
     let reporters = 0;
     const votes = new Map<string, number>();
-    for (const report of this.deps.push.reports().values()) {
-      const at = this.deps.push.lastContactAt(report.reporter);
+    for (const report of this.deps.distribution.reports().values()) {
+      const at = this.deps.distribution.lastContactAt(report.reporter);
       if (at === null || now - at > REPORT_FRESH_MS) continue;
       reporters += 1;
       for (const [id, verdict] of Object.entries(report.health))
@@ -166,6 +172,7 @@
   }
 }
 
+/** Begins at once. */
 export function createObserver(deps: ObserverDeps): Observer {
   return new ListObserver(deps);
 }
--- a/src/coordination/scaling/rate-watch.ts
+++ b/src/coordination/scaling/rate-watch.ts
@@ -1,12 +1,15 @@
+/** Request rates of the models, from the reports of proxies. */
 import { createRateWindow } from '../../state/scaling/rates.js';
 import type { RateWindow } from '../../state/scaling/rates.js';
 import type { Clock } from '../../transport/clock.js';
 import type { Ledger } from '../consensus/ledger.js';
-import type { Push } from '../distribution/push.js';
+import type { ChangeDistribution } from '../distribution/change-distribution.js';
 import type { Rate } from '../../state/scaling/target.js';
 
+/** A report older than this does not count, in milliseconds. */
 export const REPORT_FRESH_MS = 4_000;
 
+/** Takes samples and gives rates; `reset` forgets all samples. */
 export interface RateWatch {
   observe(): void;
   readonly rate: RateWindow['rate'];
@@ -18,7 +21,7 @@
 
   constructor(
     private readonly ledger: Ledger,
-    private readonly push: Pick<Push, 'reports' | 'lastContactAt'>,
+    private readonly distribution: Pick<ChangeDistribution, 'reports' | 'lastContactAt'>,
     private readonly clock: Clock,
   ) {}
 
@@ -26,10 +29,10 @@
     const now = this.clock.mono();
     let complete = true;
     for (const name of Object.keys(this.ledger.controlState().proxies)) {
-      const at = this.push.lastContactAt(name);
+      const at = this.distribution.lastContactAt(name);
       if (at === null || now - at > REPORT_FRESH_MS) complete = false;
     }
-    this.rates.observe(now, this.push.reports().values(), complete);
+    this.rates.observe(now, this.distribution.reports().values(), complete);
   }
 
   rate(model: string, windowMs: number): Rate | null {
@@ -41,10 +44,11 @@
   }
 }
 
+/** No samples yet. */
 export function createRateWatch(
   ledger: Ledger,
-  push: Pick<Push, 'reports' | 'lastContactAt'>,
+  distribution: Pick<ChangeDistribution, 'reports' | 'lastContactAt'>,
   clock: Clock,
 ): RateWatch {
-  return new ReportRateWatch(ledger, push, clock);
+  return new ReportRateWatch(ledger, distribution, clock);
 }
--- a/src/coordination/scaling/scaler.ts
+++ b/src/coordination/scaling/scaler.ts
@@ -1,3 +1,7 @@
+/**
+ * The scaler with a cloud of its own: agrees each decision in the ledger under its fencing token, then orders or
+ * releases machines (docs/skyserve.md).
+ */
 import type { Command } from '../../state/consensus/entry.js';
 import type { Order } from '../../state/scaling/order.js';
 import { isOpen } from '../../state/scaling/order.js';
@@ -21,18 +25,20 @@
 import type { CloudClient, PlatformClient } from './cloud-client.js';
 import type { Lease } from '../leases/lease.js';
 import type { Ledger } from '../consensus/ledger.js';
-import type { Push } from '../distribution/push.js';
+import type { ChangeDistribution } from '../distribution/change-distribution.js';
 import { createRateWatch, REPORT_FRESH_MS } from './rate-watch.js';
 import type { RateWatch } from './rate-watch.js';
 
+/** Decides each second while the lease is held. */
 export interface Scaler {
   stop(): void;
 }
 
+/** The lease under which it decides, and the cloud it calls. */
 export type ScalerDeps = {
   readonly ledger: Ledger;
   readonly lease: Lease;
-  readonly push: Push;
+  readonly distribution: ChangeDistribution;
   readonly cloud: CloudClient;
   readonly platform: PlatformClient;
   readonly httpClient: HttpClient;
@@ -63,7 +69,7 @@
   private failedZones: { readonly model: string; readonly zone: string }[] = [];
 
   constructor(private readonly deps: ScalerDeps) {
-    this.rates = createRateWatch(this.deps.ledger, this.deps.push, this.deps.clock);
+    this.rates = createRateWatch(this.deps.ledger, this.deps.distribution, this.deps.clock);
 
     void this.run();
   }
@@ -106,8 +112,8 @@
     for (const worker of workers ?? []) {
       let healthy = 0;
       let unhealthy = 0;
-      for (const report of this.deps.push.reports().values()) {
-        const at = this.deps.push.lastContactAt(report.reporter);
+      for (const report of this.deps.distribution.reports().values()) {
+        const at = this.deps.distribution.lastContactAt(report.reporter);
         if (at === null || now - at > REPORT_FRESH_MS) continue;
         if (report.health[worker.id] === 'fit') healthy += 1;
         if (report.health[worker.id] === 'unfit') unhealthy += 1;
@@ -347,6 +353,7 @@
   }
 }
 
+/** Begins at once. */
 export function createScaler(deps: ScalerDeps): Scaler {
   return new LeasedScaler(deps);
 }
--- a/src/coordination/scaling/worker-list-role.ts
+++ b/src/coordination/scaling/worker-list-role.ts
@@ -1,3 +1,7 @@
+/**
+ * The singleton role of reading the platform's worker list: one controller reads, the others take over when its
+ * updates stop. No lease is needed, as two readers cost calls and harm nothing.
+ */
 import { createEvents } from '../../base/events.js';
 import type { Message, MessageOf } from '../../protocol/messages.js';
 import { compareVersions, isEmptyChange } from '../../state/discovery/worker-list-table.js';
@@ -14,6 +18,7 @@
 import { readWithin } from '../discovery/read-within.js';
 import type { Peer, Peers } from '../messaging/peers.js';
 
+/** The reader, and the controllers that share the role. */
 export type WorkerListRoleDeps = {
   readonly self: Address;
   readonly reader: WorkerListReader;
@@ -25,6 +30,7 @@
   readonly pace?: WorkerListPace;
 };
 
+/** The list as this controller has it, and whether it reads it now. */
 export interface WorkerListRole {
   readonly feed: WorkerListFeed;
   reading(): boolean;
@@ -276,6 +282,7 @@
   }
 }
 
+/** Takes part in the role until stopped. */
 export function createWorkerListRole(deps: WorkerListRoleDeps): WorkerListRole {
   return new ElectedListReader(deps);
 }
--- a/src/programs/admin.ts
+++ b/src/programs/admin.ts
@@ -1,3 +1,4 @@
+/** `millfield admin`: the operators' commands that change something. */
 import { defineCommand } from 'citty';
 import type { ArgsDef } from 'citty';
 import { err, ok } from '../base/result.js';
@@ -225,6 +226,7 @@
   report(await coreOf(ctx.args).request(reopenRequest()), ctx.args['json'] === true, acknowledged);
 }
 
+/** The command and its verbs. */
 export const adminCommand = defineCommand({
   meta: { name: 'admin', description: "Operator's commands" },
   subCommands: {
--- a/src/programs/composition.ts
+++ b/src/programs/composition.ts
@@ -1,3 +1,4 @@
+/** What a real process is made of, put together by inversify: settings in, node dependencies out. */
 import 'reflect-metadata';
 import { Container } from 'inversify';
 import type { NodeDeps, NodeIdentity } from '../coordination/node.js';
@@ -26,6 +27,7 @@
 import type { Place } from '../standin/tally.js';
 import { placeAt, tallyInto } from './tally-file.js';
 
+/** Names of what the container holds. */
 export const T = {
   settings: Symbol.for('settings'),
   clock: Symbol.for('clock'),
@@ -51,6 +53,7 @@
   return lab !== null && (lab.switches !== undefined || Object.keys(lab.delayMs).length > 0);
 }
 
+/** A container for these settings; nothing is opened yet. */
 export function compose(settings: NodeSettings): Container {
   const box = new Container({ defaultScope: 'Singleton' });
   const { lab } = settings;
--- a/src/programs/core-text.ts
+++ b/src/programs/core-text.ts
@@ -48,6 +48,7 @@
   return `${electorate}${cell(`slot ${status.slot}`, 12)}in touch ${inTouch} of ${members}, holding all ${holdingAll ?? 'unknown'}, spare losses ${spareLosses ?? 'unknown'}${warning === null ? '' : ` (${warning})`}`;
 }
 
+/** What `inspect core` prints of a report; null prints that nobody answered. */
 export function coreText(report: CoreReport): string {
   const rows = [groupText('ledger', report.ledger)];
   if (report.claims) rows.push(groupText('claims', report.claims));
--- a/src/programs/daemons.ts
+++ b/src/programs/daemons.ts
@@ -1,3 +1,4 @@
+/** `millfield proxy` and `millfield controller`. */
 import { defineCommand } from 'citty';
 import type { ArgsDef } from 'citty';
 import { CONTROLLER_SHAPES, startController } from '../coordination/controller.js';
@@ -11,6 +12,7 @@
 import { readSettings } from './settings.js';
 import type { NodeSettings, SettingsNeeds } from './settings.js';
 
+/** Flags of both; each overrides the settings file. */
 export const NODE_ARGS = {
   settings: { type: 'string', description: 'Settings file (JSON); flags override it' },
   name: { type: 'string', description: 'Name of this node, unique in the deployment' },
@@ -86,12 +88,14 @@
   return runDaemon(ctx.rawArgs, picked(ctx.args), { dataFolder: true, cloud: true }, startCore);
 }
 
+/** Runs a proxy until SIGTERM. */
 export const proxyCommand = defineCommand({
   meta: { name: 'proxy', description: 'Edge daemon: places, dispatches and relays requests' },
   args: NODE_ARGS,
   run: runProxy,
 });
 
+/** Runs a controller until SIGTERM. */
 export const controllerCommand = defineCommand({
   meta: { name: 'controller', description: 'Core node: agrees the ledger, scales workers, serves operators' },
   args: NODE_ARGS,
--- a/src/programs/exit-codes.ts
+++ b/src/programs/exit-codes.ts
@@ -1,3 +1,4 @@
+/** Codes by what they mean. */
 export const EXIT = {
   ok: 0,
   internal: 1,
@@ -8,4 +9,5 @@
   notConfirmed: 6,
   unreachable: 7,
 } as const;
+/** One of these codes. */
 export type ExitCode = (typeof EXIT)[keyof typeof EXIT];
--- a/src/programs/flags.ts
+++ b/src/programs/flags.ts
@@ -1,11 +1,14 @@
+/** What all commands share: output, usage errors and signals. */
 import type { ArgsDef } from 'citty';
 import { EXIT } from './exit-codes.js';
 import type { ExitCode } from './exit-codes.js';
 
+/** Writes a line to standard error. */
 export function complain(text: string): void {
   process.stderr.write(`${text}\n`);
 }
 
+/** Writes a line to standard output. */
 export function say(text: string): void {
   process.stdout.write(`${text}\n`);
 }
@@ -22,6 +25,7 @@
   return `-${character.toLowerCase()}`;
 }
 
+/** Whether all flags are known; complains of the first that is not. */
 export function flagsFit(rawArgs: readonly string[], defs: ArgsDef): boolean {
   const names = known(defs);
   let positional = 0;
@@ -60,14 +64,17 @@
   return character.toUpperCase();
 }
 
+/** Ends with this code once output is written. */
 export function leave(code: ExitCode): void {
   process.exitCode = code;
 }
 
+/** Ends with the code for wrong usage. */
 export function leaveUsage(): void {
   leave(EXIT.usage);
 }
 
+/** Calls `stop` on SIGTERM or SIGINT, then ends the process. */
 export function onStop(stop: () => Promise<void>): void {
   let stopping = false;
   function signalled(): void {
--- a/src/programs/hollow.ts
+++ b/src/programs/hollow.ts
@@ -1,3 +1,4 @@
+/** Runs many proxies without requests in one process, for capacity measurements. */
 import { readFileSync } from 'node:fs';
 import { createInterface } from 'node:readline';
 import type { ArgsDef } from 'citty';
@@ -25,6 +26,7 @@
 type HollowWorker = { readonly id: string; readonly zone: string; readonly region: string; readonly http: string };
 type Prices = Readonly<Record<string, { readonly spot: number; readonly onDemand: number }>>;
 
+/** How many proxies, and where. */
 export type HollowPlan = {
   readonly tally: TallySettings;
   readonly wholeProbes: boolean;
@@ -37,6 +39,7 @@
   };
 };
 
+/** Flags of the command. */
 export const HOLLOW_ARGS = {
   plan: {
     type: 'string',
@@ -47,6 +50,7 @@
 
 const DIAL_MS = 1_000;
 
+/** Runs them until the process is told to stop. */
 export async function runHollow(ctx: {
   readonly rawArgs: string[];
   readonly args: Readonly<Record<string, unknown>>;
--- a/src/programs/inspect-text.ts
+++ b/src/programs/inspect-text.ts
@@ -106,6 +106,7 @@
   return `${order.id} ${order.model} ${order.kind} in ${order.zone}: ${order.status}, machine ${order.machine ?? '-'}`;
 }
 
+/** The status of a controller, as lines. */
 export function statusText(body: unknown): string {
   const status = body as Status;
   const rows = [...headRows(status), ...nodeRows(status), ...modelRows(status), ...proxyRows(status)];
@@ -114,6 +115,7 @@
   return rows.join('\n');
 }
 
+/** Orders, newest last, as lines. */
 export function ordersText(body: unknown): string {
   const { orders } = body as { readonly orders: readonly Order[] };
   const rows: string[] = [];
@@ -142,6 +144,7 @@
   return rows;
 }
 
+/** Entries of the ledger, as lines. */
 export function ledgerText(body: unknown): string {
   const { batches } = body as { readonly batches: readonly ShownBatch[] };
   const rows: string[] = [];
@@ -153,6 +156,7 @@
   return share === null ? '-' : `${(share * 100).toFixed(2)} %`;
 }
 
+/** A report on service-level targets, as lines. */
 export function latencyTargetsText(latencyTargets: readonly LatencyTargetRow[]): string {
   const rows: string[] = [];
   for (const target of latencyTargets) {
--- a/src/programs/inspect.ts
+++ b/src/programs/inspect.ts
@@ -87,6 +87,7 @@
   if (answers.ledger.spareLosses === null) leave(EXIT.unreachable);
 }
 
+/** The command and its verbs. */
 export const inspectCommand = defineCommand({
   meta: { name: 'inspect', description: 'Reads the state of the deployment; changes nothing' },
   subCommands: {
--- a/src/programs/runbook.ts
+++ b/src/programs/runbook.ts
@@ -1,3 +1,4 @@
+/** `millfield runbook`: checks and executes runbooks. */
 import { defineCommand } from 'citty';
 import type { ArgsDef } from 'citty';
 import { appendFileSync, existsSync, readFileSync } from 'node:fs';
@@ -122,6 +123,7 @@
   leave(EXIT.refused);
 }
 
+/** The command and its verbs. */
 export const runbookCommand = defineCommand({
   meta: { name: 'runbook', description: 'Checks and executes runbooks' },
   subCommands: {
--- a/src/programs/settings.ts
+++ b/src/programs/settings.ts
@@ -1,3 +1,4 @@
+/** Settings of a node, from a file and flags (docs/configuration.md). */
 import * as t from 'io-ts';
 import { readFileSync } from 'node:fs';
 import { isTable } from '../base/is-table.js';
@@ -6,6 +7,7 @@
 import { splitAddress } from '../transport/wire.js';
 import type { LogLevel } from '../transport/log.js';
 
+/** Checked settings. */
 export type NodeSettings = {
   readonly name: string;
   readonly zone: string;
@@ -22,6 +24,7 @@
   readonly lab: Lab | null;
 };
 
+/** Settings for trials only: switches for faults, meters. */
 export type Lab = {
   readonly zones: Readonly<Record<string, string>>;
   readonly delayMs: Readonly<Record<string, number>>;
@@ -30,6 +33,7 @@
   readonly tally?: { readonly file: string; readonly places: string };
 };
 
+/** A setting that does not fit, what was expected and what was found. */
 export type SettingsError = { readonly key: string; readonly expected: string; readonly found: string };
 
 function text(name: string, test: (text: string) => boolean): t.Type<string> {
@@ -102,8 +106,10 @@
   return err({ key: '--settings', expected: 'a JSON table', found: JSON.stringify(path) });
 }
 
+/** Which optional settings this role needs. */
 export type SettingsNeeds = { readonly dataFolder: boolean; readonly cloud: boolean };
 
+/** The settings, or every error in them. */
 export function readSettings(
   file: string | undefined,
   flags: Readonly<Record<string, string | undefined>>,
--- a/src/programs/standin.ts
+++ b/src/programs/standin.ts
@@ -1,3 +1,4 @@
+/** `millfield standin`: stand-ins for workers, platform, cloud and callers. */
 import { defineCommand } from 'citty';
 import type { ArgsDef } from 'citty';
 import { readdirSync, readFileSync } from 'node:fs';
@@ -225,6 +226,7 @@
   leave(report.broken.length > 0 || empty ? EXIT.refused : EXIT.ok);
 }
 
+/** The command and its verbs. */
 export const standinCommand = defineCommand({
   meta: { name: 'standin', description: 'Stand-ins for workers, platform, cloud and callers' },
   subCommands: {
--- a/src/programs/version.ts
+++ b/src/programs/version.ts
@@ -1,3 +1,4 @@
+/** The version in package.json. */
 import { readFileSync } from 'node:fs';
 
 function readVersion(): string {
@@ -5,4 +6,5 @@
   return (JSON.parse(text) as { readonly version: string }).version;
 }
 
+/** Version of the program. */
 export const VERSION = readVersion();
--- a/src/protocol/messages.ts
+++ b/src/protocol/messages.ts
@@ -1,3 +1,7 @@
+/**
+ * Messages between nodes and the frames that carry them. Field names are the wire's: an older node must still read
+ * them.
+ */
 import { Type } from '@sinclair/typebox';
 import type { Static, TSchema } from '@sinclair/typebox';
 import { TypeCompiler } from '@sinclair/typebox/compiler';
@@ -23,11 +27,14 @@
 const BallotShape = Type.Object({ round: Type.Integer({ minimum: 0 }), by: Type.String() });
 const AcceptedShape = Type.Object({ ballot: BallotShape, batch: BatchShape });
 
+/** A slot of the ledger and its batch. */
 export const SlotBatchShape = Type.Object({ slot: Slot, batch: BatchShape });
+/** A checked slot. */
 export type SlotBatch = Static<typeof SlotBatchShape>;
 
 const UpdateShape = Type.Array(Type.Union([NodeShape, NodeUpdateShape]));
 
+/** All messages, told apart by `kind`. */
 export const MessageShape = Type.Union([
   Type.Object({ kind: Type.Literal('prepare'), ledger: Str, slot: Slot, ballot: BallotShape }),
   Type.Object({ kind: Type.Literal('accept'), ledger: Str, slot: Slot, ballot: BallotShape, batch: BatchShape }),
@@ -196,15 +203,20 @@
     news: UpdateShape,
   }),
 ]);
+/** A checked message. */
 export type Message = Static<typeof MessageShape>;
+/** The kinds of messages. */
 export type MessageKind = Message['kind'];
+/** The message of one kind. */
 export type MessageOf<K extends MessageKind> = Extract<Message, { kind: K }>;
 
+/** A frame: a message without answer (`tell`), a call, or an answer. */
 export const FrameShape = Type.Union([
   Type.Object({ t: Type.Literal('tell'), m: MessageShape }),
   Type.Object({ t: Type.Literal('call'), id: Type.Integer(), m: MessageShape }),
   Type.Object({ t: Type.Literal('answer'), id: Type.Integer(), m: MessageShape }),
 ]);
+/** A checked frame. */
 export type Frame = Static<typeof FrameShape>;
 
 const shapes = new Map<unknown, TSchema>();
@@ -225,6 +237,7 @@
 }
 
 // Each kind's check is made when the first of its kind comes: making them all takes a third of a start.
+/** The frame in a parsed value, or null if it has no known shape. */
 export function readFrame(body: unknown): Frame | null {
   if (!isTable(body) || !isMessage(body['m'])) return null;
   const { t, id } = body;
--- a/src/state/configuration/latency-target-report.ts
+++ b/src/state/configuration/latency-target-report.ts
@@ -1,9 +1,12 @@
+/** Reports on service-level targets: whether each was met over its window, and how much of its error budget is left. */
 import { addCounts, CHANGES_SUBJECT, routeSubject, noCounts, within } from './latency-target-counts.js';
 import type { Counts, CountTable } from './latency-target-counts.js';
 import type { Minute } from './latency-target-table.js';
 
+/** What a target is about. */
 export type Measure = 'success' | 'firstPiece' | 'whole' | 'changeInForce' | 'shed';
 
+/** A target: at least `objective` of the events of a subject are good, over `windowMinutes`. */
 export type LatencyTarget = {
   readonly name: string;
   readonly measure: Measure;
@@ -14,8 +17,10 @@
   readonly windowMinutes: number;
 };
 
+/** Whether a target was met; `unknown` where minutes are missing. */
 export type LatencyTargetState = 'met' | 'missed' | 'unknown';
 
+/** One target's report; `burnRate` is bad events by those that the objective allows. */
 export type LatencyTargetRow = {
   readonly name: string;
   readonly state: LatencyTargetState;
@@ -30,6 +35,7 @@
   readonly unknownOf: readonly string[];
 };
 
+/** The subject that a target counts. */
 export function subjectOf(target: LatencyTarget): string {
   if (target.measure === 'changeInForce') return CHANGES_SUBJECT;
   return target.mapping === null ? (target.model ?? '') : routeSubject(target.mapping);
@@ -50,6 +56,7 @@
   }
 }
 
+/** The report on one target, from the minutes before `nowMinute`. */
 export function reportLatencyTarget(
   target: LatencyTarget,
   minutes: readonly Minute[],
--- a/src/state/configuration/latency-target-table.ts
+++ b/src/state/configuration/latency-target-table.ts
@@ -1,8 +1,11 @@
+/** Counts by minute, from running totals that proxies report. */
 import { addCounts } from './latency-target-counts.js';
 import type { Counts, CountTable } from './latency-target-counts.js';
 
+/** One closed minute; `unknown` names reporters whose counts are missing in it. */
 export type Minute = { readonly minute: number; readonly counts: CountTable; readonly unknown: readonly string[] };
 
+/** The minutes of the last day. */
 export interface LatencyTargetTable {
   record(reporter: string, incarnation: number, totals: CountTable, minute: number): void;
   recordOwn(subject: string, counts: Counts, minute: number): void;
@@ -59,6 +62,7 @@
   }
 }
 
+/** An empty table. */
 export function createLatencyTargetTable(): LatencyTargetTable {
   return new MinuteLatencyTargetTable();
 }
--- a/src/state/configuration/settings-tree.ts
+++ b/src/state/configuration/settings-tree.ts
@@ -1,7 +1,9 @@
+/** The configuration as a tree of settings, resolved from the most specific level up, and changes between two trees. */
 import { isTable } from '../../base/is-table.js';
 import type { Change } from '../consensus/entry.js';
 import type { Serving } from './serving.js';
 
+/** Settings as an operator gives them; each may be left out. */
 export type Settings = {
   readonly zones?: readonly string[];
   readonly homes?: Readonly<Record<string, readonly string[]>>;
@@ -25,10 +27,13 @@
   readonly drainS?: number;
 };
 
+/** Settings of a region and of its models. */
 export type Branch = { readonly settings?: Settings; readonly models?: Readonly<Record<string, Settings>> };
 
+/** A name under which callers ask for a model. */
 export type ModelRoute = { readonly model: string; readonly kind?: string };
 
+/** All that operators configure. Field names are stored and on the wire. */
 export type Configuration = {
   readonly zones: Readonly<Record<string, { readonly region: string }>>;
   readonly deployment: Settings;
@@ -37,6 +42,7 @@
   readonly serving?: Serving;
 };
 
+/** All settings of a model, each with a value. */
 export type Resolved = {
   readonly zones: readonly string[];
   readonly homes: Readonly<Record<string, readonly string[]>>;
@@ -60,6 +66,7 @@
   readonly drainS: number;
 };
 
+/** Values of settings that no level gives. */
 export const DEFAULTS: Resolved = {
   zones: [],
   homes: {},
@@ -83,8 +90,11 @@
   drainS: 60,
 };
 
+/** Where a value comes from. */
 export type Level = 'default' | 'deployment' | 'region' | 'model';
+/** The level of each value. */
 export type Callers = Readonly<Record<keyof Resolved, Level>>;
+/** A model's settings and where they come from. */
 export type ResolvedModel = {
   readonly model: string;
   readonly region: string;
@@ -92,8 +102,10 @@
   readonly levels: Callers;
 };
 
+/** Before the first change. */
 export const EMPTY_CONFIGURATION: Configuration = { zones: {}, deployment: {}, regions: {} };
 
+/** The settings of a model in a region. */
 export function resolveModel(cfg: Configuration, region: string, model: string): ResolvedModel {
   const branch = cfg.regions[region] ?? {};
   const tiers: readonly (readonly [Level, Settings])[] = [
@@ -116,6 +128,7 @@
   return { model, region, values: values as unknown as Resolved, levels: levels as Callers };
 }
 
+/** The settings of all models. */
 export function resolveAll(cfg: Configuration): ResolvedModel[] {
   const out: ResolvedModel[] = [];
   for (const region of Object.keys(cfg.regions).sort()) {
@@ -125,6 +138,7 @@
   return out;
 }
 
+/** The changes that lead from one tree to another, in a fixed order. */
 export function differences(from: unknown, to: unknown): Change[] {
   const out: Change[] = [];
   function walk(path: readonly string[], first: unknown, second: unknown): void {
@@ -144,6 +158,7 @@
   return Object.hasOwn(tree, key) ? tree[key] : undefined;
 }
 
+/** The tree after these changes; `base` is left as it is. */
 export function withChanges(base: unknown, changes: readonly Change[]): unknown {
   const copies = new Set<unknown>();
   function copied(at: unknown): Record<string, unknown> {
--- a/src/state/consensus/closed-orders.ts
+++ b/src/state/consensus/closed-orders.ts
@@ -1,3 +1,4 @@
+/** Closed orders, kept by each controller beside the replicated state. */
 import { isTable } from '../../base/is-table.js';
 import { parsedJson } from '../../base/parsed-json.js';
 import type { Order } from '../scaling/order.js';
@@ -21,11 +22,13 @@
   saved(): SavedClosedOrders;
 }
 
+/** Slots from one to another, both included. */
 export type SlotRange = { readonly from: number; readonly to: number };
 
 /** The place of one closed order in the list. */
 export type ClosedCursor = { readonly slot: number; readonly id: string };
 
+/** A page of closed orders, as stored texts. */
 export type ClosedPage = {
   readonly orders: readonly string[];
   /** Where the next page goes on; null after the last one. */
@@ -34,6 +37,7 @@
   readonly lacking: boolean;
 };
 
+/** A closed order as text, with its place in the sequence. */
 export type ClosedOrder = ClosedCursor & { readonly text: string };
 
 /** The form on the disk, inside the controller's own snapshot. */
@@ -153,6 +157,7 @@
   }
 }
 
+/** The orders that were stored before, within `mostBytes`. */
 export function createClosedOrders(mostBytes: number, before: SavedClosedOrders | null): ClosedOrders {
   return new BoundedClosedOrders(mostBytes, before);
 }
--- a/src/state/consensus/control-state.ts
+++ b/src/state/consensus/control-state.ts
@@ -26,12 +26,16 @@
 export { majorityOf, memberId, membersDigest, MOST_MEMBERS } from './fold-members.js';
 export type { Outcome } from './outcome.js';
 
+/** Where a proxy is. */
 export type KnownProxy = { readonly zone: string; readonly region: string };
 
+/** Who took a lease last, and its fencing token. */
 export type LeaseRecord = { readonly holder: string; readonly fence: number };
 
+/** An entry that was folded, and what came of it. */
 export type DoneOperation = { readonly id: string; readonly slot: number; readonly outcome: Outcome };
 
+/** The replicated state. Field names are stored and in snapshots. */
 export type ControlState = MembersState &
   OperatorsState &
   OrdersState & {
@@ -45,10 +49,12 @@
     operations: DoneOperation[];
   };
 
+/** Name of the scaler's singleton role in the ledger. */
 export const SCALER_DUTY = 'scaler';
 /** An entry that is proposed again follows its first proposal within seconds, some hundred entries behind it at most. */
 const OPERATIONS_KEPT = 1_024;
 
+/** The state before slot zero. */
 export function emptyControlState(): ControlState {
   return {
     slot: -1,
@@ -71,6 +77,7 @@
   };
 }
 
+/** Whether a parsed value has the parts of a state. */
 export function isControlState(value: unknown): value is ControlState {
   if (!isTable(value)) return false;
   for (const key of ['slot', 'version']) if (!Number.isInteger(value[key])) return false;
--- a/src/state/consensus/entry.ts
+++ b/src/state/consensus/entry.ts
@@ -1,19 +1,26 @@
+/** Entries of the ledger. Their shapes are stored and on the wire, so fields keep their names. */
 import { Type } from '@sinclair/typebox';
 import type { Static } from '@sinclair/typebox';
 
 const Str = Type.String({ minLength: 1, maxLength: 256 });
 const Slot = Type.Integer({ minimum: 0 });
 
+/** A member of the group of controllers. */
 export const MemberShape = Type.Object({ name: Str, incarnation: Str, address: Str });
+/** A checked member. */
 export type Member = Static<typeof MemberShape>;
 
+/** A change of the configuration: a path and its new value, none to remove it. */
 export const ChangeShape = Type.Object({ path: Type.Array(Type.String()), value: Type.Optional(Type.Unknown()) });
+/** A checked change. */
 export type Change = Static<typeof ChangeShape>;
 
 /** Who asked for a change of the configuration, and under which numbers of its own. */
 const RevisionShape = Type.Object({ request: Str, base: Slot, number: Slot });
 
+/** Kinds of machines. */
 export const KindShape = Type.Union([Type.Literal('spot'), Type.Literal('onDemand')]);
+/** A checked kind. */
 export type Kind = Static<typeof KindShape>;
 
 const AdoptedShape = Type.Object({ order: Str, zone: Str, machine: Str, ready: Type.Boolean() });
@@ -39,12 +46,15 @@
   Type.Object({ tag: Type.Literal('ordersAdopted'), model: Str, kind: KindShape, adopted: Type.Array(AdoptedShape) }),
 ] as const;
 
+/** One decision of the scaler, with its cause. */
 export const StepShape = Type.Object({
   cause: Type.String({ maxLength: 1024 }),
   act: Type.Union([...SCALER_COMMANDS]),
 });
+/** A checked decision. */
 export type Step = Static<typeof StepShape>;
 
+/** What an entry does, told apart by `tag`. */
 export const CommandShape = Type.Union([
   Type.Object({ tag: Type.Literal('bootstrapped'), ledger: Str, ticketKey: Str, members: Type.Array(MemberShape) }),
   Type.Object({ tag: Type.Literal('controllerUp'), name: Str, incarnation: Str }),
@@ -71,8 +81,10 @@
   ...SCALER_COMMANDS,
   Type.Object({ tag: Type.Literal('decided'), steps: Type.Array(StepShape, { minItems: 1 }) }),
 ]);
+/** A checked command. */
 export type Command = Static<typeof CommandShape>;
 
+/** An entry: who proposed it, why, and its command; with `fence` it counts only under that fencing token. */
 export const EntryShape = Type.Object({
   id: Str,
   author: Str,
@@ -81,7 +93,10 @@
   fence: Type.Optional(Slot),
   act: CommandShape,
 });
+/** A checked entry. */
 export type Entry = Static<typeof EntryShape>;
 
+/** The entries of one slot. */
 export const BatchShape = Type.Object({ id: Str, entries: Type.Array(EntryShape) });
+/** A checked batch. */
 export type Batch = Static<typeof BatchShape>;
--- a/src/state/consensus/fold-members.ts
+++ b/src/state/consensus/fold-members.ts
@@ -7,6 +7,7 @@
 import { APPLIED, unfit } from './outcome.js';
 import type { Outcome } from './outcome.js';
 
+/** The group of controllers, and who may vote on claims. */
 export type MembersState = {
   ledger: string;
   ticketKey: string;
@@ -14,23 +15,35 @@
   claimants: string[];
 };
 
+/** Most members of the group. */
 export const MOST_MEMBERS = 9;
 const LEAST_ODD_SHRUNK = 5;
 
+/** The identity under which a member votes. */
 export function memberId(member: { readonly name: string; readonly incarnation: string }): string {
   return `${member.name}#${member.incarnation}`;
 }
 
+/** A digest of the members; equal for the same members in the same order. */
 export function membersDigest(members: readonly Member[]): string {
   const ids: string[] = [];
   for (const member of members) ids.push(memberId(member));
   return sha256(ids.join());
 }
 
+/** The members but this one. */
+export function otherMembers(members: readonly Member[], self: Member): Member[] {
+  const others: Member[] = [];
+  for (const member of members) if (memberId(member) !== memberId(self)) others.push(member);
+  return others;
+}
+
+/** How many members make a majority. */
 export function majorityOf(members: readonly Member[]): number {
   return Math.floor(members.length / 2) + 1;
 }
 
+/** Slot zero: the ledger and its first members. */
 export function foldBootstrapped(state: MembersState, command: Extract<Command, { tag: 'bootstrapped' }>): Outcome {
   if (state.ledger !== '') return unfit('bootstrapped');
   state.ledger = command.ledger;
@@ -40,6 +53,7 @@
   return APPLIED;
 }
 
+/** One member takes the place of another, or changes its address. */
 export function foldMemberReplaced(state: MembersState, command: Extract<Command, { tag: 'memberReplaced' }>): Outcome {
   const at = indexOfMember(state, command.old);
   if (at < 0 || isTaken(state, command.member, at)) return unfit('member');
@@ -47,12 +61,14 @@
   return APPLIED;
 }
 
+/** One more member. */
 export function foldMemberAdded(state: MembersState, command: Extract<Command, { tag: 'memberAdded' }>): Outcome {
   if (state.members.length >= MOST_MEMBERS || isTaken(state, command.member, -1)) return unfit('member');
   state.members = [...state.members, command.member];
   return APPLIED;
 }
 
+/** One member fewer; never of a small odd group. */
 export function foldMemberRemoved(state: MembersState, command: Extract<Command, { tag: 'memberRemoved' }>): Outcome {
   const at = indexOfMember(state, command.old);
   const isOdd = state.members.length % 2 !== 0;
--- a/src/state/consensus/fold-operators.ts
+++ b/src/state/consensus/fold-operators.ts
@@ -10,6 +10,7 @@
 import { changesBack, withChanges } from '../configuration/settings-tree.js';
 import type { Configuration } from '../configuration/settings-tree.js';
 
+/** What operators changed. */
 export type OperatorsState = {
   /** The slot that changed the configuration last. */
   version: number;
@@ -46,6 +47,7 @@
   return change.path.length === 0 || change.path[0] === 'serving';
 }
 
+/** Another request for the change that is in force. */
 export function foldChangeRepeated(
   state: OperatorsState,
   command: Extract<Command, { tag: 'changeRepeated' }>,
--- a/src/state/consensus/fold-orders.ts
+++ b/src/state/consensus/fold-orders.ts
@@ -5,6 +5,7 @@
 import { APPLIED, unfit } from './outcome.js';
 import type { Outcome } from './outcome.js';
 
+/** The orders of machines. */
 export type OrdersState = {
   orders: Record<string, Order>;
   /** Orders that the newest slot closed. Controllers keep them (`closed-orders.ts`); the state names them only until the next slot. */
@@ -20,6 +21,7 @@
   return { slot, status, author: entry.author, fence: entry.fence ?? 0, cause: entry.cause, wall: entry.wall };
 }
 
+/** An order was decided. */
 export function foldOrderIntended(
   state: OrdersState,
   slot: number,
@@ -33,6 +35,7 @@
   return APPLIED;
 }
 
+/** Machines that no order of ours asked for are taken as orders. */
 export function foldOrdersAdopted(
   state: OrdersState,
   slot: number,
--- a/src/state/consensus/operator-history.ts
+++ b/src/state/consensus/operator-history.ts
@@ -19,6 +19,7 @@
   readonly revision?: Revision;
 };
 
+/** The changes that were applied, bounded; stored with the state. */
 export type OperatorHistory = {
   /** Oldest first, at most MAX_APPLIED_CHANGES. */
   changes: AppliedChange[];
@@ -48,10 +49,12 @@
 
 const OPERATOR_PREFIX = 'operator:';
 
+/** No changes yet. */
 export function emptyOperatorHistory(): OperatorHistory {
   return { changes: [], forgottenVersion: -1, forgottenNumber: -1, undo: null, zoneVersions: {}, zoneOrders: [] };
 }
 
+/** Whether a parsed value has the parts of a history. */
 export function isOperatorHistory(value: unknown): value is OperatorHistory {
   if (!isTable(value)) return false;
   const { changes, forgottenVersion, forgottenNumber, undo, zoneVersions, zoneOrders } = value;
@@ -66,6 +69,7 @@
   return `${OPERATOR_PREFIX}${digestOrId}`;
 }
 
+/** Whether an entry's id is an operator's. */
 export function isOperatorRequest(id: string): boolean {
   return id.startsWith(OPERATOR_PREFIX);
 }
--- a/src/state/consensus/outcome.ts
+++ b/src/state/consensus/outcome.ts
@@ -5,8 +5,10 @@
   | { readonly tag: 'staleFence'; readonly fence: number }
   | { readonly tag: 'unfit'; readonly why: 'order' | 'member' | 'bootstrapped' | 'unchanged' };
 
+/** The entry did what it says. */
 export const APPLIED: Outcome = { tag: 'applied' };
 
+/** The entry did not fit the state, and changed nothing. */
 export function unfit(why: Extract<Outcome, { tag: 'unfit' }>['why']): Outcome {
   return { tag: 'unfit', why };
 }
--- a/src/state/consensus/proxy-state.ts
+++ b/src/state/consensus/proxy-state.ts
@@ -1,3 +1,4 @@
+/** The part of the replicated state that proxies need. */
 import type { ControlState } from './control-state.js';
 import type { Order } from '../scaling/order.js';
 
--- a/src/state/consensus/recent-slots.ts
+++ b/src/state/consensus/recent-slots.ts
@@ -1,3 +1,4 @@
+/** The newest slots of the ledger, kept as batches. */
 import type { Batch } from './entry.js';
 
 /** One slot of the ledger and the batch that was chosen for it. */
@@ -82,6 +83,7 @@
   }
 }
 
+/** No slots yet. */
 export function createRecentSlots(): RecentSlots {
   return new BoundedRecentSlots();
 }
--- a/src/state/consensus/snapshot-chunks.ts
+++ b/src/state/consensus/snapshot-chunks.ts
@@ -1,3 +1,4 @@
+/** Snapshots in chunks of bounded size. */
 import { sha256 } from '../../base/digest.js';
 import { err, ok } from '../../base/result.js';
 import type { Result } from '../../base/result.js';
@@ -17,13 +18,16 @@
   /** Length of the whole text in UTF-16 units. */
   length: Type.Integer({ minimum: 1 }),
 });
+/** A checked offer. */
 export type SnapshotOffer = Static<typeof SnapshotOfferShape>;
 
+/** A snapshot as text, and its offer. */
 export type Snapshot = { readonly offer: SnapshotOffer; readonly text: string };
 
 /** What was received so far of one offered snapshot. */
 export type Assembly = { readonly offer: SnapshotOffer; readonly parts: string[] };
 
+/** The chunks do not make the text that was offered. */
 export type AssemblyError = { readonly tag: 'digestDiffers' };
 
 /** With the escaping of JSON within JSON a part stays below 64 KB, which narrow links carry in one round trip. */
@@ -32,10 +36,12 @@
 /** Four times the largest configuration that an operator may set, beside all else. */
 export const MOST_SNAPSHOT_LENGTH = 32 * 1_048_576;
 
+/** The snapshot of a slot. */
 export function snapshotOf(slot: number, text: string): Snapshot {
   return { offer: { digest: sha256(text), slot, length: text.length }, text };
 }
 
+/** How many chunks an offered snapshot has. */
 export function chunkCount(offer: SnapshotOffer): number {
   return Math.ceil(offer.length / CHUNK_LENGTH);
 }
@@ -46,10 +52,12 @@
   return snapshot.text.slice(index * CHUNK_LENGTH, (index + 1) * CHUNK_LENGTH);
 }
 
+/** Whether an offered snapshot is small enough to be fetched. */
 export function isBounded(offer: SnapshotOffer): boolean {
   return offer.length <= MOST_SNAPSHOT_LENGTH;
 }
 
+/** No chunks yet. */
 export function createAssembly(offer: SnapshotOffer): Assembly {
   return { offer, parts: [] };
 }
--- a/src/state/discovery/worker-list-table.ts
+++ b/src/state/discovery/worker-list-table.ts
@@ -1,18 +1,24 @@
+/** The worker list under versions, so that only differences have to be sent. */
 import { Type } from '@sinclair/typebox';
 import type { Static } from '@sinclair/typebox';
 import type { WorkerEntry } from './worker-entry.js';
 
+/** A version: term, reader and count. A later term wins. */
 export const WorkerListVersionShape = Type.Tuple([
   Type.Integer({ minimum: 0 }),
   Type.String({ minLength: 1, maxLength: 256 }),
   Type.Integer({ minimum: 0 }),
 ]);
+/** A checked version. */
 export type WorkerListVersion = Static<typeof WorkerListVersionShape>;
 
+/** Workers that are new or differ, and ids of those gone. */
 export type WorkerListChange = { readonly changed: readonly WorkerEntry[]; readonly gone: readonly string[] };
 
+/** What became of an update: applied, older than the table, or built on a version that is not here. */
 export type ApplyResult = 'taken' | 'old' | 'gap';
 
+/** The newest list that is known. */
 export interface WorkerListTable {
   number(): WorkerListVersion | null;
   asOf(): number | null;
@@ -27,16 +33,19 @@
 
 const DRIFT_MS = 250;
 
+/** Below, at or above 0 as `left` is older than, equal to or newer than `right`. */
 export function compareVersions(left: WorkerListVersion, right: WorkerListVersion): number {
   if (left[0] !== right[0]) return left[0] - right[0];
   if (left[1] !== right[1]) return left[1] < right[1] ? -1 : 1;
   return left[2] - right[2];
 }
 
+/** Whether nothing changed. */
 export function isEmptyChange(workerListChange: WorkerListChange): boolean {
   return workerListChange.changed.length === 0 && workerListChange.gone.length === 0;
 }
 
+/** An entry `ms` milliseconds later: its remaining times are shorter. */
 export function agedEntry(event: WorkerEntry, ms: number): WorkerEntry {
   if (ms <= 0 || (event.remainingMs === null && event.coldMs === 0)) return event;
   return {
@@ -135,6 +144,7 @@
   }
 }
 
+/** An empty table. */
 export function createWorkerListTable(): WorkerListTable {
   return new VersionedWorkerListTable();
 }
--- a/src/state/discovery/worker-pools.ts
+++ b/src/state/discovery/worker-pools.ts
@@ -1,6 +1,10 @@
+/**
+ * Which of many workers are looked at for a request: a few that all proxies agree on by hashing, and others in turn.
+ */
 import { hash32 } from '../../base/digest.js';
 import type { WorkerRow } from './worker-row.js';
 
+/** The model and what is known of the request. */
 export type PoolQuery = {
   readonly model: string;
   readonly zone: string;
@@ -9,8 +13,10 @@
   readonly holders: readonly WorkerRow[];
 };
 
+/** A worker, and whether all proxies would look at it for this request. */
 export type Picked = { readonly row: WorkerRow; readonly agreed: boolean };
 
+/** Workers by model. */
 export interface WorkerPools {
   rebuild(rows: Iterable<WorkerRow>): void;
   all(model: string): readonly Picked[];
@@ -19,6 +25,7 @@
 
 type Ring = { readonly at: number[]; readonly rows: WorkerRow[]; cursor: number };
 
+/** Up to so many workers of a model all are looked at. */
 export const LOOKED_AT = 64;
 const AGREED = 16;
 const NEAR = 24;
@@ -40,11 +47,11 @@
     const near = new Map<string, WorkerRow[]>();
     for (const row of rows) {
       const { model, region, zone } = row.listed;
-      push(this.byModel, model, row);
+      distribution(this.byModel, model, row);
       const byRegion = regions.get(model) ?? new Map<string, WorkerRow[]>();
       regions.set(model, byRegion);
-      push(byRegion, region, row);
-      push(near, `${model}|${zone}`, row);
+      distribution(byRegion, region, row);
+      distribution(near, `${model}|${zone}`, row);
     }
     this.rings = new Map();
     this.zones = new Map();
@@ -87,11 +94,12 @@
   }
 }
 
+/** No workers yet. */
 export function createWorkerPools(): WorkerPools {
   return new RingWorkerPools();
 }
 
-function push(into: Map<string, WorkerRow[]>, key: string, row: WorkerRow): void {
+function distribution(into: Map<string, WorkerRow[]>, key: string, row: WorkerRow): void {
   const list = into.get(key);
   if (list) list.push(row);
   else into.set(key, [row]);
--- a/src/state/discovery/worker-row.ts
+++ b/src/state/discovery/worker-row.ts
@@ -1,5 +1,7 @@
+/** What a proxy holds of one worker that it probes. */
 import type { Listed } from './listed.js';
 
+/** One worker; times are of the monotonic clock, in milliseconds. */
 export type WorkerRow = {
   readonly index: number;
   listed: Listed;
@@ -19,8 +21,10 @@
 };
 
 const ANSWER_FRESH_MS = 3_500;
+/** Widest window of requests in flight at one worker. */
 export const WIDEST = 1_024;
 
+/** The row of a worker that was just listed. */
 export function freshRow(index: number, listed: Listed): WorkerRow {
   return {
     index,
--- a/src/state/discovery/worker-table.ts
+++ b/src/state/discovery/worker-table.ts
@@ -1,3 +1,4 @@
+/** The workers as a proxy with health checks knows them, and the candidates for a request among them. */
 import type { ControlState } from '../consensus/control-state.js';
 import type { Candidate } from '../forwarding/candidate.js';
 import type { Order } from '../scaling/order.js';
@@ -12,6 +13,7 @@
 import { freshRow, WIDEST } from './worker-row.js';
 import type { WorkerRow } from './worker-row.js';
 
+/** Kept up to date by the list, by probes and by the ledger. */
 export interface WorkerTable {
   applyList(list: readonly Listed[], now: number): void;
   recordHealth(id: string, health: Health, now: number): void;
@@ -29,6 +31,7 @@
   modelIx(model: string): number;
 }
 
+/** What candidates are wanted for; with `complete` all workers of the model. */
 export type CandidateQuery = {
   readonly model: string;
   readonly parts: readonly string[];
@@ -223,6 +226,7 @@
   }
 }
 
+/** An empty table. */
 export function createWorkerTable(): WorkerTable {
   return new ProbedWorkerTable();
 }
--- a/src/state/distribution/controller-candidates.ts
+++ b/src/state/distribution/controller-candidates.ts
@@ -1,7 +1,10 @@
+/** In which order a proxy tries controllers: near ones first, shared out among the proxies by hashing. */
 import { sha256 } from '../../base/digest.js';
 
+/** Where a controller is, and whether it is up. */
 export type Location = { readonly zone: string; readonly region: string; readonly up: boolean };
 
+/** A controller that may be followed; `failed` if it failed lately. */
 export type Candidate = {
   readonly address: string;
   readonly name: string | null;
@@ -9,6 +12,7 @@
   readonly failed: boolean;
 };
 
+/** 0 in the same zone, 1 in the same region, else 2. */
 export function networkDistance(
   own: { readonly zone: string; readonly region: string },
   location: Location | null,
@@ -17,6 +21,7 @@
   return location.zone === own.zone ? 0 : 1;
 }
 
+/** All candidates, the best first; the same order whenever it is asked. */
 export function rankCandidates(
   own: { readonly name: string; readonly zone: string; readonly region: string },
   all: readonly Candidate[],
--- a/src/state/distribution/fleet-load.ts
+++ b/src/state/distribution/fleet-load.ts
@@ -1,22 +1,28 @@
+/** Loads on workers, summed over proxies. */
 import { Type } from '@sinclair/typebox';
 import type { Static } from '@sinclair/typebox';
 
+/** By worker: requests, tokens not yet read, tokens of KV cache, bad runs, runs. */
 export const LoadRowsShape = Type.Record(
   Type.String(),
   Type.Tuple([Type.Integer(), Type.Integer(), Type.Integer(), Type.Integer(), Type.Integer()]),
 );
+/** Checked rows. */
 export type LoadRows = Static<typeof LoadRowsShape>;
 
+/** The loads that one node reports; `run` and `count` order its reports. */
 export const ReportedLoadShape = Type.Object({
   name: Type.String(),
   run: Type.String(),
   count: Type.Integer(),
   rows: LoadRowsShape,
 });
+/** A checked report. */
 export type ReportedLoad = Static<typeof ReportedLoadShape>;
 
 type TimedReport = { readonly report: ReportedLoad; readonly at: number };
 
+/** The newest report of each node, and their sum. */
 export interface FleetLoad {
   record(report: ReportedLoad, now: number): boolean;
   sums(now: number): LoadRows;
@@ -47,10 +53,12 @@
   }
 }
 
+/** Reports older than `staleMs` milliseconds are dropped. */
 export function createFleetLoad(staleMs: number): FleetLoad {
   return new ReportedFleetLoad(staleMs);
 }
 
+/** The load on one worker. */
 export type LoadRow = LoadRows[string];
 
 function addTo(out: LoadRows, id: string, row: LoadRow): void {
@@ -58,6 +66,7 @@
   out[id] = had ? [had[0] + row[0], had[1] + row[1], had[2] + row[2], had[3] + row[3], had[4] + row[4]] : [...row];
 }
 
+/** The sum of two tables. */
 export function sumOf(left: LoadRows, right: LoadRows): LoadRows {
   const out: LoadRows = { ...left };
   for (const [id, row] of Object.entries(right)) addTo(out, id, row);
--- a/src/state/forwarding/candidate.ts
+++ b/src/state/forwarding/candidate.ts
@@ -1,3 +1,4 @@
+/** A worker that may take a request; `knownFraction` is how much of the prompt it holds. */
 export type Candidate = {
   readonly index: number;
   readonly id: string;
@@ -14,6 +15,7 @@
   readonly knownFraction: number;
 };
 
+/** What is known of the request and its caller. */
 export type SelectionContext = {
   readonly zone: string;
   readonly region: string;
--- a/src/state/forwarding/edge-tuning.ts
+++ b/src/state/forwarding/edge-tuning.ts
@@ -1,3 +1,4 @@
+/** One figure each; the name says its unit. */
 export type EdgeTuning = {
   readonly tokensPerMs: number;
   readonly farMs: number;
@@ -44,6 +45,7 @@
   readonly retryWindowMs: number;
 };
 
+/** The figures in use. */
 export const EDGE_TUNING: EdgeTuning = {
   tokensPerMs: 40,
   farMs: 80,
--- a/src/state/forwarding/event-splitter.ts
+++ b/src/state/forwarding/event-splitter.ts
@@ -1,7 +1,9 @@
+/** One event with its bytes as they came; `id` is null if it has no numeric id. */
 export type StreamEvent = { readonly id: number | null; readonly bytes: Buffer };
 
+/** Takes chunks; `remainder` is what has come of an unfinished event. */
 export interface EventSplitter {
-  push(chunk: Buffer): readonly StreamEvent[];
+  distribution(chunk: Buffer): readonly StreamEvent[];
   remainder(): Buffer;
 }
 
@@ -19,7 +21,7 @@
     return -1;
   }
 
-  push(chunk: Buffer): readonly StreamEvent[] {
+  distribution(chunk: Buffer): readonly StreamEvent[] {
     this.buffered = this.buffered.length === 0 ? chunk : Buffer.concat([this.buffered, chunk]);
     const out: StreamEvent[] = [];
     let start = 0;
@@ -37,6 +39,7 @@
   }
 }
 
+/** A splitter at the start of a stream. */
 export function createEventSplitter(): EventSplitter {
   return new LineEventSplitter();
 }
--- a/src/state/forwarding/policies.ts
+++ b/src/state/forwarding/policies.ts
@@ -1,6 +1,8 @@
+/** Placement as a line of policies: filters that rule workers out, then scorers whose sum decides. */
 import { hash32 } from '../../base/digest.js';
 import type { Candidate, SelectionContext } from './candidate.js';
 
+/** A filter, a scorer, or both. */
 export type Policy = {
   readonly name: string;
   readonly filter?: (candidate: Candidate, ctx: SelectionContext) => boolean;
@@ -52,8 +54,10 @@
   return candidate.region === ctx.region ? -OTHER_ZONE : -OTHER_REGION;
 }
 
+/** Prefers workers that hold much of the prompt, unless they are loaded above the mean. */
 export const PREFIX_POLICY: Policy = { name: 'prefix', score: scorePrefix };
 
+/** The policies in use, in order. */
 export const POLICIES: readonly Policy[] = [
   { name: 'homes', filter: filterHomes },
   { name: 'leaving', filter: filterDraining },
@@ -67,9 +71,11 @@
   { name: 'distance', score: scoreDistance },
 ];
 
+/** The chosen worker, or the name of the filter that left none. */
 export type Choice =
   { readonly tag: 'chosen'; readonly candidate: Candidate } | { readonly tag: 'none'; readonly stoppedBy: string };
 
+/** Chooses among candidates; ties go to the lower id. */
 export function selectAmong(all: readonly Candidate[], ctx: SelectionContext, policies: readonly Policy[]): Choice {
   let left = all;
   for (const policy of policies) {
--- a/src/state/forwarding/standstill.ts
+++ b/src/state/forwarding/standstill.ts
@@ -27,6 +27,7 @@
   }
 }
 
+/** A detector that has not been called yet. */
 export function createStandstill(): Standstill {
   return new GapStandstill();
 }
--- a/src/state/idempotency/claim-table.ts
+++ b/src/state/idempotency/claim-table.ts
@@ -1,11 +1,18 @@
+/**
+ * Claims in memory: fixed records in one bucket for each hour in which keys were made, so that a day of them fits
+ * and old ones go at once.
+ */
 import { createHash } from 'node:crypto';
 import type { Claim, ClaimAnswer, ClaimEnd } from './claim.js';
 import { createHourRanges } from './hour-ranges.js';
 import type { HourRange } from './hour-ranges.js';
 
+/** The vote on a claim, and the record to write if it changed anything. */
 export type ClaimStep = { readonly answer: ClaimAnswer; readonly record: Buffer | null };
+/** Records of a page, and where the next one begins; -1 after the last. */
 export type ClaimPage = { readonly records: Buffer; readonly next: number };
 
+/** All claims of one controller; `uptime` is how long it has run, in milliseconds, over all its starts. */
 export interface ClaimTable {
   claim(claim: Claim, uptime: number): ClaimStep;
   end(end: ClaimEnd, uptime: number): Buffer | null;
@@ -20,7 +27,9 @@
   packed(): Buffer;
 }
 
+/** Bytes of a record. */
 export const CLAIM_RECORD = 28;
+/** An hour in milliseconds. */
 export const HOUR_MS = 3_600_000;
 const KEY_BYTES = 16;
 const BY_BYTES = 8;
@@ -230,6 +239,7 @@
   }
 }
 
+/** An empty table of at most `most` claims. */
 export function createClaimTable(most: number): ClaimTable {
   return new HourlyClaimTable(most);
 }
@@ -238,6 +248,7 @@
   return left.hour - right.hour;
 }
 
+/** Puts packed claims back into a table. */
 export function unpackClaims(table: ClaimTable, packed: Buffer): void {
   for (let at = 0; at + HEAD_BYTES <= packed.length;) {
     const count = packed.readUInt32BE(at + 4);
--- a/src/state/membership/core-health.ts
+++ b/src/state/membership/core-health.ts
@@ -27,6 +27,7 @@
 /** Why a member does not count towards the majority that holds everything. */
 export type Lack = 'silent' | 'behind' | 'cannotWrite';
 
+/** One member, as the controller that looks sees it. */
 export type MemberHealth = {
   readonly id: string;
   readonly name: string;
@@ -46,6 +47,7 @@
  */
 export type CoreWarning = 'notMember' | 'noMajority' | 'noWholeQuorum' | 'noSpareLoss';
 
+/** How many further losses the controllers tolerate. Field names are those of the status answer. */
 export type CoreHealth = {
   readonly members: number;
   readonly quorumSize: number;
--- a/src/state/scaling/observed-orders.ts
+++ b/src/state/scaling/observed-orders.ts
@@ -1,3 +1,7 @@
+/**
+ * The scaler's decisions where a platform starts workers by itself: orders are matched with the workers that appear
+ * in its list, after SkyServe (docs/skyserve.md).
+ */
 import type { ControlState } from '../consensus/control-state.js';
 import type { Kind, Step } from '../consensus/entry.js';
 import { decideMixture } from './mixture.js';
@@ -12,8 +16,10 @@
 import { alignZones, handleLaunch, handlePreemption, initialZones, selectNextZone } from './zone-sets.js';
 import type { ZoneSets } from './zone-sets.js';
 
+/** A model that is scaled, its zones and settings. */
 export type ObservedRule = { readonly model: string; readonly zones: readonly string[]; readonly values: Resolved };
 
+/** What is known at one moment; times are of the monotonic clock, in milliseconds. */
 export type ListObservation = {
   readonly now: number;
   readonly list: readonly WorkerEntry[];
@@ -22,6 +28,7 @@
   readonly planned: ReadonlySet<string>;
 };
 
+/** What is remembered from pass to pass, by order id. */
 export type ObservedMemory = {
   pendingChange: PendingChange | null;
   readonly intendedSince: Map<string, number>;
@@ -33,10 +40,12 @@
 const VANISHED_MS = 1_500;
 const PLACE_HELD_S = 10;
 
+/** Nothing remembered yet. */
 export function observedMemory(): ObservedMemory {
   return { pendingChange: null, intendedSince: new Map(), goneSince: new Map() };
 }
 
+/** The models that are scaled, by the configuration. */
 export function observedRules(cfg: Configuration, zones: readonly string[]): ObservedRule[] {
   const out: ObservedRule[] = [];
   for (const [model, traits] of Object.entries(cfg.serving?.models ?? {})) {
@@ -55,6 +64,7 @@
   return '';
 }
 
+/** Releases the orders of models that are no longer configured. */
 export function decideRetired(
   controlState: ControlState,
   configured: ReadonlySet<string>,
--- a/src/transport/connection-pool.ts
+++ b/src/transport/connection-pool.ts
@@ -167,6 +167,7 @@
   }
 }
 
+/** An empty pool; `stop` closes all resting connections. */
 export function createConnectionPool(clock: Clock): ConnectionPool {
   return new KeepAliveConnectionPool(clock);
 }
--- a/src/transport/opaque-http-server.ts
+++ b/src/transport/opaque-http-server.ts
@@ -1,3 +1,4 @@
+/** The HTTP server for opaque requests, on `node:http`: headers and bodies pass as they are. */
 import { createServer } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
@@ -99,6 +100,7 @@
   };
 }
 
+/** A server; it listens once `open` is called. */
 export function createOpaqueHttpServer(): OpaqueHttpServer {
   function open(address: Address, handle: (req: OpaqueRequest) => void): Promise<Result<OpaqueListener, WireError>> {
     const hostPort = splitAddress(address);
--- a/src/transport/opaque-http.ts
+++ b/src/transport/opaque-http.ts
@@ -1,10 +1,14 @@
+/** Opaque HTTP as an interface, both ways, so that tests run on a simulated network. */
 import type { Result } from '../base/result.js';
 import type { Address, Listener, WireError } from './wire.js';
 
+/** Names and values in turn, as they came. */
 export type RawHeaders = readonly string[];
 
+/** Why a body was not read. */
 export type BodyError = { readonly tag: 'bodyTooLarge' } | { readonly tag: 'callerGone' };
 
+/** Writes one response; after `abort` the caller sees that it is not complete. */
 export type Answerer = {
   readonly head: (status: number, headers: RawHeaders) => void;
   readonly write: (data: Buffer) => void;
@@ -14,6 +18,7 @@
   readonly onGone: (callback: () => void) => void;
 };
 
+/** A request whose body has not been read; `body` reads at most `most` bytes. */
 export type OpaqueRequest = {
   readonly method: string;
   readonly target: string;
@@ -23,14 +28,17 @@
   readonly answerer: Answerer;
 };
 
+/** How long headers may take and a connection may rest, in milliseconds. */
 export type OpaqueLimits = { readonly headerMs: number; readonly idleMs: number };
 
+/** A listener whose limits may change while it serves. */
 export type OpaqueListener = Listener & {
   /** Takes no new connection and closes the idle ones; what is under way goes on. Calling it again changes nothing. */
   readonly stopListening: () => void;
   readonly limit: (limits: OpaqueLimits) => void;
 };
 
+/** Opens listeners. */
 export type OpaqueHttpServer = {
   readonly open: (address: Address, handle: (req: OpaqueRequest) => void) => Promise<Result<OpaqueListener, WireError>>;
 };
@@ -44,6 +52,7 @@
   | { readonly tag: 'reset' }
   | { readonly tag: 'garbled' };
 
+/** What a send tells: the head, data and the end, or one error. */
 export type SendEvents = {
   readonly connected?: (ms: number) => void;
   readonly head: (status: number, headers: RawHeaders, get: (name: string) => string | null) => void;
@@ -52,6 +61,7 @@
   readonly failed: (error: SendError) => void;
 };
 
+/** A request to send, and how long connecting may take, in milliseconds. */
 export type Sending = {
   readonly address: Address;
   readonly method: string;
@@ -64,10 +74,12 @@
   readonly connectMs: number;
 };
 
+/** A send under way; `abort` ends it and its connection. */
 export interface Sent {
   abort(): void;
 }
 
+/** Connections to workers, kept between requests. */
 export interface ConnectionPool {
   send(what: Sending, events: SendEvents): Sent;
   check(address: Address, waitMs: number, done: (reached: boolean) => void): void;
--- a/src/transport/ring.ts
+++ b/src/transport/ring.ts
@@ -1,8 +1,10 @@
+/** A log on preallocated files, with snapshots. */
 import { crc32 } from 'node:zlib';
 import { err, ok } from '../base/result.js';
 import type { Result } from '../base/result.js';
 import type { Disk, DiskError, DiskFile } from './disk.js';
 
+/** Name, number and size of a ring's files, in bytes. */
 export type RingShape = {
   readonly name: string;
   readonly files: number;
@@ -10,6 +12,7 @@
   readonly snapshotBytes: number;
 };
 
+/** Why a ring can't be opened or written. */
 export type RingError =
   | DiskError
   | { readonly tag: 'ringDamaged'; readonly file: string; readonly at: number }
@@ -40,6 +43,7 @@
   usedFiles(): number;
 }
 
+/** A ring and what it held. */
 export type Opened = { readonly ring: Ring; readonly snapshot: Buffer | null; readonly records: readonly Buffer[] };
 
 /** Opens each record: "MIL2". The digit is the version of what records and snapshots hold. */
--- a/standin-platform/check-workers.ts
+++ b/standin-platform/check-workers.ts
@@ -109,7 +109,7 @@
     const id = visit.arrived.attempt;
     if (visit.arrived.probe || id === null) continue;
     const key = `${visit.arrived.model} ${id}`;
-    if (seen.has(key)) push(extra, visit.arrived.model, visit.arrived.at);
+    if (seen.has(key)) distribution(extra, visit.arrived.model, visit.arrived.at);
     seen.add(key);
   }
   const asked = new Map<string, number[]>();
@@ -117,7 +117,7 @@
     const models = new Set<string>();
     for (const modelRoute of facts.mappings(request.asked))
       for (const branch of modelRoute.shares) models.add(branch.model);
-    for (const model of models) push(asked, model, request.asked.at);
+    for (const model of models) distribution(asked, model, request.asked.at);
   }
   for (const [model, times] of extra) {
     for (const end of times) {
@@ -138,7 +138,7 @@
     }
   }
 }
-function push(into: Map<string, number[]>, key: string, at: number): void {
+function distribution(into: Map<string, number[]>, key: string, at: number): void {
   const list = into.get(key) ?? [];
   list.push(at);
   into.set(key, list);
--- a/standin-platform/events.ts
+++ b/standin-platform/events.ts
@@ -11,7 +11,7 @@
   const events: EventSeen[] = [];
   let held = '';
 
-  function push(bytes: Buffer): number {
+  function distribution(bytes: Buffer): number {
     held += bytes.toString('utf8');
     const parts = held.split('\n\n');
     held = parts.pop() ?? '';
@@ -21,7 +21,7 @@
   function seen(): readonly EventSeen[] {
     return events;
   }
-  return { push, seen };
+  return { push: distribution, seen };
 }
 
 function readEvent(text: string): EventSeen {
--- a/standin-platform/reader.ts
+++ b/standin-platform/reader.ts
@@ -42,7 +42,7 @@
     sink.whole();
   }
 
-  function push(bytes: Buffer): void {
+  function distribution(bytes: Buffer): void {
     if (state === 'broken') return;
     if (state === 'idle') {
       sink.stray(bytes.subarray(0, 80).toString('latin1'));
@@ -179,5 +179,5 @@
     return true;
   }
 
-  return { expect, push, closed, busy };
+  return { expect, push: distribution, closed, busy };
 }
