--- a/src/coordination/consensus/catch-up.ts
+++ b/src/coordination/consensus/catch-up.ts
@@ -112,7 +112,7 @@
     if (received.tag !== 'whole') return false;
     const own = this.deps.controlState().ledger;
     if (own !== '' && received.state.ledger !== own) {
-      this.deps.log.error(`${address} gave a snapshot of another ledger; it is not taken.`);
+      this.deps.log.error('snapshot of another ledger rejected', { from: address, ledger: received.state.ledger });
       return false;
     }
     await this.deps.store.put({ tag: 'adopt', controlState: received.state });
--- a/src/coordination/consensus/closed-orders-fetch.ts
+++ b/src/coordination/consensus/closed-orders-fetch.ts
@@ -94,7 +94,7 @@
     if (fetched && now && now.from === slots.from && now.to === slots.to)
       await this.deps.put({ tag: 'fillClosed', orders: fetched.orders, whole: fetched.complete });
     if (!this.deps.closed.lacking())
-      this.deps.log.info(`Holds the closed orders of slots ${slots.from} to ${slots.to}, from ${member.name}.`);
+      this.deps.log.info('closed orders complete', { fromSlot: slots.from, toSlot: slots.to, from: member.name });
     else if (this.requestCount % members.length === 0)
       this.waitUntil = this.deps.clock.mono() + (fetched ? ASK_AGAIN_MS : 0);
   }
--- a/src/coordination/consensus/damaged-ring.ts
+++ b/src/coordination/consensus/damaged-ring.ts
@@ -33,6 +33,6 @@
   if (!(await deps.renew())) return opened;
   const cleared = await clearRing(deps.disk, deps.shape);
   if (!cleared.ok) return cleared;
-  deps.log.error(`${file} is damaged at byte ${at}: cleared; ${previous} rejoins blank as ${deps.self()}.`);
+  deps.log.error('log damaged, rejoining blank', { file, offset: at, previous, member: deps.self() });
   return open();
 }
--- a/src/coordination/consensus/ledger.ts
+++ b/src/coordination/consensus/ledger.ts
@@ -179,16 +179,7 @@
       bootstrapBallot: () => this.bootstrapBallot(),
     });
 
-    const mostBytes = this.deps.shape.fileBytes - RECORD_ROOM;
-    this.proposer = createProposer({
-      clock: this.deps.clock,
-      rng: this.deps.rng,
-      peers: this.deps.peers,
-      replica: this.replica,
-      requesterUntil: (until) => this.requesterUntil(until),
-      catchUp: (address) => this.catchUp.from(address),
-      mostBytes,
-    });
+    this.proposer = this.makeProposer();
     this.linearizableRead = createLinearizableRead({
       clock: this.deps.clock,
       replica: this.replica,
@@ -205,7 +196,24 @@
       replica: this.replica,
       bootstrapsItself,
     });
-    this.memberStatuses = createMemberStatuses({
+    this.memberStatuses = this.makeMemberStatuses();
+
+    this.deps.peers.on('memberStatusAsk', () => this.memberStatuses.own());
+    this.membershipChanges = this.makeMembershipChanges();
+    this.selfBootstrap = this.makeSelfBootstrap();
+    this.heartbeatTimer = every(this.deps.clock, MEMBER_STATUS_MS, () => this.heartbeat());
+
+    this.heartbeat();
+    this.closedOrders = this.store.closed;
+    this.history = {
+      offer: (view, slot) => this.catchUp.snapshots.offer(view, slot),
+      page: (from, mostBytes) => this.store.page(from, mostBytes),
+      bytesSince: (from) => this.store.bytesSince(from),
+    };
+  }
+
+  private makeMemberStatuses(): MemberStatuses {
+    return createMemberStatuses({
       clock: this.deps.clock,
       peers: this.deps.peers,
       self: this.deps.self,
@@ -214,9 +222,10 @@
       writable: () => this.store.writable(),
       onMemberStatus: (heard) => this.onMemberStatus(heard),
     });
+  }
 
-    this.deps.peers.on('memberStatusAsk', () => this.memberStatuses.own());
-    this.membershipChanges = createMembershipChanges({
+  private makeMembershipChanges(): MembershipChanges {
+    return createMembershipChanges({
       clock: this.deps.clock,
       rng: this.deps.rng,
       peers: this.deps.peers,
@@ -234,7 +243,10 @@
       recordMember: this.deps.recordMember,
       mayShrinkOdd: !this.deps.keepsClaims,
     });
-    this.selfBootstrap = createSelfBootstrap({
+  }
+
+  private makeSelfBootstrap(): SelfBootstrap {
+    return createSelfBootstrap({
       clock: this.deps.clock,
       rng: this.deps.rng,
       peers: this.deps.peers,
@@ -246,15 +258,18 @@
       learnZero: (batch) => this.learnZero(batch),
       seek: () => this.heartbeat(),
     });
-    this.heartbeatTimer = every(this.deps.clock, MEMBER_STATUS_MS, () => this.heartbeat());
+  }
 
-    this.heartbeat();
-    this.closedOrders = this.store.closed;
-    this.history = {
-      offer: (view, slot) => this.catchUp.snapshots.offer(view, slot),
-      page: (from, mostBytes) => this.store.page(from, mostBytes),
-      bytesSince: (from) => this.store.bytesSince(from),
-    };
+  private makeProposer(): Proposer {
+    return createProposer({
+      clock: this.deps.clock,
+      rng: this.deps.rng,
+      peers: this.deps.peers,
+      replica: this.replica,
+      requesterUntil: (until) => this.requesterUntil(until),
+      catchUp: (address) => this.catchUp.from(address),
+      mostBytes: this.deps.shape.fileBytes - RECORD_ROOM,
+    });
   }
 
   controlState(): ControlState {
--- a/src/coordination/consensus/replica.ts
+++ b/src/coordination/consensus/replica.ts
@@ -58,11 +58,10 @@
   async put(command: StoreCommand): Promise<StoreAnswer> {
     const answer = await this.store.put(command);
     if (answer.tag === 'cannotWrite') {
-      if (!this.blocked)
-        this.log.error(`Cannot write the ring (${answer.error.tag}); nothing is acknowledged until it can.`);
+      if (!this.blocked) this.log.error('log write failed', { error: answer.error.tag });
       this.blocked = answer.error;
     } else if (this.blocked && this.store.writable()) {
-      this.log.info('The ring can be written again.');
+      this.log.info('log writable again');
       this.blocked = null;
     }
     return answer;
--- a/src/coordination/consensus/snapshot-receiver.ts
+++ b/src/coordination/consensus/snapshot-receiver.ts
@@ -73,7 +73,7 @@
 
   private async fetchFrom(from: Address, offer: SnapshotOffer, own: number): Promise<SnapshotReceipt> {
     if (!isBounded(offer)) {
-      this.log.error(`${from} offers a snapshot of ${offer.length} characters, over the bound; it is not fetched.`);
+      this.log.error('snapshot too large, not fetched', { from, length: offer.length });
       return REFUSED;
     }
     const current = this.assembly?.offer.digest === offer.digest ? this.assembly : createAssembly(offer);
@@ -101,7 +101,7 @@
     const text = assembled(current);
     const state = text.ok ? parsedJson(text.value) : null;
     if (text.ok && isControlState(state) && state.slot === current.offer.slot) return { tag: 'whole', state };
-    this.log.warn(`A snapshot from ${from} is not what was offered; it is not taken.`);
+    this.log.warn('snapshot digest mismatch', { from, slot: current.offer.slot });
     return REFUSED;
   }
 }
--- a/src/coordination/consensus/snapshot-sender.ts
+++ b/src/coordination/consensus/snapshot-sender.ts
@@ -62,9 +62,7 @@
     const state = this.deps.controlState();
     const snapshot = snapshotOf(state.slot, JSON.stringify(view === 'proxy' ? proxyState(state) : state));
     if (!isBounded(snapshot.offer)) {
-      this.deps.log.error(
-        `The state is ${snapshot.offer.length} characters long, too many for a snapshot; nodes that lag can't be helped.`,
-      );
+      this.deps.log.error('state too large for a snapshot', { length: snapshot.offer.length });
       return null;
     }
     const made: Pinned = { snapshot, view, requestedAt: this.deps.clock.mono() };
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -261,9 +261,11 @@
     return httpServer;
   }
   const served = httpServer?.value ?? null;
-  log.info(
-    `Controller ${memberId(self)} at ${served?.address ?? 'no server of its own'}, peers at ${opened.value.address}.`,
-  );
+  log.info('controller started', {
+    member: memberId(self),
+    http: served?.address ?? 'none',
+    peers: opened.value.address,
+  });
 
   async function stopAll(): Promise<void> {
     scaler?.stop();
@@ -285,12 +287,12 @@
     await served?.close();
     await ledger.leave();
     await stopAll();
-    log.info('Stopped.');
+    log.info('controller stopped');
   }
   return ok({
     wire: opened.value.address,
     http: served?.address ?? id.http,
-    push: distribution,
+    distribution,
     ledger,
     claimsReady: () => claims.value.ready(),
     holdsScaler,
--- a/src/coordination/discovery/pushed-list-feed.ts
+++ b/src/coordination/discovery/pushed-list-feed.ts
@@ -111,7 +111,7 @@
       this.deps.clock.mono() - this.updates.sinceContactMs() + this.pace.ownMs + OWN_JITTER_MS * this.deps.rng.next();
     this.ownBackoffMs = OWN_PAUSE_MS;
     this.spread = false;
-    if (this.readsItself) this.deps.log.info('Hears the list from a controller again.');
+    if (this.readsItself) this.deps.log.info('worker list pushed again');
     this.readsItself = false;
   }
 
@@ -120,7 +120,7 @@
   }
 
   private onWoke(event: { readonly afterMs: number }): void {
-    this.deps.log.warn(`Stood still for ${Math.round(event.afterMs)} ms; the list is asked for anew.`);
+    this.deps.log.warn('process stood still, querying worker list', { gapMs: Math.round(event.afterMs) });
     this.ownDue = Math.min(
       this.ownDue,
       this.deps.clock.mono() + this.pace.queryTimeoutMs + OWN_JITTER_MS * this.deps.rng.next(),
@@ -160,7 +160,7 @@
   private async readItself(): Promise<void> {
     const from = this.deps.clock.mono();
     this.ownDue = from + this.pace.readMs + OWN_PAUSE_MS;
-    if (!this.readsItself) this.deps.log.warn('Hears no list from any controller; reads it from the platform.');
+    if (!this.readsItself) this.deps.log.warn('no controller pushes the worker list, reading the platform');
     this.readsItself = true;
     const response = await readWithin(this.deps.reader, this.deps.clock, this.pace.readMs);
     this.updates.detectStandstill();
--- a/src/coordination/discovery/unresponsive-worker-watch.ts
+++ b/src/coordination/discovery/unresponsive-worker-watch.ts
@@ -82,7 +82,7 @@
       this.deps.registry.markUnresponsive(row, now);
       this.arm();
       if (!first) return;
-      this.deps.log.warn(`${row.entry.id} in ${row.entry.zone} can't be reached.`);
+      this.deps.log.warn('worker unreachable', { workerId: row.entry.id, zone: row.entry.zone });
       this.suspectZone(row);
       for (const watchedAttempt of [...(this.pending.get(row) ?? [])]) watchedAttempt.onUnresponsive();
     };
--- a/src/coordination/discovery/worker-watch.ts
+++ b/src/coordination/discovery/worker-watch.ts
@@ -63,9 +63,8 @@
     }
     if (response.ok === this.blind) {
       this.deps.log.warn(
-        response.ok
-          ? 'The platform answers again.'
-          : `The platform's list was not to be had (${response.error.tag}); the last one grows old.`,
+        response.ok ? 'platform reachable again' : 'platform unreachable',
+        response.ok ? {} : { error: response.error.tag },
       );
     }
     this.blind = !response.ok;
--- a/src/coordination/distribution/change-publisher.ts
+++ b/src/coordination/distribution/change-publisher.ts
@@ -67,7 +67,7 @@
 
   private onSubscribe(message: MessageOf<'follow'>, peer: Peer): null {
     if (this.isForeign(message.ledger)) {
-      this.log.error(`${message.name} follows another ledger; it is turned away.`);
+      this.log.error('subscriber of another ledger rejected', { proxy: message.name, ledger: message.ledger });
       peer.close();
       return null;
     }
--- a/src/coordination/distribution/follower.ts
+++ b/src/coordination/distribution/follower.ts
@@ -136,7 +136,7 @@
   }
 
   private onStandstill(gapMs: number): void {
-    this.log.warn(`Stood still for ${Math.round(gapMs)} ms; serves again once it has fresh news.`);
+    this.log.warn('process stood still, not serving until attested', { gapMs: Math.round(gapMs) });
     this.wasPartitioned = false;
     this.choice.onStandstill();
     this.choice.sendToSubscribed(this.followMessage());
@@ -147,7 +147,7 @@
     this.choice.turn();
     const alone = this.partitioned();
     if (alone !== this.wasPartitioned)
-      this.log.warn(alone ? 'No controller is heard; serves its own region only.' : 'Controllers are heard again.');
+      this.log.warn(alone ? 'partitioned from the controllers' : 'in contact with the controllers again');
     this.wasPartitioned = alone;
   }
 
--- a/src/coordination/distribution/stored-control-state.ts
+++ b/src/coordination/distribution/stored-control-state.ts
@@ -43,7 +43,7 @@
   const text = stateFile.ok ? stateFile.value : null;
   const parsed = text ? parsedJson(text.toString()) : null;
   const state = isControlState(parsed) ? parsed : blank;
-  if (text && state === blank) log.warn('The kept control state was unreadable; it is asked for again.');
+  if (text && state === blank) log.warn('stored control state unreadable, fetching it');
   const floorFile = await disk.load(FLOOR_FILE);
   const floor = floorFile.ok && floorFile.value ? floorIn(floorFile.value.toString(), state.ledger) : -1;
   return { state, floor: Math.max(state.slot, floor) };
@@ -71,7 +71,7 @@
       const { ledger, slot } = this.current();
       const done = await onto.replace(FLOOR_FILE, Buffer.from(JSON.stringify({ ledger, slot })));
       if (!done.ok) {
-        this.log.warn(`Could not keep the newest slot (${done.error.tag}).`);
+        this.log.warn('slot not stored', { error: done.error.tag });
         break;
       }
       this.savedFloor = slot;
@@ -88,7 +88,7 @@
     if (this.savedSlot >= slot) return;
     const done = await onto.replace(STATE_FILE, Buffer.from(JSON.stringify(this.current())));
     if (done.ok) this.savedSlot = slot;
-    else this.log.warn(`Could not keep the control state (${done.error.tag}).`);
+    else this.log.warn('control state not stored', { error: done.error.tag });
   }
 
   private scheduleStateSave(): void {
--- a/src/coordination/forwarding/attempt.ts
+++ b/src/coordination/forwarding/attempt.ts
@@ -8,7 +8,7 @@
 import type { Standstill } from '../../state/forwarding/standstill.js';
 import type { RegistryRow, WorkerRegistry } from '../../state/discovery/worker-registry.js';
 import type { Clock, Timer } from '../../transport/clock.js';
-import type { Log } from '../../transport/log.js';
+import type { Log, LogFields } from '../../transport/log.js';
 import type { ConnectionPool, RawHeaders, SendEvents, SendError, Sending, Sent } from '../../transport/opaque-http.js';
 import { createResponseReader } from './response-reader.js';
 import type { ResponseReader } from './response-reader.js';
@@ -94,19 +94,23 @@
 
   private late(): void {
     if (this.over) return;
-    if (this.written)
-      this.deps.log.warn(
-        lateText(
-          this.request,
-          this.reserved.row,
-          this.leftMs,
-          this.reader.status(),
-          this.deps.clock.mono() - Math.max(this.call.lastEventAt, this.call.sentAt),
-        ),
-      );
+    if (this.written) this.deps.log.warn('deadline passed at a worker', this.lateFields());
     this.abandon(this.written ? { tag: 'deadline' } : { tag: 'withheld' });
   }
 
+  private lateFields(): LogFields {
+    const lastByteAt = Math.max(this.call.lastEventAt, this.call.sentAt);
+    return {
+      workerId: this.reserved.row.entry.id,
+      route: this.request.route.name,
+      requestId: this.request.id,
+      waitedMs: Math.round(this.leftMs),
+      status: this.reader.status(),
+      lastEvent: this.request.lastEvent,
+      quietMs: Math.round(this.deps.clock.mono() - lastByteAt),
+    };
+  }
+
   private callerGone(): void {
     this.abandon({ tag: 'callerGone' });
   }
@@ -243,8 +247,3 @@
 function isBuffered(request: RelayedRequest, outcome: AttemptOutcome): boolean {
   return outcome.tag === 'workerFailed' || (outcome.tag === 'answered' && !request.stream);
 }
-
-function lateText(request: RelayedRequest, row: RegistryRow, leftMs: number, status: number, quietMs: number): string {
-  const last = request.lastEvent ?? 'none';
-  return `${row.entry.id} gave ${request.route.name} ${request.id} no end in ${Math.round(leftMs)} ms: status ${status}, last event ${last}, silent for ${Math.round(quietMs)} ms.`;
-}
--- a/src/coordination/forwarding/worker-call.ts
+++ b/src/coordination/forwarding/worker-call.ts
@@ -102,7 +102,7 @@
     const read = readCompleteResponse(body);
     if (read.ok && digestMatches(run, read.value))
       return { tag: 'whole', answer: { pieces: read.value.pieces, seal: read.value.seal } };
-    log.warn(`${candidate.id} gave a response whose seal does not hold.`);
+    log.warn('response digest mismatch', { workerId: candidate.id });
     return { tag: 'failed', outcome: { tag: 'garbled' }, failure: BAD_SEAL };
   }
 
--- a/src/coordination/idempotency/claims.ts
+++ b/src/coordination/idempotency/claims.ts
@@ -222,7 +222,7 @@
     if (!written.ok && written.error.tag === 'ringFull') return (await this.compacted()) ? answers : commands.map(none);
     this.aheadOfDisk = !written.ok;
     if (written.ok) return answers;
-    this.log.error(`Cannot write claims (${written.error.tag}); none is granted.`);
+    this.log.error('claims write failed', { error: written.error.tag });
     return commands.map(none);
   }
 
@@ -232,7 +232,7 @@
       Buffer.concat([Buffer.from(`${JSON.stringify(head)}\n`), this.table.packed()]),
     );
     this.aheadOfDisk = !done.ok;
-    if (!done.ok) this.log.error(`Cannot write claims (${done.error.tag}); none is granted.`);
+    if (!done.ok) this.log.error('claims write failed', { error: done.error.tag });
     return done.ok;
   }
 
@@ -313,7 +313,7 @@
       answered >= quorumSize &&
       (await this.queue.put({ tag: 'rebuild', member: this.me(), forgotten, records: found }))
     ) {
-      this.log.info(`Claims were rebuilt from ${answered} others: ${this.table.size()} held.`);
+      this.log.info('claims rebuilt', { members: answered, claims: this.table.size() });
     }
     this.rebuilding = false;
   }
--- a/src/coordination/leases/lease.ts
+++ b/src/coordination/leases/lease.ts
@@ -192,7 +192,7 @@
     if (outcome !== 'granted') {
       if (outcome === 'refused' && this.clock.mono() > this.grantedUntil) this.dropAll();
       if (this.ownFence !== null && this.leftMs() <= 0) {
-        this.log.warn(`The ${this.role} lease ended.`);
+        this.log.warn('lease lost', { role: this.role });
         this.ownFence = null;
       }
       return;
@@ -210,7 +210,7 @@
     );
     if (agreed.ok && agreed.value.outcome.tag === 'applied') {
       this.ownFence = agreed.value.slot;
-      this.log.info(`Holds the ${this.role} lease with fence ${this.ownFence}.`);
+      this.log.info('lease acquired', { role: this.role, fencingToken: this.ownFence });
     }
   }
 
--- a/src/coordination/membership/core-health-log.ts
+++ b/src/coordination/membership/core-health-log.ts
@@ -5,7 +5,7 @@
  */
 import type { CoreHealth } from '../../state/membership/core-health.js';
 import type { Clock } from '../../transport/clock.js';
-import type { Log } from '../../transport/log.js';
+import type { Log, LogFields } from '../../transport/log.js';
 
 /** Logs changes of the health; equal conditions are logged once. */
 export interface CoreHealthLog {
@@ -23,18 +23,25 @@
   return health.spareLosses > 0 ? 'spare' : 'none';
 }
 
-/** The figures of one judgement for a log line, such as `members=3 inTouch=2 … lacking=h3:silent`. */
-export function figuresOf(health: CoreHealth): string {
+/** The figures of one judgement as fields of a log line. */
+export function figuresOf(health: CoreHealth): LogFields {
   const lacking: string[] = [];
   for (const member of health.details) if (member.lack !== null) lacking.push(`${member.name}:${member.lack}`);
   const { members, inTouch, holdingAll, quorumSize, spareLosses } = health;
-  return `members=${members} inTouch=${inTouch} holdingAll=${holdingAll ?? 'unknown'} quorumSize=${quorumSize} spareLosses=${spareLosses ?? 'unknown'} lacking=${lacking.join(',') || 'none'}`;
+  return {
+    members,
+    inTouch,
+    holdingAll: holdingAll ?? 'unknown',
+    quorumSize,
+    spareLosses: spareLosses ?? 'unknown',
+    lacking: lacking.join(',') || 'none',
+  };
 }
 
-const WORDS: Readonly<Record<Condition, string>> = {
-  spare: 'The core bears a further loss again',
-  none: 'The core bears no further loss',
-  unknown: 'No majority of the core is heard: how many losses it bears is not known',
+const EVENTS: Readonly<Record<Condition, string>> = {
+  spare: 'controllers tolerate a further loss again',
+  none: 'controllers tolerate no further loss',
+  unknown: 'no majority of controllers reachable, tolerated losses unknown',
 };
 
 class ChangeOnlyHealthLog implements CoreHealthLog {
@@ -57,9 +64,9 @@
     this.observed = condition;
     if (condition === this.logged || this.clock.mono() - this.since < LASTS_MS) return;
     this.logged = condition;
-    const text = `${WORDS[condition]}: group=${this.group} ${figuresOf(health)}.`;
-    if (condition === 'spare') this.log.info(text);
-    else this.log.warn(text);
+    const fields = { group: this.group, ...figuresOf(health) };
+    if (condition === 'spare') this.log.info(EVENTS[condition], fields);
+    else this.log.warn(EVENTS[condition], fields);
   }
 }
 
--- a/src/coordination/membership/failure-detector.ts
+++ b/src/coordination/membership/failure-detector.ts
@@ -83,7 +83,7 @@
       const n = fullUpdate(this.members, this.self.name, update);
       if (!n || (!isUp(n) && !this.members.has(n.name) && !(all && n.status === 'dead'))) continue;
       const step = mergeNode(this.members, this.self.name, n);
-      if (step.refuted) this.log.warn(`Was held for ${n.status}; refutes it.`);
+      if (step.refuted) this.log.warn('refuting own failure', { status: n.status });
       if (!step.changed) continue;
       this.onStatusChanged(this.members.get(n.name) as NodeInfo, !all);
     }
@@ -97,7 +97,7 @@
     } else this.suspectAt.delete(node.name);
     if (isUp(node)) this.goneAt.delete(node.name);
     else this.goneAt.set(node.name, this.clock.mono());
-    if (node.name !== this.self.name) this.log.info(`${node.name} is ${node.status}.`);
+    if (node.name !== this.self.name) this.log.info('node status changed', { node: node.name, status: node.status });
     this.events.emit('changed', { node });
   }
 
--- a/src/coordination/membership/incarnation.ts
+++ b/src/coordination/membership/incarnation.ts
@@ -14,6 +14,6 @@
   const read = stored.ok && stored.value ? parsedJson(stored.value.toString()) : null;
   const before = isTable(read) && Number.isInteger(read['life']) ? (read['life'] as number) : 0;
   const saved = await disk.replace(LIFE_FILE, Buffer.from(JSON.stringify({ life: before + 1 })));
-  if (!saved.ok) log.warn(`Could not count this life (${saved.error.tag}); those who remember the last one settle it.`);
+  if (!saved.ok) log.warn('incarnation not stored', { error: saved.error.tag });
   return (before + 1) * STEPS_IN_A_LIFE;
 }
--- a/src/coordination/membership/membership-changes.ts
+++ b/src/coordination/membership/membership-changes.ts
@@ -131,7 +131,7 @@
         member: { ...this.deps.self },
       })
     )
-      this.deps.log.info(`Known at ${this.deps.self.address}.`);
+      this.deps.log.info('address published', { address: this.deps.self.address });
   }
 
   private async memberStatusesOf(targets: Iterable<Address>): Promise<MessageOf<'memberStatus'>[]> {
@@ -143,7 +143,7 @@
       if (!response.ok || response.value.kind !== 'memberStatus' || response.value.ledger === '') return;
       if (this.deps.controlState().ledger === '' || response.value.ledger === this.deps.controlState().ledger)
         out.push(response.value);
-      else this.deps.log.error(`${to} belongs to another ledger; it is ignored.`);
+      else this.deps.log.error('controller of another ledger ignored', { address: to });
     };
     for (const to of targets) requests.push(one(to));
     await Promise.all(requests);
@@ -162,16 +162,14 @@
     const best = heard[0];
     if (!best) return;
     if (this.deps.controlState().ledger === '' && !heard.some((status) => this.isSeed(status)))
-      this.deps.log.warn(
-        `No seed answers; found the core at ${best.address}, known from nodes that contacted this one.`,
-      );
+      this.deps.log.warn('no seed reachable, using a known controller', { address: best.address });
     if (best.learned > this.deps.controlState().slot) await this.deps.catchUp(best.address);
     if (this.ownEntry()?.address === this.deps.self.address) return;
     if (this.wasMember && !this.ownEntry()) {
       if (!(await this.deps.renew())) return;
       this.wasMember = false;
       this.isRecorded = false;
-      this.deps.log.info(`No longer a member; joins anew as ${memberId(this.deps.self)}.`);
+      this.deps.log.info('removed from the group, rejoining', { member: memberId(this.deps.self) });
     }
     const addresses: Address[] = [];
     for (const member of this.deps.controlState().members)
@@ -185,7 +183,7 @@
       if (!answer.ok || answer.value.kind !== 'done' || !answer.value.agreed) continue;
       await this.deps.catchUp(to);
       if (this.ownEntry()?.address === this.deps.self.address)
-        this.deps.log.info(`Joined the ledger as ${memberId(this.deps.self)}.`);
+        this.deps.log.info('joined the group', { member: memberId(this.deps.self) });
       return;
     }
   }
@@ -223,7 +221,7 @@
     if (!first || dead.length < needed || !(isEven || this.deps.mayShrinkOdd)) return;
     const cause = `${first.name} has been dead, and ${members.length} members bear no more than without ${needed === 1 ? 'it' : 'the two that are'}.`;
     if (await this.agree(cause, { tag: 'memberRemoved', old: memberId(first) }))
-      this.deps.log.info(`${memberId(first)} is no longer a member.`);
+      this.deps.log.info('member removed', { member: memberId(first) });
   }
 
   private hasMajority(): boolean {
--- a/src/coordination/membership/self-bootstrap.ts
+++ b/src/coordination/membership/self-bootstrap.ts
@@ -155,7 +155,7 @@
           batch: end.batch.id,
           at: this.deps.self.address,
         });
-    this.deps.log.info(`Bootstrapped the ledger with ${blank.length} controllers.`);
+    this.deps.log.info('ledger bootstrapped', { members: blank.length });
   }
 
   private isSelf(member: Member): boolean {
--- a/src/coordination/messaging/peer-link.ts
+++ b/src/coordination/messaging/peer-link.ts
@@ -149,7 +149,7 @@
     this.onBytes();
     const frame = readFrame(body);
     if (!frame) {
-      this.log.warn(`Connection to ${this.connection.peer} ended: a frame had no known shape.`);
+      this.log.warn('connection closed', { peer: this.connection.peer, reason: 'a frame had no known shape' });
       this.connection.close();
       return;
     }
--- a/src/coordination/proxy/opaque-proxy.ts
+++ b/src/coordination/proxy/opaque-proxy.ts
@@ -247,7 +247,7 @@
     relay.turn();
     const now = ready();
     if (now !== wasReady) {
-      log.info(now ? 'Serves.' : 'Serves no more.');
+      log.info(now ? 'ready' : 'not ready');
       wasReady = now;
       report();
     }
@@ -260,7 +260,7 @@
   function stopReadinessChecks(): void {
     readinessTimer.cancel();
   }
-  log.info(`Opaque server at ${id.front}, peers at ${opened.value.address}.`);
+  log.info('proxy started', { http: id.front, peers: opened.value.address });
 
   async function drain(longestMs: number): Promise<void> {
     const from = clock.mono();
@@ -292,7 +292,7 @@
     deps.connectionPool.stop();
     await front.close();
     await peers.close();
-    log.info('Stopped.');
+    log.info('proxy stopped');
   }
   return ok({ front: front.address, ready, tally: () => relay.tally(), drain, stop });
 }
--- a/src/coordination/proxy/proxy.ts
+++ b/src/coordination/proxy/proxy.ts
@@ -218,7 +218,7 @@
     await peers.close();
     return err(httpServer.error);
   }
-  log.info(`Serves ${id.zone} at ${httpServer.value.address}, peers at ${opened.value.address}.`);
+  log.info('proxy started', { zone: id.zone, http: httpServer.value.address, peers: opened.value.address });
   const served = httpServer.value;
 
   function view(): ProxyView {
@@ -233,7 +233,7 @@
   }
 
   async function stop(): Promise<void> {
-    log.info('Stops taking requests.');
+    log.info('draining');
     dispatcher.stopTaking();
     taking = false;
     report();
@@ -249,7 +249,7 @@
     follower.stop();
     await served.close();
     await peers.close();
-    log.info('Stopped.');
+    log.info('proxy stopped');
   }
   return ok({
     wire: opened.value.address,
--- a/src/coordination/scaling/cloud-client.ts
+++ b/src/coordination/scaling/cloud-client.ts
@@ -22,7 +22,7 @@
   | { readonly tag: 'cloudSilent' }
   | { readonly tag: 'cloudNonsense'; readonly detail: string };
 
-/** Orders, lists and releases machines. An order's key makes it idempotent. */
+/** Orders, lists and releases machines. An order that is sent again under its key is one order. */
 export interface CloudClient {
   orderMachine(order: CloudOrder): Promise<Result<Machine, CloudError>>;
   machines(owner: string): Promise<Result<Machine[], CloudError>>;
--- a/src/coordination/scaling/observer.ts
+++ b/src/coordination/scaling/observer.ts
@@ -107,9 +107,7 @@
     const at = this.deps.feed.asOf();
     const old = at === null || this.deps.clock.mono() - at > LIST_OLD_MS;
     if (old !== this.isListOld)
-      this.deps.log.warn(
-        old ? "The platform's list is old; nothing is decided on it." : "The platform's list is fresh again.",
-      );
+      this.deps.log.warn(old ? 'worker list too old, not deciding' : 'worker list fresh again');
     this.isListOld = old;
     return old ? null : this.deps.feed.entries();
   }
@@ -147,8 +145,8 @@
     if (!first || !this.holdsLease(fence)) return;
     const cause = steps.length === 1 ? first.cause : `${steps.length} decisions: ${first.cause}`.slice(0, CAUSE_LENGTH);
     const response = await this.deps.ledger.propose({ cause, act: { tag: 'decided', steps }, fence }, PROPOSE_MS);
-    if (response.ok && response.value.outcome.tag === 'applied') this.deps.log.info(cause);
-    else if (response.ok) this.deps.log.warn(`Decisions did not count (${response.value.outcome.tag}).`);
+    if (response.ok && response.value.outcome.tag === 'applied') this.deps.log.info('decisions applied', { cause });
+    else if (response.ok) this.deps.log.warn('decisions rejected', { outcome: response.value.outcome.tag });
   }
 
   private async run(): Promise<void> {
--- a/src/coordination/scaling/scaler.ts
+++ b/src/coordination/scaling/scaler.ts
@@ -99,7 +99,7 @@
     if (this.pricesAt !== null && this.deps.clock.mono() - this.pricesAt < PRICES_MS) return;
     const response = await this.deps.cloud.prices();
     if (!response.ok) {
-      this.deps.log.warn(`Prices were not to be had (${response.error.tag}); the last ones stand.`);
+      this.deps.log.warn('prices unavailable, using the last ones', { error: response.error.tag });
       return;
     }
     this.prices = response.value;
@@ -170,7 +170,7 @@
           return;
         }
         if (response.error.tag !== 'noCapacity') {
-          this.deps.log.warn(`Order ${order.id} has no answer yet (${response.error.tag}); it is asked again.`);
+          this.deps.log.warn('order pending, retrying', { order: order.id, error: response.error.tag });
           return;
         }
       }
@@ -244,22 +244,22 @@
     const open = new Set<string>();
     for (const order of Object.values(this.deps.ledger.controlState().orders))
       if (isOpen(order.status)) open.add(order.id);
-    for (const message of machines) {
-      if (message.state === 'gone' || message.state === 'reclaiming' || open.has(message.key)) {
-        this.orphanSince.delete(message.id);
+    for (const machine of machines) {
+      if (machine.state === 'gone' || machine.state === 'reclaiming' || open.has(machine.key)) {
+        this.orphanSince.delete(machine.id);
         continue;
       }
-      const since = this.orphanSince.get(message.id) ?? now;
-      this.orphanSince.set(message.id, since);
+      const since = this.orphanSince.get(machine.id) ?? now;
+      this.orphanSince.set(machine.id, since);
       if (now - since < ORPHAN_GRACE_MS || !this.holdsLease(fence) || this.deps.lease.leftMs() < ACTION_LEFT_MS)
         continue;
-      const released = await this.deps.cloud.release(message.id);
+      const released = await this.deps.cloud.release(machine.id);
       if (!released.ok) continue;
-      this.orphanSince.delete(message.id);
-      this.deps.log.warn(`Machine ${message.id} belonged to no open order; it is given back.`);
-      await this.record(fence, `No open order holds the machine (key ${message.key}).`, {
+      this.orphanSince.delete(machine.id);
+      this.deps.log.warn('releasing machine without an order', { machine: machine.id });
+      await this.record(fence, `No open order holds the machine (key ${machine.key}).`, {
         tag: 'orphanReleased',
-        machine: message.id,
+        machine: machine.id,
       });
     }
   }
@@ -277,11 +277,7 @@
     const workers = seenWorkers.ok ? seenWorkers.value : null;
     const blind = machines === null || workers === null;
     if (blind !== this.wasBlind) {
-      this.deps.log.warn(
-        blind
-          ? 'The cloud or the platform does not answer; what it told last grows old.'
-          : 'The cloud and the platform answer again.',
-      );
+      this.deps.log.warn(blind ? 'cloud or platform unreachable' : 'cloud and platform reachable again');
     }
     this.wasBlind = blind;
     if (!this.holdsLease(fence)) return;
--- a/src/coordination/scaling/worker-list-role.ts
+++ b/src/coordination/scaling/worker-list-role.ts
@@ -125,7 +125,7 @@
     this.highest = Math.max(this.highest, message.number[0]);
     if (this.currentReading && message.number[1] !== this.readerId) {
       this.currentReading = false;
-      this.deps.log.info(`${message.number[1]} reads the list now.`);
+      this.deps.log.info('another controller reads the worker list', { reader: message.number[1] });
     }
     this.sendToFollowers(
       message.kind === 'listBeat' && message.ageMs === null ? message : { ...message, ageMs: this.updates.ageMs() },
@@ -145,7 +145,7 @@
   }
 
   private onWoke(event: { readonly afterMs: number }): void {
-    this.deps.log.warn(`Stood still for ${Math.round(event.afterMs)} ms; another may read the list by now.`);
+    this.deps.log.warn('process stood still, giving up the worker list role', { gapMs: Math.round(event.afterMs) });
     this.currentReading = false;
     if (!this.busy) this.arm(0);
   }
@@ -216,7 +216,7 @@
     const number: WorkerListVersion = goesOn
       ? [base[0], this.readerId, base[2] + 1]
       : [this.highest + 1, this.readerId, 0];
-    if (!this.currentReading) this.deps.log.info(`Reads the list for all, as ${this.readerId} in term ${number[0]}.`);
+    if (!this.currentReading) this.deps.log.info('reading the worker list', { reader: this.readerId, term: number[0] });
     this.currentReading = true;
     if (base === null) this.publish({ kind: 'listWhole', number, ageMs, entries: [...entries] });
     else if (goesOn && isEmptyChange(change)) this.publish({ kind: 'listBeat', number: base, ageMs });
@@ -246,7 +246,7 @@
     if (response?.ok) this.onRead(response.value, from);
     else {
       if (response?.error.tag === 'listNonsense')
-        this.deps.log.warn(`The platform's list made no sense: ${response.error.detail}.`);
+        this.deps.log.warn('worker list invalid', { error: response.error.detail });
       this.announceUnresponsive();
     }
     this.arm(
--- a/src/programs/composition.ts
+++ b/src/programs/composition.ts
@@ -65,7 +65,7 @@
   }
 
   function makeLogs(): LogRoot {
-    return createLogRoot(settings.logLevel);
+    return createLogRoot(settings.logLevel, settings.logFormat);
   }
   function makeWire(): Wire {
     const wire = createTcpWire(box.get<LogRoot>(T.logs).component('wire'), DIAL_MS, tally && tally.meterOf(ownPlace()));
--- a/src/programs/daemons.ts
+++ b/src/programs/daemons.ts
@@ -27,6 +27,7 @@
   platform: { type: 'string', description: 'Address of the platform that lists workers' },
   cloud: { type: 'string', description: 'Address of the cloud API' },
   logLevel: { type: 'string', description: 'silent, error, warn or info' },
+  logFormat: { type: 'string', description: 'text or json (default: text)' },
 } as const satisfies ArgsDef;
 
 type Stoppable = { readonly stop: () => Promise<void> };
--- a/src/programs/settings.ts
+++ b/src/programs/settings.ts
@@ -5,6 +5,8 @@
 import { err, ok } from '../base/result.js';
 import type { Result } from '../base/result.js';
 import { splitAddress } from '../transport/wire.js';
+import { LOG_FORMATS } from '../transport/log-line.js';
+import type { LogFormat } from '../transport/log-line.js';
 import type { LogLevel } from '../transport/log.js';
 
 /** Checked settings. */
@@ -21,6 +23,7 @@
   readonly platform: string;
   readonly cloud: string;
   readonly logLevel: LogLevel;
+  readonly logFormat: LogFormat;
   readonly lab: Lab | null;
 };
 
@@ -57,6 +60,9 @@
 function isPath(text: string): boolean {
   return text.length > 0;
 }
+function isFormat(text: string): boolean {
+  return (LOG_FORMATS as readonly string[]).includes(text);
+}
 function isLevel(text: string): boolean {
   return ['silent', 'error', 'warn', 'info'].includes(text);
 }
@@ -76,6 +82,7 @@
   platform: Address,
   cloud: Address,
   logLevel: text('one of silent, error, warn, info', isLevel),
+  logFormat: text('one of text, json', isFormat),
   lab: t.intersection(
     [
       t.type({ zones: t.record(t.string, t.string), delayMs: t.record(t.string, t.number) }),
@@ -152,6 +159,7 @@
     platform: settings.platform,
     cloud: settings.cloud ?? settings.platform,
     logLevel: settings.logLevel ?? 'info',
+    logFormat: settings.logFormat ?? 'text',
     lab: settings.lab ?? null,
   });
 }
--- a/src/transport/http-server.ts
+++ b/src/transport/http-server.ts
@@ -122,7 +122,9 @@
       res.status(400).json({ error: { tag: 'malformed', detail: 'body is not JSON' } });
       return;
     }
-    this.log.error(`A request broke: ${error instanceof Error ? (error.stack ?? error.message) : String(error)}.`);
+    this.log.error('request failed', {
+      error: error instanceof Error ? (error.stack ?? error.message) : String(error),
+    });
     res.status(500).json({ error: { tag: 'internal' } });
   }
 
--- a/src/transport/line-log.ts
+++ b/src/transport/line-log.ts
@@ -3,24 +3,22 @@
  * they start from a snapshot of the process and hold little else.
  */
 
+import { textLine } from './log-line.js';
+import type { LogFields } from './log-line.js';
 import type { Log, LogRoot } from './log.js';
 
+function write(level: string, component: string, event: string, fields: LogFields = {}): void {
+  process.stderr.write(textLine({ time: new Date(), level, component, event, fields }));
+}
+
 /** A log that writes each line at once. */
 export function createLineLog(): LogRoot {
-  function component(prefix: string): Log {
-    function queue(level: string, text: string): void {
-      process.stderr.write(`${new Date().toISOString()} ${level} [${prefix}] ${text}\n`);
-    }
-    function info(text: string): void {
-      queue('info ', text);
-    }
-    function warn(text: string): void {
-      queue('warn ', text);
-    }
-    function error(text: string): void {
-      queue('error', text);
-    }
-    return { info, warn, error };
+  function component(name: string): Log {
+    return {
+      info: (event, fields) => write('info', name, event, fields),
+      warn: (event, fields) => write('warn', name, event, fields),
+      error: (event, fields) => write('error', name, event, fields),
+    };
   }
   return { component };
 }
--- a/src/transport/log.ts
+++ b/src/transport/log.ts
@@ -1,44 +1,48 @@
 /**
- * Logging as an interface, and its implementation on `consola`. Each part of a node logs under
- * its own prefix; docs/operations.md lists what the lines mean.
+ * Logging as an interface, and its implementation on `consola`. A line is an event, in fixed words, with its fields, so that
+ * it can be filtered by either; docs/operations.md lists all events, what they mean and what to do.
  */
 
 import { createConsola } from 'consola';
 import type { LogObject } from 'consola';
+import { jsonLine, textLine } from './log-line.js';
+import type { LogFields, LogFormat, LogLine } from './log-line.js';
 
-/** Takes one line of text at a level. */
+export type { LogFields } from './log-line.js';
+
+/** Logs events at a level; an event's words never hold values. */
 export type Log = {
-  readonly info: (text: string) => void;
-  readonly warn: (text: string) => void;
-  readonly error: (text: string) => void;
+  readonly info: (event: string, fields?: LogFields) => void;
+  readonly warn: (event: string, fields?: LogFields) => void;
+  readonly error: (event: string, fields?: LogFields) => void;
 };
 
-/** Gives each part of a node its own log. */
-export type LogRoot = { readonly component: (prefix: string) => Log };
+/** Gives each component of a node its own log. */
+export type LogRoot = { readonly component: (name: string) => Log };
 
 const LEVELS = { silent: -999, error: 0, warn: 1, info: 3 } as const;
 /** Lowest level that is written. */
 export type LogLevel = keyof typeof LEVELS;
 
-function print(entry: LogObject): void {
-  process.stderr.write(`${entry.date.toISOString()} ${entry.type.padEnd(5)} [${entry.tag}] ${entry.args.join(' ')}\n`);
+function lineOf(entry: LogObject): LogLine {
+  const [event, fields] = entry.args as [string, LogFields];
+  return { time: entry.date, level: entry.type, component: entry.tag, event, fields };
 }
 
 /** A log on standard error. */
-export function createLogRoot(level: LogLevel): LogRoot {
+export function createLogRoot(level: LogLevel, format: LogFormat = 'text'): LogRoot {
+  const shown = format === 'json' ? jsonLine : textLine;
+  function print(entry: LogObject): void {
+    process.stderr.write(shown(lineOf(entry)));
+  }
   const sink = createConsola({ level: LEVELS[level], reporters: [{ log: print }] });
-  function component(prefix: string): Log {
-    const tagged = sink.withTag(prefix);
-    function info(text: string): void {
-      tagged.info(text);
-    }
-    function warn(text: string): void {
-      tagged.warn(text);
-    }
-    function error(text: string): void {
-      tagged.error(text);
-    }
-    return { info, warn, error };
+  function component(name: string): Log {
+    const tagged = sink.withTag(name);
+    return {
+      info: (event, fields = {}) => tagged.info(event, fields),
+      warn: (event, fields = {}) => tagged.warn(event, fields),
+      error: (event, fields = {}) => tagged.error(event, fields),
+    };
   }
   return { component };
 }
--- a/src/transport/wire.ts
+++ b/src/transport/wire.ts
@@ -102,7 +102,7 @@
   }
 
   private closeInvalid(why: string): void {
-    this.log.warn(`Connection to ${this.peer} ended: ${why}.`);
+    this.log.warn('connection closed', { peer: this.peer, reason: why });
     this.close();
   }
 
--- a/tools/real-time-tests.mjs
+++ b/tools/real-time-tests.mjs
@@ -10,7 +10,7 @@
 const TEST_FILE = /\.test\.(ts|mjs)$/;
 const REAL_MODULES = /from 'node:(child_process|http|net)'/;
 const REAL_FACTORIES =
-  /\bcreate(Clock|TcpWire|GotHttpClient|ExpressHttpServer|OpenHttpServer|ConnectionPool|ListReader)\(/;
+  /\bcreate(Clock|TcpWire|GotHttpClient|ExpressHttpServer|OpaqueHttpServer|ConnectionPool|ListReader)\(/;
 
 /** Whether a test with this text uses processes, sockets or the machine's clock itself. */
 export function usesRealTime(text) {
--- a/tools/real-time-tests.test.mjs
+++ b/tools/real-time-tests.test.mjs
@@ -29,7 +29,7 @@
         'src/programs/package.test.ts',
         'src/transport/connection-pool.test.ts',
         'src/transport/http-server.test.ts',
-        'src/transport/open-http-server.test.ts',
+        'src/transport/opaque-http-server.test.ts',
         'standin-platform/worker.test.ts',
         'tools/children.test.mjs',
       ]),
