--- a/src/coordination/consensus/voter.ts
+++ b/src/coordination/consensus/voter.ts
@@ -1,6 +1,6 @@
 /**
  * The acceptor's side of a ballot: answers `prepare` and `accept`, and takes the word that a slot was chosen. `ledger.ts`
- * makes one; the rules of a single slot are in `state/acceptor.ts`.
+ * makes one; the rules of a single slot are in `consensus/acceptor.ts`.
  *
  * Invariants (docs/consistency.md, sections 1 and 3): a controller votes on slot s only once it has folded s-1 and is a
  * member after it under its present identity; each vote is synced before it is answered.
--- a/src/coordination/distribution/quorum-attestation.ts
+++ b/src/coordination/distribution/quorum-attestation.ts
@@ -1,6 +1,6 @@
 /**
  * Attests that this controller holds everything that was confirmed before a moment: `asOf` is when the earliest of the
- * newest majority of answers was asked for, and nobody of that majority knew of a slot that this one lacks. `push.ts` puts
+ * newest majority of answers was asked for, and nobody of that majority knew of a slot that this one lacks. `change-distribution.ts` puts
  * it into beats to proxies. Why it holds: docs/consistency.md, section 1.
  */
 import { createEvents } from '../../base/events.js';
--- a/src/coordination/membership/core-health-watch.ts
+++ b/src/coordination/membership/core-health-watch.ts
@@ -1,6 +1,6 @@
 /**
  * Watches how many further losses the core bears: gathers what each member answers, judges it by
- * `state/core-health.ts`, and logs one line when no loss is borne any more and one when it is again.
+ * `membership/core-health.ts`, and logs one line when no loss is borne any more and one when it is again.
  *
  * `controller.ts` makes one; the status answer, the metrics and the runbooks read it. What it tells is never older
  * than `IN_TOUCH_MS`: a controller that is cut off from the majority tells that it knows nothing.
--- a/src/state/consensus/snapshot-chunks.ts
+++ b/src/state/consensus/snapshot-chunks.ts
@@ -7,7 +7,7 @@
 
 /**
  * A snapshot as text, cut into parts of bounded size and put together again. Pure: who hands parts
- * over is in `snapshot-giver.ts`, who takes them in `snapshot-taker.ts`. The digest names the whole
+ * over is in `snapshot-sender.ts`, who takes them in `snapshot-receiver.ts`. The digest names the whole
  * text, so parts of two snapshots are never put together, whichever node each part came from.
  */
 export const SnapshotOfferShape = Type.Object({
