--- a/examples/embed.mjs
+++ b/examples/embed.mjs
@@ -11,7 +11,7 @@
   key: runKey('terminal-71-4711', Date.now()),
 });
 if (authorisation.ok) console.log('authorised:', authorisation.value.text.trim());
-else console.log('not authorised:', JSON.stringify(authorisation.fault));
+else console.log('not authorised:', JSON.stringify(authorisation.error));
 
 const summary = await client.stream({
   mapping: 'fraud-case',
@@ -23,11 +23,11 @@
   outputTokens: 80,
   repeatable: true,
 });
-if (!summary.ok) console.log('no summary:', JSON.stringify(summary.fault));
+if (!summary.ok) console.log('no summary:', JSON.stringify(summary.error));
 else {
   for await (const event of summary.value.events) {
     if (event.tag === 'piece') process.stdout.write(event.text);
-    else console.log(event.tag === 'sealed' ? '\nwhole and sealed' : `\nbroken off: ${JSON.stringify(event.fault)}`);
+    else console.log(event.tag === 'sealed' ? '\nwhole and sealed' : `\nbroken off: ${JSON.stringify(event.error)}`);
   }
 }
 process.exit(0);
--- a/src/client/client.ts
+++ b/src/client/client.ts
@@ -2,8 +2,7 @@
  * The callers' library: asks a proxy for a placement, sends the request there with its admission token, checks the
  * response digest, and tries another proxy where that is safe (docs/repeats.md).
  */
-import { err, ok } from '../base/result.js';
-import type { Result } from '../base/result.js';
+import { ok } from '../base/result.js';
 import {
   PLACE_PATH,
   readAnswer,
@@ -60,6 +59,16 @@
   | { readonly tag: 'wrongSeal'; readonly requestId: string }
   | { readonly tag: 'outcomeUnknown'; readonly requestId: string };
 
+/** Outcome of a call of the client. The error of a failed one stands under its former name `fault` too. */
+export type ClientResult<T> =
+  | { readonly ok: true; readonly value: T }
+  | {
+      readonly ok: false;
+      readonly error: ClientError;
+      /** @deprecated Read `error`. */
+      readonly fault: ClientError;
+    };
+
 /** A complete answer whose digest was checked. */
 export type ClientAnswer = {
   readonly requestId: string;
@@ -72,15 +81,19 @@
 export type ClientEvent =
   | { readonly tag: 'piece'; readonly n: number; readonly text: string }
   | { readonly tag: 'sealed'; readonly attemptId: string }
-  | { readonly tag: 'fault'; readonly error: ClientError };
+  | {
+      readonly tag: 'fault';
+      readonly error: ClientError;
+      /** @deprecated Read `error`. */ readonly fault: ClientError;
+    };
 
 /** A stream that has begun. */
 export type ClientStream = { readonly requestId: string; readonly events: AsyncIterable<ClientEvent> };
 
 /** Sends requests; never rejects. */
 export type Client = {
-  readonly send: (request: ClientRequest) => Promise<Result<ClientAnswer, ClientError>>;
-  readonly stream: (request: ClientRequest) => Promise<Result<ClientStream, ClientError>>;
+  readonly send: (request: ClientRequest) => Promise<ClientResult<ClientAnswer>>;
+  readonly stream: (request: ClientRequest) => Promise<ClientResult<ClientStream>>;
 };
 
 type Opened = { readonly placement: Placement; readonly answer: HttpAnswer; readonly leave: () => void };
@@ -88,6 +101,14 @@
 const PLACINGS = 3;
 const SILENT_REST_MS = 5_000;
 
+function failed(error: ClientError): { readonly ok: false; readonly error: ClientError; readonly fault: ClientError } {
+  return { ok: false, error, fault: error };
+}
+
+function faultEvent(error: ClientError): ClientEvent {
+  return { tag: 'fault', error, fault: error };
+}
+
 /** A client over HTTP. */
 export function createClient(settings: ClientSettings): Client {
   return createClientOver(settings, createGotHttpClient(1_000), createClock());
@@ -134,7 +155,7 @@
     return { tag: 'failed', failure: read.value.error, retryAfterS: Number.isFinite(after) ? after : 0, requestId };
   }
 
-  async function place(request: ClientRequest, without: readonly string[]): Promise<Result<Placement, ClientError>> {
+  async function place(request: ClientRequest, without: readonly string[]): Promise<ClientResult<Placement>> {
     let refusal: ClientError = { tag: 'noProxy' };
     for (const address of inOrder()) {
       const response = await httpClient.call({
@@ -151,13 +172,13 @@
       unresponsiveAt.delete(address);
       const placement = readPlacement(response.value.body);
       if (response.value.status === 200 && placement.ok) return ok(placement.value);
-      const failed = failureOf(response.value, null);
-      if (!failed) continue;
-      refusal = failed;
-      if (failed.tag !== 'failed' || failed.failure.tag !== 'shed' || failed.failure.reason !== 'notReady')
-        return err(failed);
+      const failure = failureOf(response.value, null);
+      if (!failure) continue;
+      refusal = failure;
+      if (failure.tag !== 'failed' || failure.failure.tag !== 'shed' || failure.failure.reason !== 'notReady')
+        return failed(failure);
     }
-    return err(refusal);
+    return failed(refusal);
   }
 
   function worthAnother(error: ClientError | null): boolean {
@@ -166,7 +187,7 @@
     return reason === 'ticketForeign' || reason === 'ticketExpired' || reason === 'stopping' || reason === 'notReady';
   }
 
-  async function submit(request: ClientRequest, stream: boolean): Promise<Result<Opened, ClientError>> {
+  async function submit(request: ClientRequest, stream: boolean): Promise<ClientResult<Opened>> {
     const silent: string[] = [];
     for (let tries = 1; ; tries += 1) {
       const placement = await place(request, silent);
@@ -194,32 +215,32 @@
       if (!response.ok) {
         silent.push(placement.value.proxy);
         if (response.error.tag === 'neverSent' && tries < PLACINGS) continue;
-        return err(response.error.tag === 'neverSent' ? { tag: 'noProxy' } : { tag: 'outcomeUnknown', requestId });
+        return failed(response.error.tag === 'neverSent' ? { tag: 'noProxy' } : { tag: 'outcomeUnknown', requestId });
       }
       if (response.value.status === 200) return ok({ placement: placement.value, answer: response.value, leave });
-      const failed = failureOf(response.value, requestId);
-      if (worthAnother(failed) && tries < PLACINGS) continue;
-      return err(failed ?? { tag: 'outcomeUnknown', requestId });
+      const failure = failureOf(response.value, requestId);
+      if (worthAnother(failure) && tries < PLACINGS) continue;
+      return failed(failure ?? { tag: 'outcomeUnknown', requestId });
     }
   }
 
-  async function send(request: ClientRequest): Promise<Result<ClientAnswer, ClientError>> {
+  async function send(request: ClientRequest): Promise<ClientResult<ClientAnswer>> {
     const opened = await submit(request, false);
     if (!opened.ok) return opened;
     const { requestId } = opened.value.placement;
     const read = readAnswer(opened.value.answer.body);
-    if (!read.ok) return err({ tag: 'wrongSeal', requestId });
+    if (!read.ok) return failed({ tag: 'wrongSeal', requestId });
     const check = startDigest(requestId, null);
     let text = '';
     for (const piece of read.value.pieces) {
-      if (addChunk(check, piece)) return err({ tag: 'wrongSeal', requestId });
+      if (addChunk(check, piece)) return failed({ tag: 'wrongSeal', requestId });
       text += piece.text;
     }
-    if (checkDigest(check, read.value.seal)) return err({ tag: 'wrongSeal', requestId });
+    if (checkDigest(check, read.value.seal)) return failed({ tag: 'wrongSeal', requestId });
     return ok({ requestId, attemptId: read.value.seal.attemptId, text, pieces: read.value.pieces.length });
   }
 
-  async function stream(request: ClientRequest): Promise<Result<ClientStream, ClientError>> {
+  async function stream(request: ClientRequest): Promise<ClientResult<ClientStream>> {
     const opened = await submit(request, true);
     if (!opened.ok) return opened;
     const { requestId } = opened.value.placement;
@@ -238,43 +259,38 @@
     const check = startDigest(requestId, null);
     for await (const line of answer.lines) {
       if (!line.ok) {
-        yield { tag: 'fault', error: { tag: 'outcomeUnknown', requestId } };
+        yield faultEvent({ tag: 'outcomeUnknown', requestId });
         return;
       }
       const read = readAnswerLine(line.value);
       if (!read.ok) {
         answer.abandon();
-        yield { tag: 'fault', error: { tag: 'wrongSeal', requestId } };
+        yield faultEvent({ tag: 'wrongSeal', requestId });
         return;
       }
       const at = read.value;
       if ('error' in at) {
-        yield {
-          tag: 'fault',
-          error: {
-            tag: 'failed',
-            failure: at.error,
-            retryAfterS: at.error.tag === 'cut' ? at.error.retryAfterS : 1,
-            requestId,
-          },
-        };
+        yield faultEvent({
+          tag: 'failed',
+          failure: at.error,
+          retryAfterS: at.error.tag === 'cut' ? at.error.retryAfterS : 1,
+          requestId,
+        });
         return;
       }
       if ('seal' in at) {
         const wrong = checkDigest(check, at.seal);
-        yield wrong
-          ? { tag: 'fault', error: { tag: 'wrongSeal', requestId } }
-          : { tag: 'sealed', attemptId: at.seal.attemptId };
+        yield wrong ? faultEvent({ tag: 'wrongSeal', requestId }) : { tag: 'sealed', attemptId: at.seal.attemptId };
         return;
       }
       if (addChunk(check, at.piece)) {
         answer.abandon();
-        yield { tag: 'fault', error: { tag: 'wrongSeal', requestId } };
+        yield faultEvent({ tag: 'wrongSeal', requestId });
         return;
       }
       yield { tag: 'piece', n: at.piece.n, text: at.piece.text };
     }
-    yield { tag: 'fault', error: { tag: 'outcomeUnknown', requestId } };
+    yield faultEvent({ tag: 'outcomeUnknown', requestId });
   }
 
   return { send, stream };
--- a/tools/claims.mjs
+++ b/tools/claims.mjs
@@ -43,7 +43,7 @@
     createClock(),
     createQuietLog().part(''),
   );
-  if (!made.ok) throw new Error(made.fault.tag);
+  if (!made.ok) throw new Error(made.error.tag);
   return made.value;
 }
 function row(name, value) {
--- a/tools/scale.mjs
+++ b/tools/scale.mjs
@@ -41,7 +41,7 @@
   const inForce =
     got.ok && got.value.status === 200
       ? (fleet.world.now() - from).toFixed(0)
-      : `not within 2800 (${got.ok ? got.value.status : got.fault.tag})`;
+      : `not within 2800 (${got.ok ? got.value.status : got.error.tag})`;
   const placer = fleet.proxies[0].proxy;
   const ask = { model: 'summary', inputTokens: 100, outputTokens: 10, parts: ['a', 'b', 'c'], repeatable: true };
   const start = performance.now();
