--- a/src/client/client.ts
+++ b/src/client/client.ts
@@ -65,7 +65,7 @@
   | {
       readonly ok: false;
       readonly error: ClientError;
-      /** @deprecated Read `error`. */
+      /** The same error. @deprecated Read `error`. */
       readonly fault: ClientError;
     };
 
@@ -84,7 +84,7 @@
   | {
       readonly tag: 'fault';
       readonly error: ClientError;
-      /** @deprecated Read `error`. */ readonly fault: ClientError;
+      /** The same error. @deprecated Read `error`. */ readonly fault: ClientError;
     };
 
 /** A stream that has begun. */
--- a/src/coordination/forwarding/response-reader.ts
+++ b/src/coordination/forwarding/response-reader.ts
@@ -88,7 +88,7 @@
   }
 
   private passEvents(from: EventSplitter, chunk: Buffer): AttemptOutcome | null {
-    const events = from.distribution(chunk);
+    const events = from.push(chunk);
     if (events.length > 0) this.answers.begin(this.request, this.currentStatus, this.headers);
     for (const event of events) {
       if (event.id === null) this.request.unnumbered = this.request.unnumbered || !isComment(event.bytes);
--- a/src/operator/core-report.ts
+++ b/src/operator/core-report.ts
@@ -25,6 +25,7 @@
   readonly claims: CoreHealth | null;
 };
 
+/** What a majority of the members says of one membership. */
 export type GroupReport = {
   readonly members: number;
   readonly quorumSize: number;
@@ -39,6 +40,7 @@
   readonly details: readonly MemberHealth[];
 };
 
+/** Each controller's own answer, and what follows from them for both memberships. */
 export type CoreReport = {
   readonly words: readonly ControllerStatus[];
   readonly ledger: GroupReport;
--- a/src/operator/core.ts
+++ b/src/operator/core.ts
@@ -1,10 +1,13 @@
+/** The controllers' HTTP interface as the operator's commands use it: one address after the other until one answers. */
 import type { HttpClient } from '../transport/http.js';
 import type { Address } from '../transport/wire.js';
 import type { CoreRequest } from './requests.js';
 import { readRequest } from './requests.js';
 
+/** Status and parsed body of an HTTP response. */
 export type CoreAnswer = { readonly status: number; readonly body: unknown };
 
+/** Calls to the controllers. A call gives null if none answers, and the last 503 if all answer that. */
 export type Core = {
   readonly addresses: readonly Address[];
   readonly request: (message: CoreRequest) => Promise<CoreAnswer | null>;
@@ -14,6 +17,7 @@
 
 const WAIT_MS = 12_000;
 
+/** Calls to these addresses, in their order; each waits 12 s at most. */
 export function createCore(addresses: readonly Address[], httpClient: HttpClient): Core {
   async function request(coreRequest: CoreRequest): Promise<CoreAnswer | null> {
     let last: CoreAnswer | null = null;
--- a/src/operator/latency-targets.ts
+++ b/src/operator/latency-targets.ts
@@ -1,3 +1,4 @@
+/** Gathers the minutes that the controllers counted and judges latency targets on them. */
 import type { MinuteCounts } from '../coordination/configuration/latency-target-tracker.js';
 import { isTable } from '../base/is-table.js';
 import { addCounts, CHANGES_SUBJECT, noCounts } from '../state/configuration/latency-target-counts.js';
@@ -42,6 +43,10 @@
   return count;
 }
 
+/**
+ * Judges each target on its own window; null if no controller answers. Minutes that a silent controller may have
+ * counted stay unknown.
+ */
 export async function reportLatencyTargets(
   core: Core,
   addresses: readonly Address[],
--- a/src/programs/exit-codes.ts
+++ b/src/programs/exit-codes.ts
@@ -1,3 +1,5 @@
+/** Exit codes of the command line (docs/running.md). */
+
 /** Codes by what they mean. */
 export const EXIT = {
   ok: 0,
--- a/src/programs/main.ts
+++ b/src/programs/main.ts
@@ -1,5 +1,6 @@
 #!/usr/bin/env node
 /** Entry of the command line: picks the command and leaves the rest to it. */
+
 import { defineCommand, runMain } from 'citty';
 import { standinCommand } from './standin.js';
 import { controllerCommand, proxyCommand } from './daemons.js';
--- a/src/runbook/document.ts
+++ b/src/runbook/document.ts
@@ -1,8 +1,10 @@
+/** Reads and checks runbooks (docs/runbooks.md): YAML with steps, each with one kind of work. */
 import { isMap, isScalar, isSeq, LineCounter, parseDocument } from 'yaml';
 import type { Node, Pair } from 'yaml';
 import { err, ok } from '../base/result.js';
 import type { Result } from '../base/result.js';
 
+/** What must hold for a step; each is observed by `observe.ts`. */
 export type Condition =
   | { readonly tag: 'quorate' }
   | { readonly tag: 'spareLosses'; readonly atLeast: number }
@@ -23,6 +25,7 @@
     }
   | { readonly tag: 'setting'; readonly path: string; readonly is: unknown };
 
+/** What a step does. */
 export type Work =
   | { readonly tag: 'require'; readonly condition: Condition }
   | { readonly tag: 'wait'; readonly condition: Condition; readonly withinS: number; readonly heldS: number }
@@ -33,8 +36,10 @@
   | { readonly tag: 'reopenClaims' }
   | { readonly tag: 'person'; readonly does: string };
 
+/** One step; `line` is where it stands in the file, `ifNot` what to do if it fails. */
 export type Step = { readonly name: string; readonly line: number; readonly work: Work; readonly ifNot: string };
 
+/** A checked runbook with its inputs filled in. */
 export type Runbook = {
   readonly runbook: string;
   readonly about: string;
@@ -42,6 +47,7 @@
   readonly steps: readonly Step[];
 };
 
+/** What is wrong at a line of the file. */
 export type DocError = { readonly line: number; readonly reason: string };
 
 type Fields = Readonly<Record<string, 'text' | 'number' | 'flag' | 'any'>>;
@@ -75,6 +81,7 @@
 
 const HOLD = /\$\{([a-zA-Z]+)\}/g;
 
+/** Reads a runbook with the given inputs; all that is wrong comes at once. */
 export function readRunbook(
   text: string,
   inputs: Readonly<Record<string, string>> | null,
@@ -260,6 +267,7 @@
   return faults.length > 0 ? err(faults) : ok(made);
 }
 
+/** Whether the work changes the deployment, so that a person must confirm it. */
 export function harms(work: Work): boolean {
   return work.tag !== 'require' && work.tag !== 'wait';
 }
--- a/src/runbook/observe-core.ts
+++ b/src/runbook/observe-core.ts
@@ -12,6 +12,7 @@
 
 const UNKNOWN = 'no majority of the members says how many losses the core bears';
 
+/** Observes a condition on the members' health. */
 export async function coreObserved(core: Core, condition: CoreCondition): Promise<Observation> {
   const report = await requestCoreReport(core);
   if (!report) return { met: false, text: 'no controller answers' };
--- a/src/runbook/observe.ts
+++ b/src/runbook/observe.ts
@@ -1,3 +1,4 @@
+/** Observes the conditions of runbooks on a deployment, through its controllers. */
 import type { Core } from '../operator/core.js';
 import { coreObserved } from './observe-core.js';
 import { ordersRequest, placeOf, readRequest, statusRequest } from '../operator/requests.js';
--- a/src/runbook/run.ts
+++ b/src/runbook/run.ts
@@ -1,3 +1,4 @@
+/** Runs a runbook step by step, and goes on after an interruption from the recorded outcomes. */
 import { sha256 } from '../base/digest.js';
 import { amendRequest, forgetRequest, placeOf, reopenRequest, zoneRequest } from '../operator/requests.js';
 import type { CoreRequest } from '../operator/requests.js';
@@ -9,8 +10,10 @@
 import type { Runbook, Step } from './document.js';
 import { observeFor } from './observe.js';
 
+/** How a step ended. */
 export type StepOutcome = 'done' | 'doneBefore' | 'would' | 'unmet' | 'late' | 'declined' | 'refused';
 
+/** One line of the record; `digest` tells which runbook, `wall` is in milliseconds since 1970. */
 export type StepRecord = {
   readonly run: string;
   readonly digest: string;
@@ -21,10 +24,12 @@
   readonly wall: number;
 };
 
+/** How a run ended. */
 export type RunEnd =
   | { readonly tag: 'done' | 'wouldDo' }
   | { readonly tag: 'stopped'; readonly step: Step; readonly outcome: StepOutcome; readonly seen: string };
 
+/** What a run needs; `before` are the records of an interrupted run. */
 export type RunDeps = {
   readonly core: Core;
   readonly clock: Clock;
@@ -37,10 +42,12 @@
 
 const LOOK_MS = 1_000;
 
+/** A short digest of name and steps; records of another runbook don't count. */
 export function digestOf(book: Runbook): string {
   return sha256(JSON.stringify([book.runbook, book.steps])).slice(0, 16);
 }
 
+/** The first precondition that does not hold now; null if all hold. */
 export async function unmetAtStart(
   book: Runbook,
   core: Core,
@@ -55,6 +62,7 @@
   return null;
 }
 
+/** Runs the steps that are not done yet; stops at the first that fails. */
 export async function runRunbook(book: Runbook, deps: RunDeps): Promise<RunEnd> {
   const { core, clock } = deps;
   const digest = digestOf(book);
@@ -128,6 +136,7 @@
   }
 }
 
+/** The step in one line, for the operator. */
 export function describe(step: Step): string {
   const { tag, ...rest } = step.work;
   return `${tag} ${JSON.stringify(rest)}`;
--- a/src/sim/sim-http.ts
+++ b/src/sim/sim-http.ts
@@ -205,7 +205,7 @@
       let wake: (() => void) | null = null;
       let lastAt = 0;
       broke = breakOff;
-      function distribution(item: Item): void {
+      function enqueue(item: Item): void {
         items.push(item);
         world.run(proc, poke);
       }
@@ -215,8 +215,8 @@
       }
       function breakOff(fault: HttpError): void {
         over = true;
-        distribution({ queue: err(fault) });
-        distribution({ queue: null });
+        enqueue({ queue: err(fault) });
+        enqueue({ queue: null });
       }
       async function* received(): AsyncGenerator<Result<unknown, HttpError>> {
         try {
@@ -243,7 +243,7 @@
         lastAt = at;
         world.at(at - world.now(), arriveItem);
         function arriveItem(): void {
-          if (!over) distribution(item);
+          if (!over) enqueue(item);
         }
       }
       back(streaming);
--- a/src/state/consensus/outcome.ts
+++ b/src/state/consensus/outcome.ts
@@ -1,3 +1,5 @@
+/** Outcomes of folding an entry. */
+
 /** What came of an entry when it was folded into the replicated state; the same on every node. */
 export type Outcome =
   | { readonly tag: 'applied' }
--- a/src/state/discovery/worker-pools.ts
+++ b/src/state/discovery/worker-pools.ts
@@ -47,11 +47,11 @@
     const near = new Map<string, WorkerRow[]>();
     for (const row of rows) {
       const { model, region, zone } = row.listed;
-      distribution(this.byModel, model, row);
+      append(this.byModel, model, row);
       const byRegion = regions.get(model) ?? new Map<string, WorkerRow[]>();
       regions.set(model, byRegion);
-      distribution(byRegion, region, row);
-      distribution(near, `${model}|${zone}`, row);
+      append(byRegion, region, row);
+      append(near, `${model}|${zone}`, row);
     }
     this.rings = new Map();
     this.zones = new Map();
@@ -99,7 +99,7 @@
   return new RingWorkerPools();
 }
 
-function distribution(into: Map<string, WorkerRow[]>, key: string, row: WorkerRow): void {
+function append(into: Map<string, WorkerRow[]>, key: string, row: WorkerRow): void {
   const list = into.get(key);
   if (list) list.push(row);
   else into.set(key, [row]);
--- a/src/state/forwarding/candidate.ts
+++ b/src/state/forwarding/candidate.ts
@@ -1,3 +1,5 @@
+/** A worker as the placement policies see it. */
+
 /** A worker that may take a request; `knownFraction` is how much of the prompt it holds. */
 export type Candidate = {
   readonly index: number;
--- a/src/state/forwarding/edge-tuning.ts
+++ b/src/state/forwarding/edge-tuning.ts
@@ -1,3 +1,5 @@
+/** Constants of the estimate of a request's cost at a worker. */
+
 /** One figure each; the name says its unit. */
 export type EdgeTuning = {
   readonly tokensPerMs: number;
--- a/src/state/forwarding/event-splitter.ts
+++ b/src/state/forwarding/event-splitter.ts
@@ -1,9 +1,11 @@
+/** Splits a stream of server-sent events (WHATWG HTML, section 9.2) into events, bytes unchanged. */
+
 /** One event with its bytes as they came; `id` is null if it has no numeric id. */
 export type StreamEvent = { readonly id: number | null; readonly bytes: Buffer };
 
 /** Takes chunks; `remainder` is what has come of an unfinished event. */
 export interface EventSplitter {
-  distribution(chunk: Buffer): readonly StreamEvent[];
+  push(chunk: Buffer): readonly StreamEvent[];
   remainder(): Buffer;
 }
 
@@ -21,7 +23,7 @@
     return -1;
   }
 
-  distribution(chunk: Buffer): readonly StreamEvent[] {
+  push(chunk: Buffer): readonly StreamEvent[] {
     this.buffered = this.buffered.length === 0 ? chunk : Buffer.concat([this.buffered, chunk]);
     const out: StreamEvent[] = [];
     let start = 0;
--- a/src/state/forwarding/standstill.ts
+++ b/src/state/forwarding/standstill.ts
@@ -1,3 +1,5 @@
+/** Detects that the process stood still. */
+
 /**
  * Tells when the process has just gone on after a standstill (frozen, or starved of processor time).
  * What the network told meanwhile, such as callers that have left, is read only afterwards and in any
--- a/tools/lint/module-comment.mjs
+++ b/tools/lint/module-comment.mjs
@@ -23,7 +23,7 @@
     }
     function check(program) {
       const first = program.body[0];
-      const [opening] = context.sourceCode.getAllComments();
+      const opening = context.sourceCode.getAllComments().find((comment) => comment.type !== 'Shebang');
       const isBeforeAll = opening !== undefined && (first === undefined || opening.range[1] <= first.range[0]);
       if (!isBeforeAll || !isModuleComment(opening, first))
         context.report({ loc: { line: 1, column: 0 }, messageId: 'missing' });
