--- a/src/coordination/configuration/operator-http-server.ts
+++ b/src/coordination/configuration/operator-http-server.ts
@@ -250,11 +250,7 @@
   }
 }
 
-function createOperatorCalls(deps: OperatorHttpServerDeps): OperatorCalls {
-  return new LedgerOperatorCalls(deps);
-}
-
 /** Routes of the operators' HTTP interface (docs/http.md). */
 export function operatorRoutes(deps: OperatorHttpServerDeps): Route[] {
-  return createOperatorCalls(deps).routes();
+  return new LedgerOperatorCalls(deps).routes();
 }
--- a/src/coordination/consensus/ledger.ts
+++ b/src/coordination/consensus/ledger.ts
@@ -124,7 +124,7 @@
   const opened = await openStore(deps.disk, deps.shape, onFold, onAdopt);
   if (!opened.ok) return opened;
   const store = opened.value;
-  return ok(createLedgerOn(deps, store, events));
+  return ok(new ReplicatedLedger(deps, store, events));
 }
 
 class ReplicatedLedger implements Ledger {
@@ -383,7 +383,3 @@
     return this.membershipChanges.leave();
   }
 }
-
-function createLedgerOn(deps: LedgerDeps, store: Store, events: Events<LedgerEvents>): Ledger {
-  return new ReplicatedLedger(deps, store, events);
-}
--- a/src/coordination/consensus/store.ts
+++ b/src/coordination/consensus/store.ts
@@ -24,7 +24,7 @@
 import type { RecentSlot } from '../../state/consensus/recent-slots.js';
 import type { Disk } from '../../transport/disk.js';
 import { openRing } from '../../transport/ring.js';
-import type { Opened, RingError, RingShape } from '../../transport/ring.js';
+import type { Opened, Ring, RingError, RingShape } from '../../transport/ring.js';
 
 /** A change of the store. Commands that wait together share one write and one sync. */
 export type StoreCommand =
@@ -97,7 +97,7 @@
 ): Promise<Result<Store, RingError>> {
   const opened = await openRing(disk, shape);
   if (!opened.ok) return opened;
-  return ok(createRingStore(opened.value, shape, onFold, onAdopt));
+  return ok(new RingStore(opened.value, shape, onFold, onAdopt));
 }
 
 class RingStore implements Store {
@@ -106,25 +106,25 @@
   private readonly currentRecent = createRecentSlots();
   private canWrite = true;
   readonly closed: ClosedOrders;
+  private readonly ring: Ring;
   private readonly queue: BatchQueue<StoreCommand, StoreAnswer>;
 
   constructor(
-    private readonly opened: Opened,
-    private readonly shape: RingShape,
+    { ring, snapshot, records }: Opened,
+    shape: RingShape,
     private readonly onFold: (slot: number, batch: Batch, outcomes: readonly Outcome[]) => void,
     private readonly onAdopt: () => void,
   ) {
+    this.ring = ring;
     let saved: Snapshot | null = null;
-
-    if (this.opened.snapshot) {
-      saved = JSON.parse(this.opened.snapshot.toString()) as Snapshot;
+    if (snapshot) {
+      saved = JSON.parse(snapshot.toString()) as Snapshot;
       this.currentControlState = saved.controlState;
       this.acc = createAcceptor(this.currentControlState.slot + 1);
       for (const [slot, state] of saved.slots) restoreSlot(this.acc, slot, state);
     }
-    this.closed = createClosedOrders(this.shape.snapshotBytes * CLOSED_SHARE, saved ? saved.closed : null);
-
-    for (const rec of this.opened.records) {
+    this.closed = createClosedOrders(shape.snapshotBytes * CLOSED_SHARE, saved ? saved.closed : null);
+    for (const rec of records) {
       const record = JSON.parse(rec.toString()) as Saved;
       if (record.t === 'slot') restoreSlot(this.acc, record.slot, record.state);
       else if (record.slot === this.currentControlState.slot + 1) {
@@ -186,7 +186,7 @@
   }
 
   private async compacted(): Promise<Result<null, RingError>> {
-    return this.opened.ring.compact(
+    return this.ring.compact(
       encoded({ controlState: this.currentControlState, closed: this.closed.saved(), slots: [...this.acc.slots] }),
     );
   }
@@ -207,8 +207,8 @@
     let written: Result<null, RingError> = ok(null);
     if (rewritesAll) written = await this.compacted();
     else if (writes.length > 0) {
-      if (this.opened.ring.crowded()) written = await this.compacted();
-      if (written.ok) written = await this.opened.ring.append(writes);
+      if (this.ring.crowded()) written = await this.compacted();
+      if (written.ok) written = await this.ring.append(writes);
       if (!written.ok && (written.error.tag === 'ringFull' || written.error.tag === 'ringBroken'))
         written = await this.compacted();
     }
@@ -253,12 +253,3 @@
     return this.queue.put(command);
   }
 }
-
-function createRingStore(
-  opened: Opened,
-  shape: RingShape,
-  onFold: (slot: number, batch: Batch, outcomes: readonly Outcome[]) => void,
-  onAdopt: () => void,
-): Store {
-  return new RingStore(opened, shape, onFold, onAdopt);
-}
--- a/src/coordination/discovery/worker-list-feed.ts
+++ b/src/coordination/discovery/worker-list-feed.ts
@@ -38,9 +38,9 @@
   constructor(
     private readonly reader: WorkerListReader,
     private readonly clock: Clock,
-    private readonly everyMs: number,
+    everyMs: number,
   ) {
-    this.polling = every(this.clock, this.everyMs, () => this.tick());
+    this.polling = every(this.clock, everyMs, () => this.tick());
 
     this.tick();
   }
--- a/src/coordination/discovery/worker-list-updates.ts
+++ b/src/coordination/discovery/worker-list-updates.ts
@@ -162,7 +162,7 @@
     if (message.ageMs !== null && message.kind !== 'listChange' && message.sinceMs !== undefined)
       this.lastContactAt = Math.max(this.lastContactAt ?? Number.NEGATIVE_INFINITY, now - message.sinceMs);
     else if (contents || advanced) this.lastContactAt = this.clock.mono();
-    if (contents || advanced || unresponsiveUpdate) this.events.emit('taken', { message: message, contents });
+    if (contents || advanced || unresponsiveUpdate) this.events.emit('taken', { message, contents });
     return end;
   }
 
--- a/src/coordination/distribution/fleet-load-relay.ts
+++ b/src/coordination/distribution/fleet-load-relay.ts
@@ -33,9 +33,9 @@
     private readonly ledger: Ledger,
     private readonly peers: Peers,
     private readonly clock: Clock,
-    private readonly rng: Rng,
+    rng: Rng,
   ) {
-    this.run = newId(this.rng, 'r');
+    this.run = newId(rng, 'r');
 
     this.peers.on('usage', (message, peer) => this.onLoad(message, peer));
 
--- a/src/coordination/distribution/follower.ts
+++ b/src/coordination/distribution/follower.ts
@@ -63,12 +63,14 @@
   log: Log,
 ): Promise<Follower> {
   const stored = await loadControlState(disk, log);
-  return createLoadedFollower(stored, self, seeds, peers, clock, disk, log);
+  return new LogFollower(stored, self, seeds, peers, clock, disk, log);
 }
 
 class LogFollower implements Follower {
   readonly events = createEvents<FollowerEvents>();
   private currentControlState: ControlState;
+  /** The newest slot that a former run had folded; nothing is served below it. */
+  private readonly floor: number;
   private wasPartitioned = false;
   private stopped = false;
   private readonly time = createSharedTime();
@@ -80,37 +82,38 @@
   private readonly ticking: Timer;
 
   constructor(
-    private readonly stored: StoredControlState,
+    { state, floor }: StoredControlState,
     private readonly self: FollowerSelf,
-    private readonly seeds: readonly Address[],
-    private readonly peers: Peers,
+    seeds: readonly Address[],
+    peers: Peers,
     private readonly clock: Clock,
-    private readonly disk: Disk | null,
+    disk: Disk | null,
     private readonly log: Log,
   ) {
-    this.currentControlState = this.stored.state;
-    this.receiver = createSnapshotReceiver(this.peers, this.clock, this.log);
+    this.currentControlState = state;
+    this.floor = floor;
+    this.receiver = createSnapshotReceiver(peers, this.clock, this.log);
     this.contact = createMajorityContact(this.clock, (gapMs) => this.onStandstill(gapMs));
-    this.links = createControllerLinks(this.peers, this.clock, (address) => this.onLost(address));
+    this.links = createControllerLinks(peers, this.clock, (address) => this.onLost(address));
     this.choice = createControllerSelector({
       self: this.self,
-      seeds: this.seeds,
+      seeds,
       members: () => this.members(),
       links: this.links,
       clock: this.clock,
       followMessage: () => this.followMessage(),
       heartbeatMessage: () => this.heartbeatMessage(),
     });
-    this.writer = createControlStateWriter(this.disk, this.clock, this.log, () => this.controlState());
+    this.writer = createControlStateWriter(disk, this.clock, this.log, () => this.controlState());
     this.ticking = every(this.clock, TICK_MS, () => this.tick());
 
     this.tick();
 
-    this.peers.on('changes', (message, peer) => this.onChanges(message, peer));
+    peers.on('changes', (message, peer) => this.onChanges(message, peer));
 
-    this.peers.on('beat', (message, peer) => this.onHeartbeat(message, peer));
+    peers.on('beat', (message, peer) => this.onHeartbeat(message, peer));
 
-    this.peers.on('reportsAsk', (message, peer) => this.onReportsRequest(message, peer));
+    peers.on('reportsAsk', (message, peer) => this.onReportsRequest(message, peer));
   }
 
   controlState(): ControlState {
@@ -215,7 +218,7 @@
     return (
       message.quorate &&
       this.currentControlState.ledger !== '' &&
-      this.currentControlState.slot >= Math.max(message.top, this.stored.floor)
+      this.currentControlState.slot >= Math.max(message.top, this.floor)
     );
   }
 
@@ -232,7 +235,7 @@
 
   fresh(): boolean {
     this.contact.detectStandstill();
-    return this.contact.isKnown() && this.currentControlState.slot >= this.stored.floor;
+    return this.contact.isKnown() && this.currentControlState.slot >= this.floor;
   }
 
   partitioned(): boolean {
@@ -275,15 +278,3 @@
     this.choice.setTopology(locationOf);
   }
 }
-
-function createLoadedFollower(
-  stored: StoredControlState,
-  self: FollowerSelf,
-  seeds: readonly Address[],
-  peers: Peers,
-  clock: Clock,
-  disk: Disk | null,
-  log: Log,
-): Follower {
-  return new LogFollower(stored, self, seeds, peers, clock, disk, log);
-}
--- a/src/coordination/distribution/stored-control-state.ts
+++ b/src/coordination/distribution/stored-control-state.ts
@@ -57,12 +57,12 @@
 
   constructor(
     private readonly disk: Disk | null,
-    private readonly clock: Clock,
+    clock: Clock,
     private readonly log: Log,
     private readonly current: () => ControlState,
   ) {
     this.savedSlot = this.current().slot;
-    this.keeping = every(this.clock, KEEP_EVERY_MS, () => this.scheduleStateSave());
+    this.keeping = every(clock, KEEP_EVERY_MS, () => this.scheduleStateSave());
   }
 
   private async saveFloor(onto: Disk): Promise<void> {
--- a/src/coordination/forwarding/attempt.ts
+++ b/src/coordination/forwarding/attempt.ts
@@ -227,19 +227,10 @@
   }
 }
 
-function createAttemptRun(
-  deps: AttemptDeps,
-  request: RelayedRequest,
-  reserved: ReservedWorker,
-  resolve: (end: AttemptEnd) => void,
-): AttemptRun {
-  return new PooledAttemptRun(deps, request, reserved, resolve);
-}
-
 /** Attempts as `deps` make them; each resolves once, when its outcome is known. */
 export function createAttempt(deps: AttemptDeps): Attempt {
   function attempt(request: RelayedRequest, reserved: ReservedWorker): Promise<AttemptEnd> {
-    return new Promise((resolve) => createAttemptRun(deps, request, reserved, resolve).start());
+    return new Promise((resolve) => new PooledAttemptRun(deps, request, reserved, resolve).start());
   }
   return attempt;
 }
--- a/src/coordination/idempotency/claim-client.ts
+++ b/src/coordination/idempotency/claim-client.ts
@@ -119,17 +119,6 @@
   }
 }
 
-function createClaimRound(
-  state: ControlState,
-  quorumSize: number,
-  claims: readonly Claim[],
-  resolvers: readonly ((claimOutcome: ClaimOutcome) => void)[],
-  peers: Peers,
-  clock: Clock,
-): ClaimRound {
-  return new VotedClaimRound(state, quorumSize, claims, resolvers, peers, clock);
-}
-
 class MajorityClaimClient implements ClaimClient {
   private readonly queue: BatchQueue<{ key: string; by: string; born: number }, Promise<ClaimOutcome>>;
   private readonly endings: BatchQueue<
@@ -157,7 +146,7 @@
       }
       out.push(new Promise(addResolver));
     }
-    createClaimRound(state, quorumSize, claims, resolvers, this.peers, this.clock).start();
+    new VotedClaimRound(state, quorumSize, claims, resolvers, this.peers, this.clock).start();
     return out;
   }
 
--- a/src/coordination/idempotency/claims.ts
+++ b/src/coordination/idempotency/claims.ts
@@ -22,7 +22,7 @@
 import type { Disk } from '../../transport/disk.js';
 import type { Log } from '../../transport/log.js';
 import { openRing } from '../../transport/ring.js';
-import type { Opened, RingError, RingShape } from '../../transport/ring.js';
+import type { Opened, Ring, RingError, RingShape } from '../../transport/ring.js';
 import type { Ledger } from '../consensus/ledger.js';
 import type { Peers } from '../messaging/peers.js';
 
@@ -102,12 +102,13 @@
   const { snapshot, records } = opened.value;
   const first = snapshot?.[0] === BRACE && snapshot.indexOf(NEW_LINE) < 0 ? 0 : records.findIndex(isForeign);
   if (first >= 0) return err({ tag: 'ringDamaged', file: shape.name, at: first });
-  return ok(createRingClaims(opened.value, ledger, peers, shape, clock, log));
+  return ok(new RingClaims(opened.value, ledger, peers, shape, clock, log));
 }
 
 type FetchedRecords = { readonly forgotten: readonly HourRange[]; readonly records: readonly Buffer[] };
 
 class RingClaims implements Claims {
+  private readonly ring: Ring;
   private readonly table: ClaimTable;
   private readyFor = '';
   private lived = 0;
@@ -124,24 +125,21 @@
   private readonly forgetting: Timer;
 
   constructor(
-    private readonly opened: Opened,
+    { ring, snapshot, records }: Opened,
     private readonly ledger: Ledger,
     private readonly peers: Peers,
-    private readonly shape: RingShape,
+    shape: RingShape,
     private readonly clock: Clock,
     private readonly log: Log,
   ) {
-    this.table = createClaimTable(
-      Math.min(MOST_CLAIMS, Math.floor((this.shape.snapshotBytes - HEAD_ROOM) / CLAIM_RECORD)),
-    );
-
-    if (this.opened.snapshot) {
-      const end = this.opened.snapshot.indexOf(NEW_LINE);
-      this.applyHeader(this.opened.snapshot.subarray(0, end).toString());
-      unpackClaims(this.table, this.opened.snapshot.subarray(end + 1));
+    this.ring = ring;
+    this.table = createClaimTable(Math.min(MOST_CLAIMS, Math.floor((shape.snapshotBytes - HEAD_ROOM) / CLAIM_RECORD)));
+    if (snapshot) {
+      const end = snapshot.indexOf(NEW_LINE);
+      this.applyHeader(snapshot.subarray(0, end).toString());
+      unpackClaims(this.table, snapshot.subarray(end + 1));
     }
-
-    for (const rec of this.opened.records) {
+    for (const rec of records) {
       const at = rec.readDoubleBE(1);
       this.lived = Math.max(this.lived, at);
       this.table.replay(rec.subarray(9), at);
@@ -217,8 +215,8 @@
     }
     if (writes.length === 0 && !complete) return answers;
     this.aheadOfDisk = true;
-    if (complete || this.opened.ring.crowded()) return (await this.compacted()) ? answers : commands.map(none);
-    const written = await this.opened.ring.append(writes);
+    if (complete || this.ring.crowded()) return (await this.compacted()) ? answers : commands.map(none);
+    const written = await this.ring.append(writes);
     if (!written.ok && written.error.tag === 'ringFull') return (await this.compacted()) ? answers : commands.map(none);
     this.aheadOfDisk = !written.ok;
     if (written.ok) return answers;
@@ -228,7 +226,7 @@
 
   private async compacted(): Promise<boolean> {
     const head: Head = { readyFor: this.readyFor, uptime: this.uptime(), forgotten: this.table.forgotten() };
-    const done = await this.opened.ring.compact(
+    const done = await this.ring.compact(
       Buffer.concat([Buffer.from(`${JSON.stringify(head)}\n`), this.table.packed()]),
     );
     this.aheadOfDisk = !done.ok;
@@ -335,14 +333,3 @@
     this.forgetting.cancel();
   }
 }
-
-function createRingClaims(
-  opened: Opened,
-  ledger: Ledger,
-  peers: Peers,
-  shape: RingShape,
-  clock: Clock,
-  log: Log,
-): Claims {
-  return new RingClaims(opened, ledger, peers, shape, clock, log);
-}
--- a/src/coordination/membership/member-statuses.ts
+++ b/src/coordination/membership/member-statuses.ts
@@ -119,7 +119,7 @@
     if (requestedAt < this.since) return;
     this.contacts.set(memberId(member), { at: requestedAt, unheard: response.value.unheard ?? [] });
     if (response.value.ledger === this.deps.controlState().ledger)
-      this.deps.onMemberStatus({ member: member, requestedAt, memberStatus: response.value });
+      this.deps.onMemberStatus({ member, requestedAt, memberStatus: response.value });
   }
 
   ask(): void {
--- /dev/null
+++ b/src/coordination/opened-memory.test.ts
@@ -0,0 +1,90 @@
+import { afterEach, describe, expect, test } from '@jest/globals';
+import { setFlagsFromString } from 'node:v8';
+import { runInNewContext } from 'node:vm';
+import type { Result } from '../base/result.js';
+import { createPlatter, simDisk } from '../sim/sim-disk.js';
+import { createWorld } from '../sim/world.js';
+import { emptyControlState } from '../state/consensus/control-state.js';
+import type { Disk } from '../transport/disk.js';
+import { createQuietLog } from '../transport/log.js';
+import { openRing } from '../transport/ring.js';
+import type { RingShape } from '../transport/ring.js';
+import { openStore } from './consensus/store.js';
+import type { Ledger } from './consensus/ledger.js';
+import { createClaims } from './idempotency/claims.js';
+import type { Peers } from './messaging/peers.js';
+
+const MB = 1_048_576;
+const SHAPE: RingShape = { name: 'ring', files: 2, fileBytes: 4_096, snapshotBytes: 9 * MB };
+/** A field that no reader looks at, and that makes the snapshot large. */
+const PADDING = 'x'.repeat(8 * MB);
+
+setFlagsFromString('--expose-gc');
+const collectGarbage = runInNewContext('gc') as () => void;
+
+function bufferBytes(): number {
+  collectGarbage();
+  return process.memoryUsage().arrayBuffers;
+}
+
+type Opener = (disk: Disk) => Promise<Result<unknown, unknown>>;
+
+/** Bytes of buffers that a second opening of a disk with a large snapshot adds, while the first is still in use. */
+async function heldByOpening(snapshot: Buffer, open: Opener): Promise<number> {
+  const world = createWorld(1);
+  const disk = simDisk(createPlatter(), world.begin(world.host('h', 'z')), world);
+  const inUse: unknown[] = [];
+  let written = false;
+  async function writeSnapshot(): Promise<void> {
+    const ring = await openRing(disk, SHAPE);
+    if (!ring.ok) throw new Error(ring.error.tag);
+    written = (await ring.value.ring.compact(snapshot)).ok;
+  }
+  async function openOnce(): Promise<void> {
+    const opened = await open(disk);
+    if (!opened.ok) throw new Error('not opened');
+    inUse.push(opened.value);
+  }
+  void writeSnapshot();
+  expect(await world.until(10_000, () => written)).toBe(true);
+  void openOnce();
+  expect(await world.until(10_000, () => inUse.length === 1)).toBe(true);
+  const before = bufferBytes();
+  void openOnce();
+  expect(await world.until(10_000, () => inUse.length === 2)).toBe(true);
+  return bufferBytes() - before;
+}
+
+const stops: (() => void)[] = [];
+afterEach(() => {
+  for (const stop of stops.splice(0)) stop();
+});
+
+describe('what was read from the disk at the start is not held for good', () => {
+  test('by the store', async () => {
+    const content = { controlState: emptyControlState(), closed: { orders: [], lacking: null }, slots: [], PADDING };
+    const held = await heldByOpening(Buffer.from(JSON.stringify(content)), (disk) =>
+      openStore(
+        disk,
+        SHAPE,
+        () => undefined,
+        () => undefined,
+      ),
+    );
+    expect(held).toBeLessThan(MB);
+  });
+
+  test('by the claims', async () => {
+    const head = { readyFor: '', uptime: 0, forgotten: [], PADDING };
+    const world = createWorld(1);
+    const clock = world.clockOf(world.begin(world.host('c', 'z')));
+    const ledger = { controlState: emptyControlState, isMember: () => false } as unknown as Ledger;
+    const peers = { on: () => undefined } as unknown as Peers;
+    const held = await heldByOpening(Buffer.from(`${JSON.stringify(head)}\n`), async (disk) => {
+      const made = await createClaims(ledger, peers, disk, SHAPE, clock, createQuietLog().component(''));
+      if (made.ok) stops.push(() => made.value.stop());
+      return made;
+    });
+    expect(held).toBeLessThan(MB);
+  });
+});
--- a/src/coordination/proxy/proxy-http-server.ts
+++ b/src/coordination/proxy/proxy-http-server.ts
@@ -209,11 +209,7 @@
   }
 }
 
-function createCallerCalls(deps: ProxyHttpServerDeps): CallerCalls {
-  return new TokenCallerCalls(deps);
-}
-
 /** Routes of the callers' HTTP interface (docs/http.md). */
 export function proxyRoutes(deps: ProxyHttpServerDeps): Route[] {
-  return createCallerCalls(deps).routes();
+  return new TokenCallerCalls(deps).routes();
 }
--- a/src/runbook/document.ts
+++ b/src/runbook/document.ts
@@ -90,7 +90,7 @@
   const doc = parseDocument(text, { lineCounter: counter });
   const faults: DocError[] = [];
   function addError(line: number, reason: string): void {
-    faults.push({ line: line, reason });
+    faults.push({ line, reason });
   }
   function lineOf(node: unknown): number {
     const range = (node as Node | null)?.range;
@@ -232,7 +232,7 @@
     const ifNot = node.get('ifNot');
     return {
       name: String(filled(name, line)),
-      line: line,
+      line,
       work,
       ifNot: typeof ifNot === 'string' ? String(filled(ifNot, line)) : '',
     };
--- a/src/sim/world.ts
+++ b/src/sim/world.ts
@@ -96,7 +96,7 @@
     host.frozen = false;
     host.powered = true;
     host.parked.length = 0;
-    return { host: host, life: host.life };
+    return { host, life: host.life };
   }
   function alive(proc: Proc): boolean {
     return proc.host.running && proc.host.life === proc.life;
--- a/src/state/consensus/closed-orders.ts
+++ b/src/state/consensus/closed-orders.ts
@@ -73,10 +73,10 @@
 
   constructor(
     private readonly mostBytes: number,
-    private readonly before: SavedClosedOrders | null,
+    before: SavedClosedOrders | null,
   ) {
-    this.list = this.before ? [...this.before.orders] : [];
-    this.currentLacking = this.before ? this.before.lacking : null;
+    this.list = before ? [...before.orders] : [];
+    this.currentLacking = before ? before.lacking : null;
 
     for (const closed of this.list) this.length += closed.text.length;
   }
--- a/src/state/forwarding/run-counts.ts
+++ b/src/state/forwarding/run-counts.ts
@@ -17,8 +17,8 @@
   private current: Bucket = { at: 0, bad: 0, ran: 0 };
   private before: Bucket = { at: -1, bad: 0, ran: 0 };
 
-  constructor(private readonly spanMs: number) {
-    this.half = this.spanMs / 2;
+  constructor(spanMs: number) {
+    this.half = spanMs / 2;
   }
 
   private rotate(now: number): void {
--- a/src/state/scaling/observed-orders.ts
+++ b/src/state/scaling/observed-orders.ts
@@ -384,16 +384,6 @@
   }
 }
 
-function createObservedDecision(
-  rule: ObservedRule,
-  controlState: ControlState,
-  observation: ListObservation,
-  memory: ObservedMemory,
-  nextOrderId: () => string,
-): ObservedDecision {
-  return new ObservedDecisionPass(rule, controlState, observation, memory, nextOrderId);
-}
-
 /** The steps that bring a model's orders closer to what the list shows and the rate asks for. */
 export function decideObserved(
   rule: ObservedRule,
@@ -402,7 +392,7 @@
   memory: ObservedMemory,
   nextOrderId: () => string,
 ): Step[] {
-  return createObservedDecision(rule, controlState, observation, memory, nextOrderId).decide();
+  return new ObservedDecisionPass(rule, controlState, observation, memory, nextOrderId).decide();
 }
 
 function sameMembers(left: ZoneSets, right: ZoneSets): boolean {
--- a/src/state/scaling/scaler-decide.ts
+++ b/src/state/scaling/scaler-decide.ts
@@ -325,16 +325,6 @@
   }
 }
 
-function createModelDecision(
-  resolved: ResolvedModel,
-  controlState: ControlState,
-  observation: ScalerObservation,
-  memory: ScalerMemory,
-  nextOrderId: () => string,
-): ModelDecision {
-  return new ModelDecisionPass(resolved, controlState, observation, memory, nextOrderId);
-}
-
 /** What to change for a model now; zone sets first, if they changed. */
 export function decideModel(
   resolved: ResolvedModel,
@@ -343,7 +333,7 @@
   memory: ScalerMemory,
   nextOrderId: () => string,
 ): Decision[] {
-  return createModelDecision(resolved, controlState, observation, memory, nextOrderId).decide();
+  return new ModelDecisionPass(resolved, controlState, observation, memory, nextOrderId).decide();
 }
 
 /** The zones that exist and are not evacuated. */
--- a/src/transport/ring.ts
+++ b/src/transport/ring.ts
@@ -301,7 +301,7 @@
   const cut = await cutTorn(files, ends, all, found.value);
   if (!cut.ok) return cut;
   const broken = !(await syncAll([...files, ...areas]));
-  const ring = createRing(files, areas, shape, {
+  const ring = new FileRing(files, areas, shape, {
     seq,
     gen: last ? last.gen : covers,
     file: last ? last.file : -1,
@@ -326,15 +326,15 @@
     private readonly files: readonly DiskFile[],
     private readonly areas: readonly DiskFile[],
     private readonly shape: RingShape,
-    private readonly end: RingEnd,
+    end: RingEnd,
   ) {
-    this.seq = this.end.seq;
-    this.gen = this.end.gen;
-    this.current = this.end.file;
-    this.at = this.end.at;
-    this.oldest = this.end.oldest;
-    this.area = this.end.area;
-    this.broken = this.end.broken;
+    this.seq = end.seq;
+    this.gen = end.gen;
+    this.current = end.file;
+    this.at = end.at;
+    this.oldest = end.oldest;
+    this.area = end.area;
+    this.broken = end.broken;
   }
 
   private advance(): Result<null, RingError> {
@@ -406,8 +406,3 @@
     return this.usedFiles() >= Math.max(1, this.shape.files - 1);
   }
 }
-
-/** The ring behind what was read; it appends after `end`. */
-function createRing(files: readonly DiskFile[], areas: readonly DiskFile[], shape: RingShape, end: RingEnd): Ring {
-  return new FileRing(files, areas, shape, end);
-}
--- a/src/transport/wire.ts
+++ b/src/transport/wire.ts
@@ -155,17 +155,6 @@
   }
 }
 
-/** One connection: frames in and out, bounded in size. */
-function createTcpConnection(
-  sock: Socket,
-  peer: Address,
-  dialled: boolean,
-  log: Log,
-  meter: WireMeter | null,
-): Connection {
-  return new TcpConnection(sock, peer, dialled, log, meter);
-}
-
 class TcpWire implements Wire {
   constructor(
     private readonly log: Log,
@@ -188,13 +177,7 @@
         }
         sock.on('close', gone);
         onConnection(
-          createTcpConnection(
-            sock,
-            `${sock.remoteAddress ?? '?'}:${sock.remotePort ?? 0}`,
-            false,
-            this.log,
-            this.meter,
-          ),
+          new TcpConnection(sock, `${sock.remoteAddress ?? '?'}:${sock.remotePort ?? 0}`, false, this.log, this.meter),
         );
       };
       const server: Server = createServer(accept);
@@ -236,7 +219,7 @@
         sock.setTimeout(0);
         sock.off('error', failed);
         sock.off('timeout', failed);
-        resolve(ok(createTcpConnection(sock, address, true, this.log, this.meter)));
+        resolve(ok(new TcpConnection(sock, address, true, this.log, this.meter)));
       };
       sock.once('connect', connected);
     };
