--- a/src/coordination/proxy/opaque-proxy.ts
+++ b/src/coordination/proxy/opaque-proxy.ts
@@ -2,7 +2,6 @@
 import { err, ok } from '../../base/result.js';
 import type { Result } from '../../base/result.js';
 import type { MessageOf } from '../../protocol/messages.js';
-import type { NodeInfo } from '../../state/membership/node-info.js';
 import type { Report } from '../../state/distribution/report.js';
 import type { HeaderNames } from '../../protocol/header-names.js';
 import { createAttemptBudget } from '../../state/forwarding/attempt-budget.js';
@@ -16,13 +15,9 @@
 import type { OpaqueHttpServer, ConnectionPool } from '../../transport/opaque-http.js';
 import type { Rng } from '../../transport/rng.js';
 import type { Address, Wire, WireError } from '../../transport/wire.js';
-import { createFollower } from '../distribution/follower.js';
-import { nextIncarnation } from '../membership/incarnation.js';
-import { createMembership } from '../membership/failure-detector.js';
-import { followRelocatedControllers } from '../membership/relocated-controllers.js';
-import { createPeers } from '../messaging/peers.js';
 import type { Peers } from '../messaging/peers.js';
 import type { WorkerListFeed } from '../discovery/worker-list-feed.js';
+import { openProxyNode } from './proxy-node.js';
 import { createRelay } from '../forwarding/relay.js';
 import type { RelayTally } from '../forwarding/relay.js';
 
@@ -80,24 +75,12 @@
 ): Promise<Result<OpaqueProxy, WireError>> {
   const { clock, rng, logs, tuning } = deps;
   const log = logs.component('proxy');
-  const peers = createPeers(deps.wire, clock, logs.component('peers'));
-  const firstIncarnation = await nextIncarnation(null, log);
-  const follower = await createFollower(id, id.seeds, peers, clock, null, logs.component('follow'));
-  const opened = await peers.open(id.listen);
+  const opened = await openProxyNode(
+    { ...id, http: id.front, advertised: id.listen },
+    { wire: deps.wire, clock, rng, logs, disk: null },
+  );
   if (!opened.ok) return opened;
-  const node: NodeInfo = {
-    name: id.name,
-    run: id.run,
-    zone: id.zone,
-    region: id.region,
-    http: id.front,
-    role: 'proxy',
-    incarnation: firstIncarnation,
-    address: id.listen,
-    status: 'alive',
-  };
-  const membership = createMembership(node, () => follower.controllers(), peers, clock, rng, logs.component('members'));
-  followRelocatedControllers(membership, () => follower.controlState(), peers);
+  const { peers, follower, membership, incarnation } = opened.value;
   const registry = createWorkerRegistry(
     {
       name: id.name,
@@ -186,12 +169,6 @@
   limit();
 
   let count = 0;
-  let incarnation = firstIncarnation;
-  function onOutlived(message: MessageOf<'outlived'>): null {
-    if (message.reporter === id.name && message.incarnation >= incarnation) incarnation = message.incarnation + 1;
-    return null;
-  }
-  peers.on('outlived', onOutlived);
   function report(): void {
     const tally = relay.tally();
     count += 1;
@@ -202,7 +179,7 @@
     const sentLoads: Report = {
       reporter: id.name,
       run: id.run,
-      incarnation,
+      incarnation: incarnation(),
       count,
       requests: tally.requests,
       shed: tally.shed,
--- a/src/coordination/proxy/proxy.ts
+++ b/src/coordination/proxy/proxy.ts
@@ -4,8 +4,6 @@
  */
 import { err, ok } from '../../base/result.js';
 import type { Result } from '../../base/result.js';
-import type { MessageOf } from '../../protocol/messages.js';
-import type { NodeInfo } from '../../state/membership/node-info.js';
 import type { Report } from '../../state/distribution/report.js';
 import type { Configuration } from '../../state/configuration/settings-tree.js';
 import type { CountTable } from '../../state/configuration/latency-target-counts.js';
@@ -16,17 +14,14 @@
 import { createPlatformClient } from '../scaling/cloud-client.js';
 import { createDispatcher } from '../forwarding/dispatcher.js';
 import type { Tally } from '../forwarding/dispatcher.js';
-import { createFollower } from '../distribution/follower.js';
-import { nextIncarnation } from '../membership/incarnation.js';
 import type { Meters } from '../../transport/meters.js';
-import { createMembership } from '../membership/failure-detector.js';
 import { metricsRoute } from '../metrics-http-server.js';
 import type { NodeDeps, NodeIdentity } from '../node.js';
 import { createWorkerListSource } from '../discovery/worker-list-source.js';
-import { followRelocatedControllers, locationsOf } from '../membership/relocated-controllers.js';
-import { createPeers } from '../messaging/peers.js';
+import { locationsOf } from '../membership/relocated-controllers.js';
 import { createPlacementService } from '../forwarding/placement-service.js';
 import type { PlacementService, ProxySelf } from '../forwarding/placement-service.js';
+import { openProxyNode } from './proxy-node.js';
 import { proxyRoutes } from './proxy-http-server.js';
 import { createWorkerWatch } from '../discovery/worker-watch.js';
 
@@ -57,17 +52,11 @@
 export async function startProxy(id: NodeIdentity, deps: NodeDeps): Promise<Result<Proxy, WireError>> {
   const { clock, rng, logs, httpClient } = deps;
   const log = logs.component('proxy');
-  const peers = createPeers(deps.wire, clock, logs.component('peers'));
-  const table = createWorkerTable();
-  const life = await nextIncarnation(deps.disk, log);
-  const follower = await createFollower(id, id.seeds, peers, clock, deps.disk, logs.component('follow'));
-  const opened = await peers.open(id.listen);
+  const opened = await openProxyNode(id, deps);
   if (!opened.ok) return opened;
-
+  const { peers, follower, membership, incarnation } = opened.value;
+  const table = createWorkerTable();
   const self: ProxySelf = { name: id.name, run: id.run, zone: id.zone, region: id.region, http: id.http };
-  const node: NodeInfo = { ...self, role: 'proxy', incarnation: life, address: id.advertised, status: 'alive' };
-  const membership = createMembership(node, () => follower.controllers(), peers, clock, rng, logs.component('members'));
-  followRelocatedControllers(membership, () => follower.controlState(), peers);
   follower.setTopology(locationsOf(membership));
   const placement = createPlacementService({
     self,
@@ -124,19 +113,13 @@
   let taking = true;
   let count = 0;
   const counts: CountTable = {};
-  let incarnation = life;
-  function onOutlived(message: MessageOf<'outlived'>): null {
-    if (message.reporter === id.name && message.incarnation >= incarnation) incarnation = message.incarnation + 1;
-    return null;
-  }
-  peers.on('outlived', onOutlived);
   function report(): void {
     const tally = dispatcher.tally();
     count += 1;
     const told: Report = {
       reporter: id.name,
       run: id.run,
-      incarnation,
+      incarnation: incarnation(),
       count,
       requests: tally.requests,
       shed: tally.shed,
@@ -151,7 +134,7 @@
     };
     follower.sendToController({ kind: 'reports', reports: [told] });
     if (count % COUNTS_EVERY === 0)
-      follower.sendToController({ kind: 'counts', reporter: id.name, incarnation, totals: counts });
+      follower.sendToController({ kind: 'counts', reporter: id.name, incarnation: incarnation(), totals: counts });
   }
   const reporting = every(clock, REPORT_MS, report);
 
