--- a/src/coordination/discovery/pushed-list-feed.ts
+++ b/src/coordination/discovery/pushed-list-feed.ts
@@ -7,10 +7,11 @@
 import type { Clock, Timer } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
 import type { Rng } from '../../transport/rng.js';
+import { STANDSTILL_MS } from '../../transport/standstill-detector.js';
 import type { Address } from '../../transport/wire.js';
 import type { Peers } from '../messaging/peers.js';
 import type { WorkerListFeed, WorkerListFeedEvents, WorkerListReader } from './worker-list-feed.js';
-import { createWorkerListUpdates, WORKER_LIST_PACE, STOOD_STILL_MS } from './worker-list-updates.js';
+import { createWorkerListUpdates, WORKER_LIST_PACE } from './worker-list-updates.js';
 import type { WorkerListPace, WorkerListUpdates } from './worker-list-updates.js';
 import { readWithin } from './read-within.js';
 
@@ -165,7 +166,7 @@
     const response = await readWithin(this.deps.reader, this.deps.clock, this.pace.readMs);
     this.updates.detectStandstill();
     if (this.stopped) return;
-    const good = response?.ok === true && this.deps.clock.mono() - from <= STOOD_STILL_MS;
+    const good = response?.ok === true && this.deps.clock.mono() - from <= STANDSTILL_MS;
     this.ownBackoffMs = good ? OWN_PAUSE_MS : Math.min(OWN_PAUSE_MOST_MS, this.ownBackoffMs * 2);
     if (!this.updates.isFresh()) this.ownDue = from + this.ownBackoffMs * (1 + 0.3 * this.deps.rng.next());
     if (good && response.ok) this.onOwnReading(response.value, from);
--- a/src/coordination/discovery/worker-list-updates.ts
+++ b/src/coordination/discovery/worker-list-updates.ts
@@ -8,6 +8,7 @@
 import type { WorkerListTable, WorkerListVersion, ApplyResult } from '../../state/discovery/worker-list-table.js';
 import { every } from '../../transport/clock.js';
 import type { Clock, Timer } from '../../transport/clock.js';
+import { STANDSTILL_MS, StandstillDetector } from '../../transport/standstill-detector.js';
 import type { Address } from '../../transport/wire.js';
 import type { Peer, Peers } from '../messaging/peers.js';
 
@@ -69,8 +70,6 @@
   stop(): void;
 }
 
-/** A longer gap between two looks says that the process stood still, in milliseconds. */
-export const STOOD_STILL_MS = 1_500;
 const TURN_MS = 500;
 const DISTRUST_MS = 2_500;
 const SILENCE_KEPT_MS = 3_000;
@@ -82,7 +81,7 @@
   private trusting = false;
   private lastContactAt: number | null = null;
   private unresponsiveAt: number | null = null;
-  private lastTickAt: number;
+  private readonly standstill: StandstillDetector;
   private readonly turning: Timer;
 
   constructor(
@@ -90,7 +89,7 @@
     private readonly clock: Clock,
     private readonly pace: WorkerListPace,
   ) {
-    this.lastTickAt = this.clock.mono();
+    this.standstill = new StandstillDetector(this.clock);
     this.turning = every(this.clock, TURN_MS, () => this.detectStandstill());
 
     this.peers.on('listWhole', (message, peer) => this.onUpdate(message, peer));
@@ -125,9 +124,8 @@
   }
 
   detectStandstill(): void {
-    const gap = this.since(this.lastTickAt);
-    this.lastTickAt = this.clock.mono();
-    if (gap <= STOOD_STILL_MS) return;
+    const gap = this.standstill.tick();
+    if (gap === null) return;
     this.trusting = false;
     this.lastContactAt = null;
     this.events.emit('woke', { afterMs: gap });
@@ -188,7 +186,7 @@
       this.pace.queryTimeoutMs,
     );
     this.detectStandstill();
-    if (!response.ok || !isUpdate(response.value) || this.clock.mono() - from > STOOD_STILL_MS) return 'silent';
+    if (!response.ok || !isUpdate(response.value) || this.clock.mono() - from > STANDSTILL_MS) return 'silent';
     if (this.applyUpdate(response.value, from) === 'taken') this.trusting = true;
     return this.isFresh() ? 'fresh' : 'stale';
   }
--- a/src/coordination/distribution/majority-contact.ts
+++ b/src/coordination/distribution/majority-contact.ts
@@ -1,5 +1,6 @@
 /** When a proxy last had contact with a majority of controllers. */
 import type { Clock } from '../../transport/clock.js';
+import { StandstillDetector } from '../../transport/standstill-detector.js';
 
 /**
  * When a proxy last had contact with a majority of the core. It sends numbers (nonces) to controllers, and one that
@@ -22,8 +23,6 @@
 }
 
 const NONCES_KEPT = 16;
-/** Turns come each 100 ms; a gap this long is a machine that was frozen or starved. */
-const STANDSTILL_MS = 1_500;
 /** Two beats and the way of the next one. */
 const LOST_MS = 2_500;
 
@@ -32,15 +31,15 @@
   private nonce = 0;
   private firstCounted = 1;
   private contactAt: number | null = null;
-  private lastTickAt: number;
+  private readonly standstill: StandstillDetector;
   private currentWokeAt: number;
 
   constructor(
     private readonly clock: Clock,
     private readonly onStandstill: (gapMs: number) => void,
   ) {
-    this.lastTickAt = this.clock.mono();
-    this.currentWokeAt = this.lastTickAt;
+    this.standstill = new StandstillDetector(clock);
+    this.currentWokeAt = clock.mono();
   }
 
   nextNonce(): number {
@@ -61,13 +60,11 @@
   }
 
   detectStandstill(): void {
-    const now = this.clock.mono();
-    const gap = now - this.lastTickAt;
-    this.lastTickAt = now;
-    if (gap <= STANDSTILL_MS) return;
+    const gap = this.standstill.tick();
+    if (gap === null) return;
     this.contactAt = null;
     this.firstCounted = this.nonce + 1;
-    this.currentWokeAt = now;
+    this.currentWokeAt = this.clock.mono();
     this.onStandstill(gap);
   }
 
--- a/src/coordination/membership/core-health-watch.ts
+++ b/src/coordination/membership/core-health-watch.ts
@@ -12,6 +12,7 @@
 import type { Member } from '../../state/consensus/entry.js';
 import { every } from '../../transport/clock.js';
 import type { Clock, Timer } from '../../transport/clock.js';
+import { StandstillDetector } from '../../transport/standstill-detector.js';
 import type { Log } from '../../transport/log.js';
 import type { Peers } from '../messaging/peers.js';
 import type { Claims } from '../idempotency/claims.js';
@@ -54,8 +55,6 @@
 const IN_TOUCH_MS = 1_600;
 /** A member holds everything if it has all that was known this long ago: the oldest answer that counts, and a second to learn. */
 const SETTLED_MS = 2_600;
-/** After a longer standstill, as without a majority in touch, what was known before is dropped. */
-const STOOD_STILL_MS = 1_500;
 const ASK_MS = 1_000;
 
 class PollingHealthWatch implements CoreHealthWatch {
@@ -64,13 +63,14 @@
   private readonly ledgerLog: CoreHealthLog;
   private readonly claimsLog: CoreHealthLog;
   private known: KnownSlot[] = [];
-  private lastTickAt: number;
+  /** After a standstill, as without a majority in touch, what was known before is dropped. */
+  private readonly standstill: StandstillDetector;
   private readonly turning: Timer;
 
   constructor(private readonly deps: CoreHealthWatchDeps) {
     this.ledgerLog = createCoreHealthLog('ledger', this.deps.clock, this.deps.log);
     this.claimsLog = createCoreHealthLog('claims', this.deps.clock, this.deps.log);
-    this.lastTickAt = this.deps.clock.mono();
+    this.standstill = new StandstillDetector(this.deps.clock);
 
     this.deps.ledger.events.on('heard', ({ member, requestedAt, memberStatus }) =>
       this.onMemberStatus({ member, requestedAt, memberStatus }),
@@ -98,13 +98,9 @@
     return newest;
   }
 
-  private stoodStill(): boolean {
-    return this.deps.clock.mono() - this.lastTickAt > STOOD_STILL_MS;
-  }
-
   /** The newest slot that was known some time ago; without so long a memory, the newest one of all. */
   private committedSlot(): number {
-    if (this.stoodStill()) return this.newestKnown();
+    if (this.standstill.isOpen()) return this.newestKnown();
     let settled: number | null = null;
     for (const sample of this.known) if (this.deps.clock.mono() - sample.at >= SETTLED_MS) settled = sample.slot;
     return settled ?? this.newestKnown();
@@ -189,8 +185,7 @@
 
   private recordKnownSlot(): void {
     const now = this.deps.clock.mono();
-    if (this.stoodStill() || !this.hasMajorityContact()) this.known = [];
-    this.lastTickAt = now;
+    if (this.standstill.tick() !== null || !this.hasMajorityContact()) this.known = [];
     this.known.push({ at: now, slot: this.newestKnown() });
     while (this.known.length > 1 && now - (this.known[1] as KnownSlot).at >= SETTLED_MS) this.known.shift();
   }
--- a/src/coordination/membership/member-statuses.ts
+++ b/src/coordination/membership/member-statuses.ts
@@ -7,6 +7,7 @@
 import type { ControlState } from '../../state/consensus/control-state.js';
 import type { Member } from '../../state/consensus/entry.js';
 import type { Clock } from '../../transport/clock.js';
+import { StandstillDetector } from '../../transport/standstill-detector.js';
 import type { Peers } from '../messaging/peers.js';
 
 /** The newest status of each member, and who has lost contact with whom. */
@@ -44,25 +45,21 @@
 const ASK_MS = 1_000;
 const UNHEARD_MS = 2_500;
 const FRESH_MS = 1_600;
-const STOOD_STILL_MS = 1_500;
 
 class PolledMemberStatuses implements MemberStatuses {
   private readonly contacts = new Map<string, Contact>();
-  private lastTickAt: number;
+  private readonly standstill: StandstillDetector;
   private since: number;
 
   constructor(private readonly deps: MemberStatusesDeps) {
-    this.lastTickAt = this.deps.clock.mono();
-    this.since = this.lastTickAt;
+    this.standstill = new StandstillDetector(this.deps.clock);
+    this.since = this.deps.clock.mono();
   }
 
   private detectStandstill(): void {
-    const now = this.deps.clock.mono();
-    if (now - this.lastTickAt > STOOD_STILL_MS) {
-      this.since = now;
-      this.contacts.clear();
-    }
-    this.lastTickAt = now;
+    if (this.standstill.tick() === null) return;
+    this.since = this.deps.clock.mono();
+    this.contacts.clear();
   }
 
   private others(): Member[] {
--- a/src/coordination/scaling/worker-list-role.ts
+++ b/src/coordination/scaling/worker-list-role.ts
@@ -11,9 +11,10 @@
 import type { Log } from '../../transport/log.js';
 import { newId } from '../../transport/rng.js';
 import type { Rng } from '../../transport/rng.js';
+import { STANDSTILL_MS } from '../../transport/standstill-detector.js';
 import type { Address } from '../../transport/wire.js';
 import type { WorkerListFeed, WorkerListFeedEvents, WorkerListReader } from '../discovery/worker-list-feed.js';
-import { createWorkerListUpdates, WORKER_LIST_PACE, STOOD_STILL_MS } from '../discovery/worker-list-updates.js';
+import { createWorkerListUpdates, WORKER_LIST_PACE } from '../discovery/worker-list-updates.js';
 import type { WorkerListMessage, WorkerListPace, WorkerListUpdates } from '../discovery/worker-list-updates.js';
 import { readWithin } from '../discovery/read-within.js';
 import type { Peer, Peers } from '../messaging/peers.js';
@@ -238,7 +239,7 @@
     this.updates.detectStandstill();
     if (this.stopped) return;
     if (
-      this.deps.clock.mono() - from > STOOD_STILL_MS ||
+      this.deps.clock.mono() - from > STANDSTILL_MS ||
       this.currentReading !== was ||
       (!was && this.updates.isFresh())
     )
--- /dev/null
+++ b/src/transport/standstill-detector.test.ts
@@ -0,0 +1,28 @@
+import { describe, expect, test } from '@jest/globals';
+import type { Clock } from './clock.js';
+import { STANDSTILL_MS, StandstillDetector } from './standstill-detector.js';
+
+function settableClock(): { readonly clock: Clock; now: number } {
+  const time = { now: 0, clock: { mono: () => time.now, wall: () => 0, timer: () => ({ cancel: () => undefined }) } };
+  return time;
+}
+
+describe('a standstill', () => {
+  test('is a gap longer than the bound, told once with its length', () => {
+    const time = settableClock();
+    const detector = new StandstillDetector(time.clock);
+    time.now = STANDSTILL_MS + 1;
+    expect(detector.isOpen()).toBe(true);
+    expect(detector.tick()).toBe(STANDSTILL_MS + 1);
+    expect(detector.isOpen()).toBe(false);
+    expect(detector.tick()).toBeNull();
+  });
+
+  test('is not a gap of the bound itself', () => {
+    const time = settableClock();
+    const detector = new StandstillDetector(time.clock);
+    time.now = STANDSTILL_MS;
+    expect(detector.isOpen()).toBe(false);
+    expect(detector.tick()).toBeNull();
+  });
+});
