--- a/src/coordination/configuration/configuration-service.test.ts
+++ b/src/coordination/configuration/configuration-service.test.ts
@@ -5,30 +5,15 @@
 import type { RouteSettings, Serving } from '../../state/configuration/serving.js';
 import { withChanges } from '../../state/configuration/settings-tree.js';
 import { createSimLedger } from '../../sim/sim-ledger.js';
+import { routeSettings } from '../../sim/builders.js';
 import type { SimLedger } from '../../sim/sim-ledger.js';
 import { delay } from '../../transport/clock.js';
 import { createConfigurationService } from './configuration-service.js';
 import type { ConfigurationService } from './configuration-service.js';
 
-const MAPPING: RouteSettings = {
-  at: 0,
-  host: 'a.example',
-  prefix: '/p/',
-  kind: 'stream',
-  resumable: false,
-  pinned: true,
-  rank: 0,
-  deadlineMs: 5_000,
-  aimMs: 800,
-  pauseMs: null,
-  attempts: 1,
-  shares: [{ model: 'm', share: 1 }],
-  split: false,
-  homes: [],
-};
 function serving(number: number, mappings = 1): Serving {
   const out: Record<string, RouteSettings> = {};
-  for (let i = 0; i < mappings; i += 1) out[`r-${i}`] = { ...MAPPING, at: i, prefix: `/p${i}/` };
+  for (let i = 0; i < mappings; i += 1) out[`r-${i}`] = routeSettings({ at: i, prefix: `/p${i}/` });
   return {
     number,
     mappings: out,
@@ -160,11 +145,11 @@
       ok({
         ...before,
         number: 8,
-        mappings: { ...before.mappings, extra: { ...MAPPING, at: 9_999, prefix: '/extra/' } },
+        mappings: { ...before.mappings, extra: { ...routeSettings(), at: 9_999, prefix: '/extra/' } },
       });
     const result = {
       ...serving(8),
-      mappings: { ...serving(8).mappings, extra: { ...MAPPING, at: 1, prefix: '/extra/' } },
+      mappings: { ...serving(8).mappings, extra: { ...routeSettings(), at: 1, prefix: '/extra/' } },
     };
     await s.run(service.replace(0, serving(7), 'a'));
     expect(await s.run(service.replace(7, result, 'whole'))).toEqual(TAKEN(8));
--- a/src/coordination/proxy/opaque-proxy.test.ts
+++ b/src/coordination/proxy/opaque-proxy.test.ts
@@ -1,6 +1,7 @@
 import { expect, test } from '@jest/globals';
 import { OPEN_WORDS as W } from '../../protocol/header-names.js';
 import { createSimCore } from '../../sim/sim-core.js';
+import { routeSettings } from '../../sim/builders.js';
 import { EDGE_TUNING } from '../../state/forwarding/edge-tuning.js';
 import { DEFAULT_LIMITS } from '../../state/configuration/serving.js';
 import type { Report } from '../../state/distribution/report.js';
@@ -14,22 +15,7 @@
   number: 1,
   limits: DEFAULT_LIMITS,
   mappings: {
-    r: {
-      at: 0,
-      host: 'a.example',
-      prefix: '/x/',
-      kind: 'once',
-      resumable: false,
-      pinned: false,
-      rank: 0,
-      deadlineMs: 20_000,
-      aimMs: 800,
-      pauseMs: null,
-      attempts: 1,
-      shares: [{ model: 'm', share: 1 }],
-      split: false,
-      homes: [],
-    },
+    r: routeSettings({ prefix: '/x/', kind: 'once', pinned: false, deadlineMs: 20_000 }),
   },
   models: { m: { at: 0, probePath: '/h', maxConns: 100, coldS: 3, coldRateS: 10, engine: null } },
 };
--- a/src/coordination/scaling/observer.test.ts
+++ b/src/coordination/scaling/observer.test.ts
@@ -1,4 +1,5 @@
 import { describe, expect, test } from '@jest/globals';
+import { workerEntry } from '../../sim/builders.js';
 import { err, ok } from '../../base/result.js';
 import { ledgerRequest, ordersRequest } from '../../operator/requests.js';
 import { createCore } from '../../operator/core.js';
@@ -20,24 +21,8 @@
 
 type Day = { readonly core: SimCore; readonly platform: { list: WorkerEntry[]; down: boolean } };
 
-function worker(id: string, zone: string, more: Partial<WorkerEntry> = {}): WorkerEntry {
-  return {
-    id,
-    model: 'm',
-    address: `${id}:1`,
-    zone,
-    region: zone,
-    release: 'v1',
-    places: 64,
-    leaving: false,
-    remainingMs: null,
-    coldMs: 0,
-    ...more,
-  };
-}
-
 async function day(seed: number, deployment: Settings = {}): Promise<Day> {
-  const platform = { list: [...Array(9).keys()].map((i) => worker(`w${i}`, ZONES[i % 3] as string)), down: false };
+  const platform = { list: [...Array(9).keys()].map((i) => workerEntry(`w${i}`, ZONES[i % 3] as string)), down: false };
   function listReader(): WorkerListReader {
     return {
       read: () => Promise.resolve(platform.down ? err({ tag: 'listSilent' as const }) : ok([...platform.list])),
@@ -145,7 +130,7 @@
     expect(await d.core.until(5_000, () => sets(d.core) === 'ac|b')).toBe(true);
     change(d, 'w1', null);
     await d.core.world.advance(4_000);
-    d.platform.list.push(worker('w20', 'b', { coldMs: 3_000 }));
+    d.platform.list.push(workerEntry('w20', 'b', { coldMs: 3_000 }));
     await d.core.world.advance(4_000);
     expect(sets(d.core)).toBe('ac|b');
     change(d, 'w20', { coldMs: 0 });
@@ -189,7 +174,7 @@
         if (how === 'kill') d.core.start(was);
         if (how === 'freeze') d.core.world.thaw(host);
         if (how === 'cut') d.core.world.healAll();
-        d.platform.list.push(worker('w20', 'b'));
+        d.platform.list.push(workerEntry('w20', 'b'));
         await d.core.world.advance(8_000);
         const now = await holder(d.core);
         expect(now).not.toBe(was);
--- a/src/coordination/scaling/worker-list-role.test.ts
+++ b/src/coordination/scaling/worker-list-role.test.ts
@@ -1,6 +1,7 @@
 import { describe, expect, test } from '@jest/globals';
 import { err, ok } from '../../base/result.js';
 import type { Result } from '../../base/result.js';
+import { workerEntry } from '../../sim/builders.js';
 import { createSimNet } from '../../sim/sim-wire.js';
 import type { SimNet } from '../../sim/sim-wire.js';
 import { createWorld } from '../../sim/world.js';
@@ -34,19 +35,7 @@
 };
 
 function worker(n: number, more: Partial<WorkerEntry> = {}): WorkerEntry {
-  return {
-    id: `w${n}`,
-    model: 'm',
-    address: `10.9.0.${n}:80`,
-    zone: `z${n % 3}`,
-    region: `r${n % 3}`,
-    release: 'v1',
-    places: 64,
-    leaving: false,
-    remainingMs: null,
-    coldMs: 0,
-    ...more,
-  };
+  return workerEntry(`w${n}`, `z${n % 3}`, { address: `10.9.0.${n}:80`, region: `r${n % 3}`, ...more });
 }
 
 function createRoom(seed: number, controllers: number, edges: number): Room {
--- a/src/operator/core-report.test.ts
+++ b/src/operator/core-report.test.ts
@@ -1,8 +1,9 @@
 import { describe, expect, test } from '@jest/globals';
+import { memberView } from '../sim/builders.js';
 import { createSimCore } from '../sim/sim-core.js';
 import type { SimCore } from '../sim/sim-core.js';
 import { coreHealth } from '../state/membership/core-health.js';
-import type { CoreHealth, MemberView } from '../state/membership/core-health.js';
+import type { CoreHealth } from '../state/membership/core-health.js';
 import { coreText } from '../programs/core-text.js';
 import { createCore } from './core.js';
 import type { Core } from './core.js';
@@ -11,23 +12,10 @@
 
 const THREE = ['h1', 'h2', 'h3'];
 
-function view(name: string, over: Partial<MemberView> = {}): MemberView {
-  return {
-    id: `${name}#i`,
-    name,
-    inTouch: true,
-    learned: 9,
-    top: 9,
-    writable: true,
-    holdsAll: true,
-    unheard: [],
-    ...over,
-  };
-}
 function health(self: string, names: readonly string[], silent: readonly string[] = []): CoreHealth {
   return coreHealth(
     `${self}#i`,
-    names.map((n) => view(n, { inTouch: !silent.includes(n) })),
+    names.map((n) => memberView(n, { inTouch: !silent.includes(n) })),
   );
 }
 function status(name: string, ledger: CoreHealth | null, slot = 9): ControllerStatus {
--- a/src/programs/standin.ts
+++ b/src/programs/standin.ts
@@ -13,7 +13,7 @@
 import { createGotHttpClient } from '../transport/http-client.js';
 import { createClock } from '../transport/clock.js';
 import { createExpressHttpServer } from '../transport/http-server.js';
-import type { HttpClient } from '../transport/http.js';
+import type { HttpClient, HttpServer } from '../transport/http.js';
 import { createFileJournal, createNoJournal } from '../transport/journal.js';
 import type { Journal } from '../transport/journal.js';
 import { createLogRoot } from '../transport/log.js';
@@ -48,6 +48,10 @@
   return slowHttpClient(httpClient, clock, pathTable(textOf(ctx, 'zone') ?? '', lab.zones, lab.delayMs, switches));
 }
 
+function standinHttpServer(): HttpServer {
+  return createExpressHttpServer(createLogRoot('warn').component('standin'));
+}
+
 const COMMON = {
   journal: { type: 'string', description: 'File that what happened is appended to' },
   lab: { type: 'string', description: 'File with zones and delays of the lab network' },
@@ -86,7 +90,7 @@
     {
       clock: createClock(),
       rng: createOsRng(),
-      httpServer: createExpressHttpServer(createLogRoot('warn').component('standin')),
+      httpServer: standinHttpServer(),
       httpClient: httpClientOf(ctx),
       journal: journalOf(ctx),
     },
@@ -110,7 +114,7 @@
   const started = await startStandinPlatform(
     textOf(ctx, 'http') ?? '',
     createClock(),
-    createExpressHttpServer(createLogRoot('warn').component('standin')),
+    standinHttpServer(),
     journalOf(ctx),
   );
   if (!started.ok) return failedStart(started.error);
@@ -140,7 +144,7 @@
     {
       clock: createClock(),
       rng: createOsRng(),
-      httpServer: createExpressHttpServer(createLogRoot('warn').component('standin')),
+      httpServer: standinHttpServer(),
       httpClient: httpClientOf(ctx),
       journal: journalOf(ctx),
     },
--- a/src/protocol/serving.test.ts
+++ b/src/protocol/serving.test.ts
@@ -1,4 +1,5 @@
 import { describe, expect, test } from '@jest/globals';
+import { routeSettings } from '../sim/builders.js';
 import { DEFAULT_LIMITS } from '../state/configuration/serving.js';
 import type { RouteSettings, ModelTraits, Serving } from '../state/configuration/serving.js';
 import { withChanges } from '../state/configuration/settings-tree.js';
@@ -14,26 +15,11 @@
   engine: { batch: 64, kvTokens: 1_000 },
 };
 function mapping(more: Partial<RouteSettings>): RouteSettings {
-  return {
-    at: 0,
-    host: 'a.example',
-    prefix: '/p/',
-    kind: 'stream',
-    resumable: false,
-    pinned: true,
-    rank: 0,
-    deadlineMs: 5_000,
-    aimMs: 800,
-    pauseMs: null,
-    attempts: 1,
-    shares: [
-      { model: 'm', share: 90 },
-      { model: 'n', share: 10 },
-    ],
-    split: true,
-    homes: ['north'],
-    ...more,
-  };
+  const shares = [
+    { model: 'm', share: 90 },
+    { model: 'n', share: 10 },
+  ];
+  return routeSettings({ shares, split: true, homes: ['north'], ...more });
 }
 const SOUND: Serving = {
   number: 7,
--- a/src/runbook/observe-core.test.ts
+++ b/src/runbook/observe-core.test.ts
@@ -1,5 +1,6 @@
 import { expect, test } from '@jest/globals';
 import type { Core } from '../operator/core.js';
+import { memberView } from '../sim/builders.js';
 import { coreHealth } from '../state/membership/core-health.js';
 import type { CoreHealth, MemberView } from '../state/membership/core-health.js';
 import type { Condition } from './document.js';
@@ -9,17 +10,7 @@
 
 function health(self: string, behind: readonly string[]): CoreHealth {
   const views: MemberView[] = [];
-  for (const name of THREE)
-    views.push({
-      id: `${name}#i`,
-      name,
-      inTouch: true,
-      learned: 9,
-      top: 9,
-      writable: true,
-      holdsAll: !behind.includes(name),
-      unheard: [],
-    });
+  for (const name of THREE) views.push(memberView(name, { holdsAll: !behind.includes(name) }));
   return coreHealth(`${self}#i`, views);
 }
 /** A core whose members all say that these hold not all of the ledger, or not all claims. */
--- a/src/state/membership/core-health.test.ts
+++ b/src/state/membership/core-health.test.ts
@@ -1,22 +1,10 @@
 import { describe, expect, test } from '@jest/globals';
+import { memberView } from '../../sim/builders.js';
 import { coreHealth } from './core-health.js';
 import type { MemberView } from './core-health.js';
 
-function member(name: string, over: Partial<MemberView> = {}): MemberView {
-  return {
-    id: `${name}#i`,
-    name,
-    inTouch: true,
-    learned: 9,
-    top: 9,
-    writable: true,
-    holdsAll: true,
-    unheard: [],
-    ...over,
-  };
-}
 function core(size: number, over: Readonly<Record<string, Partial<MemberView>>> = {}): MemberView[] {
-  return Array.from({ length: size }, (_, i) => member(`h${i + 1}`, over[`h${i + 1}`]));
+  return Array.from({ length: size }, (_, i) => memberView(`h${i + 1}`, over[`h${i + 1}`]));
 }
 const silent = { inTouch: false, holdsAll: false, learned: -1, top: -1 };
 const behind = { holdsAll: false, learned: 3 };
--- a/src/state/scaling/observed-orders.test.ts
+++ b/src/state/scaling/observed-orders.test.ts
@@ -1,4 +1,5 @@
 import { describe, expect, test } from '@jest/globals';
+import { workerEntry } from '../../sim/builders.js';
 import { emptyControlState, foldBatch } from '../consensus/control-state.js';
 import type { ControlState } from '../consensus/control-state.js';
 import type { Command, Step } from '../consensus/entry.js';
@@ -41,24 +42,9 @@
       limits: DEFAULT_LIMITS,
     },
   };
-  const list = [...Array(workers).keys()].map((i) => worker(`w${i}`, ZONES[i % 3] as string));
+  const list = [...Array(workers).keys()].map((i) => workerEntry(`w${i}`, ZONES[i % 3] as string));
   return { controlState, memory: observedMemory(), list, now: 0, serial: 0, entries: 0 };
 }
-function worker(id: string, zone: string, more: Partial<WorkerEntry> = {}): WorkerEntry {
-  return {
-    id,
-    model: 'm',
-    address: `${id}:1`,
-    zone,
-    region: zone,
-    release: 'v1',
-    places: 64,
-    leaving: false,
-    remainingMs: null,
-    coldMs: 0,
-    ...more,
-  };
-}
 function fold(s: Stage, command: Command): void {
   s.serial += 1;
   foldBatch(s.controlState, s.controlState.slot + 1, {
@@ -129,7 +115,7 @@
     expect(lost[1]?.cause).toContain('6000 ms');
     expect(turn(s)).toEqual([]);
     change(s, 'w1', null);
-    s.list.push(worker('w9', 'b', { coldMs: 3_000 }));
+    s.list.push(workerEntry('w9', 'b', { coldMs: 3_000 }));
     expect(tags(turn(s))).toEqual(['ordersAdopted']);
     expect(sets(s)).toBe('ac|b');
     change(s, 'w9', { coldMs: 0 });
@@ -172,7 +158,7 @@
     change(s, 'w1', null);
     expect(turn(s)).toEqual([]);
     expect(tags(turn(s, {}, 2_000))).toEqual(['zonesMoved', 'orderLost']);
-    s.list.push(worker('w1', 'b'));
+    s.list.push(workerEntry('w1', 'b'));
     turn(s);
     expect(open(s)).toHaveLength(6);
   });
@@ -195,10 +181,10 @@
         .filter((a) => a.tag === 'orderIntended')
         .map((a) => `${a.kind} ${a.zone}`),
     ).toEqual(['spot c', 'spot a', 'onDemand a', 'onDemand a']);
-    s.list.push(worker('w7', 'a'));
+    s.list.push(workerEntry('w7', 'a'));
     expect(tags(turn(s))).toEqual(['orderPlaced', 'orderReady', 'orderReleased']);
     expect(open(s)).toEqual(['onDemand a intended', 'spot a ready', 'spot a ready', 'spot b ready', 'spot c intended']);
-    s.list.push(worker('w8', 'c', { coldMs: 2_000 }));
+    s.list.push(workerEntry('w8', 'c', { coldMs: 2_000 }));
     expect(tags(turn(s))).toEqual(['orderPlaced']);
     change(s, 'w8', { coldMs: 0 });
     expect(tags(turn(s))).toEqual(['orderReady', 'orderReleased']);
@@ -210,10 +196,10 @@
     const s = stage({ minTarget: 1, nExtra: 1 }, 0);
     turn(s);
     expect(open(s)).toEqual(['onDemand a intended', 'spot a intended', 'spot b intended']);
-    s.list.push(worker('x1', 'a'), worker('x2', 'a'));
+    s.list.push(workerEntry('x1', 'a'), workerEntry('x2', 'a'));
     turn(s);
     expect(open(s)).toEqual(['onDemand a ready', 'spot a ready', 'spot b intended']);
-    s.list.push(worker('x3', 'b'));
+    s.list.push(workerEntry('x3', 'b'));
     turn(s);
     expect(open(s)).toEqual(['onDemand a draining', 'spot a ready', 'spot b ready']);
     change(s, 'x2', null);
--- a/tools/figures.mjs
+++ b/tools/figures.mjs
@@ -15,6 +15,10 @@
   return Math.abs(x) >= 100 ? x.toFixed(0) : x.toFixed(Math.abs(x) >= 10 ? 1 : 3);
 }
 
+function times(records, field) {
+  return records.map((record) => record[field]);
+}
+
 export function callerFigures(records) {
   const callers = records.filter((r) => r.who === 'caller');
   const good = callers.filter((r) => r.result === 'success');
@@ -31,29 +35,11 @@
     shed: callers.filter((r) => r.result.startsWith('shed')).length / Math.max(1, callers.length),
     retries: firsts === 0 ? 0 : (arrived.length - firsts) / firsts,
     prefixHits: tokens === 0 ? 0 : hits / tokens,
-    firstP50: quantile(
-      streams.map((r) => r.firstMs),
-      0.5,
-    ),
-    firstP99: quantile(
-      streams.map((r) => r.firstMs),
-      0.99,
-    ),
-    wholeP50: quantile(
-      streams.map((r) => r.wholeMs),
-      0.5,
-    ),
-    wholeP99: quantile(
-      streams.map((r) => r.wholeMs),
-      0.99,
-    ),
-    onceP50: quantile(
-      once.map((r) => r.wholeMs),
-      0.5,
-    ),
-    onceP99: quantile(
-      once.map((r) => r.wholeMs),
-      0.99,
-    ),
+    firstP50: quantile(times(streams, 'firstMs'), 0.5),
+    firstP99: quantile(times(streams, 'firstMs'), 0.99),
+    wholeP50: quantile(times(streams, 'wholeMs'), 0.5),
+    wholeP99: quantile(times(streams, 'wholeMs'), 0.99),
+    onceP50: quantile(times(once, 'wholeMs'), 0.5),
+    onceP99: quantile(times(once, 'wholeMs'), 0.99),
   };
 }
