--- a/src/coordination/consensus/closed-orders-fetch.ts
+++ b/src/coordination/consensus/closed-orders-fetch.ts
@@ -1,6 +1,5 @@
 /** Fetches the closed orders that a controller did not fold itself, because it took a snapshot. */
 import type { Message, MessageOf } from '../../protocol/messages.js';
-import { memberId } from '../../state/consensus/control-state.js';
 import type { ControlState } from '../../state/consensus/control-state.js';
 import type { ClosedCursor, ClosedOrders, SlotRange } from '../../state/consensus/closed-orders.js';
 import type { Member } from '../../state/consensus/entry.js';
@@ -9,6 +8,7 @@
 import type { Log } from '../../transport/log.js';
 import type { Peers } from '../messaging/peers.js';
 import type { StoreCommand } from './store.js';
+import { otherMembers } from '../../state/consensus/fold-members.js';
 
 /**
  * A controller that took a snapshot did not fold the slots before it, so it lacks the orders that were closed in them.
@@ -57,10 +57,7 @@
   }
 
   private others(): Member[] {
-    const out: Member[] = [];
-    for (const member of this.deps.controlState().members)
-      if (memberId(member) !== memberId(this.deps.self)) out.push(member);
-    return out;
+    return otherMembers(this.deps.controlState().members, this.deps.self);
   }
 
   /** All pages that a member has of these slots; null if it fell silent on the way. */
--- a/src/coordination/consensus/proposer.ts
+++ b/src/coordination/consensus/proposer.ts
@@ -10,7 +10,7 @@
 import type { BatchQueue } from '../../base/batch-queue.js';
 import { err, ok } from '../../base/result.js';
 import type { Result } from '../../base/result.js';
-import { majorityOf, memberId, operationOf } from '../../state/consensus/control-state.js';
+import { majorityOf, operationOf } from '../../state/consensus/control-state.js';
 import type { Batch, Entry, Member } from '../../state/consensus/entry.js';
 import { delay, within } from '../../transport/clock.js';
 import type { Clock } from '../../transport/clock.js';
@@ -22,6 +22,7 @@
 import type { Agreed, Draft, ProposeError } from './proposal.js';
 import type { Replica } from './replica.js';
 import { runRound } from './round.js';
+import { otherMembers } from '../../state/consensus/fold-members.js';
 
 /** Proposes entries and finishes slots that others left open. */
 export interface Proposer {
@@ -62,8 +63,7 @@
 
   private sendLearned(slot: number, batch: Batch): void {
     const { ledger, members } = this.deps.replica.controlState();
-    for (const member of members) {
-      if (memberId(member) === this.deps.replica.id()) continue;
+    for (const member of otherMembers(members, this.deps.replica.self)) {
       void this.deps.peers.send(member.address, {
         kind: 'learned',
         ledger,
@@ -76,8 +76,7 @@
 
   private async catchUpFrom(ahead: readonly Member[]): Promise<void> {
     const requests: Promise<void>[] = [];
-    for (const member of ahead)
-      if (memberId(member) !== this.deps.replica.id()) requests.push(this.deps.catchUp(member.address));
+    for (const member of otherMembers(ahead, this.deps.replica.self)) requests.push(this.deps.catchUp(member.address));
     if (requests.length > 0) await Promise.race(requests);
   }
 
--- a/src/coordination/discovery/pushed-list-feed.ts
+++ b/src/coordination/discovery/pushed-list-feed.ts
@@ -4,6 +4,7 @@
  */
 import { createEvents } from '../../base/events.js';
 import type { WorkerEntry } from '../../state/discovery/worker-entry.js';
+import { within } from '../../transport/clock.js';
 import type { Clock, Timer } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
 import type { Rng } from '../../transport/rng.js';
@@ -13,7 +14,6 @@
 import type { WorkerListFeed, WorkerListFeedEvents, WorkerListReader } from './worker-list-feed.js';
 import { createWorkerListUpdates, WORKER_LIST_PACE } from './worker-list-updates.js';
 import type { WorkerListPace, WorkerListUpdates } from './worker-list-updates.js';
-import { readWithin } from './read-within.js';
 
 /** Controllers to ask, and the reader that is the last resort. */
 export type PushedListFeedDeps = {
@@ -163,7 +163,7 @@
     this.ownDue = from + this.pace.readMs + OWN_PAUSE_MS;
     if (!this.readsItself) this.deps.log.warn('no controller pushes the worker list, reading the platform');
     this.readsItself = true;
-    const response = await readWithin(this.deps.reader, this.deps.clock, this.pace.readMs);
+    const response = await within(this.deps.clock, this.pace.readMs, this.deps.reader.read());
     this.updates.detectStandstill();
     if (this.stopped) return;
     const good = response?.ok === true && this.deps.clock.mono() - from <= STANDSTILL_MS;
--- a/src/coordination/distribution/fleet-load-relay.ts
+++ b/src/coordination/distribution/fleet-load-relay.ts
@@ -1,6 +1,5 @@
 /** Sums the loads that proxies report on workers, so that each proxy knows what the others run there. */
 import type { MessageOf } from '../../protocol/messages.js';
-import { memberId } from '../../state/consensus/control-state.js';
 import { createFleetLoad, sumOf } from '../../state/distribution/fleet-load.js';
 import { every } from '../../transport/clock.js';
 import type { Clock, Timer } from '../../transport/clock.js';
@@ -8,6 +7,7 @@
 import type { Rng } from '../../transport/rng.js';
 import type { Peer, Peers } from '../messaging/peers.js';
 import type { Ledger } from '../consensus/ledger.js';
+import { otherMembers } from '../../state/consensus/fold-members.js';
 
 /** Relays until it is stopped. */
 export interface FleetLoadRelay {
@@ -72,9 +72,8 @@
       this.lastOwn = text;
       this.count += 1;
       const report = { name: this.ledger.self.name, run: this.run, count: this.count, rows: mine };
-      for (const member of this.ledger.controlState().members)
-        if (memberId(member) !== memberId(this.ledger.self))
-          void this.peers.send(member.address, { kind: 'usages', told: report });
+      for (const member of otherMembers(this.ledger.controlState().members, this.ledger.self))
+        void this.peers.send(member.address, { kind: 'usages', told: report });
     }
     const rows = sumOf(mine, this.others.sums(now));
     const sumsText = JSON.stringify(rows);
--- a/src/coordination/idempotency/claims.ts
+++ b/src/coordination/idempotency/claims.ts
@@ -25,6 +25,7 @@
 import type { Opened, Ring, RingError, RingShape } from '../../transport/ring.js';
 import type { Ledger } from '../consensus/ledger.js';
 import type { Peers } from '../messaging/peers.js';
+import { otherMembers } from '../../state/consensus/fold-members.js';
 
 /** The claims of one controller; `ready` once it may vote on any. */
 export interface Claims {
@@ -299,8 +300,7 @@
     const found: Buffer[] = [];
     const forgotten: HourRange[] = [];
     let answered = 0;
-    for (const member of members) {
-      if (memberId(member) === this.me()) continue;
+    for (const member of otherMembers(members, this.ledger.self)) {
       const fetched = await this.readAll(member);
       if (!fetched) continue;
       answered += 1;
--- a/src/coordination/membership/core-health-watch.ts
+++ b/src/coordination/membership/core-health-watch.ts
@@ -20,6 +20,7 @@
 import type { CoreHealthLog } from './core-health-log.js';
 import type { Ledger } from '../consensus/ledger.js';
 import type { ReceivedMemberStatus } from './member-statuses.js';
+import { otherMembers } from '../../state/consensus/fold-members.js';
 
 /** The health of the controllers, as one of them sees it. */
 export type CoreHealthReport = {
@@ -197,8 +198,8 @@
     this.ledgerLog.record(report.ledger);
     if (!report.claims) return;
     this.claimsLog.record(report.claims);
-    for (const member of this.deps.ledger.controlState().members)
-      if (memberId(member) !== this.me()) void this.requestClaimsStatus(member);
+    for (const member of otherMembers(this.deps.ledger.controlState().members, this.deps.ledger.self))
+      void this.requestClaimsStatus(member);
   }
 
   stop(): void {
--- a/src/coordination/membership/member-statuses.ts
+++ b/src/coordination/membership/member-statuses.ts
@@ -9,6 +9,7 @@
 import type { Clock } from '../../transport/clock.js';
 import { StandstillDetector } from '../../transport/standstill-detector.js';
 import type { Peers } from '../messaging/peers.js';
+import { otherMembers } from '../../state/consensus/fold-members.js';
 
 /** The newest status of each member, and who has lost contact with whom. */
 export interface MemberStatuses {
@@ -63,10 +64,7 @@
   }
 
   private others(): Member[] {
-    const out: Member[] = [];
-    for (const member of this.deps.controlState().members)
-      if (memberId(member) !== memberId(this.deps.self)) out.push(member);
-    return out;
+    return otherMembers(this.deps.controlState().members, this.deps.self);
   }
 
   lastContactAt(id: string): number | null {
--- a/src/coordination/messaging/peers.ts
+++ b/src/coordination/messaging/peers.ts
@@ -5,6 +5,7 @@
 import { err, ok } from '../../base/result.js';
 import type { Result } from '../../base/result.js';
 import type { Message, MessageKind, MessageOf } from '../../protocol/messages.js';
+import { within } from '../../transport/clock.js';
 import type { Clock } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
 import type { Address, Connection, Listener, Wire, WireError } from '../../transport/wire.js';
@@ -86,21 +87,7 @@
 
   private linkWithin(to: Address, waitMs: number): Promise<PeerLink | null> {
     const open = this.live.get(to);
-    if (open) return Promise.resolve(open);
-    const made = this.linkTo(to);
-
-    const start = (resolve: (link: PeerLink | null) => void): void => {
-      function late(): void {
-        resolve(null);
-      }
-      const timer = this.clock.timer(waitMs, late);
-      function linked(link: PeerLink | null): void {
-        timer.cancel();
-        resolve(link);
-      }
-      void made.then(linked);
-    };
-    return new Promise(start);
+    return open ? Promise.resolve(open) : within(this.clock, waitMs, this.linkTo(to));
   }
 
   async call(to: Address, message: Message, waitMs: number): Promise<Result<Message, PeerError>> {
--- a/src/coordination/scaling/worker-list-role.ts
+++ b/src/coordination/scaling/worker-list-role.ts
@@ -7,6 +7,7 @@
 import { compareVersions, isEmptyChange } from '../../state/discovery/worker-list-table.js';
 import type { WorkerListVersion } from '../../state/discovery/worker-list-table.js';
 import type { WorkerEntry } from '../../state/discovery/worker-entry.js';
+import { within } from '../../transport/clock.js';
 import type { Clock, Timer } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
 import { newId } from '../../transport/rng.js';
@@ -16,7 +17,6 @@
 import type { WorkerListFeed, WorkerListFeedEvents, WorkerListReader } from '../discovery/worker-list-feed.js';
 import { createWorkerListUpdates, WORKER_LIST_PACE } from '../discovery/worker-list-updates.js';
 import type { WorkerListMessage, WorkerListPace, WorkerListUpdates } from '../discovery/worker-list-updates.js';
-import { readWithin } from '../discovery/read-within.js';
 import type { Peer, Peers } from '../messaging/peers.js';
 
 /** The reader, and the controllers that share the role. */
@@ -234,7 +234,7 @@
     const from = this.deps.clock.mono();
     const was = this.currentReading;
     const waiting = this.deps.clock.timer(this.pace.readMs * SLOW_SHARE, () => this.announceUnresponsive());
-    const response = await readWithin(this.deps.reader, this.deps.clock, this.pace.readMs);
+    const response = await within(this.deps.clock, this.pace.readMs, this.deps.reader.read());
     waiting.cancel();
     this.updates.detectStandstill();
     if (this.stopped) return;
--- a/src/transport/connection-pool.ts
+++ b/src/transport/connection-pool.ts
@@ -7,7 +7,7 @@
 import type { Clock, Timer } from './clock.js';
 import type { ConnectionPool, SendEvents, Sending, Sent } from './opaque-http.js';
 import { createPooledSend } from './pooled-send.js';
-import type { Endpoint, Idle } from './pooled-send.js';
+import type { Endpoint, Idle, SendingPool } from './pooled-send.js';
 import { splitAddress } from './wire.js';
 import type { Address } from './wire.js';
 
@@ -17,7 +17,7 @@
 const LEARNED_LEAST_MS = 400;
 const RELEARN = 1.02;
 
-class KeepAliveConnectionPool implements ConnectionPool {
+class KeepAliveConnectionPool implements ConnectionPool, SendingPool {
   private readonly endpoints = new Map<Address, Endpoint>();
   private dialled = 0;
   private learnedMs = KEEP_MS;
@@ -27,7 +27,7 @@
     this.sweeping = this.clock.timer(SWEEP_MS, () => this.sweep());
   }
 
-  private endpointOf(address: Address): Endpoint {
+  endpointOf(address: Address): Endpoint {
     const have = this.endpoints.get(address);
     if (have) return have;
     const made: Endpoint = { open: 0, idle: [], keepAliveMs: KEEP_MS };
@@ -35,7 +35,7 @@
     return made;
   }
 
-  private keepIdle(at: Endpoint, sock: Socket): void {
+  keepIdle(at: Endpoint, sock: Socket): void {
     function drop(): void {
       sock.off('data', drop);
       sock.off('end', drop);
@@ -52,13 +52,13 @@
     at.idle.push(idle);
   }
 
-  private forgotten(restedMs: number): void {
+  forgotten(restedMs: number): void {
     this.learnedMs = Math.max(LEARNED_LEAST_MS, Math.min(this.learnedMs, restedMs / 2));
     for (const at of this.endpoints.values())
       for (const idle of [...at.idle]) if (this.clock.mono() - idle.from > this.learnedMs) idle.drop();
   }
 
-  private takeIdle(at: Endpoint): Idle | null {
+  takeIdle(at: Endpoint): Idle | null {
     const now = this.clock.mono();
     for (;;) {
       const idle = at.idle.pop();
@@ -77,7 +77,7 @@
     }
   }
 
-  private dial(address: Address, at: Endpoint, waitMs: number, done: (sock: Socket | null) => void): Socket | null {
+  dial(address: Address, at: Endpoint, waitMs: number, done: (sock: Socket | null) => void): Socket | null {
     const hostPort = splitAddress(address);
     if (!hostPort) {
       done(null);
@@ -124,18 +124,7 @@
   }
 
   send(what: Sending, events: SendEvents): Sent {
-    return createPooledSend(
-      {
-        endpointOf: (address) => this.endpointOf(address),
-        takeIdle: (at) => this.takeIdle(at),
-        keepIdle: (at, sock) => this.keepIdle(at, sock),
-        dial: (address, at, waitMs, done) => this.dial(address, at, waitMs, done),
-        forgotten: (restedMs) => this.forgotten(restedMs),
-      },
-      this.clock,
-      what,
-      events,
-    );
+    return createPooledSend(this, this.clock, what, events);
   }
 
   private sweep(): void {
