--- a/src/coordination/configuration/operator-http-server.ts
+++ b/src/coordination/configuration/operator-http-server.ts
@@ -52,11 +52,7 @@
 };
 
 /** The operators' calls of one controller. */
-interface OperatorCalls {
-  routes(): Route[];
-}
-
-class LedgerOperatorCalls implements OperatorCalls {
+class LedgerOperatorCalls {
   constructor(private readonly deps: OperatorHttpServerDeps) {}
 
   private async agree(command: Command, cause: string, operation: string | undefined): Promise<HttpReply> {
--- a/src/coordination/forwarding/attempt.ts
+++ b/src/coordination/forwarding/attempt.ts
@@ -46,11 +46,7 @@
 const GATEWAY_TIMEOUT = 504;
 
 /** One attempt under way. */
-interface AttemptRun {
-  start(): void;
-}
-
-class PooledAttemptRun implements AttemptRun {
+class PooledAttemptRun {
   private readonly reader: ResponseReader;
   private readonly call: WatchedAttempt;
   private readonly leftMs: number;
--- a/src/coordination/idempotency/claim-client.ts
+++ b/src/coordination/idempotency/claim-client.ts
@@ -30,11 +30,7 @@
 const ENDS_PAUSE_MS = 30_000;
 
 /** One round of claims: the members' votes on all of them, each settled as soon as its majority is known. */
-interface ClaimRound {
-  start(): void;
-}
-
-class VotedClaimRound implements ClaimRound {
+class VotedClaimRound {
   private readonly answers: ClaimAnswer[][];
   private readonly open: Set<number>;
   private left: number;
--- a/src/coordination/proxy/proxy-http-server.ts
+++ b/src/coordination/proxy/proxy-http-server.ts
@@ -55,11 +55,7 @@
 };
 
 /** The callers' calls of one proxy. */
-interface CallerCalls {
-  routes(): Route[];
-}
-
-class TokenCallerCalls implements CallerCalls {
+class TokenCallerCalls {
   private readonly usedTokens = createUsedTokens();
 
   constructor(private readonly deps: ProxyHttpServerDeps) {}
--- a/src/state/scaling/observed-orders.ts
+++ b/src/state/scaling/observed-orders.ts
@@ -10,10 +10,10 @@
 import { ordersOf } from './scaler-decide.js';
 import { resolveModel } from '../configuration/settings-tree.js';
 import type { Configuration, Resolved } from '../configuration/settings-tree.js';
-import { stepTarget } from './target.js';
+import { decideTarget } from './target.js';
 import type { PendingChange, Rate } from './target.js';
 import type { WorkerEntry } from '../discovery/worker-entry.js';
-import { alignZones, handleLaunch, handlePreemption, initialZones, selectNextZone } from './zone-sets.js';
+import { alignZones, handleLaunch, handlePreemption, initialZones, selectNextZone, zonesMoved } from './zone-sets.js';
 import type { ZoneSets } from './zone-sets.js';
 
 /** A model that is scaled, its zones and settings. */
@@ -81,11 +81,7 @@
 }
 
 /** One pass over a model: what it decided stands in the steps. */
-interface ObservedDecision {
-  decide(): Step[];
-}
-
-class ObservedDecisionPass implements ObservedDecision {
+class ObservedDecisionPass {
   private readonly steps: Step[] = [];
   private readonly zones: string[] = [];
   private readonly before: ZoneSets | undefined;
@@ -122,17 +118,8 @@
       'onDemand',
       this.zones.length === 0 ? 0 : decideMixture(this.target, this.rule.values.nExtra, this.readySpot()).onDemand,
     );
-    if (!this.before || !sameMembers(this.before, this.sets)) {
-      this.steps.unshift({
-        cause: this.why,
-        act: {
-          tag: 'zonesMoved',
-          model: this.rule.model,
-          active: [...this.sets.active],
-          preemptive: [...this.sets.preemptive],
-        },
-      });
-    }
+    if (!this.before || !sameMembers(this.before, this.sets))
+      this.steps.unshift(zonesMoved(this.rule.model, this.sets, this.why));
     return this.steps;
   }
 
@@ -141,35 +128,17 @@
   }
 
   private decideTarget(): number {
-    const known = this.controlState.targets[this.rule.model];
-    if (known === undefined) {
-      this.steps.push({
-        cause: 'The model starts at its lowest target.',
-        act: { tag: 'targetChanged', model: this.rule.model, target: this.rule.values.minTarget },
-      });
-      return this.rule.values.minTarget;
-    }
-    const step = stepTarget(
-      known,
+    const { model, values } = this.rule;
+    const { target, decision } = decideTarget(
+      model,
+      values,
+      this.controlState.targets[model],
       this.observation.rate,
-      {
-        qTar: this.rule.values.qTar,
-        holdMs: this.rule.values.holdS * 1_000,
-        minTarget: this.rule.values.minTarget,
-        maxTarget: this.rule.values.maxTarget,
-      },
-      this.memory.pendingChange,
+      this.memory,
       this.observation.now,
     );
-    this.memory.pendingChange = step.pending;
-    if (step.target !== known) {
-      const shown = this.observation.rate === null ? 'unknown' : this.observation.rate.perSecond.toFixed(2);
-      this.steps.push({
-        cause: `Rate ${shown}/s over ${this.rule.values.windowS}s against ${this.rule.values.qTar}/s a worker.`,
-        act: { tag: 'targetChanged', model: this.rule.model, target: step.target },
-      });
-    }
-    return step.target;
+    if (decision) this.steps.push(decision);
+    return target;
   }
 
   private recordSince(): Order[] {
@@ -395,6 +364,7 @@
   return new ObservedDecisionPass(rule, controlState, observation, memory, nextOrderId).decide();
 }
 
+/** Whether the sets have the same zones, in any order. */
 function sameMembers(left: ZoneSets, right: ZoneSets): boolean {
   return (
     [...left.active].sort().join() === [...right.active].sort().join() &&
--- a/src/state/scaling/scaler-decide.ts
+++ b/src/state/scaling/scaler-decide.ts
@@ -10,7 +10,7 @@
 import { counts } from './order.js';
 import type { Order } from './order.js';
 import type { ResolvedModel } from '../configuration/settings-tree.js';
-import { stepTarget } from './target.js';
+import { decideTarget } from './target.js';
 import { memoryOf, recordLaunchFailed, recordLaunchSucceeded } from './scaler-memory.js';
 import type { ScalerMemory, ModelMemory } from './scaler-memory.js';
 import type { ObservedMachine, ObservedWorker, ScalerObservation } from './scaler-observation.js';
@@ -22,6 +22,7 @@
   initialZones,
   sameZones,
   selectNextZone,
+  zonesMoved,
 } from './zone-sets.js';
 import type { ZoneSets } from './zone-sets.js';
 
@@ -45,11 +46,7 @@
 }
 
 /** One pass over a model: what it decided stands in `out`. */
-interface ModelDecision {
-  decide(): Decision[];
-}
-
-class ModelDecisionPass implements ModelDecision {
+class ModelDecisionPass {
   private readonly out: Decision[] = [];
   private readonly mem: ModelMemory;
   private readonly zones: string[];
@@ -82,17 +79,8 @@
     this.standing = this.resolveOrders();
     this.decideSpot();
     this.decideOnDemand();
-    if (!this.before || !sameZones(this.before, this.sets)) {
-      this.out.unshift({
-        cause: this.why,
-        act: {
-          tag: 'zonesMoved',
-          model: this.resolved.model,
-          active: [...this.sets.active],
-          preemptive: [...this.sets.preemptive],
-        },
-      });
-    }
+    if (!this.before || !sameZones(this.before, this.sets))
+      this.out.unshift(zonesMoved(this.resolved.model, this.sets, this.why));
     return this.out;
   }
 
@@ -111,31 +99,17 @@
   }
 
   private decideTarget(): number {
-    const rule = {
-      qTar: this.resolved.values.qTar,
-      holdMs: this.resolved.values.holdS * 1_000,
-      minTarget: this.resolved.values.minTarget,
-      maxTarget: this.resolved.values.maxTarget,
-    };
-    const known = this.controlState.targets[this.resolved.model];
-    const rate = this.observation.rates[this.resolved.model] ?? null;
-    if (known === undefined) {
-      this.out.push({
-        cause: 'The model starts at its lowest target.',
-        act: { tag: 'targetChanged', model: this.resolved.model, target: this.resolved.values.minTarget },
-      });
-      return this.resolved.values.minTarget;
-    }
-    const step = stepTarget(known, rate, rule, this.mem.pendingChange, this.observation.now);
-    this.mem.pendingChange = step.pending;
-    if (step.target !== known) {
-      const shown = rate === null ? 'unknown' : rate.perSecond.toFixed(2);
-      this.out.push({
-        cause: `Rate ${shown}/s over ${this.resolved.values.windowS}s against ${this.resolved.values.qTar}/s a worker.`,
-        act: { tag: 'targetChanged', model: this.resolved.model, target: step.target },
-      });
-    }
-    return step.target;
+    const { model, values } = this.resolved;
+    const { target, decision } = decideTarget(
+      model,
+      values,
+      this.controlState.targets[model],
+      this.observation.rates[model] ?? null,
+      this.mem,
+      this.observation.now,
+    );
+    if (decision) this.out.push(decision);
+    return target;
   }
 
   private lose(order: Order, cause: string): void {
--- a/src/state/scaling/target.ts
+++ b/src/state/scaling/target.ts
@@ -2,6 +2,7 @@
  * How many workers are wanted, by the rate of requests: the rule of SkyServe (docs/skyserve.md).
  * A new target must hold for a while before it is taken, so that short swings order nothing.
  */
+import type { Resolved } from '../configuration/settings-tree.js';
 
 /** Requests per second that one worker takes, how long a change must hold, and the bounds. */
 export type TargetRule = {
@@ -49,3 +50,33 @@
   if (now - since >= rule.holdMs) return { target: candidate, pending: null };
   return { target: current, pending: { direction, since } };
 }
+
+/** The target of a model after one look, and the decision to agree if it changed. */
+export type TargetDecision = {
+  readonly target: number;
+  readonly decision: { readonly cause: string; readonly act: TargetChanged } | null;
+};
+type TargetChanged = { readonly tag: 'targetChanged'; readonly model: string; readonly target: number };
+
+/** Decides a model's target; `known` is the agreed one, `memory` keeps the change under way between looks. */
+export function decideTarget(
+  model: string,
+  values: Resolved,
+  known: number | undefined,
+  rate: Rate | null,
+  memory: { pendingChange: PendingChange | null },
+  now: number,
+): TargetDecision {
+  const { qTar, minTarget, maxTarget, holdS, windowS } = values;
+  if (known === undefined) {
+    const act: TargetChanged = { tag: 'targetChanged', model, target: minTarget };
+    return { target: minTarget, decision: { cause: 'The model starts at its lowest target.', act } };
+  }
+  const rule = { qTar, holdMs: holdS * 1_000, minTarget, maxTarget };
+  const step = stepTarget(known, rate, rule, memory.pendingChange, now);
+  memory.pendingChange = step.pending;
+  if (step.target === known) return { target: known, decision: null };
+  const shown = rate === null ? 'unknown' : rate.perSecond.toFixed(2);
+  const cause = `Rate ${shown}/s over ${windowS}s against ${qTar}/s a worker.`;
+  return { target: step.target, decision: { cause, act: { tag: 'targetChanged', model, target: step.target } } };
+}
--- a/src/state/scaling/zone-sets.ts
+++ b/src/state/scaling/zone-sets.ts
@@ -80,3 +80,19 @@
 export function sameZones(left: ZoneSets, right: ZoneSets): boolean {
   return left.active.join() === right.active.join() && left.preemptive.join() === right.preemptive.join();
 }
+
+type ZonesMoved = {
+  readonly tag: 'zonesMoved';
+  readonly model: string;
+  readonly active: string[];
+  readonly preemptive: string[];
+};
+
+/** The decision that agrees the sets of a model. */
+export function zonesMoved(
+  model: string,
+  { active, preemptive }: ZoneSets,
+  cause: string,
+): { readonly cause: string; readonly act: ZonesMoved } {
+  return { cause, act: { tag: 'zonesMoved', model, active: [...active], preemptive: [...preemptive] } };
+}
