--- a/src/coordination/forwarding/attempt.ts
+++ b/src/coordination/forwarding/attempt.ts
@@ -1,7 +1,7 @@
 /**
- * One attempt of a relayed request at one worker: sends it, watches the worker, and ends with a typed
- * outcome. Whoever calls decides what follows. The attempt ends its connection whenever the outcome is
- * known before the answer's end, so that nothing of a late answer can meet another request.
+ * One attempt to forward a request to one worker: sends the request, watches the worker, and ends with a typed outcome.
+ * The calling code decides what follows. If the outcome is known before the end of the response, the attempt closes its
+ * connection, so that no bytes of a late response can be taken for the response to another request.
  */
 import type { HeaderNames } from '../../protocol/header-names.js';
 import type { AttemptOutcome } from '../../state/forwarding/attempt-outcome.js';
@@ -14,48 +14,48 @@
 import type { ResponseReader } from './response-reader.js';
 import type { CallerResponses, BufferedResponse } from './caller-responses.js';
 import { hasBody, requestHeaders } from './forwarded-headers.js';
-import { isOver } from './relayed-request.js';
+import { isCancelled } from './relayed-request.js';
 import type { RelayedRequest } from './relayed-request.js';
 import type { UnresponsiveWorkerWatch, WatchedAttempt } from '../discovery/unresponsive-worker-watch.js';
 import type { ReservedWorker } from './worker-queue.js';
 
-/** How an attempt ended; `answer` is set for a held answer, be it a success or a failure. */
-export type AttemptEnd = { readonly outcome: AttemptOutcome; readonly answer: BufferedResponse | null };
+/** How an attempt ended; `response` is set if the response, successful or not, was buffered. */
+export type AttemptEnd = { readonly outcome: AttemptOutcome; readonly response: BufferedResponse | null };
 
-/** What an attempt needs; `onEnd` is called when the worker's slot is free again. */
+/** Dependencies of an attempt. */
 export type AttemptDeps = {
   readonly headerNames: HeaderNames;
   readonly registry: WorkerRegistry;
   readonly connectionPool: ConnectionPool;
   readonly watch: UnresponsiveWorkerWatch;
   readonly standstill: Standstill;
-  readonly answers: CallerResponses;
+  readonly callerResponses: CallerResponses;
   readonly clock: Clock;
   readonly log: Log;
-  /** True if an attempt whose worker can't be reached is to be given up for another one. */
-  readonly abandonsUnresponsive: (request: RelayedRequest) => boolean;
-  /** Told at the end of each attempt, when its place is free again. */
-  readonly onEnd: () => void;
+  /** Returns true if an attempt at an unreachable worker is abandoned in favour of another attempt. */
+  readonly mayAbandonUnresponsive: (request: RelayedRequest) => boolean;
+  /** Called at the end of each attempt, after its slot was released. */
+  readonly onSlotReleased: () => void;
 };
 
-/** Makes one attempt; resolves once its outcome is known, never rejects. */
+/** Makes one attempt. The promise resolves when the outcome is known, and never rejects. */
 export type Attempt = (request: RelayedRequest, reserved: ReservedWorker) => Promise<AttemptEnd>;
 
-/** A worker that turned a request away is passed over for so long. */
-const FULL_MS = 60;
-/** The worker's own status at the deadline: no sign of trouble. */
+/** How long a worker that rejected a request counts as full. */
+const FULL_BACKOFF_MS = 60;
+/** A worker sends this status when the deadline passes. It doesn't count as a worker failure. */
 const GATEWAY_TIMEOUT = 504;
 
-/** One attempt under way. */
+/** One attempt in progress. */
 class PooledAttemptRun {
   private readonly reader: ResponseReader;
-  private readonly call: WatchedAttempt;
-  private readonly leftMs: number;
-  private sent: Sent | null = null;
-  private written = false;
-  private freshConnection = false;
-  private over = false;
-  private readonly deadline: Timer;
+  private readonly watchedAttempt: WatchedAttempt;
+  private readonly remainingMs: number;
+  private pendingSend: Sent | null = null;
+  private isWritten = false;
+  private isNewConnection = false;
+  private isFinished = false;
+  private readonly deadlineTimer: Timer;
 
   constructor(
     private readonly deps: AttemptDeps,
@@ -63,73 +63,78 @@
     private readonly reserved: ReservedWorker,
     private readonly resolve: (end: AttemptEnd) => void,
   ) {
-    this.reader = createResponseReader(this.deps.headerNames, this.request, this.deps.answers);
-    this.call = { sentAt: this.deps.clock.mono(), lastEventAt: 0, onUnresponsive: () => this.onUnresponsive() };
-    this.leftMs = this.request.deadlineAt - this.deps.clock.mono();
+    this.reader = createResponseReader(this.deps.headerNames, this.request, this.deps.callerResponses);
+    this.watchedAttempt = {
+      sentAt: this.deps.clock.mono(),
+      lastEventAt: 0,
+      onUnresponsive: () => this.onUnresponsive(),
+    };
+    this.remainingMs = this.request.deadlineAt - this.deps.clock.mono();
 
-    this.deps.watch.begin(this.reserved.row, this.call);
-    this.deadline = this.deps.clock.timer(Math.max(1, this.leftMs), () => this.late());
+    this.deps.watch.begin(this.reserved.row, this.watchedAttempt);
+    this.deadlineTimer = this.deps.clock.timer(Math.max(1, this.remainingMs), () => this.onDeadline());
   }
 
   private finish(outcome: AttemptOutcome): void {
-    if (this.over) return;
-    this.over = true;
-    this.deadline.cancel();
-    this.deps.watch.end(this.reserved.row, this.call);
+    if (this.isFinished) return;
+    this.isFinished = true;
+    this.deadlineTimer.cancel();
+    this.deps.watch.end(this.reserved.row, this.watchedAttempt);
     this.reserved.reservation.end();
     this.recordOutcome(this.reserved.row, outcome, this.reader.status());
-    const answer = isBuffered(this.request, outcome) ? this.reader.buffered() : null;
-    this.resolve({ outcome, answer });
-    this.deps.onEnd();
+    const response = isBuffered(this.request, outcome) ? this.reader.takeBuffered() : null;
+    this.resolve({ outcome, response });
+    this.deps.onSlotReleased();
   }
 
   private abandon(outcome: AttemptOutcome): void {
-    if (this.over) return;
+    if (this.isFinished) return;
     this.finish(outcome);
-    this.sent?.abort();
+    this.pendingSend?.abort();
   }
 
-  private late(): void {
-    if (this.over) return;
-    if (this.written) this.deps.log.warn('deadline passed at a worker', this.lateFields());
-    this.abandon(this.written ? { tag: 'deadline' } : { tag: 'withheld' });
+  private onDeadline(): void {
+    if (this.isFinished) return;
+    if (this.isWritten) this.deps.log.warn('deadline passed at a worker', this.deadlineFields());
+    this.abandon(this.isWritten ? { tag: 'deadline' } : { tag: 'withheld' });
   }
 
-  private lateFields(): LogFields {
-    const lastByteAt = Math.max(this.call.lastEventAt, this.call.sentAt);
+  private deadlineFields(): LogFields {
+    const lastByteAt = Math.max(this.watchedAttempt.lastEventAt, this.watchedAttempt.sentAt);
     return {
       workerId: this.reserved.row.entry.id,
       route: this.request.route.name,
       requestId: this.request.id,
-      waitedMs: Math.round(this.leftMs),
+      waitedMs: Math.round(this.remainingMs),
       status: this.reader.status(),
       lastEvent: this.request.lastEvent,
       quietMs: Math.round(this.deps.clock.mono() - lastByteAt),
     };
   }
 
-  private callerGone(): void {
+  private onCallerGone(): void {
     this.abandon({ tag: 'callerGone' });
   }
 
   private onUnresponsive(): void {
-    if (!this.over && this.written && this.deps.abandonsUnresponsive(this.request)) this.abandon({ tag: 'silent' });
+    if (!this.isFinished && this.isWritten && this.deps.mayAbandonUnresponsive(this.request))
+      this.abandon({ tag: 'silent' });
   }
 
-  /** Called when the connection is up. Null holds the request back; else it counts as sent from here. */
-  private headers(): RawHeaders | null {
+  /** Called when the connection is up. Null withholds the request; with headers it counts as sent from now on. */
+  private prepareHeaders(): RawHeaders | null {
     const now = this.deps.clock.mono();
     if (
-      this.over ||
+      this.isFinished ||
       now >= this.request.deadlineAt ||
       this.deps.standstill.observe(now) !== null ||
-      isOver(this.request)
+      isCancelled(this.request)
     )
       return null;
-    this.written = true;
+    this.isWritten = true;
     this.request.attempts += 1;
     this.request.writtenTo.add(this.reserved.row.entry.id);
-    this.request.reserved = false;
+    this.request.hasReservedAttempt = false;
     return requestHeaders(
       this.deps.headerNames,
       this.request,
@@ -138,37 +143,37 @@
     );
   }
 
-  private connected(ms: number): void {
-    this.freshConnection = true;
+  private onConnected(ms: number): void {
+    this.isNewConnection = true;
     this.deps.registry.recordConnectTime(this.reserved.row, ms);
   }
 
-  private head(status: number, raw: RawHeaders, get: (name: string) => string | null): void {
-    if (this.over) return;
+  private onHead(status: number, raw: RawHeaders, get: (name: string) => string | null): void {
+    if (this.isFinished) return;
     const coldMs = Number(get(this.deps.headerNames.coldMs) ?? 0);
     if (coldMs > 0) this.deps.registry.markCold(this.reserved.row, this.deps.clock.mono(), coldMs);
-    const outcome = this.reader.head(status, raw, get, this.freshConnection);
+    const outcome = this.reader.onHead(status, raw, get, this.isNewConnection);
     if (outcome) this.abandon(outcome);
   }
 
-  private data(chunk: Buffer): void {
-    if (this.over) return;
-    this.call.lastEventAt = this.deps.clock.mono();
-    const outcome = this.reader.data(chunk);
-    if (this.request.answerBegun) this.reserved.reservation.read();
+  private onData(chunk: Buffer): void {
+    if (this.isFinished) return;
+    this.watchedAttempt.lastEventAt = this.deps.clock.mono();
+    const outcome = this.reader.onData(chunk);
+    if (this.request.isResponseStarted) this.reserved.reservation.read();
     if (outcome) this.abandon(outcome);
   }
 
-  private end(): void {
-    if (!this.over) this.finish(this.reader.end());
+  private onEnd(): void {
+    if (!this.isFinished) this.finish(this.reader.onEnd());
   }
 
-  private failed(error: SendError): void {
-    if (!this.over)
-      this.finish(error.tag === 'reset' || error.tag === 'garbled' ? this.reader.broken(error.tag) : error);
+  private onFailed(error: SendError): void {
+    if (!this.isFinished)
+      this.finish(error.tag === 'reset' || error.tag === 'garbled' ? this.reader.onBroken(error.tag) : error);
   }
 
-  /** Tells the registry what the outcome says of the worker. */
+  /** Updates the state of the worker in the registry according to the outcome. */
   private recordOutcome(row: RegistryRow, outcome: AttemptOutcome, status: number): void {
     const now = this.deps.clock.mono();
     switch (outcome.tag) {
@@ -179,7 +184,7 @@
         this.deps.registry.markRelocated(row);
         return;
       case 'notExecuted':
-        this.deps.registry.markFull(row, now, FULL_MS);
+        this.deps.registry.markFull(row, now, FULL_BACKOFF_MS);
         return;
       case 'answered':
         this.deps.registry.recordServed(row, now);
@@ -202,29 +207,29 @@
   }
 
   start(): void {
-    this.request.incoming.answerer.onGone(() => this.callerGone());
+    this.request.incoming.answerer.onGone(() => this.onCallerGone());
     const sending: Sending = {
       address: this.reserved.row.entry.address,
       method: this.request.incoming.method,
       target: this.request.incoming.target,
-      headers: () => this.headers(),
+      headers: () => this.prepareHeaders(),
       body: this.request.body.length > 0 || hasBody(this.request.incoming) ? this.request.body : null,
       newConnection: this.request.writtenTo.has(this.reserved.row.entry.id),
-      connectMs: Math.min(this.leftMs, this.deps.registry.connectMs(this.reserved.row)),
+      connectMs: Math.min(this.remainingMs, this.deps.registry.connectMs(this.reserved.row)),
     };
     const events: SendEvents = {
-      connected: (ms) => this.connected(ms),
-      head: (status, raw, get) => this.head(status, raw, get),
-      data: (chunk) => this.data(chunk),
-      end: () => this.end(),
-      failed: (error) => this.failed(error),
+      connected: (ms) => this.onConnected(ms),
+      head: (status, raw, get) => this.onHead(status, raw, get),
+      data: (chunk) => this.onData(chunk),
+      end: () => this.onEnd(),
+      failed: (error) => this.onFailed(error),
     };
-    this.sent = this.deps.connectionPool.send(sending, events);
-    if (this.over) this.sent.abort();
+    this.pendingSend = this.deps.connectionPool.send(sending, events);
+    if (this.isFinished) this.pendingSend.abort();
   }
 }
 
-/** Attempts as `deps` make them; each resolves once, when its outcome is known. */
+/** Creates a function that makes attempts. Each resolves once, when its outcome is known. */
 export function createAttempt(deps: AttemptDeps): Attempt {
   function attempt(request: RelayedRequest, reserved: ReservedWorker): Promise<AttemptEnd> {
     return new Promise((resolve) => new PooledAttemptRun(deps, request, reserved, resolve).start());
--- a/src/coordination/forwarding/caller-responses.ts
+++ b/src/coordination/forwarding/caller-responses.ts
@@ -1,73 +1,73 @@
-/** What the relay tells callers: its own refusals and failures, and workers' answers passed on. */
+/** Writes responses to callers: errors of the relay itself, and responses of workers that it forwards. */
 import type { HeaderNames } from '../../protocol/header-names.js';
 import type { OpaqueRequest, RawHeaders } from '../../transport/opaque-http.js';
-import { answerHeaders, withoutHeader } from './forwarded-headers.js';
+import { responseHeaders, withoutHeader } from './forwarded-headers.js';
 import type { RelayedRequest } from './relayed-request.js';
 
-/** A worker's answer, held until its end was seen. */
+/** A worker's response that was buffered until its end. */
 export type BufferedResponse = { readonly status: number; readonly headers: RawHeaders; readonly body: Buffer };
 
-/** Responses to callers: the relay's own, and those of workers passed on. */
+/** Sends the relay's own errors, and forwards responses of workers. */
 export interface CallerResponses {
-  /** Answers with a failure of the relay's own; a 503 tells when to come back. */
-  refuse(incoming: OpaqueRequest, status: number, tag: string, retryAfterS: number | null): void;
-  /** Passes a worker's whole answer on. */
-  passOn(request: RelayedRequest, answer: BufferedResponse): void;
-  /** Passes the head of a stream on, if none has been. */
-  begin(request: RelayedRequest, status: number, headers: RawHeaders): void;
+  /** Sends an error of the relay itself. `retryAfterS` is set for a 503. */
+  sendError(incoming: OpaqueRequest, status: number, tag: string, retryAfterS: number | null): void;
+  /** Forwards a worker's complete response. */
+  forward(request: RelayedRequest, response: BufferedResponse): void;
+  /** Forwards the head of a stream unless one was forwarded before. */
+  startStream(request: RelayedRequest, status: number, headers: RawHeaders): void;
 }
 
-/** Statuses by which a proxy promises that a request has not run and never will. */
-const PROMISES: ReadonlySet<number> = new Set([503, 429, 408, 421]);
+/** Statuses with which a proxy promises that a request has not run and never will. */
+const NOT_EXECUTED_STATUSES: ReadonlySet<number> = new Set([503, 429, 408, 421]);
 const CONTENT_TOO_LARGE = 413;
 const BAD_GATEWAY = 502;
 
 class HttpCallerResponses implements CallerResponses {
   constructor(
     private readonly headerNames: HeaderNames,
-    private readonly closing: () => boolean,
+    private readonly isClosing: () => boolean,
   ) {}
 
-  refuse(incoming: OpaqueRequest, status: number, tag: string, retryAfterS: number | null): void {
+  sendError(incoming: OpaqueRequest, status: number, tag: string, retryAfterS: number | null): void {
     const body = Buffer.from(JSON.stringify({ error: { tag } }));
     const head = ['Content-Type', 'application/json', 'Content-Length', String(body.length)];
     if (retryAfterS !== null) head.push('Retry-After', retryAfterS.toFixed(2));
-    if (this.closing() || status === CONTENT_TOO_LARGE) head.push('Connection', 'close');
+    if (this.isClosing() || status === CONTENT_TOO_LARGE) head.push('Connection', 'close');
     incoming.answerer.head(status, head);
     incoming.answerer.write(body);
     incoming.answerer.end();
   }
 
-  private lastOnConnection(): string[] {
-    return this.closing() ? ['Connection', 'close'] : [];
+  private closeHeaders(): string[] {
+    return this.isClosing() ? ['Connection', 'close'] : [];
   }
 
   /**
-   * A worker's own status that would be a promise is passed on as 502, and then without the seal, which
-   * stands for the worker's answer as it was.
+   * A worker's status that callers would read as this promise is replaced by 502. The digest is then dropped, because
+   * it stands for the worker's original response.
    */
-  passOn(request: RelayedRequest, answer: BufferedResponse): void {
+  forward(request: RelayedRequest, response: BufferedResponse): void {
     const { answerer } = request.incoming;
-    const promises = PROMISES.has(answer.status);
-    const headers = answerHeaders(answer.headers);
-    answerer.head(promises ? BAD_GATEWAY : answer.status, [
-      ...(promises ? withoutHeader(headers, this.headerNames.seal) : headers),
+    const promisesNotExecuted = NOT_EXECUTED_STATUSES.has(response.status);
+    const headers = responseHeaders(response.headers);
+    answerer.head(promisesNotExecuted ? BAD_GATEWAY : response.status, [
+      ...(promisesNotExecuted ? withoutHeader(headers, this.headerNames.seal) : headers),
       'Content-Length',
-      String(answer.body.length),
-      ...this.lastOnConnection(),
+      String(response.body.length),
+      ...this.closeHeaders(),
     ]);
-    answerer.write(answer.body);
+    answerer.write(response.body);
     answerer.end();
   }
 
-  begin(request: RelayedRequest, status: number, headers: RawHeaders): void {
-    if (request.answerBegun) return;
-    request.answerBegun = true;
-    request.incoming.answerer.head(status, [...answerHeaders(headers), ...this.lastOnConnection()]);
+  startStream(request: RelayedRequest, status: number, headers: RawHeaders): void {
+    if (request.isResponseStarted) return;
+    request.isResponseStarted = true;
+    request.incoming.answerer.head(status, [...responseHeaders(headers), ...this.closeHeaders()]);
   }
 }
 
-/** Responses in the platform's header names; while `closing`, each is the last on its connection. */
-export function createCallerResponses(headerNames: HeaderNames, closing: () => boolean): CallerResponses {
-  return new HttpCallerResponses(headerNames, closing);
+/** Creates responses with the platform's header names. While `isClosing`, each is the last on its connection. */
+export function createCallerResponses(headerNames: HeaderNames, isClosing: () => boolean): CallerResponses {
+  return new HttpCallerResponses(headerNames, isClosing);
 }
--- a/src/coordination/forwarding/dispatcher.ts
+++ b/src/coordination/forwarding/dispatcher.ts
@@ -1,7 +1,7 @@
 /**
- * The ticketed HTTP server's way of a request: wait for a worker, claim the key of one that may run once,
- * send it there, and go on elsewhere where `decide` allows it (docs/repeats.md). A run-once request is
- * dispatched only under a claim, and its claim is released only where nothing may have run.
+ * Dispatches requests of the HTTP server that requires admission tokens: waits for a worker slot, claims the key of a
+ * run-once request, sends the request, and retries at another worker if `decide` allows it (docs/repeats.md).
+ * A run-once request is sent only under a claim, and its claim is released only if no attempt may have run.
  */
 import type { Failure, Submit } from '../../protocol/caller-wire.js';
 import type { Run, CompleteResponse } from '../../protocol/worker-wire.js';
@@ -30,13 +30,13 @@
 
 export type { AnswerLine } from './worker-call.js';
 
-/** What the HTTP server answers. */
+/** The response that the HTTP server sends to the caller. */
 export type Submission =
   | { readonly tag: 'whole'; readonly answer: CompleteResponse }
   | { readonly tag: 'stream'; readonly lines: AsyncIterable<AnswerLine> }
   | { readonly tag: 'failed'; readonly failure: Failure; readonly retryAfterS: number };
 
-/** Counts since the process began, and what is queued and in flight now. */
+/** Counts since the process started, and the number of requests that are queued and in flight now. */
 export type Tally = {
   readonly requests: Readonly<Record<string, number>>;
   readonly shed: number;
@@ -47,19 +47,20 @@
   readonly inFlight: number;
 };
 
-/** Serves requests whose admission token was checked. */
+/** Serves requests whose admission token was verified. */
 export interface Dispatcher {
-  /** Serves a request whose ticket was checked; `key` is set for one that may run once. */
-  submit(token: AdmissionToken, body: Submit, key: RunKey | null, gone: () => boolean): Promise<Submission>;
+  /** Serves a request whose admission token was verified; `key` is set for a run-once request. */
+  submit(token: AdmissionToken, body: Submit, key: RunKey | null, isCallerGone: () => boolean): Promise<Submission>;
   countRequest(model: string): void;
   countRejected(): void;
   wake(): void;
   tally(): Tally;
+  /** Rejects all queued and all further requests; requests in flight continue. */
   stopTaking(): void;
   stop(): void;
 }
 
-/** What a dispatcher works with; while `ready` is false nothing is sent. */
+/** Dependencies of a dispatcher; while `ready` returns false no request is sent. */
 export type DispatcherDeps = {
   readonly ready: () => boolean;
   readonly placement: PlacementService;
@@ -71,7 +72,7 @@
   readonly log: Log;
 };
 
-/** One submission from its arrival to its end. */
+/** One submission from its arrival to its end. Times are in milliseconds of the monotonic clock. */
 type Job = {
   readonly token: AdmissionToken;
   readonly body: Submit;
@@ -80,31 +81,31 @@
   readonly parts: readonly string[];
   readonly deadlineAt: number;
   readonly waitUntil: number;
-  readonly gone: () => boolean;
+  readonly isCallerGone: () => boolean;
   readonly avoid: Set<number>;
   attempts: number;
   claimed: boolean;
-  /** What to tell the caller where an attempt may have run. */
-  ranAndBroke: Failure | null;
+  /** The failure to report to the caller if an earlier attempt may have run; null if none may have. */
+  mayHaveRunFailure: Failure | null;
 };
 
-type AcquiredSlot = Extract<WorkerSlot, { tag: 'seat' }>;
+type AcquiredSlot = Extract<WorkerSlot, { tag: 'acquired' }>;
 
-const KEYS_FULL_S = 3_600;
+const KEYS_FULL_RETRY_AFTER_S = 3_600;
 const RETRY_AFTER_S = 1;
-const LOOK_MS = 100;
+const CHECK_INTERVAL_MS = 100;
 
 class TokenDispatcher implements Dispatcher {
-  private readonly budget = createRetryBudget();
+  private readonly retryBudget = createRetryBudget();
   private readonly pending: PendingCalls;
   private readonly queue: WorkerSlotQueue;
   private readonly callWorker: (call: WorkerCall) => Promise<WorkerCallEnd>;
-  private readonly requests: Record<string, number> = {};
+  private readonly requestCounts: Record<string, number> = {};
   private rejectedCount = 0;
-  private attempted = 0;
-  private retried = 0;
-  private cut = 0;
-  private readonly ticking: Timer;
+  private attemptCount = 0;
+  private retryCount = 0;
+  private truncatedCount = 0;
+  private readonly checkTimer: Timer;
 
   constructor(private readonly deps: DispatcherDeps) {
     this.pending = createPendingCalls(this.deps.table, this.deps.clock);
@@ -120,29 +121,34 @@
       httpClient: this.deps.httpClient,
       clock: this.deps.clock,
       log: this.deps.log,
-      leave: (row) => this.queue.release(row),
-      onCut: () => this.onTruncated(),
+      releaseSlot: (row) => this.queue.release(row),
+      onTruncated: () => this.onTruncated(),
     });
-    this.ticking = every(this.deps.clock, LOOK_MS, () => this.checkPending());
+    this.checkTimer = every(this.deps.clock, CHECK_INTERVAL_MS, () => this.checkPending());
   }
 
   private checkPending(): void {
-    this.pending.endLost();
+    this.pending.abortLost();
     this.queue.wake();
   }
 
   private onTruncated(): void {
-    this.cut += 1;
+    this.truncatedCount += 1;
   }
 
-  private failed(failure: Failure, retryAfterS = RETRY_AFTER_S): Submission {
+  private failedSubmission(failure: Failure, retryAfterS = RETRY_AFTER_S): Submission {
     if (failure.tag === 'shed') this.rejectedCount += 1;
     return { tag: 'failed', failure, retryAfterS };
   }
 
-  async submit(token: AdmissionToken, body: Submit, key: RunKey | null, gone: () => boolean): Promise<Submission> {
+  async submit(
+    token: AdmissionToken,
+    body: Submit,
+    key: RunKey | null,
+    isCallerGone: () => boolean,
+  ): Promise<Submission> {
     const resolved = this.deps.placement.resolved(token.model);
-    if (!resolved) return this.failed({ tag: 'unknownModel' });
+    if (!resolved) return this.failedSubmission({ tag: 'unknownModel' });
     const { values } = resolved;
     const now = this.deps.clock.mono();
     const deadlineAt = now + values.requestDeadlineMs;
@@ -157,71 +163,72 @@
       parts,
       deadlineAt,
       waitUntil,
-      gone,
+      isCallerGone,
       avoid: new Set(),
       attempts: 0,
       claimed: false,
-      ranAndBroke: null,
+      mayHaveRunFailure: null,
     });
   }
 
-  /** One worker after the other, until nothing more may follow. */
+  /** Sends the request to one worker after another until one serves it or no further attempt is allowed. */
   private async run(job: Job): Promise<Submission> {
     for (;;) {
       const slot = await this.queue.acquire(job);
-      if (slot.tag === 'none') return this.notRun(job, rejection(slot.reason), Math.ceil(slot.comeBackMs / 1_000));
+      if (slot.tag === 'none')
+        return this.endWithoutResponse(job, rejection(slot.reason), Math.ceil(slot.retryAfterMs / 1_000));
       if (job.key !== null && !job.claimed) {
-        const refusal = await this.claim(job, job.key, slot);
-        if (refusal) return refusal;
-        if (!this.stillGood(slot.row)) {
+        const rejected = await this.claim(job, job.key, slot);
+        if (rejected) return rejected;
+        if (!this.isStillUsable(slot.row)) {
           this.queue.release(slot.row);
           continue;
         }
       }
-      if (job.gone() || this.deps.clock.mono() >= job.deadlineAt) {
+      if (job.isCallerGone() || this.deps.clock.mono() >= job.deadlineAt) {
         this.queue.release(slot.row);
-        return this.notRun(job, rejection('lineWaitOver'), RETRY_AFTER_S);
+        return this.endWithoutResponse(job, rejection('lineWaitOver'), RETRY_AFTER_S);
       }
       const end = await this.send(job, slot);
-      if (end.tag !== 'failed') return this.served(job, slot, end);
+      if (end.tag !== 'failed') return this.onServed(job, slot, end);
       job.avoid.add(slot.candidate.index);
-      if (!this.mayGoOn(job, end)) return this.ended(job, end);
+      if (!this.mayRetry(job, end)) return this.endAfterFailedAttempt(job, end);
     }
   }
 
-  /** Claims the key of a run-once request, once; a submission is what the caller gets if that failed. */
+  /** Claims the key of a run-once request. Returns null on success, else the failed submission. */
   private async claim(job: Job, key: RunKey, slot: AcquiredSlot): Promise<Submission | null> {
     const outcome = await this.deps.claims.claim(key, job.token.id);
     if (outcome.tag !== 'claimed') {
       this.queue.release(slot.row);
-      return this.claimRefused(outcome);
+      return this.rejectedClaim(outcome);
     }
     job.claimed = true;
     return null;
   }
 
-  private claimRefused(outcome: Exclude<ClaimOutcome, { tag: 'claimed' }>): Submission {
+  private rejectedClaim(outcome: Exclude<ClaimOutcome, { tag: 'claimed' }>): Submission {
     switch (outcome.tag) {
       case 'noMajority':
-        return this.failed(rejection('noMajority'));
+        return this.failedSubmission(rejection('noMajority'));
       case 'full':
-        return this.failed(rejection('keysFull'), KEYS_FULL_S);
+        return this.failedSubmission(rejection('keysFull'), KEYS_FULL_RETRY_AFTER_S);
       case 'tooOld':
-        return this.failed({ tag: 'keyTooOld' });
+        return this.failedSubmission({ tag: 'keyTooOld' });
       case 'taken':
-        return this.failed({ tag: outcome.answered ? 'alreadyAnswered' : 'outcomeUnknown' });
+        return this.failedSubmission({ tag: outcome.answered ? 'alreadyAnswered' : 'outcomeUnknown' });
     }
   }
 
-  private stillGood(row: WorkerRow): boolean {
+  private isStillUsable(row: WorkerRow): boolean {
     return this.deps.ready() && this.deps.table.isCurrent(row) && row.present && !row.leaving && row.missedProbes === 0;
   }
 
   private send(job: Job, { candidate, row }: AcquiredSlot): Promise<WorkerCallEnd> {
-    if (job.attempts > 0) this.retried += 1;
-    else this.budget.recordAttempt(job.values.retryShare);
+    if (job.attempts > 0) this.retryCount += 1;
+    else this.retryBudget.recordAttempt(job.values.retryShare);
     job.attempts += 1;
-    this.attempted += 1;
+    this.attemptCount += 1;
     const run: Run = {
       requestId: job.token.requestId,
       attemptId: newId(this.deps.rng, 'd'),
@@ -231,7 +238,7 @@
       stream: job.body.stream,
     };
 
-    const sealed = (): void => {
+    const onDigestVerified = (): void => {
       this.recordAnswered(job);
     };
     return this.callWorker({
@@ -240,42 +247,45 @@
       run,
       deadlineAt: job.deadlineAt,
       pieceWaitMs: job.values.pieceWaitMs,
-      gone: job.gone,
-      sealed,
+      isCallerGone: job.isCallerGone,
+      onDigestVerified,
     });
   }
 
-  private served(job: Job, { candidate }: AcquiredSlot, end: Exclude<WorkerCallEnd, { tag: 'failed' }>): Submission {
+  private onServed(job: Job, { candidate }: AcquiredSlot, end: Exclude<WorkerCallEnd, { tag: 'failed' }>): Submission {
     this.deps.table.recordServed(candidate.index);
     this.deps.table.prefixes.learn(this.deps.table.modelIx(job.token.model), job.parts, candidate.index);
     if (end.tag === 'whole') this.recordAnswered(job);
     return end;
   }
 
-  private mayGoOn(job: Job, end: Extract<WorkerCallEnd, { tag: 'failed' }>): boolean {
-    const earlier = job.ranAndBroke !== null;
-    if (mayHaveRun(end.outcome)) job.ranAndBroke = job.key === null ? end.failure : { tag: 'outcomeUnknown' };
+  private mayRetry(job: Job, end: Extract<WorkerCallEnd, { tag: 'failed' }>): boolean {
+    const mayHaveRunBefore = job.mayHaveRunFailure !== null;
+    if (mayHaveRun(end.outcome)) job.mayHaveRunFailure = job.key === null ? end.failure : { tag: 'outcomeUnknown' };
     const decision = decide(end.outcome, {
       repeatability: job.key === null ? 'repeatable' : 'once',
       answerBegun: false,
       canResume: false,
-      mayHaveRun: earlier,
+      mayHaveRun: mayHaveRunBefore,
       leftMs: job.deadlineAt - this.deps.clock.mono(),
-      acquireAttempt: () => this.budget.spend(),
+      acquireAttempt: () => this.retryBudget.spend(),
     });
     return decision.tag === 'repeat';
   }
 
-  private ended(job: Job, end: Extract<WorkerCallEnd, { tag: 'failed' }>): Submission {
+  private endAfterFailedAttempt(job: Job, end: Extract<WorkerCallEnd, { tag: 'failed' }>): Submission {
     const retryAfterS = end.outcome.tag === 'notExecuted' ? end.outcome.retryAfterS : RETRY_AFTER_S;
-    return this.notRun(job, rejection('workersShed'), retryAfterS);
+    return this.endWithoutResponse(job, rejection('workersShed'), retryAfterS);
   }
 
-  /** The last word: that it was not run, and the claim released, unless an attempt may have run. */
-  private notRun(job: Job, failure: Failure, retryAfterS: number): Submission {
-    if (job.ranAndBroke) return this.failed(job.ranAndBroke);
+  /**
+   * Ends a request that was not served. If no attempt may have run, releases its claim and returns `failure`, which
+   * promises that the request did not run.
+   */
+  private endWithoutResponse(job: Job, failure: Failure, retryAfterS: number): Submission {
+    if (job.mayHaveRunFailure) return this.failedSubmission(job.mayHaveRunFailure);
     if (job.claimed && job.key !== null) this.deps.claims.end(job.key, job.token.id, 'released');
-    return this.failed(failure, retryAfterS);
+    return this.failedSubmission(failure, retryAfterS);
   }
 
   private recordAnswered(job: Job): void {
@@ -283,7 +293,7 @@
   }
 
   countRequest(model: string): void {
-    this.requests[model] = (this.requests[model] ?? 0) + 1;
+    this.requestCounts[model] = (this.requestCounts[model] ?? 0) + 1;
   }
 
   countRejected(): void {
@@ -292,13 +302,13 @@
 
   tally(): Tally {
     return {
-      requests: { ...this.requests },
+      requests: { ...this.requestCounts },
       shed: this.rejectedCount,
-      attempted: this.attempted,
-      retried: this.retried,
-      cut: this.cut,
+      attempted: this.attemptCount,
+      retried: this.retryCount,
+      cut: this.truncatedCount,
       waiting: this.queue.waiting(),
-      inFlight: this.pending.open(),
+      inFlight: this.pending.size(),
     };
   }
 
@@ -311,11 +321,11 @@
   }
 
   stop(): void {
-    this.ticking.cancel();
+    this.checkTimer.cancel();
   }
 }
 
-/** A dispatcher without any request. */
+/** Creates a dispatcher without any requests. */
 export function createDispatcher(deps: DispatcherDeps): Dispatcher {
   return new TokenDispatcher(deps);
 }
--- a/src/coordination/forwarding/final-responses.ts
+++ b/src/coordination/forwarding/final-responses.ts
@@ -1,4 +1,4 @@
-/** The relay's last word on a request: what a decision, or the lack of a worker, means for its caller. */
+/** Sends the final response to a request, by the decision after its last attempt or because no worker was found. */
 import type { AttemptOutcome, Decision } from '../../state/forwarding/attempt-outcome.js';
 import type { EdgeTuning } from '../../state/forwarding/edge-tuning.js';
 import type { OpaqueRequest } from '../../transport/opaque-http.js';
@@ -7,116 +7,124 @@
 import type { CallerResponses } from './caller-responses.js';
 import type { RelayedRequest } from './relayed-request.js';
 
-/** The last answer to a caller, by what was decided. */
+/** Ends requests with their final response. */
 export interface FinalResponses {
-  /** Carries out what was decided after the last attempt. */
-  decided(request: RelayedRequest, end: AttemptEnd, decision: Decision): void;
-  /** No worker was found in time; `noneInReach` if there is none at all, busy or not. */
-  unplaced(request: RelayedRequest, noneInReach: boolean, leftMs: number): void;
-  /** The routes aren't known yet. */
-  notReady(incoming: OpaqueRequest): void;
-  /** This process ends before the request would. */
-  leaving(incoming: OpaqueRequest): void;
-  /** This process ends before the answer that it waits for. */
-  givenUp(request: RelayedRequest): void;
-  /** A fault of this process; what was begun of an answer is broken off. */
-  failed(incoming: OpaqueRequest): void;
+  /** Carries out the decision after the last attempt. */
+  carryOut(request: RelayedRequest, end: AttemptEnd, decision: Decision): void;
+  /** Called if no worker was found in time; `noneInReach` is true if there is no worker, busy or idle. */
+  rejectWithoutWorker(request: RelayedRequest, noneInReach: boolean, remainingMs: number): void;
+  /** Rejects a request because the routes aren't known yet. */
+  rejectNotReady(incoming: OpaqueRequest): void;
+  /** Rejects a request that would not end before this process does. */
+  rejectStopping(incoming: OpaqueRequest): void;
+  /** Ends an open request because this process ends. */
+  abort(request: RelayedRequest): void;
+  /** Ends a request after an internal error. A response that was started is aborted. */
+  failInternally(incoming: OpaqueRequest): void;
 }
 
-/** `onRefused` and `onTruncated` count refusals and answers that broke off. */
+/** Dependencies; `onRejected` and `onTruncated` count rejected requests and truncated responses. */
 export type FinalResponsesDeps = {
-  readonly answers: CallerResponses;
+  readonly callerResponses: CallerResponses;
   readonly tuning: EdgeTuning;
   readonly rng: Rng;
-  readonly onRefused: () => void;
+  readonly onRejected: () => void;
   readonly onTruncated: () => void;
 };
 
-/** Shares of `tuning.backMs` after which a refused caller is asked to come back. */
-const BACK_SHARE = { notReady: 0.5, refused: 0.75, full: 1 } as const;
-/** A caller that is sent on to another proxy needn't wait. */
-const ELSEWHERE_S = 0.05;
+/** Fractions of `tuning.backMs` after which a rejected caller is asked to retry. */
+const RETRY_AFTER_FRACTION = { notReady: 0.5, rejected: 0.75, full: 1 } as const;
+/** A caller that will retry at another proxy needn't wait. */
+const OTHER_PROXY_RETRY_AFTER_S = 0.05;
 
 class RelayFinalResponses implements FinalResponses {
   constructor(private readonly deps: FinalResponsesDeps) {}
 
-  decided(request: RelayedRequest, end: AttemptEnd, decision: Decision): void {
+  carryOut(request: RelayedRequest, end: AttemptEnd, decision: Decision): void {
     switch (decision.tag) {
       case 'done':
       case 'repeat':
         return;
       case 'passOn':
-        if (end.answer) this.deps.answers.passOn(request, end.answer);
+        if (end.response) this.deps.callerResponses.forward(request, end.response);
         else request.incoming.answerer.end();
         return;
       case 'refuse':
-        this.refuse(
+        this.reject(
           request.incoming,
-          refusalTag(end.outcome),
-          Math.max(decision.retryAfterS ?? 0, this.backInS(BACK_SHARE.refused)),
+          rejectionTag(end.outcome),
+          Math.max(decision.retryAfterS ?? 0, this.randomRetryAfterS(RETRY_AFTER_FRACTION.rejected)),
         );
         return;
       case 'fail':
-        this.deps.answers.refuse(request.incoming, decision.status, decision.status === 504 ? 'late' : 'unknown', null);
+        this.deps.callerResponses.sendError(
+          request.incoming,
+          decision.status,
+          decision.status === 504 ? 'late' : 'unknown',
+          null,
+        );
         return;
       case 'cut':
       case 'wait':
-        this.broken(request);
+        this.truncateOrFail(request);
     }
   }
 
-  unplaced(request: RelayedRequest, noneInReach: boolean, leftMs: number): void {
-    if (request.answerBegun || request.mayHaveRun) this.broken(request);
+  rejectWithoutWorker(request: RelayedRequest, noneInReach: boolean, remainingMs: number): void {
+    if (request.isResponseStarted || request.mayHaveRun) this.truncateOrFail(request);
     else if (noneInReach)
-      this.refuse(
+      this.reject(
         request.incoming,
         'noneInReach',
-        Math.max(this.backInS(BACK_SHARE.full), (this.deps.tuning.awayFraction * leftMs) / 1_000),
+        Math.max(
+          this.randomRetryAfterS(RETRY_AFTER_FRACTION.full),
+          (this.deps.tuning.awayFraction * remainingMs) / 1_000,
+        ),
       );
-    else this.refuse(request.incoming, 'full', this.backInS(BACK_SHARE.full));
+    else this.reject(request.incoming, 'full', this.randomRetryAfterS(RETRY_AFTER_FRACTION.full));
   }
 
-  notReady(incoming: OpaqueRequest): void {
-    this.refuse(incoming, 'notReady', this.backInS(BACK_SHARE.notReady));
+  rejectNotReady(incoming: OpaqueRequest): void {
+    this.reject(incoming, 'notReady', this.randomRetryAfterS(RETRY_AFTER_FRACTION.notReady));
   }
 
-  leaving(incoming: OpaqueRequest): void {
-    this.refuse(incoming, 'leaving', ELSEWHERE_S);
+  rejectStopping(incoming: OpaqueRequest): void {
+    this.reject(incoming, 'leaving', OTHER_PROXY_RETRY_AFTER_S);
   }
 
-  givenUp(request: RelayedRequest): void {
-    if (request.answerBegun || request.mayHaveRun || request.attempts > 0) this.broken(request);
-    else this.leaving(request.incoming);
+  abort(request: RelayedRequest): void {
+    if (request.isResponseStarted || request.mayHaveRun || request.attempts > 0) this.truncateOrFail(request);
+    else this.rejectStopping(request.incoming);
   }
 
-  failed(incoming: OpaqueRequest): void {
+  failInternally(incoming: OpaqueRequest): void {
     if (incoming.answerer.begun()) incoming.answerer.abort();
-    else this.deps.answers.refuse(incoming, 500, 'internal', null);
+    else this.deps.callerResponses.sendError(incoming, 500, 'internal', null);
   }
 
-  private refuse(incoming: OpaqueRequest, tag: string, retryAfterS: number): void {
-    this.deps.onRefused();
-    this.deps.answers.refuse(incoming, 503, tag, retryAfterS);
+  private reject(incoming: OpaqueRequest, tag: string, retryAfterS: number): void {
+    this.deps.onRejected();
+    this.deps.callerResponses.sendError(incoming, 503, tag, retryAfterS);
   }
 
-  private broken(request: RelayedRequest): void {
-    if (request.answerBegun) {
+  private truncateOrFail(request: RelayedRequest): void {
+    if (request.isResponseStarted) {
       this.deps.onTruncated();
       request.incoming.answerer.abort();
-    } else this.deps.answers.refuse(request.incoming, 502, 'unknown', null);
+    } else this.deps.callerResponses.sendError(request.incoming, 502, 'unknown', null);
   }
 
-  private backInS(fraction: number): number {
+  private randomRetryAfterS(fraction: number): number {
     return (this.deps.tuning.backMs * fraction * (0.75 + 0.5 * this.deps.rng.next())) / 1_000;
   }
 }
 
-/** Final responses that ask refused callers to come back after a random delay. */
+/** Creates final responses that ask rejected callers to retry after a random delay. */
 export function createFinalResponses(deps: FinalResponsesDeps): FinalResponses {
   return new RelayFinalResponses(deps);
 }
 
-function refusalTag(outcome: AttemptOutcome): string {
+function rejectionTag(outcome: AttemptOutcome): string {
   switch (outcome.tag) {
     case 'wrongWorker':
     case 'notExecuted':
--- a/src/coordination/forwarding/forwarded-headers.ts
+++ b/src/coordination/forwarding/forwarded-headers.ts
@@ -1,9 +1,9 @@
-/** Headers on their way through the relay: which go along, and which are the relay's own. */
+/** Headers of forwarded requests and responses: which are passed on, and which the relay sets itself. */
 import type { HeaderNames } from '../../protocol/header-names.js';
 import type { OpaqueRequest, RawHeaders } from '../../transport/opaque-http.js';
 import type { RelayedRequest } from './relayed-request.js';
 
-/** Headers that concern one connection only, and those that frame a body: each side sets its own. */
+/** Hop-by-hop headers, and those that frame a body. They are not forwarded: each connection has its own. */
 const HOP_BY_HOP = new Set([
   'connection',
   'keep-alive',
@@ -18,14 +18,14 @@
   'proxy-authorization',
 ]);
 
-const LEAST_URGENT = 9;
+const MAX_URGENCY = 9;
 
-/** The head of a request as its worker gets it, with what is left of its deadline. */
+/** Returns the headers with which a request is sent to a worker; `remainingMs` is the time until its deadline. */
 export function requestHeaders(
   headerNames: HeaderNames,
   request: RelayedRequest,
   workerId: string,
-  leftMs: number,
+  remainingMs: number,
 ): string[] {
   const out: string[] = [];
   const { headers } = request.incoming;
@@ -38,18 +38,19 @@
       name === headerNames.urgency
     )
       continue;
-    if (name === headerNames.lastEvent && request.answerBegun) continue;
+    if (name === headerNames.lastEvent && request.isResponseStarted) continue;
     out.push(headers[i] as string, headers[i + 1] as string);
   }
-  out.push(headerNames.deadline, String(Math.max(1, Math.floor(leftMs))), headerNames.expectWorker, workerId);
+  out.push(headerNames.deadline, String(Math.max(1, Math.floor(remainingMs))), headerNames.expectWorker, workerId);
   const { rank } = request.route.settings;
-  if (rank !== null) out.push(headerNames.urgency, String(Math.max(0, Math.min(LEAST_URGENT, rank))));
-  if (request.answerBegun && request.lastEvent !== null) out.push(headerNames.lastEvent, String(request.lastEvent));
+  if (rank !== null) out.push(headerNames.urgency, String(Math.max(0, Math.min(MAX_URGENCY, rank))));
+  if (request.isResponseStarted && request.lastEvent !== null)
+    out.push(headerNames.lastEvent, String(request.lastEvent));
   return out;
 }
 
-/** The head of a worker's answer as the caller gets it. */
-export function answerHeaders(headers: RawHeaders): string[] {
+/** Returns the headers of a worker's response that are forwarded to the caller. */
+export function responseHeaders(headers: RawHeaders): string[] {
   const out: string[] = [];
   for (let i = 0; i + 1 < headers.length; i += 2) {
     const name = headers[i] as string;
@@ -58,17 +59,17 @@
   return out;
 }
 
-/** All headers but one. */
-export function withoutHeader(headers: RawHeaders, unwanted: string): string[] {
+/** Returns all headers except the one named `excluded`, which is in lower case. */
+export function withoutHeader(headers: RawHeaders, excluded: string): string[] {
   const out: string[] = [];
   for (let i = 0; i + 1 < headers.length; i += 2) {
     const name = headers[i] as string;
-    if (name.toLowerCase() !== unwanted) out.push(name, headers[i + 1] as string);
+    if (name.toLowerCase() !== excluded) out.push(name, headers[i + 1] as string);
   }
   return out;
 }
 
-/** True if the caller framed a body, be it an empty one. */
+/** Returns true if the request has a body, even an empty one. */
 export function hasBody(incoming: OpaqueRequest): boolean {
   return incoming.get('content-length') !== null || incoming.get('transfer-encoding') !== null;
 }
--- a/src/coordination/forwarding/pending-calls.ts
+++ b/src/coordination/forwarding/pending-calls.ts
@@ -1,41 +1,47 @@
 /**
- * Calls to workers that are in flight, and when one of them has to be given up: its worker is gone, replaced or
- * unresponsive.
+ * Tracks calls to workers that are in flight, and aborts a call whose worker is gone, replaced or unresponsive, or
+ * whose stream has stalled.
  */
 import type { WorkerRow } from '../../state/discovery/worker-row.js';
 import type { WorkerTable } from '../../state/discovery/worker-table.js';
 import type { Clock } from '../../transport/clock.js';
 
-/** A call in flight; `abort` ends it, `onEvent` is to be called for each event of a stream. */
+/** A call in flight; `abortController` aborts it, and `onEvent` must be called for each event of a stream. */
 export type PendingCall = {
   readonly row: WorkerRow;
-  readonly abort: AbortController;
+  readonly abortController: AbortController;
   readonly onEvent: () => void;
 };
 
 /** All calls in flight. */
 export interface PendingCalls {
+  /** Starts tracking a call; `pieceWaitMs` is the longest gap allowed between two events of a stream. */
   begin(row: WorkerRow, pieceWaitMs: number): PendingCall;
+  /** Stops tracking a call. Returns false if it was not tracked any more. */
   end(call: PendingCall): boolean;
-  endLost(): void;
-  open(): number;
+  /** Aborts each call whose worker is gone, replaced or unresponsive, or whose stream has stalled. */
+  abortLost(): void;
+  size(): number;
 }
 
-type Watched = {
+type WatchedCall = {
   readonly call: PendingCall;
   readonly pieceWaitMs: number;
-  pieces: boolean;
-  lastAt: number;
-  goneAt: number | null;
+  hasReceivedEvent: boolean;
+  lastEventAt: number;
+  unlistedSince: number | null;
 };
 
-const LEAVE_SLACK_MS = 200;
-const GONE_MS = 2_000;
-const DARK_MS = 2_000;
-const SILENCES_DARK = 2;
+/** How long after the time by which its worker leaves a call may go on. */
+const LEAVE_GRACE_MS = 200;
+/** How long the worker of a call may be missing from the worker list. */
+const UNLISTED_TIMEOUT_MS = 2_000;
+/** How long a call may go without an event while its worker misses its health checks. */
+const UNRESPONSIVE_TIMEOUT_MS = 2_000;
+const UNRESPONSIVE_MISSED_PROBES = 2;
 
 class WatchedPendingCalls implements PendingCalls {
-  private readonly watched = new Map<PendingCall, Watched>();
+  private readonly watched = new Map<PendingCall, WatchedCall>();
 
   constructor(
     private readonly table: WorkerTable,
@@ -44,11 +50,17 @@
 
   begin(row: WorkerRow, pieceWaitMs: number): PendingCall {
     const onEvent = (): void => {
-      watched.lastAt = this.clock.mono();
-      watched.pieces = true;
+      watched.lastEventAt = this.clock.mono();
+      watched.hasReceivedEvent = true;
+    };
+    const call: PendingCall = { row, abortController: new AbortController(), onEvent };
+    const watched: WatchedCall = {
+      call,
+      pieceWaitMs,
+      hasReceivedEvent: false,
+      lastEventAt: this.clock.mono(),
+      unlistedSince: null,
     };
-    const call: PendingCall = { row, abort: new AbortController(), onEvent };
-    const watched: Watched = { call, pieceWaitMs, pieces: false, lastAt: this.clock.mono(), goneAt: null };
     this.watched.set(call, watched);
     return call;
   }
@@ -57,29 +69,29 @@
     return this.watched.delete(call);
   }
 
-  private isLost(watched: Watched, now: number): boolean {
+  private isLost(watched: WatchedCall, now: number): boolean {
     const { row } = watched.call;
-    if (row.leaveBy !== null && now > row.leaveBy + LEAVE_SLACK_MS) return true;
+    if (row.leaveBy !== null && now > row.leaveBy + LEAVE_GRACE_MS) return true;
     if (!this.table.isCurrent(row)) return true;
-    if (row.present) watched.goneAt = null;
-    else watched.goneAt ??= now;
-    if (watched.goneAt !== null && now - watched.goneAt > GONE_MS) return true;
-    const quietMs = now - watched.lastAt;
-    if (row.missedProbes >= SILENCES_DARK && quietMs > DARK_MS) return true;
-    return watched.pieces && quietMs > watched.pieceWaitMs;
+    if (row.present) watched.unlistedSince = null;
+    else watched.unlistedSince ??= now;
+    if (watched.unlistedSince !== null && now - watched.unlistedSince > UNLISTED_TIMEOUT_MS) return true;
+    const sinceLastEventMs = now - watched.lastEventAt;
+    if (row.missedProbes >= UNRESPONSIVE_MISSED_PROBES && sinceLastEventMs > UNRESPONSIVE_TIMEOUT_MS) return true;
+    return watched.hasReceivedEvent && sinceLastEventMs > watched.pieceWaitMs;
   }
 
-  endLost(): void {
+  abortLost(): void {
     const now = this.clock.mono();
-    for (const watched of this.watched.values()) if (this.isLost(watched, now)) watched.call.abort.abort();
+    for (const watched of this.watched.values()) if (this.isLost(watched, now)) watched.call.abortController.abort();
   }
 
-  open(): number {
+  size(): number {
     return this.watched.size;
   }
 }
 
-/** No calls yet. */
+/** Creates an empty set of calls. */
 export function createPendingCalls(table: WorkerTable, clock: Clock): PendingCalls {
   return new WatchedPendingCalls(table, clock);
 }
--- a/src/coordination/forwarding/placement-service.ts
+++ b/src/coordination/forwarding/placement-service.ts
@@ -1,6 +1,6 @@
 /**
- * Chooses a worker and a proxy for a request by the placement policies, and signs the admission token that lets the
- * caller in.
+ * Selects a worker and a proxy for a request by the placement policies, and signs the admission token with which the
+ * caller submits the request to that proxy.
  */
 import { hash32 } from '../../base/digest.js';
 import { err, ok } from '../../base/result.js';
@@ -22,8 +22,8 @@
 import type { Follower } from '../distribution/follower.js';
 import type { Membership } from '../membership/failure-detector.js';
 
-/** What is known of a request when a worker is chosen. */
-export type Where = {
+/** The properties of a request by which a worker is selected; `from` is the zone of the caller. */
+export type PlacementQuery = {
   readonly from?: string;
   readonly model: string;
   readonly parts: readonly string[];
@@ -31,15 +31,18 @@
   readonly avoid: ReadonlySet<number>;
 };
 
-/** Places requests, and chooses workers for those that were admitted. */
+/** Assigns requests to proxies, and selects workers for admitted requests. */
 export interface PlacementService {
+  /** Selects a proxy for a request and signs an admission token for it. */
   place(request: PlacementRequest): Result<Placement, Failure>;
-  choose(where: Where): Choice;
+  /** Selects a worker for an admitted request. */
+  choose(query: PlacementQuery): Choice;
   resolved(model: string): ResolvedModel | null;
+  /** Returns the regions in which a request may run, or null if every region is allowed. */
   homesOf(model: string, bound: Bound): readonly string[] | null;
 }
 
-/** This proxy, as callers and other proxies know it. */
+/** Identity, location and address of this proxy, as callers and other proxies know them. */
 export type ProxySelf = {
   readonly name: string;
   readonly run: string;
@@ -48,20 +51,20 @@
   readonly http: string;
 };
 
-/** How long an admission token may be used, in milliseconds. */
+/** Lifetime of an admission token, in milliseconds. */
 export const TOKEN_LIFETIME_MS = 30_000;
 
-/** The identity of one proxy process, as tokens name it. */
+/** Returns the identity of one proxy process, as admission tokens name it. */
 export function proxyId(node: { readonly name: string; readonly run: string }): string {
   return `${node.name}#${node.run}`;
 }
 
-/** A failure that promises that the request did not run. */
+/** Returns a failure that promises that the request did not run. */
 export function rejection(reason: RejectReason): Failure {
   return { tag: 'shed', notRun: true, reason };
 }
 
-/** What placement decides by. */
+/** Dependencies of a placement service. */
 export type PlacementServiceDeps = {
   readonly self: ProxySelf;
   readonly ready: () => boolean;
@@ -77,7 +80,7 @@
   return node.status === 'alive';
 }
 
-/** The proxies that membership has as up. */
+/** The proxies that are up according to membership. */
 type UpProxies = {
   readonly all: readonly NodeInfo[];
   readonly byZone: ReadonlyMap<string, readonly NodeInfo[]>;
@@ -86,27 +89,27 @@
 
 class PolicyPlacementService implements PlacementService {
   private models = new Map<string, ResolvedModel>();
-  private modelsAt = -1;
+  private modelsVersion = -1;
   private upProxies: UpProxies | null = null;
-  private readonly withoutCapacity: Policy[] = [];
+  private readonly policiesIgnoringCapacity: Policy[] = [];
 
   constructor(private readonly deps: PlacementServiceDeps) {
-    this.deps.membership.events.on('changed', () => this.onChanged());
+    this.deps.membership.events.on('changed', () => this.onMembershipChanged());
 
-    for (const policy of this.deps.policies) if (policy.name !== 'room') this.withoutCapacity.push(policy);
+    for (const policy of this.deps.policies) if (policy.name !== 'room') this.policiesIgnoringCapacity.push(policy);
   }
 
   resolved(model: string): ResolvedModel | null {
     const state = this.deps.follower.controlState();
-    if (this.modelsAt !== state.version) {
+    if (this.modelsVersion !== state.version) {
       this.models = new Map();
       for (const resolved of resolveAll(state.configuration)) this.models.set(resolved.model, resolved);
-      this.modelsAt = state.version;
+      this.modelsVersion = state.version;
     }
     return this.models.get(model) ?? null;
   }
 
-  private onChanged(): void {
+  private onMembershipChanged(): void {
     this.upProxies = null;
   }
 
@@ -123,105 +126,105 @@
     return this.upProxies;
   }
 
-  private contextOf(where: Where, all: readonly Candidate[]): SelectionContext {
-    let loadSum = 0;
-    for (const candidate of all) loadSum += Math.min(1, candidate.running / candidate.limit);
+  private contextOf(query: PlacementQuery, candidates: readonly Candidate[]): SelectionContext {
+    let totalLoad = 0;
+    for (const candidate of candidates) totalLoad += Math.min(1, candidate.running / candidate.limit);
     return {
-      ...this.callerOf(where),
+      ...this.callerLocationOf(query),
       ownRegion: this.deps.self.region,
-      homes: where.homes,
+      homes: query.homes,
       partitioned: this.deps.follower.partitioned(),
-      seed: this.seedOf(where),
-      avoid: where.avoid,
-      meanLoad: all.length === 0 ? 0 : loadSum / all.length,
+      seed: this.seedOf(query),
+      avoid: query.avoid,
+      meanLoad: candidates.length === 0 ? 0 : totalLoad / candidates.length,
     };
   }
 
-  private callerOf(where: Where): { readonly zone: string; readonly region: string } {
+  private callerLocationOf(query: PlacementQuery): { readonly zone: string; readonly region: string } {
     const configured =
-      where.from === undefined ? undefined : this.deps.follower.controlState().configuration.zones[where.from];
-    return configured && where.from !== undefined
-      ? { zone: where.from, region: configured.region }
+      query.from === undefined ? undefined : this.deps.follower.controlState().configuration.zones[query.from];
+    return configured && query.from !== undefined
+      ? { zone: query.from, region: configured.region }
       : { zone: this.deps.self.zone, region: this.deps.self.region };
   }
 
-  private seedOf(where: Where): string {
-    return where.parts[0] ?? newId(this.deps.rng, 's');
+  private seedOf(query: PlacementQuery): string {
+    return query.parts[0] ?? newId(this.deps.rng, 's');
   }
 
-  private candidatesOf(where: Where, complete: boolean): Candidate[] {
-    const resolved = this.resolved(where.model);
+  private candidatesOf(query: PlacementQuery, complete: boolean): Candidate[] {
+    const resolved = this.resolved(query.model);
     if (!resolved) return [];
-    const { model, parts, homes } = where;
+    const { model, parts, homes } = query;
     return this.deps.table.candidates({
       model,
       parts,
       homes,
       values: resolved.values,
       zone: this.deps.self.zone,
-      near: this.callerOf(where).zone,
+      near: this.callerLocationOf(query).zone,
       zonesWithProxy: this.proxiesUp().zones,
       now: this.deps.clock.mono(),
-      seed: this.seedOf(where),
+      seed: this.seedOf(query),
       complete,
     });
   }
 
-  private among(where: Where, policies: readonly Policy[]): Choice {
-    const few = this.candidatesOf(where, false);
-    const choice = selectAmong(few, this.contextOf(where, few), policies);
+  private selectUnder(query: PlacementQuery, policies: readonly Policy[]): Choice {
+    const subset = this.candidatesOf(query, false);
+    const choice = selectAmong(subset, this.contextOf(query, subset), policies);
     if (choice.tag === 'chosen' || choice.stoppedBy === 'room') return choice;
-    const all = this.candidatesOf(where, true);
-    return selectAmong(all, this.contextOf(where, all), policies);
+    const all = this.candidatesOf(query, true);
+    return selectAmong(all, this.contextOf(query, all), policies);
   }
 
-  choose(where: Where): Choice {
-    return this.among(where, this.deps.policies);
+  choose(query: PlacementQuery): Choice {
+    return this.selectUnder(query, this.deps.policies);
   }
 
   homesOf(model: string, bound: Bound): readonly string[] | null {
-    const mapped =
+    const mappedKind =
       bound.mapping === null
         ? undefined
         : this.deps.follower.controlState().configuration.mappings?.[bound.mapping]?.kind;
-    const kind = mapped ?? bound.kind;
+    const kind = mappedKind ?? bound.kind;
     const allowed = kind === null ? undefined : this.resolved(model)?.values.homes[kind];
     if (!allowed) return bound.asked;
     if (!bound.asked) return allowed;
-    const both: string[] = [];
-    for (const region of allowed) if (bound.asked.includes(region)) both.push(region);
-    return both;
+    const intersection: string[] = [];
+    for (const region of allowed) if (bound.asked.includes(region)) intersection.push(region);
+    return intersection;
   }
 
   private pickProxy(
     worker: Candidate,
     homes: readonly string[] | null,
-    without: readonly string[],
+    excluded: readonly string[],
     seed: string,
   ): NodeInfo | null {
     const { all, byZone } = this.proxiesUp();
-    const near = (byZone.get(worker.zone) ?? []).filter(isAlive);
-    return this.bestProxy(near, worker, homes, without, seed) ?? this.bestProxy(all, worker, homes, without, seed);
+    const inZone = (byZone.get(worker.zone) ?? []).filter(isAlive);
+    return this.bestProxy(inZone, worker, homes, excluded, seed) ?? this.bestProxy(all, worker, homes, excluded, seed);
   }
 
   private bestProxy(
-    among: readonly NodeInfo[],
+    proxies: readonly NodeInfo[],
     worker: Candidate,
     homes: readonly string[] | null,
-    without: readonly string[],
+    excluded: readonly string[],
     seed: string,
   ): NodeInfo | null {
     let best: NodeInfo | null = null;
-    let top = -Infinity;
-    for (const node of among) {
-      if (without.includes(node.name) || (homes !== null && !homes.includes(node.region))) continue;
+    let bestScore = -Infinity;
+    for (const node of proxies) {
+      if (excluded.includes(node.name) || (homes !== null && !homes.includes(node.region))) continue;
       let score = node.status === 'alive' ? 0 : -2;
       if (node.zone === worker.zone) score += 3;
       else if (node.region === worker.region) score += 2;
       score += (node.name === this.deps.self.name ? 0.99 : hash32(`${seed}|${node.name}`) / 4294967296) * 0.5;
-      if (score > top) {
+      if (score > bestScore) {
         best = node;
-        top = score;
+        bestScore = score;
       }
     }
     return best;
@@ -238,15 +241,18 @@
     const bound: Bound = { mapping: request.mapping ?? null, kind: request.kind ?? null, asked: request.homes ?? null };
     const homes = this.homesOf(model, bound);
     if (homes !== null && homes.length === 0) return err(rejection('outsideHomes'));
-    const where: Where = {
+    const query: PlacementQuery = {
       model,
       parts: request.parts,
       homes,
       avoid: new Set(),
       ...(request.zone === undefined ? {} : { from: request.zone }),
     };
-    const first = this.among(where, this.deps.policies);
-    const choice = first.tag === 'none' && first.stoppedBy === 'room' ? this.among(where, this.withoutCapacity) : first;
+    const firstChoice = this.selectUnder(query, this.deps.policies);
+    const choice =
+      firstChoice.tag === 'none' && firstChoice.stoppedBy === 'room'
+        ? this.selectUnder(query, this.policiesIgnoringCapacity)
+        : firstChoice;
     if (choice.tag === 'none') return err(rejection('noWorker'));
     const requestId = newId(this.deps.rng, 'req');
     const node = this.pickProxy(choice.candidate, homes, request.without ?? [], requestId);
@@ -271,7 +277,7 @@
   }
 }
 
-/** A service over one proxy's view of the deployment. */
+/** Creates a placement service on one proxy's view of the deployment. */
 export function createPlacementService(deps: PlacementServiceDeps): PlacementService {
   return new PolicyPlacementService(deps);
 }
--- a/src/coordination/forwarding/relay.ts
+++ b/src/coordination/forwarding/relay.ts
@@ -1,7 +1,7 @@
 /**
- * The opaque HTTP server's way of a request: find its route, wait for a worker, send it there, pass the
- * answer on, and go on elsewhere where `decide` allows it. A request that may run once is sent again only
- * if nothing was written or its worker said under its id that it did not run it (docs/repeats.md).
+ * Forwards requests of the opaque HTTP server: matches the route, waits for a worker, sends the request, forwards the
+ * response, and retries at another worker if `decide` allows it. A run-once request is sent again only if nothing was
+ * written, or if its worker stated under the id of the attempt that it did not run it (docs/repeats.md).
  */
 import { describeError } from '../../base/describe-error.js';
 import type { HeaderNames } from '../../protocol/header-names.js';
@@ -23,15 +23,15 @@
 import type { CallerResponses } from './caller-responses.js';
 import { createFinalResponses } from './final-responses.js';
 import type { FinalResponses } from './final-responses.js';
-import { createRelayedRequest, isOver } from './relayed-request.js';
+import { createRelayedRequest, isCancelled } from './relayed-request.js';
 import type { RelayedRequest } from './relayed-request.js';
-import { isTakenIn } from './stop-intake.js';
+import { mayAdmit } from './stop-intake.js';
 import type { StopTimes } from './stop-intake.js';
 import { createUnresponsiveWorkerWatch } from '../discovery/unresponsive-worker-watch.js';
 import { createWorkerQueue } from './worker-queue.js';
 import type { ReservedWorker, WorkerQueue } from './worker-queue.js';
 
-/** What the relay works with; `table` is null while the routes are not known. */
+/** Dependencies of the relay; `table` returns null until the routes are known. */
 export type RelayDeps = {
   readonly headerNames: HeaderNames;
   readonly tuning: EdgeTuning;
@@ -43,11 +43,11 @@
   readonly log: Log;
   readonly table: () => RouteTable | null;
   readonly closing: () => boolean;
-  /** Set once this process was told to stop. */
+  /** Returns null unless this process is draining. */
   readonly stopTimes: () => StopTimes | null;
 };
 
-/** Counts since the process began, and what is queued and in flight now. */
+/** Counts since the process started, and the number of requests that are open and queued now. */
 export type RelayTally = {
   requests: Record<string, number>;
   shed: number;
@@ -59,20 +59,20 @@
   waiting: number;
 };
 
-/** Serves opaque requests. */
+/** Forwards opaque requests to workers. */
 export interface Relay {
   handle(req: OpaqueRequest): void;
-  /** To be called when workers, zones or places changed: whoever waits is looked at again. */
+  /** Must be called when workers, zones or free slots have changed. Retries the queued requests. */
   wake(): void;
-  /** To be called at least each 250 ms, so that a standstill of the process is noticed. */
+  /** Must be called at least every 250 ms, so that a pause of the process is detected. */
   turn(): void;
   tally(): RelayTally;
-  /** Gives every open request its final answer; to be called just before the process ends. */
+  /** Sends each open request its final response. Must be called just before the process ends. */
   giveUpAll(): void;
 }
 
-/** A proxy that has just started looks this often whether it knows its routes by now. */
-const OPENING_LOOK_MS = 20;
+/** How often a proxy that has just started checks whether its routes are known. */
+const ROUTES_CHECK_INTERVAL_MS = 20;
 
 class OpaqueRelay implements Relay {
   private readonly counts: RelayTally = {
@@ -87,19 +87,19 @@
   };
 
   private readonly standstill = createStandstill();
-  private readonly open = new Set<RelayedRequest>();
-  private readonly answers: CallerResponses;
-  private readonly last: FinalResponses;
+  private readonly openRequests = new Set<RelayedRequest>();
+  private readonly callerResponses: CallerResponses;
+  private readonly finalResponses: FinalResponses;
   private readonly queue: WorkerQueue;
   private readonly attempt: Attempt;
 
   constructor(private readonly deps: RelayDeps) {
-    this.answers = createCallerResponses(this.deps.headerNames, this.deps.closing);
-    this.last = createFinalResponses({
-      answers: this.answers,
+    this.callerResponses = createCallerResponses(this.deps.headerNames, this.deps.closing);
+    this.finalResponses = createFinalResponses({
+      callerResponses: this.callerResponses,
       tuning: this.deps.tuning,
       rng: this.deps.rng,
-      onRefused: () => this.onRefused(),
+      onRejected: () => this.onRejected(),
       onTruncated: () => this.onTruncated(),
     });
     this.queue = createWorkerQueue({
@@ -124,15 +124,15 @@
       connectionPool: this.deps.connectionPool,
       watch,
       standstill: this.standstill,
-      answers: this.answers,
+      callerResponses: this.callerResponses,
       clock: this.deps.clock,
       log: this.deps.log,
-      abandonsUnresponsive: (request) => this.abandonsUnresponsive(request),
-      onEnd: () => this.queue.wake(),
+      mayAbandonUnresponsive: (request) => this.mayAbandonUnresponsive(request),
+      onSlotReleased: () => this.queue.wake(),
     });
   }
 
-  private onRefused(): void {
+  private onRejected(): void {
     this.counts.shed += 1;
   }
 
@@ -141,62 +141,62 @@
   }
 
   handle(incoming: OpaqueRequest): void {
-    this.serve(incoming).catch((error: unknown) => this.failed(incoming, error));
+    this.serve(incoming).catch((error: unknown) => this.onFailed(incoming, error));
   }
 
-  /** A fault in the handling of one request ends that request alone; nothing is known of whether it ran. */
-  private failed(incoming: OpaqueRequest, error: unknown): void {
+  /** Called on an error while one request is handled. Ends only that request; whether it ran is not known. */
+  private onFailed(incoming: OpaqueRequest, error: unknown): void {
     this.deps.log.error('request failed', { error: describeError(error) });
-    this.last.failed(incoming);
+    this.finalResponses.failInternally(incoming);
   }
 
   private async serve(incoming: OpaqueRequest): Promise<void> {
-    const cameAt = this.deps.clock.mono();
-    const table = this.deps.table() ?? (await this.whenOpen(incoming));
+    const arrivedAt = this.deps.clock.mono();
+    const table = this.deps.table() ?? (await this.waitForRoutes(incoming));
     if (!table) {
-      this.last.notReady(incoming);
+      this.finalResponses.rejectNotReady(incoming);
       return;
     }
     const route = table.match(incoming.get('host') ?? '', incoming.target.split('?', 1)[0] ?? '/');
     const body = await incoming.body(table.serving.limits.bodyBytes);
     if (!body.ok) {
-      if (body.error.tag === 'bodyTooLarge') this.answers.refuse(incoming, 413, 'bodyTooLarge', null);
+      if (body.error.tag === 'bodyTooLarge') this.callerResponses.sendError(incoming, 413, 'bodyTooLarge', null);
       return;
     }
-    await this.serveBody(incoming, route, body.value, cameAt);
+    await this.serveBody(incoming, route, body.value, arrivedAt);
   }
 
   private async serveBody(
     incoming: OpaqueRequest,
     route: MatchedRoute | null,
     body: Buffer,
-    cameAt: number,
+    arrivedAt: number,
   ): Promise<void> {
     const id = incoming.get(this.deps.headerNames.attemptId);
-    if (!route) this.answers.refuse(incoming, 404, 'noMapping', null);
-    else if (id === null || id === '') this.answers.refuse(incoming, 400, 'noAttemptId', null);
+    if (!route) this.callerResponses.sendError(incoming, 404, 'noMapping', null);
+    else if (id === null || id === '') this.callerResponses.sendError(incoming, 400, 'noAttemptId', null);
     else {
-      const request = createRelayedRequest(this.deps.headerNames, this.deps.rng, incoming, route, id, body, cameAt);
-      if (!isTakenIn(request, this.deps.clock.mono(), this.deps.stopTimes())) {
-        this.last.leaving(incoming);
+      const request = createRelayedRequest(this.deps.headerNames, this.deps.rng, incoming, route, id, body, arrivedAt);
+      if (!mayAdmit(request, this.deps.clock.mono(), this.deps.stopTimes())) {
+        this.finalResponses.rejectStopping(incoming);
         return;
       }
       this.counts.requests[request.model] = (this.counts.requests[request.model] ?? 0) + 1;
-      this.open.add(request);
+      this.openRequests.add(request);
       this.deps.budget.arrived(request.model, this.deps.clock.mono());
       try {
         await this.run(request);
       } finally {
-        this.release(request);
-        this.open.delete(request);
+        this.releaseReservedAttempt(request);
+        this.openRequests.delete(request);
       }
     }
   }
 
-  private async whenOpen(incoming: OpaqueRequest): Promise<RouteTable | null> {
+  private async waitForRoutes(incoming: OpaqueRequest): Promise<RouteTable | null> {
     const until = this.deps.clock.mono() + this.deps.tuning.openingMs;
     while (this.deps.clock.mono() < until && !incoming.answerer.gone()) {
-      await delay(this.deps.clock, OPENING_LOOK_MS);
+      await delay(this.deps.clock, ROUTES_CHECK_INTERVAL_MS);
       const table = this.deps.table();
       if (table) return table;
     }
@@ -221,24 +221,28 @@
     };
   }
 
-  /** One worker after the other, until nothing more may follow. */
+  /** Sends the request to one worker after another until a response or a decision ends it. */
   private async run(request: RelayedRequest): Promise<void> {
     for (;;) {
-      await this.awaitStandstill();
-      if (isOver(request)) return;
+      await this.waitAfterStandstill();
+      if (isCancelled(request)) return;
       const reserved = await this.queue.reserve(request);
-      if (isOver(request)) {
+      if (isCancelled(request)) {
         reserved?.reservation.end();
         return;
       }
       if (!reserved) {
-        this.last.unplaced(request, this.queue.noneInReach(request), request.deadlineAt - this.deps.clock.mono());
+        this.finalResponses.rejectWithoutWorker(
+          request,
+          this.queue.noneInReach(request),
+          request.deadlineAt - this.deps.clock.mono(),
+        );
         return;
       }
       const end = await this.send(request, reserved);
       const decision = decide(end.outcome, this.situationOf(request));
       if (decision.tag !== 'repeat') {
-        this.last.decided(request, end, decision);
+        this.finalResponses.carryOut(request, end, decision);
         return;
       }
       if (end.outcome.tag !== 'withheld') request.avoid.add(reserved.row.entry.id);
@@ -256,38 +260,39 @@
 
   private situationOf(request: RelayedRequest): RequestSituation {
     const acquireAttempt = (): boolean => {
-      return request.attempts < request.route.settings.attempts && this.reserve(request);
+      return request.attempts < request.route.settings.attempts && this.reserveAttempt(request);
     };
     return {
       repeatability: request.repeatability,
-      answerBegun: request.answerBegun,
-      canResume: !request.unnumbered,
+      answerBegun: request.isResponseStarted,
+      canResume: !request.hasUnnumberedEvent,
       mayHaveRun: request.mayHaveRun,
       leftMs: request.deadlineAt - this.deps.clock.mono(),
       acquireAttempt,
     };
   }
 
-  private abandonsUnresponsive(request: RelayedRequest): boolean {
+  private mayAbandonUnresponsive(request: RelayedRequest): boolean {
     return decide({ tag: 'silent' }, this.situationOf(request)).tag === 'repeat';
   }
 
   /**
-   * A further attempt is taken from the budget when it is decided, not when it is sent: many requests may
-   * fail at one moment, and each decides before the next is asked.
+   * Reserves a further attempt in the retry budget. It is taken when the retry is decided rather than when it is sent:
+   * many requests may fail at the same moment, and all of them decide before any of them is sent again.
    */
-  private reserve(request: RelayedRequest): boolean {
-    request.reserved = request.reserved || this.deps.budget.take(request.model, this.deps.clock.mono());
-    return request.reserved;
+  private reserveAttempt(request: RelayedRequest): boolean {
+    request.hasReservedAttempt =
+      request.hasReservedAttempt || this.deps.budget.take(request.model, this.deps.clock.mono());
+    return request.hasReservedAttempt;
   }
 
-  private release(request: RelayedRequest): void {
-    if (request.reserved) this.deps.budget.refund(request.model);
-    request.reserved = false;
+  private releaseReservedAttempt(request: RelayedRequest): void {
+    if (request.hasReservedAttempt) this.deps.budget.refund(request.model);
+    request.hasReservedAttempt = false;
   }
 
-  /** Waits, after a standstill, until what callers and workers did meanwhile has been read. */
-  private async awaitStandstill(): Promise<void> {
+  /** Waits after a process pause until the network events that arrived during it have been read. */
+  private async waitAfterStandstill(): Promise<void> {
     for (
       let until = this.standstill.observe(this.deps.clock.mono());
       until !== null;
@@ -302,7 +307,7 @@
   }
 
   tally(): RelayTally {
-    this.counts.open = this.open.size;
+    this.counts.open = this.openRequests.size;
     this.counts.waiting = this.queue.waiting();
     return this.counts;
   }
@@ -312,14 +317,14 @@
   }
 
   giveUpAll(): void {
-    for (const request of this.open) {
-      request.isGivenUp = true;
-      this.last.givenUp(request);
+    for (const request of this.openRequests) {
+      request.isAborted = true;
+      this.finalResponses.abort(request);
     }
   }
 }
 
-/** A relay without any request. */
+/** Creates a relay without any requests. */
 export function createRelay(deps: RelayDeps): Relay {
   return new OpaqueRelay(deps);
 }
--- a/src/coordination/forwarding/relayed-request.ts
+++ b/src/coordination/forwarding/relayed-request.ts
@@ -1,6 +1,6 @@
 /**
- * One request as the relay holds it from its arrival to the last byte of its answer: what is fixed by the
- * caller and the route, and what changes from attempt to attempt.
+ * State of a request that the relay forwards, from its arrival to the last byte of its response: properties that the
+ * caller and the route determine, and state that changes from attempt to attempt.
  */
 import type { HeaderNames } from '../../protocol/header-names.js';
 import type { Repeatability } from '../../state/forwarding/attempt-outcome.js';
@@ -10,7 +10,7 @@
 import type { OpaqueRequest } from '../../transport/opaque-http.js';
 import type { Rng } from '../../transport/rng.js';
 
-/** A request under way. Times are milliseconds of the process's monotonic clock. */
+/** A request in progress. Times are in milliseconds of the process's monotonic clock. */
 export type RelayedRequest = {
   readonly incoming: OpaqueRequest;
   readonly route: MatchedRoute;
@@ -18,35 +18,35 @@
   readonly body: Buffer;
   readonly repeatability: Repeatability;
   readonly stream: boolean;
-  /** The caller's id of this try; every answer of a worker must bear it. */
+  /** The caller's id for this attempt; each response of a worker must carry it. */
   readonly id: string;
-  readonly cameAt: number;
+  readonly arrivedAt: number;
   readonly deadlineAt: number;
   readonly parts: readonly PrefixBlock[];
   readonly tokens: number;
   readonly outTokens: number;
-  /** Workers that were tried and are passed over while there are others. */
+  /** Workers that were tried before. They are skipped while there are others. */
   readonly avoid: Set<string>;
-  /** Workers to which it was written; a surplus answer of theirs may bear its id. */
+  /** Workers to which the request was written. A late response of theirs may carry its id. */
   readonly writtenTo: Set<string>;
-  /** Attempts whose request was written. */
+  /** Number of attempts in which the request was written. */
   attempts: number;
-  /** One further attempt has been taken from the budget and not been written yet. */
-  reserved: boolean;
+  /** True while a further attempt has been taken from the retry budget but not been written yet. */
+  hasReservedAttempt: boolean;
   mayHaveRun: boolean;
-  /** It has its final answer, as this process ends: nothing more may be sent for it. */
-  isGivenUp: boolean;
-  /** The head of an answer has been passed to the caller. */
-  answerBegun: boolean;
-  /** Number of the last event that was passed on, or that the caller has by its own word. */
+  /** True once the final response was sent because this process ends. Nothing more may be sent to a worker. */
+  isAborted: boolean;
+  /** True once the head of a response has been forwarded to the caller. */
+  isResponseStarted: boolean;
+  /** Number of the last event that was forwarded, or that the caller reported to have. */
   lastEvent: number | null;
-  /** An event without a number was passed on, so that nobody can go on after the last. */
-  unnumbered: boolean;
+  /** True once an event without a number was forwarded: the stream can't be resumed after its last event. */
+  hasUnnumberedEvent: boolean;
 };
 
 const DEFAULT_RANK = 5;
 
-/** Reads what the relay needs from a request whose body has come. */
+/** Creates the state of a request whose body has been read. */
 export function createRelayedRequest(
   headerNames: HeaderNames,
   rng: Rng,
@@ -54,80 +54,81 @@
   route: MatchedRoute,
   id: string,
   body: Buffer,
-  cameAt: number,
+  arrivedAt: number,
 ): RelayedRequest {
-  const { settings: mapping } = route;
-  const [tokens, outTokens] = tokensOf(incoming.get(headerNames.tokens));
-  const stream = mapping.kind === 'stream';
+  const { settings: routeSettings } = route;
+  const [tokens, outTokens] = tokenCountsOf(incoming.get(headerNames.tokens));
+  const stream = routeSettings.kind === 'stream';
   return {
     incoming,
     route,
-    model: weightedModel(mapping, rng),
+    model: chooseModelByShare(routeSettings, rng),
     body,
-    repeatability: mapping.kind === 'repeatable' ? 'repeatable' : stream && mapping.resumable ? 'resumable' : 'once',
+    repeatability:
+      routeSettings.kind === 'repeatable' ? 'repeatable' : stream && routeSettings.resumable ? 'resumable' : 'once',
     stream,
     id,
-    cameAt,
-    deadlineAt: cameAt + deadlineOf(incoming.get(headerNames.deadline), mapping.deadlineMs),
-    parts: partsOf(incoming.get(headerNames.prefix)),
+    arrivedAt,
+    deadlineAt: arrivedAt + deadlineMsOf(incoming.get(headerNames.deadline), routeSettings.deadlineMs),
+    parts: prefixBlocksOf(incoming.get(headerNames.prefix)),
     tokens,
     outTokens,
     avoid: new Set(),
     writtenTo: new Set(),
     attempts: 0,
-    reserved: false,
+    hasReservedAttempt: false,
     mayHaveRun: false,
-    isGivenUp: false,
-    answerBegun: false,
-    lastEvent: numberIn(incoming.get(headerNames.lastEvent)),
-    unnumbered: false,
+    isAborted: false,
+    isResponseStarted: false,
+    lastEvent: parseNumber(incoming.get(headerNames.lastEvent)),
+    hasUnnumberedEvent: false,
   };
 }
 
-/** Whether nobody waits for an answer any more. */
-export function isOver(request: RelayedRequest): boolean {
-  return request.isGivenUp || request.incoming.answerer.gone();
+/** Returns whether the request was aborted or its caller has disconnected, so that nobody waits for a response. */
+export function isCancelled(request: RelayedRequest): boolean {
+  return request.isAborted || request.incoming.answerer.gone();
 }
 
-/** The class of urgency, 0 first. */
+/** Returns the urgency class; class 0 is served first. */
 export function rankOf(request: RelayedRequest): number {
   return request.route.settings.rank ?? DEFAULT_RANK;
 }
 
-/** A number in a header, or null. */
-export function numberIn(text: string | null): number | null {
+/** Parses the value of a header as a finite number. Returns null if there is none. */
+export function parseNumber(text: string | null): number | null {
   if (text === null || text.trim() === '') return null;
   const number = Number(text);
   return Number.isFinite(number) ? number : null;
 }
 
-function deadlineOf(text: string | null, routeMs: number): number {
-  const given = numberIn(text);
-  return given !== null && given > 0 ? Math.min(routeMs, given) : routeMs;
+function deadlineMsOf(text: string | null, routeMs: number): number {
+  const requestedMs = parseNumber(text);
+  return requestedMs !== null && requestedMs > 0 ? Math.min(routeMs, requestedMs) : routeMs;
 }
 
-function weightedModel(mapping: RouteSettings, rng: Rng): string {
-  let sum = 0;
-  for (const share of mapping.shares) sum += share.share;
-  let at = rng.next() * sum;
-  for (const share of mapping.shares) {
-    at -= share.share;
-    if (at < 0) return share.model;
+function chooseModelByShare(routeSettings: RouteSettings, rng: Rng): string {
+  let totalShares = 0;
+  for (const share of routeSettings.shares) totalShares += share.share;
+  let remaining = rng.next() * totalShares;
+  for (const share of routeSettings.shares) {
+    remaining -= share.share;
+    if (remaining < 0) return share.model;
   }
-  return mapping.shares[mapping.shares.length - 1]?.model ?? '';
+  return routeSettings.shares[routeSettings.shares.length - 1]?.model ?? '';
 }
 
-function tokensOf(text: string | null): [number, number] {
-  const [prompt, out] = (text ?? '').split(',');
-  return [numberIn(prompt ?? null) ?? 0, numberIn(out ?? null) ?? 0];
+function tokenCountsOf(text: string | null): [number, number] {
+  const [prompt, output] = (text ?? '').split(',');
+  return [parseNumber(prompt ?? null) ?? 0, parseNumber(output ?? null) ?? 0];
 }
 
-function partsOf(text: string | null): PrefixBlock[] {
-  const parts: PrefixBlock[] = [];
-  for (const piece of (text ?? '').split(',')) {
-    const at = piece.lastIndexOf(':');
-    const tokens = Number(piece.slice(at + 1));
-    if (at > 0 && Number.isFinite(tokens)) parts.push({ id: piece.slice(0, at).trim(), tokens });
+function prefixBlocksOf(text: string | null): PrefixBlock[] {
+  const blocks: PrefixBlock[] = [];
+  for (const entry of (text ?? '').split(',')) {
+    const separator = entry.lastIndexOf(':');
+    const tokens = Number(entry.slice(separator + 1));
+    if (separator > 0 && Number.isFinite(tokens)) blocks.push({ id: entry.slice(0, separator).trim(), tokens });
   }
-  return parts;
+  return blocks;
 }
--- a/src/coordination/forwarding/response-reader.ts
+++ b/src/coordination/forwarding/response-reader.ts
@@ -1,7 +1,7 @@
 /**
- * Reads one worker's answer to one attempt and judges it: whose it is, whether it is whole, and what may
- * be passed on. Events of a stream are passed as they come, each once and in order; every other answer is
- * held until its end was seen, so that a failed one can still be made good elsewhere.
+ * Reads a worker's response to one attempt and checks that it belongs to the attempt and is complete. Events of a
+ * stream are forwarded as they arrive, each once and in order. Any other response is buffered until its end, so that a
+ * failed request can still be retried at another worker.
  */
 import type { HeaderNames } from '../../protocol/header-names.js';
 import type { AttemptOutcome } from '../../state/forwarding/attempt-outcome.js';
@@ -9,89 +9,94 @@
 import type { EventSplitter } from '../../state/forwarding/event-splitter.js';
 import type { RawHeaders } from '../../transport/opaque-http.js';
 import type { CallerResponses, BufferedResponse } from './caller-responses.js';
-import { numberIn } from './relayed-request.js';
+import { parseNumber } from './relayed-request.js';
 import type { RelayedRequest } from './relayed-request.js';
 
-/** Takes one worker's response as it comes. */
+/** Consumes a worker's response as it arrives. */
 export interface ResponseReader {
-  /** Each returns the outcome as soon as it is known, else null. */
-  head(
+  /** Called with the head of the response. `onHead` and `onData` return the outcome once it is known, else null. */
+  onHead(
     status: number,
     headers: RawHeaders,
     get: (name: string) => string | null,
     freshConnection: boolean,
   ): AttemptOutcome | null;
-  data(chunk: Buffer): AttemptOutcome | null;
-  /** The answer has ended as it should. */
-  end(): AttemptOutcome;
-  /** The connection ended, or spoke nonsense, in the middle of the answer or before it. */
-  broken(how: 'reset' | 'garbled'): AttemptOutcome;
-  /** The answer that was held, once `end` told that there is one. */
-  buffered(): BufferedResponse;
+  onData(chunk: Buffer): AttemptOutcome | null;
+  /** Called when the response has ended regularly. */
+  onEnd(): AttemptOutcome;
+  /** Called when the connection ended, or carried invalid HTTP, before or within the response. */
+  onBroken(cause: 'reset' | 'garbled'): AttemptOutcome;
+  /** Returns the buffered response and empties the buffer. May be called once the outcome says that there is one. */
+  takeBuffered(): BufferedResponse;
   status(): number;
 }
 
 const WRONG_WORKER = 421;
 const DEFAULT_RETRY_AFTER_S = 0.2;
-/** A worker's whole answer is held in memory up to this size. */
-const MOST_HELD_BYTES = 1_048_576;
+/** Maximum size of a response that is buffered in memory. */
+const MAX_BUFFERED_BYTES = 1_048_576;
 
 class CheckedResponseReader implements ResponseReader {
   private currentStatus = 0;
   private headers: RawHeaders = [];
   private chunks: Buffer[] = [];
-  private size = 0;
+  private bufferedBytes = 0;
   private splitter: EventSplitter | null = null;
-  private refusal: AttemptOutcome | null = null;
+  private rejection: AttemptOutcome | null = null;
 
   constructor(
-    private readonly names: HeaderNames,
+    private readonly headerNames: HeaderNames,
     private readonly request: RelayedRequest,
-    private readonly answers: CallerResponses,
+    private readonly callerResponses: CallerResponses,
   ) {}
 
   private isSuccess(): boolean {
     return this.currentStatus >= 200 && this.currentStatus < 300;
   }
 
-  /** A refusal without an id is ours only where no other answer can be due: on a new connection. */
-  private isOurs(id: string | null, refused: boolean, freshConnection: boolean): boolean {
-    return id === this.request.id || (id === null && refused && freshConnection);
+  /**
+   * A rejection without an attempt id counts as the response to this attempt only on a new connection, where no other
+   * response can be outstanding.
+   */
+  private isForThisAttempt(id: string | null, isRejection: boolean, freshConnection: boolean): boolean {
+    return id === this.request.id || (id === null && isRejection && freshConnection);
   }
 
-  head(
-    received: number,
-    raw: RawHeaders,
+  onHead(
+    status: number,
+    headers: RawHeaders,
     get: (name: string) => string | null,
     freshConnection: boolean,
   ): AttemptOutcome | null {
-    this.currentStatus = received;
-    this.headers = raw;
-    const refused = this.currentStatus === WRONG_WORKER || get(this.names.notRun) !== null;
-    if (!this.isOurs(get(this.names.attemptId), refused, freshConnection)) return { tag: 'garbled' };
+    this.currentStatus = status;
+    this.headers = headers;
+    const isRejection = this.currentStatus === WRONG_WORKER || get(this.headerNames.notRun) !== null;
+    if (!this.isForThisAttempt(get(this.headerNames.attemptId), isRejection, freshConnection))
+      return { tag: 'garbled' };
     if (get('content-encoding') !== null) return { tag: 'garbled' };
-    if (refused) {
-      const retryAfterS = numberIn(get('retry-after')) ?? DEFAULT_RETRY_AFTER_S;
-      this.refusal = { tag: this.currentStatus === WRONG_WORKER ? 'wrongWorker' : 'notExecuted', retryAfterS };
+    if (isRejection) {
+      const retryAfterS = parseNumber(get('retry-after')) ?? DEFAULT_RETRY_AFTER_S;
+      this.rejection = { tag: this.currentStatus === WRONG_WORKER ? 'wrongWorker' : 'notExecuted', retryAfterS };
       return null;
     }
-    if (this.isSuccess() && get(this.names.seal) === null) return { tag: 'garbled' };
+    if (this.isSuccess() && get(this.headerNames.seal) === null) return { tag: 'garbled' };
     if (this.isSuccess() && this.request.stream) this.splitter = createEventSplitter();
     return null;
   }
 
-  data(chunk: Buffer): AttemptOutcome | null {
-    if (this.splitter) return this.passEvents(this.splitter, chunk);
-    this.size += chunk.length;
+  onData(chunk: Buffer): AttemptOutcome | null {
+    if (this.splitter) return this.forwardEvents(this.splitter, chunk);
+    this.bufferedBytes += chunk.length;
     this.chunks.push(chunk);
-    return this.size > MOST_HELD_BYTES ? { tag: 'garbled' } : null;
+    return this.bufferedBytes > MAX_BUFFERED_BYTES ? { tag: 'garbled' } : null;
   }
 
-  private passEvents(from: EventSplitter, chunk: Buffer): AttemptOutcome | null {
-    const events = from.push(chunk);
-    if (events.length > 0) this.answers.begin(this.request, this.currentStatus, this.headers);
+  private forwardEvents(splitter: EventSplitter, chunk: Buffer): AttemptOutcome | null {
+    const events = splitter.push(chunk);
+    if (events.length > 0) this.callerResponses.startStream(this.request, this.currentStatus, this.headers);
     for (const event of events) {
-      if (event.id === null) this.request.unnumbered = this.request.unnumbered || !isComment(event.bytes);
+      if (event.id === null)
+        this.request.hasUnnumberedEvent = this.request.hasUnnumberedEvent || !isComment(event.bytes);
       else if (this.request.lastEvent !== null && event.id <= this.request.lastEvent) return { tag: 'garbled' };
       else this.request.lastEvent = event.id;
       this.request.incoming.answerer.write(event.bytes);
@@ -99,22 +104,22 @@
     return null;
   }
 
-  end(): AttemptOutcome {
-    if (this.refusal) return this.refusal;
+  onEnd(): AttemptOutcome {
+    if (this.rejection) return this.rejection;
     if (!this.isSuccess()) return { tag: 'workerFailed' };
     if (!this.splitter) return { tag: 'answered' };
     if (this.splitter.remainder().length > 0) return { tag: 'garbled' };
-    this.answers.begin(this.request, this.currentStatus, this.headers);
+    this.callerResponses.startStream(this.request, this.currentStatus, this.headers);
     return { tag: 'answered' };
   }
 
-  broken(how: 'reset' | 'garbled'): AttemptOutcome {
-    if (this.refusal) return this.refusal;
+  onBroken(cause: 'reset' | 'garbled'): AttemptOutcome {
+    if (this.rejection) return this.rejection;
     if (this.currentStatus > 0) return { tag: 'answerCut' };
-    return how === 'reset' ? { tag: 'resetWritten' } : { tag: 'garbled' };
+    return cause === 'reset' ? { tag: 'resetWritten' } : { tag: 'garbled' };
   }
 
-  buffered(): BufferedResponse {
+  takeBuffered(): BufferedResponse {
     const body = Buffer.concat(this.chunks);
     this.chunks = [];
     return { status: this.currentStatus, headers: this.headers, body };
@@ -125,11 +130,11 @@
   }
 }
 
-/** A reader for the response to one attempt of a request. */
+/** Creates a reader for the response to one attempt of a request. */
 export function createResponseReader(
-  names: HeaderNames,
+  headerNames: HeaderNames,
   request: RelayedRequest,
-  answers: CallerResponses,
+  callerResponses: CallerResponses,
 ): ResponseReader {
-  return new CheckedResponseReader(names, request, answers);
+  return new CheckedResponseReader(headerNames, request, callerResponses);
 }
--- a/src/coordination/forwarding/worker-call.ts
+++ b/src/coordination/forwarding/worker-call.ts
@@ -1,6 +1,6 @@
 /**
- * One attempt of a request with a ticket at one worker, ending with a typed outcome. A whole answer is
- * given once its seal holds; a stream is given at its first good line and checked as it goes on.
+ * One attempt to run a request with an admission token at one worker, ending with a typed outcome. A complete response
+ * is returned after its digest was verified; a stream is returned at its first valid line, and verified line by line.
  */
 import type { Result } from '../../base/result.js';
 import type { Failure } from '../../protocol/caller-wire.js';
@@ -17,50 +17,50 @@
 import type { Log } from '../../transport/log.js';
 import type { PendingCall, PendingCalls } from './pending-calls.js';
 
-/** A line of a stream as callers get it: pieces, and at the end exactly one seal or error. */
+/** A line of a stream as callers get it: any number of pieces, then exactly one digest or error. */
 export type AnswerLine = StreamLine | { readonly error: Failure };
 
-/** How the attempt ended. `failure` says what the caller is told if the request may have run. */
+/** How the attempt ended. `failure` is what the caller is told if the request may have run. */
 export type WorkerCallEnd =
   | { readonly tag: 'whole'; readonly answer: CompleteResponse }
   | { readonly tag: 'stream'; readonly lines: AsyncIterable<AnswerLine> }
   | { readonly tag: 'failed'; readonly outcome: AttemptOutcome; readonly failure: Failure };
 
-/** One call: the worker, what is sent, and until when (monotonic clock, milliseconds). */
+/** One call: the worker, the request, and the deadline in milliseconds of the monotonic clock. */
 export type WorkerCall = {
   readonly candidate: Candidate;
   readonly row: WorkerRow;
   readonly run: Run;
   readonly deadlineAt: number;
   readonly pieceWaitMs: number;
-  readonly gone: () => boolean;
-  /** Told when the seal of the whole answer has been checked. */
-  readonly sealed: () => void;
+  readonly isCallerGone: () => boolean;
+  /** Called when the digest at the end of a stream has been verified. */
+  readonly onDigestVerified: () => void;
 };
 
-/** What calls are made with. */
+/** Dependencies of worker calls. */
 export type WorkerCallDeps = {
   readonly table: WorkerTable;
   readonly pending: PendingCalls;
   readonly httpClient: HttpClient;
   readonly clock: Clock;
   readonly log: Log;
-  /** Gives the worker's place back. */
-  readonly leave: (row: WorkerRow) => void;
-  /** Told of each stream that broke off after its first piece. */
-  readonly onCut: () => void;
+  /** Releases the slot of the worker. */
+  readonly releaseSlot: (row: WorkerRow) => void;
+  /** Called for each stream that was truncated after its first line. */
+  readonly onTruncated: () => void;
 };
 
-type GoodLine =
+type ValidLine =
   | { readonly tag: 'piece'; readonly piece: { readonly n: number; readonly text: string } }
   | { readonly tag: 'seal'; readonly seal: ResponseDigest };
-type NextLine = GoodLine | { readonly tag: 'error'; readonly outcome: AttemptOutcome; readonly failure: Failure };
+type NextLine = ValidLine | { readonly tag: 'error'; readonly outcome: AttemptOutcome; readonly failure: Failure };
 
 const RETRY_AFTER_S = 1;
 const WORKER_FAILED: Failure = { tag: 'workerFailed' };
-const BAD_SEAL: Failure = { tag: 'badSeal' };
+const DIGEST_MISMATCH: Failure = { tag: 'badSeal' };
 
-/** Makes calls; each resolves at its end or, for a stream, at its first good line. */
+/** Creates a function that makes calls. Each resolves at its end or, for a stream, at its first valid line. */
 export function createWorkerCalls(deps: WorkerCallDeps): (call: WorkerCall) => Promise<WorkerCallEnd> {
   const { table, pending, httpClient, clock, log } = deps;
 
@@ -74,12 +74,12 @@
       body: run,
       timeoutMs: call.deadlineAt - clock.mono(),
       stream: run.stream,
-      signal: watched.abort.signal,
+      signal: watched.abortController.signal,
     });
     if (response.ok && response.value.status === 200 && run.stream) return streamEnd(call, watched, response.value);
-    end(watched);
+    endCall(watched);
     if (!response.ok) return errorEnd(candidate, response.error);
-    return response.value.status === 200 ? completeEnd(call, response.value.body) : refusalEnd(call, response.value);
+    return response.value.status === 200 ? completeEnd(call, response.value.body) : rejectionEnd(call, response.value);
   }
 
   function errorEnd(candidate: Candidate, error: HttpError): WorkerCallEnd {
@@ -87,14 +87,15 @@
     return { tag: 'failed', outcome: outcomeOf(error), failure: WORKER_FAILED };
   }
 
-  function refusalEnd({ candidate, run }: WorkerCall, answer: HttpAnswer): WorkerCallEnd {
-    const notRun = readNotRun(answer.body);
-    const ours = notRun.ok && notRun.value.requestId === run.requestId && notRun.value.attemptId === run.attemptId;
-    if (answer.status === 503 && ours) {
+  function rejectionEnd({ candidate, run }: WorkerCall, response: HttpAnswer): WorkerCallEnd {
+    const notRun = readNotRun(response.body);
+    const isForThisAttempt =
+      notRun.ok && notRun.value.requestId === run.requestId && notRun.value.attemptId === run.attemptId;
+    if (response.status === 503 && isForThisAttempt) {
       table.recordRefused(candidate.index);
       return { tag: 'failed', outcome: { tag: 'notExecuted', retryAfterS: RETRY_AFTER_S }, failure: WORKER_FAILED };
     }
-    answer.abandon();
+    response.abandon();
     return { tag: 'failed', outcome: { tag: 'workerFailed' }, failure: WORKER_FAILED };
   }
 
@@ -103,56 +104,56 @@
     if (read.ok && digestMatches(run, read.value))
       return { tag: 'whole', answer: { pieces: read.value.pieces, seal: read.value.seal } };
     log.warn('response digest mismatch', { workerId: candidate.id });
-    return { tag: 'failed', outcome: { tag: 'garbled' }, failure: BAD_SEAL };
+    return { tag: 'failed', outcome: { tag: 'garbled' }, failure: DIGEST_MISMATCH };
   }
 
-  async function streamEnd(call: WorkerCall, watched: PendingCall, answer: HttpAnswer): Promise<WorkerCallEnd> {
+  async function streamEnd(call: WorkerCall, watched: PendingCall, response: HttpAnswer): Promise<WorkerCallEnd> {
     const check = startDigest(call.run.requestId, call.run.attemptId);
-    const lines = answer.lines[Symbol.asyncIterator]();
-    const first = await heard();
-    if (first.tag === 'error') {
-      end(watched);
-      answer.abandon();
-      return { tag: 'failed', outcome: first.outcome, failure: first.failure };
+    const lines = response.lines[Symbol.asyncIterator]();
+    const firstLine = await readLine();
+    if (firstLine.tag === 'error') {
+      endCall(watched);
+      response.abandon();
+      return { tag: 'failed', outcome: firstLine.outcome, failure: firstLine.failure };
     }
-    return { tag: 'stream', lines: relay(first) };
+    return { tag: 'stream', lines: relayLines(firstLine) };
 
-    async function heard(): Promise<NextLine> {
+    async function readLine(): Promise<NextLine> {
       const next = await nextLine(lines, check);
       watched.onEvent();
       return next;
     }
 
-    async function* relay(head: GoodLine): AsyncGenerator<AnswerLine> {
+    async function* relayLines(firstValid: ValidLine): AsyncGenerator<AnswerLine> {
       try {
-        for (let at: NextLine = head; ; at = await heard()) {
-          if (at.tag === 'error') {
-            deps.onCut();
+        for (let line: NextLine = firstValid; ; line = await readLine()) {
+          if (line.tag === 'error') {
+            deps.onTruncated();
             yield {
               error:
-                at.failure.tag === 'badSeal'
-                  ? at.failure
+                line.failure.tag === 'badSeal'
+                  ? line.failure
                   : { tag: 'cut', pieces: check.pieces, retryAfterS: RETRY_AFTER_S },
             };
             return;
           }
-          if (at.tag === 'seal') {
-            call.sealed();
-            yield { seal: at.seal };
+          if (line.tag === 'seal') {
+            call.onDigestVerified();
+            yield { seal: line.seal };
             return;
           }
-          yield { piece: at.piece };
-          if (call.gone()) return;
+          yield { piece: line.piece };
+          if (call.isCallerGone()) return;
         }
       } finally {
-        end(watched);
-        answer.abandon();
+        endCall(watched);
+        response.abandon();
       }
     }
   }
 
-  function end(call: PendingCall): void {
-    if (pending.end(call)) deps.leave(call.row);
+  function endCall(call: PendingCall): void {
+    if (pending.end(call)) deps.releaseSlot(call.row);
   }
   return callWorker;
 }
@@ -170,19 +171,19 @@
   }
 }
 
-function digestMatches(run: Run, answer: CompleteResponse): boolean {
+function digestMatches(run: Run, response: CompleteResponse): boolean {
   const check = startDigest(run.requestId, run.attemptId);
-  for (const piece of answer.pieces) if (addChunk(check, piece)) return false;
-  return !checkDigest(check, answer.seal);
+  for (const piece of response.pieces) if (addChunk(check, piece)) return false;
+  return !checkDigest(check, response.seal);
 }
 
 async function nextLine(lines: AsyncIterator<Result<unknown, unknown>>, check: DigestCheck): Promise<NextLine> {
   const next = await lines.next();
   if (next.done || !next.value.ok) return { tag: 'error', outcome: { tag: 'answerCut' }, failure: WORKER_FAILED };
   const read = readStreamLine(next.value.value);
-  if (!read.ok) return { tag: 'error', outcome: { tag: 'garbled' }, failure: BAD_SEAL };
+  if (!read.ok) return { tag: 'error', outcome: { tag: 'garbled' }, failure: DIGEST_MISMATCH };
   const line = read.value;
   const error = 'piece' in line ? addChunk(check, line.piece) : checkDigest(check, line.seal);
-  if (error) return { tag: 'error', outcome: { tag: 'garbled' }, failure: BAD_SEAL };
+  if (error) return { tag: 'error', outcome: { tag: 'garbled' }, failure: DIGEST_MISMATCH };
   return 'piece' in line ? { tag: 'piece', piece: line.piece } : { tag: 'seal', seal: line.seal };
 }
--- a/src/coordination/forwarding/worker-queue.ts
+++ b/src/coordination/forwarding/worker-queue.ts
@@ -1,6 +1,6 @@
 /**
- * Finds a worker for a request, or lets it wait in a bounded queue until one has room: the more urgent
- * first, each no longer than its route's share of time allows.
+ * Reserves a worker for a request, or queues the request until a worker has a free slot. The queue is bounded and
+ * ordered by urgency. A request that was not sent yet waits for at most a fraction of its route's latency target.
  */
 import type { EdgeTuning } from '../../state/forwarding/edge-tuning.js';
 import type { Standstill } from '../../state/forwarding/standstill.js';
@@ -14,21 +14,21 @@
 import { rankOf } from './relayed-request.js';
 import type { RelayedRequest } from './relayed-request.js';
 
-/** A worker with one of its places held. */
+/** A worker with one of its slots reserved. */
 export type ReservedWorker = { readonly row: RegistryRow; readonly reservation: Reservation };
 
 /** Reserves workers for requests. */
 export interface WorkerQueue {
-  /** A worker, or null when the wait was over, the queue full or the caller gone. */
+  /** Resolves with a worker, or with null if the wait timed out, the queue is full or the caller disconnected. */
   reserve(request: RelayedRequest): Promise<ReservedWorker | null>;
-  /** True if no worker at all is in reach of this request, busy or not. */
+  /** Returns true if no worker, busy or idle, is available to this request. */
   noneInReach(request: RelayedRequest): boolean;
-  /** Looks again for everyone who waits. */
+  /** Retries the reservation of each queued request. */
   wake(): void;
   waiting(): number;
 }
 
-/** The workers, and `selectionFor`, which says what a request needs. */
+/** Dependencies of the queue; `selectionFor` returns what a request needs of a worker. */
 export type WorkerQueueDeps = {
   readonly registry: WorkerRegistry;
   readonly tuning: EdgeTuning;
@@ -43,49 +43,52 @@
   timer: Timer;
 };
 
-/** Time passes for cold workers and full ones without any event, so whoever waits looks so often. */
-const LOOK_MS = 25;
-/** Before the deadline, so that the caller still hears the refusal. */
-const BEFORE_DEADLINE_MS = 20;
-/** A request that was tried already waits no longer for its next attempt. */
-const REPEAT_WAIT_MS = 400;
-const DEFAULT_AIM_MS = 2_000;
-
-class RankedWorkerQueue implements WorkerQueue {
+/**
+ * Interval at which queued requests are retried. A cold or full worker becomes available again as time passes, without
+ * any event that would wake the queue.
+ */
+const RECHECK_INTERVAL_MS = 25;
+/** A queued request is rejected this long before its deadline, so that the rejection still reaches the caller. */
+const REJECT_BEFORE_DEADLINE_MS = 20;
+/** Maximum wait for a further attempt of a request that was sent before. */
+const MAX_RETRY_WAIT_MS = 400;
+const DEFAULT_LATENCY_TARGET_MS = 2_000;
+
+class PriorityWorkerQueue implements WorkerQueue {
   private readonly waiters: Waiter[] = [];
-  private waking = false;
-  private looking = false;
+  private isWaking = false;
+  private isRecheckScheduled = false;
 
   constructor(private readonly deps: WorkerQueueDeps) {}
 
-  private trySelect(request: RelayedRequest): ReservedWorker | 'busy' | 'none' {
+  private tryReserve(request: RelayedRequest): ReservedWorker | 'busy' | 'none' {
     const selection = this.deps.selectionFor(request);
-    const found = this.deps.registry.selectWorker(selection);
-    return found.tag === 'row'
-      ? { row: found.row, reservation: this.deps.registry.reserve(found.row, selection) }
-      : found.tag;
+    const selected = this.deps.registry.selectWorker(selection);
+    return selected.tag === 'row'
+      ? { row: selected.row, reservation: this.deps.registry.reserve(selected.row, selection) }
+      : selected.tag;
   }
 
-  private selectNow(request: RelayedRequest): ReservedWorker | null {
-    const first = this.waiters.length === 0 ? this.trySelect(request) : null;
+  private reserveNow(request: RelayedRequest): ReservedWorker | null {
+    const first = this.waiters.length === 0 ? this.tryReserve(request) : null;
     if (first !== null && typeof first === 'object') return first;
     if (first !== 'none' || request.avoid.size === 0) return null;
     request.avoid.clear();
-    const second = this.trySelect(request);
+    const second = this.tryReserve(request);
     return typeof second === 'object' ? second : null;
   }
 
-  private waitUntil(request: RelayedRequest, now: number): number {
-    const targetMs = request.route.settings.aimMs ?? DEFAULT_AIM_MS;
-    const untried = request.attempts === 0 && !request.answerBegun;
-    const until = untried
-      ? Math.max(request.cameAt + targetMs * this.deps.tuning.queueTimeFraction, now)
-      : now + REPEAT_WAIT_MS;
-    return Math.min(request.deadlineAt - BEFORE_DEADLINE_MS, until);
+  private waitDeadlineOf(request: RelayedRequest, now: number): number {
+    const latencyTargetMs = request.route.settings.aimMs ?? DEFAULT_LATENCY_TARGET_MS;
+    const isFirstAttempt = request.attempts === 0 && !request.isResponseStarted;
+    const waitUntil = isFirstAttempt
+      ? Math.max(request.arrivedAt + latencyTargetMs * this.deps.tuning.queueTimeFraction, now)
+      : now + MAX_RETRY_WAIT_MS;
+    return Math.min(request.deadlineAt - REJECT_BEFORE_DEADLINE_MS, waitUntil);
   }
 
   reserve(request: RelayedRequest): Promise<ReservedWorker | null> {
-    const reserved = this.selectNow(request);
+    const reserved = this.reserveNow(request);
     if (reserved || this.waiters.length >= this.deps.tuning.maxQueueLength) return Promise.resolve(reserved);
 
     const start = (resolve: (reserved: ReservedWorker | null) => void): void => {
@@ -97,53 +100,53 @@
   private enqueue(request: RelayedRequest, resolve: (reserved: ReservedWorker | null) => void): void {
     const finish = (reserved: ReservedWorker | null): void => {
       waiter.timer.cancel();
-      const i = this.waiters.indexOf(waiter);
-      if (i >= 0) this.waiters.splice(i, 1);
+      const index = this.waiters.indexOf(waiter);
+      if (index >= 0) this.waiters.splice(index, 1);
       resolve(reserved);
     };
     const now = this.deps.clock.mono();
     const waiter: Waiter = {
       request,
       resolve: finish,
-      timer: this.deps.clock.timer(Math.max(0, this.waitUntil(request, now) - now), abandon),
+      timer: this.deps.clock.timer(Math.max(0, this.waitDeadlineOf(request, now) - now), abandon),
     };
     function abandon(): void {
       finish(null);
     }
     this.waiters.splice(this.positionOf(request), 0, waiter);
-    this.lookLater();
+    this.scheduleRecheck();
     request.incoming.answerer.onGone(abandon);
     this.wake();
   }
 
   private positionOf(request: RelayedRequest): number {
     const rank = rankOf(request);
-    let at = this.waiters.length;
-    while (at > 0 && rankOf((this.waiters[at - 1] as Waiter).request) > rank) at -= 1;
-    return at;
+    let position = this.waiters.length;
+    while (position > 0 && rankOf((this.waiters[position - 1] as Waiter).request) > rank) position -= 1;
+    return position;
   }
 
   wake(): void {
-    if (this.waking || this.deps.standstill.observe(this.deps.clock.mono()) !== null) return;
-    this.waking = true;
+    if (this.isWaking || this.deps.standstill.observe(this.deps.clock.mono()) !== null) return;
+    this.isWaking = true;
     for (const waiter of [...this.waiters]) {
-      const reserved = this.trySelect(waiter.request);
+      const reserved = this.tryReserve(waiter.request);
       if (typeof reserved === 'object') waiter.resolve(reserved);
     }
-    this.waking = false;
+    this.isWaking = false;
   }
 
-  private look(): void {
-    this.looking = false;
+  private recheck(): void {
+    this.isRecheckScheduled = false;
     if (this.waiters.length === 0) return;
     this.wake();
-    this.lookLater();
+    this.scheduleRecheck();
   }
 
-  private lookLater(): void {
-    if (this.looking) return;
-    this.looking = true;
-    this.deps.clock.timer(LOOK_MS, () => this.look());
+  private scheduleRecheck(): void {
+    if (this.isRecheckScheduled) return;
+    this.isRecheckScheduled = true;
+    this.deps.clock.timer(RECHECK_INTERVAL_MS, () => this.recheck());
   }
 
   noneInReach(request: RelayedRequest): boolean {
@@ -155,7 +158,7 @@
   }
 }
 
-/** An empty queue. */
+/** Creates an empty queue. */
 export function createWorkerQueue(deps: WorkerQueueDeps): WorkerQueue {
-  return new RankedWorkerQueue(deps);
+  return new PriorityWorkerQueue(deps);
 }
--- a/src/coordination/forwarding/worker-slot-queue.ts
+++ b/src/coordination/forwarding/worker-slot-queue.ts
@@ -1,6 +1,7 @@
 /**
- * Finds a worker for a request with a ticket, or lets it wait in its model's bounded queue until one has
- * room. Refuses at once whoever would not get a worker in time at the pace of the queue.
+ * Acquires a worker slot for a request with an admission token, or queues the request in the bounded queue of its model
+ * until a worker has a free slot. A request that would not get a slot in time, by the rate at which the queue has
+ * lately been served, is rejected at once.
  */
 import type { RejectReason } from '../../protocol/caller-wire.js';
 import type { Candidate } from '../../state/forwarding/candidate.js';
@@ -13,34 +14,34 @@
 import type { Clock, Timer } from '../../transport/clock.js';
 import type { PlacementService } from './placement-service.js';
 
-/** A worker with one of its places taken, or why there is none and when to come back. */
+/** A worker with one of its slots taken, or why there is none and when to retry. */
 export type WorkerSlot =
-  | { readonly tag: 'seat'; readonly candidate: Candidate; readonly row: WorkerRow }
-  | { readonly tag: 'none'; readonly reason: RejectReason; readonly comeBackMs: number };
+  | { readonly tag: 'acquired'; readonly candidate: Candidate; readonly row: WorkerRow }
+  | { readonly tag: 'none'; readonly reason: RejectReason; readonly retryAfterMs: number };
 
-/** What a request asks of the queue. */
+/** A request for a slot. `waitUntil` is in milliseconds of the monotonic clock. */
 export type SlotRequest = {
   readonly token: AdmissionToken;
   readonly parts: readonly string[];
   readonly values: Resolved;
-  /** Workers that were tried. */
+  /** Workers that were tried before. */
   readonly avoid: ReadonlySet<number>;
   readonly waitUntil: number;
-  readonly gone: () => boolean;
+  readonly isCallerGone: () => boolean;
 };
 
-/** Acquires slots of workers. */
+/** Acquires and releases worker slots. */
 export interface WorkerSlotQueue {
   acquire(request: SlotRequest): Promise<WorkerSlot>;
-  /** Gives a place back. */
+  /** Releases a slot and wakes the queued requests. */
   release(row: WorkerRow): void;
   wake(): void;
   waiting(): number;
-  /** From now on everyone is refused. */
+  /** Rejects all queued requests and all later ones. */
   close(): void;
 }
 
-/** Placement and the workers; while `ready` is false everyone is rejected. */
+/** Dependencies of the queue; while `ready` returns false each request is rejected. */
 export type WorkerSlotQueueDeps = {
   readonly ready: () => boolean;
   readonly placement: PlacementService;
@@ -48,33 +49,33 @@
   readonly clock: Clock;
 };
 
-type Waiter = { readonly poke: () => void };
+type Waiter = { readonly wake: () => void };
 
-const COME_BACK_MS = 1_000;
+const DEFAULT_RETRY_AFTER_MS = 1_000;
 
 class ModelSlotQueue implements WorkerSlotQueue {
   private readonly waiters = new Set<Waiter>();
-  private readonly lengths = new Map<string, number>();
-  private readonly paces = new Map<string, QueuePacer>();
-  private open = true;
+  private readonly queueLengths = new Map<string, number>();
+  private readonly pacers = new Map<string, QueuePacer>();
+  private isOpen = true;
 
   constructor(private readonly deps: WorkerSlotQueueDeps) {}
 
-  private none(reason: RejectReason, comeBackMs = COME_BACK_MS): WorkerSlot {
-    return { tag: 'none', reason, comeBackMs };
+  private noSlot(reason: RejectReason, retryAfterMs = DEFAULT_RETRY_AFTER_MS): WorkerSlot {
+    return { tag: 'none', reason, retryAfterMs };
   }
 
-  private lengthOf(model: string): number {
-    return this.lengths.get(model) ?? 0;
+  private queueLengthOf(model: string): number {
+    return this.queueLengths.get(model) ?? 0;
   }
 
-  private paceOf(model: string): QueuePacer {
-    const pace = this.paces.get(model) ?? createQueuePacer();
-    this.paces.set(model, pace);
-    return pace;
+  private pacerOf(model: string): QueuePacer {
+    const pacer = this.pacers.get(model) ?? createQueuePacer();
+    this.pacers.set(model, pacer);
+    return pacer;
   }
 
-  /** A seat, a refusal, or null where only room is lacking. */
+  /** Returns a slot or a rejection, or null if the only obstacle is that all suitable workers are full. */
   private tryAcquire(request: SlotRequest): WorkerSlot | null {
     const { token, parts, avoid } = request;
     const choice = this.deps.placement.choose({
@@ -84,32 +85,32 @@
       avoid,
     });
     if (choice.tag !== 'chosen')
-      return choice.stoppedBy === 'room' ? null : this.none(avoid.size > 0 ? 'workersShed' : 'noWorker');
+      return choice.stoppedBy === 'room' ? null : this.noSlot(avoid.size > 0 ? 'workersShed' : 'noWorker');
     const row = this.deps.table.begin(choice.candidate.index);
-    if (!row) return this.none('noWorker');
-    this.paceOf(token.model).record(this.deps.clock.mono());
-    return { tag: 'seat', candidate: choice.candidate, row };
+    if (!row) return this.noSlot('noWorker');
+    this.pacerOf(token.model).record(this.deps.clock.mono());
+    return { tag: 'acquired', candidate: choice.candidate, row };
   }
 
-  private whyNot(request: SlotRequest): WorkerSlot | null {
-    if (!this.open) return this.none('stopping');
-    if (!this.deps.ready()) return this.none('notReady');
-    return request.gone() ? this.none('lineWaitOver') : null;
+  private rejectionFor(request: SlotRequest): WorkerSlot | null {
+    if (!this.isOpen) return this.noSlot('stopping');
+    if (!this.deps.ready()) return this.noSlot('notReady');
+    return request.isCallerGone() ? this.noSlot('lineWaitOver') : null;
   }
 
   async acquire(request: SlotRequest): Promise<WorkerSlot> {
     const { model } = request.token;
-    const atOnce = this.whyNot(request) ?? (this.lengthOf(model) === 0 ? this.tryAcquire(request) : null);
-    if (atOnce) return atOnce;
+    const immediate = this.rejectionFor(request) ?? (this.queueLengthOf(model) === 0 ? this.tryAcquire(request) : null);
+    if (immediate) return immediate;
     const now = this.deps.clock.mono();
-    const ahead = this.lengthOf(model);
-    const expected = this.paceOf(model).expectedWaitMs(ahead, now);
-    if (ahead >= request.values.lineLimit || (expected !== null && now + expected > request.waitUntil))
-      return this.none('lineFull', expected ?? request.values.lineWaitMs);
-    this.lengths.set(model, ahead + 1);
-    const end = await this.wait(request);
-    this.lengths.set(model, this.lengthOf(model) - 1);
-    return end;
+    const ahead = this.queueLengthOf(model);
+    const expectedWaitMs = this.pacerOf(model).expectedWaitMs(ahead, now);
+    if (ahead >= request.values.lineLimit || (expectedWaitMs !== null && now + expectedWaitMs > request.waitUntil))
+      return this.noSlot('lineFull', expectedWaitMs ?? request.values.lineWaitMs);
+    this.queueLengths.set(model, ahead + 1);
+    const result = await this.wait(request);
+    this.queueLengths.set(model, this.queueLengthOf(model) - 1);
+    return result;
   }
 
   private async wait(request: SlotRequest): Promise<WorkerSlot> {
@@ -117,29 +118,32 @@
     for (;;) {
       const now = this.deps.clock.mono();
       if (now >= request.waitUntil)
-        return this.none('lineWaitOver', this.paceOf(model).expectedWaitMs(this.lengthOf(model), now) ?? COME_BACK_MS);
-      await this.nextPoke(request.waitUntil - now);
-      const end = this.whyNot(request) ?? this.tryAcquire(request);
-      if (end) return end;
+        return this.noSlot(
+          'lineWaitOver',
+          this.pacerOf(model).expectedWaitMs(this.queueLengthOf(model), now) ?? DEFAULT_RETRY_AFTER_MS,
+        );
+      await this.waitForWake(request.waitUntil - now);
+      const result = this.rejectionFor(request) ?? this.tryAcquire(request);
+      if (result) return result;
     }
   }
 
-  private nextPoke(ms: number): Promise<void> {
+  private waitForWake(timeoutMs: number): Promise<void> {
     const start = (resolve: () => void): void => {
-      const poke = (): void => {
+      const wake = (): void => {
         timer.cancel();
         this.waiters.delete(waiter);
         resolve();
       };
-      const waiter: Waiter = { poke };
-      const timer: Timer = this.deps.clock.timer(ms, poke);
+      const waiter: Waiter = { wake };
+      const timer: Timer = this.deps.clock.timer(timeoutMs, wake);
       this.waiters.add(waiter);
     };
     return new Promise(start);
   }
 
   wake(): void {
-    for (const waiter of [...this.waiters]) waiter.poke();
+    for (const waiter of [...this.waiters]) waiter.wake();
   }
 
   release(row: WorkerRow): void {
@@ -148,18 +152,18 @@
   }
 
   waiting(): number {
-    let sum = 0;
-    for (const length of this.lengths.values()) sum += length;
-    return sum;
+    let total = 0;
+    for (const length of this.queueLengths.values()) total += length;
+    return total;
   }
 
   close(): void {
-    this.open = false;
+    this.isOpen = false;
     this.wake();
   }
 }
 
-/** Empty queues, one for each model. */
+/** Creates empty queues, one for each model. */
 export function createWorkerSlotQueue(deps: WorkerSlotQueueDeps): WorkerSlotQueue {
   return new ModelSlotQueue(deps);
 }
