--- a/src/coordination/forwarding/dispatcher.test.ts
+++ b/src/coordination/forwarding/dispatcher.test.ts
@@ -15,16 +15,16 @@
 type Reply = HttpError | { readonly status: number; readonly body: (call: HttpCall) => unknown };
 
 const KEY = { text: 'k@1', born: 1 } as RunKey;
-const VALUES = { requestDeadlineMs: 5_000, lineWaitMs: 1_000, lineLimit: 10, retryShare: 1, pieceWaitMs: 2_000 };
-const TICKET = {
+const SETTINGS = { requestDeadlineMs: 5_000, lineWaitMs: 1_000, lineLimit: 10, retryShare: 1, pieceWaitMs: 2_000 };
+const TOKEN = {
   id: 't',
   requestId: 'r',
   model: 'm',
   bound: { mapping: null, kind: null, asked: null },
 } as unknown as AdmissionToken;
 
-/** Two workers that answer as told, in turn, and a core that grants claims after `claimMs`. */
-function rig(replies: readonly Reply[], claimMs = 0, ran = 0) {
+/** Creates a dispatcher with two workers that respond with `replies` in turn, and with claims granted after `claimMs`. */
+function createFixture(replies: readonly Reply[], claimMs = 0, firstReply = 0) {
   const world = createWorld(3);
   const clock = world.clockOf(world.begin(world.host('edge', 'z1')));
   const calls: HttpCall[] = [];
@@ -44,10 +44,10 @@
     prefixes: { learn: () => undefined },
   } as unknown as WorkerTable;
   const placement = {
-    resolved: () => ({ values: VALUES }),
+    resolved: () => ({ values: SETTINGS }),
     homesOf: () => null,
     choose: ({ avoid }: { avoid: ReadonlySet<number> }) => {
-      const row = rows.find((r) => !avoid.has(r.index));
+      const row = rows.find((candidate) => !avoid.has(candidate.index));
       return row
         ? { tag: 'chosen', candidate: { index: row.index, id: `w${row.index}`, address: `w${row.index}` } }
         : { tag: 'none', stoppedBy: 'untried' };
@@ -60,87 +60,96 @@
     claims: {
       claim: () => {
         claims.push('claim');
-        return new Promise<ClaimOutcome>((done) => clock.timer(claimMs, () => done({ tag: 'claimed' })));
+        return new Promise<ClaimOutcome>((resolve) => clock.timer(claimMs, () => resolve({ tag: 'claimed' })));
       },
       end: (_key, _by, outcome) => claims.push(outcome),
     },
     httpClient: {
       call: (call) => {
-        const reply = replies[ran + calls.length] ?? { tag: 'broken' };
+        const reply = replies[firstReply + calls.length] ?? { tag: 'broken' };
         calls.push(call);
         if ('tag' in reply) return Promise.resolve({ ok: false, error: reply });
-        const answer = {
+        const response = {
           status: reply.status,
           headers: {},
           body: reply.body(call),
           abandon: () => undefined,
         } as unknown as HttpAnswer;
-        return Promise.resolve({ ok: true, value: answer });
+        return Promise.resolve({ ok: true, value: response });
       },
     },
     clock,
     rng: createRng(1),
     log: createQuietLog().component('t'),
   });
-  let gone = false;
-  async function submit(key: RunKey | null, forMs = 100): Promise<Submission | null> {
-    let end: Submission | null = null;
+  let isCallerGone = false;
+  async function submit(key: RunKey | null, advanceMs = 100): Promise<Submission | null> {
+    let submission: Submission | null = null;
     void dispatcher
-      .submit(TICKET, { requestId: 'r', parts: [], outputTokens: 1, stream: false }, key, () => gone)
-      .then((response) => (end = response));
-    await world.advance(forMs);
-    return end;
+      .submit(TOKEN, { requestId: 'r', parts: [], outputTokens: 1, stream: false }, key, () => isCallerGone)
+      .then((response) => (submission = response));
+    await world.advance(advanceMs);
+    return submission;
   }
-  return { world, calls, claims, submit, dispatcher, leave: () => (gone = true) };
+  return { world, calls, claims, submit, dispatcher, disconnect: () => (isCallerGone = true) };
 }
 
-function notRun(call: HttpCall): unknown {
+function notRunBody(call: HttpCall): unknown {
   const run = call.body as { requestId: string; attemptId: string };
   return { notRun: true, requestId: run.requestId, attemptId: run.attemptId };
 }
-const REFUSES: Reply = { status: 503, body: notRun };
-const REFUSES_ANOTHER: Reply = { status: 503, body: () => ({ notRun: true, requestId: 'r', attemptId: 'other' }) };
+const REJECTS: Reply = { status: 503, body: notRunBody };
+const REJECTS_OTHER_ATTEMPT: Reply = {
+  status: 503,
+  body: () => ({ notRun: true, requestId: 'r', attemptId: 'other' }),
+};
 const FAILS: Reply = { status: 500, body: () => null };
 
 test.each<[string, Reply, number, string, string]>([
   ['no connection', { tag: 'neverSent' }, 2, 'outcomeUnknown', ''],
   ['a reset', { tag: 'broken' }, 1, 'outcomeUnknown', ''],
-  ['a silence until the deadline', { tag: 'timedOut' }, 1, 'outcomeUnknown', ''],
-  ['bytes that are no answer', { tag: 'notJson' }, 1, 'outcomeUnknown', ''],
-  ["a worker's own failure", FAILS, 1, 'outcomeUnknown', ''],
-  ["another attempt's word that it was not run", REFUSES_ANOTHER, 1, 'outcomeUnknown', ''],
-  ['the word that it was not run', REFUSES, 2, 'outcomeUnknown', ''],
-])('a run-once request after %s', async (_what, first, sent, failure) => {
-  const r = rig([first, { tag: 'broken' }]);
-  const end = await r.submit(KEY);
-  expect(r.calls).toHaveLength(sent);
-  expect(end).toMatchObject({ tag: 'failed', failure: { tag: failure } });
-  expect(r.claims).toEqual(['claim']);
-});
+  ['no response until the deadline', { tag: 'timedOut' }, 1, 'outcomeUnknown', ''],
+  ['a response that is not JSON', { tag: 'notJson' }, 1, 'outcomeUnknown', ''],
+  ['a worker error', FAILS, 1, 'outcomeUnknown', ''],
+  ['a statement under the id of another attempt that it was not run', REJECTS_OTHER_ATTEMPT, 1, 'outcomeUnknown', ''],
+  ['a statement that it was not run', REJECTS, 2, 'outcomeUnknown', ''],
+])(
+  'a run-once request is sent again only if no attempt may have run: after %s',
+  async (_case, firstResponse, expectedCalls, failure) => {
+    const fixture = createFixture([firstResponse, { tag: 'broken' }]);
+    const submission = await fixture.submit(KEY);
+    expect(fixture.calls).toHaveLength(expectedCalls);
+    expect(submission).toMatchObject({ tag: 'failed', failure: { tag: failure } });
+    expect(fixture.claims).toEqual(['claim']);
+  },
+);
 
-test('a claim is released where every worker said that it did not run the request', async () => {
-  const r = rig([REFUSES, REFUSES]);
-  expect(await r.submit(KEY)).toMatchObject({ failure: { tag: 'shed', notRun: true } });
-  expect(r.claims).toEqual(['claim', 'released']);
+test('a claim is released if every worker stated that it did not run the request', async () => {
+  const fixture = createFixture([REJECTS, REJECTS]);
+  expect(await fixture.submit(KEY)).toMatchObject({ failure: { tag: 'shed', notRun: true } });
+  expect(fixture.claims).toEqual(['claim', 'released']);
 });
 
 test.each<[string, Reply]>([
   ['a reset', { tag: 'broken' }],
-  ['bytes that are no answer', { tag: 'notJson' }],
-  ["a worker's own failure", FAILS],
-])('a repeatable request goes elsewhere after %s, and is never told that it did not run', async (_what, first) => {
-  const r = rig([first, REFUSES]);
-  expect(await r.submit(null)).toMatchObject({ failure: { tag: 'workerFailed' } });
-  expect(r.calls).toHaveLength(2);
-});
+  ['a response that is not JSON', { tag: 'notJson' }],
+  ['a worker error', FAILS],
+])(
+  'a repeatable request is retried at another worker after %s, and never reported as not run',
+  async (_case, firstResponse) => {
+    const fixture = createFixture([firstResponse, REJECTS]);
+    expect(await fixture.submit(null)).toMatchObject({ failure: { tag: 'workerFailed' } });
+    expect(fixture.calls).toHaveLength(2);
+  },
+);
 
-test('a run-once request whose caller left, or whose time was over, while its key was claimed is not sent', async () => {
-  for (const why of ['left', 'late']) {
-    const r = rig([], why === 'late' ? 6_000 : 500);
-    const pending = r.submit(KEY, 7_000);
-    if (why === 'left') r.leave();
+test('a run-once request is not sent if its caller disconnects or its deadline passes while its key is claimed', async () => {
+  for (const cause of ['disconnected', 'expired']) {
+    const fixture = createFixture([], cause === 'expired' ? 6_000 : 500);
+    const pending = fixture.submit(KEY, 7_000);
+    if (cause === 'disconnected') fixture.disconnect();
     expect(await pending).toMatchObject({ failure: { tag: 'shed', notRun: true } });
-    expect(r.calls).toHaveLength(0);
-    expect(r.claims).toEqual(['claim', 'released']);
+    expect(fixture.calls).toHaveLength(0);
+    expect(fixture.claims).toEqual(['claim', 'released']);
   }
 });
--- a/src/coordination/forwarding/placement-service.ts
+++ b/src/coordination/forwarding/placement-service.ts
@@ -170,7 +170,7 @@
     });
   }
 
-  private selectUnder(query: PlacementQuery, policies: readonly Policy[]): Choice {
+  private selectWithPolicies(query: PlacementQuery, policies: readonly Policy[]): Choice {
     const subset = this.candidatesOf(query, false);
     const choice = selectAmong(subset, this.contextOf(query, subset), policies);
     if (choice.tag === 'chosen' || choice.stoppedBy === 'room') return choice;
@@ -179,7 +179,7 @@
   }
 
   choose(query: PlacementQuery): Choice {
-    return this.selectUnder(query, this.deps.policies);
+    return this.selectWithPolicies(query, this.deps.policies);
   }
 
   homesOf(model: string, bound: Bound): readonly string[] | null {
@@ -248,10 +248,10 @@
       avoid: new Set(),
       ...(request.zone === undefined ? {} : { from: request.zone }),
     };
-    const firstChoice = this.selectUnder(query, this.deps.policies);
+    const firstChoice = this.selectWithPolicies(query, this.deps.policies);
     const choice =
       firstChoice.tag === 'none' && firstChoice.stoppedBy === 'room'
-        ? this.selectUnder(query, this.policiesIgnoringCapacity)
+        ? this.selectWithPolicies(query, this.policiesIgnoringCapacity)
         : firstChoice;
     if (choice.tag === 'none') return err(rejection('noWorker'));
     const requestId = newId(this.deps.rng, 'req');
--- a/src/coordination/forwarding/relay.test.ts
+++ b/src/coordination/forwarding/relay.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from '@jest/globals';
-import { OPEN_WORDS as W } from '../../protocol/header-names.js';
+import { OPEN_WORDS as HEADERS } from '../../protocol/header-names.js';
 import { createAttemptBudget } from '../../state/forwarding/attempt-budget.js';
 import type { BudgetBounds } from '../../state/forwarding/attempt-budget.js';
 import { createRouteTable } from '../../state/configuration/route-table.js';
@@ -16,7 +16,7 @@
 import { createRelay } from './relay.js';
 import type { StopTimes } from './stop-intake.js';
 
-const MAPPING: RouteSettings = {
+const ROUTE_SETTINGS: RouteSettings = {
   at: 0,
   host: 'a.example',
   prefix: '/x/',
@@ -33,10 +33,22 @@
   homes: [],
 };
 
-type Sending2 = { readonly what: Sending; readonly events: SendEvents; cut: boolean; headers: RawHeaders | null };
-type Answer = { status: number; headers: RawHeaders; body: string; ended: boolean; cut: boolean; fault?: Error };
+type RecordedSend = {
+  readonly sending: Sending;
+  readonly events: SendEvents;
+  isAborted: boolean;
+  headers: RawHeaders | null;
+};
+type CallerResponse = {
+  status: number;
+  headers: RawHeaders;
+  body: string;
+  isEnded: boolean;
+  isAborted: boolean;
+  error?: Error;
+};
 
-function entry(id: string, zone = 'z1', region = 'r1', over: Partial<WorkerEntry> = {}): WorkerEntry {
+function entry(id: string, zone = 'z1', region = 'r1', overrides: Partial<WorkerEntry> = {}): WorkerEntry {
   return {
     id,
     model: 'm',
@@ -48,33 +60,33 @@
     leaving: false,
     remainingMs: null,
     coldMs: 0,
-    ...over,
+    ...overrides,
   };
 }
 
-async function rig(
-  mapping: Partial<RouteSettings>,
+async function createFixture(
+  routeSettings: Partial<RouteSettings>,
   entries: readonly WorkerEntry[],
   bounds: BudgetBounds = { ratio: 0.2, slack: 50, windowMs: 10_000 },
 ) {
   const world = createWorld(7);
   const proc = world.begin(world.host('edge', 'z1'));
   const clock = world.clockOf(proc);
-  const sent: Sending2[] = [];
+  const sent: RecordedSend[] = [];
   const checks: { address: string; done: (reached: boolean) => void }[] = [];
-  let dialling = false;
-  function connect(s: Sending2): void {
-    s.headers = s.what.headers();
-    if (s.headers === null) s.events.failed({ tag: 'withheld' });
+  let holdsConnections = false;
+  function connect(send: RecordedSend): void {
+    send.headers = send.sending.headers();
+    if (send.headers === null) send.events.failed({ tag: 'withheld' });
   }
   const connectionPool: ConnectionPool = {
-    send: (what, events) => {
-      const s: Sending2 = { what, events, cut: false, headers: null };
-      sent.push(s);
-      if (!dialling) connect(s);
+    send: (sending, events) => {
+      const send: RecordedSend = { sending, events, isAborted: false, headers: null };
+      sent.push(send);
+      if (!holdsConnections) connect(send);
       return {
         abort: () => {
-          s.cut = true;
+          send.isAborted = true;
         },
       };
     },
@@ -89,20 +101,23 @@
   };
   const serving: Serving = {
     number: 1,
-    mappings: { r: { ...MAPPING, ...mapping } },
+    mappings: { r: { ...ROUTE_SETTINGS, ...routeSettings } },
     limits: DEFAULT_LIMITS,
     models: { m: { at: 0, probePath: '/h', maxConns: 100, coldS: 3, coldRateS: 10, engine: null } },
   };
   const table = createRouteTable(serving);
-  const book = createWorkerRegistry({ name: 's0', zone: 'z1', region: 'r1', openConnections: () => 1 }, EDGE_TUNING);
-  book.applyList(entries, clock.mono());
+  const workerRegistry = createWorkerRegistry(
+    { name: 's0', zone: 'z1', region: 'r1', openConnections: () => 1 },
+    EDGE_TUNING,
+  );
+  workerRegistry.applyList(entries, clock.mono());
   const budget = createAttemptBudget(bounds);
   let closing = false;
   let stopTimes: StopTimes | null = null;
   const relay = createRelay({
-    headerNames: W,
+    headerNames: HEADERS,
     tuning: EDGE_TUNING,
-    registry: book,
+    registry: workerRegistry,
     budget,
     connectionPool,
     clock,
@@ -112,60 +127,60 @@
     closing: () => closing,
     stopTimes: () => stopTimes,
   });
-  function ask(headers: Record<string, string> = {}): { answer: Answer; leave: () => void } {
-    const answer: Answer = { status: 0, headers: [], body: '', ended: false, cut: false };
-    const watchers: (() => void)[] = [];
-    let gone = false;
-    const all: Record<string, string> = { host: 'a.example', [W.attemptId]: 'q1', ...headers };
+  function sendRequest(headers: Record<string, string> = {}): { response: CallerResponse; disconnect: () => void } {
+    const response: CallerResponse = { status: 0, headers: [], body: '', isEnded: false, isAborted: false };
+    const goneCallbacks: (() => void)[] = [];
+    let isGone = false;
+    const requestHeaders: Record<string, string> = { host: 'a.example', [HEADERS.attemptId]: 'q1', ...headers };
     const req: OpaqueRequest = {
       method: 'POST',
       target: '/x/1',
-      headers: Object.entries(all).flat(),
-      get: (n) => all[n] ?? null,
+      headers: Object.entries(requestHeaders).flat(),
+      get: (n) => requestHeaders[n] ?? null,
       body: () => Promise.resolve({ ok: true, value: Buffer.from('hi') }),
       answerer: {
-        head: (s, h) => {
-          const { fault } = answer;
-          delete answer.fault;
-          if (fault) throw fault;
-          answer.status = s;
-          answer.headers = h;
+        head: (status, head) => {
+          const { error } = response;
+          delete response.error;
+          if (error) throw error;
+          response.status = status;
+          response.headers = head;
         },
         write: (b) => {
-          answer.body += b.toString();
+          response.body += b.toString();
         },
         end: () => {
-          answer.ended = true;
+          response.isEnded = true;
         },
         abort: () => {
-          answer.cut = true;
+          response.isAborted = true;
         },
-        gone: () => gone,
-        begun: () => answer.status !== 0,
+        gone: () => isGone,
+        begun: () => response.status !== 0,
         onGone: (fn) => {
-          watchers.push(fn);
+          goneCallbacks.push(fn);
         },
       },
     };
     relay.handle(req);
     return {
-      answer,
-      leave: () => {
-        gone = true;
-        for (const fn of watchers) fn();
+      response,
+      disconnect: () => {
+        isGone = true;
+        for (const fn of goneCallbacks) fn();
       },
     };
   }
   every(clock, 250, () => relay.turn());
-  /** Runs what came while the process was frozen, each with its own microtasks, as an event loop does. */
-  async function thaw(): Promise<void> {
+  /** Unfreezes the process and runs what arrived meanwhile, each callback with its microtasks, as an event loop does. */
+  async function unfreeze(): Promise<void> {
     proc.host.frozen = false;
     for (const fn of proc.host.parked.splice(0)) {
       fn();
       await turnOver();
     }
   }
-  function arrives(fn: () => void): void {
+  function deliver(fn: () => void): void {
     world.run(proc, fn);
   }
   return {
@@ -173,604 +188,619 @@
     relay,
     sent,
     checks,
-    ask,
-    book,
+    sendRequest,
+    workerRegistry,
     connect,
-    dial: () => {
-      dialling = true;
+    holdConnections: () => {
+      holdsConnections = true;
     },
     freeze: () => world.freeze(proc.host),
-    thaw,
-    arrives,
+    unfreeze,
+    deliver,
     close: () => {
       closing = true;
     },
-    endWithin: (ms: number, intakeMs = 0) => {
+    drain: (ms: number, intakeMs = 0) => {
       closing = true;
       stopTimes = { intakeUntil: clock.mono() + intakeMs, lastEndAt: clock.mono() + ms };
     },
   };
 }
 
-function sealed(s: Sending2, body: string, id = 'q1'): void {
-  const h = { [W.attemptId]: id, [W.seal]: 's' } as Record<string, string>;
-  s.events.head(200, Object.entries(h).flat(), (n) => h[n] ?? null);
-  s.events.data(Buffer.from(body));
+function respond(send: RecordedSend, body: string, id = 'q1'): void {
+  const headers = { [HEADERS.attemptId]: id, [HEADERS.seal]: 's' } as Record<string, string>;
+  send.events.head(200, Object.entries(headers).flat(), (n) => headers[n] ?? null);
+  send.events.data(Buffer.from(body));
 }
-function notRun(s: Sending2): void {
-  const h = { [W.attemptId]: 'q1', [W.notRun]: '1' } as Record<string, string>;
-  s.events.head(503, Object.entries(h).flat(), (n) => h[n] ?? null);
-  s.events.end();
+function rejectAsNotRun(send: RecordedSend): void {
+  const headers = { [HEADERS.attemptId]: 'q1', [HEADERS.notRun]: '1' } as Record<string, string>;
+  send.events.head(503, Object.entries(headers).flat(), (n) => headers[n] ?? null);
+  send.events.end();
 }
 
-test('a sealed whole answer is passed with its seal', async () => {
-  const r = await rig({}, [entry('w')]);
-  const { answer } = r.ask();
-  await r.world.advance(1);
-  sealed(r.sent[0]!, 'out');
-  expect(answer.status).toBe(0);
-  r.sent[0]!.events.end();
-  await r.world.advance(1);
-  expect(answer).toMatchObject({ status: 200, body: 'out', ended: true, cut: false });
-  expect(answer.headers).toContain(W.seal);
-});
-
-test('an answer for somebody else, without seal or encoded is never passed as a success', async () => {
-  for (const spoil of [
-    { [W.attemptId]: 'q9', [W.seal]: 's' },
-    { [W.attemptId]: 'q1' },
-    { [W.attemptId]: 'q1', [W.seal]: 's', 'content-encoding': 'gzip' },
+test('a complete response with a digest is forwarded with its digest', async () => {
+  const fixture = await createFixture({}, [entry('w')]);
+  const { response } = fixture.sendRequest();
+  await fixture.world.advance(1);
+  respond(fixture.sent[0]!, 'out');
+  expect(response.status).toBe(0);
+  fixture.sent[0]!.events.end();
+  await fixture.world.advance(1);
+  expect(response).toMatchObject({ status: 200, body: 'out', isEnded: true, isAborted: false });
+  expect(response.headers).toContain(HEADERS.seal);
+});
+
+test('a response to another request, without a digest or with a content encoding is never forwarded as a success', async () => {
+  for (const badHeaders of [
+    { [HEADERS.attemptId]: 'q9', [HEADERS.seal]: 's' },
+    { [HEADERS.attemptId]: 'q1' },
+    { [HEADERS.attemptId]: 'q1', [HEADERS.seal]: 's', 'content-encoding': 'gzip' },
   ] as Record<string, string>[]) {
-    const r = await rig({ kind: 'once', attempts: 3 }, [entry('w'), entry('vv')]);
-    const { answer } = r.ask();
-    await r.world.advance(1);
-    r.sent[0]!.events.head(200, Object.entries(spoil).flat(), (n) => spoil[n] ?? null);
-    await r.world.advance(1);
-    expect(answer.status).toBe(502);
-    expect(r.sent).toHaveLength(1);
-    expect(r.sent[0]!.cut).toBe(true);
+    const fixture = await createFixture({ kind: 'once', attempts: 3 }, [entry('w'), entry('vv')]);
+    const { response } = fixture.sendRequest();
+    await fixture.world.advance(1);
+    fixture.sent[0]!.events.head(200, Object.entries(badHeaders).flat(), (n) => badHeaders[n] ?? null);
+    await fixture.world.advance(1);
+    expect(response.status).toBe(502);
+    expect(fixture.sent).toHaveLength(1);
+    expect(fixture.sent[0]!.isAborted).toBe(true);
   }
 });
 
-test('a request that may run once goes to a second worker only on the word that it was not run', async () => {
-  const r = await rig({ kind: 'once' }, [entry('w'), entry('vv')]);
-  const { answer } = r.ask();
-  await r.world.advance(1);
-  notRun(r.sent[0]!);
-  await r.world.advance(1);
-  expect(r.sent).toHaveLength(2);
-  expect(r.sent[1]!.what.address).not.toBe(r.sent[0]!.what.address);
-  r.sent[1]!.events.failed({ tag: 'reset' });
-  await r.world.advance(1);
-  expect(r.sent).toHaveLength(2);
-  expect(answer.status).toBe(502);
-});
-
-test('what may have run is never told as not run', async () => {
-  const r = await rig({ kind: 'once' }, [entry('w')]);
-  const { answer } = r.ask();
-  await r.world.advance(1);
-  const h = { [W.attemptId]: 'q1' } as Record<string, string>;
-  r.sent[0]!.events.head(503, Object.entries(h).flat(), (n) => h[n] ?? null);
-  r.sent[0]!.events.end();
-  await r.world.advance(1);
-  expect(answer.status).toBe(502);
-});
-
-test('a refusal comes at once, with a time to come back, when the dispatches are used up', async () => {
-  const r = await rig({ attempts: 1 }, [entry('w')]);
-  const { answer } = r.ask();
-  await r.world.advance(1);
-  notRun(r.sent[0]!);
-  await r.world.advance(1);
-  expect(answer.status).toBe(503);
-  expect(answer.headers.join(' ')).toContain('Retry-After');
-});
-
-test('a resumable stream goes on at another worker after the last event, under one head', async () => {
-  const r = await rig({ kind: 'stream', resumable: true }, [entry('w'), entry('vv')]);
-  const { answer } = r.ask();
-  await r.world.advance(1);
-  sealed(r.sent[0]!, 'id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda');
-  r.sent[0]!.events.failed({ tag: 'reset' });
-  await r.world.advance(1);
-  expect(r.sent).toHaveLength(2);
-  const h = r.sent[1]!.headers!;
-  expect(h[h.indexOf(W.lastEvent) + 1]).toBe('2');
-  sealed(r.sent[1]!, 'id: 3\ndata: c\n\n');
-  r.sent[1]!.events.end();
-  await r.world.advance(1);
-  expect(answer).toMatchObject({
+test('a run-once request is sent to a second worker only if the first states that it did not run it', async () => {
+  const fixture = await createFixture({ kind: 'once' }, [entry('w'), entry('vv')]);
+  const { response } = fixture.sendRequest();
+  await fixture.world.advance(1);
+  rejectAsNotRun(fixture.sent[0]!);
+  await fixture.world.advance(1);
+  expect(fixture.sent).toHaveLength(2);
+  expect(fixture.sent[1]!.sending.address).not.toBe(fixture.sent[0]!.sending.address);
+  fixture.sent[1]!.events.failed({ tag: 'reset' });
+  await fixture.world.advance(1);
+  expect(fixture.sent).toHaveLength(2);
+  expect(response.status).toBe(502);
+});
+
+test('a request that may have run is never reported as not run', async () => {
+  const fixture = await createFixture({ kind: 'once' }, [entry('w')]);
+  const { response } = fixture.sendRequest();
+  await fixture.world.advance(1);
+  const headers = { [HEADERS.attemptId]: 'q1' } as Record<string, string>;
+  fixture.sent[0]!.events.head(503, Object.entries(headers).flat(), (n) => headers[n] ?? null);
+  fixture.sent[0]!.events.end();
+  await fixture.world.advance(1);
+  expect(response.status).toBe(502);
+});
+
+test('a request is rejected at once, with a Retry-After header, when its attempts are used up', async () => {
+  const fixture = await createFixture({ attempts: 1 }, [entry('w')]);
+  const { response } = fixture.sendRequest();
+  await fixture.world.advance(1);
+  rejectAsNotRun(fixture.sent[0]!);
+  await fixture.world.advance(1);
+  expect(response.status).toBe(503);
+  expect(response.headers.join(' ')).toContain('Retry-After');
+});
+
+test('a resumable stream is resumed at another worker after its last event, as one response to the caller', async () => {
+  const fixture = await createFixture({ kind: 'stream', resumable: true }, [entry('w'), entry('vv')]);
+  const { response } = fixture.sendRequest();
+  await fixture.world.advance(1);
+  respond(fixture.sent[0]!, 'id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda');
+  fixture.sent[0]!.events.failed({ tag: 'reset' });
+  await fixture.world.advance(1);
+  expect(fixture.sent).toHaveLength(2);
+  const headers = fixture.sent[1]!.headers!;
+  expect(headers[headers.indexOf(HEADERS.lastEvent) + 1]).toBe('2');
+  respond(fixture.sent[1]!, 'id: 3\ndata: c\n\n');
+  fixture.sent[1]!.events.end();
+  await fixture.world.advance(1);
+  expect(response).toMatchObject({
     status: 200,
     body: 'id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n',
-    ended: true,
-    cut: false,
+    isEnded: true,
+    isAborted: false,
   });
 });
 
-test('a stream that may not be resumed is cut, never ended, when its worker breaks off', async () => {
-  const r = await rig({ kind: 'stream' }, [entry('w'), entry('vv')]);
-  const { answer } = r.ask();
-  await r.world.advance(1);
-  sealed(r.sent[0]!, 'id: 1\ndata: a\n\n');
-  r.sent[0]!.events.failed({ tag: 'reset' });
-  await r.world.advance(1);
-  expect(answer).toMatchObject({ ended: false, cut: true });
-  expect(r.sent).toHaveLength(1);
+test('a stream that is not resumable is aborted, never ended, when the connection to its worker is reset', async () => {
+  const fixture = await createFixture({ kind: 'stream' }, [entry('w'), entry('vv')]);
+  const { response } = fixture.sendRequest();
+  await fixture.world.advance(1);
+  respond(fixture.sent[0]!, 'id: 1\ndata: a\n\n');
+  fixture.sent[0]!.events.failed({ tag: 'reset' });
+  await fixture.world.advance(1);
+  expect(response).toMatchObject({ isEnded: false, isAborted: true });
+  expect(fixture.sent).toHaveLength(1);
 });
 
-test('an event that is told twice ends a stream rather than reach its caller', async () => {
-  const r = await rig({ kind: 'stream' }, [entry('w')]);
-  const { answer } = r.ask();
-  await r.world.advance(1);
-  sealed(r.sent[0]!, 'id: 1\ndata: a\n\nid: 1\ndata: a\n\n');
-  await r.world.advance(1);
-  expect(answer).toMatchObject({ body: 'id: 1\ndata: a\n\n', ended: false, cut: true });
+test('a stream in which an event arrives twice is aborted, and the second one is not forwarded', async () => {
+  const fixture = await createFixture({ kind: 'stream' }, [entry('w')]);
+  const { response } = fixture.sendRequest();
+  await fixture.world.advance(1);
+  respond(fixture.sent[0]!, 'id: 1\ndata: a\n\nid: 1\ndata: a\n\n');
+  await fixture.world.advance(1);
+  expect(response).toMatchObject({ body: 'id: 1\ndata: a\n\n', isEnded: false, isAborted: true });
 });
 
-test('homes, leaving workers and evacuated zones bind the choice', async () => {
-  const r = await rig({ homes: ['r2'] }, [
+test('a worker outside the home regions, leaving or in an evacuated zone is not selected', async () => {
+  const fixture = await createFixture({ homes: ['r2'] }, [
     entry('w'),
     entry('vv', 'z2', 'r2', { leaving: true }),
     entry('uuu', 'z3', 'r2'),
   ]);
-  const one = r.ask();
-  await r.world.advance(1);
-  expect(r.sent[0]!.what.address).toBe('10.0.0.1:3');
-  r.book.applyZones(
+  const served = fixture.sendRequest();
+  await fixture.world.advance(1);
+  expect(fixture.sent[0]!.sending.address).toBe('10.0.0.1:3');
+  fixture.workerRegistry.applyZones(
     { z3: 4 },
     () => [],
     0,
     () => 0,
   );
-  const two = r.ask();
-  await r.world.advance(400);
-  expect(r.sent).toHaveLength(1);
-  expect(two.answer.status).toBe(503);
-  expect(one.answer.status).toBe(0);
-});
-
-test('a cold worker gets no more than its rate allows this proxy', async () => {
-  const r = await rig({ aimMs: 100 }, [entry('w', 'z1', 'r1', { coldMs: 60_000, places: 500 })]);
-  r.book.setSharingProxies(Object.fromEntries(['s0', 's1', 's2', 's3'].map((n) => [n, { region: 'r1' }])));
-  const asked = Array.from({ length: 30 }, () => r.ask());
-  await r.world.advance(60);
-  expect(r.sent.length).toBe(4);
-  expect(asked.filter((a) => a.answer.status === 503)).toHaveLength(26);
-});
-
-test('a request waits for a free place, the more urgent first, and goes when one is free', async () => {
-  const r = await rig({}, [entry('w', 'z1', 'r1', { places: 1 })]);
-  r.ask();
-  await r.world.advance(1);
-  r.ask();
-  await r.world.advance(50);
-  expect(r.sent).toHaveLength(1);
-  sealed(r.sent[0]!, 'out');
-  r.sent[0]!.events.end();
-  await r.world.advance(30);
-  expect(r.sent).toHaveLength(2);
-});
-
-test('a caller that leaves ends the work of its worker', async () => {
-  const r = await rig({}, [entry('w')]);
-  const { leave } = r.ask();
-  await r.world.advance(1);
-  leave();
-  expect(r.sent[0]!.cut).toBe(true);
-  await r.world.advance(10);
-  expect(r.relay.tally().open).toBe(0);
-});
-
-test('a stream goes on elsewhere when its worker falls silent and cannot be reached', async () => {
-  const r = await rig({ kind: 'stream', resumable: true }, [entry('w'), entry('vv', 'z2')]);
-  const { answer } = r.ask();
-  await r.world.advance(1);
-  sealed(r.sent[0]!, 'id: 1\ndata: a\n\n');
-  await r.world.advance(400);
-  expect(r.checks).toHaveLength(0);
-  await r.world.advance(250);
-  expect(r.checks).toHaveLength(1);
-  r.checks[0]!.done(false);
-  await r.world.advance(1);
-  expect(r.sent).toHaveLength(2);
-  sealed(r.sent[1]!, 'id: 2\ndata: b\n\n');
-  r.sent[1]!.events.end();
-  await r.world.advance(1);
-  expect(answer).toMatchObject({ body: 'id: 1\ndata: a\n\nid: 2\ndata: b\n\n', ended: true });
-});
-
-test('a quiet worker that can be reached keeps its stream; one that may run once stays with a silent worker', async () => {
-  const slow = await rig({ kind: 'stream', resumable: true }, [entry('w'), entry('vv')]);
-  slow.ask();
+  const rejected = fixture.sendRequest();
+  await fixture.world.advance(400);
+  expect(fixture.sent).toHaveLength(1);
+  expect(rejected.response.status).toBe(503);
+  expect(served.response.status).toBe(0);
+});
+
+test('a cold worker gets no more requests than this proxy may send it at its cold rate', async () => {
+  const fixture = await createFixture({ aimMs: 100 }, [entry('w', 'z1', 'r1', { coldMs: 60_000, places: 500 })]);
+  fixture.workerRegistry.setSharingProxies(
+    Object.fromEntries(['s0', 's1', 's2', 's3'].map((n) => [n, { region: 'r1' }])),
+  );
+  const requests = Array.from({ length: 30 }, () => fixture.sendRequest());
+  await fixture.world.advance(60);
+  expect(fixture.sent.length).toBe(4);
+  expect(requests.filter((request) => request.response.status === 503)).toHaveLength(26);
+});
+
+test('a request waits for a free slot, the more urgent first, and is sent when one is free', async () => {
+  const fixture = await createFixture({}, [entry('w', 'z1', 'r1', { places: 1 })]);
+  fixture.sendRequest();
+  await fixture.world.advance(1);
+  fixture.sendRequest();
+  await fixture.world.advance(50);
+  expect(fixture.sent).toHaveLength(1);
+  respond(fixture.sent[0]!, 'out');
+  fixture.sent[0]!.events.end();
+  await fixture.world.advance(30);
+  expect(fixture.sent).toHaveLength(2);
+});
+
+test('the attempt at a worker is aborted when the caller disconnects', async () => {
+  const fixture = await createFixture({}, [entry('w')]);
+  const { disconnect } = fixture.sendRequest();
+  await fixture.world.advance(1);
+  disconnect();
+  expect(fixture.sent[0]!.isAborted).toBe(true);
+  await fixture.world.advance(10);
+  expect(fixture.relay.tally().open).toBe(0);
+});
+
+test('a stream is resumed at another worker when its worker is unresponsive and cannot be reached', async () => {
+  const fixture = await createFixture({ kind: 'stream', resumable: true }, [entry('w'), entry('vv', 'z2')]);
+  const { response } = fixture.sendRequest();
+  await fixture.world.advance(1);
+  respond(fixture.sent[0]!, 'id: 1\ndata: a\n\n');
+  await fixture.world.advance(400);
+  expect(fixture.checks).toHaveLength(0);
+  await fixture.world.advance(250);
+  expect(fixture.checks).toHaveLength(1);
+  fixture.checks[0]!.done(false);
+  await fixture.world.advance(1);
+  expect(fixture.sent).toHaveLength(2);
+  respond(fixture.sent[1]!, 'id: 2\ndata: b\n\n');
+  fixture.sent[1]!.events.end();
+  await fixture.world.advance(1);
+  expect(response).toMatchObject({ body: 'id: 1\ndata: a\n\nid: 2\ndata: b\n\n', isEnded: true });
+});
+
+test('a stream stays with a quiet worker that can be reached; a run-once request stays with an unreachable worker', async () => {
+  const slow = await createFixture({ kind: 'stream', resumable: true }, [entry('w'), entry('vv')]);
+  slow.sendRequest();
   await slow.world.advance(700);
   slow.checks[0]!.done(true);
   await slow.world.advance(500);
   expect(slow.sent).toHaveLength(1);
-  const once = await rig({ kind: 'once' }, [entry('w'), entry('vv', 'z2')]);
-  const { answer } = once.ask();
+  const once = await createFixture({ kind: 'once' }, [entry('w'), entry('vv', 'z2')]);
+  const { response } = once.sendRequest();
   await once.world.advance(700);
   once.checks[0]!.done(false);
   await once.world.advance(100);
   expect(once.sent).toHaveLength(1);
-  expect(answer.status).toBe(0);
+  expect(response.status).toBe(0);
 });
 
-test('workers of a zone with one out of reach are looked at before they get more', async () => {
-  const r = await rig({}, [entry('w'), entry('vv'), entry('uuu', 'z2')]);
-  r.ask();
-  await r.world.advance(1);
-  r.sent[0]!.events.failed({ tag: 'notConnected' });
-  await r.world.advance(1);
-  expect(r.sent.map((s) => s.what.address)).toEqual([r.sent[0]!.what.address, '10.0.0.1:3']);
-  expect(r.checks).toHaveLength(1);
-  r.checks[0]!.done(true);
-  r.ask();
-  r.ask();
-  await r.world.advance(1);
-  expect(r.sent.slice(2).map((s) => s.what.address)).toContain(r.checks[0]!.address);
+test('workers in the zone of an unreachable worker are probed before they get more requests', async () => {
+  const fixture = await createFixture({}, [entry('w'), entry('vv'), entry('uuu', 'z2')]);
+  fixture.sendRequest();
+  await fixture.world.advance(1);
+  fixture.sent[0]!.events.failed({ tag: 'notConnected' });
+  await fixture.world.advance(1);
+  expect(fixture.sent.map((s) => s.sending.address)).toEqual([fixture.sent[0]!.sending.address, '10.0.0.1:3']);
+  expect(fixture.checks).toHaveLength(1);
+  fixture.checks[0]!.done(true);
+  fixture.sendRequest();
+  fixture.sendRequest();
+  await fixture.world.advance(1);
+  expect(fixture.sent.slice(2).map((s) => s.sending.address)).toContain(fixture.checks[0]!.address);
 });
 
-test('a connection that closed under a request which may run once is no proof that it was not read', async () => {
+test('a request that was partly written when its connection closed may have run: a run-once request is not sent again', async () => {
   for (const [kind, attempts] of [
     ['once', 1],
     ['repeatable', 2],
   ] as const) {
-    const r = await rig({ kind, attempts: 3 }, [entry('w'), entry('vv')]);
-    const { answer } = r.ask();
-    await r.world.advance(1);
-    r.sent[0]!.events.failed({ tag: 'resetPartlyWritten' });
-    await r.world.advance(1);
-    expect(r.sent).toHaveLength(attempts);
-    expect(answer.status).toBe(kind === 'once' ? 502 : 0);
+    const fixture = await createFixture({ kind, attempts: 3 }, [entry('w'), entry('vv')]);
+    const { response } = fixture.sendRequest();
+    await fixture.world.advance(1);
+    fixture.sent[0]!.events.failed({ tag: 'resetPartlyWritten' });
+    await fixture.world.advance(1);
+    expect(fixture.sent).toHaveLength(attempts);
+    expect(response.status).toBe(kind === 'once' ? 502 : 0);
   }
 });
 
-test('with no worker of its homes in reach a request is told at once to come back much later than when all are busy', async () => {
-  async function told(entries: readonly WorkerEntry[], first: boolean): Promise<number> {
-    const r = await rig({ aimMs: 100, homes: ['r2'], deadlineMs: 15_000 }, entries);
-    if (first) r.ask();
-    await r.world.advance(1);
-    const { answer } = r.ask();
-    await r.world.advance(60);
-    expect(answer.status).toBe(503);
-    return Number(answer.headers[answer.headers.indexOf('Retry-After') + 1]);
+test('Retry-After is much longer, and sent at once, if no worker is available in the home regions than if all are busy', async () => {
+  async function retryAfterS(entries: readonly WorkerEntry[], isBusy: boolean): Promise<number> {
+    const fixture = await createFixture({ aimMs: 100, homes: ['r2'], deadlineMs: 15_000 }, entries);
+    if (isBusy) fixture.sendRequest();
+    await fixture.world.advance(1);
+    const { response } = fixture.sendRequest();
+    await fixture.world.advance(60);
+    expect(response.status).toBe(503);
+    return Number(response.headers[response.headers.indexOf('Retry-After') + 1]);
   }
-  expect(await told([entry('w')], false)).toBeGreaterThan(4);
-  expect(await told([entry('w', 'z2', 'r2', { places: 1 })], true)).toBeLessThan(2);
+  expect(await retryAfterS([entry('w')], false)).toBeGreaterThan(4);
+  expect(await retryAfterS([entry('w', 'z2', 'r2', { places: 1 })], true)).toBeLessThan(2);
 });
 
-test('a request goes on unchanged, under its own id, to the one worker that it names', async () => {
-  const r = await rig({ kind: 'once' }, [entry('w')]);
-  r.ask({ 'x-own': 'kept', connection: 'close', [W.expectWorker]: 'somebody' });
-  await r.world.advance(1);
-  const { what } = r.sent[0]!;
+test('a request is forwarded unchanged, under its own id, and names the worker that it is sent to', async () => {
+  const fixture = await createFixture({ kind: 'once' }, [entry('w')]);
+  fixture.sendRequest({ 'x-own': 'kept', connection: 'close', [HEADERS.expectWorker]: 'somebody' });
+  await fixture.world.advance(1);
+  const { sending } = fixture.sent[0]!;
   const sent = new Map<string, string>();
-  const raw = r.sent[0]!.headers!;
+  const raw = fixture.sent[0]!.headers!;
   for (let i = 0; i + 1 < raw.length; i += 2) sent.set(raw[i]!, raw[i + 1]!);
-  expect({ method: what.method, target: what.target, body: what.body?.toString() }).toEqual({
+  expect({ method: sending.method, target: sending.target, body: sending.body?.toString() }).toEqual({
     method: 'POST',
     target: '/x/1',
     body: 'hi',
   });
   expect(sent.get('host')).toBe('a.example');
-  expect(sent.get(W.attemptId)).toBe('q1');
+  expect(sent.get(HEADERS.attemptId)).toBe('q1');
   expect(sent.get('x-own')).toBe('kept');
   expect(sent.has('connection')).toBe(false);
-  expect(sent.get(W.expectWorker)).toBe('w');
-});
-
-test('a worker that is another by now gets nothing more, and the request goes elsewhere as not run', async () => {
-  const r = await rig({ kind: 'once' }, [entry('w'), entry('vv')]);
-  r.ask();
-  await r.world.advance(1);
-  const moved = r.sent[0]!.what.address;
-  refusedFor(r.sent[0]!, 421, 'q1');
-  await r.world.advance(1);
-  expect(r.sent).toHaveLength(2);
-  for (let i = 0; i < 4; i += 1) r.ask();
-  await r.world.advance(1);
-  expect(r.sent.length).toBeGreaterThan(2);
-  expect(r.sent.slice(1).map((s) => s.what.address)).not.toContain(moved);
-});
-
-test('a stream whose worker ends in the middle of an event is cut, not ended', async () => {
-  const r = await rig({ kind: 'stream' }, [entry('w')]);
-  const { answer } = r.ask();
-  await r.world.advance(1);
-  sealed(r.sent[0]!, 'id: 1\ndata: a\n\nid: 2\nda');
-  r.sent[0]!.events.end();
-  await r.world.advance(1);
-  expect(answer).toMatchObject({ body: 'id: 1\ndata: a\n\n', ended: false, cut: true });
-});
-
-function refusedFor(s: Sending2, status: number, id: string | null): void {
-  const h: Record<string, string> = { [W.notRun]: '1', ...(id === null ? {} : { [W.attemptId]: id }) };
-  s.events.head(status, Object.entries(h).flat(), (n) => h[n] ?? null);
-  s.events.end();
+  expect(sent.get(HEADERS.expectWorker)).toBe('w');
+});
+
+test('an address at which another worker responds gets no more requests; the request is retried elsewhere as not run', async () => {
+  const fixture = await createFixture({ kind: 'once' }, [entry('w'), entry('vv')]);
+  fixture.sendRequest();
+  await fixture.world.advance(1);
+  const relocatedAddress = fixture.sent[0]!.sending.address;
+  rejectFor(fixture.sent[0]!, 421, 'q1');
+  await fixture.world.advance(1);
+  expect(fixture.sent).toHaveLength(2);
+  for (let i = 0; i < 4; i += 1) fixture.sendRequest();
+  await fixture.world.advance(1);
+  expect(fixture.sent.length).toBeGreaterThan(2);
+  expect(fixture.sent.slice(1).map((s) => s.sending.address)).not.toContain(relocatedAddress);
+});
+
+test('a stream whose worker ends it within an event is aborted, not ended', async () => {
+  const fixture = await createFixture({ kind: 'stream' }, [entry('w')]);
+  const { response } = fixture.sendRequest();
+  await fixture.world.advance(1);
+  respond(fixture.sent[0]!, 'id: 1\ndata: a\n\nid: 2\nda');
+  fixture.sent[0]!.events.end();
+  await fixture.world.advance(1);
+  expect(response).toMatchObject({ body: 'id: 1\ndata: a\n\n', isEnded: false, isAborted: true });
+});
+
+function rejectFor(send: RecordedSend, status: number, id: string | null): void {
+  const headers: Record<string, string> = {
+    [HEADERS.notRun]: '1',
+    ...(id === null ? {} : { [HEADERS.attemptId]: id }),
+  };
+  send.events.head(status, Object.entries(headers).flat(), (n) => headers[n] ?? null);
+  send.events.end();
 }
 
-test("another request's word that it was not run is no word about this one", async () => {
+test('a statement that another request was not run does not count for this one', async () => {
   for (const status of [421, 429, 503]) {
-    const r = await rig({ kind: 'once', attempts: 3 }, [entry('w'), entry('vv')]);
-    const { answer } = r.ask();
-    await r.world.advance(1);
-    refusedFor(r.sent[0]!, status, 'q9');
-    await r.world.advance(1);
-    expect(r.sent).toHaveLength(1);
-    expect(answer.status).toBe(502);
+    const fixture = await createFixture({ kind: 'once', attempts: 3 }, [entry('w'), entry('vv')]);
+    const { response } = fixture.sendRequest();
+    await fixture.world.advance(1);
+    rejectFor(fixture.sent[0]!, status, 'q9');
+    await fixture.world.advance(1);
+    expect(fixture.sent).toHaveLength(1);
+    expect(response.status).toBe(502);
   }
 });
 
-test('a refusal without any id counts as ours on a new connection alone', async () => {
-  for (const fresh of [true, false]) {
-    const r = await rig({ kind: 'once', attempts: 1 }, [entry('w')]);
-    const { answer } = r.ask();
-    await r.world.advance(1);
-    if (fresh) r.sent[0]!.events.connected!(1);
-    refusedFor(r.sent[0]!, 503, null);
-    await r.world.advance(1);
-    expect(answer.status).toBe(fresh ? 503 : 502);
+test('a rejection without an id counts as the response to this attempt only on a new connection', async () => {
+  for (const isNewConnection of [true, false]) {
+    const fixture = await createFixture({ kind: 'once', attempts: 1 }, [entry('w')]);
+    const { response } = fixture.sendRequest();
+    await fixture.world.advance(1);
+    if (isNewConnection) fixture.sent[0]!.events.connected!(1);
+    rejectFor(fixture.sent[0]!, 503, null);
+    await fixture.world.advance(1);
+    expect(response.status).toBe(isNewConnection ? 503 : 502);
   }
 });
 
-test("a worker's seal is not passed on under another status than its own", async () => {
-  for (const [given, passed] of [
+test('the digest of a worker is not forwarded under another status than its own', async () => {
+  for (const [workerStatus, callerStatus] of [
     [503, 502],
     [429, 502],
     [408, 502],
     [500, 500],
   ] as const) {
-    const r = await rig({ kind: 'once' }, [entry('w')]);
-    const { answer } = r.ask();
-    await r.world.advance(1);
-    const h = { [W.attemptId]: 'q1', [W.seal]: 's' } as Record<string, string>;
-    r.sent[0]!.events.head(given, Object.entries(h).flat(), (n) => h[n] ?? null);
-    r.sent[0]!.events.end();
-    await r.world.advance(1);
-    expect(answer.status).toBe(passed);
-    expect(answer.headers.includes(W.seal)).toBe(given === passed);
+    const fixture = await createFixture({ kind: 'once' }, [entry('w')]);
+    const { response } = fixture.sendRequest();
+    await fixture.world.advance(1);
+    const headers = { [HEADERS.attemptId]: 'q1', [HEADERS.seal]: 's' } as Record<string, string>;
+    fixture.sent[0]!.events.head(workerStatus, Object.entries(headers).flat(), (n) => headers[n] ?? null);
+    fixture.sent[0]!.events.end();
+    await fixture.world.advance(1);
+    expect(response.status).toBe(callerStatus);
+    expect(response.headers.includes(HEADERS.seal)).toBe(workerStatus === callerStatus);
   }
 });
 
-test('many failures at one moment do not draw on the budget for more than it holds', async () => {
-  const r = await rig({}, [entry('w', 'z1', 'r1', { places: 200 }), entry('vv', 'z1', 'r1', { places: 200 })], {
-    ratio: 0.1,
-    slack: 20,
-    windowMs: 10_000,
-  });
-  for (let i = 0; i < 100; i += 1) r.ask();
-  await r.world.advance(1);
-  expect(r.sent).toHaveLength(100);
-  const failing = r.sent.filter((s) => s.what.address === r.sent[0]!.what.address);
+test('many failures at the same moment do not take more attempts from the retry budget than it holds', async () => {
+  const fixture = await createFixture(
+    {},
+    [entry('w', 'z1', 'r1', { places: 200 }), entry('vv', 'z1', 'r1', { places: 200 })],
+    {
+      ratio: 0.1,
+      slack: 20,
+      windowMs: 10_000,
+    },
+  );
+  for (let i = 0; i < 100; i += 1) fixture.sendRequest();
+  await fixture.world.advance(1);
+  expect(fixture.sent).toHaveLength(100);
+  const failing = fixture.sent.filter((s) => s.sending.address === fixture.sent[0]!.sending.address);
   expect(failing.length).toBeGreaterThan(40);
   for (const s of failing) s.events.failed({ tag: 'reset' });
-  await r.world.advance(1_000);
-  expect(r.sent.length - 100).toBeGreaterThan(0);
-  expect(r.sent.length - 100).toBeLessThanOrEqual(0.1 * 100 + 20);
+  await fixture.world.advance(1_000);
+  expect(fixture.sent.length - 100).toBeGreaterThan(0);
+  expect(fixture.sent.length - 100).toBeLessThanOrEqual(0.1 * 100 + 20);
 });
 
-test('a stream with an event that has no number is not taken up again', async () => {
-  for (const [text, again] of [
+test('a stream with an event that has no number is not resumed', async () => {
+  for (const [text, isResumed] of [
     ['id: 1\ndata: a\n\n: still here\n\n', true],
     ['id: 1\ndata: a\n\ndata: b\n\n', false],
     ['data: a\n\n', false],
   ] as const) {
-    const r = await rig({ kind: 'stream', resumable: true }, [entry('w'), entry('vv')]);
-    const { answer } = r.ask();
-    await r.world.advance(1);
-    sealed(r.sent[0]!, text);
-    r.sent[0]!.events.failed({ tag: 'reset' });
-    await r.world.advance(1);
-    expect([r.sent.length, answer.cut]).toEqual(again ? [2, false] : [1, true]);
+    const fixture = await createFixture({ kind: 'stream', resumable: true }, [entry('w'), entry('vv')]);
+    const { response } = fixture.sendRequest();
+    await fixture.world.advance(1);
+    respond(fixture.sent[0]!, text);
+    fixture.sent[0]!.events.failed({ tag: 'reset' });
+    await fixture.world.advance(1);
+    expect([fixture.sent.length, response.isAborted]).toEqual(isResumed ? [2, false] : [1, true]);
   }
 });
 
-function deadlineOf(s: Sending2): number {
-  return Number(s.headers![s.headers!.indexOf(W.deadline) + 1]);
+function deadlineOf(send: RecordedSend): number {
+  return Number(send.headers![send.headers!.indexOf(HEADERS.deadline) + 1]);
 }
 
-test('a request that waited while its proxy was frozen is not sent when its caller left or its time is over', async () => {
-  for (const [kind, why] of [
-    ['once', 'left'],
-    ['once', 'late'],
-    ['repeatable', 'left'],
-    ['repeatable', 'late'],
+test('a request that waited while its proxy was frozen is not sent if its caller disconnected or its deadline passed', async () => {
+  for (const [kind, cause] of [
+    ['once', 'disconnected'],
+    ['once', 'expired'],
+    ['repeatable', 'disconnected'],
+    ['repeatable', 'expired'],
   ] as const) {
-    const r = await rig({ kind, deadlineMs: why === 'late' ? 2_000 : 9_000, aimMs: 20_000 }, [
+    const fixture = await createFixture({ kind, deadlineMs: cause === 'expired' ? 2_000 : 9_000, aimMs: 20_000 }, [
       entry('w', 'z1', 'r1', { places: 1 }),
     ]);
-    r.ask();
-    const { answer, leave } = r.ask();
-    await r.world.advance(300);
-    expect(r.sent).toHaveLength(1);
-    r.freeze();
-    await r.world.advance(10);
-    r.arrives(() => sealed(r.sent[0]!, 'out'));
-    r.arrives(() => r.sent[0]!.events.end());
-    await r.world.advance(3_990);
-    if (why === 'left') r.arrives(leave);
-    await r.thaw();
-    await r.world.advance(500);
-    expect(r.sent).toHaveLength(1);
-    expect([answer.status, r.relay.tally().open]).toEqual([why === 'late' ? 503 : 0, 0]);
+    fixture.sendRequest();
+    const { response, disconnect } = fixture.sendRequest();
+    await fixture.world.advance(300);
+    expect(fixture.sent).toHaveLength(1);
+    fixture.freeze();
+    await fixture.world.advance(10);
+    fixture.deliver(() => respond(fixture.sent[0]!, 'out'));
+    fixture.deliver(() => fixture.sent[0]!.events.end());
+    await fixture.world.advance(3_990);
+    if (cause === 'disconnected') fixture.deliver(disconnect);
+    await fixture.unfreeze();
+    await fixture.world.advance(500);
+    expect(fixture.sent).toHaveLength(1);
+    expect([response.status, fixture.relay.tally().open]).toEqual([cause === 'expired' ? 503 : 0, 0]);
   }
 });
 
-test('a request that waited while its proxy was frozen is sent once when there is time left', async () => {
-  const r = await rig({ kind: 'once', deadlineMs: 9_000, aimMs: 40_000 }, [entry('w', 'z1', 'r1', { places: 1 })]);
-  r.ask();
-  const { answer } = r.ask();
-  await r.world.advance(300);
-  r.freeze();
-  await r.world.advance(10);
-  r.arrives(() => sealed(r.sent[0]!, 'out'));
-  r.arrives(() => r.sent[0]!.events.end());
-  await r.world.advance(3_990);
-  await r.thaw();
-  await r.world.advance(500);
-  expect(r.sent).toHaveLength(2);
-  expect(deadlineOf(r.sent[1]!)).toBeLessThanOrEqual(9_000 - 4_300);
-  sealed(r.sent[1]!, 'out');
-  r.sent[1]!.events.end();
-  await r.world.advance(1);
-  expect([answer.status, r.sent.length]).toEqual([200, 2]);
-});
-
-test('a request that arrived while its proxy was frozen, with its caller gone since, is not sent', async () => {
+test('a request that waited while its proxy was frozen is sent once if there is time left', async () => {
+  const fixture = await createFixture({ kind: 'once', deadlineMs: 9_000, aimMs: 40_000 }, [
+    entry('w', 'z1', 'r1', { places: 1 }),
+  ]);
+  fixture.sendRequest();
+  const { response } = fixture.sendRequest();
+  await fixture.world.advance(300);
+  fixture.freeze();
+  await fixture.world.advance(10);
+  fixture.deliver(() => respond(fixture.sent[0]!, 'out'));
+  fixture.deliver(() => fixture.sent[0]!.events.end());
+  await fixture.world.advance(3_990);
+  await fixture.unfreeze();
+  await fixture.world.advance(500);
+  expect(fixture.sent).toHaveLength(2);
+  expect(deadlineOf(fixture.sent[1]!)).toBeLessThanOrEqual(9_000 - 4_300);
+  respond(fixture.sent[1]!, 'out');
+  fixture.sent[1]!.events.end();
+  await fixture.world.advance(1);
+  expect([response.status, fixture.sent.length]).toEqual([200, 2]);
+});
+
+test('a request that arrived while its proxy was frozen is not sent if its caller has disconnected since', async () => {
   for (const frozenMs of [700, 2_000]) {
-    const r = await rig({ kind: 'once' }, [entry('w')]);
-    await r.world.advance(300);
-    r.freeze();
-    await r.world.advance(frozenMs);
-    let leave = (): void => undefined;
-    r.arrives(() => {
-      leave = r.ask().leave;
+    const fixture = await createFixture({ kind: 'once' }, [entry('w')]);
+    await fixture.world.advance(300);
+    fixture.freeze();
+    await fixture.world.advance(frozenMs);
+    let disconnect = (): void => undefined;
+    fixture.deliver(() => {
+      disconnect = fixture.sendRequest().disconnect;
     });
-    r.arrives(() => leave());
-    await r.thaw();
-    await r.world.advance(500);
-    expect(r.sent).toHaveLength(0);
+    fixture.deliver(() => disconnect());
+    await fixture.unfreeze();
+    await fixture.world.advance(500);
+    expect(fixture.sent).toHaveLength(0);
   }
 });
 
-test('the deadline that a worker is handed is what is left when the request is written', async () => {
-  const r = await rig({ kind: 'once', deadlineMs: 5_000 }, [entry('w')]);
-  r.dial();
-  r.ask({ [W.deadline]: '3000' });
-  await r.world.advance(240);
-  r.connect(r.sent[0]!);
-  expect(deadlineOf(r.sent[0]!)).toBeLessThanOrEqual(2_760);
-  expect(deadlineOf(r.sent[0]!)).toBeGreaterThan(2_700);
-});
-
-test('a connection that comes up after the deadline, or after the caller left, carries no request', async () => {
-  for (const left of [true, false]) {
-    const r = await rig({ kind: 'once', deadlineMs: 1_000 }, [entry('w')]);
-    r.dial();
-    const { answer, leave } = r.ask();
-    await r.world.advance(10);
-    if (left) leave();
-    r.freeze();
-    await r.world.advance(2_000);
-    r.arrives(() => r.connect(r.sent[0]!));
-    await r.thaw();
-    await r.world.advance(200);
-    expect(r.sent.map((s) => s.headers)).toEqual([null]);
-    expect(answer.status).toBe(left ? 0 : 503);
+test('the deadline sent to a worker is the time left when the request is written', async () => {
+  const fixture = await createFixture({ kind: 'once', deadlineMs: 5_000 }, [entry('w')]);
+  fixture.holdConnections();
+  fixture.sendRequest({ [HEADERS.deadline]: '3000' });
+  await fixture.world.advance(240);
+  fixture.connect(fixture.sent[0]!);
+  expect(deadlineOf(fixture.sent[0]!)).toBeLessThanOrEqual(2_760);
+  expect(deadlineOf(fixture.sent[0]!)).toBeGreaterThan(2_700);
+});
+
+test('no request is written to a connection that comes up after the deadline or after the caller disconnected', async () => {
+  for (const isDisconnected of [true, false]) {
+    const fixture = await createFixture({ kind: 'once', deadlineMs: 1_000 }, [entry('w')]);
+    fixture.holdConnections();
+    const { response, disconnect } = fixture.sendRequest();
+    await fixture.world.advance(10);
+    if (isDisconnected) disconnect();
+    fixture.freeze();
+    await fixture.world.advance(2_000);
+    fixture.deliver(() => fixture.connect(fixture.sent[0]!));
+    await fixture.unfreeze();
+    await fixture.world.advance(200);
+    expect(fixture.sent.map((s) => s.headers)).toEqual([null]);
+    expect(response.status).toBe(isDisconnected ? 0 : 503);
   }
 });
 
-test('a proxy that ends soon takes only what will be over before', async () => {
+test('a draining proxy admits only requests that will end before it does', async () => {
   const stream = { kind: 'stream', deadlineMs: 15_000, aimMs: 800 } as const;
   const plain = { kind: 'repeatable', deadlineMs: 6_000, aimMs: 400 } as const;
-  for (const [mapping, headers, leftMs, taken] of [
-    [stream, { [W.tokens]: '600,500' }, 4_000, false],
-    [stream, { [W.tokens]: '600,100' }, 4_000, false],
-    [stream, { [W.tokens]: '600,100', [W.deadline]: '3000' }, 4_000, true],
-    [stream, { [W.tokens]: '600,500', [W.deadline]: '3000' }, 4_000, true],
+  for (const [routeSettings, headers, remainingMs, isAdmitted] of [
+    [stream, { [HEADERS.tokens]: '600,500' }, 4_000, false],
+    [stream, { [HEADERS.tokens]: '600,100' }, 4_000, false],
+    [stream, { [HEADERS.tokens]: '600,100', [HEADERS.deadline]: '3000' }, 4_000, true],
+    [stream, { [HEADERS.tokens]: '600,500', [HEADERS.deadline]: '3000' }, 4_000, true],
     [plain, {}, 4_000, true],
     [plain, {}, 500, false],
   ] as const) {
-    const r = await rig(mapping, [entry('w')]);
-    r.endWithin(leftMs);
-    const { answer } = r.ask(headers);
-    await r.world.advance(1);
-    expect(r.sent).toHaveLength(taken ? 1 : 0);
-    if (taken) continue;
-    expect(answer.status).toBe(503);
-    expect(answer.headers).toEqual(expect.arrayContaining(['Retry-After', 'Connection', 'close']));
+    const fixture = await createFixture(routeSettings, [entry('w')]);
+    fixture.drain(remainingMs);
+    const { response } = fixture.sendRequest(headers);
+    await fixture.world.advance(1);
+    expect(fixture.sent).toHaveLength(isAdmitted ? 1 : 0);
+    if (isAdmitted) continue;
+    expect(response.status).toBe(503);
+    expect(response.headers).toEqual(expect.arrayContaining(['Retry-After', 'Connection', 'close']));
   }
 });
 
-// It guessed by a fixed pace, and broke off at its end what busy workers had not finished.
-test('a proxy that ends soon takes a stream only if it will be over before at the pace of late streams', async () => {
-  const r = await rig({ kind: 'stream', deadlineMs: 15_000, aimMs: 800 }, [entry('w')]);
-  const headers = { [W.tokens]: '600,100' };
-  r.ask(headers);
-  await r.world.advance(3_000);
-  sealed(r.sent[0]!, 'id: 1\ndata: x\n\n');
-  r.sent[0]!.events.end();
-  await r.world.advance(1);
-  r.endWithin(3_500);
-  const { answer } = r.ask(headers);
-  await r.world.advance(1);
-  expect(answer.status).toBe(503);
-  expect(r.sent).toHaveLength(1);
-});
-
-// Guards against a stream that came long after the stop and is broken off: no guess tells how long its prompt is read.
+// Guards against an estimate by a fixed rate: streams that busy workers had not finished were truncated at the end.
+test('a draining proxy admits a stream only if it will end in time even when it is as slow as earlier streams', async () => {
+  const fixture = await createFixture({ kind: 'stream', deadlineMs: 15_000, aimMs: 800 }, [entry('w')]);
+  const headers = { [HEADERS.tokens]: '600,100' };
+  fixture.sendRequest(headers);
+  await fixture.world.advance(3_000);
+  respond(fixture.sent[0]!, 'id: 1\ndata: x\n\n');
+  fixture.sent[0]!.events.end();
+  await fixture.world.advance(1);
+  fixture.drain(3_500);
+  const { response } = fixture.sendRequest(headers);
+  await fixture.world.advance(1);
+  expect(response.status).toBe(503);
+  expect(fixture.sent).toHaveLength(1);
+});
+
+// Guards against truncating a stream that arrived long after the stop: the time in which its prompt is read can't be
+// estimated.
 test.each([
-  ['its deadline comes after the end', 5_000, 503, 0],
-  ['its deadline ends it before', 3_000, 0, 1],
-])('a proxy that was told to stop a while ago, asked for a stream: %s', async (_what, deadlineMs, status, sent) => {
-  const r = await rig({ kind: 'stream', deadlineMs, aimMs: 800 }, [entry('w')]);
-  r.endWithin(4_000);
-  const { answer } = r.ask({ [W.tokens]: '600,10' });
-  await r.world.advance(1);
-  expect(answer.status).toBe(status);
-  expect(r.sent).toHaveLength(sent);
-});
-
-// Guards against connections that a process which ends closes on callers who wait: each gets its final answer.
-test('a proxy that ends gives up what is open: 503 for what was never sent, 502 for what may run, a cut for what has begun', async () => {
-  const r = await rig({ kind: 'stream', deadlineMs: 15_000 }, [entry('w', 'z1', 'r1', { places: 2 })]);
-  const begun = r.ask().answer;
-  const sent = r.ask().answer;
-  await r.world.advance(1);
-  sealed(r.sent[0]!, 'id: 1\ndata: x\n\n');
-  const waiting = r.ask().answer;
-  await r.world.advance(1);
-  expect([r.sent.length, begun.status, sent.status, waiting.status]).toEqual([2, 200, 0, 0]);
-  r.relay.giveUpAll();
-  expect(begun).toMatchObject({ status: 200, cut: true });
-  expect(sent).toMatchObject({ status: 502, ended: true });
-  expect(waiting).toMatchObject({ status: 503, ended: true });
-});
-
-// Guards against a request that is refused as not run at the very end, and sent to its worker a moment later.
-test('a request that was given up is not sent any more: not when its connection comes up, nor from the queue', async () => {
-  const r = await rig({ kind: 'once', deadlineMs: 15_000 }, [entry('w', 'z1', 'r1', { places: 1 })]);
-  r.dial();
-  const connecting = r.ask().answer;
-  await r.world.advance(1);
-  const waiting = r.ask().answer;
-  await r.world.advance(1);
-  r.relay.giveUpAll();
+  ['its deadline comes after the end of the process', 5_000, 503, 0],
+  ['its deadline comes before the end of the process', 3_000, 0, 1],
+])(
+  'a stream that arrives at a proxy that has been draining for a while: %s',
+  async (_case, deadlineMs, status, sent) => {
+    const fixture = await createFixture({ kind: 'stream', deadlineMs, aimMs: 800 }, [entry('w')]);
+    fixture.drain(4_000);
+    const { response } = fixture.sendRequest({ [HEADERS.tokens]: '600,10' });
+    await fixture.world.advance(1);
+    expect(response.status).toBe(status);
+    expect(fixture.sent).toHaveLength(sent);
+  },
+);
+
+// Guards against a process that ends and closes the connections of waiting callers without a final response.
+test('a proxy that ends sends 503 for unsent requests and 502 for those that may run, and aborts started responses', async () => {
+  const fixture = await createFixture({ kind: 'stream', deadlineMs: 15_000 }, [entry('w', 'z1', 'r1', { places: 2 })]);
+  const started = fixture.sendRequest().response;
+  const sent = fixture.sendRequest().response;
+  await fixture.world.advance(1);
+  respond(fixture.sent[0]!, 'id: 1\ndata: x\n\n');
+  const waiting = fixture.sendRequest().response;
+  await fixture.world.advance(1);
+  expect([fixture.sent.length, started.status, sent.status, waiting.status]).toEqual([2, 200, 0, 0]);
+  fixture.relay.giveUpAll();
+  expect(started).toMatchObject({ status: 200, isAborted: true });
+  expect(sent).toMatchObject({ status: 502, isEnded: true });
+  expect(waiting).toMatchObject({ status: 503, isEnded: true });
+});
+
+// Guards against a request that is rejected as not run just before the process ends, and then sent to its worker.
+test('an aborted request is not sent any more, neither when its connection comes up nor from the queue', async () => {
+  const fixture = await createFixture({ kind: 'once', deadlineMs: 15_000 }, [entry('w', 'z1', 'r1', { places: 1 })]);
+  fixture.holdConnections();
+  const connecting = fixture.sendRequest().response;
+  await fixture.world.advance(1);
+  const waiting = fixture.sendRequest().response;
+  await fixture.world.advance(1);
+  fixture.relay.giveUpAll();
   expect([connecting.status, waiting.status]).toEqual([503, 503]);
-  r.connect(r.sent[0]!);
-  r.relay.wake();
-  await r.world.advance(500);
-  expect(r.sent.map((sending) => sending.headers)).toEqual([null]);
-});
-
-test('a second attempt at the same worker goes on a new connection, where no answer to the first can be due', async () => {
-  const r = await rig({ kind: 'once', attempts: 3 }, [entry('w')]);
-  r.ask();
-  await r.world.advance(1);
-  refusedFor(r.sent[0]!, 503, 'q1');
-  await r.world.advance(400);
-  expect(r.sent.map((s) => [s.what.address, s.what.newConnection])).toEqual([
+  fixture.connect(fixture.sent[0]!);
+  fixture.relay.wake();
+  await fixture.world.advance(500);
+  expect(fixture.sent.map((sending) => sending.headers)).toEqual([null]);
+});
+
+test('a second attempt at the same worker uses a new connection, where no response to the first can be outstanding', async () => {
+  const fixture = await createFixture({ kind: 'once', attempts: 3 }, [entry('w')]);
+  fixture.sendRequest();
+  await fixture.world.advance(1);
+  rejectFor(fixture.sent[0]!, 503, 'q1');
+  await fixture.world.advance(400);
+  expect(fixture.sent.map((s) => [s.sending.address, s.sending.newConnection])).toEqual([
     ['10.0.0.1:1', false],
     ['10.0.0.1:1', true],
   ]);
 });
 
-// An error in one request was left to nobody and ended the process.
-test('a fault in the handling of one request ends that request alone, and is not counted as open', async () => {
-  const r = await rig({}, [entry('w')]);
-  const faulty = r.ask().answer;
-  faulty.fault = new Error('no such status');
-  await r.world.advance(1);
-  sealed(r.sent[0]!, 'out');
-  r.sent[0]!.events.end();
-  await r.world.advance(1);
-  expect(faulty).toMatchObject({ status: 500, ended: true });
-  expect(r.relay.tally().open).toBe(0);
-  const { answer } = r.ask();
-  await r.world.advance(1);
-  sealed(r.sent[1]!, 'out');
-  r.sent[1]!.events.end();
-  await r.world.advance(1);
-  expect(answer).toMatchObject({ status: 200, body: 'out', ended: true });
+// Guards against an error in one request that nothing catches: it ended the process.
+test('an error in the handling of one request ends only that request, which is not counted as open any more', async () => {
+  const fixture = await createFixture({}, [entry('w')]);
+  const failing = fixture.sendRequest().response;
+  failing.error = new Error('no such status');
+  await fixture.world.advance(1);
+  respond(fixture.sent[0]!, 'out');
+  fixture.sent[0]!.events.end();
+  await fixture.world.advance(1);
+  expect(failing).toMatchObject({ status: 500, isEnded: true });
+  expect(fixture.relay.tally().open).toBe(0);
+  const { response } = fixture.sendRequest();
+  await fixture.world.advance(1);
+  respond(fixture.sent[1]!, 'out');
+  fixture.sent[1]!.events.end();
+  await fixture.world.advance(1);
+  expect(response).toMatchObject({ status: 200, body: 'out', isEnded: true });
 });
--- a/src/coordination/forwarding/relayed-request.test.ts
+++ b/src/coordination/forwarding/relayed-request.test.ts
@@ -6,25 +6,25 @@
 import { createRng } from '../../transport/rng.js';
 import { createRelayedRequest } from './relayed-request.js';
 
-const ASKED = 4_000;
+const REQUEST_COUNT = 4_000;
 
-function counts(shares: readonly Share[]): Map<string, number> {
+function countByModel(shares: readonly Share[]): Map<string, number> {
   const rng = createRng(25);
   const incoming = { get: () => null } as unknown as OpaqueRequest;
   const route = {
     name: 'r',
     settings: { kind: 'stream', resumable: false, deadlineMs: 5_000, shares },
   } as unknown as MatchedRoute;
-  const out = new Map<string, number>();
-  for (let i = 0; i < ASKED; i += 1) {
+  const counts = new Map<string, number>();
+  for (let i = 0; i < REQUEST_COUNT; i += 1) {
     const { model } = createRelayedRequest(OPEN_WORDS, rng, incoming, route, `id-${i}`, Buffer.alloc(0), 0);
-    out.set(model, (out.get(model) ?? 0) + 1);
+    counts.set(model, (counts.get(model) ?? 0) + 1);
   }
-  return out;
+  return counts;
 }
 
-test('each part of a route gets its share of the requests, also where shares do not add up to 1', () => {
-  const found = counts([
+test('each model of a route gets its share of the requests, also if the shares do not add up to 1', () => {
+  const counted = countByModel([
     { model: 'a', share: 90 },
     { model: 'b', share: 10 },
     { model: 'c', share: 50 },
@@ -34,12 +34,12 @@
     ['b', 10 / 150],
     ['c', 50 / 150],
   ] as const)
-    expect(Math.abs((found.get(model) ?? 0) / ASKED - share)).toBeLessThan(0.03);
+    expect(Math.abs((counted.get(model) ?? 0) / REQUEST_COUNT - share)).toBeLessThan(0.03);
 });
 
-test('a part without any share gets nothing', () => {
+test('a model with share 0 gets no requests', () => {
   expect([
-    ...counts([
+    ...countByModel([
       { model: 'a', share: 0 },
       { model: 'b', share: 1 },
     ]).keys(),
--- a/src/coordination/forwarding/response-reader.ts
+++ b/src/coordination/forwarding/response-reader.ts
@@ -19,7 +19,7 @@
     status: number,
     headers: RawHeaders,
     get: (name: string) => string | null,
-    freshConnection: boolean,
+    isNewConnection: boolean,
   ): AttemptOutcome | null;
   onData(chunk: Buffer): AttemptOutcome | null;
   /** Called when the response has ended regularly. */
@@ -58,20 +58,20 @@
    * A rejection without an attempt id counts as the response to this attempt only on a new connection, where no other
    * response can be outstanding.
    */
-  private isForThisAttempt(id: string | null, isRejection: boolean, freshConnection: boolean): boolean {
-    return id === this.request.id || (id === null && isRejection && freshConnection);
+  private isForThisAttempt(id: string | null, isRejection: boolean, isNewConnection: boolean): boolean {
+    return id === this.request.id || (id === null && isRejection && isNewConnection);
   }
 
   onHead(
     status: number,
     headers: RawHeaders,
     get: (name: string) => string | null,
-    freshConnection: boolean,
+    isNewConnection: boolean,
   ): AttemptOutcome | null {
     this.currentStatus = status;
     this.headers = headers;
     const isRejection = this.currentStatus === WRONG_WORKER || get(this.headerNames.notRun) !== null;
-    if (!this.isForThisAttempt(get(this.headerNames.attemptId), isRejection, freshConnection))
+    if (!this.isForThisAttempt(get(this.headerNames.attemptId), isRejection, isNewConnection))
       return { tag: 'garbled' };
     if (get('content-encoding') !== null) return { tag: 'garbled' };
     if (isRejection) {
