--- a/src/coordination/proxy/opaque-proxy.test.ts
+++ b/src/coordination/proxy/opaque-proxy.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from '@jest/globals';
-import { OPEN_WORDS as W } from '../../protocol/header-names.js';
+import { OPEN_WORDS as HEADERS } from '../../protocol/header-names.js';
 import { createSimCore } from '../../sim/sim-core.js';
 import { routeSettings } from '../../sim/builders.js';
 import { EDGE_TUNING } from '../../state/forwarding/edge-tuning.js';
@@ -20,7 +20,7 @@
   models: { m: { at: 0, probePath: '/h', maxConns: 100, coldS: 3, coldRateS: 10, engine: null } },
 };
 
-async function rig(seed: number) {
+async function createHarness(seed: number) {
   const core = createSimCore(seed, { controllers: 3, seeds: 3, regionMs: 20 });
   core.startAll();
   const names = core.nodes.map((n) => n.name);
@@ -43,9 +43,9 @@
   const httpServers: ((req: OpaqueRequest) => void)[] = [];
   const stoppedListening: number[] = [];
   const refusals: { at: number; afterMs: number }[] = [];
-  let unsent = 0;
-  let listed = true;
-  let tellList = (): void => undefined;
+  let unsentCount = 0;
+  let hasList = true;
+  let notifyListChanged = (): void => undefined;
   const started = startOpaqueProxy(
     {
       name: 's1',
@@ -61,7 +61,7 @@
       rng: createRng(seed),
       wire,
       logs: createQuietLog(),
-      headerNames: W,
+      headerNames: HEADERS,
       tuning: EDGE_TUNING,
       connectionPool,
       httpServer: {
@@ -72,7 +72,7 @@
             value: {
               address,
               close: () => Promise.resolve(),
-              inFlight: () => unsent,
+              inFlight: () => unsentCount,
               refusePartial: (afterMs) => void refusals.push({ at: clock.mono(), afterMs }),
               stopListening: () => {
                 stoppedListening.push(clock.mono());
@@ -97,59 +97,59 @@
             coldMs: 0,
           },
         ],
-        asOf: () => (listed ? clock.mono() : null),
+        asOf: () => (hasList ? clock.mono() : null),
         events: {
           on: (_name, fn) => {
-            tellList = fn as () => void;
+            notifyListChanged = fn as () => void;
           },
         },
         stop: () => undefined,
       }),
     },
   );
-  const response = await core.finish(started, 5_000);
-  if (!response?.ok) throw new Error('did not start');
-  const proxy = response.value;
-  tellList();
-  const answers: { status: number; headers: string[]; ended: boolean }[] = [];
-  function ask(path = '/x/1'): void {
-    const answer = { status: 0, headers: [] as string[], ended: false };
-    answers.push(answer);
-    const all: Record<string, string> = { host: 'a.example', [W.attemptId]: `q${answers.length}` };
+  const result = await core.finish(started, 5_000);
+  if (!result?.ok) throw new Error('the proxy did not start');
+  const proxy = result.value;
+  notifyListChanged();
+  const responses: { status: number; headers: string[]; ended: boolean }[] = [];
+  function sendRequest(path = '/x/1'): void {
+    const response = { status: 0, headers: [] as string[], ended: false };
+    responses.push(response);
+    const headers: Record<string, string> = { host: 'a.example', [HEADERS.attemptId]: `q${responses.length}` };
     httpServers[0]?.({
       method: 'POST',
       target: path,
-      headers: Object.entries(all).flat(),
-      get: (n) => all[n] ?? null,
+      headers: Object.entries(headers).flat(),
+      get: (name) => headers[name] ?? null,
       body: () => Promise.resolve({ ok: true, value: Buffer.from('hi') }),
       answerer: {
-        head: (s, h) => {
-          answer.status = s;
-          answer.headers = [...h];
+        head: (status, rawHeaders) => {
+          response.status = status;
+          response.headers = [...rawHeaders];
         },
         write: () => undefined,
         end: () => {
-          answer.ended = true;
+          response.ended = true;
         },
         abort: () => undefined,
         gone: () => false,
-        begun: () => answer.status !== 0,
+        begun: () => response.status !== 0,
         onGone: () => undefined,
       },
     });
   }
-  function answer(i: number): void {
-    const h = { [W.attemptId]: `q${i + 1}`, [W.seal]: 's' } as Record<string, string>;
-    sent[i]?.head(200, Object.entries(h).flat(), (n) => h[n] ?? null);
-    sent[i]?.data(Buffer.from('out'));
-    sent[i]?.end();
+  function respond(index: number): void {
+    const headers = { [HEADERS.attemptId]: `q${index + 1}`, [HEADERS.seal]: 's' } as Record<string, string>;
+    sent[index]?.head(200, Object.entries(headers).flat(), (name) => headers[name] ?? null);
+    sent[index]?.data(Buffer.from('out'));
+    sent[index]?.end();
   }
   function reported(): Report | undefined {
     return core.node('h1').controller!.distribution.reports().get('s1');
   }
   async function configure(): Promise<void> {
     const ledger = core.node('h1').controller!.ledger;
-    const work = ledger.propose(
+    const proposal = ledger.propose(
       {
         id: 'first',
         cause: 'A test configures.',
@@ -161,128 +161,128 @@
       },
       2_000,
     );
-    expect((await core.finish(work, 10_000))?.ok).toBe(true);
+    expect((await core.finish(proposal, 10_000))?.ok).toBe(true);
   }
   return {
     core,
     clock,
     proxy,
     sent,
-    answers,
-    ask,
-    answer,
+    responses,
+    sendRequest,
+    respond,
     configure,
     stoppedListening,
     refusals,
     reported,
-    unsent: (count: number) => {
-      unsent = count;
+    setUnsentCount: (count: number) => {
+      unsentCount = count;
     },
-    list: (on: boolean) => {
-      listed = on;
+    setHasList: (isKnown: boolean) => {
+      hasList = isKnown;
     },
   };
 }
 
 test.each([1, 2])(
-  'a proxy that is told to stop names itself unready at once, and ends only when all that it took is answered (seed %i)',
+  'a stopping proxy reports not ready at once, and ends only when all requests that it admitted are answered (seed %i)',
   async (seed) => {
-    const r = await rig(seed);
-    await r.configure();
-    expect(await r.core.until(5_000, () => r.proxy.ready())).toBe(true);
-    r.ask();
-    await r.core.world.advance(10);
-    expect(r.sent).toHaveLength(1);
+    const harness = await createHarness(seed);
+    await harness.configure();
+    expect(await harness.core.until(5_000, () => harness.proxy.ready())).toBe(true);
+    harness.sendRequest();
+    await harness.core.world.advance(10);
+    expect(harness.sent).toHaveLength(1);
     let ended = false;
-    void r.proxy.drain(8_000).then(() => {
+    void harness.proxy.drain(8_000).then(() => {
       ended = true;
     });
-    expect(r.proxy.ready()).toBe(false);
-    await r.core.world.advance(5_000);
+    expect(harness.proxy.ready()).toBe(false);
+    await harness.core.world.advance(5_000);
     expect(ended).toBe(false);
-    r.answer(0);
-    await r.core.world.advance(200);
-    expect(r.answers[0]).toMatchObject({ status: 200, ended: true });
-    expect(r.answers[0]!.headers).toContain('Connection');
+    harness.respond(0);
+    await harness.core.world.advance(200);
+    expect(harness.responses[0]).toMatchObject({ status: 200, ended: true });
+    expect(harness.responses[0]!.headers).toContain('Connection');
     expect(ended).toBe(true);
   },
 );
 
-test('a proxy that is told to stop is named for a while, and takes no new connection near its end', async () => {
-  const r = await rig(5);
-  await r.configure();
-  expect(await r.core.until(5_000, () => r.proxy.ready())).toBe(true);
-  r.ask();
-  await r.core.world.advance(10);
-  const from = r.clock.mono();
-  void r.proxy.drain(8_000);
-  await r.core.world.advance(1_800);
-  expect(r.reported()).toMatchObject({ ready: false, draining: true });
-  await r.core.world.advance(900);
-  expect(r.reported()?.draining).toBeUndefined();
-  await r.core.world.advance(3_700);
-  expect(r.stoppedListening).toEqual([]);
-  await r.core.world.advance(300);
-  expect(r.stoppedListening[0]! - from).toBeLessThanOrEqual(6_600);
-  r.answer(0);
-  await r.core.world.advance(200);
-  expect(r.answers[0]).toMatchObject({ status: 200, ended: true });
+test('a stopping proxy reports itself as draining for a while, and accepts no new connection near its end', async () => {
+  const harness = await createHarness(5);
+  await harness.configure();
+  expect(await harness.core.until(5_000, () => harness.proxy.ready())).toBe(true);
+  harness.sendRequest();
+  await harness.core.world.advance(10);
+  const startedAt = harness.clock.mono();
+  void harness.proxy.drain(8_000);
+  await harness.core.world.advance(1_800);
+  expect(harness.reported()).toMatchObject({ ready: false, draining: true });
+  await harness.core.world.advance(900);
+  expect(harness.reported()?.draining).toBeUndefined();
+  await harness.core.world.advance(3_700);
+  expect(harness.stoppedListening).toEqual([]);
+  await harness.core.world.advance(300);
+  expect(harness.stoppedListening[0]! - startedAt).toBeLessThanOrEqual(6_600);
+  harness.respond(0);
+  await harness.core.world.advance(200);
+  expect(harness.responses[0]).toMatchObject({ status: 200, ended: true });
 });
 
-// Guards against an end that cuts off an answer which its worker has given and its caller has not yet taken.
-test('a proxy that is told to stop ends only when its answers are with the callers, and refuses what arrives too slowly', async () => {
-  const r = await rig(6);
-  await r.configure();
-  expect(await r.core.until(5_000, () => r.proxy.ready())).toBe(true);
-  r.ask();
-  await r.core.world.advance(10);
-  r.unsent(1);
-  const from = r.clock.mono();
+// A drain that ended too early truncated a response that its worker had completed and its caller had not yet received.
+test('a stopping proxy ends only when the callers have its responses, and rejects requests that arrive too slowly', async () => {
+  const harness = await createHarness(6);
+  await harness.configure();
+  expect(await harness.core.until(5_000, () => harness.proxy.ready())).toBe(true);
+  harness.sendRequest();
+  await harness.core.world.advance(10);
+  harness.setUnsentCount(1);
+  const startedAt = harness.clock.mono();
   let ended = false;
-  void r.proxy.drain(8_000).then(() => {
+  void harness.proxy.drain(8_000).then(() => {
     ended = true;
   });
-  r.answer(0);
-  await r.core.world.advance(2_850);
-  expect(r.refusals).toEqual([]);
-  await r.core.world.advance(2_000);
-  expect(r.refusals[0]).toMatchObject({ afterMs: 500 });
-  expect(r.refusals[0]!.at - from).toBeLessThan(3_000);
+  harness.respond(0);
+  await harness.core.world.advance(2_850);
+  expect(harness.refusals).toEqual([]);
+  await harness.core.world.advance(2_000);
+  expect(harness.refusals[0]).toMatchObject({ afterMs: 500 });
+  expect(harness.refusals[0]!.at - startedAt).toBeLessThan(3_000);
   expect(ended).toBe(false);
-  r.unsent(0);
-  await r.core.world.advance(100);
+  harness.setUnsentCount(0);
+  await harness.core.world.advance(100);
   expect(ended).toBe(true);
 });
 
-test('what comes before the first configuration waits for it, and is not denied', async () => {
-  const r = await rig(3);
-  r.ask();
-  await r.core.world.advance(300);
-  expect(r.answers[0]!.status).toBe(0);
-  await r.configure();
-  expect(await r.core.until(900, () => r.sent.length === 1)).toBe(true);
+test('a request that arrives before the first configuration waits for it, and is not rejected', async () => {
+  const harness = await createHarness(3);
+  harness.sendRequest();
+  await harness.core.world.advance(300);
+  expect(harness.responses[0]!.status).toBe(0);
+  await harness.configure();
+  expect(await harness.core.until(900, () => harness.sent.length === 1)).toBe(true);
 });
 
-test('what comes while no list or configuration is known is told to come back, never that there is no mapping', async () => {
-  const r = await rig(4);
-  r.list(false);
-  r.ask();
-  await r.core.world.advance(3_000);
-  expect(r.answers[0]!.status).toBe(503);
-  expect(r.answers[0]!.headers).toContain('Retry-After');
-  expect(r.sent).toHaveLength(0);
+test('a request without a known worker list or configuration gets 503 with Retry-After, never that it has no route', async () => {
+  const harness = await createHarness(4);
+  harness.setHasList(false);
+  harness.sendRequest();
+  await harness.core.world.advance(3_000);
+  expect(harness.responses[0]!.status).toBe(503);
+  expect(harness.responses[0]!.headers).toContain('Retry-After');
+  expect(harness.sent).toHaveLength(0);
 });
 
-// Guards against a request that is read between the last look at what is open and the end, and gets no answer.
-test('a proxy that is told to stop and has nothing open listens no more from the moment at which it ends', async () => {
-  const r = await rig(7);
-  await r.configure();
-  expect(await r.core.until(5_000, () => r.proxy.ready())).toBe(true);
+// A request that was read between the last check for open requests and the end of the drain got no response.
+test('a stopping proxy without open requests stops listening in the same tick in which its drain ends', async () => {
+  const harness = await createHarness(7);
+  await harness.configure();
+  expect(await harness.core.until(5_000, () => harness.proxy.ready())).toBe(true);
   let endedAt = 0;
-  void r.proxy.drain(8_000).then(() => {
-    endedAt = r.clock.mono();
+  void harness.proxy.drain(8_000).then(() => {
+    endedAt = harness.clock.mono();
   });
-  await r.core.world.advance(3_200);
+  await harness.core.world.advance(3_200);
   expect(endedAt).toBeGreaterThan(0);
-  expect(r.stoppedListening).toEqual([endedAt]);
+  expect(harness.stoppedListening).toEqual([endedAt]);
 });
--- a/src/coordination/proxy/opaque-proxy.ts
+++ b/src/coordination/proxy/opaque-proxy.ts
@@ -1,4 +1,4 @@
-/** Composes a proxy for opaque requests: follower, failure detector, worker list, relay and its HTTP server. */
+/** Composes a proxy for opaque requests: log follower, failure detector, worker list, relay and HTTP server. */
 import { err, ok } from '../../base/result.js';
 import type { Result } from '../../base/result.js';
 import type { MessageOf } from '../../protocol/messages.js';
@@ -35,7 +35,7 @@
   readonly seeds: readonly Address[];
 };
 
-/** What the proxy works with; `feed` makes the feed of the worker list. */
+/** Dependencies of the proxy; `feed` creates the feed of the worker list. */
 export type OpaqueProxyDeps = {
   readonly clock: Clock;
   readonly rng: Rng;
@@ -48,33 +48,41 @@
   readonly feed: (peers: Peers, controllers: () => readonly Address[]) => WorkerListFeed;
 };
 
-/** A running proxy. `drain` serves on for a while and returns before `longestMs` are over; `stop` closes everything. */
+/** A running proxy. */
 export type OpaqueProxy = {
   readonly front: Address;
   readonly ready: () => boolean;
   readonly tally: () => RelayTally;
-  readonly drain: (longestMs: number) => Promise<void>;
+  /** Stops taking new requests step by step, and returns once all are answered, after about `maxDurationMs` at most. */
+  readonly drain: (maxDurationMs: number) => Promise<void>;
+  /** Closes all connections and listeners. */
   readonly stop: () => Promise<void>;
 };
 
-const REPORT_MS = 500;
-const USAGE_MS = 100;
-const LOOK_MS = 250;
-const LOOK_OPENING_MS = 20;
-const USAGE_KEPT_MS = 800;
-/** A proxy that was told to stop takes all that comes for so long, and then only what is sure to end in time. */
-const INTAKE_MS = 2_900;
-/** What is taken late has to end by so much before the process does. */
-const END_SLACK_MS = 300;
-/** For so long of that it may still be named where no other is left; an answer that names it is used for a second. */
-const NAMED_MS = INTAKE_MS - 1_000;
-const LINGER_MS = 3_000;
-const DRAIN_LOOK_MS = 50;
-const LAST_CALL_MS = 1_500;
-/** Once the intake is over, a request that takes longer than this to arrive is refused. */
-const PARTIAL_MS = 500;
+const REPORT_INTERVAL_MS = 500;
+const LOAD_REPORT_INTERVAL_MS = 100;
+const READINESS_CHECK_INTERVAL_MS = 250;
+const STARTUP_CHECK_INTERVAL_MS = 20;
+/** A load that has not changed is sent again after this time. */
+const LOAD_RESEND_INTERVAL_MS = 800;
+/** A stopping proxy admits all requests for this long, and then only those that are certain to end in time. */
+const FULL_INTAKE_MS = 2_900;
+/** Requests admitted after the full intake have to end this long before the end of the drain. */
+const END_MARGIN_MS = 300;
+/**
+ * For this long, callers may still be directed to a stopping proxy where no other is left. It ends a second before the
+ * full intake does, as callers use a resolved address for a second.
+ */
+const ADVERTISED_MS = FULL_INTAKE_MS - 1_000;
+/** A drain lasts at least this long, also if nothing is in flight, unless its maximum is shorter. */
+const MIN_DRAIN_MS = 3_000;
+const DRAIN_CHECK_INTERVAL_MS = 50;
+/** No new connection is accepted in this time before the end of a drain. */
+const STOP_LISTENING_BEFORE_END_MS = 1_500;
+/** After the full intake, a request that takes longer than this to arrive is rejected. */
+const MAX_PARTIAL_REQUEST_AGE_MS = 500;
 
-/** Starts a proxy. The error says which address can't be served. */
+/** Starts a proxy. The error says which address it can't listen on. */
 export async function startOpaqueProxy(
   id: OpaqueProxyIdentity,
   deps: OpaqueProxyDeps,
@@ -103,20 +111,20 @@
     windowMs: tuning.retryWindowMs,
   });
   const feed = deps.feed(peers, () => follower.controllers());
-  let table: RouteTable | null = null;
-  let tableVersion = -1;
-  let closing = false;
-  let mayBeNamed = true;
+  let routeTable: RouteTable | null = null;
+  let routeTableVersion = -1;
+  let draining = false;
+  let mayBeAdvertised = true;
   let stopTimes: StopTimes | null = null;
 
-  function current(): RouteTable | null {
-    return follower.fresh() && feed.asOf() !== null ? table : null;
+  function currentRouteTable(): RouteTable | null {
+    return follower.fresh() && feed.asOf() !== null ? routeTable : null;
   }
-  function isClosing(): boolean {
-    return closing;
+  function isDraining(): boolean {
+    return draining;
   }
   function ready(): boolean {
-    return !closing && current() !== null;
+    return !draining && currentRouteTable() !== null;
   }
   const relay = createRelay({
     headerNames: deps.headerNames,
@@ -127,85 +135,86 @@
     clock,
     rng,
     log: logs.component('relay'),
-    table: current,
-    closing: isClosing,
+    table: currentRouteTable,
+    closing: isDraining,
     stopTimes: () => stopTimes,
   });
 
-  function onMoved(): void {
+  function onControlStateChanged(): void {
     const state = follower.controlState();
     const serving = state.configuration.serving;
-    if (serving && state.version !== tableVersion) {
-      tableVersion = state.version;
-      table = createRouteTable(serving);
-      limit();
+    if (serving && state.version !== routeTableVersion) {
+      routeTableVersion = state.version;
+      routeTable = createRouteTable(serving);
+      applyLimits();
     }
-    function preemptive(model: string): readonly string[] {
+    function preemptiveZones(model: string): readonly string[] {
       return state.zoneSets[model]?.preemptive ?? [];
     }
     function coldMs(model: string): number {
-      return (table?.traits(model)?.coldS ?? 0) * 1_000;
+      return (routeTable?.traits(model)?.coldS ?? 0) * 1_000;
     }
-    registry.applyZones(state.evacuated, preemptive, clock.mono(), coldMs);
+    registry.applyZones(state.evacuated, preemptiveZones, clock.mono(), coldMs);
     registry.setSharingProxies(state.proxies);
     budget.setSharingProxies(Object.keys(state.proxies).length);
     relay.wake();
   }
-  follower.events.on('moved', onMoved);
-  function onList(): void {
+  follower.events.on('moved', onControlStateChanged);
+  function onWorkerListChanged(): void {
     registry.applyList(feed.entries(), clock.mono());
     relay.wake();
   }
-  feed.events.on('changed', onList);
-  onMoved();
+  feed.events.on('changed', onWorkerListChanged);
+  onControlStateChanged();
 
   const httpServer = await deps.httpServer.open(id.front, (req) => relay.handle(req));
   if (!httpServer.ok) {
     await peers.close();
     return err(httpServer.error);
   }
-  const front = httpServer.value;
-  function limit(): void {
-    const limits = table?.serving.limits;
-    if (limits) front.limit({ headerMs: limits.headerMs, idleMs: limits.idleMs });
+  const listener = httpServer.value;
+  function applyLimits(): void {
+    const limits = routeTable?.serving.limits;
+    if (limits) listener.limit({ headerMs: limits.headerMs, idleMs: limits.idleMs });
   }
-  limit();
+  applyLimits();
 
-  let count = 0;
+  let reportCount = 0;
   function report(): void {
     const tally = relay.tally();
-    count += 1;
+    reportCount += 1;
     const health: Report['health'] = {};
     const now = clock.mono();
     for (const row of registry.rows())
       if (row.present && row.fails >= 3 && row.badUntil > now) health[row.entry.id] = 'unfit';
-    const told: Report = {
-      ...commonReport(id, node, tally, count),
+    const ownReport: Report = {
+      ...commonReport(id, node, tally, reportCount),
       health,
       http: id.front,
       ready: ready(),
-      ...(closing && mayBeNamed ? { draining: true } : {}),
+      ...(draining && mayBeAdvertised ? { draining: true } : {}),
     };
-    follower.sendToController({ kind: 'reports', reports: [told] });
+    follower.sendToController({ kind: 'reports', reports: [ownReport] });
   }
-  const reporting = every(clock, REPORT_MS, report);
-  let loadsSent = 0;
-  let loadSentAt = 0;
+  const reportTimer = every(clock, REPORT_INTERVAL_MS, report);
+  let loadReportCount = 0;
+  let lastLoadSentAt = 0;
   let lastSentLoad = '';
-  let quiet = true;
+  let wasEmpty = true;
   function sendLoad(): void {
     const rows = registry.load(clock.mono());
-    const nothing = Object.keys(rows).length === 0;
-    const text = JSON.stringify(rows);
+    const isEmpty = Object.keys(rows).length === 0;
+    const serialized = JSON.stringify(rows);
     const now = clock.mono();
-    if ((nothing && quiet) || (text === lastSentLoad && now - loadSentAt < USAGE_KEPT_MS)) return;
-    quiet = nothing;
-    lastSentLoad = text;
-    loadSentAt = now;
-    loadsSent += 1;
-    follower.sendToController({ kind: 'usage', told: { name: id.name, run: id.run, count: loadsSent, rows } });
+    if ((isEmpty && wasEmpty) || (serialized === lastSentLoad && now - lastLoadSentAt < LOAD_RESEND_INTERVAL_MS))
+      return;
+    wasEmpty = isEmpty;
+    lastSentLoad = serialized;
+    lastLoadSentAt = now;
+    loadReportCount += 1;
+    follower.sendToController({ kind: 'usage', told: { name: id.name, run: id.run, count: loadReportCount, rows } });
   }
-  const telling = every(clock, USAGE_MS, sendLoad);
+  const loadTimer = every(clock, LOAD_REPORT_INTERVAL_MS, sendLoad);
   let fleetLoad: LoadRows = {};
   function onFleetLoad(message: MessageOf<'fleetLoad'>): null {
     fleetLoad = message.partial ? withChanges(fleetLoad, message.rows) : message.rows;
@@ -217,64 +226,64 @@
   let wasReady = false;
   function checkReadiness(): void {
     relay.turn();
-    const now = ready();
-    if (now !== wasReady) {
-      log.info(now ? 'ready' : 'not ready');
-      wasReady = now;
+    const isReady = ready();
+    if (isReady !== wasReady) {
+      log.info(isReady ? 'ready' : 'not ready');
+      wasReady = isReady;
       report();
     }
   }
-  let readinessTimer = clock.timer(LOOK_OPENING_MS, checkReadinessAgain);
-  function checkReadinessAgain(): void {
+  let readinessTimer = clock.timer(STARTUP_CHECK_INTERVAL_MS, runReadinessCheck);
+  function runReadinessCheck(): void {
     checkReadiness();
-    readinessTimer = clock.timer(wasReady ? LOOK_MS : LOOK_OPENING_MS, checkReadinessAgain);
+    readinessTimer = clock.timer(wasReady ? READINESS_CHECK_INTERVAL_MS : STARTUP_CHECK_INTERVAL_MS, runReadinessCheck);
   }
   function stopReadinessChecks(): void {
     readinessTimer.cancel();
   }
   log.info('proxy started', { http: id.front, peers: node.address });
 
-  /** An answer that its caller has not taken is in flight, though its worker is done with it. */
+  /** A response that its caller has not received in full is still in flight, though the worker has finished it. */
   function isIdle(): boolean {
-    return relay.tally().open === 0 && front.inFlight() === 0;
+    return relay.tally().open === 0 && listener.inFlight() === 0;
   }
-  // Nothing may be awaited between the last look and the end: a request that is read meanwhile would get no answer.
-  async function drain(longestMs: number): Promise<void> {
-    const from = clock.mono();
-    closing = true;
-    stopTimes = { intakeUntil: from + INTAKE_MS, lastEndAt: from + longestMs - END_SLACK_MS };
+  // Nothing may be awaited between the last check and the return: a request read meanwhile would get no response.
+  async function drain(maxDurationMs: number): Promise<void> {
+    const startedAt = clock.mono();
+    draining = true;
+    stopTimes = { intakeUntil: startedAt + FULL_INTAKE_MS, lastEndAt: startedAt + maxDurationMs - END_MARGIN_MS };
     checkReadiness();
     report();
     membership.leave();
     for (;;) {
-      const passed = clock.mono() - from;
-      if (passed >= longestMs) break;
-      if (passed >= LINGER_MS && isIdle()) {
-        front.stopListening();
+      const elapsedMs = clock.mono() - startedAt;
+      if (elapsedMs >= maxDurationMs) break;
+      if (elapsedMs >= MIN_DRAIN_MS && isIdle()) {
+        listener.stopListening();
         return;
       }
-      if (passed >= INTAKE_MS) front.refusePartial(PARTIAL_MS);
-      if (passed >= NAMED_MS && mayBeNamed) {
-        mayBeNamed = false;
+      if (elapsedMs >= FULL_INTAKE_MS) listener.refusePartial(MAX_PARTIAL_REQUEST_AGE_MS);
+      if (elapsedMs >= ADVERTISED_MS && mayBeAdvertised) {
+        mayBeAdvertised = false;
         report();
       }
-      if (passed >= longestMs - LAST_CALL_MS) front.stopListening();
-      await delay(clock, DRAIN_LOOK_MS);
+      if (elapsedMs >= maxDurationMs - STOP_LISTENING_BEFORE_END_MS) listener.stopListening();
+      await delay(clock, DRAIN_CHECK_INTERVAL_MS);
     }
     relay.giveUpAll();
-    await delay(clock, DRAIN_LOOK_MS);
+    await delay(clock, DRAIN_CHECK_INTERVAL_MS);
   }
   async function stop(): Promise<void> {
-    reporting.cancel();
-    telling.cancel();
+    reportTimer.cancel();
+    loadTimer.cancel();
     stopReadinessChecks();
     feed.stop();
     membership.stop();
     follower.stop();
     deps.connectionPool.stop();
-    await front.close();
+    await listener.close();
     await peers.close();
     log.info('proxy stopped');
   }
-  return ok({ front: front.address, ready, tally: () => relay.tally(), drain, stop });
+  return ok({ front: listener.address, ready, tally: () => relay.tally(), drain, stop });
 }
--- a/src/coordination/proxy/proxy-http-server.ts
+++ b/src/coordination/proxy/proxy-http-server.ts
@@ -1,4 +1,4 @@
-/** The callers' HTTP interface of a proxy: placements, and requests with an admission token (docs/http.md). */
+/** HTTP API of a proxy for callers: placements, and requests with an admission token (docs/http.md). */
 import type { Failure, PlacementRequest, Submit } from '../../protocol/caller-wire.js';
 import {
   EDGE_HEALTH_PATH,
@@ -21,7 +21,7 @@
 import { rejection, proxyId, TOKEN_LIFETIME_MS } from '../forwarding/placement-service.js';
 import type { PlacementService, ProxySelf } from '../forwarding/placement-service.js';
 
-const STATUS: Readonly<Record<Failure['tag'], number>> = {
+const HTTP_STATUS: Readonly<Record<Failure['tag'], number>> = {
   shed: 503,
   unknownModel: 404,
   malformed: 400,
@@ -34,15 +34,15 @@
   cut: 502,
 };
 
-/** The HTTP reply for a failure; 503 and 502 say when to come back. */
+/** Returns the HTTP response for a failure; 503 and 502 carry a Retry-After header. */
 export function failureReply(failure: Failure, retryAfterS: number): HttpReply {
   const isTokenError = failure.tag === 'shed' && failure.reason.startsWith('ticket');
-  const status = isTokenError ? 409 : STATUS[failure.tag];
-  const waits = status === 503 || status === 502;
-  return { status, headers: waits ? { 'retry-after': String(retryAfterS) } : {}, body: { error: failure } };
+  const status = isTokenError ? 409 : HTTP_STATUS[failure.tag];
+  const isRetryable = status === 503 || status === 502;
+  return { status, headers: isRetryable ? { 'retry-after': String(retryAfterS) } : {}, body: { error: failure } };
 }
 
-/** What the callers' calls work with. */
+/** Dependencies of the API for callers. */
 export type ProxyHttpServerDeps = {
   readonly self: ProxySelf;
   readonly ready: () => boolean;
@@ -54,8 +54,8 @@
   readonly counts: CountTable;
 };
 
-/** The callers' calls of one proxy. */
-class TokenCallerCalls {
+/** Handlers of the API for callers of one proxy. */
+class CallerApi {
   private readonly usedTokens = createUsedTokens();
 
   constructor(private readonly deps: ProxyHttpServerDeps) {}
@@ -71,7 +71,7 @@
     if (placed.error.tag === 'shed') {
       this.deps.dispatcher.countRejected();
       if (request.value.model !== undefined) this.deps.dispatcher.countRequest(request.value.model);
-      this.count(this.modelOf(request.value), request.value.mapping ?? null, {
+      this.recordEnded(this.modelOf(request.value), request.value.mapping ?? null, {
         outcome: 'shed',
         firstMs: null,
         wholeMs: null,
@@ -80,90 +80,90 @@
     return failureReply(placed.error, 1);
   }
 
-  private tokenOf(req: HttpRequest): AdmissionToken | Failure {
+  private readToken(req: HttpRequest): AdmissionToken | Failure {
     const text = req.headers[ADMISSION_TOKEN_HEADER];
     if (text === undefined) return { tag: 'malformed', detail: `the ${ADMISSION_TOKEN_HEADER} header is missing` };
     if (!this.deps.ready()) return rejection('notReady');
-    const read = readAdmissionToken(
+    const result = readAdmissionToken(
       text,
       this.deps.follower.controlState().ticketKey,
       proxyId(this.deps.self),
       this.deps.follower.sharedNow(),
     );
-    if (typeof read === 'string') return rejection(read);
-    const homes = this.deps.placement.homesOf(read.model, read.bound);
+    if (typeof result === 'string') return rejection(result);
+    const homes = this.deps.placement.homesOf(result.model, result.bound);
     if (homes !== null && !homes.includes(this.deps.self.region)) return rejection('outsideHomes');
-    return read;
+    return result;
   }
 
-  private mostBytes(token: AdmissionToken): number {
+  private maxBodyBytes(token: AdmissionToken): number {
     return this.deps.placement.resolved(token.model)?.values.maxBodyBytes ?? 0;
   }
 
-  private gate(req: HttpRequest): HttpReply | null {
-    const token = this.tokenOf(req);
+  private checkBeforeBody(req: HttpRequest): HttpReply | null {
+    const token = this.readToken(req);
     if ('tag' in token) return failureReply(token, 1);
-    return Number(req.headers['content-length'] ?? 0) > this.mostBytes(token)
+    return Number(req.headers['content-length'] ?? 0) > this.maxBodyBytes(token)
       ? failureReply({ tag: 'bodyTooLarge' }, 1)
       : null;
   }
 
-  private keyOf(token: AdmissionToken, body: Submit): RunKey | Failure | null {
+  private runKeyOf(token: AdmissionToken, body: Submit): RunKey | Failure | null {
     if (token.repeatable) return null;
-    const issued = token.expiresAt - TOKEN_LIFETIME_MS;
-    const read = readRunKey(body.key ?? runKey(token.requestId, issued), this.deps.follower.sharedNow());
-    if (read === 'tooOld') return { tag: 'keyTooOld' };
-    if (read === 'withoutBirth')
-      return { tag: 'malformed', detail: "/key: expected an id, '@' and the Unix milliseconds of its making" };
-    return read === 'fromTheFuture'
-      ? { tag: 'malformed', detail: '/key: expected a time of making that is not ahead of now' }
-      : read;
+    const issuedAt = token.expiresAt - TOKEN_LIFETIME_MS;
+    const result = readRunKey(body.key ?? runKey(token.requestId, issuedAt), this.deps.follower.sharedNow());
+    if (result === 'tooOld') return { tag: 'keyTooOld' };
+    if (result === 'withoutBirth')
+      return { tag: 'malformed', detail: "/key: expected an id, '@' and the creation time in Unix milliseconds" };
+    return result === 'fromTheFuture'
+      ? { tag: 'malformed', detail: '/key: expected a creation time that is not in the future' }
+      : result;
   }
 
   private async submit(req: HttpRequest): Promise<HttpReply> {
-    const token = this.tokenOf(req);
+    const token = this.readToken(req);
     if ('tag' in token) return failureReply(token, 1);
     if (!this.usedTokens.use(token, this.deps.clock.mono())) return failureReply(rejection('ticketUsed'), 1);
     const body = readSubmit(req.body);
     if (!body.ok) return failureReply(body.error, 1);
     if (body.value.requestId !== token.requestId) return failureReply(rejection('ticketForeign'), 1);
-    const unsized = req.headers['content-length'] === undefined;
-    if (unsized && JSON.stringify(body.value).length > this.mostBytes(token))
+    const lacksContentLength = req.headers['content-length'] === undefined;
+    if (lacksContentLength && JSON.stringify(body.value).length > this.maxBodyBytes(token))
       return failureReply({ tag: 'bodyTooLarge' }, 1);
     this.deps.dispatcher.countRequest(token.model);
-    const key = this.keyOf(token, body.value);
+    const key = this.runKeyOf(token, body.value);
     if (key !== null && 'tag' in key) return failureReply(key, 1);
-    const from = this.deps.clock.mono();
-    const end = await this.deps.dispatcher.submit(token, body.value, key, req.gone);
+    const startedAt = this.deps.clock.mono();
+    const submission = await this.deps.dispatcher.submit(token, body.value, key, req.gone);
     const { model, bound } = token;
 
-    const ended = (outcome: Ended['outcome'], firstMs: number | null): void => {
-      this.count(model, bound.mapping, {
+    const recordOutcome = (outcome: Ended['outcome'], firstMs: number | null): void => {
+      this.recordEnded(model, bound.mapping, {
         outcome,
         firstMs,
-        wholeMs: outcome === 'good' ? this.deps.clock.mono() - from : null,
+        wholeMs: outcome === 'good' ? this.deps.clock.mono() - startedAt : null,
       });
     };
-    if (end.tag === 'failed') {
-      ended(end.failure.tag === 'shed' ? 'shed' : 'failed', null);
-      return failureReply(end.failure, end.retryAfterS);
+    if (submission.tag === 'failed') {
+      recordOutcome(submission.failure.tag === 'shed' ? 'shed' : 'failed', null);
+      return failureReply(submission.failure, submission.retryAfterS);
     }
-    if (end.tag === 'whole') {
-      ended('good', null);
-      return { status: 200, body: end.answer };
+    if (submission.tag === 'whole') {
+      recordOutcome('good', null);
+      return { status: 200, body: submission.answer };
     }
-    return { status: 200, lines: this.counted(end.lines, from, ended) };
+    return { status: 200, lines: this.recordWhenEnded(submission.lines, startedAt, recordOutcome) };
   }
 
-  private async *counted(
+  private async *recordWhenEnded(
     lines: AsyncIterable<AnswerLine>,
-    from: number,
-    ended: (outcome: Ended['outcome'], firstMs: number | null) => void,
+    startedAt: number,
+    recordOutcome: (outcome: Ended['outcome'], firstMs: number | null) => void,
   ): AsyncGenerator<AnswerLine> {
     let firstMs: number | null = null;
     for await (const line of lines) {
-      if ('piece' in line) firstMs ??= this.deps.clock.mono() - from;
-      else ended('seal' in line ? 'good' : 'failed', firstMs);
+      if ('piece' in line) firstMs ??= this.deps.clock.mono() - startedAt;
+      else recordOutcome('seal' in line ? 'good' : 'failed', firstMs);
       yield line;
     }
   }
@@ -176,7 +176,7 @@
     return mapped ?? request.model ?? '';
   }
 
-  private count(model: string, mapping: string | null, ended: Ended): void {
+  private recordEnded(model: string, mapping: string | null, ended: Ended): void {
     recordIn(this.deps.counts, model, ended);
     if (mapping !== null) recordIn(this.deps.counts, routeSubject(mapping), ended);
   }
@@ -196,7 +196,7 @@
         method: 'POST',
         path: REQUESTS_PATH,
         maxBytes: 64 * 1_048_576,
-        gate: (req) => this.gate(req),
+        gate: (req) => this.checkBeforeBody(req),
         handle: (req) => this.submit(req),
       },
       { method: 'GET', path: EDGE_HEALTH_PATH, handle: () => this.health() },
@@ -205,7 +205,7 @@
   }
 }
 
-/** Routes of the callers' HTTP interface (docs/http.md). */
+/** Returns the routes of the API for callers (docs/http.md). */
 export function proxyRoutes(deps: ProxyHttpServerDeps): Route[] {
-  return new TokenCallerCalls(deps).routes();
+  return new CallerApi(deps).routes();
 }
--- a/src/coordination/proxy/proxy-node.ts
+++ b/src/coordination/proxy/proxy-node.ts
@@ -1,6 +1,6 @@
 /**
- * What every proxy is towards the other nodes, whatever requests it serves: a follower of the ledger, a member of the
- * fleet, and a reporter with an incarnation.
+ * The part of a proxy that is independent of the kind of requests it serves: it follows the replicated log, is a
+ * member of the fleet, and reports to the controllers under an incarnation.
  */
 import { ok } from '../../base/result.js';
 import type { Result } from '../../base/result.js';
@@ -21,14 +21,14 @@
 import { createPeers } from '../messaging/peers.js';
 import type { Peers } from '../messaging/peers.js';
 
-/** Name and location; `http` is where callers reach it, `advertised` where other nodes do. */
+/** Name, location and addresses; callers connect to `http`, other nodes to `advertised`. */
 export type ProxyNodeIdentity = Pick<NodeInfo, 'name' | 'run' | 'zone' | 'region' | 'http'> & {
   readonly listen: Address;
   readonly advertised: Address;
   readonly seeds: readonly Address[];
 };
 
-/** What it works with; without a disk nothing is kept over a restart. */
+/** Dependencies; without a disk no state is kept across a restart. */
 export type ProxyNodeDeps = {
   readonly wire: Wire;
   readonly clock: Clock;
@@ -37,7 +37,7 @@
   readonly disk: Disk | null;
 };
 
-/** A node that listens at `address`; `incarnation` is the one to report under. */
+/** A node that listens on `address`; `incarnation` returns the incarnation to report under. */
 export type ProxyNode = {
   readonly address: Address;
   readonly peers: Peers;
@@ -46,14 +46,14 @@
   readonly incarnation: () => number;
 };
 
-/** Listens to other nodes, follows the ledger and joins the fleet. The error says why it can't listen. */
+/** Listens for other nodes, follows the replicated log and joins the fleet. The error says why it can't listen. */
 export async function openProxyNode(
   identity: ProxyNodeIdentity,
   { wire, clock, rng, logs, disk }: ProxyNodeDeps,
 ): Promise<Result<ProxyNode, WireError>> {
   const { listen, advertised, seeds, name, run, zone, region, http } = identity;
   const peers = createPeers(wire, clock, logs.component('peers'));
-  const first = await nextIncarnation(disk, logs.component('proxy'));
+  const firstIncarnation = await nextIncarnation(disk, logs.component('proxy'));
   const follower = await createFollower(identity, seeds, peers, clock, disk, logs.component('follow'));
   const opened = await peers.open(listen);
   if (!opened.ok) return opened;
@@ -64,31 +64,31 @@
     region,
     http,
     role: 'proxy',
-    incarnation: first,
+    incarnation: firstIncarnation,
     address: advertised,
     status: 'alive',
   };
   const membership = createMembership(node, () => follower.controllers(), peers, clock, rng, logs.component('members'));
   followRelocatedControllers(membership, () => follower.controlState(), peers);
-  const incarnation = reportIncarnation(name, first, peers);
+  const incarnation = trackIncarnation(name, firstIncarnation, peers);
   return ok({ address: opened.value.address, peers, follower, membership, incarnation });
 }
 
-/** What a proxy's requests have come to since it began. */
+/** Counts of a proxy's requests since it started. */
 export type ReportedTally = Pick<Report, 'requests' | 'shed' | 'attempted' | 'retried'>;
 
-/** What every proxy reports of itself, whatever requests it serves. */
+/** Returns the fields that every proxy reports, whatever kind of requests it serves. */
 export function commonReport(
   identity: Pick<NodeInfo, 'name' | 'run' | 'zone' | 'region'>,
   node: Pick<ProxyNode, 'incarnation' | 'follower'>,
   { requests, shed, attempted, retried }: ReportedTally,
-  count: number,
+  reportCount: number,
 ): Omit<Report, 'health' | 'http' | 'ready'> {
   return {
     reporter: identity.name,
     run: identity.run,
     incarnation: node.incarnation(),
-    count,
+    count: reportCount,
     requests,
     shed,
     attempted,
@@ -99,9 +99,9 @@
   };
 }
 
-/** The incarnation to report under: above any that a controller remembers of a former run. */
-function reportIncarnation(name: string, first: number, peers: Peers): () => number {
-  let incarnation = first;
+/** Returns the incarnation to report under: higher than any that a controller remembers of a previous run. */
+function trackIncarnation(name: string, firstIncarnation: number, peers: Peers): () => number {
+  let incarnation = firstIncarnation;
   function onOutlived(message: MessageOf<'outlived'>): null {
     if (message.reporter === name && message.incarnation >= incarnation) incarnation = message.incarnation + 1;
     return null;
--- a/src/coordination/proxy/proxy.ts
+++ b/src/coordination/proxy/proxy.ts
@@ -1,6 +1,6 @@
 /**
- * Composes a proxy for requests with admission tokens: follower, failure detector, health checks, placement,
- * dispatcher and its HTTP server.
+ * Composes a proxy for requests with admission tokens: log follower, failure detector, health checks, placement,
+ * dispatcher and HTTP server.
  */
 import { err, ok } from '../../base/result.js';
 import type { Result } from '../../base/result.js';
@@ -26,7 +26,7 @@
 import { proxyRoutes } from './proxy-http-server.js';
 import { createWorkerWatch } from '../discovery/worker-watch.js';
 
-/** What the proxy knows of the ledger. */
+/** The proxy's current view of the control state. */
 export type ProxyView = {
   readonly slot: number;
   readonly version: number;
@@ -35,7 +35,7 @@
   readonly partitioned: boolean;
 };
 
-/** A running proxy; `stop` drains it first, for at most `withinMs`. */
+/** A running proxy; `stop` first drains it for at most `withinMs`. */
 export type Proxy = {
   readonly wire: Address;
   readonly http: Address;
@@ -45,11 +45,12 @@
   readonly stop: (withinMs: number) => Promise<void>;
 };
 
-const REPORT_MS = 500;
-const COUNTS_EVERY = 10;
-const DRAIN_LOOK_MS = 100;
+const REPORT_INTERVAL_MS = 500;
+/** The counts of outcomes are sent with every tenth report. */
+const REPORTS_PER_COUNTS = 10;
+const DRAIN_CHECK_INTERVAL_MS = 100;
 
-/** Starts a proxy. The error says which address can't be served. */
+/** Starts a proxy. The error says which address it can't listen on. */
 export async function startProxy(id: NodeIdentity, deps: NodeDeps): Promise<Result<Proxy, WireError>> {
   const { clock, rng, logs, httpClient } = deps;
   const log = logs.component('proxy');
@@ -57,7 +58,7 @@
   if (!opened.ok) return opened;
   const node = opened.value;
   const { peers, follower, membership } = node;
-  const table = createWorkerTable();
+  const workerTable = createWorkerTable();
   const self: ProxySelf = { name: id.name, run: id.run, zone: id.zone, region: id.region, http: id.http };
   follower.setTopology(locationsOf(membership));
   const placement = createPlacementService({
@@ -65,7 +66,7 @@
     ready,
     follower,
     membership,
-    table,
+    table: workerTable,
     policies: deps.policies,
     clock,
     rng,
@@ -74,14 +75,14 @@
   const dispatcher = createDispatcher({
     ready,
     placement,
-    table,
+    table: workerTable,
     claims,
     httpClient,
     clock,
     rng,
     log: logs.component('attempt'),
   });
-  const source = createWorkerListSource({
+  const workerListSource = createWorkerListSource({
     name: id.name,
     platform: createPlatformClient(httpClient, id.platform),
     membership,
@@ -89,10 +90,10 @@
     clock,
     rng,
   });
-  const watch = createWorkerWatch({
+  const workerWatch = createWorkerWatch({
     zone: id.zone,
-    table,
-    source,
+    table: workerTable,
+    source: workerListSource,
     httpClient,
     clock,
     log: logs.component('workers'),
@@ -100,39 +101,39 @@
   });
 
   function ready(): boolean {
-    const asked = watch.listReadAt();
-    return follower.fresh() && asked !== null && asked >= follower.wokeAt();
+    const listReadAt = workerWatch.listReadAt();
+    return follower.fresh() && listReadAt !== null && listReadAt >= follower.wokeAt();
   }
 
-  function onMoved(): void {
-    table.applyControlState(follower.controlState());
-    watch.probeStrangers();
+  function onControlStateChanged(): void {
+    workerTable.applyControlState(follower.controlState());
+    workerWatch.probeStrangers();
     dispatcher.wake();
   }
-  follower.events.on('moved', onMoved);
-  onMoved();
+  follower.events.on('moved', onControlStateChanged);
+  onControlStateChanged();
 
-  let taking = true;
-  let count = 0;
+  let isAccepting = true;
+  let reportCount = 0;
   const counts: CountTable = {};
   function report(): void {
     const tally = dispatcher.tally();
-    count += 1;
-    const told: Report = {
-      ...commonReport(id, node, tally, count),
-      health: watch.verdicts(),
+    reportCount += 1;
+    const ownReport: Report = {
+      ...commonReport(id, node, tally, reportCount),
+      health: workerWatch.verdicts(),
       http: id.http,
-      ready: taking && ready(),
+      ready: isAccepting && ready(),
     };
-    follower.sendToController({ kind: 'reports', reports: [told] });
-    if (count % COUNTS_EVERY === 0)
+    follower.sendToController({ kind: 'reports', reports: [ownReport] });
+    if (reportCount % REPORTS_PER_COUNTS === 0)
       follower.sendToController({ kind: 'counts', reporter: id.name, incarnation: node.incarnation(), totals: counts });
   }
-  const reporting = every(clock, REPORT_MS, report);
+  const reportTimer = every(clock, REPORT_INTERVAL_MS, report);
 
   function status(): unknown {
     const workers = [];
-    for (const row of table.rows()) {
+    for (const row of workerTable.rows()) {
       workers.push({
         id: row.listed.id,
         model: row.listed.model,
@@ -154,14 +155,14 @@
       version: state.version,
       fresh: ready(),
       partitioned: follower.partitioned(),
-      platformAgeMs: watch.listAgeMs(),
+      platformAgeMs: workerWatch.listAgeMs(),
       tally: dispatcher.tally(),
       workers,
       members: membership.all(),
     };
   }
 
-  function meter(meters: Meters): void {
+  function collectMetrics(meters: Meters): void {
     const tally = dispatcher.tally();
     for (const [model, count] of Object.entries(tally.requests))
       meters.count('millfield_requests_total', 'Requests asked for', count, { model });
@@ -175,8 +176,8 @@
     meters.set('millfield_version', 'Configuration in force', follower.controlState().version);
     meters.set('millfield_serving', '1 once a controller was heard', ready() ? 1 : 0);
     meters.set('millfield_partitioned', '1 while no controller is heard', follower.partitioned() ? 1 : 0);
-    meters.set('millfield_platform_age_ms', "Age of the platform's list", watch.listAgeMs() ?? -1);
-    for (const row of table.rows()) {
+    meters.set('millfield_platform_age_ms', "Age of the platform's list", workerWatch.listAgeMs() ?? -1);
+    for (const row of workerTable.rows()) {
       meters.set('millfield_worker_in_flight', 'Requests of this proxy on a worker', row.inFlight, {
         worker: row.listed.id,
         model: row.listed.model,
@@ -186,7 +187,7 @@
 
   const routes = [
     ...proxyRoutes({ self, ready, follower, placement, dispatcher, clock, status, counts }),
-    metricsRoute(deps.meters(), meter),
+    metricsRoute(deps.meters(), collectMetrics),
   ];
   const httpServer = await deps.httpServer.open(id.httpListen, routes);
   if (!httpServer.ok) {
@@ -194,7 +195,7 @@
     return err(httpServer.error);
   }
   log.info('proxy started', { zone: id.zone, http: httpServer.value.address, peers: node.address });
-  const served = httpServer.value;
+  const listener = httpServer.value;
 
   function view(): ProxyView {
     const state = follower.controlState();
@@ -208,17 +209,17 @@
   }
 
   async function stop(withinMs: number): Promise<void> {
-    const until = clock.mono() + withinMs;
+    const deadline = clock.mono() + withinMs;
     log.info('draining');
     dispatcher.stopTaking();
-    taking = false;
+    isAccepting = false;
     report();
     membership.leave();
-    while (dispatcher.tally().inFlight > 0 && clock.mono() < until) await delay(clock, DRAIN_LOOK_MS);
+    while (dispatcher.tally().inFlight > 0 && clock.mono() < deadline) await delay(clock, DRAIN_CHECK_INTERVAL_MS);
     report();
-    await served.close(stopLimits(until - clock.mono()));
-    reporting.cancel();
-    watch.stop();
+    await listener.close(stopLimits(deadline - clock.mono()));
+    reportTimer.cancel();
+    workerWatch.stop();
     dispatcher.stop();
     membership.stop();
     follower.stop();
@@ -227,10 +228,10 @@
   }
   return ok({
     wire: node.address,
-    http: served.address,
+    http: listener.address,
     tally: () => dispatcher.tally(),
     view,
-    place: (ask) => placement.place(ask),
+    place: (request) => placement.place(request),
     stop,
   });
 }
--- a/src/state/forwarding/admission-token.test.ts
+++ b/src/state/forwarding/admission-token.test.ts
@@ -13,7 +13,7 @@
   expiresAt: 1_000,
 };
 
-test('a ticket holds for its proxy, its key and its time only', () => {
+test('a token is valid only for its proxy, its key and its lifetime', () => {
   const text = signAdmissionToken(token, 'key');
   expect(readAdmissionToken(text, 'key', 's#1', 1_000)).toEqual(token);
   expect(readAdmissionToken(text, 'other', 's#1', 0)).toBe('ticketForeign');
@@ -27,7 +27,7 @@
   expect(readAdmissionToken('rubbish', 'key', 's#1', 0)).toBe('ticketForeign');
 });
 
-test('a ticket burns once', () => {
+test('a token is accepted once', () => {
   const usedTokens = createUsedTokens();
   expect(usedTokens.use(token, 0)).toBe(true);
   expect(usedTokens.use(token, 500_000)).toBe(false);
--- a/src/state/forwarding/admission-token.ts
+++ b/src/state/forwarding/admission-token.ts
@@ -1,19 +1,20 @@
 /**
- * Tickets: a proxy's signed promise of a place, taken once and only by the process that it
- * names. Signed with the key of the ledger, so any proxy can tell a forged one.
+ * Admission tokens (`ticket` on the wire): a proxy's signed admission of one request, accepted once and only by the
+ * proxy process that it names. They are signed with a key from the replicated log, so that any proxy detects a forged
+ * one.
  */
 
 import { hmac, sameText } from '../../base/digest.js';
 import { parsedJson } from '../../base/parsed-json.js';
 
-/** What the place was asked for; the homes are weighed by it anew when the request comes. */
+/** The constraints that were asked for; the home regions are derived from them again when the request arrives. */
 export type Bound = {
   readonly mapping: string | null;
   readonly kind: string | null;
   readonly asked: readonly string[] | null;
 };
 
-/** The contents of a ticket; `expiresAt` is in shared time, Unix milliseconds. */
+/** Contents of an admission token; `expiresAt` is shared time in Unix milliseconds. */
 export type AdmissionToken = {
   readonly id: string;
   readonly requestId: string;
@@ -25,16 +26,16 @@
   readonly expiresAt: number;
 };
 
-/** Why a ticket is not taken. */
+/** Why a token is rejected. */
 export type AdmissionTokenError = 'ticketForeign' | 'ticketUsed' | 'ticketExpired';
 
-/** The text of a ticket, signed. */
+/** Returns the signed text of a token. */
 export function signAdmissionToken(token: AdmissionToken, key: string): string {
   const body = Buffer.from(JSON.stringify(token)).toString('base64url');
   return `${body}.${hmac(key, body)}`;
 }
 
-/** The ticket in a text, or why it is not taken here and now. */
+/** Returns the token in a text, or why this proxy rejects it at this time. */
 export function readAdmissionToken(
   text: string,
   key: string,
@@ -48,13 +49,13 @@
   return now > token.expiresAt ? 'ticketExpired' : token;
 }
 
-/** Tickets that were used; `burn` is false for one used before. */
+/** The tokens that were used; `use` returns false for a token that was used before. */
 export interface UsedTokens {
   use(token: AdmissionToken, mono: number): boolean;
   size(): number;
 }
 
-const USED_KEPT_MS = 600_000;
+const USED_TOKEN_RETENTION_MS = 600_000;
 
 class TimedUsedTokens implements UsedTokens {
   private readonly usedTokens = new Map<string, number>();
@@ -62,8 +63,8 @@
   use(token: AdmissionToken, mono: number): boolean {
     if (this.usedTokens.has(token.id)) return false;
     this.usedTokens.set(token.id, mono);
-    for (const [id, at] of this.usedTokens) {
-      if (mono - at < USED_KEPT_MS) break;
+    for (const [id, usedAt] of this.usedTokens) {
+      if (mono - usedAt < USED_TOKEN_RETENTION_MS) break;
       this.usedTokens.delete(id);
     }
     return true;
@@ -74,7 +75,7 @@
   }
 }
 
-/** An empty record; it forgets a ticket after ten minutes, long past its life. */
+/** Creates an empty record; it forgets a token after ten minutes, long after the token has expired. */
 export function createUsedTokens(): UsedTokens {
   return new TimedUsedTokens();
 }
--- a/src/state/forwarding/attempt-outcome.test.ts
+++ b/src/state/forwarding/attempt-outcome.test.ts
@@ -1,10 +1,10 @@
 import { describe, expect, test } from '@jest/globals';
-import { decide, LEAST_FOR_REPEAT_MS, mayHaveRun, wasSent } from './attempt-outcome.js';
+import { decide, MIN_RETRY_TIME_MS, mayHaveRun, wasSent } from './attempt-outcome.js';
 import type { AttemptOutcome, Repeatability, RequestSituation } from './attempt-outcome.js';
 
-const KINDS: readonly Repeatability[] = ['once', 'repeatable', 'resumable'];
+const REPEATABILITIES: readonly Repeatability[] = ['once', 'repeatable', 'resumable'];
 
-function situation(over: Partial<RequestSituation> = {}): RequestSituation {
+function retryContext(overrides: Partial<RequestSituation> = {}): RequestSituation {
   return {
     repeatability: 'once',
     answerBegun: false,
@@ -12,14 +12,17 @@
     mayHaveRun: false,
     leftMs: 5_000,
     acquireAttempt: () => true,
-    ...over,
+    ...overrides,
   };
 }
 
-/** What follows, as one word: for a run-once request, a repeatable one, a resumable stream before and after its first event. */
+/**
+ * An outcome and the decisions after it, as one word each: for a request that may run once, a repeatable one, a resumable
+ * stream before and after its first event, and for any of them without time left.
+ */
 type Row = readonly [
   AttemptOutcome,
-  readonly [once: string, repeatable: string, resumable: string, begun: string],
+  readonly [once: string, repeatable: string, resumable: string, afterFirstEvent: string],
   string,
 ];
 
@@ -40,77 +43,81 @@
   [{ tag: 'answered' }, ['passOn', 'passOn', 'passOn', 'passOn'], 'passOn'],
 ];
 
-function status(outcome: AttemptOutcome, over: Partial<RequestSituation>): string {
-  const decision = decide(outcome, situation(over));
+function decisionAfter(outcome: AttemptOutcome, overrides: Partial<RequestSituation>): string {
+  const decision = decide(outcome, retryContext(overrides));
   if (decision.tag === 'repeat') return decision.resume ? 'resume' : 'repeat';
   return decision.tag === 'fail' ? `fail ${decision.status}` : decision.tag;
 }
 
 describe.each(OUTCOMES.map((row) => [row[0].tag, ...row] as const))(
   'after %s',
-  (_tag, outcome, [once, repeatable, resumable, begun], last) => {
+  (_tag, outcome, [once, repeatable, resumable, afterFirstEvent], withoutTimeLeft) => {
     test('with time and attempts left', () => {
-      expect(status(outcome, { repeatability: 'once' })).toBe(once);
-      expect(status(outcome, { repeatability: 'repeatable' })).toBe(repeatable);
-      expect(status(outcome, { repeatability: 'resumable' })).toBe(resumable);
-      expect(status(outcome, { repeatability: 'resumable', answerBegun: true })).toBe(begun);
+      expect(decisionAfter(outcome, { repeatability: 'once' })).toBe(once);
+      expect(decisionAfter(outcome, { repeatability: 'repeatable' })).toBe(repeatable);
+      expect(decisionAfter(outcome, { repeatability: 'resumable' })).toBe(resumable);
+      expect(decisionAfter(outcome, { repeatability: 'resumable', answerBegun: true })).toBe(afterFirstEvent);
     });
 
     test('without time left', () => {
-      for (const repeatability of KINDS) expect(status(outcome, { repeatability, leftMs: 0 })).toBe(last);
+      for (const repeatability of REPEATABILITIES)
+        expect(decisionAfter(outcome, { repeatability, leftMs: 0 })).toBe(withoutTimeLeft);
     });
 
-    test('without attempts left only what was never sent is sent again', () => {
-      for (const repeatability of KINDS)
-        expect(status(outcome, { repeatability, acquireAttempt: () => false })).toBe(
-          wasSent(outcome) ? last : 'repeat',
+    test('without attempts left only a request that was never sent is retried', () => {
+      for (const repeatability of REPEATABILITIES)
+        expect(decisionAfter(outcome, { repeatability, acquireAttempt: () => false })).toBe(
+          wasSent(outcome) ? withoutTimeLeft : 'repeat',
         );
     });
 
-    test('an answer that was begun and cannot go on is broken off, never ended', () => {
-      const stays = ['done', 'wait', 'passOn'];
-      for (const over of [
+    test('a response that was started and cannot be resumed is aborted, never ended as complete', () => {
+      const notTruncated = ['done', 'wait', 'passOn'];
+      for (const overrides of [
         { repeatability: 'once' },
         { repeatability: 'repeatable' },
         { repeatability: 'resumable', canResume: false },
         { repeatability: 'resumable', leftMs: 0 },
       ] as const) {
-        const response = status(outcome, { ...over, answerBegun: true });
-        expect(outcome.tag === 'workerFailed' || !stays.includes(last) ? response : 'cut').toBe('cut');
+        const decision = decisionAfter(outcome, { ...overrides, answerBegun: true });
+        expect(outcome.tag === 'workerFailed' || !notTruncated.includes(withoutTimeLeft) ? decision : 'cut').toBe(
+          'cut',
+        );
       }
     });
 
-    test('no attempt is taken from the budget for a request that is not sent again', () => {
-      for (const repeatability of KINDS)
-        for (const leftMs of [0, LEAST_FOR_REPEAT_MS, 5_000]) {
-          let taken = 0;
+    test('no attempt is taken from the budget for a request that is not retried', () => {
+      for (const repeatability of REPEATABILITIES)
+        for (const leftMs of [0, MIN_RETRY_TIME_MS, 5_000]) {
+          let acquiredCount = 0;
           const acquireAttempt = (): boolean => {
-            taken += 1;
+            acquiredCount += 1;
             return true;
           };
-          const repeats = decide(outcome, situation({ repeatability, leftMs, acquireAttempt })).tag === 'repeat';
-          expect(taken).toBe(repeats && wasSent(outcome) ? 1 : 0);
+          const isRetried = decide(outcome, retryContext({ repeatability, leftMs, acquireAttempt })).tag === 'repeat';
+          expect(acquiredCount).toBe(isRetried && wasSent(outcome) ? 1 : 0);
         }
     });
 
-    test('a refusal is given only where nothing may have run', () => {
-      for (const repeatability of KINDS)
+    test('a request is rejected as not run only if it cannot have run', () => {
+      for (const repeatability of REPEATABILITIES)
         for (const leftMs of [0, 5_000])
-          for (const left of [true, false])
-            for (const ranBefore of [true, false]) {
-              const response = status(outcome, {
+          for (const hasAttemptsLeft of [true, false])
+            for (const mayHaveRunBefore of [true, false]) {
+              const decision = decisionAfter(outcome, {
                 repeatability,
                 leftMs,
-                acquireAttempt: () => left,
-                mayHaveRun: ranBefore,
+                acquireAttempt: () => hasAttemptsLeft,
+                mayHaveRun: mayHaveRunBefore,
               });
-              if (response === 'refuse') expect([mayHaveRun(outcome), ranBefore]).toEqual([false, false]);
+              if (decision === 'refuse') expect([mayHaveRun(outcome), mayHaveRunBefore]).toEqual([false, false]);
             }
     });
   },
 );
 
-test('a request that may run once is never sent again after it may have run', () => {
+test('a request that may run at most once is never retried after it may have run', () => {
   for (const [outcome] of OUTCOMES)
-    if (mayHaveRun(outcome)) expect(['repeat', 'resume']).not.toContain(status(outcome, { repeatability: 'once' }));
+    if (mayHaveRun(outcome))
+      expect(['repeat', 'resume']).not.toContain(decisionAfter(outcome, { repeatability: 'once' }));
 });
--- a/src/state/forwarding/attempt-outcome.ts
+++ b/src/state/forwarding/attempt-outcome.ts
@@ -1,82 +1,82 @@
 /**
- * What may follow when a request was sent to a worker. Both HTTP servers of a proxy judge an attempt by
- * one typed outcome and ask `decide`, so that the rule of what may be sent again stands in one place.
- * docs/repeats.md has the same as a table; the test goes through each of its rows.
+ * Outcomes of attempts to send a request to a worker, and the decision whether to retry. Both HTTP servers of a proxy
+ * map the end of an attempt to one typed outcome and use the same decision function, so that the retry rules are in
+ * one place. docs/repeats.md has the same rules as a table; the test covers each of its rows.
  */
 
-/** How often a request may run: once at most, any number of times, or on from its last event. */
+/** How often a request may run: at most once, any number of times, or resumed after its last event. */
 export type Repeatability = 'once' | 'repeatable' | 'resumable';
 
 /** How one attempt at a worker ended. */
 export type AttemptOutcome =
-  /** No connection came up. */
+  /** No connection was established. */
   | { readonly tag: 'notConnected' }
-  /** The connection was up, but the request was held back: nothing was written. */
+  /** The connection was established, but the request was withheld: nothing was written. */
   | { readonly tag: 'withheld' }
-  /** The connection ended before any byte of the request was written. */
+  /** The connection was reset before any byte of the request was written. */
   | { readonly tag: 'resetUnwritten' }
-  /** The connection ended with the request written in part: a worker may run it on its head alone. */
+  /** The connection was reset with the request partly written; a worker may run it from its headers alone. */
   | { readonly tag: 'resetPartlyWritten' }
-  /** The connection, new or taken again, ended after the whole request was written and before an answer. */
+  /** The connection, new or reused, was reset after the complete request was written and before a response. */
   | { readonly tag: 'resetWritten' }
-  /** The request was written, and the worker can't be reached since. The attempt still stands. */
+  /** The request was written, and the worker has been unreachable since. The attempt is still pending. */
   | { readonly tag: 'silent' }
-  /** The head of the answer came, its end did not. */
+  /** The response was truncated: its head arrived, its end did not. */
   | { readonly tag: 'answerCut' }
-  /** Another worker answers at this address (421); it did not run the request. */
+  /** A different worker answered at this address (421); it did not run the request. */
   | { readonly tag: 'wrongWorker'; readonly retryAfterS: number }
-  /** The worker's own word, under this request's id, that it did not and will not run it. */
+  /** The worker stated, with the id of this request, that it did not run the request and never will. */
   | { readonly tag: 'notExecuted'; readonly retryAfterS: number }
-  /** The worker ran the request and gave a whole answer that is a failure. */
+  /** The worker ran the request and sent a complete response that reports a failure. */
   | { readonly tag: 'workerFailed' }
-  /** Bytes that are no answer, another request's answer, or one that fails its checks. */
+  /** The bytes received are not a response, belong to another request, or fail their checks. */
   | { readonly tag: 'garbled' }
-  /** The request was written and its deadline passed. */
+  /** The deadline passed after the request was written. */
   | { readonly tag: 'deadline' }
   /** The caller closed its connection. */
   | { readonly tag: 'callerGone' }
-  /** A whole success. */
+  /** A complete, successful response. */
   | { readonly tag: 'answered' };
 
-/** What is known of the request at the end of an attempt. */
+/** State of the request at the end of an attempt. */
 export type RequestSituation = {
   readonly repeatability: Repeatability;
-  /** The head, and perhaps events, of an answer have been passed to the caller. */
+  /** The response head, and possibly events, have been passed to the caller. */
   readonly answerBegun: boolean;
-  /** All events passed so far bear a number, so that another worker can go on after the last. */
+  /** All events passed so far are numbered, so that another worker can resume after the last one. */
   readonly canResume: boolean;
-  /** An earlier attempt may have run. */
+  /** The request may have run in an earlier attempt. */
   readonly mayHaveRun: boolean;
-  /** Milliseconds until the deadline. */
+  /** Time until the deadline, in milliseconds. */
   readonly leftMs: number;
-  /** Takes a further attempt from the route's count and the shared budget; asked only if one is allowed. */
+  /** Takes a retry from the route's maximum and the shared budget; called only if a retry is otherwise allowed. */
   readonly acquireAttempt: () => boolean;
 };
 
-/** What follows. */
+/** What to do after an attempt. */
 export type Decision =
-  /** Send to another worker; `resume` goes on with the answer that was begun. */
+  /** Retry on another worker; with `resume` it continues the response that was started. */
   | { readonly tag: 'repeat'; readonly resume: boolean }
-  /** Let the attempt go on. */
+  /** Keep waiting for the pending attempt. */
   | { readonly tag: 'wait' }
-  /** Answer 503 with the promise that the request has not run and never will. */
+  /** Respond with 503, which guarantees that the request has not run and never will. */
   | { readonly tag: 'refuse'; readonly retryAfterS: number | null }
-  /** Answer 502 or 504, which promises nothing. */
+  /** Respond with 502 or 504, which says nothing about whether the request ran. */
   | { readonly tag: 'fail'; readonly status: 502 | 504 }
-  /** Pass the worker's own answer on. */
+  /** Forward the worker's response. */
   | { readonly tag: 'passOn' }
-  /** Break off the answer that was begun, so that it doesn't look whole. */
+  /** Abort the response that was started, so that it doesn't look complete. */
   | { readonly tag: 'cut' }
-  /** Nothing is owed any more. */
+  /** Nothing more to send. */
   | { readonly tag: 'done' };
 
-/** With less time left no further attempt is worth its cost: a worker needs longer for any answer. */
-export const LEAST_FOR_REPEAT_MS = 30;
+/** With less time left no retry is made: a worker needs longer than this for any response. */
+export const MIN_RETRY_TIME_MS = 30;
 
-type Trace = 'none' | 'notExecuted' | 'mayHaveRun';
+type ExecutionState = 'none' | 'notExecuted' | 'mayHaveRun';
 
-/** What an attempt leaves at its worker: nothing sent, sent and certainly not run, or perhaps run. */
-function traceOf(outcome: AttemptOutcome): Trace {
+/** Returns what happened at the worker: the request was not sent, was sent but certainly not run, or may have run. */
+function executionStateOf(outcome: AttemptOutcome): ExecutionState {
   switch (outcome.tag) {
     case 'notConnected':
     case 'withheld':
@@ -90,48 +90,48 @@
   }
 }
 
-/** True if the attempt reached the worker, and so counts against the route's attempts. */
+/** Returns true if the attempt reached the worker, and so counts towards the route's maximum. */
 export function wasSent(outcome: AttemptOutcome): boolean {
-  return traceOf(outcome) !== 'none';
+  return executionStateOf(outcome) !== 'none';
 }
 
-/** True if the request may have run in this attempt. */
+/** Returns true if the request may have run in this attempt. */
 export function mayHaveRun(outcome: AttemptOutcome): boolean {
-  return traceOf(outcome) === 'mayHaveRun';
+  return executionStateOf(outcome) === 'mayHaveRun';
 }
 
-/** Decides what follows an attempt. */
-export function decide(outcome: AttemptOutcome, situation: RequestSituation): Decision {
+/** Decides what to do after an attempt. */
+export function decide(outcome: AttemptOutcome, context: RequestSituation): Decision {
   switch (outcome.tag) {
     case 'callerGone':
       return { tag: 'done' };
     case 'answered':
       return { tag: 'passOn' };
     case 'deadline':
-      return situation.answerBegun ? { tag: 'cut' } : { tag: 'fail', status: 504 };
+      return context.answerBegun ? { tag: 'cut' } : { tag: 'fail', status: 504 };
     case 'silent':
-      return mayRepeat(outcome, situation) ? { tag: 'repeat', resume: situation.answerBegun } : { tag: 'wait' };
+      return mayRetry(outcome, context) ? { tag: 'repeat', resume: context.answerBegun } : { tag: 'wait' };
     default:
-      return mayRepeat(outcome, situation)
-        ? { tag: 'repeat', resume: situation.answerBegun }
-        : lastAnswer(outcome, situation);
+      return mayRetry(outcome, context)
+        ? { tag: 'repeat', resume: context.answerBegun }
+        : finalDecision(outcome, context);
   }
 }
 
-function mayRepeat(outcome: AttemptOutcome, situation: RequestSituation): boolean {
-  const { repeatability, answerBegun, canResume, leftMs } = situation;
-  const trace = traceOf(outcome);
-  if (leftMs <= (outcome.tag === 'withheld' ? 0 : LEAST_FOR_REPEAT_MS)) return false;
+function mayRetry(outcome: AttemptOutcome, context: RequestSituation): boolean {
+  const { repeatability, answerBegun, canResume, leftMs } = context;
+  const executionState = executionStateOf(outcome);
+  if (leftMs <= (outcome.tag === 'withheld' ? 0 : MIN_RETRY_TIME_MS)) return false;
   if (answerBegun && !(repeatability === 'resumable' && canResume)) return false;
-  if (trace === 'none') return true;
-  if (trace === 'mayHaveRun' && repeatability === 'once') return false;
-  return situation.acquireAttempt();
+  if (executionState === 'none') return true;
+  if (executionState === 'mayHaveRun' && repeatability === 'once') return false;
+  return context.acquireAttempt();
 }
 
-function lastAnswer(outcome: AttemptOutcome, situation: RequestSituation): Decision {
-  if (situation.answerBegun) return { tag: 'cut' };
+function finalDecision(outcome: AttemptOutcome, context: RequestSituation): Decision {
+  if (context.answerBegun) return { tag: 'cut' };
   if (outcome.tag === 'workerFailed') return { tag: 'passOn' };
-  if (situation.mayHaveRun || mayHaveRun(outcome)) return { tag: 'fail', status: 502 };
-  const refused = outcome.tag === 'wrongWorker' || outcome.tag === 'notExecuted';
-  return { tag: 'refuse', retryAfterS: refused ? outcome.retryAfterS : null };
+  if (context.mayHaveRun || mayHaveRun(outcome)) return { tag: 'fail', status: 502 };
+  const isRejected = outcome.tag === 'wrongWorker' || outcome.tag === 'notExecuted';
+  return { tag: 'refuse', retryAfterS: isRejected ? outcome.retryAfterS : null };
 }
--- a/src/state/forwarding/event-splitter.ts
+++ b/src/state/forwarding/event-splitter.ts
@@ -1,9 +1,9 @@
-/** Splits a stream of server-sent events (WHATWG HTML, section 9.2) into events, bytes unchanged. */
+/** Splits a stream of server-sent events (WHATWG HTML, section 9.2) into events without changing their bytes. */
 
-/** One event with its bytes as they came; `id` is null if it has no numeric id. */
+/** One event with its bytes as received; `id` is null if it has no numeric id. */
 export type StreamEvent = { readonly id: number | null; readonly bytes: Buffer };
 
-/** Takes chunks; `remainder` is what has come of an unfinished event. */
+/** `push` adds a chunk and returns the events it completes; `remainder` is the start of an incomplete event. */
 export interface EventSplitter {
   push(chunk: Buffer): readonly StreamEvent[];
   remainder(): Buffer;
@@ -15,7 +15,7 @@
 class LineEventSplitter implements EventSplitter {
   private buffered: Buffer = Buffer.alloc(0);
 
-  private boundary(from: number): number {
+  private endOfEvent(from: number): number {
     for (let i = this.buffered.indexOf(LF, from); i >= 0; i = this.buffered.indexOf(LF, i + 1)) {
       if (this.buffered[i + 1] === LF) return i + 2;
       if (this.buffered[i + 1] === CR && this.buffered[i + 2] === LF) return i + 3;
@@ -25,15 +25,15 @@
 
   push(chunk: Buffer): readonly StreamEvent[] {
     this.buffered = this.buffered.length === 0 ? chunk : Buffer.concat([this.buffered, chunk]);
-    const out: StreamEvent[] = [];
+    const events: StreamEvent[] = [];
     let start = 0;
-    for (let end = this.boundary(0); end >= 0; end = this.boundary(start)) {
+    for (let end = this.endOfEvent(0); end >= 0; end = this.endOfEvent(start)) {
       const bytes = this.buffered.subarray(start, end);
-      out.push({ id: idOf(bytes), bytes });
+      events.push({ id: eventIdOf(bytes), bytes });
       start = end;
     }
     if (start > 0) this.buffered = this.buffered.subarray(start);
-    return out;
+    return events;
   }
 
   remainder(): Buffer {
@@ -41,19 +41,19 @@
   }
 }
 
-/** A splitter at the start of a stream. */
+/** Creates a splitter at the start of a stream. */
 export function createEventSplitter(): EventSplitter {
   return new LineEventSplitter();
 }
 
-function idOf(bytes: Buffer): number | null {
+function eventIdOf(bytes: Buffer): number | null {
   const match = /(?:^|\n)id: ?(\d+)\r?\n/.exec(bytes.toString('latin1'));
   return match ? Number(match[1]) : null;
 }
 
 const COLON = 58;
 
-/** True for an event of comment lines alone, which tells nothing and may come any number of times. */
+/** Returns true for an event of comment lines alone, which carries no data and may occur any number of times. */
 export function isComment(event: Buffer): boolean {
   return event[0] === COLON && !/\n[^:\r\n]/.test(event.toString('latin1'));
 }
--- a/src/state/forwarding/placement-cost.ts
+++ b/src/state/forwarding/placement-cost.ts
@@ -1,7 +1,7 @@
 /**
- * What it would cost to run a request on a worker, in milliseconds of delay: reading what it does
- * not yet hold of the prompt, what waits and runs there, the way there, and doubts about it. The
- * weights are those of `edge-tuning.ts`; `worker-registry.ts` takes the cheapest worker.
+ * Estimates the cost of running a request on a worker, in milliseconds of delay: prefill of the uncached part of the
+ * prompt, load of the worker, network delay, and penalties for an unreliable worker. The weights are in
+ * `edge-tuning.ts`; `worker-registry.ts` selects the worker with the lowest cost.
  */
 
 import type { EdgeTuning } from './edge-tuning.js';
@@ -11,7 +11,7 @@
 import type { RegistryRow } from '../discovery/registry-row.js';
 import type { ModelTraits } from '../configuration/serving.js';
 
-/** The proxy that places; `held` tells open connections to an address. */
+/** The proxy that selects a worker; `openConnections` returns how many connections it has to an address. */
 export type SelectingProxy = {
   readonly name: string;
   readonly zone: string;
@@ -19,7 +19,7 @@
   readonly openConnections: (address: string) => number;
 };
 
-/** A request that needs a worker: its model, its prompt by parts, its sizes and its bounds. */
+/** A request that needs a worker: its model, the parts of its prompt, its sizes and its constraints. */
 export type SelectionRequest = {
   readonly model: string;
   readonly traits: ModelTraits | null;
@@ -33,14 +33,14 @@
   readonly now: number;
 };
 
-/** Costs of workers as one proxy sees them; `took` notes how long connecting to a worker took. */
+/** Estimates the cost of workers for one proxy; `recordConnectTime` records how long connecting to a worker took. */
 export interface PlacementCost {
   cost(row: RegistryRow, request: SelectionRequest, home: RegistryRow | null): number;
   regionDelayMs(row: RegistryRow): number;
   recordConnectTime(row: RegistryRow, ms: number): void;
 }
 
-class TunedPlacementCost implements PlacementCost {
+class EstimatedPlacementCost implements PlacementCost {
   private readonly regionDelays = new Map<string, number>();
 
   constructor(
@@ -49,14 +49,15 @@
     private readonly isPreemptive: (model: string, zone: string) => boolean,
   ) {}
 
-  /** Reading the prompt, after what waits there already. */
-  private prefillMs(row: RegistryRow, request: SelectionRequest, known: number): number {
-    const unread = Math.max(0, request.tokens - known);
-    const backlog = row.unread + row.otherLoad.unread;
-    let ms = (unread + backlog) / this.tuning.tokensPerMs;
+  /** Time to read the prompt, after the prompts that wait at the worker already. */
+  private prefillMs(row: RegistryRow, request: SelectionRequest, cachedTokens: number): number {
+    const uncachedTokens = Math.max(0, request.tokens - cachedTokens);
+    const backlogTokens = row.unread + row.otherLoad.unread;
+    let ms = (uncachedTokens + backlogTokens) / this.tuning.tokensPerMs;
     if (request.tokens <= 0) return ms;
-    ms += Math.max(0, sharedTokens(request.parts) - known) * this.tuning.sharedMs;
-    if (unread + backlog > this.tuning.stallTokens) ms += (row.running + row.otherLoad.running) * this.tuning.stallMs;
+    ms += Math.max(0, sharedTokens(request.parts) - cachedTokens) * this.tuning.sharedMs;
+    if (uncachedTokens + backlogTokens > this.tuning.stallTokens)
+      ms += (row.running + row.otherLoad.running) * this.tuning.stallMs;
     const kvTokens = request.traits?.engine?.kvTokens ?? 0;
     const neededKvTokens = row.kvTokens + row.otherLoad.kvTokens + request.tokens + request.outTokens;
     if (kvTokens > 0 && neededKvTokens > kvTokens * this.tuning.kvFraction)
@@ -64,15 +65,15 @@
     return ms;
   }
 
-  /** Being one more among those that run there. */
-  private crowdingMs(row: RegistryRow): number {
+  /** Delay from sharing the worker with the requests that run there. */
+  private contentionMs(row: RegistryRow): number {
     const running = row.running + row.otherLoad.running;
-    const over = running + 1 - row.entry.places;
-    if (row.entry.places > 0 && over > 0) return this.tuning.overMs * (1 + over);
+    const excess = running + 1 - row.entry.places;
+    if (row.entry.places > 0 && excess > 0) return this.tuning.overMs * (1 + excess);
     return (running / Math.max(1, row.entry.places)) ** 2 * this.tuning.crowdedMs;
   }
 
-  /** The way there and back. */
+  /** Network delay of the request and its response. */
   private networkMs(row: RegistryRow, request: SelectionRequest): number {
     let ms = this.self.openConnections(row.entry.address) === 0 ? this.tuning.dialMs : 0;
     if (row.entry.region !== this.self.region)
@@ -83,8 +84,8 @@
     return ms;
   }
 
-  /** What its state and its answers so far make likely. */
-  private uncertaintyMs(row: RegistryRow, request: SelectionRequest): number {
+  /** Delay to expect from the worker's state and its recent failures. */
+  private reliabilityPenaltyMs(row: RegistryRow, request: SelectionRequest): number {
     let ms =
       row.fails * this.tuning.failMs +
       spoiledFraction(row, request.now, this.tuning.spoiltLeast) * this.tuning.spoiltMs;
@@ -95,14 +96,14 @@
   }
 
   cost(row: RegistryRow, request: SelectionRequest, home: RegistryRow | null): number {
-    const known = request.pinned
+    const cachedTokens = request.pinned
       ? Math.max(row.prefixCache.known(request.parts), row === home ? sharedTokens(request.parts) : 0)
       : 0;
     return (
-      this.prefillMs(row, request, known) +
-      this.crowdingMs(row) +
+      this.prefillMs(row, request, cachedTokens) +
+      this.contentionMs(row) +
       this.networkMs(row, request) +
-      this.uncertaintyMs(row, request)
+      this.reliabilityPenaltyMs(row, request)
     );
   }
 
@@ -112,16 +113,16 @@
 
   recordConnectTime(row: RegistryRow, ms: number): void {
     const { region } = row.entry;
-    const had = this.regionDelays.get(region);
-    this.regionDelays.set(region, had === undefined ? ms : Math.min(had * 1.02, ms));
+    const previousMs = this.regionDelays.get(region);
+    this.regionDelays.set(region, previousMs === undefined ? ms : Math.min(previousMs * 1.02, ms));
   }
 }
 
-/** Costs by the tuning; `isPreemptive` tells zones where spot machines were lately taken back. */
+/** Creates an estimator; `isPreemptive` returns true for zones where spot machines were recently reclaimed. */
 export function createPlacementCost(
   self: SelectingProxy,
   tuning: EdgeTuning,
   isPreemptive: (model: string, zone: string) => boolean,
 ): PlacementCost {
-  return new TunedPlacementCost(self, tuning, isPreemptive);
+  return new EstimatedPlacementCost(self, tuning, isPreemptive);
 }
--- a/src/state/forwarding/policies.test.ts
+++ b/src/state/forwarding/policies.test.ts
@@ -27,15 +27,15 @@
   avoid: new Set(),
   meanLoad: 0,
 };
-function one(over: Partial<Candidate>): Candidate {
-  return { ...base, ...over };
+function candidateWith(overrides: Partial<Candidate>): Candidate {
+  return { ...base, ...overrides };
 }
-function chosen(all: readonly Candidate[], c: Partial<SelectionContext> = {}): string {
-  const response = selectAmong(all, { ...ctx, ...c }, POLICIES);
-  return response.tag === 'chosen' ? response.candidate.id : `none: ${response.stoppedBy}`;
+function chosen(candidates: readonly Candidate[], contextOverrides: Partial<SelectionContext> = {}): string {
+  const result = selectAmong(candidates, { ...ctx, ...contextOverrides }, POLICIES);
+  return result.tag === 'chosen' ? result.candidate.id : `none: ${result.stoppedBy}`;
 }
 
-describe('placement', () => {
+describe('worker selection', () => {
   test.each<[string, Partial<Candidate>, Partial<SelectionContext>]>([
     ['homes', {}, { homes: ['r2'] }],
     ['leaving', { leaving: true }, {}],
@@ -45,28 +45,28 @@
     ['partition', { answersUs: false }, { partitioned: true }],
     ['untried', {}, { avoid: new Set([0]) }],
     ['room', { running: 8 }, {}],
-  ])('%s keeps a worker out and is named', (name, over, c) => {
-    expect(chosen([one(over)], c)).toBe(`none: ${name}`);
+  ])('the filter %s excludes a worker and is named in the result', (name, candidateOverrides, contextOverrides) => {
+    expect(chosen([candidateWith(candidateOverrides)], contextOverrides)).toBe(`none: ${name}`);
   });
 
-  test('no worker at all is told as such', () => {
+  test('no candidates at all are reported as a missing model', () => {
     expect(chosen([])).toBe('none: model');
   });
 
-  test('the known prefix draws a request even to another zone', () => {
-    const far = one({ index: 1, id: 'far', zone: 'z2', region: 'r2', knownFraction: 0.8 });
+  test('a cached prefix outweighs the distance to another region', () => {
+    const far = candidateWith({ index: 1, id: 'far', zone: 'z2', region: 'r2', knownFraction: 0.8 });
     expect(chosen([base, far])).toBe('far');
   });
 
-  test('past its bound the holder of the prefix spills to the next inside the homes', () => {
-    const busy = one({ index: 1, id: 'busy', knownFraction: 1, running: 7 });
-    const idle = one({ index: 2, id: 'idle' });
-    const abroad = one({ index: 3, id: 'abroad', region: 'r9', zone: 'z9' });
-    expect(chosen([busy, idle, abroad], { meanLoad: 0.3, homes: ['r1'] })).toBe('idle');
+  test('a worker with the prefix cached that is above its load bound loses to the next one in the home regions', () => {
+    const busy = candidateWith({ index: 1, id: 'busy', knownFraction: 1, running: 7 });
+    const idle = candidateWith({ index: 2, id: 'idle' });
+    const outsideHomes = candidateWith({ index: 3, id: 'abroad', region: 'r9', zone: 'z9' });
+    expect(chosen([busy, idle, outsideHomes], { meanLoad: 0.3, homes: ['r1'] })).toBe('idle');
   });
 
-  test('strangers to a prefix agree on its worker by its hash', () => {
-    const all = ['a', 'b', 'c', 'd'].map((id, ix) => one({ index: ix, id }));
+  test('for a prefix that no worker has cached, the hash selects the same worker whatever the order of the candidates', () => {
+    const all = ['a', 'b', 'c', 'd'].map((id, position) => candidateWith({ index: position, id }));
     const picks = new Set<string>();
     for (let i = 0; i < 40; i += 1) {
       expect(chosen(all, { seed: `p${i}` })).toBe(chosen([...all].reverse(), { seed: `p${i}` }));
--- a/src/state/forwarding/policies.ts
+++ b/src/state/forwarding/policies.ts
@@ -1,8 +1,8 @@
-/** Placement as a line of policies: filters that rule workers out, then scorers whose sum decides. */
+/** Selects a worker by a list of policies: filters that exclude candidates, then scores that are added up. */
 import { hash32 } from '../../base/digest.js';
 import type { Candidate, SelectionContext } from './candidate.js';
 
-/** A filter, a scorer, or both. */
+/** A filter, a score, or both. */
 export type Policy = {
   readonly name: string;
   readonly filter?: (candidate: Candidate, ctx: SelectionContext) => boolean;
@@ -10,12 +10,12 @@
 };
 
 const AFFINITY_WEIGHT = 4;
-const STICKY_WEIGHT = 0.8;
-const USAGE_WEIGHT = 3;
-const OTHER_ZONE = 0.4;
-const OTHER_REGION = 1.5;
-const BOUND = 1.25;
-const BOUND_SLACK = 0.25;
+const HASH_WEIGHT = 0.8;
+const LOAD_WEIGHT = 3;
+const CROSS_ZONE_PENALTY = 0.4;
+const CROSS_REGION_PENALTY = 1.5;
+const MAX_RELATIVE_LOAD = 1.25;
+const LOAD_SLACK = 0.25;
 
 function filterHomes(candidate: Candidate, ctx: SelectionContext): boolean {
   return ctx.homes === null || ctx.homes.includes(candidate.region);
@@ -38,26 +38,30 @@
 function filterFull(candidate: Candidate): boolean {
   return candidate.running < candidate.limit;
 }
-function withinBound(candidate: Candidate, ctx: SelectionContext): boolean {
-  return candidate.running / candidate.limit <= ctx.meanLoad * BOUND + BOUND_SLACK;
+/** Bounded load: the load per slot may be at most `MAX_RELATIVE_LOAD` times the mean, plus `LOAD_SLACK`. */
+function isWithinLoadBound(candidate: Candidate, ctx: SelectionContext): boolean {
+  return candidate.running / candidate.limit <= ctx.meanLoad * MAX_RELATIVE_LOAD + LOAD_SLACK;
 }
 function scorePrefix(candidate: Candidate, ctx: SelectionContext): number {
-  if (!withinBound(candidate, ctx)) return 0;
-  const sticky = !candidate.agreed ? 0 : hash32(`${ctx.seed}|${candidate.id}`) / 4294967296;
-  return AFFINITY_WEIGHT * candidate.knownFraction + STICKY_WEIGHT * sticky;
+  if (!isWithinLoadBound(candidate, ctx)) return 0;
+  const hashScore = !candidate.agreed ? 0 : hash32(`${ctx.seed}|${candidate.id}`) / 4294967296;
+  return AFFINITY_WEIGHT * candidate.knownFraction + HASH_WEIGHT * hashScore;
 }
 function scoreLoad(candidate: Candidate): number {
-  return -USAGE_WEIGHT * (candidate.running / candidate.limit);
+  return -LOAD_WEIGHT * (candidate.running / candidate.limit);
 }
 function scoreDistance(candidate: Candidate, ctx: SelectionContext): number {
   if (candidate.zone === ctx.zone) return 0;
-  return candidate.region === ctx.region ? -OTHER_ZONE : -OTHER_REGION;
+  return candidate.region === ctx.region ? -CROSS_ZONE_PENALTY : -CROSS_REGION_PENALTY;
 }
 
-/** Prefers workers that hold much of the prompt, unless they are loaded above the mean. */
+/**
+ * Prefers workers that have much of the prompt cached, unless their load is too far above the mean. A hash
+ * makes all proxies prefer the same worker for a prompt that none has cached.
+ */
 export const PREFIX_POLICY: Policy = { name: 'prefix', score: scorePrefix };
 
-/** The policies in use, in order. */
+/** The default policies, in order. */
 export const POLICIES: readonly Policy[] = [
   { name: 'homes', filter: filterHomes },
   { name: 'leaving', filter: filterDraining },
@@ -71,28 +75,28 @@
   { name: 'distance', score: scoreDistance },
 ];
 
-/** The chosen worker, or the name of the filter that left none. */
+/** The selected worker, or the name of the filter that excluded the last candidate. */
 export type Choice =
   { readonly tag: 'chosen'; readonly candidate: Candidate } | { readonly tag: 'none'; readonly stoppedBy: string };
 
-/** Chooses among candidates; ties go to the lower id. */
+/** Selects the candidate with the highest score; the lower id wins a tie. */
 export function selectAmong(all: readonly Candidate[], ctx: SelectionContext, policies: readonly Policy[]): Choice {
-  let left = all;
+  let eligible = all;
   for (const policy of policies) {
     if (!policy.filter) continue;
-    const remaining: Candidate[] = [];
-    for (const candidate of left) if (policy.filter(candidate, ctx)) remaining.push(candidate);
-    if (remaining.length === 0) return { tag: 'none', stoppedBy: left.length === 0 ? 'model' : policy.name };
-    left = remaining;
+    const passed: Candidate[] = [];
+    for (const candidate of eligible) if (policy.filter(candidate, ctx)) passed.push(candidate);
+    if (passed.length === 0) return { tag: 'none', stoppedBy: eligible.length === 0 ? 'model' : policy.name };
+    eligible = passed;
   }
   let best: Candidate | null = null;
-  let top = -Infinity;
-  for (const candidate of left) {
+  let bestScore = -Infinity;
+  for (const candidate of eligible) {
     let score = 0;
     for (const policy of policies) if (policy.score) score += policy.score(candidate, ctx);
-    if (score > top || (score === top && best !== null && candidate.id < best.id)) {
+    if (score > bestScore || (score === bestScore && best !== null && candidate.id < best.id)) {
       best = candidate;
-      top = score;
+      bestScore = score;
     }
   }
   return best ? { tag: 'chosen', candidate: best } : { tag: 'none', stoppedBy: 'model' };
--- a/src/state/forwarding/queue-pacer.ts
+++ b/src/state/forwarding/queue-pacer.ts
@@ -1,36 +1,37 @@
 /**
- * How fast a queue moves, by when places in it lately became free. Used to tell callers early
- * that they would wait too long.
+ * Estimates the waiting time in a queue from the times at which slots recently became free. Used to reject callers
+ * early who would wait too long.
  */
 
-/** Notes each place that became free, and expects the wait behind `ahead` others. */
+/** Records the times at which slots became free, and estimates the wait behind `ahead` other waiters. */
 export interface QueuePacer {
   record(now: number): void;
+  /** Returns null if there are too few recent samples. */
   expectedWaitMs(ahead: number, now: number): number | null;
 }
 
-const KEPT = 32;
-const ENOUGH = 8;
-const FRESH_MS = 10_000;
+const MAX_SAMPLES = 32;
+const MIN_SAMPLES = 8;
+const SAMPLE_WINDOW_MS = 10_000;
 
-class RecentQueuePacer implements QueuePacer {
+class RecentSampleWaitEstimator implements QueuePacer {
   private freedAt: number[] = [];
 
   record(now: number): void {
     this.freedAt.push(now);
-    if (this.freedAt.length > KEPT) this.freedAt = this.freedAt.slice(-KEPT);
+    if (this.freedAt.length > MAX_SAMPLES) this.freedAt = this.freedAt.slice(-MAX_SAMPLES);
   }
 
   expectedWaitMs(ahead: number, now: number): number | null {
-    const fresh: number[] = [];
-    for (const at of this.freedAt) if (now - at < FRESH_MS) fresh.push(at);
-    const first = fresh[0];
-    if (first === undefined || fresh.length < ENOUGH) return null;
-    return ((ahead + 1) * (now - first)) / (fresh.length - 1);
+    const recent: number[] = [];
+    for (const freedAt of this.freedAt) if (now - freedAt < SAMPLE_WINDOW_MS) recent.push(freedAt);
+    const first = recent[0];
+    if (first === undefined || recent.length < MIN_SAMPLES) return null;
+    return ((ahead + 1) * (now - first)) / (recent.length - 1);
   }
 }
 
-/** Expects nothing (null) before eight places became free within ten seconds. */
+/** Creates an estimator; it returns null until eight slots have become free within ten seconds. */
 export function createQueuePacer(): QueuePacer {
-  return new RecentQueuePacer();
+  return new RecentSampleWaitEstimator();
 }
--- a/src/state/forwarding/rate-guard.ts
+++ b/src/state/forwarding/rate-guard.ts
@@ -1,31 +1,31 @@
 /**
- * Bounds how many starts a sliding window of time may hold. Used where a cold worker takes only
- * so many requests a second.
+ * Limits the number of requests started within a sliding window of time. Used where a cold worker accepts only a
+ * limited number of requests per second.
  */
 
-/** `room` asks whether one more fits, `take` counts it. */
+/** `hasCapacity` returns whether one more request fits, `record` counts it. */
 export interface RateGuard {
-  hasCapacity(now: number, most: number): boolean;
+  hasCapacity(now: number, max: number): boolean;
   record(now: number): void;
 }
 
-class SlidingRateGuard implements RateGuard {
-  private at: number[] = [];
+class SlidingWindowRateLimiter implements RateGuard {
+  private startTimes: number[] = [];
 
   constructor(private readonly windowMs: number) {}
 
-  hasCapacity(now: number, most: number): boolean {
-    while (this.at.length > 0 && now - (this.at[0] as number) >= this.windowMs) this.at.shift();
-    return this.at.length + 1 <= most;
+  hasCapacity(now: number, max: number): boolean {
+    while (this.startTimes.length > 0 && now - (this.startTimes[0] as number) >= this.windowMs) this.startTimes.shift();
+    return this.startTimes.length + 1 <= max;
   }
 
   record(now: number): void {
-    this.at.push(now);
-    if (this.at.length > 4_096) this.at = this.at.slice(-2_048);
+    this.startTimes.push(now);
+    if (this.startTimes.length > 4_096) this.startTimes = this.startTimes.slice(-2_048);
   }
 }
 
-/** A window of `windowMs` without starts. */
+/** Creates a limiter for a window of `windowMs` without any requests. */
 export function createRateGuard(windowMs: number): RateGuard {
-  return new SlidingRateGuard(windowMs);
+  return new SlidingWindowRateLimiter(windowMs);
 }
--- a/src/state/forwarding/response-digest.ts
+++ b/src/state/forwarding/response-digest.ts
@@ -1,7 +1,7 @@
 /**
- * Seals over answers: a running digest of the pieces, closed with the ids of request and
- * attempt. Workers make them; proxies and clients check them, so that an answer that is cut,
- * reordered or another request's is never taken for whole.
+ * Digests of responses (`seal` on the wire): a running hash over the chunks, closed with the ids of the request and
+ * the attempt. Workers compute them; proxies and clients verify them, so that a response that is truncated, reordered
+ * or belongs to another request is never taken for complete.
  */
 
 import { Type } from '@sinclair/typebox';
@@ -9,27 +9,27 @@
 import { createHash } from 'node:crypto';
 import type { Hash } from 'node:crypto';
 
-const tString = Type.String({ minLength: 1, maxLength: 256 });
+const identifierShape = Type.String({ minLength: 1, maxLength: 256 });
 
-/** A seal as workers send it. */
+/** Schema of a digest as workers send it. */
 export const ResponseDigestShape = Type.Object({
-  requestId: tString,
-  attemptId: tString,
+  requestId: identifierShape,
+  attemptId: identifierShape,
   pieces: Type.Integer({ minimum: 0 }),
   digest: Type.String(),
 });
-/** A checked seal. */
+/** A digest that matches the schema. */
 export type ResponseDigest = Static<typeof ResponseDigestShape>;
 
-/** A numbered piece of an answer. */
+/** Schema of a numbered chunk of a response. */
 export const ResponseChunkShape = Type.Object({ n: Type.Integer({ minimum: 0 }), text: Type.String() });
-/** A checked piece. */
+/** A chunk that matches the schema. */
 export type ResponseChunk = Static<typeof ResponseChunkShape>;
 
-/** What a check found wrong. */
+/** Why a chunk or a digest is rejected. */
 export type ResponseDigestError = 'foreign' | 'pieceOutOfTurn' | 'pieceCount' | 'digest';
 
-/** A digest under way. `attemptId` is null where the checker does not know the attempt. */
+/** A digest being computed. `attemptId` is null where the verifier doesn't know the attempt. */
 export type DigestCheck = {
   readonly requestId: string;
   readonly attemptId: string | null;
@@ -37,32 +37,32 @@
   readonly hash: Hash;
 };
 
-/** Begins the digest of one answer. */
+/** Starts the digest of one response. */
 export function startDigest(requestId: string, attemptId: string | null): DigestCheck {
   return { requestId, attemptId, pieces: 0, hash: createHash('sha256') };
 }
 
-/** Takes the next piece; a fault if it is out of turn. */
-export function addChunk(check: DigestCheck, piece: ResponseChunk): ResponseDigestError | null {
-  if (piece.n !== check.pieces) return 'pieceOutOfTurn';
-  check.pieces += 1;
-  check.hash.update(`${piece.n}:${Buffer.byteLength(piece.text)}:${piece.text}`);
+/** Adds the next chunk; returns an error if it is out of order, else null. */
+export function addChunk(running: DigestCheck, chunk: ResponseChunk): ResponseDigestError | null {
+  if (chunk.n !== running.pieces) return 'pieceOutOfTurn';
+  running.pieces += 1;
+  running.hash.update(`${chunk.n}:${Buffer.byteLength(chunk.text)}:${chunk.text}`);
   return null;
 }
 
-function ending(check: DigestCheck, attemptId: string): string {
-  return check.hash.copy().update(`|${check.requestId}|${attemptId}|${check.pieces}`).digest('hex');
+function finalHash(running: DigestCheck, attemptId: string): string {
+  return running.hash.copy().update(`|${running.requestId}|${attemptId}|${running.pieces}`).digest('hex');
 }
 
-/** The seal over the pieces taken so far. */
-export function closeDigest(check: DigestCheck, attemptId: string): ResponseDigest {
-  return { requestId: check.requestId, attemptId, pieces: check.pieces, digest: ending(check, attemptId) };
+/** Returns the digest over the chunks added so far. */
+export function closeDigest(running: DigestCheck, attemptId: string): ResponseDigest {
+  return { requestId: running.requestId, attemptId, pieces: running.pieces, digest: finalHash(running, attemptId) };
 }
 
-/** Null if the seal fits the pieces taken so far, else what does not. */
-export function checkDigest(check: DigestCheck, digest: ResponseDigest): ResponseDigestError | null {
-  if (digest.requestId !== check.requestId) return 'foreign';
-  if (check.attemptId !== null && digest.attemptId !== check.attemptId) return 'foreign';
-  if (digest.pieces !== check.pieces) return 'pieceCount';
-  return digest.digest === ending(check, digest.attemptId) ? null : 'digest';
+/** Returns null if the digest matches the chunks added so far, else the error. */
+export function checkDigest(running: DigestCheck, digest: ResponseDigest): ResponseDigestError | null {
+  if (digest.requestId !== running.requestId) return 'foreign';
+  if (running.attemptId !== null && digest.attemptId !== running.attemptId) return 'foreign';
+  if (digest.pieces !== running.pieces) return 'pieceCount';
+  return digest.digest === finalHash(running, digest.attemptId) ? null : 'digest';
 }
--- a/src/state/forwarding/retry-budget.ts
+++ b/src/state/forwarding/retry-budget.ts
@@ -1,22 +1,23 @@
 /**
- * A token bucket for retries: each first attempt earns a share of one, each retry spends a
- * whole one, so that retries stay a fixed share of traffic however much fails.
+ * A token bucket for retries: each first attempt adds a fraction of a token, each retry takes a whole one, so that
+ * retries stay a fixed fraction of the traffic however many attempts fail.
  */
 
-/** Earns, spends and tells the tokens. */
+/** Adds, takes and counts tokens. */
 export interface RetryBudget {
   recordAttempt(fraction: number): void;
+  /** Takes one token; returns false if less than one is left. */
   spend(): boolean;
   tokens(): number;
 }
 
-const MOST_TOKENS = 10;
+const MAX_TOKENS = 10;
 
 class TokenRetryBudget implements RetryBudget {
   private currentTokens = 0;
 
   recordAttempt(fraction: number): void {
-    this.currentTokens = Math.min(MOST_TOKENS, this.currentTokens + fraction);
+    this.currentTokens = Math.min(MAX_TOKENS, this.currentTokens + fraction);
   }
 
   spend(): boolean {
@@ -30,7 +31,7 @@
   }
 }
 
-/** An empty bucket that holds at most ten. */
+/** Creates an empty bucket; it holds at most ten tokens. */
 export function createRetryBudget(): RetryBudget {
   return new TokenRetryBudget();
 }
--- a/src/state/forwarding/run-counts.ts
+++ b/src/state/forwarding/run-counts.ts
@@ -1,51 +1,52 @@
 /**
- * Counts of runs and of bad ones over about the last `spanMs`, in two half-spans. Used to
- * judge workers that answer but spoil what they answer.
+ * Counts runs and bad runs over about the last `windowMs`, in two buckets of half the window. Used to detect workers
+ * that respond, but with bad responses.
  */
 
-/** Notes runs and tells recent counts. */
+/** Records runs and returns the recent counts. */
 export interface RunCounts {
-  record(now: number, bad: boolean): void;
+  record(now: number, isBad: boolean): void;
   bad(now: number): number;
   ran(now: number): number;
 }
 
-type Bucket = { at: number; bad: number; ran: number };
+type Bucket = { index: number; bad: number; ran: number };
 
-class TwoSpanRunCounts implements RunCounts {
-  private readonly half: number;
-  private current: Bucket = { at: 0, bad: 0, ran: 0 };
-  private before: Bucket = { at: -1, bad: 0, ran: 0 };
+class TwoBucketRunCounts implements RunCounts {
+  private readonly bucketMs: number;
+  private currentBucket: Bucket = { index: 0, bad: 0, ran: 0 };
+  private previousBucket: Bucket = { index: -1, bad: 0, ran: 0 };
 
-  constructor(spanMs: number) {
-    this.half = spanMs / 2;
+  constructor(windowMs: number) {
+    this.bucketMs = windowMs / 2;
   }
 
   private rotate(now: number): void {
-    const at = Math.floor(now / this.half);
-    if (at === this.current.at) return;
-    this.before = at === this.current.at + 1 ? this.current : { at: at - 1, bad: 0, ran: 0 };
-    this.current = { at, bad: 0, ran: 0 };
+    const index = Math.floor(now / this.bucketMs);
+    if (index === this.currentBucket.index) return;
+    this.previousBucket =
+      index === this.currentBucket.index + 1 ? this.currentBucket : { index: index - 1, bad: 0, ran: 0 };
+    this.currentBucket = { index, bad: 0, ran: 0 };
   }
 
   record(now: number, isBad: boolean): void {
     this.rotate(now);
-    this.current.ran += 1;
-    if (isBad) this.current.bad += 1;
+    this.currentBucket.ran += 1;
+    if (isBad) this.currentBucket.bad += 1;
   }
 
   bad(now: number): number {
     this.rotate(now);
-    return this.current.bad + this.before.bad;
+    return this.currentBucket.bad + this.previousBucket.bad;
   }
 
   ran(now: number): number {
     this.rotate(now);
-    return this.current.ran + this.before.ran;
+    return this.currentBucket.ran + this.previousBucket.ran;
   }
 }
 
-/** No runs yet. */
-export function createRunCounts(spanMs: number): RunCounts {
-  return new TwoSpanRunCounts(spanMs);
+/** Creates counts without any runs. */
+export function createRunCounts(windowMs: number): RunCounts {
+  return new TwoBucketRunCounts(windowMs);
 }
--- a/src/state/forwarding/standstill.ts
+++ b/src/state/forwarding/standstill.ts
@@ -1,37 +1,41 @@
-/** Detects that the process stood still. */
+/** Detects process pauses. */
 
 /**
- * Tells when the process has just gone on after a standstill (frozen, or starved of processor time).
- * What the network told meanwhile, such as callers that have left, is read only afterwards and in any
- * order, so whoever is about to send something first waits until that has been read.
+ * Detects that the process has just resumed after a pause (frozen, or starved of processor time). Network events of
+ * the meantime, such as callers that disconnected, are read only afterwards and in any order, so code that is about to
+ * send something waits first until they have been read.
  */
 export interface Standstill {
-  /** To be called at least each 250 ms, and before a send: the moment to wait for, or null. */
+  /**
+   * Returns the time until which to wait before sending, or null if there was no pause. To be called at least every
+   * 250 ms, and before each send.
+   */
   observe(now: number): number | null;
 }
 
 /**
- * No turn of the event loop for so long is a standstill. A caller that left half a second ago must not be
- * served any more, so no longer one may go unnoticed; the proxy looks at itself each 250 ms.
+ * A longer time without a tick of the event loop is a pause. A caller that disconnected half a second ago must not be
+ * served any more, so no longer pause may go unnoticed; the proxy checks every 250 ms.
  */
-const GAP_MS = 500;
-/** By then what waited at the sockets has been read: one turn reads them all, an ended connection takes two more. */
-const READ_TIMEOUT_MS = 40;
+const MIN_STANDSTILL_MS = 500;
+/** Time to read what waits at the sockets: one tick reads them all, a connection that has ended takes two more. */
+const SOCKET_READ_DELAY_MS = 40;
 
 class GapStandstill implements Standstill {
-  private last: number | null = null;
+  private lastObservedAt: number | null = null;
   private holdUntil = 0;
 
   constructor(private readonly holdMs: number) {}
 
   observe(now: number): number | null {
-    if (this.last !== null && now - this.last > GAP_MS) this.holdUntil = now + this.holdMs;
-    this.last = now;
+    if (this.lastObservedAt !== null && now - this.lastObservedAt > MIN_STANDSTILL_MS)
+      this.holdUntil = now + this.holdMs;
+    this.lastObservedAt = now;
     return now < this.holdUntil ? this.holdUntil : null;
   }
 }
 
-/** A detector that has not been called yet; the moment that it tells is `holdMs` after the end of a standstill. */
-export function createStandstill(holdMs = READ_TIMEOUT_MS): Standstill {
+/** Creates a detector; the time that `observe` returns is `holdMs` after the end of a pause. */
+export function createStandstill(holdMs = SOCKET_READ_DELAY_MS): Standstill {
   return new GapStandstill(holdMs);
 }
