--- a/src/coordination/discovery/directory.ts
+++ b/src/coordination/discovery/directory.ts
@@ -1,11 +1,11 @@
-/** Which proxies a caller is led to, from the reports that proxies send to controllers. */
+/** The proxy directory: selects the proxies for a caller from the reports that proxies send to controllers. */
 import { hash32 } from '../../base/digest.js';
 import type { Reports } from '../../state/distribution/reports.js';
 import type { Serving } from '../../state/configuration/serving.js';
 import type { Clock } from '../../transport/clock.js';
 import type { Address } from '../../transport/wire.js';
 
-/** A proxy by its last report, and how long ago that was, in milliseconds. */
+/** The last report of a proxy, and the milliseconds since the last contact with it. */
 export type ProxyStatus = {
   readonly name: string;
   readonly zone: string;
@@ -16,64 +16,66 @@
   readonly sinceContactMs: number;
 };
 
-/** Who asks: the host that it calls, its zone and its region. */
+/** A caller: the host that it requests, its zone and its region. */
 export type Caller = { readonly host: string; readonly zone: string; readonly region: string };
 
 /**
- * Times (milliseconds) and bounds of the directory. A proxy without contact for `unheardMs` is taken for down, and
- * for `forgottenMs` for gone; `warmMs` is how long a new controller waits for first reports; `most` bounds an
- * answer.
+ * Times (milliseconds) and limits of the directory. A proxy without contact for `contactTimeoutMs` is considered down,
+ * and for `forgetAfterMs` gone for good. `warmUpMs` is how long a new controller waits for first reports, and
+ * `maxAddresses` limits an answer. If less than `minZoneFraction` of the known proxies of a zone is left, its callers
+ * are sent to the whole region.
  */
 export type DirectoryTuning = {
-  readonly sinceContactMs: number;
-  readonly forgottenMs: number;
-  /** How long after its last report a proxy that was told to stop is expected back. */
-  readonly restartMs: number;
-  readonly warmMs: number;
-  readonly most: number;
-  readonly minFraction: number;
+  readonly contactTimeoutMs: number;
+  readonly forgetAfterMs: number;
+  /** How long after its last report a proxy that was told to stop is expected to be back. */
+  readonly restartTimeoutMs: number;
+  readonly warmUpMs: number;
+  readonly maxAddresses: number;
+  readonly minZoneFraction: number;
 };
 
-/** The tuning in use. */
+/** The default tuning. */
 export const DIRECTORY_TUNING: DirectoryTuning = {
-  sinceContactMs: 2_000,
-  forgottenMs: 30_000,
-  restartMs: 5_000,
-  warmMs: 700,
-  most: 64,
-  minFraction: 0.5,
+  contactTimeoutMs: 2_000,
+  forgetAfterMs: 30_000,
+  restartTimeoutMs: 5_000,
+  warmUpMs: 700,
+  maxAddresses: 64,
+  minZoneFraction: 0.5,
 };
 
-type Ranked = { readonly http: Address; readonly rank: number };
+type RankedAddress = { readonly http: Address; readonly rank: number };
 
-/** Addresses for a caller; `lasting` if they are where it belongs, so that it needn't ask again soon. */
+/** Addresses for a caller; `lasting` if all are ready proxies of its own region, so that it need not ask again soon. */
 export type DirectoryAnswer = { readonly addresses: Address[]; readonly lasting: boolean };
 
-/** Where a caller is led when its own region has no ready proxy. */
-export type NextRegions = {
-  /** Regions outside of which the host's bound requests may not be handled; empty where none are bound. */
+/** Regions to which a caller is sent when its own region has no ready proxy. */
+export type FallbackRegions = {
+  /** The only regions in which requests bound to homes may be handled; empty if the host has no homes. */
   readonly homes: readonly string[];
-  /** All others, in the order in which they are tried. */
-  readonly near: readonly string[];
+  /** Other regions, in order of preference. */
+  readonly others: readonly string[];
 };
 
 /**
- * The ready proxies of the caller's zone; of its whole region where the zone has lost more than its share; of the
- * host's homes where none is left. Before a caller of a host with homes is led past these, it is led to proxies there
- * that were told to stop but still take what comes. While all of them restart in order it is led nowhere and asks
- * again; it is led past its homes only if a proxy there is gone without having said so, or none is left there.
+ * Returns the ready proxies of the caller's zone; those of its region if too few proxies of the zone are left; those of
+ * the host's homes if the region has none. For a host with homes, draining proxies there, which still accept requests,
+ * are preferred to proxies of any other region. While all proxies of the homes restart in an orderly way, the answer is
+ * empty and the caller asks again. Proxies outside the homes are returned only if a proxy there was lost without
+ * announcing it, or if none is expected back there.
  */
 export function addressesFor(
   reported: readonly ProxyStatus[],
   caller: Caller,
-  next: NextRegions,
+  fallback: FallbackRegions,
   tuning: DirectoryTuning = DIRECTORY_TUNING,
 ): DirectoryAnswer {
   const reachable = reported.filter(isReachable);
-  const serving = reachable.length > 0 ? reachable : reported.filter(isReady);
-  const found = nearest();
-  const lasting = found.length > 0 && found.every(isLasting);
-  return { addresses: someOf(found, caller, tuning.most), lasting };
+  const candidates = reachable.length > 0 ? reachable : reported.filter(isReady);
+  const selected = selectProxies();
+  const lasting = selected.length > 0 && selected.every(isLasting);
+  return { addresses: selectAddresses(selected, caller, tuning.maxAddresses), lasting };
 
   function isLasting(proxy: ProxyStatus): boolean {
     return proxy.ready && proxy.region === caller.region;
@@ -83,43 +85,44 @@
     return proxy.ready;
   }
   function isReachable(proxy: ProxyStatus): boolean {
-    return proxy.ready && proxy.sinceContactMs <= tuning.sinceContactMs;
+    return proxy.ready && proxy.sinceContactMs <= tuning.contactTimeoutMs;
   }
   function inZone(proxy: ProxyStatus): boolean {
     return proxy.zone === caller.zone && proxy.region === caller.region;
   }
-  function isMissed(proxy: ProxyStatus): boolean {
-    return inZone(proxy) && proxy.sinceContactMs <= tuning.forgottenMs;
+  function isKnownInZone(proxy: ProxyStatus): boolean {
+    return inZone(proxy) && proxy.sinceContactMs <= tuning.forgetAfterMs;
   }
-  function nearest(): readonly ProxyStatus[] {
-    const zone = serving.filter(inZone);
-    if (zone.length > 0 && zone.length >= tuning.minFraction * reported.filter(isMissed).length) return zone;
-    const allowed = [caller.region, ...next.homes];
-    const atHome = firstRegion(serving, allowed);
+  function selectProxies(): readonly ProxyStatus[] {
+    const inOwnZone = candidates.filter(inZone);
+    if (inOwnZone.length > 0 && inOwnZone.length >= tuning.minZoneFraction * reported.filter(isKnownInZone).length)
+      return inOwnZone;
+    const allowed = [caller.region, ...fallback.homes];
+    const atHome = firstRegion(candidates, allowed);
     if (atHome) return atHome;
-    if (next.homes.length > 0) {
+    if (fallback.homes.length > 0) {
       const draining = firstRegion(reported.filter(isDraining), allowed);
       if (draining) return draining;
-      if (restartInOrder(allowed)) return [];
+      if (isOrderlyRestart(allowed)) return [];
     }
-    return firstRegion(serving, next.near) ?? serving;
+    return firstRegion(candidates, fallback.others) ?? candidates;
   }
-  function restartInOrder(regions: readonly string[]): boolean {
-    const known = reported.filter(isKnown);
+  function isOrderlyRestart(regions: readonly string[]): boolean {
+    const known = reported.filter(isKnownInRegions);
     return known.some(isExpectedBack) && !known.some(isLost);
 
-    function isKnown(proxy: ProxyStatus): boolean {
-      return regions.includes(proxy.region) && proxy.sinceContactMs <= tuning.forgottenMs;
+    function isKnownInRegions(proxy: ProxyStatus): boolean {
+      return regions.includes(proxy.region) && proxy.sinceContactMs <= tuning.forgetAfterMs;
     }
   }
   function isExpectedBack(proxy: ProxyStatus): boolean {
-    return !proxy.ready && proxy.sinceContactMs <= tuning.restartMs;
+    return !proxy.ready && proxy.sinceContactMs <= tuning.restartTimeoutMs;
   }
   function isLost(proxy: ProxyStatus): boolean {
-    return proxy.ready && proxy.sinceContactMs > tuning.sinceContactMs;
+    return proxy.ready && proxy.sinceContactMs > tuning.contactTimeoutMs;
   }
   function isDraining(proxy: ProxyStatus): boolean {
-    return proxy.draining && proxy.sinceContactMs <= tuning.sinceContactMs;
+    return proxy.draining && proxy.sinceContactMs <= tuning.contactTimeoutMs;
   }
 }
 
@@ -132,33 +135,33 @@
   return null;
 }
 
-function someOf(proxies: readonly ProxyStatus[], caller: Caller, most: number): Address[] {
-  const ranked: Ranked[] = [];
+function selectAddresses(proxies: readonly ProxyStatus[], caller: Caller, maxAddresses: number): Address[] {
+  const ranked: RankedAddress[] = [];
   for (const proxy of proxies)
     ranked.push({ http: proxy.http, rank: hash32(`${caller.host} ${caller.zone} ${proxy.name}`) });
   ranked.sort(byRank);
-  const out: Address[] = [];
-  for (const row of ranked.slice(0, most)) out.push(row.http);
-  return out;
+  const addresses: Address[] = [];
+  for (const proxy of ranked.slice(0, maxAddresses)) addresses.push(proxy.http);
+  return addresses;
 }
-function byRank(left: Ranked, right: Ranked): number {
+function byRank(left: RankedAddress, right: RankedAddress): number {
   return left.rank - right.rank;
 }
 
-/** The newest reports, and when each proxy was last in contact. */
+/** The newest report of each proxy, and the time of the last contact with it. */
 export type ProxyReports = { readonly reports: () => Reports; readonly lastContactAt: (name: string) => number | null };
 
-/** Answers look-ups. */
+/** Answers lookups of proxies. */
 export interface Directory {
   addressesFor(caller: Caller): DirectoryAnswer;
 }
 
-/** The settings in force, as far as the controller knows them. */
+/** Returns the serving settings in force, or null if the controller does not know them yet. */
 export type ServingInForce = () => Serving | null;
 
 /**
- * The regions in which requests for a host may be handled: the homes of its mappings, those that most mappings share
- * first; none where no mapping has homes.
+ * Returns the regions in which requests for a host may be handled: the homes of its routes, those shared by the most
+ * routes first; empty if no route has homes.
  */
 export function homesOf(serving: Serving | null, host: string): readonly string[] {
   const counts = new Map<string, number>();
@@ -166,18 +169,18 @@
     if (mapping.host !== host) continue;
     for (const region of mapping.homes) counts.set(region, (counts.get(region) ?? 0) + 1);
   }
-  const regions = [...counts].sort(mostSharedFirst);
+  const regions = [...counts].sort(compareMostSharedFirst);
   return regions.map(regionOf);
 }
-function mostSharedFirst(left: readonly [string, number], right: readonly [string, number]): number {
+function compareMostSharedFirst(left: readonly [string, number], right: readonly [string, number]): number {
   return right[1] - left[1];
 }
-function regionOf(counted: readonly [string, number]): string {
-  return counted[0];
+function regionOf(entry: readonly [string, number]): string {
+  return entry[0];
 }
 
 class ReportedDirectory implements Directory {
-  private firstAt: number | null = null;
+  private firstContactAt: number | null = null;
 
   constructor(
     private readonly reported: ProxyReports,
@@ -187,44 +190,45 @@
     private readonly tuning: DirectoryTuning = DIRECTORY_TUNING,
   ) {}
 
-  private rows(now: number): ProxyStatus[] {
-    const out: ProxyStatus[] = [];
+  private proxyStatuses(now: number): ProxyStatus[] {
+    const statuses: ProxyStatus[] = [];
     for (const report of this.reported.reports().values()) {
-      const at = this.reported.lastContactAt(report.reporter);
-      if (at !== null)
-        out.push({
+      const lastContactAt = this.reported.lastContactAt(report.reporter);
+      if (lastContactAt !== null)
+        statuses.push({
           name: report.reporter,
           zone: report.zone,
           region: report.region,
           http: report.http,
           ready: report.ready,
           draining: report.draining === true,
-          sinceContactMs: now - at,
+          sinceContactMs: now - lastContactAt,
         });
     }
-    return out;
+    return statuses;
   }
 
   addressesFor(caller: Caller): DirectoryAnswer {
     const now = this.clock.mono();
-    const proxies = this.rows(now);
-    if (proxies.length > 0) this.firstAt ??= now;
+    const proxies = this.proxyStatuses(now);
+    if (proxies.length > 0) this.firstContactAt ??= now;
     for (const proxy of proxies)
-      if (this.firstAt !== null) this.firstAt = Math.min(this.firstAt, now - proxy.sinceContactMs);
-    if (this.firstAt === null || now - this.firstAt < this.tuning.warmMs) return { addresses: [], lasting: false };
-    return addressesFor(proxies, caller, this.nextRegions(caller), this.tuning);
+      if (this.firstContactAt !== null) this.firstContactAt = Math.min(this.firstContactAt, now - proxy.sinceContactMs);
+    if (this.firstContactAt === null || now - this.firstContactAt < this.tuning.warmUpMs)
+      return { addresses: [], lasting: false };
+    return addressesFor(proxies, caller, this.fallbackRegions(caller), this.tuning);
   }
 
-  private nextRegions(caller: Caller): NextRegions {
+  private fallbackRegions(caller: Caller): FallbackRegions {
     const homes = homesOf(this.serving(), caller.host);
-    return { homes: homes.includes(this.region) ? [this.region, ...homes] : homes, near: [this.region] };
+    return { homes: homes.includes(this.region) ? [this.region, ...homes] : homes, others: [this.region] };
   }
 }
 
 /**
- * The directory of one controller. One that has just come up hears its proxies one after another; it names none until
- * all had time to tell. A caller whose own region has none left is led to a home of the host that it asks for, so that
- * what may be handled there alone isn't sent past it.
+ * Creates the directory of one controller. The reports of the proxies reach a new controller one after another, so it
+ * returns no addresses until all proxies had time to report. If the caller's own region has no proxy left, the
+ * directory prefers the homes of the requested host, so that requests bound to its homes are not sent elsewhere.
  */
 export function createDirectory(
   reported: ProxyReports,
--- a/src/coordination/discovery/pushed-list-feed.ts
+++ b/src/coordination/discovery/pushed-list-feed.ts
@@ -1,6 +1,6 @@
 /**
- * The list of workers as a proxy has it: pushed by the controller that reads it, and read from the platform itself
- * only when no controller sends any.
+ * The worker list feed of a proxy: controllers push the list, and the proxy reads the platform itself only while no
+ * controller sends updates.
  */
 import { createEvents } from '../../base/events.js';
 import type { WorkerEntry } from '../../state/discovery/worker-entry.js';
@@ -15,7 +15,7 @@
 import { createWorkerListUpdates, WORKER_LIST_PACE } from './worker-list-updates.js';
 import type { WorkerListPace, WorkerListUpdates } from './worker-list-updates.js';
 
-/** Controllers to ask, and the reader that is the last resort. */
+/** Controllers to query, and the reader that is used as a fallback. */
 export type PushedListFeedDeps = {
   readonly reader: WorkerListReader;
   readonly controllers: () => Iterable<Address>;
@@ -23,37 +23,38 @@
   readonly clock: Clock;
   readonly rng: Rng;
   readonly log: Log;
-  readonly pace?: WorkerListPace;
+  readonly timing?: WorkerListPace;
 };
 
 type OwnReading = { readonly entries: readonly WorkerEntry[]; readonly at: number };
 
-const ASK_PAUSE_MS = 100;
-const OWN_PAUSE_MS = 1_000;
-const OWN_PAUSE_MOST_MS = 8_000;
-const OWN_SPREAD_MS = 4_000;
-const OWN_JITTER_MS = 350;
+const QUERY_INTERVAL_MS = 100;
+const MIN_READ_BACKOFF_MS = 1_000;
+const MAX_READ_BACKOFF_MS = 8_000;
+/** Spreads the reads of all proxies after a report that the list source is unresponsive. */
+const READ_SPREAD_MS = 4_000;
+const READ_JITTER_MS = 350;
 
 class PushedListFeed implements WorkerListFeed {
-  private readonly pace: WorkerListPace;
+  private readonly timing: WorkerListPace;
   private readonly updates: WorkerListUpdates;
   readonly events = createEvents<WorkerListFeedEvents>();
-  private own: OwnReading | null = null;
-  private source: Address | null = null;
-  private turns = 0;
-  private renewedAt = 0;
-  private ownDue: number;
-  private ownBackoffMs = OWN_PAUSE_MS;
-  private readsItself = false;
-  private spread = false;
-  private asking = false;
+  private ownReading: OwnReading | null = null;
+  private currentController: Address | null = null;
+  private queryRounds = 0;
+  private lastQueryAt = 0;
+  private readDueAt: number;
+  private readBackoffMs = MIN_READ_BACKOFF_MS;
+  private isReadingPlatform = false;
+  private isReadDelayed = false;
+  private isQuerying = false;
   private stopped = false;
-  private next: Timer | null = null;
+  private timer: Timer | null = null;
 
   constructor(private readonly deps: PushedListFeedDeps) {
-    this.pace = this.deps.pace ?? WORKER_LIST_PACE;
-    this.updates = createWorkerListUpdates(this.deps.peers, this.deps.clock, this.pace);
-    this.ownDue = this.deps.clock.mono() + this.pace.ownMs * (1 + this.deps.rng.next());
+    this.timing = this.deps.timing ?? WORKER_LIST_PACE;
+    this.updates = createWorkerListUpdates(this.deps.peers, this.deps.clock, this.timing);
+    this.readDueAt = this.deps.clock.mono() + this.timing.fallbackReadDelayMs * (1 + this.deps.rng.next());
 
     this.updates.events.on('taken', (event) => this.onApplied(event));
 
@@ -64,17 +65,19 @@
     this.tick();
   }
 
-  private pushedNewest(): boolean {
-    const at = this.updates.table.asOf();
-    return this.own === null || (at !== null && at >= this.own.at);
+  private isPushedListNewest(): boolean {
+    const pushedAsOf = this.updates.table.asOf();
+    return this.ownReading === null || (pushedAsOf !== null && pushedAsOf >= this.ownReading.at);
   }
 
   entries(): readonly WorkerEntry[] {
-    return this.own !== null && !this.pushedNewest() ? this.own.entries : this.updates.table.entries();
+    return this.ownReading !== null && !this.isPushedListNewest()
+      ? this.ownReading.entries
+      : this.updates.table.entries();
   }
 
   asOf(): number | null {
-    return this.own !== null && !this.pushedNewest() ? this.own.at : this.updates.table.asOf();
+    return this.ownReading !== null && !this.isPushedListNewest() ? this.ownReading.at : this.updates.table.asOf();
   }
 
   private emitChanged(): void {
@@ -82,38 +85,44 @@
   }
 
   private arm(): void {
-    this.next?.cancel();
+    this.timer?.cancel();
     if (this.stopped) return;
     const now = this.deps.clock.mono();
-    const queryDue = this.updates.isFresh()
-      ? Math.min(now + this.pace.freshMs - this.updates.sinceContactMs(), this.renewedAt + this.pace.renewMs)
-      : now + ASK_PAUSE_MS;
-    this.next = this.deps.clock.timer(Math.max(1, Math.min(queryDue, this.ownDue) - now), () => this.tick());
+    const queryDueAt = this.updates.isFresh()
+      ? Math.min(
+          now + this.timing.freshMs - this.updates.sinceContactMs(),
+          this.lastQueryAt + this.timing.renewIntervalMs,
+        )
+      : now + QUERY_INTERVAL_MS;
+    this.timer = this.deps.clock.timer(Math.max(1, Math.min(queryDueAt, this.readDueAt) - now), () => this.tick());
   }
 
   private tick(): void {
-    void this.turn();
+    void this.runTick();
   }
 
   private onApplied(event: { readonly contents: boolean }): void {
-    const replaced = this.own !== null && this.pushedNewest();
-    if (replaced) this.own = null;
-    if ((event.contents && this.own === null) || replaced) this.emitChanged();
+    const isOwnReadingReplaced = this.ownReading !== null && this.isPushedListNewest();
+    if (isOwnReadingReplaced) this.ownReading = null;
+    if ((event.contents && this.ownReading === null) || isOwnReadingReplaced) this.emitChanged();
     if (this.updates.isFresh()) this.onFresh();
-    else if (this.updates.reportedUnresponsive() && !this.spread) {
-      this.spread = true;
-      this.ownDue = Math.max(this.ownDue, this.deps.clock.mono() + OWN_SPREAD_MS * (0.5 + this.deps.rng.next()));
+    else if (this.updates.reportedUnresponsive() && !this.isReadDelayed) {
+      this.isReadDelayed = true;
+      this.readDueAt = Math.max(this.readDueAt, this.deps.clock.mono() + READ_SPREAD_MS * (0.5 + this.deps.rng.next()));
     }
-    if (!this.asking) this.arm();
+    if (!this.isQuerying) this.arm();
   }
 
   private onFresh(): void {
-    this.ownDue =
-      this.deps.clock.mono() - this.updates.sinceContactMs() + this.pace.ownMs + OWN_JITTER_MS * this.deps.rng.next();
-    this.ownBackoffMs = OWN_PAUSE_MS;
-    this.spread = false;
-    if (this.readsItself) this.deps.log.info('worker list pushed again');
-    this.readsItself = false;
+    this.readDueAt =
+      this.deps.clock.mono() -
+      this.updates.sinceContactMs() +
+      this.timing.fallbackReadDelayMs +
+      READ_JITTER_MS * this.deps.rng.next();
+    this.readBackoffMs = MIN_READ_BACKOFF_MS;
+    this.isReadDelayed = false;
+    if (this.isReadingPlatform) this.deps.log.info('worker list pushed again');
+    this.isReadingPlatform = false;
   }
 
   private onMissed(): void {
@@ -122,79 +131,81 @@
 
   private onWoke(event: { readonly afterMs: number }): void {
     this.deps.log.warn('process stood still, querying worker list', { gapMs: Math.round(event.afterMs) });
-    this.ownDue = Math.min(
-      this.ownDue,
-      this.deps.clock.mono() + this.pace.queryTimeoutMs + OWN_JITTER_MS * this.deps.rng.next(),
+    this.readDueAt = Math.min(
+      this.readDueAt,
+      this.deps.clock.mono() + this.timing.queryTimeoutMs + READ_JITTER_MS * this.deps.rng.next(),
     );
-    if (!this.asking) this.arm();
+    if (!this.isQuerying) this.arm();
   }
 
   private async queryRound(): Promise<void> {
-    if (this.asking) return;
-    this.asking = true;
+    if (this.isQuerying) return;
+    this.isQuerying = true;
     const controllers = [...this.deps.controllers()];
-    const picked = new Set<Address>();
-    if (this.source !== null && controllers.includes(this.source)) picked.add(this.source);
+    const targets = new Set<Address>();
+    if (this.currentController !== null && controllers.includes(this.currentController))
+      targets.add(this.currentController);
     if (this.updates.isFresh()) {
-      if (controllers[0] !== undefined) picked.add(controllers[0]);
-    } else if (controllers.length > 0) picked.add(controllers[this.turns % controllers.length] as Address);
-    this.turns += 1;
-    this.renewedAt = this.deps.clock.mono();
+      if (controllers[0] !== undefined) targets.add(controllers[0]);
+    } else if (controllers.length > 0) targets.add(controllers[this.queryRounds % controllers.length] as Address);
+    this.queryRounds += 1;
+    this.lastQueryAt = this.deps.clock.mono();
     const answered: Address[] = [];
     const requests: Promise<void>[] = [];
 
-    const one = async (to: Address): Promise<void> => {
+    const queryController = async (to: Address): Promise<void> => {
       if ((await this.updates.query(to)) === 'fresh') answered.push(to);
     };
-    for (const to of picked) requests.push(one(to));
+    for (const to of targets) requests.push(queryController(to));
     await Promise.all(requests);
-    this.asking = false;
-    this.source = this.nearest(controllers, answered);
+    this.isQuerying = false;
+    this.currentController = this.firstAnswering(controllers, answered);
     this.arm();
   }
 
-  private nearest(controllers: readonly Address[], answered: readonly Address[]): Address | null {
+  private firstAnswering(controllers: readonly Address[], answered: readonly Address[]): Address | null {
     for (const controller of controllers) if (answered.includes(controller)) return controller;
-    return this.source;
+    return this.currentController;
   }
 
-  private async readItself(): Promise<void> {
-    const from = this.deps.clock.mono();
-    this.ownDue = from + this.pace.readMs + OWN_PAUSE_MS;
-    if (!this.readsItself) this.deps.log.warn('no controller pushes the worker list, reading the platform');
-    this.readsItself = true;
-    const response = await within(this.deps.clock, this.pace.readMs, this.deps.reader.read());
+  private async readPlatform(): Promise<void> {
+    const startedAt = this.deps.clock.mono();
+    this.readDueAt = startedAt + this.timing.readMs + MIN_READ_BACKOFF_MS;
+    if (!this.isReadingPlatform) this.deps.log.warn('no controller pushes the worker list, reading the platform');
+    this.isReadingPlatform = true;
+    const response = await within(this.deps.clock, this.timing.readMs, this.deps.reader.read());
     this.updates.detectStandstill();
     if (this.stopped) return;
-    const good = response?.ok === true && this.deps.clock.mono() - from <= STANDSTILL_MS;
-    this.ownBackoffMs = good ? OWN_PAUSE_MS : Math.min(OWN_PAUSE_MOST_MS, this.ownBackoffMs * 2);
-    if (!this.updates.isFresh()) this.ownDue = from + this.ownBackoffMs * (1 + 0.3 * this.deps.rng.next());
-    if (good && response.ok) this.onOwnReading(response.value, from);
+    const isUsable = response?.ok === true && this.deps.clock.mono() - startedAt <= STANDSTILL_MS;
+    this.readBackoffMs = isUsable ? MIN_READ_BACKOFF_MS : Math.min(MAX_READ_BACKOFF_MS, this.readBackoffMs * 2);
+    if (!this.updates.isFresh()) this.readDueAt = startedAt + this.readBackoffMs * (1 + 0.3 * this.deps.rng.next());
+    if (isUsable && response.ok) this.onOwnReading(response.value, startedAt);
     this.arm();
   }
 
-  private onOwnReading(read: readonly WorkerEntry[], from: number): void {
-    const shownAt = this.asOf();
-    if (shownAt !== null && shownAt >= from) return;
-    this.own = { entries: read, at: from };
+  private onOwnReading(newEntries: readonly WorkerEntry[], startedAt: number): void {
+    const currentAsOf = this.asOf();
+    if (currentAsOf !== null && currentAsOf >= startedAt) return;
+    this.ownReading = { entries: newEntries, at: startedAt };
     this.emitChanged();
   }
 
-  private async turn(): Promise<void> {
+  private async runTick(): Promise<void> {
     this.updates.detectStandstill();
-    if (this.deps.clock.mono() >= this.ownDue && !this.updates.isFresh()) void this.readItself();
-    else if (this.deps.clock.mono() >= this.ownDue) this.ownDue = this.deps.clock.mono() + this.pace.ownMs;
+    if (this.deps.clock.mono() >= this.readDueAt && !this.updates.isFresh()) void this.readPlatform();
+    else if (this.deps.clock.mono() >= this.readDueAt)
+      this.readDueAt = this.deps.clock.mono() + this.timing.fallbackReadDelayMs;
     await this.queryRound();
   }
 
   stop(): void {
     this.stopped = true;
-    this.next?.cancel();
+    this.timer?.cancel();
     this.updates.stop();
   }
 }
 
-/** A feed that asks at once and then follows. */
+/** Creates a feed that queries a controller immediately and then follows its updates. */
 export function createPushedListFeed(deps: PushedListFeedDeps): WorkerListFeed {
   return new PushedListFeed(deps);
 }
--- a/src/coordination/discovery/worker-list-updates.ts
+++ b/src/coordination/discovery/worker-list-updates.ts
@@ -1,6 +1,6 @@
 /**
- * Updates of the worker list between nodes: snapshots, changes and confirmations, each with the version it leads to.
- * Used by the controller that reads the list, by the other controllers and by proxies.
+ * Updates of the worker list between nodes: snapshots, changes and confirmations, each with the version that it results
+ * in. Used by the controller that reads the list, by the other controllers and by proxies.
  */
 import { createEvents } from '../../base/events.js';
 import type { Message, MessageOf } from '../../protocol/messages.js';
@@ -12,12 +12,13 @@
 import type { Address } from '../../transport/wire.js';
 import type { Peer, Peers } from '../messaging/peers.js';
 
-/** The messages that carry the list. */
+/** Messages that carry updates of the list. */
 export type WorkerListMessage = MessageOf<'listWhole'> | MessageOf<'listChange'> | MessageOf<'listBeat'>;
 
 /**
- * `taken`: the table moved on; `missed`: an update can't be applied; `outrun`: the sender is behind; `woke`: the
- * process had stood still.
+ * `taken`: the version or the time of reading advanced, or the reader newly reported that the list source is
+ * unresponsive; `contents` says whether the version is new. `missed`: an update cannot be applied. The others are
+ * emitted when the sender of an update is behind this node, and when the process resumed after a pause.
  */
 export type WorkerListUpdateEvents = {
   readonly taken: { readonly message: WorkerListMessage; readonly contents: boolean };
@@ -26,32 +27,40 @@
   readonly woke: { readonly afterMs: number };
 };
 
-/** What asking a node brought: a fresh list, an old one, or no answer. */
+/** The result of querying a node: a fresh list, a stale one, or no response. */
 export type QueryResult = 'fresh' | 'stale' | 'silent';
 
-/** Times of reading and passing on the list, in milliseconds. */
+/**
+ * Times for reading and distributing the list, in milliseconds. In order: the interval of reading the list, the time
+ * after the last contact with the reader up to which the list is fresh, the delay between controllers that take over
+ * reading, the timeouts of a query and of a reading, the time without updates after which a proxy reads the platform
+ * itself, and the interval at which a proxy renews its subscription at a controller.
+ */
 export type WorkerListPace = {
   readonly everyMs: number;
   readonly freshMs: number;
   readonly staggerMs: number;
   readonly queryTimeoutMs: number;
   readonly readMs: number;
-  readonly ownMs: number;
-  readonly renewMs: number;
+  readonly fallbackReadDelayMs: number;
+  readonly renewIntervalMs: number;
 };
 
-/** The pace in use. */
+/** The default times. */
 export const WORKER_LIST_PACE: WorkerListPace = {
   everyMs: 1_000,
   freshMs: 1_250,
   staggerMs: 150,
   queryTimeoutMs: 200,
   readMs: 1_000,
-  ownMs: 1_650,
-  renewMs: 4_000,
+  fallbackReadDelayMs: 1_650,
+  renewIntervalMs: 4_000,
 };
 
-/** The table that updates are applied to, and how old it is. */
+/**
+ * The table that updates are applied to, its age, and the time since the last contact with the reader. `query` asks a
+ * node for the list; `detectStandstill` checks for a process pause.
+ */
 export interface WorkerListUpdates {
   readonly table: WorkerListTable;
   readonly events: {
@@ -70,27 +79,29 @@
   stop(): void;
 }
 
-const TURN_MS = 500;
-const DISTRUST_MS = 2_500;
-const SILENCE_KEPT_MS = 3_000;
+const STANDSTILL_CHECK_INTERVAL_MS = 500;
+/** After this time without contact, pushed updates are not applied until a node was queried. */
+const RESYNC_AFTER_MS = 2_500;
+/** How long a report that the list source is unresponsive stays valid. */
+const UNRESPONSIVE_REPORT_TTL_MS = 3_000;
 const NEVER = Number.POSITIVE_INFINITY;
 
 class PeerWorkerListUpdates implements WorkerListUpdates {
   readonly events = createEvents<WorkerListUpdateEvents>();
   readonly table = createWorkerListTable();
-  private trusting = false;
+  private isInSync = false;
   private lastContactAt: number | null = null;
-  private unresponsiveAt: number | null = null;
-  private readonly standstill: StandstillDetector;
-  private readonly turning: Timer;
+  private unresponsiveReportedAt: number | null = null;
+  private readonly standstillDetector: StandstillDetector;
+  private readonly standstillTimer: Timer;
 
   constructor(
     private readonly peers: Peers,
     private readonly clock: Clock,
-    private readonly pace: WorkerListPace,
+    private readonly timing: WorkerListPace,
   ) {
-    this.standstill = new StandstillDetector(this.clock);
-    this.turning = every(this.clock, TURN_MS, () => this.detectStandstill());
+    this.standstillDetector = new StandstillDetector(this.clock);
+    this.standstillTimer = every(this.clock, STANDSTILL_CHECK_INTERVAL_MS, () => this.detectStandstill());
 
     this.peers.on('listWhole', (message, peer) => this.onUpdate(message, peer));
 
@@ -112,11 +123,11 @@
   }
 
   isFresh(): boolean {
-    return this.sinceContactMs() <= this.pace.freshMs;
+    return this.sinceContactMs() <= this.timing.freshMs;
   }
 
   reportedUnresponsive(): boolean {
-    return this.since(this.unresponsiveAt) < SILENCE_KEPT_MS;
+    return this.since(this.unresponsiveReportedAt) < UNRESPONSIVE_REPORT_TTL_MS;
   }
 
   recordContact(): void {
@@ -124,11 +135,11 @@
   }
 
   detectStandstill(): void {
-    const gap = this.standstill.tick();
-    if (gap === null) return;
-    this.trusting = false;
+    const gapMs = this.standstillDetector.tick();
+    if (gapMs === null) return;
+    this.isInSync = false;
     this.lastContactAt = null;
-    this.events.emit('woke', { afterMs: gap });
+    this.events.emit('woke', { afterMs: gapMs });
   }
 
   private apply(message: WorkerListMessage, now: number): ApplyResult {
@@ -146,59 +157,60 @@
   }
 
   private applyUpdate(message: WorkerListMessage, now: number): ApplyResult {
-    const before = this.table.number();
-    const readBefore = this.table.asOf() ?? Number.NEGATIVE_INFINITY;
-    const end = this.apply(message, now);
-    if (end === 'gap') return end;
-    const silent = message.kind === 'listBeat' && message.silent === true;
-    const unresponsiveUpdate = silent && this.since(this.unresponsiveAt) > this.pace.everyMs / 2;
-    if (silent) this.unresponsiveAt = this.clock.mono();
-    if (end === 'old') return end;
-    const after = this.table.number();
-    const contents = before === null || (after !== null && compareVersions(before, after) !== 0);
-    const advanced = (this.table.asOf() ?? 0) - readBefore > this.pace.everyMs / 2;
+    const versionBefore = this.table.number();
+    const asOfBefore = this.table.asOf() ?? Number.NEGATIVE_INFINITY;
+    const result = this.apply(message, now);
+    if (result === 'gap') return result;
+    const reportsUnresponsive = message.kind === 'listBeat' && message.silent === true;
+    const isNewReport = reportsUnresponsive && this.since(this.unresponsiveReportedAt) > this.timing.everyMs / 2;
+    if (reportsUnresponsive) this.unresponsiveReportedAt = this.clock.mono();
+    if (result === 'old') return result;
+    const versionAfter = this.table.number();
+    const hasNewVersion =
+      versionBefore === null || (versionAfter !== null && compareVersions(versionBefore, versionAfter) !== 0);
+    const hasAdvanced = (this.table.asOf() ?? 0) - asOfBefore > this.timing.everyMs / 2;
     if (message.ageMs !== null && message.kind !== 'listChange' && message.sinceMs !== undefined)
       this.lastContactAt = Math.max(this.lastContactAt ?? Number.NEGATIVE_INFINITY, now - message.sinceMs);
-    else if (contents || advanced) this.lastContactAt = this.clock.mono();
-    if (contents || advanced || unresponsiveUpdate) this.events.emit('taken', { message, contents });
-    return end;
+    else if (hasNewVersion || hasAdvanced) this.lastContactAt = this.clock.mono();
+    if (hasNewVersion || hasAdvanced || isNewReport) this.events.emit('taken', { message, contents: hasNewVersion });
+    return result;
   }
 
   private onUpdate(message: WorkerListMessage, peer: Peer): null {
     this.detectStandstill();
     if (message.number === null) return null;
-    if (this.sinceContactMs() > DISTRUST_MS) this.trusting = false;
+    if (this.sinceContactMs() > RESYNC_AFTER_MS) this.isInSync = false;
     const current = this.table.number();
     if (current && compareVersions(message.number, current) < 0) {
       if (message.number[1] !== current[1]) this.events.emit('outrun', { number: message.number, peer });
       return null;
     }
-    if (!this.trusting || this.applyUpdate(message, this.clock.mono()) === 'gap')
+    if (!this.isInSync || this.applyUpdate(message, this.clock.mono()) === 'gap')
       this.events.emit('missed', { number: message.number });
     return null;
   }
 
   async query(to: Address): Promise<QueryResult> {
-    const from = this.clock.mono();
+    const startedAt = this.clock.mono();
     const response = await this.peers.call(
       to,
       { kind: 'listFollow', number: this.table.number() },
-      this.pace.queryTimeoutMs,
+      this.timing.queryTimeoutMs,
     );
     this.detectStandstill();
-    if (!response.ok || !isUpdate(response.value) || this.clock.mono() - from > STANDSTILL_MS) return 'silent';
-    if (this.applyUpdate(response.value, from) === 'taken') this.trusting = true;
+    if (!response.ok || !isUpdate(response.value) || this.clock.mono() - startedAt > STANDSTILL_MS) return 'silent';
+    if (this.applyUpdate(response.value, startedAt) === 'taken') this.isInSync = true;
     return this.isFresh() ? 'fresh' : 'stale';
   }
 
   stop(): void {
-    this.turning.cancel();
+    this.standstillTimer.cancel();
   }
 }
 
-/** Applies the updates that come, once a node was asked for the list. */
-export function createWorkerListUpdates(peers: Peers, clock: Clock, pace: WorkerListPace): WorkerListUpdates {
-  return new PeerWorkerListUpdates(peers, clock, pace);
+/** Applies pushed updates once a node was successfully queried for the list. */
+export function createWorkerListUpdates(peers: Peers, clock: Clock, timing: WorkerListPace): WorkerListUpdates {
+  return new PeerWorkerListUpdates(peers, clock, timing);
 }
 
 function isUpdate(message: Message): message is WorkerListMessage {
--- a/src/coordination/discovery/worker-watch.ts
+++ b/src/coordination/discovery/worker-watch.ts
@@ -1,4 +1,4 @@
-/** Health checks of workers by a proxy: reads the list each second and probes workers, near ones more often. */
+/** Health checks of workers by a proxy: reads the list every second and probes workers, near ones more often. */
 import type { WorkerRow } from '../../state/discovery/worker-row.js';
 import type { WorkerTable } from '../../state/discovery/worker-table.js';
 import { HEALTH_PATH, readHealth } from '../../protocol/worker-wire.js';
@@ -9,7 +9,10 @@
 import type { Log } from '../../transport/log.js';
 import type { WorkerListSource } from './worker-list-source.js';
 
-/** What the checks found. */
+/**
+ * Results of the health checks. Workers that are listed as ready but have not reported ready to this proxy can be
+ * probed immediately.
+ */
 export interface WorkerWatch {
   listAgeMs(): number | null;
   listReadAt(): number | null;
@@ -18,14 +21,14 @@
   stop(): void;
 }
 
-const LIST_MS = 1_000;
-const PROBE_MS = 1_000;
-const LOOK_MS = 250;
-const NEAR_A_SECOND = 24;
-const FAR_A_SECOND = 8;
-const PROBE_WAIT_MS = 900;
+const LIST_INTERVAL_MS = 1_000;
+const MIN_PROBE_INTERVAL_MS = 1_000;
+const CHECK_INTERVAL_MS = 250;
+const NEAR_PROBES_PER_SECOND = 24;
+const FAR_PROBES_PER_SECOND = 8;
+const PROBE_TIMEOUT_MS = 900;
 
-/** The table to keep up to date; `onChange` is called after each change. */
+/** Dependencies; `table` is the one kept up to date, and `onChange` is called after each change of it. */
 export type WorkerWatchDeps = {
   readonly zone: string;
   readonly table: WorkerTable;
@@ -37,16 +40,16 @@
 };
 
 class ProbingWorkerWatch implements WorkerWatch {
-  private listedAt: number | null = null;
-  private blind = false;
-  private readonly probing = new Set<string>();
-  private probedAt = new Map<string, number>();
-  private readonly listing: Timer;
-  private readonly probes: Timer;
+  private listAsOf: number | null = null;
+  private isListUnavailable = false;
+  private readonly pendingProbes = new Set<string>();
+  private lastProbedAt = new Map<string, number>();
+  private readonly listTimer: Timer;
+  private readonly probeTimer: Timer;
 
   constructor(private readonly deps: WorkerWatchDeps) {
-    this.listing = every(this.deps.clock, LIST_MS, () => this.list());
-    this.probes = every(this.deps.clock, LOOK_MS, () => this.probeDue());
+    this.listTimer = every(this.deps.clock, LIST_INTERVAL_MS, () => this.onListTimer());
+    this.probeTimer = every(this.deps.clock, CHECK_INTERVAL_MS, () => this.probeDue());
 
     void this.pollList().then(() => this.probeDue());
   }
@@ -55,38 +58,39 @@
     const response = await this.deps.source.read();
     if (response.ok) {
       const asOf = this.deps.clock.mono() - response.value.ageMs;
-      if (this.listedAt !== null && asOf < this.listedAt) return;
-      this.listedAt = asOf;
+      if (this.listAsOf !== null && asOf < this.listAsOf) return;
+      this.listAsOf = asOf;
       this.deps.table.applyList(response.value.workers, this.deps.clock.mono());
       this.deps.onChange();
       this.probeStrangers();
     }
-    if (response.ok === this.blind) {
+    if (response.ok === this.isListUnavailable) {
       this.deps.log.warn(
         response.ok ? 'platform reachable again' : 'platform unreachable',
         response.ok ? {} : { error: response.error.tag },
       );
     }
-    this.blind = !response.ok;
+    this.isListUnavailable = !response.ok;
   }
 
   private async probe(listed: Listed): Promise<void> {
-    if (this.probing.has(listed.id)) return;
-    this.probing.add(listed.id);
+    if (this.pendingProbes.has(listed.id)) return;
+    this.pendingProbes.add(listed.id);
     const response = await this.deps.httpClient.call({
       method: 'GET',
       address: listed.address,
       path: HEALTH_PATH,
-      timeoutMs: PROBE_WAIT_MS,
+      timeoutMs: PROBE_TIMEOUT_MS,
     });
-    this.probing.delete(listed.id);
-    const read = response.ok ? readHealth(response.value.body) : null;
-    if (read?.ok && read.value.id === listed.id)
-      this.deps.table.recordHealth(listed.id, read.value, this.deps.clock.mono());
+    this.pendingProbes.delete(listed.id);
+    const health = response.ok ? readHealth(response.value.body) : null;
+    if (health?.ok && health.value.id === listed.id)
+      this.deps.table.recordHealth(listed.id, health.value, this.deps.clock.mono());
     else this.deps.table.recordMissedProbe(listed.id);
     this.deps.onChange();
   }
 
+  /** A worker is near if it is in the zone of this proxy or runs requests of it. */
   private isNear(row: WorkerRow): boolean {
     return row.listed.zone === this.deps.zone || row.inFlight > 0;
   }
@@ -94,24 +98,24 @@
   private probeDue(): void {
     const now = this.deps.clock.mono();
     const rows: WorkerRow[] = [];
-    let near = 0;
+    let nearCount = 0;
     for (const row of this.deps.table.rows()) {
       if (!row.present) continue;
       rows.push(row);
-      if (this.isNear(row)) near += 1;
+      if (this.isNear(row)) nearCount += 1;
     }
-    const nearMs = Math.max(PROBE_MS, (near * 1_000) / NEAR_A_SECOND);
-    const farMs = Math.max(PROBE_MS, ((rows.length - near) * 1_000) / FAR_A_SECOND);
-    const seen = new Map<string, number>();
+    const nearIntervalMs = Math.max(MIN_PROBE_INTERVAL_MS, (nearCount * 1_000) / NEAR_PROBES_PER_SECOND);
+    const farIntervalMs = Math.max(MIN_PROBE_INTERVAL_MS, ((rows.length - nearCount) * 1_000) / FAR_PROBES_PER_SECOND);
+    const probedAt = new Map<string, number>();
     for (const row of rows) {
-      const everyMs = this.isNear(row) ? nearMs : farMs;
-      row.freshMs = 2.5 * everyMs + 1_000;
-      const last = this.probedAt.get(row.listed.id);
-      const due = last === undefined || now - last >= everyMs - LOOK_MS / 2;
-      seen.set(row.listed.id, due ? now : last);
-      if (due) void this.probe(row.listed);
+      const intervalMs = this.isNear(row) ? nearIntervalMs : farIntervalMs;
+      row.healthMaxAgeMs = 2.5 * intervalMs + 1_000;
+      const last = this.lastProbedAt.get(row.listed.id);
+      const isDue = last === undefined || now - last >= intervalMs - CHECK_INTERVAL_MS / 2;
+      probedAt.set(row.listed.id, isDue ? now : last);
+      if (isDue) void this.probe(row.listed);
     }
-    this.probedAt = seen;
+    this.lastProbedAt = probedAt;
   }
 
   probeStrangers(): void {
@@ -119,35 +123,35 @@
       if (row.present && !row.ready && row.listed.state === 'ready') void this.probe(row.listed);
   }
 
-  private list(): void {
+  private onListTimer(): void {
     void this.pollList();
   }
 
   listAgeMs(): number | null {
-    return this.listedAt === null ? null : this.deps.clock.mono() - this.listedAt;
+    return this.listAsOf === null ? null : this.deps.clock.mono() - this.listAsOf;
   }
 
   listReadAt(): number | null {
-    return this.listedAt;
+    return this.listAsOf;
   }
 
   verdicts(): Record<string, 'fit' | 'unfit'> {
-    const out: Record<string, 'fit' | 'unfit'> = {};
+    const verdicts: Record<string, 'fit' | 'unfit'> = {};
     for (const row of this.deps.table.rows()) {
       if (!row.present || row.listed.state !== 'ready') continue;
-      if (row.missedProbes >= 2) out[row.listed.id] = 'unfit';
-      else if (row.answeredAt !== null && row.ready) out[row.listed.id] = 'fit';
+      if (row.missedProbes >= 2) verdicts[row.listed.id] = 'unfit';
+      else if (row.answeredAt !== null && row.ready) verdicts[row.listed.id] = 'fit';
     }
-    return out;
+    return verdicts;
   }
 
   stop(): void {
-    this.listing.cancel();
-    this.probes.cancel();
+    this.listTimer.cancel();
+    this.probeTimer.cancel();
   }
 }
 
-/** Begins to read and to probe at once. */
+/** Creates the watch; it starts reading and probing immediately. */
 export function createWorkerWatch(deps: WorkerWatchDeps): WorkerWatch {
   return new ProbingWorkerWatch(deps);
 }
--- a/src/state/discovery/health.ts
+++ b/src/state/discovery/health.ts
@@ -1,19 +1,19 @@
-/** What a worker tells of its health when it is probed. */
+/** The health report of a worker, returned by its health endpoint. */
 
 import { Type } from '@sinclair/typebox';
 import type { Static } from '@sinclair/typebox';
 
-const tString = Type.String({ minLength: 1, maxLength: 256 });
+const BoundedString = Type.String({ minLength: 1, maxLength: 256 });
 
-/** A health report; a new incarnation means that the worker restarted and holds nothing. */
+/** Schema of a health report. A new incarnation means that the worker restarted and has nothing cached. */
 export const HealthShape = Type.Object({
-  id: tString,
-  incarnation: tString,
+  id: BoundedString,
+  incarnation: BoundedString,
   model: Type.String(),
   state: Type.Union([Type.Literal('idle'), Type.Literal('loading'), Type.Literal('ready'), Type.Literal('draining')]),
   remainingMs: Type.Optional(Type.Number()),
   running: Type.Integer({ minimum: 0 }),
   readyForMs: Type.Number({ minimum: 0 }),
 });
-/** A checked report. */
-export type Health = Static<typeof HealthShape>;
+/** A validated health report. */
+export type HealthReport = Static<typeof HealthShape>;
--- a/src/state/discovery/home-worker.ts
+++ b/src/state/discovery/home-worker.ts
@@ -1,6 +1,6 @@
 /**
- * The worker that should keep a shared beginning of prompts, by rendezvous hashing: every proxy
- * names the same one without asking, and few beginnings move when workers come or go.
+ * Selects the home worker of a shared prompt prefix by rendezvous hashing. All proxies select the same worker without
+ * coordination, and few prefixes move when workers join or leave.
  */
 
 import { hash32 } from '../../base/digest.js';
@@ -9,51 +9,51 @@
 import type { RegistryRow } from './registry-row.js';
 
 /**
- * The worker for a prompt's shared parts (all but its last) among those open to it, or null
- * where nothing is shared. Prompts with the same first part stay within a small group.
+ * Returns the candidate that should cache the shared blocks of a prompt (all but its last), or null if no block is
+ * shared. Prompts with the same first block stay within a small group of workers.
  */
-export function homeAmong(
-  open: readonly RegistryRow[],
+export function selectHomeWorker(
+  candidates: readonly RegistryRow[],
   blocks: readonly PrefixBlock[],
   tuning: EdgeTuning,
 ): RegistryRow | null {
-  const shared = blocks.length - 1;
-  if (shared < 1) return null;
+  const sharedBlocks = blocks.length - 1;
+  if (sharedBlocks < 1) return null;
   const first = blocks[0] as PrefixBlock;
-  if (shared === 1) return highest(open, first.id);
-  const few = Math.max(tuning.spreadMinimum, Math.ceil(open.length * tuning.spreadFraction));
-  const group = open.length <= few ? open : ranked(open, first.id).slice(0, few);
-  return highest(group, (blocks[shared - 1] as PrefixBlock).id);
+  if (sharedBlocks === 1) return highestRanked(candidates, first.id);
+  const groupSize = Math.max(tuning.spreadMinimum, Math.ceil(candidates.length * tuning.spreadFraction));
+  const group = candidates.length <= groupSize ? candidates : rankByHash(candidates, first.id).slice(0, groupSize);
+  return highestRanked(group, (blocks[sharedBlocks - 1] as PrefixBlock).id);
 }
 
-/** Tokens of a prompt's shared parts. */
+/** Returns the number of tokens in the shared blocks of a prompt. */
 export function sharedTokens(blocks: readonly PrefixBlock[]): number {
-  let count = 0;
-  for (let i = 0; i < blocks.length - 1; i += 1) count += (blocks[i] as PrefixBlock).tokens;
-  return count;
+  let tokens = 0;
+  for (let i = 0; i < blocks.length - 1; i += 1) tokens += (blocks[i] as PrefixBlock).tokens;
+  return tokens;
 }
 
-type Ranked = { readonly hash: number; readonly row: RegistryRow };
+type RankedRow = { readonly hash: number; readonly row: RegistryRow };
 
-function byHash(left: Ranked, right: Ranked): number {
+function byHash(left: RankedRow, right: RankedRow): number {
   return right.hash - left.hash;
 }
-function ranked(rows: readonly RegistryRow[], key: string): RegistryRow[] {
-  const all: Ranked[] = [];
-  for (const row of rows) all.push({ hash: hash32(`${key}|${row.entry.id}`), row });
-  return all.sort(byHash).map(rowOf);
+function rankByHash(rows: readonly RegistryRow[], key: string): RegistryRow[] {
+  const ranked: RankedRow[] = [];
+  for (const row of rows) ranked.push({ hash: hash32(`${key}|${row.entry.id}`), row });
+  return ranked.sort(byHash).map(rowOf);
 }
-function rowOf(ranked: Ranked): RegistryRow {
+function rowOf(ranked: RankedRow): RegistryRow {
   return ranked.row;
 }
-function highest(rows: readonly RegistryRow[], key: string): RegistryRow | null {
-  let top: RegistryRow | null = null;
-  let high = -1;
+function highestRanked(rows: readonly RegistryRow[], key: string): RegistryRow | null {
+  let best: RegistryRow | null = null;
+  let bestHash = -1;
   for (const row of rows) {
     const hash = hash32(`${key}|${row.entry.id}`);
-    if (hash <= high) continue;
-    high = hash;
-    top = row;
+    if (hash <= bestHash) continue;
+    bestHash = hash;
+    best = row;
   }
-  return top;
+  return best;
 }
--- a/src/state/discovery/indices.ts
+++ b/src/state/discovery/indices.ts
@@ -1,9 +1,9 @@
 /**
- * Numbers for names, given in the order of first use and never taken back, so that tables can
- * be arrays.
+ * Maps names to consecutive integers, assigned in the order of first use and never reused, so that tables can be
+ * arrays.
  */
 
-/** `of` gives a new name a number; `find` does not. */
+/** `indexOf` assigns an index to an unknown name; `find` returns null for it. */
 export interface Indices {
   indexOf(name: string): number;
   find(name: string): number | null;
@@ -11,13 +11,13 @@
   size(): number;
 }
 
-class GrowingIndices implements Indices {
+class AppendOnlyIndices implements Indices {
   private readonly byName = new Map<string, number>();
   private readonly names: string[] = [];
 
   indexOf(name: string): number {
-    const have = this.byName.get(name);
-    if (have !== undefined) return have;
+    const existing = this.byName.get(name);
+    if (existing !== undefined) return existing;
     this.byName.set(name, this.names.length);
     this.names.push(name);
     return this.names.length - 1;
@@ -36,7 +36,7 @@
   }
 }
 
-/** No names yet. */
+/** Creates an empty mapping. */
 export function createIndices(): Indices {
-  return new GrowingIndices();
+  return new AppendOnlyIndices();
 }
--- a/src/state/discovery/listed.ts
+++ b/src/state/discovery/listed.ts
@@ -1,21 +1,21 @@
-/** A worker as a cloud's or platform's list names it. */
+/** A worker in the list of the cloud or platform. */
 
 import { Type } from '@sinclair/typebox';
 import type { Static } from '@sinclair/typebox';
 
-const Str = Type.String({ minLength: 1, maxLength: 256 });
+const BoundedString = Type.String({ minLength: 1, maxLength: 256 });
 
-/** A listed worker; `remainingMs` is the notice it has left. */
+/** Schema of a listed worker; `remainingMs` is the time until a draining worker stops. */
 export const ListedShape = Type.Object({
-  id: Str,
-  machine: Str,
-  address: Str,
-  model: Str,
-  zone: Str,
-  region: Str,
+  id: BoundedString,
+  machine: BoundedString,
+  address: BoundedString,
+  model: BoundedString,
+  zone: BoundedString,
+  region: BoundedString,
   kind: Type.Union([Type.Literal('spot'), Type.Literal('onDemand'), Type.Literal('fixed')]),
   state: Type.Union([Type.Literal('loading'), Type.Literal('ready'), Type.Literal('draining')]),
   remainingMs: Type.Optional(Type.Number()),
 });
-/** A checked worker. */
+/** A validated listed worker. */
 export type Listed = Static<typeof ListedShape>;
--- a/src/state/discovery/prefix-cache.ts
+++ b/src/state/discovery/prefix-cache.ts
@@ -1,60 +1,60 @@
-/** What a worker is thought to hold of prompts, by size, the least lately used going first. */
+/** Estimate of the prompt blocks in a worker's prefix cache, bounded by tokens, with LRU eviction. */
 
-/** A part of a prompt and its length in tokens. */
+/** A block of a prompt and its length in tokens. */
 export type PrefixBlock = { readonly id: string; readonly tokens: number };
 
-/** Tells how many leading tokens are known, and notes what was run. */
+/** Returns how many leading tokens of a prompt are cached, and records the blocks of runs. */
 export interface PrefixCache {
   known(blocks: readonly PrefixBlock[]): number;
   record(blocks: readonly PrefixBlock[]): void;
-  /** Forgets the least lately used parts until at most so many tokens are left. */
-  shrinkTo(tokens: number): void;
+  /** Evicts the least recently used blocks until at most `maxTokens` tokens remain. */
+  shrinkTo(maxTokens: number): void;
   clear(): void;
 }
 
 class LruPrefixCache implements PrefixCache {
   private readonly tokensById = new Map<string, number>();
-  private sum = 0;
+  private totalTokens = 0;
 
-  constructor(private readonly most: number) {}
+  constructor(private readonly maxTokens: number) {}
 
   known(blocks: readonly PrefixBlock[]): number {
-    let count = 0;
-    for (const prefixBlock of blocks) {
-      if (!this.tokensById.has(prefixBlock.id)) break;
-      count += prefixBlock.tokens;
+    let tokens = 0;
+    for (const block of blocks) {
+      if (!this.tokensById.has(block.id)) break;
+      tokens += block.tokens;
     }
-    return count;
+    return tokens;
   }
 
   record(blocks: readonly PrefixBlock[]): void {
-    for (const prefixBlock of blocks) {
-      const had = this.tokensById.get(prefixBlock.id);
-      if (had !== undefined) {
-        this.tokensById.delete(prefixBlock.id);
-        this.sum -= had;
+    for (const block of blocks) {
+      const previousTokens = this.tokensById.get(block.id);
+      if (previousTokens !== undefined) {
+        this.tokensById.delete(block.id);
+        this.totalTokens -= previousTokens;
       }
-      this.tokensById.set(prefixBlock.id, prefixBlock.tokens);
-      this.sum += prefixBlock.tokens;
+      this.tokensById.set(block.id, block.tokens);
+      this.totalTokens += block.tokens;
     }
-    this.shrinkTo(this.most);
+    this.shrinkTo(this.maxTokens);
   }
 
-  shrinkTo(most: number): void {
+  shrinkTo(maxTokens: number): void {
     for (const [id, tokens] of this.tokensById) {
-      if (this.sum <= most) break;
+      if (this.totalTokens <= maxTokens) break;
       this.tokensById.delete(id);
-      this.sum -= tokens;
+      this.totalTokens -= tokens;
     }
   }
 
   clear(): void {
     this.tokensById.clear();
-    this.sum = 0;
+    this.totalTokens = 0;
   }
 }
 
-/** An empty cache that holds at most `most` tokens. */
-export function createPrefixCache(most: number): PrefixCache {
-  return new LruPrefixCache(most);
+/** Creates an empty cache that holds at most `maxTokens` tokens. */
+export function createPrefixCache(maxTokens: number): PrefixCache {
+  return new LruPrefixCache(maxTokens);
 }
--- a/src/state/discovery/prefix-table.ts
+++ b/src/state/discovery/prefix-table.ts
@@ -1,11 +1,14 @@
 /**
- * Which workers lately ran which beginnings of prompts, for all models of a proxy. Bounded: the
- * least lately learned beginnings are forgotten, and each names at most four workers.
+ * Records which workers recently ran which prompt prefixes, for all models of a proxy. The table is bounded: the least
+ * recently recorded prefixes are evicted, and each prefix has at most four workers.
  */
 
 import { LRUMap } from 'mnemonist';
 
-/** Learns from runs; tells a worker's known parts and who holds the longest beginning; forgets a worker that lost its memory. */
+/**
+ * Records runs. `knownBlocks` returns how many leading blocks a worker probably has cached, `holders` the workers with
+ * the longest matching prefix first. `forget` drops the records of a worker whose cache was lost.
+ */
 export interface PrefixTable {
   learn(model: number, blocks: readonly string[], worker: number): void;
   knownBlocks(model: number, blocks: readonly string[], worker: number): number;
@@ -13,42 +16,43 @@
   forget(worker: number): void;
 }
 
-const CHAINS = 65_536;
-const HOLDERS = 4;
+const MAX_PREFIXES = 65_536;
+const MAX_HOLDERS = 4;
 
 class LruPrefixTable implements PrefixTable {
-  private readonly currentHolders = new LRUMap<string, readonly number[]>(CHAINS);
+  private readonly holdersByPrefix = new LRUMap<string, readonly number[]>(MAX_PREFIXES);
   private readonly generations = new Map<number, number>();
 
-  private chains(model: number, blocks: readonly string[]): string[] {
-    const out: string[] = [];
-    let chain = String(model);
-    for (const path of blocks) {
-      chain = `${chain}>${path}`;
-      out.push(chain);
+  private prefixKeys(model: number, blocks: readonly string[]): string[] {
+    const keys: string[] = [];
+    let key = String(model);
+    for (const block of blocks) {
+      key = `${key}>${block}`;
+      keys.push(key);
     }
-    return out;
+    return keys;
   }
 
-  private tagged(worker: number): number {
+  /** Combines the index of a worker with its generation, so that `forget` invalidates all earlier records at once. */
+  private withGeneration(worker: number): number {
     return worker * 65_536 + ((this.generations.get(worker) ?? 0) % 65_536);
   }
 
   learn(model: number, blocks: readonly string[], worker: number): void {
-    const tagged = this.tagged(worker);
-    for (const chain of this.chains(model, blocks)) {
-      const holders: number[] = [tagged];
-      for (const worker of this.currentHolders.peek(chain) ?? [])
-        if (worker !== tagged && holders.length < HOLDERS) holders.push(worker);
-      this.currentHolders.set(chain, holders);
+    const taggedWorker = this.withGeneration(worker);
+    for (const key of this.prefixKeys(model, blocks)) {
+      const holders: number[] = [taggedWorker];
+      for (const holder of this.holdersByPrefix.peek(key) ?? [])
+        if (holder !== taggedWorker && holders.length < MAX_HOLDERS) holders.push(holder);
+      this.holdersByPrefix.set(key, holders);
     }
   }
 
   knownBlocks(model: number, blocks: readonly string[], worker: number): number {
-    const tagged = this.tagged(worker);
-    const all = this.chains(model, blocks);
-    for (let count = all.length; count > 0; count -= 1) {
-      if (this.currentHolders.peek(all[count - 1] as string)?.includes(tagged)) return count;
+    const taggedWorker = this.withGeneration(worker);
+    const keys = this.prefixKeys(model, blocks);
+    for (let count = keys.length; count > 0; count -= 1) {
+      if (this.holdersByPrefix.peek(keys[count - 1] as string)?.includes(taggedWorker)) return count;
     }
     return 0;
   }
@@ -58,17 +62,17 @@
   }
 
   holders(model: number, blocks: readonly string[]): readonly number[] {
-    const out = new Set<number>();
-    const all = this.chains(model, blocks);
-    for (let count = all.length; count > 0 && out.size < HOLDERS; count -= 1) {
-      for (const worker of this.currentHolders.peek(all[count - 1] as string) ?? [])
-        if (this.tagged(Math.floor(worker / 65_536)) === worker) out.add(Math.floor(worker / 65_536));
+    const workers = new Set<number>();
+    const keys = this.prefixKeys(model, blocks);
+    for (let count = keys.length; count > 0 && workers.size < MAX_HOLDERS; count -= 1) {
+      for (const holder of this.holdersByPrefix.peek(keys[count - 1] as string) ?? [])
+        if (this.withGeneration(Math.floor(holder / 65_536)) === holder) workers.add(Math.floor(holder / 65_536));
     }
-    return [...out];
+    return [...workers];
   }
 }
 
-/** An empty table. */
+/** Creates an empty table. */
 export function createPrefixTable(): PrefixTable {
   return new LruPrefixTable();
 }
--- a/src/state/discovery/registry-row.ts
+++ b/src/state/discovery/registry-row.ts
@@ -1,7 +1,7 @@
 /**
- * What a proxy holds of one worker in its registry: what the list told, what runs there through
- * this proxy and through the others, and what its answers made of it. Owned and changed by
- * `worker-registry.ts` alone; times are the proxy's monotonic clock, in milliseconds.
+ * State that a proxy keeps for one worker in its registry: the list entry, the load from this proxy and from the
+ * others, and the health derived from responses. Owned and changed by `worker-registry.ts` alone. Times are in
+ * milliseconds of the monotonic clock of the proxy.
  */
 
 import type { EdgeTuning } from '../forwarding/edge-tuning.js';
@@ -14,17 +14,21 @@
 import type { RunCounts } from '../forwarding/run-counts.js';
 import type { WorkerEntry } from './worker-entry.js';
 
-/** A proxy that shares the workers, as the ledger knows it. */
+/** A proxy that shares the workers, as recorded in the replicated log. */
 export type SharingProxy = { readonly region: string };
 
-/** One worker. `unproven` means that it fell silent and has not been reached since. */
+/**
+ * One worker. `isSuspected` means that it is taken for unreachable until a connection to it succeeds. A failure starts
+ * a backoff, during which it gets no requests and, if suspected, is not dialled again. Until `doubtUntil` it is ranked
+ * lower, as it may be a new incarnation after a time without contact.
+ */
 export type RegistryRow = {
   entry: WorkerEntry;
   present: boolean;
   leaving: boolean;
   leaveBy: number | null;
   coldUntil: number;
-  cold: RateGuard;
+  coldStarts: RateGuard;
   running: number;
   unread: number;
   kvTokens: number;
@@ -32,7 +36,7 @@
   reportedLoad: WorkerLoad;
   fails: number;
   badUntil: number;
-  unproven: boolean;
+  isSuspected: boolean;
   unresponsiveSince: number;
   doubtUntil: number;
   fullUntil: number;
@@ -40,12 +44,15 @@
   runs: RunCounts;
   owners: {
     readonly proxies: Readonly<Record<string, SharingProxy>>;
-    readonly most: number;
+    readonly maxOwners: number;
     readonly names: readonly string[];
   } | null;
 };
 
-/** What is on a worker: requests, tokens not yet read, tokens of KV cache, and recent runs, of which bad ones. */
+/**
+ * Load on a worker: requests, prompt tokens not yet read (prefilled), tokens of KV cache, recent runs, and the bad ones
+ * among these.
+ */
 export type WorkerLoad = {
   readonly running: number;
   readonly unread: number;
@@ -53,21 +60,21 @@
   readonly bad: number;
   readonly ran: number;
 };
-/** Nothing. */
+/** The load of an idle worker. */
 export const NO_LOAD: WorkerLoad = { running: 0, unread: 0, kvTokens: 0, bad: 0, ran: 0 };
 
-/** Window in which the starts of a cold worker are counted: a little over the second that its rate is for. */
-const COLD_WINDOW_MS = 1_150;
+/** Window in which requests to a cold worker are counted: slightly over the one second that its rate refers to. */
+const COLD_START_WINDOW_MS = 1_150;
 
-/** The row of a worker that was just listed. */
-export function freshRow(entry: WorkerEntry, tuning: EdgeTuning): RegistryRow {
+/** Creates the row of a newly listed worker. */
+export function createRegistryRow(entry: WorkerEntry, tuning: EdgeTuning): RegistryRow {
   return {
     entry,
     present: true,
     leaving: entry.leaving,
     leaveBy: null,
     coldUntil: 0,
-    cold: createRateGuard(COLD_WINDOW_MS),
+    coldStarts: createRateGuard(COLD_START_WINDOW_MS),
     running: 0,
     unread: 0,
     kvTokens: 0,
@@ -75,7 +82,7 @@
     reportedLoad: NO_LOAD,
     fails: 0,
     badUntil: 0,
-    unproven: false,
+    isSuspected: false,
     unresponsiveSince: 0,
     doubtUntil: 0,
     fullUntil: 0,
@@ -85,20 +92,20 @@
   };
 }
 
-/** The share of recent runs that were bad, on all proxies; 0 while they are too few to judge. */
-export function spoiledFraction(row: RegistryRow, now: number, least: number): number {
+/** Returns the fraction of recent runs on all proxies that were bad; 0 if fewer than `minBad` were bad. */
+export function spoiledFraction(row: RegistryRow, now: number, minBad: number): number {
   const bad = row.runs.bad(now) + row.otherLoad.bad;
   const ran = row.runs.ran(now) + row.otherLoad.ran;
-  return bad < least ? 0 : bad / Math.max(1, ran);
+  return bad < minBad ? 0 : bad / Math.max(1, ran);
 }
 
-/** What the other proxies have on a worker: the sum of all less what this one told. */
-export function beyond(sum: LoadRows[string], reportedLoad: WorkerLoad): WorkerLoad {
+/** Returns the load of the other proxies on a worker: the total of all proxies minus what this proxy reported. */
+export function loadOfOthers(total: LoadRows[string], reportedLoad: WorkerLoad): WorkerLoad {
   return {
-    running: Math.max(0, sum[0] - reportedLoad.running),
-    unread: Math.max(0, sum[1] - reportedLoad.unread),
-    kvTokens: Math.max(0, sum[2] - reportedLoad.kvTokens),
-    bad: Math.max(0, sum[3] - reportedLoad.bad),
-    ran: Math.max(0, sum[4] - reportedLoad.ran),
+    running: Math.max(0, total[0] - reportedLoad.running),
+    unread: Math.max(0, total[1] - reportedLoad.unread),
+    kvTokens: Math.max(0, total[2] - reportedLoad.kvTokens),
+    bad: Math.max(0, total[3] - reportedLoad.bad),
+    ran: Math.max(0, total[4] - reportedLoad.ran),
   };
 }
--- a/src/state/discovery/worker-entry.ts
+++ b/src/state/discovery/worker-entry.ts
@@ -1,22 +1,25 @@
-/** A worker as the list tells it: passed from the controller that reads the list to proxies. */
+/** An entry of the worker list that the reading controller sends to proxies and to the other controllers. */
 
 import { Type } from '@sinclair/typebox';
 import type { Static } from '@sinclair/typebox';
 
-const Str = Type.String({ minLength: 1, maxLength: 256 });
+const BoundedString = Type.String({ minLength: 1, maxLength: 256 });
 
-/** A listed worker; `remainingMs` is the notice it has left, `coldMs` how long it still warms up. */
+/**
+ * Schema of an entry. `remainingMs` is the time until a leaving worker stops, null if unknown; `coldMs` is the
+ * remaining warm-up time.
+ */
 export const WorkerEntryShape = Type.Object({
-  id: Str,
-  model: Str,
-  address: Str,
-  zone: Str,
-  region: Str,
+  id: BoundedString,
+  model: BoundedString,
+  address: BoundedString,
+  zone: BoundedString,
+  region: BoundedString,
   release: Type.String(),
   places: Type.Integer({ minimum: 0 }),
   leaving: Type.Boolean(),
   remainingMs: Type.Union([Type.Number(), Type.Null()]),
   coldMs: Type.Number(),
 });
-/** A checked entry. */
+/** A validated entry. */
 export type WorkerEntry = Static<typeof WorkerEntryShape>;
--- a/src/state/discovery/worker-list-table.ts
+++ b/src/state/discovery/worker-list-table.ts
@@ -1,115 +1,125 @@
-/** The worker list under versions, so that only differences have to be sent. */
+/** The versioned worker list, of which only changes need to be sent. */
 import { Type } from '@sinclair/typebox';
 import type { Static } from '@sinclair/typebox';
 import type { WorkerEntry } from './worker-entry.js';
 
-/** A version: term, reader and count. A later term wins. */
+/** Schema of a version: term, reader and counter, compared in this order. */
 export const WorkerListVersionShape = Type.Tuple([
   Type.Integer({ minimum: 0 }),
   Type.String({ minLength: 1, maxLength: 256 }),
   Type.Integer({ minimum: 0 }),
 ]);
-/** A checked version. */
+/** A validated version. */
 export type WorkerListVersion = Static<typeof WorkerListVersionShape>;
 
-/** Workers that are new or differ, and ids of those gone. */
+/** Entries that are new or changed, and the ids of removed workers. */
 export type WorkerListChange = { readonly changed: readonly WorkerEntry[]; readonly gone: readonly string[] };
 
-/** What became of an update: applied, older than the table, or built on a version that is not here. */
+/** The result of an update: applied, older than the table, or based on a version that the table does not have. */
 export type ApplyResult = 'taken' | 'old' | 'gap';
 
-/** The newest list that is known. */
+/** The newest known list. `asOf` is when it was read, in milliseconds of the monotonic clock. */
 export interface WorkerListTable {
   number(): WorkerListVersion | null;
   asOf(): number | null;
   entries(): readonly WorkerEntry[];
-  applySnapshot(number: WorkerListVersion, entries: readonly WorkerEntry[], asOf: number): ApplyResult;
-  applyChange(number: WorkerListVersion, base: WorkerListVersion, change: WorkerListChange, asOf: number): ApplyResult;
-  confirm(number: WorkerListVersion, asOf: number): ApplyResult;
+  applySnapshot(version: WorkerListVersion, entries: readonly WorkerEntry[], asOf: number): ApplyResult;
+  applyChange(version: WorkerListVersion, base: WorkerListVersion, change: WorkerListChange, asOf: number): ApplyResult;
+  confirm(version: WorkerListVersion, asOf: number): ApplyResult;
   differenceTo(entries: readonly WorkerEntry[], asOf: number): WorkerListChange;
 }
 
-type Row = { readonly entry: WorkerEntry; readonly at: number };
+type StoredEntry = { readonly entry: WorkerEntry; readonly readAt: number };
 
-const DRIFT_MS = 250;
+/** Smaller deviations of `remainingMs` and `coldMs` from the expected value do not count as a change. */
+const DURATION_TOLERANCE_MS = 250;
 
-/** Below, at or above 0 as `left` is older than, equal to or newer than `right`. */
+/** Compares two versions: negative if `left` is older, 0 if they are equal, positive if `left` is newer. */
 export function compareVersions(left: WorkerListVersion, right: WorkerListVersion): number {
   if (left[0] !== right[0]) return left[0] - right[0];
   if (left[1] !== right[1]) return left[1] < right[1] ? -1 : 1;
   return left[2] - right[2];
 }
 
-/** Whether nothing changed. */
-export function isEmptyChange(workerListChange: WorkerListChange): boolean {
-  return workerListChange.changed.length === 0 && workerListChange.gone.length === 0;
+/** Returns whether a change contains neither changed entries nor removals. */
+export function isEmptyChange(change: WorkerListChange): boolean {
+  return change.changed.length === 0 && change.gone.length === 0;
 }
 
-/** An entry `ms` milliseconds later: its remaining times are shorter. */
-export function agedEntry(event: WorkerEntry, ms: number): WorkerEntry {
-  if (ms <= 0 || (event.remainingMs === null && event.coldMs === 0)) return event;
+/** Returns an entry with its remaining times reduced by `ms` milliseconds. */
+export function agedEntry(entry: WorkerEntry, ms: number): WorkerEntry {
+  if (ms <= 0 || (entry.remainingMs === null && entry.coldMs === 0)) return entry;
   return {
-    ...event,
-    remainingMs: event.remainingMs === null ? null : Math.max(0, event.remainingMs - ms),
-    coldMs: Math.max(0, event.coldMs - ms),
+    ...entry,
+    remainingMs: entry.remainingMs === null ? null : Math.max(0, entry.remainingMs - ms),
+    coldMs: Math.max(0, entry.coldMs - ms),
   };
 }
 
-function sameEntry(left: WorkerEntry, right: WorkerEntry): boolean {
-  if (Math.abs(left.coldMs - right.coldMs) > DRIFT_MS || (left.remainingMs === null) !== (right.remainingMs === null))
+function isSameEntry(left: WorkerEntry, right: WorkerEntry): boolean {
+  if (
+    Math.abs(left.coldMs - right.coldMs) > DURATION_TOLERANCE_MS ||
+    (left.remainingMs === null) !== (right.remainingMs === null)
+  )
     return false;
-  if (Math.abs((left.remainingMs ?? 0) - (right.remainingMs ?? 0)) > DRIFT_MS) return false;
+  if (Math.abs((left.remainingMs ?? 0) - (right.remainingMs ?? 0)) > DURATION_TOLERANCE_MS) return false;
   return (
     JSON.stringify({ ...left, remainingMs: 0, coldMs: 0 }) === JSON.stringify({ ...right, remainingMs: 0, coldMs: 0 })
   );
 }
 
 class VersionedWorkerListTable implements WorkerListTable {
-  private rows = new Map<string, Row>();
+  private rows = new Map<string, StoredEntry>();
   private version: WorkerListVersion | null = null;
-  private at: number | null = null;
-  private shown: { readonly at: number; readonly entries: readonly WorkerEntry[] } | null = null;
+  private newestAsOf: number | null = null;
+  private agedEntries: { readonly asOf: number; readonly entries: readonly WorkerEntry[] } | null = null;
 
-  private later(asOf: number): number {
-    return this.at === null ? asOf : Math.max(this.at, asOf);
+  private latestAsOf(asOf: number): number {
+    return this.newestAsOf === null ? asOf : Math.max(this.newestAsOf, asOf);
   }
 
-  private put(into: Map<string, Row>, entries: readonly WorkerEntry[], asOf: number): void {
-    const older = this.at !== null && asOf < this.at;
+  /** Stores entries; a reading older than the list does not withdraw a notice that a worker is leaving. */
+  private putEntries(target: Map<string, StoredEntry>, entries: readonly WorkerEntry[], asOf: number): void {
+    const isOlder = this.newestAsOf !== null && asOf < this.newestAsOf;
     for (const entry of entries) {
-      const before = this.rows.get(entry.id);
-      into.set(entry.id, older && before?.entry.leaving ? before : { entry, at: asOf });
+      const previous = this.rows.get(entry.id);
+      target.set(entry.id, isOlder && previous?.entry.leaving ? previous : { entry, readAt: asOf });
     }
   }
 
-  private advance(number: WorkerListVersion, asOf: number): ApplyResult {
-    this.version = number;
-    this.at = this.later(asOf);
-    this.shown = null;
+  private advanceTo(version: WorkerListVersion, asOf: number): ApplyResult {
+    this.version = version;
+    this.newestAsOf = this.latestAsOf(asOf);
+    this.agedEntries = null;
     return 'taken';
   }
 
-  applySnapshot(number: WorkerListVersion, entries: readonly WorkerEntry[], asOf: number): ApplyResult {
-    if (this.version && compareVersions(number, this.version) <= 0) return this.confirm(number, asOf);
-    const fresh = new Map<string, Row>();
-    this.put(fresh, entries, asOf);
-    this.rows = fresh;
-    return this.advance(number, asOf);
+  applySnapshot(version: WorkerListVersion, entries: readonly WorkerEntry[], asOf: number): ApplyResult {
+    if (this.version && compareVersions(version, this.version) <= 0) return this.confirm(version, asOf);
+    const rows = new Map<string, StoredEntry>();
+    this.putEntries(rows, entries, asOf);
+    this.rows = rows;
+    return this.advanceTo(version, asOf);
   }
 
-  applyChange(number: WorkerListVersion, base: WorkerListVersion, change: WorkerListChange, asOf: number): ApplyResult {
-    if (this.version && compareVersions(number, this.version) <= 0) return this.confirm(number, asOf);
+  applyChange(
+    version: WorkerListVersion,
+    base: WorkerListVersion,
+    change: WorkerListChange,
+    asOf: number,
+  ): ApplyResult {
+    if (this.version && compareVersions(version, this.version) <= 0) return this.confirm(version, asOf);
     if (!this.version || compareVersions(base, this.version) !== 0) return 'gap';
     for (const id of change.gone) this.rows.delete(id);
-    this.put(this.rows, change.changed, asOf);
-    return this.advance(number, asOf);
+    this.putEntries(this.rows, change.changed, asOf);
+    return this.advanceTo(version, asOf);
   }
 
-  confirm(number: WorkerListVersion, asOf: number): ApplyResult {
-    const order = this.version ? compareVersions(number, this.version) : 1;
+  confirm(version: WorkerListVersion, asOf: number): ApplyResult {
+    const order = this.version ? compareVersions(version, this.version) : 1;
     if (order > 0) return 'gap';
     if (order < 0) return 'old';
-    this.at = this.later(asOf);
+    this.newestAsOf = this.latestAsOf(asOf);
     return 'taken';
   }
 
@@ -117,22 +127,22 @@
     const changed: WorkerEntry[] = [];
     const gone: string[] = [];
     const ids = new Set<string>();
-    for (const event of entries) {
-      ids.add(event.id);
-      const row = this.rows.get(event.id);
-      if (!row || !sameEntry(agedEntry(row.entry, asOf - row.at), event)) changed.push(event);
+    for (const entry of entries) {
+      ids.add(entry.id);
+      const row = this.rows.get(entry.id);
+      if (!row || !isSameEntry(agedEntry(row.entry, asOf - row.readAt), entry)) changed.push(entry);
     }
     for (const id of this.rows.keys()) if (!ids.has(id)) gone.push(id);
     return { changed, gone };
   }
 
   entries(): readonly WorkerEntry[] {
-    if (this.at === null) return [];
-    if (this.shown?.at === this.at) return this.shown.entries;
-    const out: WorkerEntry[] = [];
-    for (const row of this.rows.values()) out.push(agedEntry(row.entry, this.at - row.at));
-    this.shown = { at: this.at, entries: out };
-    return out;
+    if (this.newestAsOf === null) return [];
+    if (this.agedEntries?.asOf === this.newestAsOf) return this.agedEntries.entries;
+    const aged: WorkerEntry[] = [];
+    for (const row of this.rows.values()) aged.push(agedEntry(row.entry, this.newestAsOf - row.readAt));
+    this.agedEntries = { asOf: this.newestAsOf, entries: aged };
+    return aged;
   }
 
   number(): WorkerListVersion | null {
@@ -140,11 +150,11 @@
   }
 
   asOf(): number | null {
-    return this.at;
+    return this.newestAsOf;
   }
 }
 
-/** An empty table. */
+/** Creates an empty table. */
 export function createWorkerListTable(): WorkerListTable {
   return new VersionedWorkerListTable();
 }
--- a/src/state/discovery/worker-owners.ts
+++ b/src/state/discovery/worker-owners.ts
@@ -1,19 +1,20 @@
 /**
- * How the proxies share what a worker bears of them together: its cold starts and probes while
- * it is silent. Where a share for each would be too small, only the owners have one: the
- * proxies nearest to the worker, then by rendezvous hashing, the same ones on every proxy.
+ * Divides per-worker limits among the proxies: the requests to a cold worker and the reconnection attempts to an
+ * unresponsive one. Where an equal share would be too small, only the owners of the worker send requests to it while it
+ * is cold, and the owners reconnect more often than the others. Proxies in the region of the worker come first, then
+ * those with the highest rendezvous hash, so that all proxies compute the same owners.
  */
 
 import { hash32 } from '../../base/digest.js';
 import type { RegistryRow, SharingProxy } from './registry-row.js';
 
-/** Knows the proxies that share, and names the owners of a worker. */
+/** Tracks the proxies that share the workers, and selects the owners of each worker. */
 export interface WorkerOwners {
-  /** How many proxies share, this one included; at least 1. */
+  /** Number of sharing proxies, including this one; at least 1. */
   sharingCount(): number;
-  setSharingProxies(known: Readonly<Record<string, SharingProxy>>): void;
-  /** Names of at most `most` owners of a worker. */
-  ownersOf(row: RegistryRow, most: number): readonly string[];
+  setSharingProxies(proxies: Readonly<Record<string, SharingProxy>>): void;
+  /** Returns the names of at most `maxOwners` owners of a worker. */
+  ownersOf(row: RegistryRow, maxOwners: number): readonly string[];
 }
 
 class RendezvousWorkerOwners implements WorkerOwners {
@@ -24,32 +25,33 @@
     return this.count;
   }
 
-  setSharingProxies(known: Readonly<Record<string, SharingProxy>>): void {
-    this.proxies = { ...known };
-    this.count = Math.max(1, Object.keys(known).length);
+  setSharingProxies(proxies: Readonly<Record<string, SharingProxy>>): void {
+    this.proxies = { ...proxies };
+    this.count = Math.max(1, Object.keys(proxies).length);
   }
 
-  ownersOf(row: RegistryRow, most: number): readonly string[] {
-    if (row.owners && row.owners.proxies === this.proxies && row.owners.most === most) return row.owners.names;
-    const ranks: { readonly name: string; readonly near: boolean; readonly hash: number }[] = [];
-    for (const [name, sharingProxy] of Object.entries(this.proxies))
-      ranks.push({ name, near: sharingProxy.region === row.entry.region, hash: hash32(`${row.entry.id}|${name}`) });
-    ranks.sort(nearFirst);
+  ownersOf(row: RegistryRow, maxOwners: number): readonly string[] {
+    if (row.owners && row.owners.proxies === this.proxies && row.owners.maxOwners === maxOwners)
+      return row.owners.names;
+    const rankedProxies: { readonly name: string; readonly isNear: boolean; readonly hash: number }[] = [];
+    for (const [name, proxy] of Object.entries(this.proxies))
+      rankedProxies.push({ name, isNear: proxy.region === row.entry.region, hash: hash32(`${row.entry.id}|${name}`) });
+    rankedProxies.sort(compareNearFirst);
     const names: string[] = [];
-    for (const rank of ranks.slice(0, most)) names.push(rank.name);
-    row.owners = { proxies: this.proxies, most, names };
+    for (const owner of rankedProxies.slice(0, maxOwners)) names.push(owner.name);
+    row.owners = { proxies: this.proxies, maxOwners, names };
     return names;
   }
 }
 
-/** Shares with nobody until told. */
+/** Assumes that no other proxy shares the workers until `setSharingProxies` is called. */
 export function createWorkerOwners(): WorkerOwners {
   return new RendezvousWorkerOwners();
 }
 
-function nearFirst(
-  left: { readonly near: boolean; readonly hash: number },
-  right: { readonly near: boolean; readonly hash: number },
+function compareNearFirst(
+  left: { readonly isNear: boolean; readonly hash: number },
+  right: { readonly isNear: boolean; readonly hash: number },
 ): number {
-  return Number(right.near) - Number(left.near) || right.hash - left.hash;
+  return Number(right.isNear) - Number(left.isNear) || right.hash - left.hash;
 }
--- a/src/state/discovery/worker-pools.ts
+++ b/src/state/discovery/worker-pools.ts
@@ -1,10 +1,11 @@
 /**
- * Which of many workers are looked at for a request: a few that all proxies agree on by hashing, and others in turn.
+ * Samples the workers of a large model as candidates for a request: a few that all proxies agree on by hashing, and
+ * others by rotation.
  */
 import { hash32 } from '../../base/digest.js';
 import type { WorkerRow } from './worker-row.js';
 
-/** The model and what is known of the request. */
+/** The model and the request properties that select the sample; `holders` are workers that ran its prefix. */
 export type PoolQuery = {
   readonly model: string;
   readonly zone: string;
@@ -13,79 +14,80 @@
   readonly holders: readonly WorkerRow[];
 };
 
-/** A worker, and whether all proxies would look at it for this request. */
-export type Picked = { readonly row: WorkerRow; readonly agreed: boolean };
+/** A worker, and whether all proxies would sample it for this request. */
+export type SampledWorker = { readonly row: WorkerRow; readonly agreed: boolean };
 
-/** Workers by model. */
+/** Workers by model. `sample` returns null for a model small enough to consider all of its workers. */
 export interface WorkerPools {
   rebuild(rows: Iterable<WorkerRow>): void;
-  all(model: string): readonly Picked[];
-  sample(query: PoolQuery): readonly Picked[] | null;
+  all(model: string): readonly SampledWorker[];
+  sample(query: PoolQuery): readonly SampledWorker[] | null;
 }
 
-type Ring = { readonly at: number[]; readonly rows: WorkerRow[]; cursor: number };
+type Ring = { readonly hashes: number[]; readonly rows: WorkerRow[]; cursor: number };
 
-/** Up to so many workers of a model all are looked at. */
-export const LOOKED_AT = 64;
-const AGREED = 16;
-const NEAR = 24;
-const ANYWHERE = 24;
+/** Models with at most this many workers are not sampled: all of their workers are considered. */
+export const SAMPLING_THRESHOLD = 64;
+const AGREED_SAMPLE_SIZE = 16;
+const ZONE_SAMPLE_SIZE = 24;
+const ANY_ZONE_SAMPLE_SIZE = 24;
 
 class RingWorkerPools implements WorkerPools {
   private byModel = new Map<string, WorkerRow[]>();
-  private rings = new Map<string, Map<string, Ring>>();
-  private zones = new Map<string, Ring>();
+  private ringsByModel = new Map<string, Map<string, Ring>>();
+  private zoneRings = new Map<string, Ring>();
 
   private ringOf(rows: readonly WorkerRow[]): Ring {
-    const sorted = rows.map(hashed).sort(byHash);
-    return { at: sorted.map(hashOf), rows: sorted.map(rowOf), cursor: 0 };
+    const sorted = rows.map(withHash).sort(byHash);
+    return { hashes: sorted.map(hashOf), rows: sorted.map(rowOf), cursor: 0 };
   }
 
   rebuild(rows: Iterable<WorkerRow>): void {
     this.byModel = new Map();
-    const regions = new Map<string, Map<string, WorkerRow[]>>();
-    const near = new Map<string, WorkerRow[]>();
+    const rowsByRegion = new Map<string, Map<string, WorkerRow[]>>();
+    const rowsByZone = new Map<string, WorkerRow[]>();
     for (const row of rows) {
       const { model, region, zone } = row.listed;
-      append(this.byModel, model, row);
-      const byRegion = regions.get(model) ?? new Map<string, WorkerRow[]>();
-      regions.set(model, byRegion);
-      append(byRegion, region, row);
-      append(near, `${model}|${zone}`, row);
+      appendTo(this.byModel, model, row);
+      const byRegion = rowsByRegion.get(model) ?? new Map<string, WorkerRow[]>();
+      rowsByRegion.set(model, byRegion);
+      appendTo(byRegion, region, row);
+      appendTo(rowsByZone, `${model}|${zone}`, row);
     }
-    this.rings = new Map();
-    this.zones = new Map();
-    for (const [model, byRegion] of regions) {
-      if ((this.byModel.get(model)?.length ?? 0) <= LOOKED_AT) continue;
-      const made = new Map<string, Ring>();
-      for (const [region, list] of byRegion) made.set(region, this.ringOf(list));
-      this.rings.set(model, made);
+    this.ringsByModel = new Map();
+    this.zoneRings = new Map();
+    for (const [model, rowsOfModel] of rowsByRegion) {
+      if ((this.byModel.get(model)?.length ?? 0) <= SAMPLING_THRESHOLD) continue;
+      const rings = new Map<string, Ring>();
+      for (const [region, regionRows] of rowsOfModel) rings.set(region, this.ringOf(regionRows));
+      this.ringsByModel.set(model, rings);
     }
-    for (const [key, list] of near) if (list.length > 0) this.zones.set(key, { at: [], rows: list, cursor: 0 });
+    for (const [key, zoneRows] of rowsByZone)
+      if (zoneRows.length > 0) this.zoneRings.set(key, { hashes: [], rows: zoneRows, cursor: 0 });
   }
 
-  all(model: string): readonly Picked[] {
-    return (this.byModel.get(model) ?? []).map(agreedOn);
+  all(model: string): readonly SampledWorker[] {
+    return (this.byModel.get(model) ?? []).map(asAgreed);
   }
 
-  sample(query: PoolQuery): readonly Picked[] | null {
-    const byRegion = this.rings.get(query.model);
+  sample(query: PoolQuery): readonly SampledWorker[] | null {
+    const byRegion = this.ringsByModel.get(query.model);
     if (!byRegion) return null;
-    const regions: Ring[] = [];
-    for (const [region, ring] of byRegion) if (query.homes === null || query.homes.includes(region)) regions.push(ring);
-    if (regions.length === 0) return [];
+    const rings: Ring[] = [];
+    for (const [region, ring] of byRegion) if (query.homes === null || query.homes.includes(region)) rings.push(ring);
+    if (rings.length === 0) return [];
     const agreed = new Set<WorkerRow>();
     const others = new Set<WorkerRow>(query.holders);
     const hash = hash32(query.seed);
-    const each = Math.ceil(AGREED / regions.length);
-    for (const ring of regions) addRange(agreed, ring.rows, firstFrom(ring.at, hash), each);
-    const near = this.zones.get(`${query.model}|${query.zone}`);
-    if (near) this.addNext(others, near, NEAR);
-    for (const ring of regions) this.addNext(others, ring, Math.ceil(ANYWHERE / regions.length));
-    const out: Picked[] = [];
-    for (const row of agreed) out.push({ row, agreed: true });
-    for (const row of others) if (!agreed.has(row)) out.push({ row, agreed: false });
-    return out;
+    const perRegion = Math.ceil(AGREED_SAMPLE_SIZE / rings.length);
+    for (const ring of rings) addRange(agreed, ring.rows, firstAtOrAfter(ring.hashes, hash), perRegion);
+    const zoneRing = this.zoneRings.get(`${query.model}|${query.zone}`);
+    if (zoneRing) this.addNext(others, zoneRing, ZONE_SAMPLE_SIZE);
+    for (const ring of rings) this.addNext(others, ring, Math.ceil(ANY_ZONE_SAMPLE_SIZE / rings.length));
+    const sampled: SampledWorker[] = [];
+    for (const row of agreed) sampled.push({ row, agreed: true });
+    for (const row of others) if (!agreed.has(row)) sampled.push({ row, agreed: false });
+    return sampled;
   }
 
   private addNext(into: Set<WorkerRow>, ring: Ring, count: number): void {
@@ -94,12 +96,12 @@
   }
 }
 
-/** No workers yet. */
+/** Creates empty pools. */
 export function createWorkerPools(): WorkerPools {
   return new RingWorkerPools();
 }
 
-function append(into: Map<string, WorkerRow[]>, key: string, row: WorkerRow): void {
+function appendTo(into: Map<string, WorkerRow[]>, key: string, row: WorkerRow): void {
   const list = into.get(key);
   if (list) list.push(row);
   else into.set(key, [row]);
@@ -109,19 +111,19 @@
   for (let i = 0; i < Math.min(count, rows.length); i += 1) into.add(rows[(from + i) % rows.length] as WorkerRow);
 }
 
-function firstFrom(at: readonly number[], hash: number): number {
+function firstAtOrAfter(hashes: readonly number[], hash: number): number {
   let low = 0;
-  let high = at.length;
+  let high = hashes.length;
   while (low < high) {
     const mid = (low + high) >>> 1;
-    if ((at[mid] as number) < hash) low = mid + 1;
+    if ((hashes[mid] as number) < hash) low = mid + 1;
     else high = mid;
   }
-  return low % at.length;
+  return low % hashes.length;
 }
 
 type HashedRow = { readonly hash: number; readonly row: WorkerRow };
-function hashed(row: WorkerRow): HashedRow {
+function withHash(row: WorkerRow): HashedRow {
   return { hash: hash32(row.listed.id), row };
 }
 function byHash(left: HashedRow, right: HashedRow): number {
@@ -133,6 +135,6 @@
 function rowOf(hashedRow: HashedRow): WorkerRow {
   return hashedRow.row;
 }
-function agreedOn(row: WorkerRow): Picked {
+function asAgreed(row: WorkerRow): SampledWorker {
   return { row, agreed: true };
 }
--- a/src/state/discovery/worker-registry.test.ts
+++ b/src/state/discovery/worker-registry.test.ts
@@ -14,7 +14,7 @@
   engine: { batch: 64, kvTokens: 200_000 },
 };
 
-function entry(id: string, over: Partial<WorkerEntry> = {}): WorkerEntry {
+function entry(id: string, overrides: Partial<WorkerEntry> = {}): WorkerEntry {
   return {
     id,
     model: 'm',
@@ -26,10 +26,10 @@
     leaving: false,
     remainingMs: null,
     coldMs: 0,
-    ...over,
+    ...overrides,
   };
 }
-function ask(over: Partial<SelectionRequest> = {}): SelectionRequest {
+function requestWith(overrides: Partial<SelectionRequest> = {}): SelectionRequest {
   return {
     model: 'm',
     traits: TRAITS,
@@ -41,29 +41,31 @@
     pinned: false,
     avoid: new Set(),
     now: 0,
-    ...over,
+    ...overrides,
   };
 }
-function books(n: number, entries: readonly WorkerEntry[]): WorkerRegistry[] {
-  const known = Object.fromEntries(Array.from({ length: n }, (_, i) => [`s${i}`, { region: i % 3 === 0 ? 'r' : 'q' }]));
-  return Object.keys(known).map((name) => {
-    const b = createWorkerRegistry({ name, zone: 'z', region: 'r', openConnections: () => 1 }, EDGE_TUNING);
-    b.applyList(entries, 0);
-    b.setSharingProxies(known);
-    return b;
+function createRegistries(count: number, entries: readonly WorkerEntry[]): WorkerRegistry[] {
+  const proxies = Object.fromEntries(
+    Array.from({ length: count }, (_, i) => [`s${i}`, { region: i % 3 === 0 ? 'r' : 'q' }]),
+  );
+  return Object.keys(proxies).map((name) => {
+    const registry = createWorkerRegistry({ name, zone: 'z', region: 'r', openConnections: () => 1 }, EDGE_TUNING);
+    registry.applyList(entries, 0);
+    registry.setSharingProxies(proxies);
+    return registry;
   });
 }
 
 test.each([1, 3, 6, 7, 20, 73, 350])(
-  'what %i proxies send a cold worker in a second never passes its bound, and is not nothing',
-  (n) => {
-    const all = books(n, [entry('w', { coldMs: 60_000 })]);
+  '%i proxies together never exceed the rate limit of a cold worker, and use at least 40% of it',
+  (proxyCount) => {
+    const registries = createRegistries(proxyCount, [entry('w', { coldMs: 60_000 })]);
     let sent = 0;
-    for (const b of all) {
+    for (const registry of registries) {
       for (let i = 0; i < 100; i += 1) {
-        const response = b.selectWorker(ask());
-        if (response.tag !== 'row') break;
-        b.reserve(response.row, ask());
+        const selection = registry.selectWorker(requestWith());
+        if (selection.tag !== 'row') break;
+        registry.reserve(selection.row, requestWith());
         sent += 1;
       }
     }
@@ -73,9 +75,9 @@
   },
 );
 
-test('all proxies find the same keeper of a prompt, and the parts of one first part stay with few workers', () => {
+test('all proxies select the same home worker for a prompt, and a shared first block stays with few workers', () => {
   const entries = Array.from({ length: 12 }, (_, i) => entry(`w${i}`));
-  const all = books(4, entries);
+  const registries = createRegistries(4, entries);
   const seen = new Set<string>();
   for (let t = 0; t < 40; t += 1) {
     const parts = [
@@ -84,9 +86,9 @@
       { id: `own${t}`, tokens: 2_000 },
     ];
     const chosen = new Set(
-      all.map((b) => {
-        const response = b.selectWorker(ask({ parts, tokens: 8_000, pinned: true }));
-        return response.tag === 'row' ? response.row.entry.id : '';
+      registries.map((registry) => {
+        const selection = registry.selectWorker(requestWith({ parts, tokens: 8_000, pinned: true }));
+        return selection.tag === 'row' ? selection.row.entry.id : '';
       }),
     );
     expect(chosen.size).toBe(1);
@@ -95,100 +97,100 @@
   expect(seen.size).toBeLessThanOrEqual(Math.ceil(12 * EDGE_TUNING.spreadFraction));
 });
 
-test('a keeper that others crowd is left for the next one', () => {
-  const [b] = books(1, [entry('w0'), entry('w1')]);
+test('a home worker that is loaded by other proxies is passed over for the next one', () => {
+  const [registry] = createRegistries(1, [entry('w0'), entry('w1')]);
   const parts = [
     { id: 'rules', tokens: 500 },
     { id: 'own', tokens: 100 },
   ];
-  const first = b!.selectWorker(ask({ parts, tokens: 600, pinned: true }));
+  const first = registry!.selectWorker(requestWith({ parts, tokens: 600, pinned: true }));
   const id = first.tag === 'row' ? first.row.entry.id : '';
-  b!.applyFleetLoad({ [id]: [60, 30_000, 100_000, 0, 9] }, 0);
-  const next = b!.selectWorker(ask({ parts, tokens: 600, pinned: true }));
+  registry!.applyFleetLoad({ [id]: [60, 30_000, 100_000, 0, 9] }, 0);
+  const next = registry!.selectWorker(requestWith({ parts, tokens: 600, pinned: true }));
   expect(next.tag === 'row' && next.row.entry.id).not.toBe(id);
 });
 
-test('zones held preemptive come last, evacuated ones not at all, and a zone handed back is cold at first', () => {
-  const [b] = books(1, [entry('w0', { zone: 'z' }), entry('w1', { zone: 'y' })]);
-  b!.applyZones(
+test('preemptive zones are selected last, evacuated zones never, and the workers of a restored zone start cold', () => {
+  const [registry] = createRegistries(1, [entry('w0', { zone: 'z' }), entry('w1', { zone: 'y' })]);
+  registry!.applyZones(
     {},
     () => ['z'],
     0,
     () => 3_000,
   );
-  const one = b!.selectWorker(ask());
-  expect(one.tag === 'row' && one.row.entry.id).toBe('w1');
-  b!.applyZones(
+  const first = registry!.selectWorker(requestWith());
+  expect(first.tag === 'row' && first.row.entry.id).toBe('w1');
+  registry!.applyZones(
     { y: 3 },
     () => [],
     0,
     () => 3_000,
   );
-  const two = b!.selectWorker(ask());
-  expect(two.tag === 'row' && two.row.entry.id).toBe('w0');
-  b!.applyZones(
+  const second = registry!.selectWorker(requestWith());
+  expect(second.tag === 'row' && second.row.entry.id).toBe('w0');
+  registry!.applyZones(
     {},
     () => [],
     100,
     () => 3_000,
   );
-  for (const row of b!.rows()) expect(row.coldUntil).toBe(row.entry.zone === 'y' ? 3_100 : 0);
+  for (const row of registry!.rows()) expect(row.coldUntil).toBe(row.entry.zone === 'y' ? 3_100 : 0);
 });
 
-test('a worker that spoils a part of what it runs is avoided by all, and taken again once it holds', () => {
-  const [a, b] = books(2, [entry('w0'), entry('w1')]);
-  const row = [...a!.rows()].find((r) => r.entry.id === 'w0')!;
+test('a worker with a fraction of bad runs is avoided by all proxies, until its recent runs succeed', () => {
+  const [first, second] = createRegistries(2, [entry('w0'), entry('w1')]);
+  const row = [...first!.rows()].find((r) => r.entry.id === 'w0')!;
   for (let i = 0; i < 6; i += 1) {
-    if (i % 2 === 0) a!.recordSpoiled(row, 100);
-    else a!.recordServed(row, 100);
+    if (i % 2 === 0) first!.recordSpoiled(row, 100);
+    else first!.recordServed(row, 100);
   }
-  b!.applyFleetLoad(a!.load(200), 200);
-  for (const book of [a!, b!]) {
+  second!.applyFleetLoad(first!.load(200), 200);
+  for (const registry of [first!, second!]) {
     for (let i = 0; i < 20; i += 1) {
-      const response = book.selectWorker(ask({ now: 2_000 }));
-      expect(response.tag === 'row' && response.row.entry.id).toBe('w1');
-      if (response.tag === 'row') book.reserve(response.row, ask({ now: 2_000 })).end();
+      const selection = registry.selectWorker(requestWith({ now: 2_000 }));
+      expect(selection.tag === 'row' && selection.row.entry.id).toBe('w1');
+      if (selection.tag === 'row') registry.reserve(selection.row, requestWith({ now: 2_000 })).end();
     }
   }
-  for (let i = 0; i < 60; i += 1) a!.recordServed(row, 9_000);
-  expect(a!.load(30_000)['w0']).toBeUndefined();
+  for (let i = 0; i < 60; i += 1) first!.recordServed(row, 9_000);
+  expect(first!.load(30_000)['w0']).toBeUndefined();
 });
 
-test('one bad answer on a calm day does not make a worker avoided', () => {
-  const [a] = books(1, [entry('w0')]);
-  const row = [...a!.rows()][0]!;
-  for (let i = 0; i < 30; i += 1) a!.recordServed(row, 50);
-  a!.recordSpoiled(row, 60);
-  const response = a!.selectWorker(ask({ now: 1_000 }));
-  expect(response.tag === 'row' && response.waitMs).toBeLessThan(100);
+test('a single bad response among many good ones does not cause a worker to be avoided', () => {
+  const [registry] = createRegistries(1, [entry('w0')]);
+  const row = [...registry!.rows()][0]!;
+  for (let i = 0; i < 30; i += 1) registry!.recordServed(row, 50);
+  registry!.recordSpoiled(row, 60);
+  const selection = registry!.selectWorker(requestWith({ now: 1_000 }));
+  expect(selection.tag === 'row' && selection.costMs).toBeLessThan(100);
 });
 
-test('a worker that was out of reach may be another life: others go first until the list had time to tell', () => {
-  const [b] = books(1, [entry('w0'), entry('w1')]);
-  const row = [...b!.rows()].find((r) => r.entry.id === 'w0')!;
-  b!.markUnresponsive(row, 100);
-  b!.markReachable(row, 3_000);
+test('after an unreachable worker returns, others are preferred until the list had time to report a new incarnation', () => {
+  const [registry] = createRegistries(1, [entry('w0'), entry('w1')]);
+  const row = [...registry!.rows()].find((r) => r.entry.id === 'w0')!;
+  registry!.markUnresponsive(row, 100);
+  registry!.markReachable(row, 3_000);
   for (let i = 0; i < 10; i += 1) {
-    const response = b!.selectWorker(ask({ now: 3_100 }));
-    expect(response.tag === 'row' && response.row.entry.id).toBe('w1');
-    if (response.tag === 'row') b!.reserve(response.row, ask({ now: 3_100 }));
+    const selection = registry!.selectWorker(requestWith({ now: 3_100 }));
+    expect(selection.tag === 'row' && selection.row.entry.id).toBe('w1');
+    if (selection.tag === 'row') registry!.reserve(selection.row, requestWith({ now: 3_100 }));
   }
-  const later = b!.selectWorker(ask({ now: 6_000 }));
+  const later = registry!.selectWorker(requestWith({ now: 6_000 }));
   expect(later.tag === 'row' && later.row.entry.id).toBe('w0');
 });
 
-test('a lost worker is dialled by few of many proxies often, by the others seldom, unless others ran something there', () => {
-  const all = books(73, [entry('w')]);
-  let soon = 0;
-  for (const b of all) {
-    const row = [...b.rows()][0]!;
-    for (let i = 0; i < 8; i += 1) b.markUnresponsive(row, 1_000);
-    if (row.badUntil <= 3_000) soon += 1;
+test('few of many proxies dial an unreachable worker often; the others rarely, unless another one ran a request there', () => {
+  const registries = createRegistries(73, [entry('w')]);
+  let frequent = 0;
+  for (const registry of registries) {
+    const row = [...registry.rows()][0]!;
+    for (let i = 0; i < 8; i += 1) registry.markUnresponsive(row, 1_000);
+    if (row.badUntil <= 3_000) frequent += 1;
     else {
       expect(row.badUntil).toBeGreaterThan(10_000);
-      b.applyFleetLoad({ w: [1, 0, 0, 0, 1] }, 4_000);
+      registry.applyFleetLoad({ w: [1, 0, 0, 0, 1] }, 4_000);
       expect(row.badUntil).toBe(4_000);
     }
   }
-  expect(soon).toBe(EDGE_TUNING.redialers);
+  expect(frequent).toBe(EDGE_TUNING.redialers);
 });
--- a/src/state/discovery/worker-row.ts
+++ b/src/state/discovery/worker-row.ts
@@ -1,7 +1,11 @@
-/** What a proxy holds of one worker that it probes. */
+/** State that a proxy keeps for each worker that it probes. */
 import type { Listed } from './listed.js';
 
-/** One worker; times are of the monotonic clock, in milliseconds. */
+/**
+ * One worker. Times are in milliseconds of the monotonic clock. `reported` is the number of requests that the worker
+ * reported as running, and `runningElsewhere` those of them that did not come through this proxy. `window` is the
+ * adaptive limit of requests in flight. A health report is stale after `healthMaxAgeMs`.
+ */
 export type WorkerRow = {
   readonly index: number;
   listed: Listed;
@@ -11,21 +15,21 @@
   incarnation: string | null;
   answeredAt: number | null;
   missedProbes: number;
-  freshMs: number;
+  healthMaxAgeMs: number;
   ready: boolean;
   readyAt: number;
   reported: number;
-  others: number;
+  runningElsewhere: number;
   window: number;
   inFlight: number;
 };
 
-const ANSWER_FRESH_MS = 3_500;
-/** Widest window of requests in flight at one worker. */
-export const WIDEST = 1_024;
+const HEALTH_MAX_AGE_MS = 3_500;
+/** Upper bound of the window of requests in flight at one worker. */
+export const MAX_WINDOW = 1_024;
 
-/** The row of a worker that was just listed. */
-export function freshRow(index: number, listed: Listed): WorkerRow {
+/** Creates the row of a newly listed worker. */
+export function createWorkerRow(index: number, listed: Listed): WorkerRow {
   return {
     index,
     listed,
@@ -35,12 +39,12 @@
     incarnation: null,
     answeredAt: null,
     missedProbes: 0,
-    freshMs: ANSWER_FRESH_MS,
+    healthMaxAgeMs: HEALTH_MAX_AGE_MS,
     ready: false,
     readyAt: 0,
     reported: 0,
-    others: 0,
-    window: WIDEST,
+    runningElsewhere: 0,
+    window: MAX_WINDOW,
     inFlight: 0,
   };
 }
--- a/src/state/discovery/worker-table.ts
+++ b/src/state/discovery/worker-table.ts
@@ -1,22 +1,25 @@
-/** The workers as a proxy with health checks knows them, and the candidates for a request among them. */
+/** The worker table of a proxy that runs health checks, and the selection of candidates for a request. */
 import type { ControlState } from '../consensus/control-state.js';
 import type { Candidate } from '../forwarding/candidate.js';
 import type { Order } from '../scaling/order.js';
-import type { Health } from './health.js';
+import type { HealthReport } from './health.js';
 import { createIndices } from './indices.js';
 import type { Listed } from './listed.js';
 import { createPrefixTable } from './prefix-table.js';
 import type { PrefixTable } from './prefix-table.js';
 import type { Resolved } from '../configuration/settings-tree.js';
 import { createWorkerPools } from './worker-pools.js';
-import type { Picked } from './worker-pools.js';
-import { freshRow, WIDEST } from './worker-row.js';
+import type { SampledWorker } from './worker-pools.js';
+import { createWorkerRow, MAX_WINDOW } from './worker-row.js';
 import type { WorkerRow } from './worker-row.js';
 
-/** Kept up to date by the list, by probes and by the ledger. */
+/**
+ * Updated by the worker list, by probes and by the replicated log. The window of a worker shrinks when it rejects a
+ * request, and grows with each request that it serves.
+ */
 export interface WorkerTable {
   applyList(list: readonly Listed[], now: number): void;
-  recordHealth(id: string, health: Health, now: number): void;
+  recordHealth(id: string, health: HealthReport, now: number): void;
   recordMissedProbe(id: string): void;
   applyControlState(controlState: ControlState): void;
   rows(): readonly WorkerRow[];
@@ -31,7 +34,10 @@
   modelIx(model: string): number;
 }
 
-/** What candidates are wanted for; with `complete` all workers of the model. */
+/**
+ * The request that candidates are selected for. `zone` is the zone of this proxy; the zone of the caller selects the
+ * near workers of the sample. With `complete`, all workers of the model are considered instead of a sample.
+ */
 export type CandidateQuery = {
   readonly model: string;
   readonly parts: readonly string[];
@@ -45,55 +51,55 @@
   readonly complete: boolean;
 };
 
-const SILENCES_UNFIT = 2;
-const NARROWED_BY = 0.7;
+const UNHEALTHY_MISSED_PROBES = 2;
+const WINDOW_DECREASE_FACTOR = 0.7;
 
 class ProbedWorkerTable implements WorkerTable {
-  private readonly names = createIndices();
-  private readonly models = createIndices();
-  private readonly table = new Map<number, WorkerRow>();
+  private readonly workerIndices = createIndices();
+  private readonly modelIndices = createIndices();
+  private readonly rowsByIndex = new Map<number, WorkerRow>();
   readonly prefixes = createPrefixTable();
   private readonly pools = createWorkerPools();
-  private orders = new Map<string, Order>();
-  private departed = new Set<string>();
-  private evacuated: Readonly<Record<string, number>> = {};
+  private ordersByMachine = new Map<string, Order>();
+  private departedMachines = new Set<string>();
+  private evacuatedZones: Readonly<Record<string, number>> = {};
 
   applyList(list: readonly Listed[], now: number): void {
     const seen = new Set<number>();
     for (const listed of list) {
-      const index = this.names.indexOf(listed.id);
+      const index = this.workerIndices.indexOf(listed.id);
       seen.add(index);
-      const row = this.table.get(index);
+      const row = this.rowsByIndex.get(index);
       if (!row || row.listed.machine !== listed.machine) {
         if (row) this.prefixes.forget(index);
-        this.table.set(index, freshRow(index, listed));
+        this.rowsByIndex.set(index, createWorkerRow(index, listed));
       } else {
         row.listed = listed;
         row.present = true;
       }
-      const current = this.table.get(index) as WorkerRow;
-      if (listed.state === 'draining') this.setDraining(current, listed.remainingMs, now);
+      const current = this.rowsByIndex.get(index) as WorkerRow;
+      if (listed.state === 'draining') this.markDraining(current, listed.remainingMs, now);
     }
-    for (const row of this.table.values()) {
+    for (const row of this.rowsByIndex.values()) {
       if (seen.has(row.index)) continue;
       row.present = false;
       if (row.inFlight === 0) {
-        this.table.delete(row.index);
+        this.rowsByIndex.delete(row.index);
         this.prefixes.forget(row.index);
       }
     }
-    this.pools.rebuild(this.table.values());
+    this.pools.rebuild(this.rowsByIndex.values());
     this.refreshDraining();
   }
 
-  private setDraining(row: WorkerRow, remainingMs: number | undefined, now: number): void {
+  private markDraining(row: WorkerRow, remainingMs: number | undefined, now: number): void {
     row.leaving = true;
     if (remainingMs === undefined) return;
-    const by = now + remainingMs;
-    if (row.leaveBy === null || by < row.leaveBy) row.leaveBy = by;
+    const leaveBy = now + remainingMs;
+    if (row.leaveBy === null || leaveBy < row.leaveBy) row.leaveBy = leaveBy;
   }
 
-  recordHealth(id: string, health: Health, now: number): void {
+  recordHealth(id: string, health: HealthReport, now: number): void {
     const row = this.rowOf(id);
     if (!row) return;
     if (row.incarnation !== health.incarnation) {
@@ -105,8 +111,8 @@
     row.ready = health.state === 'ready' && health.model === row.listed.model;
     row.readyAt = now - health.readyForMs;
     row.reported = health.running;
-    row.others = Math.max(0, health.running - row.inFlight);
-    if (health.state === 'draining') this.setDraining(row, health.remainingMs, now);
+    row.runningElsewhere = Math.max(0, health.running - row.inFlight);
+    if (health.state === 'draining') this.markDraining(row, health.remainingMs, now);
   }
 
   recordMissedProbe(id: string): void {
@@ -115,39 +121,39 @@
   }
 
   private rowOf(id: string): WorkerRow | null {
-    const index = this.names.find(id);
-    return index === null ? null : (this.table.get(index) ?? null);
+    const index = this.workerIndices.find(id);
+    return index === null ? null : (this.rowsByIndex.get(index) ?? null);
   }
 
   applyControlState(controlState: ControlState): void {
-    this.orders = new Map();
+    this.ordersByMachine = new Map();
     for (const order of Object.values(controlState.orders))
-      if (order.machine !== null) this.orders.set(order.machine, order);
-    this.departed = new Set(controlState.departed);
-    this.evacuated = controlState.evacuated;
+      if (order.machine !== null) this.ordersByMachine.set(order.machine, order);
+    this.departedMachines = new Set(controlState.departed);
+    this.evacuatedZones = controlState.evacuated;
     this.refreshDraining();
   }
 
   private refreshDraining(): void {
-    for (const row of this.table.values()) {
-      const order = this.orders.get(row.listed.machine);
-      if (this.departed.has(row.listed.machine) || order?.status === 'draining') row.leaving = true;
+    for (const row of this.rowsByIndex.values()) {
+      const order = this.ordersByMachine.get(row.listed.machine);
+      if (this.departedMachines.has(row.listed.machine) || order?.status === 'draining') row.leaving = true;
     }
   }
 
-  private handedOver(row: WorkerRow): boolean {
-    return row.listed.kind === 'fixed' || this.orders.get(row.listed.machine)?.status === 'ready';
+  private wasHandedOver(row: WorkerRow): boolean {
+    return row.listed.kind === 'fixed' || this.ordersByMachine.get(row.listed.machine)?.status === 'ready';
   }
 
   private loadOf(row: WorkerRow): number {
-    return row.others + row.inFlight;
+    return row.runningElsewhere + row.inFlight;
   }
 
-  private picked(query: CandidateQuery, model: number): readonly Picked[] {
+  private sampledWorkers(query: CandidateQuery, model: number): readonly SampledWorker[] {
     if (query.complete) return this.pools.all(query.model);
     const holders: WorkerRow[] = [];
     for (const index of this.prefixes.holders(model, query.parts)) {
-      const row = this.table.get(index);
+      const row = this.rowsByIndex.get(index);
       if (row?.listed.model === query.model) holders.push(row);
     }
     return (
@@ -157,28 +163,30 @@
   }
 
   candidates(query: CandidateQuery): Candidate[] {
-    const out: Candidate[] = [];
-    const model = this.models.indexOf(query.model);
-    for (const { row, agreed } of this.picked(query, model)) {
+    const candidates: Candidate[] = [];
+    const model = this.modelIndices.indexOf(query.model);
+    for (const { row, agreed } of this.sampledWorkers(query, model)) {
       const { listed } = row;
-      if (!row.present || !this.handedOver(row)) continue;
-      const answers =
-        row.answeredAt !== null && query.now - row.answeredAt < row.freshMs && row.missedProbes < SILENCES_UNFIT;
-      const warm = query.values.rampS === 0 ? 1 : (query.now - row.readyAt) / (query.values.rampS * 1_000);
-      const ramping = warm < 1;
-      const ramped = Math.max(1, Math.floor(query.values.workerUsageLimit * Math.min(1, warm)));
-      const elsewhere = ramping && listed.zone !== query.zone && query.zonesWithProxy.has(listed.zone);
-      const limit = elsewhere ? 0.5 : ramped;
-      out.push({
+      if (!row.present || !this.wasHandedOver(row)) continue;
+      const isResponsive =
+        row.answeredAt !== null &&
+        query.now - row.answeredAt < row.healthMaxAgeMs &&
+        row.missedProbes < UNHEALTHY_MISSED_PROBES;
+      const warmFraction = query.values.rampS === 0 ? 1 : (query.now - row.readyAt) / (query.values.rampS * 1_000);
+      const isRamping = warmFraction < 1;
+      const rampedLimit = Math.max(1, Math.floor(query.values.workerUsageLimit * Math.min(1, warmFraction)));
+      const isLeftToOwnZone = isRamping && listed.zone !== query.zone && query.zonesWithProxy.has(listed.zone);
+      const limit = isLeftToOwnZone ? 0.5 : rampedLimit;
+      candidates.push({
         index: row.index,
         id: listed.id,
         address: listed.address,
         zone: listed.zone,
         region: listed.region,
         leaving: row.leaving || listed.state === 'draining',
-        evacuated: this.evacuated[listed.zone] !== undefined,
-        healthy: answers && row.ready,
-        answersUs: answers,
+        evacuated: this.evacuatedZones[listed.zone] !== undefined,
+        healthy: isResponsive && row.ready,
+        answersUs: isResponsive,
         running: row.inFlight >= Math.floor(row.window) ? Math.max(this.loadOf(row), limit) : this.loadOf(row),
         limit,
         agreed,
@@ -186,11 +194,11 @@
           query.parts.length === 0 ? 0 : this.prefixes.knownBlocks(model, query.parts, row.index) / query.parts.length,
       });
     }
-    return out;
+    return candidates;
   }
 
   begin(index: number): WorkerRow | null {
-    const row = this.table.get(index) ?? null;
+    const row = this.rowsByIndex.get(index) ?? null;
     if (row) row.inFlight += 1;
     return row;
   }
@@ -200,33 +208,33 @@
   }
 
   isCurrent(row: WorkerRow): boolean {
-    return this.table.get(row.index) === row;
+    return this.rowsByIndex.get(row.index) === row;
   }
 
   recordRefused(index: number): void {
-    const row = this.table.get(index);
-    if (row) row.window = Math.max(1, Math.min(row.window, row.inFlight) * NARROWED_BY);
+    const row = this.rowsByIndex.get(index);
+    if (row) row.window = Math.max(1, Math.min(row.window, row.inFlight) * WINDOW_DECREASE_FACTOR);
   }
 
   recordServed(index: number): void {
-    const row = this.table.get(index);
-    if (row) row.window = Math.min(WIDEST, row.window + 1 / row.window);
+    const row = this.rowsByIndex.get(index);
+    if (row) row.window = Math.min(MAX_WINDOW, row.window + 1 / row.window);
   }
 
   rows(): readonly WorkerRow[] {
-    return [...this.table.values()];
+    return [...this.rowsByIndex.values()];
   }
 
   row(index: number): WorkerRow | null {
-    return this.table.get(index) ?? null;
+    return this.rowsByIndex.get(index) ?? null;
   }
 
   modelIx(name: string): number {
-    return this.models.indexOf(name);
+    return this.modelIndices.indexOf(name);
   }
 }
 
-/** An empty table. */
+/** Creates an empty table. */
 export function createWorkerTable(): WorkerTable {
   return new ProbedWorkerTable();
 }
