--- a/src/coordination/distribution/acknowledgements.ts
+++ b/src/coordination/distribution/acknowledgements.ts
@@ -1,6 +1,6 @@
 /**
- * How far each proxy has folded the ledger, as the proxies acknowledge it to the controller that they follow and the
- * controllers tell each other.
+ * The newest slot of the replicated log that each proxy has applied. Proxies acknowledge slots to the controller that
+ * they follow, which relays the acknowledgements to the other controllers.
  */
 import type { MessageOf } from '../../protocol/messages.js';
 import { otherMembers } from '../../state/consensus/fold-members.js';
@@ -8,10 +8,12 @@
 import type { Ledger } from '../consensus/ledger.js';
 import type { Peers } from '../messaging/peers.js';
 
-/** Acknowledgements that come within this time of each other go to the other controllers in one message. */
+/**
+ * Batching delay: acknowledgements that arrive within this time are relayed to the other controllers in one message.
+ */
 const RELAY_DELAY_MS = 20;
 
-/** Counts acknowledgements for as long as the process runs. */
+/** Records and relays acknowledgements for as long as the process runs. */
 export class Acknowledgements {
   private readonly slots = new Map<string, number>();
   private pendingRelay: Record<string, number> = {};
@@ -26,8 +28,8 @@
     peers.on('confirmed', (message) => this.onRelayed(message));
   }
 
-  /** The newest slot that this proxy acknowledged; -1 if none. */
-  slotOf(proxy: string): number {
+  /** Returns the newest slot that this proxy has acknowledged; -1 if none. */
+  acknowledgedSlot(proxy: string): number {
     return this.slots.get(proxy) ?? -1;
   }
 
@@ -45,7 +47,7 @@
   }
 
   private record(proxy: string, slot: number): boolean {
-    if (this.slotOf(proxy) >= slot) return false;
+    if (this.acknowledgedSlot(proxy) >= slot) return false;
     this.slots.set(proxy, slot);
     return true;
   }
--- a/src/coordination/distribution/change-distribution.ts
+++ b/src/coordination/distribution/change-distribution.ts
@@ -1,6 +1,6 @@
 /**
- * A controller's side of the way of a change to the proxies: publishes the ledger, gathers reports, and tells whether every
- * proxy has acknowledged a slot. `controller.ts` makes one.
+ * The controller's side of distributing changes to the proxies: publishes the replicated log, collects reports, and
+ * determines whether every proxy has acknowledged a slot. Created by `controller.ts`.
  */
 import { majorityOf, memberId } from '../../state/consensus/control-state.js';
 import type { Reports } from '../../state/distribution/reports.js';
@@ -14,24 +14,24 @@
 import type { QuorumAttestation } from './quorum-attestation.js';
 import { ReportExchange } from './report-exchange.js';
 
-/** What a controller knows of the proxies, and how far they are. */
+/** What a controller knows about the proxies, and which slots they have applied. */
 export interface ChangeDistribution {
   /** The newest report by proxy. */
   reports(): Reports;
-  /** When a report of this proxy came last; monotonic clock, null if never. */
+  /** When the last report of this proxy arrived, on the monotonic clock; null if none has arrived. */
   lastContactAt(proxy: string): number | null;
-  /** The newest slot that this proxy is known to have folded; -1 if none. */
+  /** The newest slot that this proxy is known to have applied; -1 if none. */
   confirmedSlot(proxy: string): number;
-  /** Known proxies that have not folded this slot yet. */
+  /** The known proxies that have not applied this slot yet. */
   unconfirmed(slot: number): string[];
-  /** Waits until all known proxies have folded this slot; resolves with those that have not after `waitMs`. */
+  /** Waits until all known proxies have applied this slot, at most `waitMs`; resolves with those that have not. */
   confirm(slot: number, waitMs: number): Promise<string[]>;
-  /** Whether this controller is a member in contact with a majority, and its disk takes writes. */
+  /** Whether this controller is a member in contact with a majority, and its disk is writable. */
   quorate(): boolean;
   stop(): void;
 }
 
-/** A member that answered longer ago does not count towards the majority in contact. */
+/** A member whose last response is older does not count towards the majority in contact. */
 const CONTACT_TIMEOUT_MS = 2_000;
 const CONFIRM_POLL_MS = 20;
 
@@ -61,7 +61,7 @@
   }
 
   confirmedSlot(proxy: string): number {
-    return Math.max(this.acknowledgements.slotOf(proxy), this.exchange.reports.get(proxy)?.slot ?? -1);
+    return Math.max(this.acknowledgements.acknowledgedSlot(proxy), this.exchange.reports.get(proxy)?.slot ?? -1);
   }
 
   unconfirmed(slot: number): string[] {
@@ -69,13 +69,13 @@
   }
 
   async confirm(slot: number, waitMs: number): Promise<string[]> {
-    const until = this.clock.mono() + waitMs;
-    let left = this.unconfirmed(slot);
-    while (left.length > 0 && this.clock.mono() < until) {
+    const deadline = this.clock.mono() + waitMs;
+    let remaining = this.unconfirmed(slot);
+    while (remaining.length > 0 && this.clock.mono() < deadline) {
       await delay(this.clock, CONFIRM_POLL_MS);
-      left = this.unconfirmed(slot);
+      remaining = this.unconfirmed(slot);
     }
-    return left;
+    return remaining;
   }
 
   quorate(): boolean {
@@ -95,7 +95,7 @@
   }
 }
 
-/** Begins to publish and to gather at once. */
+/** Starts publishing and collecting reports immediately. */
 export function createChangeDistribution(
   ledger: Ledger,
   quorumAttestation: QuorumAttestation,
--- a/src/coordination/distribution/change-publisher.ts
+++ b/src/coordination/distribution/change-publisher.ts
@@ -1,6 +1,6 @@
 /**
- * Publishes the ledger to the proxies that subscribed to this controller: pages of slots or an offer of a snapshot, and a
- * heartbeat twice a second that attests how far a majority stands (docs/consistency.md, section 1).
+ * Publishes the replicated log to the proxies subscribed to this controller, as pages of slots or as the offer of a
+ * snapshot. A heartbeat twice a second attests the newest slot that a majority knows (docs/consistency.md, section 1).
  */
 import type { MessageOf } from '../../protocol/messages.js';
 import type { SnapshotOffer } from '../../state/consensus/snapshot-chunks.js';
@@ -12,37 +12,38 @@
 import type { Peer, Peers } from '../messaging/peers.js';
 import type { QuorumAttestation } from './quorum-attestation.js';
 
-/** A nonce of a proxy, and when it came. */
+/** A nonce sent by a proxy, and when it arrived. */
 type ReceivedNonce = { readonly nonce: number; readonly at: number };
 
-/** One proxy that subscribed. Times are of the monotonic clock, in milliseconds. */
+/** A subscribed proxy. Times are in milliseconds of the monotonic clock. */
 type Subscription = {
   readonly name: string;
   readonly zone: string;
   readonly region: string;
   readonly peer: Peer;
-  /** Newest nonces, oldest first. */
+  /** The newest nonces, in order of arrival. */
   nonces: ReceivedNonce[];
-  /** The nonce that the last heartbeat attested; 0 if it attested none. */
-  attested: number;
+  /** The nonce that the last heartbeat to this proxy attested; 0 if it attested none. */
+  attestedNonce: number;
   lastContactAt: number;
-  /** The newest slot that was sent; -1 before the first. */
-  sent: number;
+  /** The newest slot that was sent; -1 if none was sent yet. */
+  sentSlot: number;
 };
 
 type ProxyLocation = Pick<Subscription, 'name' | 'zone' | 'region'>;
 
-/** Must be below half of the time after which a proxy turns to another controller. */
+/** Must be less than half of the time after which a proxy switches to another controller. */
 const HEARTBEAT_INTERVAL_MS = 500;
-/** A proxy sends at least each 700 ms; one that is quiet for so long has gone. */
+/** A proxy sends a heartbeat at least every 700 ms; one that has sent none for this long is considered gone. */
 const SUBSCRIPTION_TIMEOUT_MS = 5_000;
+/** Number of earlier nonces kept for each subscription beside the newest one. */
 const NONCES_KEPT = 8;
 const RECORD_TIMEOUT_MS = 3_000;
 
-/** Publishes until `close` is called. */
+/** Publishes to subscribers until `close` is called. */
 export class ChangePublisher {
   private readonly subscriptions = new Map<string, Subscription>();
-  private readonly proposing = new Set<string>();
+  private readonly proxiesBeingRecorded = new Set<string>();
   private readonly heartbeatTimer: Timer;
 
   constructor(
@@ -53,7 +54,7 @@
     private readonly log: Log,
   ) {
     quorumAttestation.events.on('attested', () => this.onAttestation());
-    this.heartbeatTimer = every(clock, HEARTBEAT_INTERVAL_MS, () => this.onHeartbeatInterval());
+    this.heartbeatTimer = every(clock, HEARTBEAT_INTERVAL_MS, () => this.onHeartbeatTick());
     ledger.events.on('folded', () => this.onAdvanced());
     ledger.events.on('adopted', () => this.onAdvanced());
     peers.on('follow', (message, peer) => this.onSubscribe(message, peer));
@@ -66,38 +67,42 @@
   }
 
   private onSubscribe(message: MessageOf<'follow'>, peer: Peer): null {
-    if (this.isForeign(message.ledger)) {
+    if (this.isOtherLedger(message.ledger)) {
       this.log.error('subscriber of another ledger rejected', { proxy: message.name, ledger: message.ledger });
       peer.close();
       return null;
     }
-    const before = this.subscriptions.get(message.name);
-    const subscription = this.subscriptionOf(message, peer, before);
+    const previous = this.subscriptions.get(message.name);
+    const subscription = this.createSubscription(message, peer, previous);
     this.subscriptions.set(message.name, subscription);
-    if (before?.peer !== peer) peer.onClosed(() => this.onUnsubscribe(message, peer));
+    if (previous?.peer !== peer) peer.onClosed(() => this.onUnsubscribe(message, peer));
     this.publishTo(subscription);
-    this.quorumAttestation.requestSoon();
+    this.quorumAttestation.scheduleRequest();
     void this.recordProxy(message);
     return null;
   }
 
-  private isForeign(ledger: string): boolean {
-    const own = this.ledger.controlState().ledger;
-    return ledger !== '' && own !== '' && ledger !== own;
+  private isOtherLedger(ledger: string): boolean {
+    const ownLedger = this.ledger.controlState().ledger;
+    return ledger !== '' && ownLedger !== '' && ledger !== ownLedger;
   }
 
-  private subscriptionOf(message: MessageOf<'follow'>, peer: Peer, before: Subscription | undefined): Subscription {
+  private createSubscription(
+    message: MessageOf<'follow'>,
+    peer: Peer,
+    previous: Subscription | undefined,
+  ): Subscription {
     const now = this.clock.mono();
-    const nonces = before?.peer === peer ? before.nonces.slice(-NONCES_KEPT) : [];
+    const nonces = previous?.peer === peer ? previous.nonces.slice(-NONCES_KEPT) : [];
     return {
       name: message.name,
       zone: message.zone,
       region: message.region,
       peer,
       nonces: [...nonces, { nonce: message.nonce, at: now }],
-      attested: 0,
+      attestedNonce: 0,
       lastContactAt: now,
-      sent: message.ledger === '' ? -1 : message.from - 1,
+      sentSlot: message.ledger === '' ? -1 : message.from - 1,
     };
   }
 
@@ -120,28 +125,30 @@
     this.onAttestation();
   }
 
-  /** Sends all slots that were not sent yet, in pages, or offers a snapshot to fetch. */
+  /** Sends the slots that were not sent yet in pages, or offers a snapshot for the proxy to fetch. */
   private publishTo(subscription: Subscription): void {
     const { ledger, slot } = this.ledger.controlState();
-    if (ledger === '' || subscription.sent >= slot) return;
-    const snapshot = snapshotInstead(this.ledger.history, subscription.sent + 1, (from) => this.offerFrom(from));
+    if (ledger === '' || subscription.sentSlot >= slot) return;
+    const snapshot = snapshotInstead(this.ledger.history, subscription.sentSlot + 1, (from) =>
+      this.snapshotOfferFrom(from),
+    );
     if (snapshot) {
       subscription.peer.send({ kind: 'changes', ledger, snapshot, batches: [] });
-      subscription.sent = snapshot.slot;
+      subscription.sentSlot = snapshot.slot;
     }
-    while (subscription.sent < slot) {
-      const batches = this.ledger.history.page(subscription.sent + 1, PAGE_BYTES);
+    while (subscription.sentSlot < slot) {
+      const batches = this.ledger.history.page(subscription.sentSlot + 1, PAGE_BYTES);
       if (!batches || batches.length === 0) return;
       subscription.peer.send({ kind: 'changes', ledger, batches: [...batches] });
-      subscription.sent += batches.length;
+      subscription.sentSlot += batches.length;
     }
   }
 
-  private offerFrom(slot: number): SnapshotOffer | null {
+  private snapshotOfferFrom(slot: number): SnapshotOffer | null {
     return this.ledger.history.offer('proxy', slot);
   }
 
-  private onHeartbeatInterval(): void {
+  private onHeartbeatTick(): void {
     const now = this.clock.mono();
     for (const subscription of [...this.subscriptions.values()]) {
       if (now - subscription.lastContactAt > SUBSCRIPTION_TIMEOUT_MS) {
@@ -154,16 +161,17 @@
     }
   }
 
-  /** A subscriber whose newest nonce was not attested need not wait for the next heartbeat. */
+  /** Subscribers whose last heartbeat attested no nonce get another one at once if it can attest one now. */
   private onAttestation(): void {
     for (const subscription of this.subscriptions.values())
-      if (subscription.attested === 0 && this.attestationFor(subscription).echo > 0) this.sendHeartbeat(subscription);
+      if (subscription.attestedNonce === 0 && this.attestationFor(subscription).echo > 0)
+        this.sendHeartbeat(subscription);
   }
 
   private sendHeartbeat(subscription: Subscription): void {
     const { ledger, slot } = this.ledger.controlState();
     const { echo, top } = this.attestationFor(subscription);
-    subscription.attested = echo;
+    subscription.attestedNonce = echo;
     subscription.peer.send({
       kind: 'beat',
       from: this.ledger.self.name,
@@ -176,7 +184,7 @@
     });
   }
 
-  /** The newest nonce that came before the attestation was asked for; 0 if there is none. */
+  /** Returns the newest nonce that arrived before the attestation was requested, as `echo`; 0 if there is none. */
   private attestationFor({ nonces }: Subscription): { readonly echo: number; readonly top: number } {
     const attestation = this.quorumAttestation.newest();
     let echo = 0;
@@ -184,14 +192,17 @@
     return { echo, top: attestation?.top ?? this.ledger.top() };
   }
 
-  /** Enters a proxy that the ledger does not know, or knows elsewhere; changes are confirmed only once it has them. */
+  /**
+   * Records a proxy in the replicated log if it is unknown there or recorded at another location. From then on a change
+   * is confirmed only once this proxy has applied it.
+   */
   private async recordProxy({ name, zone, region }: ProxyLocation): Promise<void> {
-    const known = this.ledger.controlState().proxies[name];
-    const isKnown = known && known.zone === zone && known.region === region;
-    if (isKnown || this.proposing.has(name) || !this.ledger.isMember()) return;
-    this.proposing.add(name);
+    const recorded = this.ledger.controlState().proxies[name];
+    const isUpToDate = recorded && recorded.zone === zone && recorded.region === region;
+    if (isUpToDate || this.proxiesBeingRecorded.has(name) || !this.ledger.isMember()) return;
+    this.proxiesBeingRecorded.add(name);
     const command = { tag: 'proxyKnown' as const, name, zone, region };
     await this.ledger.propose({ cause: `${name} asked to follow.`, act: command }, RECORD_TIMEOUT_MS);
-    this.proposing.delete(name);
+    this.proxiesBeingRecorded.delete(name);
   }
 }
--- a/src/coordination/distribution/controller-links.ts
+++ b/src/coordination/distribution/controller-links.ts
@@ -1,69 +1,71 @@
-/** The connections of a proxy to controllers. */
+/** Connections from a proxy to the controllers. */
 import type { Message } from '../../protocol/messages.js';
 import type { Report } from '../../state/distribution/report.js';
-import { differenceTo } from '../../state/distribution/reports.js';
+import { deltaSince } from '../../state/distribution/reports.js';
 import type { Clock } from '../../transport/clock.js';
 import type { Address } from '../../transport/wire.js';
 import type { Peer, Peers } from '../messaging/peers.js';
 
 /**
- * The connections that a proxy holds to controllers, and what it remembers of each address: when it last failed, and
- * which reports were told over the connection, so that only differences are told again.
+ * The open connections from a proxy to controllers, with state for each address: when it last failed, and which reports
+ * were sent over the connection, so that later ones can be sent as deltas.
  */
 export interface ControllerLinks {
-  /** The held connection, or null if it can't be made. A dial that is under way is waited for. */
+  /** Returns the open connection or dials one, sharing a pending dial; resolves with null if the dial fails. */
   dial(to: Address): Promise<Peer | null>;
   isConnected(address: Address): boolean;
+  /** Forgets the connection without closing it. */
   release(address: Address): void;
   addressOf(peer: Peer): Address | null;
   send(to: Address, message: Message): void;
-  /** Tells reports as differences to what this controller was told before. */
+  /** Sends reports as deltas to those sent to this controller before. */
   sendReports(to: Address, reports: readonly Report[]): void;
-  /** The controller lacks what these reports differ from: they are told whole next time. */
+  /** Called when the controller lacks the bases of deltas: the next reports of these reporters are sent complete. */
   forgetReports(to: Address, reporters: readonly string[]): void;
   hasFailed(address: Address): boolean;
   recordFailure(address: Address): void;
   recordSuccess(address: Address): void;
 }
 
-const FAILED_MS = 10_000;
+/** An address counts as failed for this long after a failure. */
+const FAILURE_EXPIRY_MS = 10_000;
 
-class DialledControllerLinks implements ControllerLinks {
+class PeerControllerLinks implements ControllerLinks {
   private readonly connections = new Map<Address, Peer>();
-  private readonly dialling = new Map<Address, Promise<Peer | null>>();
+  private readonly pendingDials = new Map<Address, Promise<Peer | null>>();
   private readonly failedAt = new Map<Address, number>();
   private readonly sentReports = new Map<Address, Map<string, Report>>();
 
   constructor(
     private readonly peers: Pick<Peers, 'connect'>,
     private readonly clock: Clock,
-    private readonly onLost: (address: Address) => void,
+    private readonly onConnectionLost: (address: Address) => void,
   ) {}
 
   dial(to: Address): Promise<Peer | null> {
-    const have = this.connections.get(to);
-    if (have) return Promise.resolve(have);
-    const underWay = this.dialling.get(to) ?? this.dialled(to);
-    this.dialling.set(to, underWay);
-    return underWay;
+    const connected = this.connections.get(to);
+    if (connected) return Promise.resolve(connected);
+    const pendingDial = this.pendingDials.get(to) ?? this.openConnection(to);
+    this.pendingDials.set(to, pendingDial);
+    return pendingDial;
   }
 
-  private async dialled(to: Address): Promise<Peer | null> {
-    const made = await this.peers.connect(to);
-    this.dialling.delete(to);
-    if (!made.ok) {
+  private async openConnection(to: Address): Promise<Peer | null> {
+    const result = await this.peers.connect(to);
+    this.pendingDials.delete(to);
+    if (!result.ok) {
       this.recordFailure(to);
       return null;
     }
-    this.connections.set(to, made.value);
+    this.connections.set(to, result.value);
 
-    const gone = (): void => {
+    const onClosed = (): void => {
       this.release(to);
       this.recordFailure(to);
-      this.onLost(to);
+      this.onConnectionLost(to);
     };
-    made.value.onClosed(gone);
-    return made.value;
+    result.value.onClosed(onClosed);
+    return result.value;
   }
 
   isConnected(address: Address): boolean {
@@ -76,7 +78,7 @@
   }
 
   addressOf(peer: Peer): Address | null {
-    for (const [address, held] of this.connections) if (held === peer) return address;
+    for (const [address, connection] of this.connections) if (connection === peer) return address;
     return null;
   }
 
@@ -85,23 +87,23 @@
   }
 
   sendReports(to: Address, reports: readonly Report[]): void {
-    const before = this.sentReports.get(to) ?? new Map<string, Report>();
-    this.sentReports.set(to, before);
-    const out: Report[] = [];
+    const sent = this.sentReports.get(to) ?? new Map<string, Report>();
+    this.sentReports.set(to, sent);
+    const deltas: Report[] = [];
     for (const report of reports) {
-      out.push(differenceTo(before.get(report.reporter), report));
-      before.set(report.reporter, report);
+      deltas.push(deltaSince(sent.get(report.reporter), report));
+      sent.set(report.reporter, report);
     }
-    this.send(to, { kind: 'reports', reports: out });
+    this.send(to, { kind: 'reports', reports: deltas });
   }
 
   forgetReports(to: Address, reporters: readonly string[]): void {
-    for (const name of reporters) this.sentReports.get(to)?.delete(name);
+    for (const reporter of reporters) this.sentReports.get(to)?.delete(reporter);
   }
 
   hasFailed(address: Address): boolean {
     const at = this.failedAt.get(address);
-    return at !== undefined && this.clock.mono() - at < FAILED_MS;
+    return at !== undefined && this.clock.mono() - at < FAILURE_EXPIRY_MS;
   }
 
   recordFailure(address: Address): void {
@@ -113,11 +115,11 @@
   }
 }
 
-/** No connections yet; `onLost` is called with the address of each that ends. */
+/** Starts without connections; `onConnectionLost` is called with the address of each connection that closes. */
 export function createControllerLinks(
   peers: Pick<Peers, 'connect'>,
   clock: Clock,
-  onLost: (address: Address) => void,
+  onConnectionLost: (address: Address) => void,
 ): ControllerLinks {
-  return new DialledControllerLinks(peers, clock, onLost);
+  return new PeerControllerLinks(peers, clock, onConnectionLost);
 }
--- a/src/coordination/distribution/controller-selector.ts
+++ b/src/coordination/distribution/controller-selector.ts
@@ -1,4 +1,4 @@
-/** Which controller a proxy follows. */
+/** Selects the controller that a proxy follows. */
 import type { Message } from '../../protocol/messages.js';
 import { rankCandidates, networkDistance } from '../../state/distribution/controller-candidates.js';
 import type { Candidate, Location } from '../../state/distribution/controller-candidates.js';
@@ -8,30 +8,30 @@
 import type { ControllerLinks } from './controller-links.js';
 
 /**
- * Which controller a proxy follows: the nearest that attests, with a standby whose connection is held ready. It turns to
- * another one when the followed one is lost or silent, asks all while none attests, and looks for a nearer one now and
- * then. Those that are asked to tell changes are few: mostly the followed one alone.
+ * Follows the nearest controller that attests, and keeps a connection to a standby open. The proxy switches to another
+ * controller when the followed one is disconnected or stops attesting, subscribes to all of them while none attests,
+ * and checks periodically for a nearer one. It is subscribed to few controllers, mostly to the followed one alone.
  */
 export interface ControllerSelector {
   followed(): Address | null;
   isSubscribed(address: Address): boolean;
   sendToSubscribed(message: Message): void;
-  /** An attested beat came from this controller. */
+  /** Called when an attested heartbeat arrives from this controller. */
   onAttested(from: Address): void;
   onDisconnected(address: Address): void;
-  /** The process stood still: silence before now says nothing. */
-  onStandstill(): void;
-  turn(): void;
-  /** All known controllers, the followed one first. */
+  /** Called after a process pause: missing heartbeats before now say nothing about the followed controller. */
+  onProcessPause(): void;
+  tick(): void;
+  /** Returns all known controllers, the followed one first. */
   all(): readonly Address[];
   setTopology(locationOf: LocationOf): void;
   stop(): void;
 }
 
-/** The location of a controller by its name, null if unknown. */
+/** Returns the location of a controller by its name; null if unknown. */
 export type LocationOf = (name: string) => Location | null;
 
-/** The controllers to choose from, the links to them, and the messages that subscribe and keep a subscription. */
+/** The controllers to select from, the connections to them, and the messages that open and keep a subscription. */
 export type ControllerSelectorDeps = {
   readonly self: { readonly name: string; readonly zone: string; readonly region: string };
   readonly seeds: readonly Address[];
@@ -42,45 +42,52 @@
   readonly heartbeatMessage: () => Message;
 };
 
-/** The followed one is told a number at least this often, beside one after each attested beat. */
-const ATTEND_MS = 700;
-/** Two beats without an attestation: another one is followed. */
-const SILENT_MS = 1_000;
-const LOST_MS = 1_500;
-const SEEK_MS = 500;
-/** With no connection to any controller all are dialled anew this often: a refused dial costs little, and waiting much. */
-const REDIAL_MS = 150;
-const NEARER_MS = 5_000;
-
-type Times = { attested: number; touched: number; soughtAt: number; attended: number; looked: number };
+/** Subscribed controllers get a nonce at least this often, in addition to one after each attested heartbeat. */
+const HEARTBEAT_INTERVAL_MS = 700;
+/** After two heartbeat intervals without an attestation the proxy switches to another controller. */
+const ATTESTATION_TIMEOUT_MS = 1_000;
+/** Without an attestation from any controller for this long, the proxy subscribes to all of them. */
+const CONTACT_TIMEOUT_MS = 1_500;
+const SUBSCRIBE_ALL_INTERVAL_MS = 500;
+/** Without any connection, all controllers are dialled this often: a refused dial costs little, and waiting much. */
+const REDIAL_INTERVAL_MS = 150;
+const NEARER_CHECK_INTERVAL_MS = 5_000;
+
+type Timestamps = {
+  followedAttestedAt: number;
+  attestedAt: number;
+  subscribedAllAt: number;
+  heartbeatSentAt: number;
+  nearerCheckedAt: number;
+};
 
 class NearestControllerSelector implements ControllerSelector {
   private readonly subscribed = new Set<Address>();
-  private readonly at: Times;
-  private locationOf: LocationOf = nowhere;
-  private currentFollowed: Address | null = null;
-  private standby: Address | null = null;
-  private nearer: Address | null = null;
+  private readonly at: Timestamps;
+  private locationOf: LocationOf = unknownLocation;
+  private followedAddress: Address | null = null;
+  private standbyAddress: Address | null = null;
+  private nearerAddress: Address | null = null;
   private stopped = false;
 
   constructor(private readonly deps: ControllerSelectorDeps) {
     this.at = {
-      attested: this.deps.clock.mono(),
-      touched: this.deps.clock.mono(),
-      soughtAt: this.deps.clock.mono(),
-      attended: 0,
-      looked: 0,
+      followedAttestedAt: this.deps.clock.mono(),
+      attestedAt: this.deps.clock.mono(),
+      subscribedAllAt: this.deps.clock.mono(),
+      heartbeatSentAt: 0,
+      nearerCheckedAt: 0,
     };
   }
 
   private candidates(): Candidate[] {
-    const out: Candidate[] = [];
-    const known = new Set<Address>();
+    const candidates: Candidate[] = [];
+    const addedAddresses = new Set<Address>();
 
     const add = (address: Address, name: string | null): void => {
-      if (known.has(address)) return;
-      known.add(address);
-      out.push({
+      if (addedAddresses.has(address)) return;
+      addedAddresses.add(address);
+      candidates.push({
         address,
         name,
         location: name === null ? null : this.locationOf(name),
@@ -89,57 +96,57 @@
     };
     for (const member of this.deps.members()) add(member.address, member.name);
     for (const seed of this.deps.seeds) add(seed, null);
-    return rankCandidates(this.deps.self, out);
+    return rankCandidates(this.deps.self, candidates);
   }
 
   onDisconnected(address: Address): void {
-    if (address === this.currentFollowed) this.turnOnFailure();
+    if (address === this.followedAddress) this.switchOnFailure();
   }
 
-  private turnOnFailure(): void {
+  private switchOnFailure(): void {
     if (this.stopped) return;
-    for (const candidate of this.candidates()) if (!candidate.failed) return this.turnAway();
+    for (const candidate of this.candidates()) if (!candidate.failed) return this.switchController();
   }
 
-  private async ask(to: Address): Promise<void> {
+  private async subscribe(to: Address): Promise<void> {
     this.subscribed.add(to);
     const peer = await this.deps.links.dial(to);
     if (this.stopped || !this.subscribed.has(to)) return;
     if (peer) peer.send(this.deps.followMessage());
-    else if (to === this.currentFollowed) this.turnOnFailure();
+    else if (to === this.followedAddress) this.switchOnFailure();
   }
 
-  private turnAway(): void {
-    if (this.currentFollowed !== null) this.deps.links.recordFailure(this.currentFollowed);
-    this.nearer = null;
-    this.at.attested = this.deps.clock.mono();
-    const order = this.candidates();
-    for (const candidate of order) {
-      if (candidate.address === this.currentFollowed && order.length > 1) continue;
-      this.currentFollowed = candidate.address;
+  private switchController(): void {
+    if (this.followedAddress !== null) this.deps.links.recordFailure(this.followedAddress);
+    this.nearerAddress = null;
+    this.at.followedAttestedAt = this.deps.clock.mono();
+    const ranked = this.candidates();
+    for (const candidate of ranked) {
+      if (candidate.address === this.followedAddress && ranked.length > 1) continue;
+      this.followedAddress = candidate.address;
       break;
     }
-    if (this.currentFollowed !== null) void this.ask(this.currentFollowed);
-    this.chooseStandby();
+    if (this.followedAddress !== null) void this.subscribe(this.followedAddress);
+    this.selectStandby();
   }
 
-  private chooseStandby(): void {
-    const was = this.standby;
-    this.standby = null;
+  private selectStandby(): void {
+    const previous = this.standbyAddress;
+    this.standbyAddress = null;
     for (const candidate of this.candidates()) {
-      if (candidate.address === this.currentFollowed || candidate.failed) continue;
-      this.standby = candidate.address;
+      if (candidate.address === this.followedAddress || candidate.failed) continue;
+      this.standbyAddress = candidate.address;
       break;
     }
-    if (this.standby !== null) void this.deps.links.dial(this.standby);
-    if (was !== null && was !== this.standby) this.release(was);
+    if (this.standbyAddress !== null) void this.deps.links.dial(this.standbyAddress);
+    if (previous !== null && previous !== this.standbyAddress) this.release(previous);
   }
 
   private release(address: Address): void {
     if (
-      address === this.currentFollowed ||
-      address === this.standby ||
-      address === this.nearer ||
+      address === this.followedAddress ||
+      address === this.standbyAddress ||
+      address === this.nearerAddress ||
       this.subscribed.has(address)
     )
       return;
@@ -153,15 +160,15 @@
   }
 
   private follow(address: Address): void {
-    this.currentFollowed = address;
-    this.nearer = null;
+    this.followedAddress = address;
+    this.nearerAddress = null;
     this.deps.links.recordSuccess(address);
     for (const other of [...this.subscribed]) if (other !== address) this.unfollow(other);
-    this.chooseStandby();
+    this.selectStandby();
   }
 
   private sendHeartbeat(): void {
-    this.at.attended = this.deps.clock.mono();
+    this.at.heartbeatSentAt = this.deps.clock.mono();
     this.sendToSubscribed(this.deps.heartbeatMessage());
   }
 
@@ -169,32 +176,41 @@
     for (const to of this.subscribed) this.deps.links.send(to, message);
   }
 
-  private isConnected(): boolean {
+  private hasConnection(): boolean {
     for (const to of this.subscribed) if (this.deps.links.isConnected(to)) return true;
     return false;
   }
 
-  private mustSeek(now: number): boolean {
-    if (!this.isConnected()) return now - this.at.soughtAt >= REDIAL_MS;
-    return now - this.at.touched > LOST_MS && now - this.at.soughtAt >= SEEK_MS;
+  private shouldSubscribeToAll(now: number): boolean {
+    if (!this.hasConnection()) return now - this.at.subscribedAllAt >= REDIAL_INTERVAL_MS;
+    return now - this.at.attestedAt > CONTACT_TIMEOUT_MS && now - this.at.subscribedAllAt >= SUBSCRIBE_ALL_INTERVAL_MS;
   }
 
-  private seekAnyone(): void {
-    this.at.soughtAt = this.deps.clock.mono();
+  private subscribeToAll(): void {
+    this.at.subscribedAllAt = this.deps.clock.mono();
     for (const candidate of this.candidates())
       if (!this.subscribed.has(candidate.address) || !this.deps.links.isConnected(candidate.address))
-        void this.ask(candidate.address);
+        void this.subscribe(candidate.address);
   }
 
-  private seekNearer(): void {
-    this.at.looked = this.deps.clock.mono();
+  private subscribeToNearer(): void {
+    this.at.nearerCheckedAt = this.deps.clock.mono();
     const [best] = this.candidates();
-    const now = this.nameOf(this.currentFollowed);
-    if (!best || best.failed || best.location?.up !== true || best.address === this.currentFollowed || now === null)
+    const followedName = this.nameOf(this.followedAddress);
+    if (
+      !best ||
+      best.failed ||
+      best.location?.up !== true ||
+      best.address === this.followedAddress ||
+      followedName === null
+    )
+      return;
+    if (
+      networkDistance(this.deps.self, best.location) >= networkDistance(this.deps.self, this.locationOf(followedName))
+    )
       return;
-    if (networkDistance(this.deps.self, best.location) >= networkDistance(this.deps.self, this.locationOf(now))) return;
-    this.nearer = best.address;
-    void this.ask(this.nearer);
+    this.nearerAddress = best.address;
+    void this.subscribe(this.nearerAddress);
   }
 
   private nameOf(address: Address | null): string | null {
@@ -203,44 +219,45 @@
   }
 
   onAttested(from: Address): void {
-    this.at.touched = this.deps.clock.mono();
+    this.at.attestedAt = this.deps.clock.mono();
     this.recordAttested(from);
     this.sendHeartbeat();
   }
 
   private recordAttested(from: Address): void {
     const now = this.deps.clock.mono();
-    if (from === this.currentFollowed) {
-      this.at.attested = now;
-      if (this.nearer === null && this.subscribed.size > 1) this.follow(from);
+    if (from === this.followedAddress) {
+      this.at.followedAttestedAt = now;
+      if (this.nearerAddress === null && this.subscribed.size > 1) this.follow(from);
       return;
     }
     const isFollowedReachable =
-      this.currentFollowed !== null &&
-      this.deps.links.isConnected(this.currentFollowed) &&
-      now - this.at.attested <= SILENT_MS / 2;
-    if (from !== this.nearer && isFollowedReachable) return;
-    this.at.attested = now;
+      this.followedAddress !== null &&
+      this.deps.links.isConnected(this.followedAddress) &&
+      now - this.at.followedAttestedAt <= ATTESTATION_TIMEOUT_MS / 2;
+    if (from !== this.nearerAddress && isFollowedReachable) return;
+    this.at.followedAttestedAt = now;
     this.follow(from);
   }
 
-  onStandstill(): void {
-    this.at.attested = this.deps.clock.mono();
+  onProcessPause(): void {
+    this.at.followedAttestedAt = this.deps.clock.mono();
   }
 
-  turn(): void {
+  tick(): void {
     const now = this.deps.clock.mono();
-    if (this.currentFollowed === null || now - this.at.attested > SILENT_MS) this.turnAway();
-    if (this.mustSeek(now)) this.seekAnyone();
-    if (now - this.at.attended >= ATTEND_MS) this.sendHeartbeat();
-    if (now - this.at.looked < NEARER_MS) return;
-    this.nearer = null;
-    this.seekNearer();
-    this.chooseStandby();
+    if (this.followedAddress === null || now - this.at.followedAttestedAt > ATTESTATION_TIMEOUT_MS)
+      this.switchController();
+    if (this.shouldSubscribeToAll(now)) this.subscribeToAll();
+    if (now - this.at.heartbeatSentAt >= HEARTBEAT_INTERVAL_MS) this.sendHeartbeat();
+    if (now - this.at.nearerCheckedAt < NEARER_CHECK_INTERVAL_MS) return;
+    this.nearerAddress = null;
+    this.subscribeToNearer();
+    this.selectStandby();
   }
 
   followed(): Address | null {
-    return this.currentFollowed;
+    return this.followedAddress;
   }
 
   isSubscribed(address: Address): boolean {
@@ -248,9 +265,9 @@
   }
 
   all(): readonly Address[] {
-    const out = new Set<Address>(this.currentFollowed === null ? [] : [this.currentFollowed]);
-    for (const candidate of this.candidates()) out.add(candidate.address);
-    return [...out];
+    const addresses = new Set<Address>(this.followedAddress === null ? [] : [this.followedAddress]);
+    for (const candidate of this.candidates()) addresses.add(candidate.address);
+    return [...addresses];
   }
 
   setTopology(locationOf: LocationOf): void {
@@ -262,11 +279,11 @@
   }
 }
 
-/** Follows nobody until the first turn. */
+/** Follows no controller until the first tick. */
 export function createControllerSelector(deps: ControllerSelectorDeps): ControllerSelector {
   return new NearestControllerSelector(deps);
 }
 
-function nowhere(): null {
+function unknownLocation(): null {
   return null;
 }
--- a/src/coordination/distribution/fleet-load-relay.test.ts
+++ b/src/coordination/distribution/fleet-load-relay.test.ts
@@ -9,8 +9,8 @@
 
 type Sent = { readonly to: string; readonly message: Message };
 
-/** One controller of two with a clock of a simulated world, and all that it sends. */
-function bench() {
+/** One of two controllers, on a simulated clock, with all messages that it sends. */
+function createFixture() {
   const world = createWorld(25);
   const sent: Sent[] = [];
   const handlers = new Map<string, Handler<MessageKind>>();
@@ -28,7 +28,7 @@
   const ledger = { self: members[0], controlState: () => ({ members }) } as unknown as Ledger;
   const clock = world.clockOf(world.begin(world.host('c1', 'z')));
   const relay = createFleetLoadRelay(ledger, peers, clock, createRng(1));
-  function proxy(name: string): { readonly peer: Peer; readonly report: (rows: LoadRows) => void } {
+  function createProxy(name: string): { readonly peer: Peer; readonly report: (rows: LoadRows) => void } {
     let count = 0;
     const peer: Peer = {
       send: (message) => void sent.push({ to: name, message }),
@@ -42,13 +42,13 @@
     }
     return { peer, report };
   }
-  return { world, sent, relay, proxy };
+  return { world, sent, relay, createProxy };
 }
 
-test('a controller without any load tells the others so once, and then nothing', async () => {
-  const { world, sent, relay, proxy } = bench();
+test('a controller without any load sends one empty report to the others, and then nothing', async () => {
+  const { world, sent, relay, createProxy } = createFixture();
   await world.advance(10_000);
-  proxy('p').report({});
+  createProxy('p').report({});
   await world.advance(10_000);
   relay.stop();
   expect(sent.filter(({ to }) => to !== 'p').map(({ to, message }) => [to, 'told' in message && message.told])).toEqual(
@@ -57,14 +57,14 @@
   expect(sent.filter(({ to }) => to === 'p')).toEqual([{ to: 'p', message: { kind: 'fleetLoad', rows: {} } }]);
 });
 
-test('a load is with the other proxies and controllers within 100 ms, and a proxy that comes later gets all of it', async () => {
-  const { world, sent, relay, proxy } = bench();
-  const first = proxy('p');
+test('load reaches the other proxies and controllers within 100 ms, and a proxy that joins later gets the complete table', async () => {
+  const { world, sent, relay, createProxy } = createFixture();
+  const first = createProxy('p');
   first.report({ w: [1, 9_000, 9_000, 0, 1] });
   await world.advance(100);
   first.report({ w: [1, 0, 9_000, 0, 1], v: [1, 4_000, 5_000, 0, 1] });
   await world.advance(100);
-  proxy('q').report({});
+  createProxy('q').report({});
   await world.advance(100);
   relay.stop();
   const changed = { w: [1, 0, 9_000, 0, 1], v: [1, 4_000, 5_000, 0, 1] };
--- a/src/coordination/distribution/fleet-load-relay.ts
+++ b/src/coordination/distribution/fleet-load-relay.ts
@@ -1,4 +1,4 @@
-/** Sums the loads that proxies report on workers, so that each proxy knows what the others run there. */
+/** Sums the load on workers that proxies report, so that each proxy knows the load the others put on them. */
 import type { MessageOf } from '../../protocol/messages.js';
 import { createFleetLoad, sumOf } from '../../state/distribution/fleet-load.js';
 import type { ReportedLoad } from '../../state/distribution/fleet-load.js';
@@ -11,30 +11,30 @@
 import type { Ledger } from '../consensus/ledger.js';
 import { otherMembers } from '../../state/consensus/fold-members.js';
 
-/** Relays until it is stopped. */
+/** A running relay. */
 export interface FleetLoadRelay {
   stop(): void;
 }
 
-const RELAY_MS = 100;
-/** A controller without any loads looks so often. */
-const IDLE_MS = 300;
-const STALE_MS = 2_500;
-/** Other controllers are told the whole table so often, and only what changed in between. */
-const WHOLE_MS = 1_000;
-
-class GossipingLoadRelay implements FleetLoadRelay {
-  private readonly own = createFleetLoad(STALE_MS);
-  private readonly others = createFleetLoad(STALE_MS);
-  private readonly senders = new Map<string, Peer>();
+const RELAY_INTERVAL_MS = 100;
+/** The relay interval of a controller while there is no load. */
+const IDLE_INTERVAL_MS = 300;
+const STALE_AFTER_MS = 2_500;
+/** The complete table is sent to the other controllers this often, and only changed rows in between. */
+const FULL_REPORT_INTERVAL_MS = 1_000;
+
+class PeriodicFleetLoadRelay implements FleetLoadRelay {
+  private readonly proxyLoads = createFleetLoad(STALE_AFTER_MS);
+  private readonly controllerLoads = createFleetLoad(STALE_AFTER_MS);
+  private readonly proxyPeers = new Map<string, Peer>();
   private readonly run: string;
-  private readonly ownChanges = createLoadChanges();
-  private readonly sumChanges = createLoadChanges();
-  /** Proxies that have been told the whole table on their connection. */
-  private readonly informed = new WeakSet<Peer>();
+  private readonly ownSumChanges = createLoadChanges();
+  private readonly fleetSumChanges = createLoadChanges();
+  /** Connections to proxies over which the complete table has been sent. */
+  private readonly initializedPeers = new WeakSet<Peer>();
   private count = 0;
-  private wholeAt = -Infinity;
-  private relaying: Timer;
+  private lastFullReportAt = -Infinity;
+  private relayTimer: Timer;
   private isIdle = true;
   private stopped = false;
 
@@ -46,90 +46,90 @@
   ) {
     this.run = newId(rng, 'r');
 
-    this.peers.on('usage', (message, peer) => this.onLoad(message, peer));
+    this.peers.on('usage', (message, peer) => this.onProxyLoad(message, peer));
 
-    this.peers.on('usages', (message) => this.onLoads(message));
-    this.relaying = this.clock.timer(IDLE_MS, () => this.tick());
+    this.peers.on('usages', (message) => this.onControllerLoads(message));
+    this.relayTimer = this.clock.timer(IDLE_INTERVAL_MS, () => this.tick());
   }
 
-  private onLoad(message: MessageOf<'usage'>, peer: Peer): null {
-    if (!this.own.record(message.told, this.clock.mono())) return null;
+  private onProxyLoad(message: MessageOf<'usage'>, peer: Peer): null {
+    if (!this.proxyLoads.record(message.told, this.clock.mono())) return null;
     const { name, rows } = message.told;
-    if (Object.keys(rows).length > 0) this.wake();
-    const before = this.senders.get(name);
-    this.senders.set(name, peer);
+    if (Object.keys(rows).length > 0) this.leaveIdle();
+    const previous = this.proxyPeers.get(name);
+    this.proxyPeers.set(name, peer);
 
-    const gone = (): void => {
-      if (this.senders.get(name) === peer) this.senders.delete(name);
+    const onClosed = (): void => {
+      if (this.proxyPeers.get(name) === peer) this.proxyPeers.delete(name);
     };
-    if (before !== peer) peer.onClosed(gone);
+    if (previous !== peer) peer.onClosed(onClosed);
     return null;
   }
 
-  private onLoads(message: MessageOf<'usages'>): null {
-    if (this.others.record(message.told, this.clock.mono()) && Object.keys(message.told.rows).length > 0) this.wake();
+  private onControllerLoads(message: MessageOf<'usages'>): null {
+    if (this.controllerLoads.record(message.told, this.clock.mono()) && Object.keys(message.told.rows).length > 0)
+      this.leaveIdle();
     return null;
   }
 
   private tick(): void {
     if (this.stopped) return;
-    this.relaying = this.clock.timer(this.isIdle ? IDLE_MS : RELAY_MS, () => this.tick());
+    this.relayTimer = this.clock.timer(this.isIdle ? IDLE_INTERVAL_MS : RELAY_INTERVAL_MS, () => this.tick());
     this.relay();
   }
 
-  /** The first load after a rest does not wait for the next look. */
-  private wake(): void {
+  /** Leaves idle mode, so that the first load is relayed without waiting for the idle interval to end. */
+  private leaveIdle(): void {
     if (!this.isIdle || this.stopped) return;
     this.isIdle = false;
-    this.relaying.cancel();
-    this.relaying = this.clock.timer(RELAY_MS, () => this.tick());
+    this.relayTimer.cancel();
+    this.relayTimer = this.clock.timer(RELAY_INTERVAL_MS, () => this.tick());
   }
 
   private relay(): void {
     const now = this.clock.mono();
-    const mine = this.own.sums(now);
-    this.tellControllers(mine, now);
-    const sums = sumOf(mine, this.others.sums(now));
-    this.tellProxies(sums, now);
-    this.isIdle = Object.keys(sums).length === 0 && this.sumChanges.isEmpty();
+    const ownSums = this.proxyLoads.sums(now);
+    this.reportToControllers(ownSums, now);
+    const sums = sumOf(ownSums, this.controllerLoads.sums(now));
+    this.sendToProxies(sums, now);
+    this.isIdle = Object.keys(sums).length === 0 && this.fleetSumChanges.isEmpty();
   }
 
-  private tellControllers(mine: LoadRows, now: number): void {
-    const changed = this.ownChanges.next(mine, now);
-    // The first word of a run is told even if it is empty: others drop what the run before told.
-    const whole = this.count === 0 || (!this.ownChanges.isEmpty() && now - this.wholeAt >= WHOLE_MS);
-    if (whole) {
-      this.wholeAt = now;
-      this.sendToControllers({ rows: this.ownChanges.told() });
+  private reportToControllers(ownSums: LoadRows, now: number): void {
+    const changed = this.ownSumChanges.next(ownSums, now);
+    // The first report of a run is sent even if it is empty: it makes the others drop the reports of the run before.
+    const isFullReportDue =
+      this.count === 0 || (!this.ownSumChanges.isEmpty() && now - this.lastFullReportAt >= FULL_REPORT_INTERVAL_MS);
+    if (isFullReportDue) {
+      this.lastFullReportAt = now;
+      this.sendToControllers({ rows: this.ownSumChanges.told() });
     } else if (changed) this.sendToControllers({ rows: changed, partial: true });
   }
 
-  private sendToControllers(report: Pick<ReportedLoad, 'rows' | 'partial'>): void {
+  private sendToControllers(contents: Pick<ReportedLoad, 'rows' | 'partial'>): void {
     this.count += 1;
-    const told: ReportedLoad = { name: this.ledger.self.name, run: this.run, count: this.count, ...report };
+    const report: ReportedLoad = { name: this.ledger.self.name, run: this.run, count: this.count, ...contents };
     for (const member of otherMembers(this.ledger.controlState().members, this.ledger.self))
-      void this.peers.send(member.address, { kind: 'usages', told });
+      void this.peers.send(member.address, { kind: 'usages', told: report });
   }
 
-  private tellProxies(sums: LoadRows, now: number): void {
-    const changed = this.sumChanges.next(sums, now);
-    for (const peer of this.senders.values()) {
-      if (!this.informed.has(peer)) {
-        this.informed.add(peer);
-        peer.send({ kind: 'fleetLoad', rows: this.sumChanges.told() });
+  private sendToProxies(sums: LoadRows, now: number): void {
+    const changed = this.fleetSumChanges.next(sums, now);
+    for (const peer of this.proxyPeers.values()) {
+      if (!this.initializedPeers.has(peer)) {
+        this.initializedPeers.add(peer);
+        peer.send({ kind: 'fleetLoad', rows: this.fleetSumChanges.told() });
       } else if (changed) peer.send({ kind: 'fleetLoad', rows: changed, partial: true });
     }
   }
 
   stop(): void {
     this.stopped = true;
-    this.relaying.cancel();
+    this.relayTimer.cancel();
   }
 }
 
-/**
- * Collects loads of the proxies connected here, exchanges sums with the other controllers, and sends the total back.
- */
+/** Collects load reports of connected proxies, exchanges sums with the other controllers, and sends totals back. */
 export function createFleetLoadRelay(ledger: Ledger, peers: Peers, clock: Clock, rng: Rng): FleetLoadRelay {
-  return new GossipingLoadRelay(ledger, peers, clock, rng);
+  return new PeriodicFleetLoadRelay(ledger, peers, clock, rng);
 }
--- a/src/coordination/distribution/follower.test.ts
+++ b/src/coordination/distribution/follower.test.ts
@@ -8,18 +8,18 @@
 import type { Peer, Peers } from '../messaging/peers.js';
 import { createFollower } from './follower.js';
 
-const HEAD = '10.0.0.1:1';
+const CONTROLLER = '10.0.0.1:1';
 
-async function rig() {
+async function createFixture() {
   const world = createWorld(3);
   const host = world.host('edge', 'z1');
   const clock = world.clockOf(world.begin(host));
   const handlers = new Map<MessageKind, (m: never, peer: Peer) => unknown>();
-  const told: Message[] = [];
+  const sentMessages: Message[] = [];
   let offered: Snapshot | null = null;
   const peer: Peer = {
     send: (m) => {
-      told.push(m);
+      sentMessages.push(m);
     },
     onClosed: () => undefined,
     close: () => undefined,
@@ -45,24 +45,24 @@
   };
   const follower = await createFollower(
     { name: 's1', zone: 'z1', region: 'r1' },
-    [HEAD],
+    [CONTROLLER],
     peers,
     clock,
     null,
     createQuietLog().component('follow'),
   );
   await world.advance(5);
-  function hear(m: Message): void {
+  function deliver(m: Message): void {
     handlers.get(m.kind)?.(m as never, peer);
   }
-  async function believe(slot: number, zones: readonly string[]): Promise<void> {
+  async function deliverSnapshot(slot: number, zones: readonly string[]): Promise<void> {
     const evacuated = Object.fromEntries(zones.map((z) => [z, slot]));
     offered = snapshotOf(slot, JSON.stringify({ ...emptyControlState(), slot, ledger: 'l1', evacuated }));
-    hear({ kind: 'changes', ledger: 'l1', snapshot: offered.offer, batches: [] });
+    deliver({ kind: 'changes', ledger: 'l1', snapshot: offered.offer, batches: [] });
     await world.advance(1);
   }
   function heartbeat(top: number, echo: number): void {
-    hear({
+    deliver({
       kind: 'beat',
       from: 'h1',
       ledger: 'l1',
@@ -74,31 +74,31 @@
     });
   }
   function newestNonce(): number {
-    return Math.max(...told.map((m) => ('nonce' in m ? m.nonce : 0)));
+    return Math.max(...sentMessages.map((m) => ('nonce' in m ? m.nonce : 0)));
   }
-  return { world, host, follower, believe, beat: heartbeat, newestNonce };
+  return { world, host, follower, deliverSnapshot, beat: heartbeat, newestNonce };
 }
 
-test('news of an older slot never takes the place of newer news', async () => {
-  const { follower, believe } = await rig();
-  await believe(7, ['z9']);
-  await believe(3, []);
+test('the state of an older slot never replaces that of a newer one', async () => {
+  const { follower, deliverSnapshot } = await createFixture();
+  await deliverSnapshot(7, ['z9']);
+  await deliverSnapshot(3, []);
   expect(follower.controlState()).toMatchObject({ slot: 7, evacuated: { z9: 7 } });
 });
 
-test('an attestation counts only once all that it attests has been folded', async () => {
-  const { follower, believe, beat: heartbeat, newestNonce } = await rig();
-  await believe(3, []);
+test('an attestation counts only once everything that it attests has been applied', async () => {
+  const { follower, deliverSnapshot, beat: heartbeat, newestNonce } = await createFixture();
+  await deliverSnapshot(3, []);
   heartbeat(5, newestNonce());
   expect(follower.fresh()).toBe(false);
-  await believe(5, ['z9']);
+  await deliverSnapshot(5, ['z9']);
   heartbeat(5, newestNonce());
   expect(follower.fresh()).toBe(true);
 });
 
-test('after a freeze an attestation that was asked for before it makes nothing fresh', async () => {
-  const { world, host, follower, believe, beat: heartbeat, newestNonce } = await rig();
-  await believe(3, []);
+test('after a process pause an attestation requested before it does not make the follower fresh', async () => {
+  const { world, host, follower, deliverSnapshot, beat: heartbeat, newestNonce } = await createFixture();
+  await deliverSnapshot(3, []);
   const before = newestNonce();
   heartbeat(3, before);
   expect(follower.fresh()).toBe(true);
--- a/src/coordination/distribution/follower.ts
+++ b/src/coordination/distribution/follower.ts
@@ -1,4 +1,4 @@
-/** A proxy's subscription to the ledger. */
+/** A proxy's subscription to the replicated log. */
 import { createEvents } from '../../base/events.js';
 import type { Message, MessageOf } from '../../protocol/messages.js';
 import type { Location } from '../../state/distribution/controller-candidates.js';
@@ -23,19 +23,21 @@
 import { createSnapshotReceiver } from '../consensus/snapshot-receiver.js';
 import type { SnapshotReceiver } from '../consensus/snapshot-receiver.js';
 
-/** `moved`: the state now stands at this slot. */
+/** Emitted when the control state has advanced to this slot. */
 export type FollowerEvents = { readonly moved: { readonly slot: number } };
 
 /**
- * A proxy's copy of the control state. It folds the slots that the followed controller tells, never back, and says
- * whether a majority stands behind what it holds: `fresh` once it holds all that a majority attested since the
- * process began or last stood still, `partitioned` when the newest contact is too long ago.
+ * A proxy's replica of the control state. It applies the slots that the followed controller sends, never goes back to
+ * an older slot, and knows whether a majority backs its state: it is `fresh` once it holds everything that a majority
+ * has attested since the process started or last paused, and `partitioned` if the last contact is too long ago.
  */
 export interface Follower {
   controlState(): ControlState;
   fresh(): boolean;
   partitioned(): boolean;
+  /** When the process started or last resumed from a pause, on the monotonic clock. */
   wokeAt(): number;
+  /** The wall time that the controllers agree on, in Unix milliseconds. */
   sharedNow(): number;
   readonly events: {
     readonly on: <K extends keyof FollowerEvents>(name: K, callback: (event: FollowerEvents[K]) => void) => void;
@@ -43,17 +45,17 @@
   controllers(): readonly Address[];
   followed(): Address | null;
   setTopology(locationOf: (name: string) => Location | null): void;
-  /** Tells the followed controller; reports go as differences to what it was told before. */
+  /** Sends a message to the followed controller; reports are sent as deltas to those sent before. */
   sendToController(message: Message): void;
   stop(): void;
 }
 
-/** The proxy that follows. */
+/** Name and location of the proxy that follows. */
 export type FollowerSelf = { readonly name: string; readonly zone: string; readonly region: string };
 
-const TICK_MS = 100;
+const TICK_INTERVAL_MS = 100;
 
-/** Loads what the disk keeps, then follows the controllers from there on. */
+/** Loads the stored control state from the disk, then follows the controllers from its slot on. */
 export async function createFollower(
   self: FollowerSelf,
   seeds: readonly Address[],
@@ -69,17 +71,17 @@
 class LogFollower implements Follower {
   readonly events = createEvents<FollowerEvents>();
   private currentControlState: ControlState;
-  /** The newest slot that a former run had folded; nothing is served below it. */
+  /** The newest slot that an earlier run of the process applied; no older state is served. */
   private readonly floor: number;
   private wasPartitioned = false;
   private stopped = false;
   private readonly time = createSharedTime();
-  private readonly receiver: SnapshotReceiver;
-  private readonly contact: MajorityContact;
+  private readonly snapshotReceiver: SnapshotReceiver;
+  private readonly majorityContact: MajorityContact;
   private readonly links: ControllerLinks;
-  private readonly choice: ControllerSelector;
-  private readonly writer: ControlStateWriter;
-  private readonly ticking: Timer;
+  private readonly selector: ControllerSelector;
+  private readonly stateWriter: ControlStateWriter;
+  private readonly tickTimer: Timer;
 
   constructor(
     { state, floor }: StoredControlState,
@@ -92,10 +94,10 @@
   ) {
     this.currentControlState = state;
     this.floor = floor;
-    this.receiver = createSnapshotReceiver(peers, this.clock, this.log);
-    this.contact = createMajorityContact(this.clock, (gapMs) => this.onStandstill(gapMs));
-    this.links = createControllerLinks(peers, this.clock, (address) => this.onLost(address));
-    this.choice = createControllerSelector({
+    this.snapshotReceiver = createSnapshotReceiver(peers, this.clock, this.log);
+    this.majorityContact = createMajorityContact(this.clock, (gapMs) => this.onProcessPause(gapMs));
+    this.links = createControllerLinks(peers, this.clock, (address) => this.onConnectionLost(address));
+    this.selector = createControllerSelector({
       self: this.self,
       seeds,
       members: () => this.members(),
@@ -104,8 +106,8 @@
       followMessage: () => this.followMessage(),
       heartbeatMessage: () => this.heartbeatMessage(),
     });
-    this.writer = createControlStateWriter(disk, this.clock, this.log, () => this.controlState());
-    this.ticking = every(this.clock, TICK_MS, () => this.tick());
+    this.stateWriter = createControlStateWriter(disk, this.clock, this.log, () => this.controlState());
+    this.tickTimer = every(this.clock, TICK_INTERVAL_MS, () => this.tick());
 
     this.tick();
 
@@ -127,63 +129,63 @@
   private followMessage(): MessageOf<'follow'> {
     const { ledger, slot } = this.currentControlState;
     const { name, zone, region } = this.self;
-    return { kind: 'follow', name, zone, region, ledger, from: slot + 1, nonce: this.contact.nextNonce() };
+    return { kind: 'follow', name, zone, region, ledger, from: slot + 1, nonce: this.majorityContact.nextNonce() };
   }
 
   private heartbeatMessage(): MessageOf<'attend'> {
-    return { kind: 'attend', name: this.self.name, nonce: this.contact.nextNonce() };
+    return { kind: 'attend', name: this.self.name, nonce: this.majorityContact.nextNonce() };
   }
 
-  private onLost(address: Address): void {
-    this.choice.onDisconnected(address);
+  private onConnectionLost(address: Address): void {
+    this.selector.onDisconnected(address);
   }
 
-  private onStandstill(gapMs: number): void {
+  private onProcessPause(gapMs: number): void {
     this.log.warn('process stood still, not serving until attested', { gapMs: Math.round(gapMs) });
     this.wasPartitioned = false;
-    this.choice.onStandstill();
-    this.choice.sendToSubscribed(this.followMessage());
+    this.selector.onProcessPause();
+    this.selector.sendToSubscribed(this.followMessage());
   }
 
   private tick(): void {
-    this.contact.detectStandstill();
-    this.choice.turn();
-    const alone = this.partitioned();
-    if (alone !== this.wasPartitioned)
-      this.log.warn(alone ? 'partitioned from the controllers' : 'in contact with the controllers again');
-    this.wasPartitioned = alone;
+    this.majorityContact.detectPause();
+    this.selector.tick();
+    const isPartitioned = this.partitioned();
+    if (isPartitioned !== this.wasPartitioned)
+      this.log.warn(isPartitioned ? 'partitioned from the controllers' : 'in contact with the controllers again');
+    this.wasPartitioned = isPartitioned;
   }
 
-  private accepts(ledger: string): boolean {
+  private acceptsLedger(ledger: string): boolean {
     return this.currentControlState.ledger === '' || ledger === this.currentControlState.ledger;
   }
 
   private onChanges(message: MessageOf<'changes'>, peer: Peer): null {
-    if (!this.accepts(message.ledger)) return null;
-    const before = this.currentControlState.slot;
-    if (message.snapshot && message.snapshot.slot > before) void this.adopt(message.snapshot, peer);
-    let gap = false;
-    for (const second of message.batches) {
-      if (second.slot <= this.currentControlState.slot) continue;
-      gap = second.slot !== this.currentControlState.slot + 1;
-      if (gap) break;
-      foldBatch(this.currentControlState, second.slot, second.batch);
+    if (!this.acceptsLedger(message.ledger)) return null;
+    const previousSlot = this.currentControlState.slot;
+    if (message.snapshot && message.snapshot.slot > previousSlot) void this.fetchSnapshot(message.snapshot, peer);
+    let hasGap = false;
+    for (const entry of message.batches) {
+      if (entry.slot <= this.currentControlState.slot) continue;
+      hasGap = entry.slot !== this.currentControlState.slot + 1;
+      if (hasGap) break;
+      foldBatch(this.currentControlState, entry.slot, entry.batch);
     }
-    if (gap && !this.receiver.isReceiving()) peer.send(this.followMessage());
-    if (this.currentControlState.slot > before) this.onAdvanced();
+    if (hasGap && !this.snapshotReceiver.isReceiving()) peer.send(this.followMessage());
+    if (this.currentControlState.slot > previousSlot) this.onAdvanced();
     return null;
   }
 
-  /** Fetches a snapshot from the controller that offered it, then asks it for the slots since. */
-  private async adopt(offer: SnapshotOffer, peer: Peer): Promise<void> {
+  /** Fetches a snapshot from the controller that offered it, then requests the slots after it. */
+  private async fetchSnapshot(offer: SnapshotOffer, peer: Peer): Promise<void> {
     const from = this.links.addressOf(peer);
     if (from === null) return;
-    const received = await this.receiver.receive(from, offer);
+    const received = await this.snapshotReceiver.receive(from, offer);
     if (this.stopped || received.tag === 'interrupted' || received.tag === 'refused') return;
     if (
       received.tag === 'whole' &&
       received.state.slot > this.currentControlState.slot &&
-      this.accepts(received.state.ledger)
+      this.acceptsLedger(received.state.ledger)
     ) {
       this.currentControlState = received.state;
       this.onAdvanced();
@@ -196,25 +198,26 @@
     for (const member of this.currentControlState.members) names.add(member.name);
     this.time.retainOnly(names);
     this.events.emit('moved', { slot: this.currentControlState.slot });
-    this.choice.sendToSubscribed({ kind: 'followed', name: this.self.name, slot: this.currentControlState.slot });
-    this.writer.scheduleFloorSave();
+    this.selector.sendToSubscribed({ kind: 'followed', name: this.self.name, slot: this.currentControlState.slot });
+    this.stateWriter.scheduleFloorSave();
   }
 
   private onHeartbeat(message: MessageOf<'beat'>, peer: Peer): null {
-    this.contact.detectStandstill();
+    this.majorityContact.detectPause();
     const from = this.links.addressOf(peer);
-    if (from === null || !this.choice.isSubscribed(from)) {
+    if (from === null || !this.selector.isSubscribed(from)) {
       peer.send({ kind: 'unfollow', name: this.self.name });
       return null;
     }
-    if (!this.accepts(message.ledger) || message.ledger === '') return null;
+    if (!this.acceptsLedger(message.ledger) || message.ledger === '') return null;
     this.time.record(message.from, message.wall, this.clock.mono());
-    if (message.slot > this.currentControlState.slot && !this.receiver.isReceiving()) peer.send(this.followMessage());
-    if (this.holdsAllOf(message) && this.isNewContact(message.echo)) this.choice.onAttested(from);
+    if (message.slot > this.currentControlState.slot && !this.snapshotReceiver.isReceiving())
+      peer.send(this.followMessage());
+    if (this.holdsAllAttested(message) && this.recordContact(message.echo)) this.selector.onAttested(from);
     return null;
   }
 
-  private holdsAllOf(message: MessageOf<'beat'>): boolean {
+  private holdsAllAttested(message: MessageOf<'beat'>): boolean {
     return (
       message.quorate &&
       this.currentControlState.ledger !== '' &&
@@ -222,9 +225,10 @@
     );
   }
 
-  private isNewContact(echo: number): boolean {
-    const sentAt = this.contact.sentAt(echo);
-    return sentAt !== null && this.contact.recordContact(sentAt);
+  /** Records contact as of when the echoed nonce was sent; returns false if that is not newer than the last contact. */
+  private recordContact(echo: number): boolean {
+    const sentAt = this.majorityContact.sentAt(echo);
+    return sentAt !== null && this.majorityContact.recordContact(sentAt);
   }
 
   private onReportsRequest(message: MessageOf<'reportsAsk'>, peer: Peer): null {
@@ -234,18 +238,18 @@
   }
 
   fresh(): boolean {
-    this.contact.detectStandstill();
-    return this.contact.isKnown() && this.currentControlState.slot >= this.floor;
+    this.majorityContact.detectPause();
+    return this.majorityContact.hasHadContact() && this.currentControlState.slot >= this.floor;
   }
 
   partitioned(): boolean {
-    this.contact.detectStandstill();
-    return this.contact.isLost();
+    this.majorityContact.detectPause();
+    return this.majorityContact.isLost();
   }
 
   wokeAt(): number {
-    this.contact.detectStandstill();
-    return this.contact.wokeAt();
+    this.majorityContact.detectPause();
+    return this.majorityContact.resumedAt();
   }
 
   sharedNow(): number {
@@ -253,7 +257,7 @@
   }
 
   sendToController(message: Message): void {
-    const to = this.choice.followed();
+    const to = this.selector.followed();
     if (to === null) return;
     if (message.kind === 'reports' && message.by === undefined) this.links.sendReports(to, message.reports);
     else this.links.send(to, message);
@@ -261,20 +265,20 @@
 
   stop(): void {
     this.stopped = true;
-    this.choice.stop();
-    this.ticking.cancel();
-    this.writer.stop();
+    this.selector.stop();
+    this.tickTimer.cancel();
+    this.stateWriter.stop();
   }
 
   controllers(): readonly string[] {
-    return this.choice.all();
+    return this.selector.all();
   }
 
   followed(): string | null {
-    return this.choice.followed();
+    return this.selector.followed();
   }
 
   setTopology(locationOf: LocationOf): void {
-    this.choice.setTopology(locationOf);
+    this.selector.setTopology(locationOf);
   }
 }
--- a/src/coordination/distribution/following-start.test.ts
+++ b/src/coordination/distribution/following-start.test.ts
@@ -1,4 +1,4 @@
-/** Proxies that come up before the controllers that they are to follow. */
+/** Proxies that start before the controllers that they are to follow. */
 import { describe, expect, test } from '@jest/globals';
 import { createSimCore } from '../../sim/sim-core.js';
 import type { SimCore } from '../../sim/sim-core.js';
@@ -8,22 +8,22 @@
 import { createFollower } from '../distribution/follower.js';
 import type { Follower } from '../distribution/follower.js';
 
-const THREE = ['h1', 'h2', 'h3'];
-const SERVES_WITHIN_MS = 600;
+const CONTROLLERS = ['h1', 'h2', 'h3'];
+const MAX_START_MS = 600;
 
 const log = createQuietLog().component('follow');
 
-async function withoutPower(seed: number): Promise<SimCore> {
+async function coreAfterPowerLoss(seed: number): Promise<SimCore> {
   const core = createSimCore(seed);
   core.startAll();
-  expect(await core.until(20_000, () => core.whole(THREE))).toBe(true);
+  expect(await core.until(20_000, () => core.whole(CONTROLLERS))).toBe(true);
   await core.world.advance(3_000);
-  for (const name of THREE) core.powerLoss(name);
+  for (const name of CONTROLLERS) core.powerLoss(name);
   await core.world.advance(1_000);
-  for (const name of THREE) core.node(name).host.powered = true;
+  for (const name of CONTROLLERS) core.node(name).host.powered = true;
   return core;
 }
-async function proxy(core: SimCore, name: string, zone: string): Promise<Follower> {
+async function startProxy(core: SimCore, name: string, zone: string): Promise<Follower> {
   core.world.host(name, zone);
   const { wire, clock } = core.lab(name);
   const seeds = core.nodes.map((n) => n.wire);
@@ -42,34 +42,35 @@
   return follower;
 }
 
-describe('after a loss of all power', () => {
+describe('after a total power loss', () => {
   test.each([...Array(12).keys()])(
-    'proxies that come up shortly before the controllers serve soon after the first two of three (seed %i)',
+    'proxies that start shortly before the controllers serve soon after the first two of three are up (seed %i)',
     async (seed) => {
-      const core = await withoutPower(700 + seed);
+      const core = await coreAfterPowerLoss(700 + seed);
       const { rng } = core.world;
       const proxies: Follower[] = [];
-      for (const name of THREE)
-        for (let i = 0; i < 4; i += 1) proxies.push(await proxy(core, `p-${name}-${i}`, core.node(name).host.zone));
+      for (const name of CONTROLLERS)
+        for (let i = 0; i < 4; i += 1)
+          proxies.push(await startProxy(core, `p-${name}-${i}`, core.node(name).host.zone));
       await core.world.advance(10 + below(rng, 276));
-      const [first, second, third] = [...THREE].sort(() => rng.next() - 0.5) as [string, string, string];
+      const [first, second, third] = [...CONTROLLERS].sort(() => rng.next() - 0.5) as [string, string, string];
       core.start(first);
       await core.world.advance(10 + below(rng, 56));
       core.start(second);
       const from = core.world.now();
       core.world.at(500 + below(rng, 1_000), () => core.start(third));
       expect(await core.until(4_000, () => proxies.every((p) => p.fresh() && !p.partitioned()))).toBe(true);
-      expect(core.world.now() - from).toBeLessThanOrEqual(SERVES_WITHIN_MS);
+      expect(core.world.now() - from).toBeLessThanOrEqual(MAX_START_MS);
     },
   );
 
   test.each([...Array(6).keys()])(
-    'those whose own controller stays dark follow another one, and report to it, as soon as it attests (seed %i)',
+    'proxies whose nearest controller stays down follow another one, and report to it, as soon as it attests (seed %i)',
     async (seed) => {
-      const core = await withoutPower(720 + seed);
+      const core = await coreAfterPowerLoss(720 + seed);
       core.node('h3').host.powered = false;
       const proxies: Follower[] = [];
-      for (let i = 0; i < 4; i += 1) proxies.push(await proxy(core, `p-h3-${i}`, core.node('h3').host.zone));
+      for (let i = 0; i < 4; i += 1) proxies.push(await startProxy(core, `p-h3-${i}`, core.node('h3').host.zone));
       await core.world.advance(below(core.world.rng, 200));
       core.start('h1');
       core.start('h2');
--- a/src/coordination/distribution/majority-contact.ts
+++ b/src/coordination/distribution/majority-contact.ts
@@ -1,87 +1,87 @@
-/** When a proxy last had contact with a majority of controllers. */
+/** Tracks when a proxy last had contact with a majority of the controllers. */
 import type { Clock } from '../../transport/clock.js';
 import { StandstillDetector } from '../../transport/standstill-detector.js';
 
 /**
- * When a proxy last had contact with a majority of the core. It sends numbers (nonces) to controllers, and one that
- * comes back attested proves contact as of the moment it was sent. After a standstill of the process what was
- * sent before counts no more.
+ * The last contact of a proxy with a majority of the controllers. The proxy sends nonces to controllers, and a nonce
+ * that comes back attested proves contact as of the time it was sent. Nonces sent before a process pause do not count.
  */
 export interface MajorityContact {
   nextNonce(): number;
-  /** When an attested number was sent; null if it is unknown, or from before the newest standstill. */
+  /** Returns when an attested nonce was sent; null if it is unknown or was sent before the last process pause. */
   sentAt(nonce: number): number | null;
-  /** Notes contact as of then; false if none newer than what is known. */
+  /** Records contact as of `sentAt`; returns false if that is not newer than the last contact. */
   recordContact(sentAt: number): boolean;
-  /** To be called whenever the process runs: it notices a standstill, and tells `onStandstill`. */
-  detectStandstill(): void;
-  /** Whether there was contact since the process began, or since it last stood still. */
-  isKnown(): boolean;
-  /** Whether the newest contact is too long ago. */
+  /** To be called whenever the process runs: detects a process pause and calls `onPause`. */
+  detectPause(): void;
+  /** Whether there has been contact since the process started or last resumed from a pause. */
+  hasHadContact(): boolean;
+  /** Whether the last contact is too long ago. */
   isLost(): boolean;
-  wokeAt(): number;
+  /** When the process started or last resumed from a pause, on the monotonic clock. */
+  resumedAt(): number;
 }
 
 const NONCES_KEPT = 16;
-/** Two beats and the way of the next one. */
-const LOST_MS = 2_500;
+/** Covers two heartbeat intervals and the transit time of the next heartbeat. */
+const CONTACT_TIMEOUT_MS = 2_500;
 
 class NonceMajorityContact implements MajorityContact {
   private readonly nonces = new Map<number, number>();
   private nonce = 0;
-  private firstCounted = 1;
+  private firstValidNonce = 1;
   private contactAt: number | null = null;
-  private readonly standstill: StandstillDetector;
-  private currentWokeAt: number;
+  private readonly pauseDetector: StandstillDetector;
+  private currentResumedAt: number;
 
   constructor(
     private readonly clock: Clock,
-    private readonly onStandstill: (gapMs: number) => void,
+    private readonly onPause: (gapMs: number) => void,
   ) {
-    this.standstill = new StandstillDetector(clock);
-    this.currentWokeAt = clock.mono();
+    this.pauseDetector = new StandstillDetector(clock);
+    this.currentResumedAt = clock.mono();
   }
 
   nextNonce(): number {
     this.nonce += 1;
     this.nonces.set(this.nonce, this.clock.mono());
-    for (const old of this.nonces.keys()) if (this.nonces.size > NONCES_KEPT) this.nonces.delete(old);
+    for (const oldest of this.nonces.keys()) if (this.nonces.size > NONCES_KEPT) this.nonces.delete(oldest);
     return this.nonce;
   }
 
-  sentAt(attested: number): number | null {
-    return attested >= this.firstCounted ? (this.nonces.get(attested) ?? null) : null;
+  sentAt(nonce: number): number | null {
+    return nonce >= this.firstValidNonce ? (this.nonces.get(nonce) ?? null) : null;
   }
 
-  recordContact(at: number): boolean {
-    if (this.contactAt !== null && at <= this.contactAt) return false;
-    this.contactAt = at;
+  recordContact(sentAt: number): boolean {
+    if (this.contactAt !== null && sentAt <= this.contactAt) return false;
+    this.contactAt = sentAt;
     return true;
   }
 
-  detectStandstill(): void {
-    const gap = this.standstill.tick();
+  detectPause(): void {
+    const gap = this.pauseDetector.tick();
     if (gap === null) return;
     this.contactAt = null;
-    this.firstCounted = this.nonce + 1;
-    this.currentWokeAt = this.clock.mono();
-    this.onStandstill(gap);
+    this.firstValidNonce = this.nonce + 1;
+    this.currentResumedAt = this.clock.mono();
+    this.onPause(gap);
   }
 
-  isKnown(): boolean {
+  hasHadContact(): boolean {
     return this.contactAt !== null;
   }
 
   isLost(): boolean {
-    return this.contactAt !== null && this.clock.mono() - this.contactAt > LOST_MS;
+    return this.contactAt !== null && this.clock.mono() - this.contactAt > CONTACT_TIMEOUT_MS;
   }
 
-  wokeAt(): number {
-    return this.currentWokeAt;
+  resumedAt(): number {
+    return this.currentResumedAt;
   }
 }
 
-/** No contact yet; `onStandstill` is told of each standstill of the process, with its length in milliseconds. */
-export function createMajorityContact(clock: Clock, onStandstill: (gapMs: number) => void): MajorityContact {
-  return new NonceMajorityContact(clock, onStandstill);
+/** Starts without contact; `onPause` is called after each process pause with its length in milliseconds. */
+export function createMajorityContact(clock: Clock, onPause: (gapMs: number) => void): MajorityContact {
+  return new NonceMajorityContact(clock, onPause);
 }
--- a/src/coordination/distribution/quorum-attestation.ts
+++ b/src/coordination/distribution/quorum-attestation.ts
@@ -1,7 +1,8 @@
 /**
- * Attests that this controller holds everything that was confirmed before a moment: `asOf` is when the earliest of the
- * newest majority of answers was asked for, and nobody of that majority knew of a slot that this one lacks. `change-distribution.ts` puts
- * it into beats to proxies. Why it holds: docs/consistency.md, section 1.
+ * Attests that this controller holds everything that was confirmed before a point in time, `asOf`: the time when the
+ * earliest of the newest responses from a majority was requested. No member of that majority knew a slot that this
+ * controller lacks. `change-publisher.ts` puts the attestation into heartbeats to the proxies. Section 1 of
+ * docs/consistency.md explains why it holds.
  */
 import { createEvents } from '../../base/events.js';
 import { majorityOf, memberId } from '../../state/consensus/control-state.js';
@@ -12,39 +13,42 @@
 import type { ReceivedMemberStatus } from '../membership/member-statuses.js';
 
 /**
- * This controller held everything confirmed before `asOf` (monotonic clock); `top` is the newest slot that was known
- * then.
+ * This controller holds everything that was confirmed before `asOf` (monotonic clock); `top` is the newest slot that
+ * the majority knew then.
  */
 export type Attestation = { readonly asOf: number; readonly top: number };
 
-/** The newest attestation, and time as the controllers agree on it. */
+/** The newest attestation, and the wall time that the controllers agree on. */
 export interface QuorumAttestation {
   newest(): Attestation | null;
-  requestSoon(): void;
+  /** Requests the statuses of the members after a short delay. */
+  scheduleRequest(): void;
   sharedNow(): number;
   readonly events: { readonly on: (name: 'attested', callback: () => void) => void };
   stop(): void;
 }
 
-type Answer = { readonly requestedAt: number; readonly top: number };
+type MemberResponse = { readonly requestedAt: number; readonly top: number };
 
-const TURN_MS = 500;
-const TOGETHER_MS = 5;
-const OLDEST_MS = 1_000;
+const TICK_INTERVAL_MS = 500;
+/** Batching delay: calls of `scheduleRequest` within this time share one request. */
+const REQUEST_DELAY_MS = 5;
+/** An attestation of an older point in time is not used. */
+const MAX_ATTESTATION_AGE_MS = 1_000;
 
 class PolledQuorumAttestation implements QuorumAttestation {
   readonly events = createEvents<{ readonly attested: null }>();
-  private readonly answers = new Map<string, Answer>();
+  private readonly answers = new Map<string, MemberResponse>();
   private readonly time = createSharedTime();
-  private soon = false;
-  private readonly turning: Timer;
+  private isRequestScheduled = false;
+  private readonly tickTimer: Timer;
 
   constructor(
     private readonly ledger: Ledger,
     private readonly clock: Clock,
   ) {
     this.ledger.events.on('heard', (receivedMemberStatus) => this.onMemberStatus(receivedMemberStatus));
-    this.turning = every(this.clock, TURN_MS, () => this.turn());
+    this.tickTimer = every(this.clock, TICK_INTERVAL_MS, () => this.tick());
   }
 
   private isOwn(id: string): boolean {
@@ -54,13 +58,13 @@
   private onMemberStatus(receivedMemberStatus: ReceivedMemberStatus): void {
     const { member, requestedAt, memberStatus } = receivedMemberStatus;
     if (memberStatus.wall !== undefined) this.time.record(member.name, memberStatus.wall, this.clock.mono());
-    const have = this.answers.get(memberId(member));
-    if (have && have.requestedAt >= requestedAt) return;
+    const previous = this.answers.get(memberId(member));
+    if (previous && previous.requestedAt >= requestedAt) return;
     this.answers.set(memberId(member), { requestedAt, top: memberStatus.top });
     this.events.emit('attested', null);
   }
 
-  private turn(): void {
+  private tick(): void {
     const names = new Set<string>([this.ledger.self.name]);
     const ids = new Set<string>();
     for (const member of this.ledger.controlState().members) {
@@ -73,35 +77,35 @@
     if (ids.size === 1) this.events.emit('attested', null);
   }
 
-  requestSoon(): void {
-    if (this.soon) return;
-    this.soon = true;
+  scheduleRequest(): void {
+    if (this.isRequestScheduled) return;
+    this.isRequestScheduled = true;
 
-    const now = (): void => {
-      this.soon = false;
-      this.turn();
+    const request = (): void => {
+      this.isRequestScheduled = false;
+      this.tick();
       this.ledger.requestMemberStatuses();
     };
-    this.clock.timer(TOGETHER_MS, now);
+    this.clock.timer(REQUEST_DELAY_MS, request);
   }
 
   newest(): Attestation | null {
     const state = this.ledger.controlState();
     if (!this.ledger.isMember() || !this.ledger.writable()) return null;
-    const known: Answer[] = [];
+    const usable: MemberResponse[] = [];
     for (const member of state.members) {
-      const answer = this.isOwn(memberId(member))
+      const response = this.isOwn(memberId(member))
         ? { requestedAt: this.clock.mono(), top: this.ledger.top() }
         : this.answers.get(memberId(member));
-      if (answer && answer.top <= state.slot) known.push(answer);
+      if (response && response.top <= state.slot) usable.push(response);
     }
     const quorumSize = majorityOf(state.members);
-    if (known.length < quorumSize) return null;
-    const most = known.sort(latestFirst).slice(0, quorumSize);
-    const { requestedAt } = most[quorumSize - 1] as Answer;
-    if (this.clock.mono() - requestedAt > OLDEST_MS) return null;
+    if (usable.length < quorumSize) return null;
+    const majority = usable.sort(latestFirst).slice(0, quorumSize);
+    const { requestedAt } = majority[quorumSize - 1] as MemberResponse;
+    if (this.clock.mono() - requestedAt > MAX_ATTESTATION_AGE_MS) return null;
     let top = -1;
-    for (const answer of most) top = Math.max(top, answer.top);
+    for (const response of majority) top = Math.max(top, response.top);
     return { asOf: requestedAt, top };
   }
 
@@ -110,15 +114,15 @@
   }
 
   stop(): void {
-    this.turning.cancel();
+    this.tickTimer.cancel();
   }
 }
 
-/** Attests from the statuses that members send. */
+/** Creates attestations from the statuses that the members send. */
 export function createQuorumAttestation(ledger: Ledger, clock: Clock): QuorumAttestation {
   return new PolledQuorumAttestation(ledger, clock);
 }
 
-function latestFirst(left: Answer, right: Answer): number {
+function latestFirst(left: MemberResponse, right: MemberResponse): number {
   return right.requestedAt - left.requestedAt;
 }
--- a/src/coordination/distribution/report-exchange.ts
+++ b/src/coordination/distribution/report-exchange.ts
@@ -1,12 +1,12 @@
 /**
- * The newest report of each proxy on every controller: takes reports from the proxies that are subscribed here, and passes
- * them on to the other controllers as differences, once a second.
+ * Keeps the newest report of each proxy on every controller: receives reports from the proxies subscribed here, and
+ * forwards them to the other controllers as deltas once a second.
  */
 import type { MessageOf } from '../../protocol/messages.js';
 import { otherMembers } from '../../state/consensus/fold-members.js';
 import type { Member } from '../../state/consensus/entry.js';
 import type { Report } from '../../state/distribution/report.js';
-import { differenceTo, mergeReport } from '../../state/distribution/reports.js';
+import { deltaSince, mergeReport } from '../../state/distribution/reports.js';
 import type { Reports } from '../../state/distribution/reports.js';
 import { every } from '../../transport/clock.js';
 import type { Clock, Timer } from '../../transport/clock.js';
@@ -20,9 +20,9 @@
   /** The newest report by proxy. */
   readonly reports: Reports = new Map();
   private readonly lastContacts = new Map<string, number>();
-  /** By controller: the reports that were sent to it, which the next differences build on. */
+  /** By controller: the reports sent to it, which are the bases of the next deltas. */
   private readonly sentReports = new Map<string, Map<string, Report>>();
-  /** By controller: proxies whose reports are to be passed on. */
+  /** By controller: the proxies whose reports are due to be forwarded. */
   private readonly pendingRelays = new Map<string, Set<string>>();
   private rounds = 0;
   private readonly gossipTimer: Timer;
@@ -37,7 +37,7 @@
     peers.on('reports', (message, peer) => this.onReports(message, peer));
   }
 
-  /** When a report of this proxy came last, from itself or another controller; monotonic clock, null if never. */
+  /** Returns when the last report of this proxy arrived, directly or forwarded (monotonic clock); null if none has. */
   lastContactAt(proxy: string): number | null {
     return this.lastContacts.get(proxy) ?? null;
   }
@@ -47,26 +47,27 @@
   }
 
   private onReports(message: MessageOf<'reports'>, peer: Peer): null {
-    const missed: string[] = [];
+    const reportersWithGap: string[] = [];
     for (const report of message.reports) {
-      const known = this.reports.get(report.reporter);
-      const step = mergeReport(this.reports, report);
-      if (step === 'merged') this.onMerged(report.reporter, message.by);
-      else if (step === 'gap') missed.push(report.reporter);
-      else if (known && known.run !== report.run && known.incarnation >= report.incarnation)
-        peer.send({ kind: 'outlived', reporter: report.reporter, incarnation: known.incarnation });
+      const previous = this.reports.get(report.reporter);
+      const outcome = mergeReport(this.reports, report);
+      if (outcome === 'merged') this.onMerged(report.reporter, message.by);
+      else if (outcome === 'gap') reportersWithGap.push(report.reporter);
+      else if (previous && previous.run !== report.run && previous.incarnation >= report.incarnation)
+        peer.send({ kind: 'outlived', reporter: report.reporter, incarnation: previous.incarnation });
     }
-    if (missed.length > 0) peer.send({ kind: 'reportsAsk', by: this.ledger.self.name, reporters: missed });
+    if (reportersWithGap.length > 0)
+      peer.send({ kind: 'reportsAsk', by: this.ledger.self.name, reporters: reportersWithGap });
     return null;
   }
 
-  /** A report of a proxy goes to all others; one that a controller passed on goes to one more, in turn. */
+  /** A report from a proxy goes to all other controllers; a forwarded one goes to one more, in round-robin order. */
   private onMerged(proxy: string, by: string | undefined): void {
     this.lastContacts.set(proxy, this.clock.mono());
-    this.scheduleRelay(proxy, by === undefined ? this.others() : this.nextBesides(by));
+    this.scheduleRelay(proxy, by === undefined ? this.others() : this.nextMemberExcept(by));
   }
 
-  private nextBesides(by: string): Member[] {
+  private nextMemberExcept(by: string): Member[] {
     const others = this.others().filter((member) => member.name !== by);
     const next = others[this.rounds % Math.max(1, others.length)];
     return next ? [next] : [];
@@ -80,7 +81,7 @@
     }
   }
 
-  /** A controller lacks what differences were built on: the whole reports go to it next. */
+  /** Called when a controller lacks the bases of deltas: the complete reports are sent to it next. */
   private onReportsRequest(message: MessageOf<'reportsAsk'>): null {
     for (const proxy of message.reporters) {
       this.sentReports.get(message.by)?.delete(proxy);
@@ -99,16 +100,16 @@
   }
 
   private async relay(member: Member, proxies: ReadonlySet<string>): Promise<void> {
-    const sent = this.sentReports.get(member.name) ?? new Map<string, Report>();
-    this.sentReports.set(member.name, sent);
-    const differences: Report[] = [];
+    const sentToMember = this.sentReports.get(member.name) ?? new Map<string, Report>();
+    this.sentReports.set(member.name, sentToMember);
+    const deltas: Report[] = [];
     for (const proxy of proxies) {
       const report = this.reports.get(proxy);
       if (!report) continue;
-      differences.push(differenceTo(sent.get(proxy), report));
-      sent.set(proxy, report);
+      deltas.push(deltaSince(sentToMember.get(proxy), report));
+      sentToMember.set(proxy, report);
     }
-    const message = { kind: 'reports' as const, by: this.ledger.self.name, reports: differences };
+    const message = { kind: 'reports' as const, by: this.ledger.self.name, reports: deltas };
     if (!(await this.peers.send(member.address, message))) this.sentReports.delete(member.name);
   }
 
--- a/src/coordination/distribution/stored-control-state.ts
+++ b/src/coordination/distribution/stored-control-state.ts
@@ -1,4 +1,4 @@
-/** The control state as a proxy keeps it on its disk. */
+/** The control state that a proxy stores on its disk. */
 import { isTable } from '../../base/is-table.js';
 import { parsedJson } from '../../base/parsed-json.js';
 import { emptyControlState, isControlState } from '../../state/consensus/control-state.js';
@@ -9,43 +9,43 @@
 import type { Log } from '../../transport/log.js';
 
 /**
- * What a proxy keeps on its disk: its copy of the control state, written now and then, and the newest slot it has
- * folded (the floor), written at once. After a restart it serves nothing from a state below the floor.
+ * What a proxy stores on its disk: its replica of the control state, written periodically, and the newest slot it has
+ * applied (the floor), written immediately. After a restart it serves nothing from a state below the floor.
  */
 export type StoredControlState = {
   readonly state: ControlState;
-  /** The newest slot that was folded in any former life; -1 if none is known. */
+  /** The newest slot that any earlier run of the process applied; -1 if none is known. */
   readonly floor: number;
 };
 
-/** Writes the state now and then, and its slot at once. */
+/** Writes the state periodically, and its slot as soon as it changes. */
 export interface ControlStateWriter {
-  /** Writes the newest slot, unless it stands on the disk already. */
+  /** Writes the newest slot, unless it is already on the disk. */
   scheduleFloorSave(): void;
   stop(): void;
 }
 
 const STATE_FILE = 'control-state.json';
 const FLOOR_FILE = 'floor.json';
-const KEEP_EVERY_MS = 5_000;
+const STATE_SAVE_INTERVAL_MS = 5_000;
 
-function floorIn(text: string, ledger: string): number {
+function parseFloor(text: string, ledger: string): number {
   const parsed = parsedJson(text);
   if (!isTable(parsed) || typeof parsed['slot'] !== 'number') return -1;
   return ledger === '' || parsed['ledger'] === ledger ? parsed['slot'] : -1;
 }
 
-/** Reads what a former life kept; a blank state where there is no disk, or nothing that can be read. */
+/** Reads what an earlier run stored; returns an empty state if there is no disk or no readable file. */
 export async function loadControlState(disk: Disk | null, log: Log): Promise<StoredControlState> {
-  const blank = emptyControlState();
-  if (!disk) return { state: blank, floor: -1 };
+  const emptyState = emptyControlState();
+  if (!disk) return { state: emptyState, floor: -1 };
   const stateFile = await disk.load(STATE_FILE);
   const text = stateFile.ok ? stateFile.value : null;
   const parsed = text ? parsedJson(text.toString()) : null;
-  const state = isControlState(parsed) ? parsed : blank;
-  if (text && state === blank) log.warn('stored control state unreadable, fetching it');
+  const state = isControlState(parsed) ? parsed : emptyState;
+  if (text && state === emptyState) log.warn('stored control state unreadable, fetching it');
   const floorFile = await disk.load(FLOOR_FILE);
-  const floor = floorFile.ok && floorFile.value ? floorIn(floorFile.value.toString(), state.ledger) : -1;
+  const floor = floorFile.ok && floorFile.value ? parseFloor(floorFile.value.toString(), state.ledger) : -1;
   return { state, floor: Math.max(state.slot, floor) };
 }
 
@@ -53,7 +53,7 @@
   private savedSlot: number;
   private savedFloor = -1;
   private savingFloor = false;
-  private readonly keeping: Timer;
+  private readonly saveTimer: Timer;
 
   constructor(
     private readonly disk: Disk | null,
@@ -62,16 +62,16 @@
     private readonly current: () => ControlState,
   ) {
     this.savedSlot = this.current().slot;
-    this.keeping = every(clock, KEEP_EVERY_MS, () => this.scheduleStateSave());
+    this.saveTimer = every(clock, STATE_SAVE_INTERVAL_MS, () => this.scheduleStateSave());
   }
 
-  private async saveFloor(onto: Disk): Promise<void> {
+  private async saveFloor(disk: Disk): Promise<void> {
     this.savingFloor = true;
     while (this.savedFloor < this.current().slot) {
       const { ledger, slot } = this.current();
-      const done = await onto.replace(FLOOR_FILE, Buffer.from(JSON.stringify({ ledger, slot })));
-      if (!done.ok) {
-        this.log.warn('slot not stored', { error: done.error.tag });
+      const result = await disk.replace(FLOOR_FILE, Buffer.from(JSON.stringify({ ledger, slot })));
+      if (!result.ok) {
+        this.log.warn('slot not stored', { error: result.error.tag });
         break;
       }
       this.savedFloor = slot;
@@ -83,12 +83,12 @@
     if (this.disk && !this.savingFloor) void this.saveFloor(this.disk);
   }
 
-  private async saveState(onto: Disk): Promise<void> {
+  private async saveState(disk: Disk): Promise<void> {
     const { slot } = this.current();
     if (this.savedSlot >= slot) return;
-    const done = await onto.replace(STATE_FILE, Buffer.from(JSON.stringify(this.current())));
-    if (done.ok) this.savedSlot = slot;
-    else this.log.warn('control state not stored', { error: done.error.tag });
+    const result = await disk.replace(STATE_FILE, Buffer.from(JSON.stringify(this.current())));
+    if (result.ok) this.savedSlot = slot;
+    else this.log.warn('control state not stored', { error: result.error.tag });
   }
 
   private scheduleStateSave(): void {
@@ -96,11 +96,11 @@
   }
 
   stop(): void {
-    this.keeping.cancel();
+    this.saveTimer.cancel();
   }
 }
 
-/** Keeps the state that `current` tells, from the slot on that stands on the disk. */
+/** Writes the state that `current` returns, which initially is the one on the disk. */
 export function createControlStateWriter(
   disk: Disk | null,
   clock: Clock,
--- a/src/state/distribution/fleet-load.ts
+++ b/src/state/distribution/fleet-load.ts
@@ -1,10 +1,13 @@
-/** Loads on workers, summed over proxies. */
+/** Load on each worker, summed over the proxies. */
 import { Type } from '@sinclair/typebox';
 import type { Static } from '@sinclair/typebox';
 import { LoadRowsShape, withChanges } from './load-rows.js';
 import type { LoadRow, LoadRows } from './load-rows.js';
 
-/** The loads that one node reports; `run` and `count` order its reports. A partial report has only the rows that changed since the one before. */
+/**
+ * The load that one node reports. `run` identifies the process and `count` numbers its reports. A partial report
+ * contains only the rows that changed since the report before it.
+ */
 export const ReportedLoadShape = Type.Object({
   name: Type.String(),
   run: Type.String(),
@@ -12,14 +15,16 @@
   rows: LoadRowsShape,
   partial: Type.Optional(Type.Boolean()),
 });
-/** A checked report. */
+/** A report that matches the schema. */
 export type ReportedLoad = Static<typeof ReportedLoadShape>;
 
 type TimedReport = { readonly report: ReportedLoad; readonly at: number };
 
-/** The newest report of each node, and their sum. */
+/** Keeps the newest report of each node and sums them. Times are in milliseconds of the monotonic clock. */
 export interface FleetLoad {
+  /** Returns false for a report that is not newer than the stored one, and for a partial one that skips a count. */
   record(report: ReportedLoad, now: number): boolean;
+  /** Sums the reports by worker, and drops the stale ones. */
   sums(now: number): LoadRows;
 }
 
@@ -29,45 +34,47 @@
   constructor(private readonly staleMs: number) {}
 
   record(report: ReportedLoad, now: number): boolean {
-    const have = this.reports.get(report.name);
-    const sameRun = have !== undefined && have.report.run === report.run;
-    if (sameRun && have.report.count >= report.count) return false;
+    const previous = this.reports.get(report.name);
+    const sameRun = previous !== undefined && previous.report.run === report.run;
+    if (sameRun && previous.report.count >= report.count) return false;
     if (!report.partial) {
       this.reports.set(report.name, { report, at: now });
       return true;
     }
-    if (!sameRun || have.report.count + 1 !== report.count) return false;
-    const rows = withChanges(have.report.rows, report.rows);
+    if (!sameRun || previous.report.count + 1 !== report.count) return false;
+    const rows = withChanges(previous.report.rows, report.rows);
     this.reports.set(report.name, { report: { ...report, rows }, at: now });
     return true;
   }
 
   sums(now: number): LoadRows {
-    const out: LoadRows = {};
+    const totals: LoadRows = {};
     for (const [name, timedReport] of this.reports) {
       if (now - timedReport.at > this.staleMs) {
         this.reports.delete(name);
         continue;
       }
-      for (const [id, row] of Object.entries(timedReport.report.rows)) addTo(out, id, row);
+      for (const [id, row] of Object.entries(timedReport.report.rows)) addRow(totals, id, row);
     }
-    return out;
+    return totals;
   }
 }
 
-/** Reports older than `staleMs` milliseconds are dropped. */
+/** Creates an empty table that drops reports older than `staleMs` milliseconds. */
 export function createFleetLoad(staleMs: number): FleetLoad {
   return new ReportedFleetLoad(staleMs);
 }
 
-function addTo(out: LoadRows, id: string, row: LoadRow): void {
-  const had = out[id];
-  out[id] = had ? [had[0] + row[0], had[1] + row[1], had[2] + row[2], had[3] + row[3], had[4] + row[4]] : [...row];
+function addRow(totals: LoadRows, id: string, row: LoadRow): void {
+  const previous = totals[id];
+  totals[id] = previous
+    ? [previous[0] + row[0], previous[1] + row[1], previous[2] + row[2], previous[3] + row[3], previous[4] + row[4]]
+    : [...row];
 }
 
-/** The sum of two tables. */
+/** Returns the sum of two tables by worker. */
 export function sumOf(left: LoadRows, right: LoadRows): LoadRows {
-  const out: LoadRows = { ...left };
-  for (const [id, row] of Object.entries(right)) addTo(out, id, row);
-  return out;
+  const totals: LoadRows = { ...left };
+  for (const [id, row] of Object.entries(right)) addRow(totals, id, row);
+  return totals;
 }
--- a/src/state/distribution/load-changes.test.ts
+++ b/src/state/distribution/load-changes.test.ts
@@ -5,7 +5,7 @@
 import { createLoadChanges } from './load-changes.js';
 import { withChanges } from './load-rows.js';
 
-test('what matters to a choice is told at the next turn, a small difference half a second later', () => {
+test('a difference that matters for selecting a worker is sent at the next tick, a small one half a second later', () => {
   const changes = createLoadChanges();
   expect(changes.next({ w: [1, 5_000, 9_000, 0, 1], v: [1, 0, 1_000, 0, 1] }, 0)).toEqual({
     w: [1, 5_000, 9_000, 0, 1],
@@ -17,17 +17,17 @@
   expect(changes.next(later, 600)).toEqual({ v: [2, 0, 2_000, 0, 1] });
 });
 
-test('a worker with nothing on it any more is told once, as zeros, and leaves the table', () => {
+test('a worker whose load has ended is sent once as zeros and leaves the table', () => {
   const changes = createLoadChanges();
   changes.next({ w: [4, 0, 30_000, 0, 1] }, 0);
-  const gone = changes.next({}, 100) as LoadRows;
-  expect(gone).toEqual({ w: [0, 0, 0, 0, 0] });
-  expect(withChanges({ w: [4, 0, 30_000, 0, 1] }, gone)).toEqual({});
+  const removal = changes.next({}, 100) as LoadRows;
+  expect(removal).toEqual({ w: [0, 0, 0, 0, 0] });
+  expect(withChanges({ w: [4, 0, 30_000, 0, 1] }, removal)).toEqual({});
   expect(changes.next({}, 5_000)).toBeNull();
   expect(changes.told()).toEqual({});
 });
 
-test('a receiver gets no more than 5 KB a second, of 600 workers whose loads change all the time', () => {
+test('a receiver gets at most 5 KB a second for 600 workers whose loads change all the time', () => {
   const changes = createLoadChanges();
   let bytes = 0;
   for (let now = 0; now < 60_000; now += 100) {
@@ -40,39 +40,39 @@
   expect(bytes / 60).toBeGreaterThan(4_000);
 });
 
-test('whoever applies every change has what was told last, and after a quiet second the sums themselves', () => {
+test('a receiver that applies every change has the table sent last, and after two quiet seconds the sums themselves', () => {
   const row = fc.tuple(fc.nat(20), fc.nat(50_000), fc.nat(200_000), fc.nat(3), fc.nat(50));
   const table = fc.dictionary(fc.constantFrom('a', 'b', 'c', 'd', 'e'), row);
   fc.assert(
     fc.property(fc.array(table, { minLength: 1, maxLength: 20 }), (tables) => {
       const changes = createLoadChanges();
-      let seen: LoadRows = {};
+      let received: LoadRows = {};
       let now = 0;
       for (const sums of tables) {
         now += 100;
         const rows = changes.next(sums, now);
-        if (rows) seen = withChanges(seen, rows);
+        if (rows) received = withChanges(received, rows);
       }
       const last = tables[tables.length - 1] as LoadRows;
-      const settled = changes.next(last, now + 2_000);
-      if (settled) seen = withChanges(seen, settled);
-      const zeros = Object.entries(last).filter(([, figures]) => figures.some((figure) => figure > 0));
-      expect(seen).toEqual(Object.fromEntries(zeros));
-      expect(changes.told()).toEqual(seen);
+      const lastChanges = changes.next(last, now + 2_000);
+      if (lastChanges) received = withChanges(received, lastChanges);
+      const nonZeroRows = Object.entries(last).filter(([, values]) => values.some((value) => value > 0));
+      expect(received).toEqual(Object.fromEntries(nonZeroRows));
+      expect(changes.told()).toEqual(received);
     }),
     { seed: 25, numRuns: 200 },
   );
 });
 
-test('a partial report without the one before it is not taken, and the next whole one mends it', () => {
+test('a partial report whose predecessor is missing is rejected, and the next complete report restores the table', () => {
   const loads = createFleetLoad(2_500);
-  const told = { name: 'c', run: 'r' };
-  expect(loads.record({ ...told, count: 1, rows: { w: [1, 0, 0, 0, 0], v: [2, 0, 0, 0, 0] } }, 0)).toBe(true);
-  expect(loads.record({ ...told, count: 2, rows: { w: [0, 0, 0, 0, 0] }, partial: true }, 10)).toBe(true);
+  const sender = { name: 'c', run: 'r' };
+  expect(loads.record({ ...sender, count: 1, rows: { w: [1, 0, 0, 0, 0], v: [2, 0, 0, 0, 0] } }, 0)).toBe(true);
+  expect(loads.record({ ...sender, count: 2, rows: { w: [0, 0, 0, 0, 0] }, partial: true }, 10)).toBe(true);
   expect(loads.sums(10)).toEqual({ v: [2, 0, 0, 0, 0] });
-  expect(loads.record({ ...told, count: 4, rows: { w: [7, 0, 0, 0, 0] }, partial: true }, 20)).toBe(false);
-  expect(loads.record({ ...told, run: 's', count: 5, rows: { w: [7, 0, 0, 0, 0] }, partial: true }, 20)).toBe(false);
+  expect(loads.record({ ...sender, count: 4, rows: { w: [7, 0, 0, 0, 0] }, partial: true }, 20)).toBe(false);
+  expect(loads.record({ ...sender, run: 's', count: 5, rows: { w: [7, 0, 0, 0, 0] }, partial: true }, 20)).toBe(false);
   expect(loads.sums(20)).toEqual({ v: [2, 0, 0, 0, 0] });
-  expect(loads.record({ ...told, count: 5, rows: { w: [7, 0, 0, 0, 0] } }, 30)).toBe(true);
+  expect(loads.record({ ...sender, count: 5, rows: { w: [7, 0, 0, 0, 0] } }, 30)).toBe(true);
   expect(loads.sums(30)).toEqual({ w: [7, 0, 0, 0, 0] });
 });
--- a/src/state/distribution/load-changes.ts
+++ b/src/state/distribution/load-changes.ts
@@ -1,90 +1,89 @@
 /**
- * Which rows of the summed loads are told next. Loads change with every request, and a table of all
- * workers is too large to be sent each time: only rows that differ from what was told are, at once where
- * the difference matters to a choice of worker, after a while where it is small. The time to the next
- * message follows the bytes of the last one, so that a receiver gets no more than a fixed rate however
- * many workers there are.
+ * Selects the rows of the summed loads to send next. Loads change with every request, and a table of all workers is too
+ * large to send each time, so only rows that differ from the last ones sent are due: at once if the difference matters
+ * for selecting a worker, after a delay if it is small. The delay before the next message grows with the bytes of the
+ * last one, which bounds the rate at a receiver for any number of workers.
  */
-import { isNothing, isSameRow, NOTHING } from './load-rows.js';
+import { isZeroRow, isEqualRow, ZERO_ROW } from './load-rows.js';
 import type { LoadRow, LoadRows } from './load-rows.js';
 
-/** Rows that differ; those with nothing on them any more are told as zeros. */
+/** Tracks the rows that were sent. A worker whose load has ended is sent once, as a row of zeros. */
 export interface LoadChanges {
-  /** The rows to tell now, or null while there is nothing to tell or the bytes of the last message forbid it. */
+  /** Returns the rows to send now; null if no row is due or the rate limit does not allow a message yet. */
   next(sums: LoadRows, now: number): LoadRows | null;
-  /** All that has been told so far, for whoever is told for the first time. */
+  /** Returns the whole table as it was sent so far, for a receiver that joins now. */
   told(): LoadRows;
-  /** Whether no load stands as told. */
+  /** Whether the table that `told` returns is empty. */
   isEmpty(): boolean;
 }
 
-/** From here a difference is told with the next message: requests, tokens to be read, tokens of KV cache. */
-const SIGNIFICANT = { running: 2, unread: 1_000, kvTokens: 20_000 };
-/** A smaller difference is told after so long. */
-const SMALL_AFTER_MS = 500;
-/** Bytes for each millisecond that a receiver is told at most: 5 KB a second. */
-const BYTES_PER_MS = 5;
+/** A difference of at least this many requests, unread prompt tokens or KV cache tokens goes into the next message. */
+const MIN_SIGNIFICANT_CHANGE = { running: 2, unreadTokens: 1_000, kvTokens: 20_000 };
+/** A smaller difference is sent once the row was last sent this long ago. */
+const SMALL_CHANGE_DELAY_MS = 500;
+/** Rate limit for each receiver, in bytes per millisecond: 5 KB a second. */
+const MAX_BYTES_PER_MS = 5;
 
-type ToldRow = { readonly row: LoadRow; readonly at: number };
+type SentRow = { readonly row: LoadRow; readonly at: number };
 
-class PacedLoadChanges implements LoadChanges {
-  private readonly rows = new Map<string, ToldRow>();
-  private nextAt = -Infinity;
+class RateLimitedLoadChanges implements LoadChanges {
+  private readonly rows = new Map<string, SentRow>();
+  private nextSendAt = -Infinity;
 
   next(sums: LoadRows, now: number): LoadRows | null {
-    if (now < this.nextAt) return null;
-    const out: LoadRows = {};
+    if (now < this.nextSendAt) return null;
+    const changedRows: LoadRows = {};
     let bytes = 0;
-    for (const id of this.idsOf(sums)) {
-      const row = sums[id] ?? NOTHING;
+    for (const id of this.knownIds(sums)) {
+      const row = sums[id] ?? ZERO_ROW;
       if (!this.isDue(id, row, now)) continue;
-      out[id] = row;
-      bytes += bytesOf(id, row);
-      if (isNothing(row)) this.rows.delete(id);
+      changedRows[id] = row;
+      bytes += encodedBytes(id, row);
+      if (isZeroRow(row)) this.rows.delete(id);
       else this.rows.set(id, { row, at: now });
     }
     if (bytes === 0) return null;
-    this.nextAt = now + bytes / BYTES_PER_MS;
-    return out;
+    this.nextSendAt = now + bytes / MAX_BYTES_PER_MS;
+    return changedRows;
   }
 
   told(): LoadRows {
-    const out: LoadRows = {};
-    for (const [id, { row }] of this.rows) out[id] = row;
-    return out;
+    const rows: LoadRows = {};
+    for (const [id, { row }] of this.rows) rows[id] = row;
+    return rows;
   }
 
   isEmpty(): boolean {
     return this.rows.size === 0;
   }
 
-  private idsOf(sums: LoadRows): Set<string> {
+  private knownIds(sums: LoadRows): Set<string> {
     const ids = new Set(Object.keys(sums));
     for (const id of this.rows.keys()) ids.add(id);
     return ids;
   }
 
   private isDue(id: string, row: LoadRow, now: number): boolean {
-    const told = this.rows.get(id);
-    const before = told?.row ?? NOTHING;
-    if (isSameRow(before, row)) return false;
-    return isSignificant(before, row) || now - (told?.at ?? -Infinity) >= SMALL_AFTER_MS;
+    const sent = this.rows.get(id);
+    const previous = sent?.row ?? ZERO_ROW;
+    if (isEqualRow(previous, row)) return false;
+    return isSignificant(previous, row) || now - (sent?.at ?? -Infinity) >= SMALL_CHANGE_DELAY_MS;
   }
 }
 
-/** Nothing has been told yet. */
+/** Creates a tracker with an empty table. */
 export function createLoadChanges(): LoadChanges {
-  return new PacedLoadChanges();
+  return new RateLimitedLoadChanges();
 }
 
-function isSignificant(before: LoadRow, now: LoadRow): boolean {
+function isSignificant(previous: LoadRow, current: LoadRow): boolean {
   return (
-    Math.abs(before[0] - now[0]) >= SIGNIFICANT.running ||
-    Math.abs(before[1] - now[1]) >= SIGNIFICANT.unread ||
-    Math.abs(before[2] - now[2]) >= SIGNIFICANT.kvTokens ||
-    before[3] !== now[3]
+    Math.abs(previous[0] - current[0]) >= MIN_SIGNIFICANT_CHANGE.running ||
+    Math.abs(previous[1] - current[1]) >= MIN_SIGNIFICANT_CHANGE.unreadTokens ||
+    Math.abs(previous[2] - current[2]) >= MIN_SIGNIFICANT_CHANGE.kvTokens ||
+    previous[3] !== current[3]
   );
 }
-function bytesOf(id: string, row: LoadRow): number {
+function encodedBytes(id: string, row: LoadRow): number {
   return id.length + JSON.stringify(row).length + 4;
 }
--- a/src/state/distribution/load-rows.ts
+++ b/src/state/distribution/load-rows.ts
@@ -1,37 +1,37 @@
-/** Rows of loads on workers: their shape, and tables of which some rows are told anew. */
+/** Tables of the load on workers: their schema, and how changed rows are applied to a table. */
 import { Type } from '@sinclair/typebox';
 import type { Static } from '@sinclair/typebox';
 
-/** By worker: requests, tokens not yet read, tokens of KV cache, bad runs, runs. */
+/** By worker: running requests, prompt tokens still to be processed, tokens in the KV cache, bad runs, and all runs. */
 export const LoadRowsShape = Type.Record(
   Type.String(),
   Type.Tuple([Type.Integer(), Type.Integer(), Type.Integer(), Type.Integer(), Type.Integer()]),
 );
-/** Checked rows. */
+/** A table that matches the schema. */
 export type LoadRows = Static<typeof LoadRowsShape>;
 
 /** The load on one worker. */
 export type LoadRow = LoadRows[string];
 
-/** A worker with nothing on it. */
-export const NOTHING: LoadRow = [0, 0, 0, 0, 0];
+/** The row of a worker without any load. */
+export const ZERO_ROW: LoadRow = [0, 0, 0, 0, 0];
 
-/** Whether a row tells of nothing. */
-export function isNothing(row: LoadRow): boolean {
-  return isSameRow(row, NOTHING);
+/** Whether all values of a row are zero. */
+export function isZeroRow(row: LoadRow): boolean {
+  return isEqualRow(row, ZERO_ROW);
 }
 
-/** Whether two rows tell the same. */
-export function isSameRow(left: LoadRow, right: LoadRow): boolean {
-  return left.every((figure, index) => figure === right[index]);
+/** Whether two rows have the same values. */
+export function isEqualRow(left: LoadRow, right: LoadRow): boolean {
+  return left.every((value, index) => value === right[index]);
 }
 
-/** The table with some of its rows told anew; rows of zeros leave it. */
-export function withChanges(rows: LoadRows, changed: LoadRows): LoadRows {
-  const out: LoadRows = { ...rows };
-  for (const [id, row] of Object.entries(changed)) {
-    if (isNothing(row)) delete out[id];
-    else out[id] = row;
+/** Returns a copy of the table with the changed rows applied; a row of zeros removes the worker. */
+export function withChanges(rows: LoadRows, changedRows: LoadRows): LoadRows {
+  const merged: LoadRows = { ...rows };
+  for (const [id, row] of Object.entries(changedRows)) {
+    if (isZeroRow(row)) delete merged[id];
+    else merged[id] = row;
   }
-  return out;
+  return merged;
 }
--- a/src/state/distribution/report.ts
+++ b/src/state/distribution/report.ts
@@ -1,18 +1,18 @@
 /**
- * The shape of reports: what a proxy tells the controllers of itself and of the workers it
- * probes. Sent whole or as the difference to the last one taken; see `reports.ts`.
+ * The schema of reports, in which a proxy reports its own state and the health of the workers that it checks to the
+ * controllers. A report is sent complete or as a delta to the last one sent; see `reports.ts`.
  */
 
 import { Type } from '@sinclair/typebox';
 import type { Static } from '@sinclair/typebox';
 
-const Str = Type.String({ minLength: 1, maxLength: 256 });
+const ShortString = Type.String({ minLength: 1, maxLength: 256 });
 const Slot = Type.Integer({ minimum: -1 });
 
-/** A report; with `since` it is the difference to the report of that count. */
+/** A report. If `since` is set, it is a delta to the report with that count. */
 export const ReportShape = Type.Object({
-  reporter: Str,
-  run: Str,
+  reporter: ShortString,
+  run: ShortString,
   incarnation: Type.Integer(),
   count: Type.Integer(),
   requests: Type.Record(Type.String(), Type.Integer()),
@@ -21,15 +21,15 @@
   retried: Type.Integer(),
   slot: Slot,
   since: Type.Optional(Type.Integer()),
-  gone: Type.Optional(Type.Array(Str)),
+  gone: Type.Optional(Type.Array(ShortString)),
   health: Type.Record(Type.String(), Type.Union([Type.Literal('fit'), Type.Literal('unfit')])),
-  http: Str,
+  http: ShortString,
   ready: Type.Boolean(),
-  /** It was told to stop, and still takes what comes for a second or more. */
+  /** The proxy has been told to stop, and still accepts requests for a second or more. */
   draining: Type.Optional(Type.Boolean()),
-  zone: Str,
-  region: Str,
+  zone: ShortString,
+  region: ShortString,
 });
 
-/** A checked report. */
+/** A report that matches the schema. */
 export type Report = Static<typeof ReportShape>;
--- a/src/state/distribution/reports.test.ts
+++ b/src/state/distribution/reports.test.ts
@@ -1,9 +1,9 @@
 import { describe, expect, test } from '@jest/globals';
 import type { Report } from './report.js';
-import { differenceTo, mergeReport } from './reports.js';
+import { deltaSince, mergeReport } from './reports.js';
 import type { Reports } from './reports.js';
 
-function row(count: number, health: Report['health'], more: Partial<Report> = {}): Report {
+function createReport(count: number, health: Report['health'], overrides: Partial<Report> = {}): Report {
   return {
     reporter: 's1',
     run: 'r1',
@@ -19,49 +19,49 @@
     ready: true,
     zone: 'z',
     region: 'r',
-    ...more,
+    ...overrides,
   };
 }
 
-describe('reports as differences', () => {
-  test('a difference names only what changed and merges to the whole', () => {
-    const first = row(1, { a: 'fit', b: 'fit', c: 'unfit' });
-    const second = row(4, { a: 'fit', b: 'unfit', d: 'fit' });
-    const told = differenceTo(first, second);
-    expect([told.since, told.health, told.gone]).toEqual([1, { b: 'unfit', d: 'fit' }, ['c']]);
+describe('reports as deltas', () => {
+  test('a delta contains only what changed, and merges to the complete report', () => {
+    const first = createReport(1, { a: 'fit', b: 'fit', c: 'unfit' });
+    const second = createReport(4, { a: 'fit', b: 'unfit', d: 'fit' });
+    const delta = deltaSince(first, second);
+    expect([delta.since, delta.health, delta.gone]).toEqual([1, { b: 'unfit', d: 'fit' }, ['c']]);
     const table: Reports = new Map();
-    expect([mergeReport(table, first), mergeReport(table, told)]).toEqual(['merged', 'merged']);
+    expect([mergeReport(table, first), mergeReport(table, delta)]).toEqual(['merged', 'merged']);
     expect(table.get('s1')).toEqual(second);
   });
 
-  test('the row a difference was made from stays as it was', () => {
-    const first = row(1, { a: 'fit' });
+  test('merging a delta does not modify the report it was computed from', () => {
+    const first = createReport(1, { a: 'fit' });
     const table: Reports = new Map([['s1', first]]);
-    mergeReport(table, differenceTo(first, row(2, { a: 'unfit' })));
+    mergeReport(table, deltaSince(first, createReport(2, { a: 'unfit' })));
     expect(first.health).toEqual({ a: 'fit' });
   });
 
-  test('a difference to a row that is not held is a gap and changes nothing', () => {
-    const late = differenceTo(row(2, { a: 'fit' }), row(3, { a: 'unfit' }));
-    for (const held of [undefined, row(1, { a: 'fit' }), row(2, { a: 'fit' }, { run: 'r0' })]) {
-      const table: Reports = new Map(held ? [['s1', held]] : []);
-      expect(mergeReport(table, late)).toBe('gap');
-      expect(table.get('s1')).toBe(held);
+  test('a delta to a report that is not stored is a gap and changes nothing', () => {
+    const delta = deltaSince(createReport(2, { a: 'fit' }), createReport(3, { a: 'unfit' }));
+    for (const stored of [undefined, createReport(1, { a: 'fit' }), createReport(2, { a: 'fit' }, { run: 'r0' })]) {
+      const table: Reports = new Map(stored ? [['s1', stored]] : []);
+      expect(mergeReport(table, delta)).toBe('gap');
+      expect(table.get('s1')).toBe(stored);
     }
   });
 
-  test('an older row, and one told twice, is old', () => {
-    const table: Reports = new Map([['s1', row(5, {})]]);
+  test('an older report and a repeated one are old', () => {
+    const table: Reports = new Map([['s1', createReport(5, {})]]);
     expect([
-      mergeReport(table, row(4, {})),
-      mergeReport(table, row(5, {})),
-      mergeReport(table, row(6, {}, { incarnation: 0 })),
+      mergeReport(table, createReport(4, {})),
+      mergeReport(table, createReport(5, {})),
+      mergeReport(table, createReport(6, {}, { incarnation: 0 })),
     ]).toEqual(['old', 'old', 'old']);
   });
 
-  test('another run, or nothing told before, is told whole', () => {
-    const now = row(9, { a: 'fit' });
-    expect(differenceTo(undefined, now)).toBe(now);
-    expect(differenceTo(row(8, {}, { run: 'r0' }), now)).toBe(now);
+  test('without an earlier report of the same run, the report is sent complete', () => {
+    const now = createReport(9, { a: 'fit' });
+    expect(deltaSince(undefined, now)).toBe(now);
+    expect(deltaSince(createReport(8, {}, { run: 'r0' }), now)).toBe(now);
   });
 });
--- a/src/state/distribution/reports.ts
+++ b/src/state/distribution/reports.ts
@@ -1,7 +1,6 @@
 /**
- * The newest report of each proxy, merged from whole ones and differences. A difference counts
- * only on exactly the report that it was made from; anything else is a gap, and the whole
- * report is asked for.
+ * The newest report of each proxy, merged from complete reports and deltas. A delta applies only to exactly the report
+ * it was computed from; anything else is a gap, and the complete report is requested.
  */
 
 import type { Report } from './report.js';
@@ -9,47 +8,59 @@
 /** The newest report by reporter. */
 export type Reports = Map<string, Report>;
 
-/** What became of a report. */
-export type ReportStep = 'merged' | 'old' | 'gap';
+/**
+ * The result of merging a report: `old` if the stored one is as new or newer, `gap` if the base of a delta is missing.
+ */
+export type MergeOutcome = 'merged' | 'old' | 'gap';
 
-/** Whether `a` is of a later life, or later in the same life. */
-export function newer(left: Report, right: Report): boolean {
+/** Whether `left` is of a later incarnation than `right`, or has a higher count in the same incarnation. */
+export function isNewer(left: Report, right: Report): boolean {
   if (left.incarnation !== right.incarnation) return left.incarnation > right.incarnation;
   return left.count > right.count;
 }
 
-/** Takes a report into the table. */
-export function mergeReport(table: Reports, report: Report): ReportStep {
-  const have = table.get(report.reporter);
-  if (have && !newer(report, have)) return 'old';
+/** Merges a report into the table. */
+export function mergeReport(table: Reports, report: Report): MergeOutcome {
+  const previous = table.get(report.reporter);
+  if (previous && !isNewer(report, previous)) return 'old';
   if (report.since === undefined) {
     table.set(report.reporter, report);
     return 'merged';
   }
-  if (!have || have.run !== report.run || have.incarnation !== report.incarnation || have.count !== report.since)
+  if (
+    !previous ||
+    previous.run !== report.run ||
+    previous.incarnation !== report.incarnation ||
+    previous.count !== report.since
+  )
     return 'gap';
-  const complete: Report = { ...report, health: changedHealth(have.health, report.health, report.gone ?? []) };
+  const complete: Report = { ...report, health: applyHealthChanges(previous.health, report.health, report.gone ?? []) };
   delete complete.since;
   delete complete.gone;
   table.set(report.reporter, complete);
   return 'merged';
 }
 
-function changedHealth(have: Report['health'], changed: Report['health'], gone: readonly string[]): Report['health'] {
-  if (gone.length === 0 && Object.keys(changed).length === 0) return have;
-  const out = { ...have, ...changed };
-  for (const id of gone) delete out[id];
-  return out;
+function applyHealthChanges(
+  previous: Report['health'],
+  changed: Report['health'],
+  removed: readonly string[],
+): Report['health'] {
+  if (removed.length === 0 && Object.keys(changed).length === 0) return previous;
+  const merged = { ...previous, ...changed };
+  for (const id of removed) delete merged[id];
+  return merged;
 }
 
-/** The report as the difference to one already told; the whole one where there is none to build on. */
-export function differenceTo(sent: Report | undefined, now: Report): Report {
-  if (!sent || sent.run !== now.run || sent.incarnation !== now.incarnation || sent.count >= now.count) return now;
+/** Returns the report as a delta to the one sent before; the complete report if that one can't be its base. */
+export function deltaSince(sent: Report | undefined, current: Report): Report {
+  if (!sent || sent.run !== current.run || sent.incarnation !== current.incarnation || sent.count >= current.count)
+    return current;
   const health: Report['health'] = {};
-  const gone: string[] = [];
-  if (sent.health !== now.health) {
-    for (const [id, verdict] of Object.entries(now.health)) if (sent.health[id] !== verdict) health[id] = verdict;
-    for (const id of Object.keys(sent.health)) if (now.health[id] === undefined) gone.push(id);
+  const removed: string[] = [];
+  if (sent.health !== current.health) {
+    for (const [id, status] of Object.entries(current.health)) if (sent.health[id] !== status) health[id] = status;
+    for (const id of Object.keys(sent.health)) if (current.health[id] === undefined) removed.push(id);
   }
-  return { ...now, since: sent.count, health, ...(gone.length > 0 ? { gone } : {}) };
+  return { ...current, since: sent.count, health, ...(removed.length > 0 ? { gone: removed } : {}) };
 }
--- a/src/state/distribution/shared-time.test.ts
+++ b/src/state/distribution/shared-time.test.ts
@@ -14,7 +14,7 @@
   expect(time.now(100, 0)).toBe(1_110);
 });
 
-test('a controller that is silent keeps its last word, one that was replaced loses it', () => {
+test('the clock of an unresponsive controller still counts, that of a replaced one does not', () => {
   const time = createSharedTime();
   time.record('a', 1_000, 0);
   time.record('b', 2_000, 0);
--- a/src/state/distribution/shared-time.ts
+++ b/src/state/distribution/shared-time.ts
@@ -1,12 +1,15 @@
 /**
- * Wall time that nodes agree on well enough to compare: the lower median of what the others
- * tell, carried on by the own monotonic clock, so that one wrong wall clock moves nobody.
+ * A wall time that the nodes agree on closely enough to compare timestamps: the lower median of the wall clocks that
+ * nodes report, advanced by the local monotonic clock, so that a single wrong wall clock does not shift it.
  */
 
-/** Hears others' wall clocks and tells the shared time, in Unix milliseconds. */
+/** Records the wall clocks of nodes and returns the shared time, in Unix milliseconds. */
 export interface SharedTime {
+  /** Records the wall clock of a node, received at `mono` of the local monotonic clock. */
   record(from: string, wall: number, mono: number): void;
+  /** Drops the clocks of all other nodes. */
   retainOnly(names: ReadonlySet<string>): void;
+  /** Returns the shared time at `mono`; `ownWall` if no clock has been recorded. */
   now(mono: number, ownWall: number): number;
 }
 
@@ -26,13 +29,13 @@
   }
 
   now(mono: number, ownWall: number): number {
-    const sorted = [...this.offsets.values()].sort((left, right) => this.ascending(left, right));
-    const middle = sorted[Math.floor((sorted.length - 1) / 2)];
-    return middle === undefined ? ownWall : mono + middle;
+    const sortedOffsets = [...this.offsets.values()].sort((left, right) => this.ascending(left, right));
+    const medianOffset = sortedOffsets[Math.floor((sortedOffsets.length - 1) / 2)];
+    return medianOffset === undefined ? ownWall : mono + medianOffset;
   }
 }
 
-/** Knows nobody yet; until then the own wall clock is told. */
+/** Creates a shared time without recorded clocks, which returns the local wall clock until one is recorded. */
 export function createSharedTime(): SharedTime {
   return new MedianSharedTime();
 }
