--- a/src/client/client.ts
+++ b/src/client/client.ts
@@ -14,7 +14,7 @@
 } from '../protocol/caller-wire.js';
 import type { Failure, PlacementRequest, Placement } from '../protocol/caller-wire.js';
 import type { PrefixBlock } from '../protocol/worker-wire.js';
-import { addChunk, checkDigest, startDigest } from '../state/forwarding/response-digest.js';
+import { addChunk, verifyDigest, startDigest } from '../state/forwarding/response-digest.js';
 import { createGotHttpClient } from '../transport/http-client.js';
 import { createClock } from '../transport/clock.js';
 import type { Clock } from '../transport/clock.js';
@@ -236,7 +236,7 @@
       if (addChunk(check, piece)) return failed({ tag: 'wrongSeal', requestId });
       text += piece.text;
     }
-    if (checkDigest(check, read.value.seal)) return failed({ tag: 'wrongSeal', requestId });
+    if (verifyDigest(check, read.value.seal)) return failed({ tag: 'wrongSeal', requestId });
     return ok({ requestId, attemptId: read.value.seal.attemptId, text, pieces: read.value.pieces.length });
   }
 
@@ -279,7 +279,7 @@
         return;
       }
       if ('seal' in at) {
-        const wrong = checkDigest(check, at.seal);
+        const wrong = verifyDigest(check, at.seal);
         yield wrong ? faultEvent({ tag: 'wrongSeal', requestId }) : { tag: 'sealed', attemptId: at.seal.attemptId };
         return;
       }
--- a/src/coordination/configuration/operator-http-server.ts
+++ b/src/coordination/configuration/operator-http-server.ts
@@ -73,7 +73,7 @@
     const { slot, outcome } = response.value;
     if (outcome.tag === 'staleVersion') return fail(409, { tag: 'staleVersion', winner: outcome.winner });
     if (outcome.tag !== 'applied') return fail(409, { tag: 'unchanged' });
-    const waiting = await this.deps.distribution.confirm(slot, CONFIRM_MS);
+    const waiting = await this.deps.distribution.waitForConfirmation(slot, CONFIRM_MS);
     this.deps.latencyTargets.recordChange(waiting.length === 0 ? this.deps.clock.mono() - from : Infinity);
     if (waiting.length === 0) return { status: 200, body: { acknowledged: true, version: slot } };
     return { status: 202, body: { acknowledged: false, version: slot, waiting } };
--- a/src/coordination/controller-status.ts
+++ b/src/coordination/controller-status.ts
@@ -107,7 +107,7 @@
     meters.set(
       'millfield_proxies_behind',
       'Proxies that have not confirmed the newest slot',
-      this.deps.distribution.unconfirmed(state.slot).length,
+      this.deps.distribution.unconfirmedProxies(state.slot).length,
     );
     const health = this.deps.coreHealth.current();
     meterCore(meters, 'ledger', health.ledger);
--- a/src/coordination/discovery/pushed-list-feed.ts
+++ b/src/coordination/discovery/pushed-list-feed.ts
@@ -12,8 +12,8 @@
 import type { Address } from '../../transport/wire.js';
 import type { Peers } from '../messaging/peers.js';
 import type { WorkerListFeed, WorkerListFeedEvents, WorkerListReader } from './worker-list-feed.js';
-import { createWorkerListUpdates, WORKER_LIST_PACE } from './worker-list-updates.js';
-import type { WorkerListPace, WorkerListUpdates } from './worker-list-updates.js';
+import { createWorkerListUpdates, WORKER_LIST_TIMING } from './worker-list-updates.js';
+import type { WorkerListTiming, WorkerListUpdates } from './worker-list-updates.js';
 
 /** Controllers to query, and the reader that is used as a fallback. */
 export type PushedListFeedDeps = {
@@ -23,7 +23,7 @@
   readonly clock: Clock;
   readonly rng: Rng;
   readonly log: Log;
-  readonly timing?: WorkerListPace;
+  readonly timing?: WorkerListTiming;
 };
 
 type OwnReading = { readonly entries: readonly WorkerEntry[]; readonly at: number };
@@ -36,7 +36,7 @@
 const READ_JITTER_MS = 350;
 
 class PushedListFeed implements WorkerListFeed {
-  private readonly timing: WorkerListPace;
+  private readonly timing: WorkerListTiming;
   private readonly updates: WorkerListUpdates;
   readonly events = createEvents<WorkerListFeedEvents>();
   private ownReading: OwnReading | null = null;
@@ -52,7 +52,7 @@
   private timer: Timer | null = null;
 
   constructor(private readonly deps: PushedListFeedDeps) {
-    this.timing = this.deps.timing ?? WORKER_LIST_PACE;
+    this.timing = this.deps.timing ?? WORKER_LIST_TIMING;
     this.updates = createWorkerListUpdates(this.deps.peers, this.deps.clock, this.timing);
     this.readDueAt = this.deps.clock.mono() + this.timing.fallbackReadDelayMs * (1 + this.deps.rng.next());
 
@@ -90,7 +90,7 @@
     const now = this.deps.clock.mono();
     const queryDueAt = this.updates.isFresh()
       ? Math.min(
-          now + this.timing.freshMs - this.updates.sinceContactMs(),
+          now + this.timing.contactTimeoutMs - this.updates.sinceContactMs(),
           this.lastQueryAt + this.timing.renewIntervalMs,
         )
       : now + QUERY_INTERVAL_MS;
@@ -106,7 +106,7 @@
     if (isOwnReadingReplaced) this.ownReading = null;
     if ((event.contents && this.ownReading === null) || isOwnReadingReplaced) this.emitChanged();
     if (this.updates.isFresh()) this.onFresh();
-    else if (this.updates.reportedUnresponsive() && !this.isReadDelayed) {
+    else if (this.updates.isSourceUnresponsive() && !this.isReadDelayed) {
       this.isReadDelayed = true;
       this.readDueAt = Math.max(this.readDueAt, this.deps.clock.mono() + READ_SPREAD_MS * (0.5 + this.deps.rng.next()));
     }
@@ -170,10 +170,10 @@
 
   private async readPlatform(): Promise<void> {
     const startedAt = this.deps.clock.mono();
-    this.readDueAt = startedAt + this.timing.readMs + MIN_READ_BACKOFF_MS;
+    this.readDueAt = startedAt + this.timing.readTimeoutMs + MIN_READ_BACKOFF_MS;
     if (!this.isReadingPlatform) this.deps.log.warn('no controller pushes the worker list, reading the platform');
     this.isReadingPlatform = true;
-    const response = await within(this.deps.clock, this.timing.readMs, this.deps.reader.read());
+    const response = await within(this.deps.clock, this.timing.readTimeoutMs, this.deps.reader.read());
     this.updates.detectStandstill();
     if (this.stopped) return;
     const isUsable = response?.ok === true && this.deps.clock.mono() - startedAt <= STANDSTILL_MS;
--- a/src/coordination/discovery/unresponsive-worker-watch.ts
+++ b/src/coordination/discovery/unresponsive-worker-watch.ts
@@ -17,7 +17,7 @@
 export interface UnresponsiveWorkerWatch {
   begin(row: RegistryRow, attempt: WatchedAttempt): void;
   end(row: RegistryRow, attempt: WatchedAttempt): void;
-  unreached(row: RegistryRow): void;
+  recordConnectFailure(row: RegistryRow): void;
   stop(): void;
 }
 
@@ -91,7 +91,7 @@
       this.suspectZone(row);
       for (const attempt of [...(this.attemptsByWorker.get(row) ?? [])]) attempt.onUnresponsive();
     };
-    this.deps.connectionPool.check(row.entry.address, this.deps.registry.connectMs(row), onChecked);
+    this.deps.connectionPool.check(row.entry.address, this.deps.registry.connectTimeoutMs(row), onChecked);
   }
 
   /**
@@ -114,7 +114,7 @@
     }
   }
 
-  unreached(row: RegistryRow): void {
+  recordConnectFailure(row: RegistryRow): void {
     const isNewlySuspected = !row.isSuspected;
     this.deps.registry.markUnresponsive(row, this.deps.clock.mono());
     if (isNewlySuspected) this.suspectZone(row);
@@ -135,7 +135,7 @@
     for (const row of this.deps.registry.rows()) {
       if (!row.isSuspected || !row.present) continue;
       hasWork = true;
-      if (row.badUntil <= now) this.checkConnection(row);
+      if (row.backoffUntil <= now) this.checkConnection(row);
     }
     if (hasWork) this.arm();
   }
--- a/src/coordination/discovery/worker-list-source.ts
+++ b/src/coordination/discovery/worker-list-source.ts
@@ -6,7 +6,7 @@
 import type { Result } from '../../base/result.js';
 import type { Message } from '../../protocol/messages.js';
 import type { NodeInfo } from '../../state/membership/node-info.js';
-import type { Listed } from '../../state/discovery/listed.js';
+import type { ListedWorker } from '../../state/discovery/listed.js';
 import type { Clock } from '../../transport/clock.js';
 import { shuffled } from '../../transport/rng.js';
 import type { Rng } from '../../transport/rng.js';
@@ -16,7 +16,7 @@
 
 /** A list and its age in milliseconds; `isFromPeer` if another proxy provided it. */
 export type WorkerListReading = {
-  readonly workers: readonly Listed[];
+  readonly workers: readonly ListedWorker[];
   readonly ageMs: number;
   readonly isFromPeer: boolean;
 };
@@ -41,12 +41,12 @@
 /** An older reading is not passed on to peers. */
 const MAX_SHARED_AGE_MS = 1_500;
 
-function agedWorker(worker: Listed, ms: number): Listed {
+function agedWorker(worker: ListedWorker, ms: number): ListedWorker {
   return worker.remainingMs === undefined ? worker : { ...worker, remainingMs: Math.max(0, worker.remainingMs - ms) };
 }
 
 class PlatformListSource implements WorkerListSource {
-  private lastReading: { readonly workers: readonly Listed[]; readonly at: number } | null = null;
+  private lastReading: { readonly workers: readonly ListedWorker[]; readonly at: number } | null = null;
 
   constructor(private readonly deps: WorkerListSourceDeps) {
     this.deps.peers.on('listAsk', () => this.onListRequest());
@@ -85,7 +85,7 @@
     await Promise.all(queries);
     const reading = best as WorkerListReading | null;
     if (!reading) return err(error);
-    const workers: Listed[] = [];
+    const workers: ListedWorker[] = [];
     for (const worker of reading.workers) workers.push(agedWorker(worker, reading.ageMs));
     return ok({ ...reading, workers });
   }
--- a/src/coordination/discovery/worker-list-updates.ts
+++ b/src/coordination/discovery/worker-list-updates.ts
@@ -36,23 +36,23 @@
  * reading, the timeouts of a query and of a reading, the time without updates after which a proxy reads the platform
  * itself, and the interval at which a proxy renews its subscription at a controller.
  */
-export type WorkerListPace = {
-  readonly everyMs: number;
-  readonly freshMs: number;
-  readonly staggerMs: number;
+export type WorkerListTiming = {
+  readonly readIntervalMs: number;
+  readonly contactTimeoutMs: number;
+  readonly takeoverStaggerMs: number;
   readonly queryTimeoutMs: number;
-  readonly readMs: number;
+  readonly readTimeoutMs: number;
   readonly fallbackReadDelayMs: number;
   readonly renewIntervalMs: number;
 };
 
 /** The default times. */
-export const WORKER_LIST_PACE: WorkerListPace = {
-  everyMs: 1_000,
-  freshMs: 1_250,
-  staggerMs: 150,
+export const WORKER_LIST_TIMING: WorkerListTiming = {
+  readIntervalMs: 1_000,
+  contactTimeoutMs: 1_250,
+  takeoverStaggerMs: 150,
   queryTimeoutMs: 200,
-  readMs: 1_000,
+  readTimeoutMs: 1_000,
   fallbackReadDelayMs: 1_650,
   renewIntervalMs: 4_000,
 };
@@ -73,7 +73,7 @@
   sinceContactMs(): number;
   recordContact(): void;
   isFresh(): boolean;
-  reportedUnresponsive(): boolean;
+  isSourceUnresponsive(): boolean;
   query(to: Address): Promise<QueryResult>;
   detectStandstill(): void;
   stop(): void;
@@ -98,7 +98,7 @@
   constructor(
     private readonly peers: Peers,
     private readonly clock: Clock,
-    private readonly timing: WorkerListPace,
+    private readonly timing: WorkerListTiming,
   ) {
     this.standstillDetector = new StandstillDetector(this.clock);
     this.standstillTimer = every(this.clock, STANDSTILL_CHECK_INTERVAL_MS, () => this.detectStandstill());
@@ -123,10 +123,10 @@
   }
 
   isFresh(): boolean {
-    return this.sinceContactMs() <= this.timing.freshMs;
+    return this.sinceContactMs() <= this.timing.contactTimeoutMs;
   }
 
-  reportedUnresponsive(): boolean {
+  isSourceUnresponsive(): boolean {
     return this.since(this.unresponsiveReportedAt) < UNRESPONSIVE_REPORT_TTL_MS;
   }
 
@@ -162,13 +162,13 @@
     const result = this.apply(message, now);
     if (result === 'gap') return result;
     const reportsUnresponsive = message.kind === 'listBeat' && message.silent === true;
-    const isNewReport = reportsUnresponsive && this.since(this.unresponsiveReportedAt) > this.timing.everyMs / 2;
+    const isNewReport = reportsUnresponsive && this.since(this.unresponsiveReportedAt) > this.timing.readIntervalMs / 2;
     if (reportsUnresponsive) this.unresponsiveReportedAt = this.clock.mono();
     if (result === 'old') return result;
     const versionAfter = this.table.number();
     const hasNewVersion =
       versionBefore === null || (versionAfter !== null && compareVersions(versionBefore, versionAfter) !== 0);
-    const hasAdvanced = (this.table.asOf() ?? 0) - asOfBefore > this.timing.everyMs / 2;
+    const hasAdvanced = (this.table.asOf() ?? 0) - asOfBefore > this.timing.readIntervalMs / 2;
     if (message.ageMs !== null && message.kind !== 'listChange' && message.sinceMs !== undefined)
       this.lastContactAt = Math.max(this.lastContactAt ?? Number.NEGATIVE_INFINITY, now - message.sinceMs);
     else if (hasNewVersion || hasAdvanced) this.lastContactAt = this.clock.mono();
@@ -209,7 +209,7 @@
 }
 
 /** Applies pushed updates once a node was successfully queried for the list. */
-export function createWorkerListUpdates(peers: Peers, clock: Clock, timing: WorkerListPace): WorkerListUpdates {
+export function createWorkerListUpdates(peers: Peers, clock: Clock, timing: WorkerListTiming): WorkerListUpdates {
   return new PeerWorkerListUpdates(peers, clock, timing);
 }
 
--- a/src/coordination/discovery/worker-watch.ts
+++ b/src/coordination/discovery/worker-watch.ts
@@ -2,7 +2,7 @@
 import type { WorkerRow } from '../../state/discovery/worker-row.js';
 import type { WorkerTable } from '../../state/discovery/worker-table.js';
 import { HEALTH_PATH, readHealth } from '../../protocol/worker-wire.js';
-import type { Listed } from '../../state/discovery/listed.js';
+import type { ListedWorker } from '../../state/discovery/listed.js';
 import { every } from '../../transport/clock.js';
 import type { Clock, Timer } from '../../transport/clock.js';
 import type { HttpClient } from '../../transport/http.js';
@@ -16,8 +16,8 @@
 export interface WorkerWatch {
   listAgeMs(): number | null;
   listReadAt(): number | null;
-  probeStrangers(): void;
-  verdicts(): Record<string, 'fit' | 'unfit'>;
+  probeNewlyReady(): void;
+  healthVerdicts(): Record<string, 'fit' | 'unfit'>;
   stop(): void;
 }
 
@@ -62,7 +62,7 @@
       this.listAsOf = asOf;
       this.deps.table.applyList(response.value.workers, this.deps.clock.mono());
       this.deps.onChange();
-      this.probeStrangers();
+      this.probeNewlyReady();
     }
     if (response.ok === this.isListUnavailable) {
       this.deps.log.warn(
@@ -73,7 +73,7 @@
     this.isListUnavailable = !response.ok;
   }
 
-  private async probe(listed: Listed): Promise<void> {
+  private async probe(listed: ListedWorker): Promise<void> {
     if (this.pendingProbes.has(listed.id)) return;
     this.pendingProbes.add(listed.id);
     const response = await this.deps.httpClient.call({
@@ -118,7 +118,7 @@
     this.lastProbedAt = probedAt;
   }
 
-  probeStrangers(): void {
+  probeNewlyReady(): void {
     for (const row of this.deps.table.rows())
       if (row.present && !row.ready && row.listed.state === 'ready') void this.probe(row.listed);
   }
@@ -135,7 +135,7 @@
     return this.listAsOf;
   }
 
-  verdicts(): Record<string, 'fit' | 'unfit'> {
+  healthVerdicts(): Record<string, 'fit' | 'unfit'> {
     const verdicts: Record<string, 'fit' | 'unfit'> = {};
     for (const row of this.deps.table.rows()) {
       if (!row.present || row.listed.state !== 'ready') continue;
--- a/src/coordination/distribution/change-distribution.ts
+++ b/src/coordination/distribution/change-distribution.ts
@@ -23,9 +23,9 @@
   /** The newest slot that this proxy is known to have applied; -1 if none. */
   confirmedSlot(proxy: string): number;
   /** The known proxies that have not applied this slot yet. */
-  unconfirmed(slot: number): string[];
+  unconfirmedProxies(slot: number): string[];
   /** Waits until all known proxies have applied this slot, at most `waitMs`; resolves with those that have not. */
-  confirm(slot: number, waitMs: number): Promise<string[]>;
+  waitForConfirmation(slot: number, waitMs: number): Promise<string[]>;
   /** Whether this controller is a member in contact with a majority, and its disk is writable. */
   quorate(): boolean;
   stop(): void;
@@ -64,16 +64,16 @@
     return Math.max(this.acknowledgements.acknowledgedSlot(proxy), this.exchange.reports.get(proxy)?.slot ?? -1);
   }
 
-  unconfirmed(slot: number): string[] {
+  unconfirmedProxies(slot: number): string[] {
     return Object.keys(this.ledger.controlState().proxies).filter((proxy) => this.confirmedSlot(proxy) < slot);
   }
 
-  async confirm(slot: number, waitMs: number): Promise<string[]> {
+  async waitForConfirmation(slot: number, waitMs: number): Promise<string[]> {
     const deadline = this.clock.mono() + waitMs;
-    let remaining = this.unconfirmed(slot);
+    let remaining = this.unconfirmedProxies(slot);
     while (remaining.length > 0 && this.clock.mono() < deadline) {
       await delay(this.clock, CONFIRM_POLL_MS);
-      remaining = this.unconfirmed(slot);
+      remaining = this.unconfirmedProxies(slot);
     }
     return remaining;
   }
--- a/src/coordination/distribution/controller-selector.ts
+++ b/src/coordination/distribution/controller-selector.ts
@@ -1,7 +1,7 @@
 /** Selects the controller that a proxy follows. */
 import type { Message } from '../../protocol/messages.js';
 import { rankCandidates, networkDistance } from '../../state/distribution/controller-candidates.js';
-import type { Candidate, Location } from '../../state/distribution/controller-candidates.js';
+import type { Candidate, ControllerLocation } from '../../state/distribution/controller-candidates.js';
 import type { Member } from '../../state/consensus/entry.js';
 import type { Clock } from '../../transport/clock.js';
 import type { Address } from '../../transport/wire.js';
@@ -29,7 +29,7 @@
 }
 
 /** Returns the location of a controller by its name; null if unknown. */
-export type LocationOf = (name: string) => Location | null;
+export type LocationOf = (name: string) => ControllerLocation | null;
 
 /** The controllers to select from, the connections to them, and the messages that open and keep a subscription. */
 export type ControllerSelectorDeps = {
--- a/src/coordination/distribution/fleet-load-relay.ts
+++ b/src/coordination/distribution/fleet-load-relay.ts
@@ -1,6 +1,6 @@
 /** Sums the load on workers that proxies report, so that each proxy knows the load the others put on them. */
 import type { MessageOf } from '../../protocol/messages.js';
-import { createFleetLoad, sumOf } from '../../state/distribution/fleet-load.js';
+import { createFleetLoad, sumLoadRows } from '../../state/distribution/fleet-load.js';
 import type { ReportedLoad } from '../../state/distribution/fleet-load.js';
 import type { LoadRows } from '../../state/distribution/load-rows.js';
 import { createLoadChanges } from '../../state/distribution/load-changes.js';
@@ -90,7 +90,7 @@
     const now = this.clock.mono();
     const ownSums = this.proxyLoads.sums(now);
     this.reportToControllers(ownSums, now);
-    const sums = sumOf(ownSums, this.controllerLoads.sums(now));
+    const sums = sumLoadRows(ownSums, this.controllerLoads.sums(now));
     this.sendToProxies(sums, now);
     this.isIdle = Object.keys(sums).length === 0 && this.fleetSumChanges.isEmpty();
   }
--- a/src/coordination/distribution/follower.ts
+++ b/src/coordination/distribution/follower.ts
@@ -1,7 +1,7 @@
 /** A proxy's subscription to the replicated log. */
 import { createEvents } from '../../base/events.js';
 import type { Message, MessageOf } from '../../protocol/messages.js';
-import type { Location } from '../../state/distribution/controller-candidates.js';
+import type { ControllerLocation } from '../../state/distribution/controller-candidates.js';
 import { foldBatch } from '../../state/consensus/control-state.js';
 import type { ControlState } from '../../state/consensus/control-state.js';
 import type { SnapshotOffer } from '../../state/consensus/snapshot-chunks.js';
@@ -36,7 +36,7 @@
   fresh(): boolean;
   partitioned(): boolean;
   /** When the process started or last resumed from a pause, on the monotonic clock. */
-  wokeAt(): number;
+  resumedAt(): number;
   /** The wall time that the controllers agree on, in Unix milliseconds. */
   sharedNow(): number;
   readonly events: {
@@ -44,7 +44,7 @@
   };
   controllers(): readonly Address[];
   followed(): Address | null;
-  setTopology(locationOf: (name: string) => Location | null): void;
+  setTopology(locationOf: (name: string) => ControllerLocation | null): void;
   /** Sends a message to the followed controller; reports are sent as deltas to those sent before. */
   sendToController(message: Message): void;
   stop(): void;
@@ -247,7 +247,7 @@
     return this.majorityContact.isLost();
   }
 
-  wokeAt(): number {
+  resumedAt(): number {
     this.majorityContact.detectPause();
     return this.majorityContact.resumedAt();
   }
--- a/src/coordination/forwarding/attempt.ts
+++ b/src/coordination/forwarding/attempt.ts
@@ -178,7 +178,7 @@
     const now = this.deps.clock.mono();
     switch (outcome.tag) {
       case 'notConnected':
-        this.deps.watch.unreached(row);
+        this.deps.watch.recordConnectFailure(row);
         return;
       case 'wrongWorker':
         this.deps.registry.markRelocated(row);
@@ -190,12 +190,12 @@
         this.deps.registry.recordServed(row, now);
         return;
       case 'workerFailed':
-        if (status >= 500 && status !== GATEWAY_TIMEOUT) this.deps.registry.recordSpoiled(row, now);
+        if (status >= 500 && status !== GATEWAY_TIMEOUT) this.deps.registry.recordBadRun(row, now);
         return;
       case 'garbled':
       case 'answerCut':
       case 'resetWritten':
-        this.deps.registry.recordSpoiled(row, now);
+        this.deps.registry.recordBadRun(row, now);
         return;
       case 'withheld':
       case 'resetUnwritten':
@@ -215,7 +215,7 @@
       headers: () => this.prepareHeaders(),
       body: this.request.body.length > 0 || hasBody(this.request.incoming) ? this.request.body : null,
       newConnection: this.request.writtenTo.has(this.reserved.row.entry.id),
-      connectMs: Math.min(this.remainingMs, this.deps.registry.connectMs(this.reserved.row)),
+      connectMs: Math.min(this.remainingMs, this.deps.registry.connectTimeoutMs(this.reserved.row)),
     };
     const events: SendEvents = {
       connected: (ms) => this.onConnected(ms),
--- a/src/coordination/forwarding/dispatcher.test.ts
+++ b/src/coordination/forwarding/dispatcher.test.ts
@@ -37,10 +37,10 @@
     begin: (index: number) => rows[index] ?? null,
     end: () => undefined,
     isCurrent: () => true,
-    recordRefused: () => undefined,
+    recordRejected: () => undefined,
     recordServed: () => undefined,
     recordMissedProbe: () => undefined,
-    modelIx: () => 0,
+    modelIndex: () => 0,
     prefixes: { learn: () => undefined },
   } as unknown as WorkerTable;
   const placement = {
--- a/src/coordination/forwarding/dispatcher.ts
+++ b/src/coordination/forwarding/dispatcher.ts
@@ -5,7 +5,7 @@
  */
 import type { Failure, Submit } from '../../protocol/caller-wire.js';
 import type { Run, CompleteResponse } from '../../protocol/worker-wire.js';
-import { decide, mayHaveRun } from '../../state/forwarding/attempt-outcome.js';
+import { decideAfterAttempt, mayHaveRun } from '../../state/forwarding/attempt-outcome.js';
 import type { RunKey } from '../../state/idempotency/run-key.js';
 import { createRetryBudget } from '../../state/forwarding/retry-budget.js';
 import type { Resolved } from '../../state/configuration/settings-tree.js';
@@ -26,18 +26,18 @@
 import { createWorkerSlotQueue } from './worker-slot-queue.js';
 import type { WorkerSlot, WorkerSlotQueue } from './worker-slot-queue.js';
 import { createWorkerCalls } from './worker-call.js';
-import type { AnswerLine, WorkerCallEnd, WorkerCall } from './worker-call.js';
+import type { ResponseLine, WorkerCallEnd, WorkerCall } from './worker-call.js';
 
-export type { AnswerLine } from './worker-call.js';
+export type { ResponseLine } from './worker-call.js';
 
 /** The response that the HTTP server sends to the caller. */
 export type Submission =
   | { readonly tag: 'whole'; readonly answer: CompleteResponse }
-  | { readonly tag: 'stream'; readonly lines: AsyncIterable<AnswerLine> }
+  | { readonly tag: 'stream'; readonly lines: AsyncIterable<ResponseLine> }
   | { readonly tag: 'failed'; readonly failure: Failure; readonly retryAfterS: number };
 
 /** Counts since the process started, and the number of requests that are queued and in flight now. */
-export type Tally = {
+export type DispatcherTally = {
   readonly requests: Readonly<Record<string, number>>;
   readonly shed: number;
   readonly attempted: number;
@@ -54,9 +54,9 @@
   countRequest(model: string): void;
   countRejected(): void;
   wake(): void;
-  tally(): Tally;
+  tally(): DispatcherTally;
   /** Rejects all queued and all further requests; requests in flight continue. */
-  stopTaking(): void;
+  stopAdmitting(): void;
   stop(): void;
 }
 
@@ -226,7 +226,7 @@
 
   private send(job: Job, { candidate, row }: AcquiredSlot): Promise<WorkerCallEnd> {
     if (job.attempts > 0) this.retryCount += 1;
-    else this.retryBudget.recordAttempt(job.values.retryShare);
+    else this.retryBudget.recordFirstAttempt(job.values.retryShare);
     job.attempts += 1;
     this.attemptCount += 1;
     const run: Run = {
@@ -254,7 +254,7 @@
 
   private onServed(job: Job, { candidate }: AcquiredSlot, end: Exclude<WorkerCallEnd, { tag: 'failed' }>): Submission {
     this.deps.table.recordServed(candidate.index);
-    this.deps.table.prefixes.learn(this.deps.table.modelIx(job.token.model), job.parts, candidate.index);
+    this.deps.table.prefixes.recordRun(this.deps.table.modelIndex(job.token.model), job.parts, candidate.index);
     if (end.tag === 'whole') this.recordAnswered(job);
     return end;
   }
@@ -262,12 +262,12 @@
   private mayRetry(job: Job, end: Extract<WorkerCallEnd, { tag: 'failed' }>): boolean {
     const mayHaveRunBefore = job.mayHaveRunFailure !== null;
     if (mayHaveRun(end.outcome)) job.mayHaveRunFailure = job.key === null ? end.failure : { tag: 'outcomeUnknown' };
-    const decision = decide(end.outcome, {
+    const decision = decideAfterAttempt(end.outcome, {
       repeatability: job.key === null ? 'repeatable' : 'once',
       answerBegun: false,
       canResume: false,
       mayHaveRun: mayHaveRunBefore,
-      leftMs: job.deadlineAt - this.deps.clock.mono(),
+      remainingMs: job.deadlineAt - this.deps.clock.mono(),
       acquireAttempt: () => this.retryBudget.spend(),
     });
     return decision.tag === 'repeat';
@@ -300,7 +300,7 @@
     this.rejectedCount += 1;
   }
 
-  tally(): Tally {
+  tally(): DispatcherTally {
     return {
       requests: { ...this.requestCounts },
       shed: this.rejectedCount,
@@ -316,7 +316,7 @@
     this.queue.wake();
   }
 
-  stopTaking(): void {
+  stopAdmitting(): void {
     this.queue.close();
   }
 
--- a/src/coordination/forwarding/stop-intake.ts
+++ b/src/coordination/forwarding/drain-admission.ts
@@ -7,7 +7,7 @@
 import type { RelayedRequest } from './relayed-request.js';
 
 /** When a draining proxy stops admitting all requests, and when its last response must have ended (monotonic clock). */
-export type StopTimes = { readonly intakeUntil: number; readonly lastEndAt: number };
+export type DrainDeadlines = { readonly admitAllUntil: number; readonly lastResponseAt: number };
 
 /** Latency target assumed for a request that is not a stream if its route has none. */
 const DEFAULT_EXPECTED_LATENCY_MS = 300;
@@ -15,9 +15,9 @@
 const LATENCY_TARGET_MULTIPLE = 2;
 
 /** Returns whether a request that arrives now is admitted; `times` is null unless the proxy is draining. */
-export function mayAdmit(request: RelayedRequest, now: number, times: StopTimes | null): boolean {
-  if (times === null || now < times.intakeUntil) return true;
-  return Math.min(request.deadlineAt, expectedEndAt(request, now)) <= times.lastEndAt;
+export function mayAdmit(request: RelayedRequest, now: number, times: DrainDeadlines | null): boolean {
+  if (times === null || now < times.admitAllUntil) return true;
+  return Math.min(request.deadlineAt, expectedEndAt(request, now)) <= times.lastResponseAt;
 }
 
 function expectedEndAt(request: RelayedRequest, now: number): number {
--- a/src/coordination/forwarding/final-responses.ts
+++ b/src/coordination/forwarding/final-responses.ts
@@ -1,5 +1,5 @@
 /** Sends the final response to a request, by the decision after its last attempt or because no worker was found. */
-import type { AttemptOutcome, Decision } from '../../state/forwarding/attempt-outcome.js';
+import type { AttemptOutcome, RetryDecision } from '../../state/forwarding/attempt-outcome.js';
 import type { EdgeTuning } from '../../state/forwarding/edge-tuning.js';
 import type { OpaqueRequest } from '../../transport/opaque-http.js';
 import type { Rng } from '../../transport/rng.js';
@@ -10,7 +10,7 @@
 /** Ends requests with their final response. */
 export interface FinalResponses {
   /** Carries out the decision after the last attempt. */
-  carryOut(request: RelayedRequest, end: AttemptEnd, decision: Decision): void;
+  carryOut(request: RelayedRequest, end: AttemptEnd, decision: RetryDecision): void;
   /** Called if no worker was found in time; `noneInReach` is true if there is no worker, busy or idle. */
   rejectWithoutWorker(request: RelayedRequest, noneInReach: boolean, remainingMs: number): void;
   /** Rejects a request because the routes aren't known yet. */
@@ -40,7 +40,7 @@
 class RelayFinalResponses implements FinalResponses {
   constructor(private readonly deps: FinalResponsesDeps) {}
 
-  carryOut(request: RelayedRequest, end: AttemptEnd, decision: Decision): void {
+  carryOut(request: RelayedRequest, end: AttemptEnd, decision: RetryDecision): void {
     switch (decision.tag) {
       case 'done':
       case 'repeat':
--- a/src/coordination/forwarding/placement-service.ts
+++ b/src/coordination/forwarding/placement-service.ts
@@ -8,13 +8,13 @@
 import type { NodeInfo } from '../../state/membership/node-info.js';
 import type { Failure, PlacementRequest, Placement, RejectReason } from '../../protocol/caller-wire.js';
 import type { Candidate, SelectionContext } from '../../state/forwarding/candidate.js';
-import { selectAmong } from '../../state/forwarding/policies.js';
-import type { Choice, Policy } from '../../state/forwarding/policies.js';
+import { selectCandidate } from '../../state/forwarding/policies.js';
+import type { SelectionResult, Policy } from '../../state/forwarding/policies.js';
 import { resolveAll } from '../../state/configuration/settings-tree.js';
 import type { ResolvedModel } from '../../state/configuration/settings-tree.js';
 import { isUp } from '../../state/membership/members.js';
 import { signAdmissionToken } from '../../state/forwarding/admission-token.js';
-import type { Bound, AdmissionToken } from '../../state/forwarding/admission-token.js';
+import type { PlacementConstraints, AdmissionToken } from '../../state/forwarding/admission-token.js';
 import type { WorkerTable } from '../../state/discovery/worker-table.js';
 import type { Clock } from '../../transport/clock.js';
 import { newId } from '../../transport/rng.js';
@@ -36,10 +36,10 @@
   /** Selects a proxy for a request and signs an admission token for it. */
   place(request: PlacementRequest): Result<Placement, Failure>;
   /** Selects a worker for an admitted request. */
-  choose(query: PlacementQuery): Choice;
+  choose(query: PlacementQuery): SelectionResult;
   resolved(model: string): ResolvedModel | null;
   /** Returns the regions in which a request may run, or null if every region is allowed. */
-  homesOf(model: string, bound: Bound): readonly string[] | null;
+  homesOf(model: string, bound: PlacementConstraints): readonly string[] | null;
 }
 
 /** Identity, location and address of this proxy, as callers and other proxies know them. */
@@ -162,7 +162,7 @@
       homes,
       values: resolved.values,
       zone: this.deps.self.zone,
-      near: this.callerLocationOf(query).zone,
+      callerZone: this.callerLocationOf(query).zone,
       zonesWithProxy: this.proxiesUp().zones,
       now: this.deps.clock.mono(),
       seed: this.seedOf(query),
@@ -170,19 +170,19 @@
     });
   }
 
-  private selectWithPolicies(query: PlacementQuery, policies: readonly Policy[]): Choice {
+  private selectWithPolicies(query: PlacementQuery, policies: readonly Policy[]): SelectionResult {
     const subset = this.candidatesOf(query, false);
-    const choice = selectAmong(subset, this.contextOf(query, subset), policies);
+    const choice = selectCandidate(subset, this.contextOf(query, subset), policies);
     if (choice.tag === 'chosen' || choice.stoppedBy === 'room') return choice;
     const all = this.candidatesOf(query, true);
-    return selectAmong(all, this.contextOf(query, all), policies);
+    return selectCandidate(all, this.contextOf(query, all), policies);
   }
 
-  choose(query: PlacementQuery): Choice {
+  choose(query: PlacementQuery): SelectionResult {
     return this.selectWithPolicies(query, this.deps.policies);
   }
 
-  homesOf(model: string, bound: Bound): readonly string[] | null {
+  homesOf(model: string, bound: PlacementConstraints): readonly string[] | null {
     const mappedKind =
       bound.mapping === null
         ? undefined
@@ -238,7 +238,11 @@
     const model = mapping?.model ?? request.model ?? '';
     const resolved = this.resolved(model);
     if (!resolved) return err({ tag: 'unknownModel' });
-    const bound: Bound = { mapping: request.mapping ?? null, kind: request.kind ?? null, asked: request.homes ?? null };
+    const bound: PlacementConstraints = {
+      mapping: request.mapping ?? null,
+      kind: request.kind ?? null,
+      asked: request.homes ?? null,
+    };
     const homes = this.homesOf(model, bound);
     if (homes !== null && homes.length === 0) return err(rejection('outsideHomes'));
     const query: PlacementQuery = {
--- a/src/coordination/forwarding/relay.test.ts
+++ b/src/coordination/forwarding/relay.test.ts
@@ -14,7 +14,7 @@
 import type { OpaqueRequest, ConnectionPool, RawHeaders, SendEvents, Sending } from '../../transport/opaque-http.js';
 import { createRng } from '../../transport/rng.js';
 import { createRelay } from './relay.js';
-import type { StopTimes } from './stop-intake.js';
+import type { DrainDeadlines } from './drain-admission.js';
 
 const ROUTE_SETTINGS: RouteSettings = {
   at: 0,
@@ -113,7 +113,7 @@
   workerRegistry.applyList(entries, clock.mono());
   const budget = createAttemptBudget(bounds);
   let closing = false;
-  let stopTimes: StopTimes | null = null;
+  let stopTimes: DrainDeadlines | null = null;
   const relay = createRelay({
     headerNames: HEADERS,
     tuning: EDGE_TUNING,
@@ -123,9 +123,9 @@
     clock,
     rng: createRng(1),
     log: createQuietLog().component('t'),
-    table: () => table,
-    closing: () => closing,
-    stopTimes: () => stopTimes,
+    routeTable: () => table,
+    isClosing: () => closing,
+    drainDeadlines: () => stopTimes,
   });
   function sendRequest(headers: Record<string, string> = {}): { response: CallerResponse; disconnect: () => void } {
     const response: CallerResponse = { status: 0, headers: [], body: '', isEnded: false, isAborted: false };
@@ -171,7 +171,7 @@
       },
     };
   }
-  every(clock, 250, () => relay.turn());
+  every(clock, 250, () => relay.tick());
   /** Unfreezes the process and runs what arrived meanwhile, each callback with its microtasks, as an event loop does. */
   async function unfreeze(): Promise<void> {
     proc.host.frozen = false;
@@ -202,7 +202,7 @@
     },
     drain: (ms: number, intakeMs = 0) => {
       closing = true;
-      stopTimes = { intakeUntil: clock.mono() + intakeMs, lastEndAt: clock.mono() + ms };
+      stopTimes = { admitAllUntil: clock.mono() + intakeMs, lastResponseAt: clock.mono() + ms };
     },
   };
 }
@@ -752,7 +752,7 @@
   const waiting = fixture.sendRequest().response;
   await fixture.world.advance(1);
   expect([fixture.sent.length, started.status, sent.status, waiting.status]).toEqual([2, 200, 0, 0]);
-  fixture.relay.giveUpAll();
+  fixture.relay.abortAll();
   expect(started).toMatchObject({ status: 200, isAborted: true });
   expect(sent).toMatchObject({ status: 502, isEnded: true });
   expect(waiting).toMatchObject({ status: 503, isEnded: true });
@@ -766,7 +766,7 @@
   await fixture.world.advance(1);
   const waiting = fixture.sendRequest().response;
   await fixture.world.advance(1);
-  fixture.relay.giveUpAll();
+  fixture.relay.abortAll();
   expect([connecting.status, waiting.status]).toEqual([503, 503]);
   fixture.connect(fixture.sent[0]!);
   fixture.relay.wake();
--- a/src/coordination/forwarding/relay.ts
+++ b/src/coordination/forwarding/relay.ts
@@ -6,8 +6,8 @@
 import { describeError } from '../../base/describe-error.js';
 import type { HeaderNames } from '../../protocol/header-names.js';
 import type { AttemptBudget } from '../../state/forwarding/attempt-budget.js';
-import { decide, mayHaveRun } from '../../state/forwarding/attempt-outcome.js';
-import type { RequestSituation } from '../../state/forwarding/attempt-outcome.js';
+import { decideAfterAttempt, mayHaveRun } from '../../state/forwarding/attempt-outcome.js';
+import type { RetryContext } from '../../state/forwarding/attempt-outcome.js';
 import type { EdgeTuning } from '../../state/forwarding/edge-tuning.js';
 import type { MatchedRoute, RouteTable } from '../../state/configuration/route-table.js';
 import { createStandstill } from '../../state/forwarding/standstill.js';
@@ -25,8 +25,8 @@
 import type { FinalResponses } from './final-responses.js';
 import { createRelayedRequest, isCancelled } from './relayed-request.js';
 import type { RelayedRequest } from './relayed-request.js';
-import { mayAdmit } from './stop-intake.js';
-import type { StopTimes } from './stop-intake.js';
+import { mayAdmit } from './drain-admission.js';
+import type { DrainDeadlines } from './drain-admission.js';
 import { createUnresponsiveWorkerWatch } from '../discovery/unresponsive-worker-watch.js';
 import { createWorkerQueue } from './worker-queue.js';
 import type { ReservedWorker, WorkerQueue } from './worker-queue.js';
@@ -41,10 +41,10 @@
   readonly clock: Clock;
   readonly rng: Rng;
   readonly log: Log;
-  readonly table: () => RouteTable | null;
-  readonly closing: () => boolean;
+  readonly routeTable: () => RouteTable | null;
+  readonly isClosing: () => boolean;
   /** Returns null unless this process is draining. */
-  readonly stopTimes: () => StopTimes | null;
+  readonly drainDeadlines: () => DrainDeadlines | null;
 };
 
 /** Counts since the process started, and the number of requests that are open and queued now. */
@@ -65,10 +65,10 @@
   /** Must be called when workers, zones or free slots have changed. Retries the queued requests. */
   wake(): void;
   /** Must be called at least every 250 ms, so that a pause of the process is detected. */
-  turn(): void;
+  tick(): void;
   tally(): RelayTally;
   /** Sends each open request its final response. Must be called just before the process ends. */
-  giveUpAll(): void;
+  abortAll(): void;
 }
 
 /** How often a proxy that has just started checks whether its routes are known. */
@@ -94,7 +94,7 @@
   private readonly attempt: Attempt;
 
   constructor(private readonly deps: RelayDeps) {
-    this.callerResponses = createCallerResponses(this.deps.headerNames, this.deps.closing);
+    this.callerResponses = createCallerResponses(this.deps.headerNames, this.deps.isClosing);
     this.finalResponses = createFinalResponses({
       callerResponses: this.callerResponses,
       tuning: this.deps.tuning,
@@ -152,7 +152,7 @@
 
   private async serve(incoming: OpaqueRequest): Promise<void> {
     const arrivedAt = this.deps.clock.mono();
-    const table = this.deps.table() ?? (await this.waitForRoutes(incoming));
+    const table = this.deps.routeTable() ?? (await this.waitForRoutes(incoming));
     if (!table) {
       this.finalResponses.rejectNotReady(incoming);
       return;
@@ -177,13 +177,13 @@
     else if (id === null || id === '') this.callerResponses.sendError(incoming, 400, 'noAttemptId', null);
     else {
       const request = createRelayedRequest(this.deps.headerNames, this.deps.rng, incoming, route, id, body, arrivedAt);
-      if (!mayAdmit(request, this.deps.clock.mono(), this.deps.stopTimes())) {
+      if (!mayAdmit(request, this.deps.clock.mono(), this.deps.drainDeadlines())) {
         this.finalResponses.rejectStopping(incoming);
         return;
       }
       this.counts.requests[request.model] = (this.counts.requests[request.model] ?? 0) + 1;
       this.openRequests.add(request);
-      this.deps.budget.arrived(request.model, this.deps.clock.mono());
+      this.deps.budget.recordFirstAttempt(request.model, this.deps.clock.mono());
       try {
         await this.run(request);
       } finally {
@@ -197,7 +197,7 @@
     const until = this.deps.clock.mono() + this.deps.tuning.openingMs;
     while (this.deps.clock.mono() < until && !incoming.answerer.gone()) {
       await delay(this.deps.clock, ROUTES_CHECK_INTERVAL_MS);
-      const table = this.deps.table();
+      const table = this.deps.routeTable();
       if (table) return table;
     }
     return null;
@@ -206,7 +206,7 @@
   private selectionFor(request: RelayedRequest): SelectionRequest {
     const { homes, pinned } = request.route.settings;
     const { model, parts, tokens, outTokens, avoid } = request;
-    const traits = this.deps.table()?.traits(model) ?? null;
+    const traits = this.deps.routeTable()?.traits(model) ?? null;
     return {
       model,
       traits,
@@ -240,7 +240,7 @@
         return;
       }
       const end = await this.send(request, reserved);
-      const decision = decide(end.outcome, this.situationOf(request));
+      const decision = decideAfterAttempt(end.outcome, this.situationOf(request));
       if (decision.tag !== 'repeat') {
         this.finalResponses.carryOut(request, end, decision);
         return;
@@ -258,7 +258,7 @@
     return end;
   }
 
-  private situationOf(request: RelayedRequest): RequestSituation {
+  private situationOf(request: RelayedRequest): RetryContext {
     const acquireAttempt = (): boolean => {
       return request.attempts < request.route.settings.attempts && this.reserveAttempt(request);
     };
@@ -267,13 +267,13 @@
       answerBegun: request.isResponseStarted,
       canResume: !request.hasUnnumberedEvent,
       mayHaveRun: request.mayHaveRun,
-      leftMs: request.deadlineAt - this.deps.clock.mono(),
+      remainingMs: request.deadlineAt - this.deps.clock.mono(),
       acquireAttempt,
     };
   }
 
   private mayAbandonUnresponsive(request: RelayedRequest): boolean {
-    return decide({ tag: 'silent' }, this.situationOf(request)).tag === 'repeat';
+    return decideAfterAttempt({ tag: 'silent' }, this.situationOf(request)).tag === 'repeat';
   }
 
   /**
@@ -282,7 +282,7 @@
    */
   private reserveAttempt(request: RelayedRequest): boolean {
     request.hasReservedAttempt =
-      request.hasReservedAttempt || this.deps.budget.take(request.model, this.deps.clock.mono());
+      request.hasReservedAttempt || this.deps.budget.tryAcquire(request.model, this.deps.clock.mono());
     return request.hasReservedAttempt;
   }
 
@@ -302,7 +302,7 @@
     }
   }
 
-  turn(): void {
+  tick(): void {
     this.standstill.observe(this.deps.clock.mono());
   }
 
@@ -316,7 +316,7 @@
     this.queue.wake();
   }
 
-  giveUpAll(): void {
+  abortAll(): void {
     for (const request of this.openRequests) {
       request.isAborted = true;
       this.finalResponses.abort(request);
--- a/src/coordination/forwarding/response-reader.ts
+++ b/src/coordination/forwarding/response-reader.ts
@@ -5,7 +5,7 @@
  */
 import type { HeaderNames } from '../../protocol/header-names.js';
 import type { AttemptOutcome } from '../../state/forwarding/attempt-outcome.js';
-import { createEventSplitter, isComment } from '../../state/forwarding/event-splitter.js';
+import { createEventSplitter, isCommentOnly } from '../../state/forwarding/event-splitter.js';
 import type { EventSplitter } from '../../state/forwarding/event-splitter.js';
 import type { RawHeaders } from '../../transport/opaque-http.js';
 import type { CallerResponses, BufferedResponse } from './caller-responses.js';
@@ -96,7 +96,7 @@
     if (events.length > 0) this.callerResponses.startStream(this.request, this.currentStatus, this.headers);
     for (const event of events) {
       if (event.id === null)
-        this.request.hasUnnumberedEvent = this.request.hasUnnumberedEvent || !isComment(event.bytes);
+        this.request.hasUnnumberedEvent = this.request.hasUnnumberedEvent || !isCommentOnly(event.bytes);
       else if (this.request.lastEvent !== null && event.id <= this.request.lastEvent) return { tag: 'garbled' };
       else this.request.lastEvent = event.id;
       this.request.incoming.answerer.write(event.bytes);
--- a/src/coordination/forwarding/worker-call.ts
+++ b/src/coordination/forwarding/worker-call.ts
@@ -8,8 +8,8 @@
 import type { Run, StreamLine, CompleteResponse } from '../../protocol/worker-wire.js';
 import type { AttemptOutcome } from '../../state/forwarding/attempt-outcome.js';
 import type { Candidate } from '../../state/forwarding/candidate.js';
-import { addChunk, checkDigest, startDigest } from '../../state/forwarding/response-digest.js';
-import type { ResponseDigest, DigestCheck } from '../../state/forwarding/response-digest.js';
+import { addChunk, verifyDigest, startDigest } from '../../state/forwarding/response-digest.js';
+import type { ResponseDigest, RunningDigest } from '../../state/forwarding/response-digest.js';
 import type { WorkerRow } from '../../state/discovery/worker-row.js';
 import type { WorkerTable } from '../../state/discovery/worker-table.js';
 import type { Clock } from '../../transport/clock.js';
@@ -18,12 +18,12 @@
 import type { PendingCall, PendingCalls } from './pending-calls.js';
 
 /** A line of a stream as callers get it: any number of pieces, then exactly one digest or error. */
-export type AnswerLine = StreamLine | { readonly error: Failure };
+export type ResponseLine = StreamLine | { readonly error: Failure };
 
 /** How the attempt ended. `failure` is what the caller is told if the request may have run. */
 export type WorkerCallEnd =
   | { readonly tag: 'whole'; readonly answer: CompleteResponse }
-  | { readonly tag: 'stream'; readonly lines: AsyncIterable<AnswerLine> }
+  | { readonly tag: 'stream'; readonly lines: AsyncIterable<ResponseLine> }
   | { readonly tag: 'failed'; readonly outcome: AttemptOutcome; readonly failure: Failure };
 
 /** One call: the worker, the request, and the deadline in milliseconds of the monotonic clock. */
@@ -92,7 +92,7 @@
     const isForThisAttempt =
       notRun.ok && notRun.value.requestId === run.requestId && notRun.value.attemptId === run.attemptId;
     if (response.status === 503 && isForThisAttempt) {
-      table.recordRefused(candidate.index);
+      table.recordRejected(candidate.index);
       return { tag: 'failed', outcome: { tag: 'notExecuted', retryAfterS: RETRY_AFTER_S }, failure: WORKER_FAILED };
     }
     response.abandon();
@@ -124,7 +124,7 @@
       return next;
     }
 
-    async function* relayLines(firstValid: ValidLine): AsyncGenerator<AnswerLine> {
+    async function* relayLines(firstValid: ValidLine): AsyncGenerator<ResponseLine> {
       try {
         for (let line: NextLine = firstValid; ; line = await readLine()) {
           if (line.tag === 'error') {
@@ -174,16 +174,16 @@
 function digestMatches(run: Run, response: CompleteResponse): boolean {
   const check = startDigest(run.requestId, run.attemptId);
   for (const piece of response.pieces) if (addChunk(check, piece)) return false;
-  return !checkDigest(check, response.seal);
+  return !verifyDigest(check, response.seal);
 }
 
-async function nextLine(lines: AsyncIterator<Result<unknown, unknown>>, check: DigestCheck): Promise<NextLine> {
+async function nextLine(lines: AsyncIterator<Result<unknown, unknown>>, check: RunningDigest): Promise<NextLine> {
   const next = await lines.next();
   if (next.done || !next.value.ok) return { tag: 'error', outcome: { tag: 'answerCut' }, failure: WORKER_FAILED };
   const read = readStreamLine(next.value.value);
   if (!read.ok) return { tag: 'error', outcome: { tag: 'garbled' }, failure: DIGEST_MISMATCH };
   const line = read.value;
-  const error = 'piece' in line ? addChunk(check, line.piece) : checkDigest(check, line.seal);
+  const error = 'piece' in line ? addChunk(check, line.piece) : verifyDigest(check, line.seal);
   if (error) return { tag: 'error', outcome: { tag: 'garbled' }, failure: DIGEST_MISMATCH };
   return 'piece' in line ? { tag: 'piece', piece: line.piece } : { tag: 'seal', seal: line.seal };
 }
--- a/src/coordination/forwarding/worker-slot-queue.ts
+++ b/src/coordination/forwarding/worker-slot-queue.ts
@@ -5,8 +5,8 @@
  */
 import type { RejectReason } from '../../protocol/caller-wire.js';
 import type { Candidate } from '../../state/forwarding/candidate.js';
-import { createQueuePacer } from '../../state/forwarding/queue-pacer.js';
-import type { QueuePacer } from '../../state/forwarding/queue-pacer.js';
+import { createQueueWaitEstimator } from '../../state/forwarding/queue-wait-estimator.js';
+import type { QueueWaitEstimator } from '../../state/forwarding/queue-wait-estimator.js';
 import type { Resolved } from '../../state/configuration/settings-tree.js';
 import type { AdmissionToken } from '../../state/forwarding/admission-token.js';
 import type { WorkerRow } from '../../state/discovery/worker-row.js';
@@ -56,7 +56,7 @@
 class ModelSlotQueue implements WorkerSlotQueue {
   private readonly waiters = new Set<Waiter>();
   private readonly queueLengths = new Map<string, number>();
-  private readonly pacers = new Map<string, QueuePacer>();
+  private readonly waitEstimators = new Map<string, QueueWaitEstimator>();
   private isOpen = true;
 
   constructor(private readonly deps: WorkerSlotQueueDeps) {}
@@ -69,9 +69,9 @@
     return this.queueLengths.get(model) ?? 0;
   }
 
-  private pacerOf(model: string): QueuePacer {
-    const pacer = this.pacers.get(model) ?? createQueuePacer();
-    this.pacers.set(model, pacer);
+  private waitEstimatorOf(model: string): QueueWaitEstimator {
+    const pacer = this.waitEstimators.get(model) ?? createQueueWaitEstimator();
+    this.waitEstimators.set(model, pacer);
     return pacer;
   }
 
@@ -88,7 +88,7 @@
       return choice.stoppedBy === 'room' ? null : this.noSlot(avoid.size > 0 ? 'workersShed' : 'noWorker');
     const row = this.deps.table.begin(choice.candidate.index);
     if (!row) return this.noSlot('noWorker');
-    this.pacerOf(token.model).record(this.deps.clock.mono());
+    this.waitEstimatorOf(token.model).record(this.deps.clock.mono());
     return { tag: 'acquired', candidate: choice.candidate, row };
   }
 
@@ -104,7 +104,7 @@
     if (immediate) return immediate;
     const now = this.deps.clock.mono();
     const ahead = this.queueLengthOf(model);
-    const expectedWaitMs = this.pacerOf(model).expectedWaitMs(ahead, now);
+    const expectedWaitMs = this.waitEstimatorOf(model).expectedWaitMs(ahead, now);
     if (ahead >= request.values.lineLimit || (expectedWaitMs !== null && now + expectedWaitMs > request.waitUntil))
       return this.noSlot('lineFull', expectedWaitMs ?? request.values.lineWaitMs);
     this.queueLengths.set(model, ahead + 1);
@@ -120,7 +120,7 @@
       if (now >= request.waitUntil)
         return this.noSlot(
           'lineWaitOver',
-          this.pacerOf(model).expectedWaitMs(this.queueLengthOf(model), now) ?? DEFAULT_RETRY_AFTER_MS,
+          this.waitEstimatorOf(model).expectedWaitMs(this.queueLengthOf(model), now) ?? DEFAULT_RETRY_AFTER_MS,
         );
       await this.waitForWake(request.waitUntil - now);
       const result = this.rejectionFor(request) ?? this.tryAcquire(request);
--- a/src/coordination/membership/relocated-controllers.ts
+++ b/src/coordination/membership/relocated-controllers.ts
@@ -1,7 +1,7 @@
 /** Controllers that serve at another address than the ledger has. */
 import type { NodeInfo } from '../../state/membership/node-info.js';
 import type { ControlState } from '../../state/consensus/control-state.js';
-import type { Location } from '../../state/distribution/controller-candidates.js';
+import type { ControllerLocation } from '../../state/distribution/controller-candidates.js';
 import { isUp } from '../../state/membership/members.js';
 import type { Membership } from './failure-detector.js';
 import type { Peers } from '../messaging/peers.js';
@@ -21,8 +21,8 @@
 }
 
 /** Locations of nodes, as the failure detector knows them. */
-export function locationsOf(membership: Membership): (name: string) => Location | null {
-  function spot(name: string): Location | null {
+export function locationsOf(membership: Membership): (name: string) => ControllerLocation | null {
+  function spot(name: string): ControllerLocation | null {
     const node = membership.get(name);
     return node && { zone: node.zone, region: node.region, up: node.status === 'alive' };
   }
--- a/src/coordination/proxy/opaque-proxy.test.ts
+++ b/src/coordination/proxy/opaque-proxy.test.ts
@@ -82,7 +82,7 @@
           });
         },
       },
-      feed: () => ({
+      createFeed: () => ({
         entries: () => [
           {
             id: 'w',
--- a/src/coordination/proxy/opaque-proxy.ts
+++ b/src/coordination/proxy/opaque-proxy.ts
@@ -3,7 +3,7 @@
 import type { Result } from '../../base/result.js';
 import type { MessageOf } from '../../protocol/messages.js';
 import type { LoadRows } from '../../state/distribution/load-rows.js';
-import { withChanges } from '../../state/distribution/load-rows.js';
+import { applyRowChanges } from '../../state/distribution/load-rows.js';
 import type { Report } from '../../state/distribution/report.js';
 import type { HeaderNames } from '../../protocol/header-names.js';
 import { createAttemptBudget } from '../../state/forwarding/attempt-budget.js';
@@ -20,7 +20,7 @@
 import type { Peers } from '../messaging/peers.js';
 import type { WorkerListFeed } from '../discovery/worker-list-feed.js';
 import { commonReport, openProxyNode } from './proxy-node.js';
-import type { StopTimes } from '../forwarding/stop-intake.js';
+import type { DrainDeadlines } from '../forwarding/drain-admission.js';
 import { createRelay } from '../forwarding/relay.js';
 import type { RelayTally } from '../forwarding/relay.js';
 
@@ -45,7 +45,7 @@
   readonly logs: LogRoot;
   readonly headerNames: HeaderNames;
   readonly tuning: EdgeTuning;
-  readonly feed: (peers: Peers, controllers: () => readonly Address[]) => WorkerListFeed;
+  readonly createFeed: (peers: Peers, controllers: () => readonly Address[]) => WorkerListFeed;
 };
 
 /** A running proxy. */
@@ -110,12 +110,12 @@
     slack: tuning.retrySlack,
     windowMs: tuning.retryWindowMs,
   });
-  const feed = deps.feed(peers, () => follower.controllers());
+  const feed = deps.createFeed(peers, () => follower.controllers());
   let routeTable: RouteTable | null = null;
   let routeTableVersion = -1;
   let draining = false;
   let mayBeAdvertised = true;
-  let stopTimes: StopTimes | null = null;
+  let stopTimes: DrainDeadlines | null = null;
 
   function currentRouteTable(): RouteTable | null {
     return follower.fresh() && feed.asOf() !== null ? routeTable : null;
@@ -135,9 +135,9 @@
     clock,
     rng,
     log: logs.component('relay'),
-    table: currentRouteTable,
-    closing: isDraining,
-    stopTimes: () => stopTimes,
+    routeTable: currentRouteTable,
+    isClosing: isDraining,
+    drainDeadlines: () => stopTimes,
   });
 
   function onControlStateChanged(): void {
@@ -186,7 +186,7 @@
     const health: Report['health'] = {};
     const now = clock.mono();
     for (const row of registry.rows())
-      if (row.present && row.fails >= 3 && row.badUntil > now) health[row.entry.id] = 'unfit';
+      if (row.present && row.consecutiveFailures >= 3 && row.backoffUntil > now) health[row.entry.id] = 'unfit';
     const ownReport: Report = {
       ...commonReport(id, node, tally, reportCount),
       health,
@@ -217,7 +217,7 @@
   const loadTimer = every(clock, LOAD_REPORT_INTERVAL_MS, sendLoad);
   let fleetLoad: LoadRows = {};
   function onFleetLoad(message: MessageOf<'fleetLoad'>): null {
-    fleetLoad = message.partial ? withChanges(fleetLoad, message.rows) : message.rows;
+    fleetLoad = message.partial ? applyRowChanges(fleetLoad, message.rows) : message.rows;
     registry.applyFleetLoad(fleetLoad, clock.mono());
     relay.wake();
     return null;
@@ -225,7 +225,7 @@
   peers.on('fleetLoad', onFleetLoad);
   let wasReady = false;
   function checkReadiness(): void {
-    relay.turn();
+    relay.tick();
     const isReady = ready();
     if (isReady !== wasReady) {
       log.info(isReady ? 'ready' : 'not ready');
@@ -251,7 +251,10 @@
   async function drain(maxDurationMs: number): Promise<void> {
     const startedAt = clock.mono();
     draining = true;
-    stopTimes = { intakeUntil: startedAt + FULL_INTAKE_MS, lastEndAt: startedAt + maxDurationMs - END_MARGIN_MS };
+    stopTimes = {
+      admitAllUntil: startedAt + FULL_INTAKE_MS,
+      lastResponseAt: startedAt + maxDurationMs - END_MARGIN_MS,
+    };
     checkReadiness();
     report();
     membership.leave();
@@ -270,7 +273,7 @@
       if (elapsedMs >= maxDurationMs - STOP_LISTENING_BEFORE_END_MS) listener.stopListening();
       await delay(clock, DRAIN_CHECK_INTERVAL_MS);
     }
-    relay.giveUpAll();
+    relay.abortAll();
     await delay(clock, DRAIN_CHECK_INTERVAL_MS);
   }
   async function stop(): Promise<void> {
--- a/src/coordination/proxy/proxy-http-server.ts
+++ b/src/coordination/proxy/proxy-http-server.ts
@@ -16,7 +16,7 @@
 import type { AdmissionToken } from '../../state/forwarding/admission-token.js';
 import type { Clock } from '../../transport/clock.js';
 import type { HttpReply, HttpRequest, Route } from '../../transport/http.js';
-import type { AnswerLine, Dispatcher } from '../forwarding/dispatcher.js';
+import type { ResponseLine, Dispatcher } from '../forwarding/dispatcher.js';
 import type { Follower } from '../distribution/follower.js';
 import { rejection, proxyId, TOKEN_LIFETIME_MS } from '../forwarding/placement-service.js';
 import type { PlacementService, ProxySelf } from '../forwarding/placement-service.js';
@@ -156,10 +156,10 @@
   }
 
   private async *recordWhenEnded(
-    lines: AsyncIterable<AnswerLine>,
+    lines: AsyncIterable<ResponseLine>,
     startedAt: number,
     recordOutcome: (outcome: Ended['outcome'], firstMs: number | null) => void,
-  ): AsyncGenerator<AnswerLine> {
+  ): AsyncGenerator<ResponseLine> {
     let firstMs: number | null = null;
     for await (const line of lines) {
       if ('piece' in line) firstMs ??= this.deps.clock.mono() - startedAt;
--- a/src/coordination/proxy/proxy.ts
+++ b/src/coordination/proxy/proxy.ts
@@ -14,7 +14,7 @@
 import { createClaimClient } from '../idempotency/claim-client.js';
 import { createPlatformClient } from '../scaling/cloud-client.js';
 import { createDispatcher } from '../forwarding/dispatcher.js';
-import type { Tally } from '../forwarding/dispatcher.js';
+import type { DispatcherTally } from '../forwarding/dispatcher.js';
 import type { Meters } from '../../transport/meters.js';
 import { metricsRoute } from '../metrics-http-server.js';
 import type { NodeDeps, NodeIdentity } from '../node.js';
@@ -39,7 +39,7 @@
 export type Proxy = {
   readonly wire: Address;
   readonly http: Address;
-  readonly tally: () => Tally;
+  readonly tally: () => DispatcherTally;
   readonly view: () => ProxyView;
   readonly place: PlacementService['place'];
   readonly stop: (withinMs: number) => Promise<void>;
@@ -102,12 +102,12 @@
 
   function ready(): boolean {
     const listReadAt = workerWatch.listReadAt();
-    return follower.fresh() && listReadAt !== null && listReadAt >= follower.wokeAt();
+    return follower.fresh() && listReadAt !== null && listReadAt >= follower.resumedAt();
   }
 
   function onControlStateChanged(): void {
     workerTable.applyControlState(follower.controlState());
-    workerWatch.probeStrangers();
+    workerWatch.probeNewlyReady();
     dispatcher.wake();
   }
   follower.events.on('moved', onControlStateChanged);
@@ -121,7 +121,7 @@
     reportCount += 1;
     const ownReport: Report = {
       ...commonReport(id, node, tally, reportCount),
-      health: workerWatch.verdicts(),
+      health: workerWatch.healthVerdicts(),
       http: id.http,
       ready: isAccepting && ready(),
     };
@@ -211,7 +211,7 @@
   async function stop(withinMs: number): Promise<void> {
     const deadline = clock.mono() + withinMs;
     log.info('draining');
-    dispatcher.stopTaking();
+    dispatcher.stopAdmitting();
     isAccepting = false;
     report();
     membership.leave();
--- a/src/coordination/scaling/cloud-client.ts
+++ b/src/coordination/scaling/cloud-client.ts
@@ -11,7 +11,7 @@
 } from '../../protocol/cloud-wire.js';
 import type { CloudOrder, Machine } from '../../protocol/cloud-wire.js';
 import { readWorkerList, WORKERS_PATH } from '../../protocol/platform-wire.js';
-import type { Listed } from '../../state/discovery/listed.js';
+import type { ListedWorker } from '../../state/discovery/listed.js';
 import type { Price } from '../../state/scaling/scaler-observation.js';
 import type { HttpClient } from '../../transport/http.js';
 import type { Address } from '../../transport/wire.js';
@@ -32,7 +32,7 @@
 
 /** Lists workers. */
 export interface PlatformClient {
-  workers(): Promise<Result<Listed[], CloudError>>;
+  workers(): Promise<Result<ListedWorker[], CloudError>>;
 }
 
 const WAIT_MS = 2_000;
@@ -112,7 +112,7 @@
     private readonly address: Address,
   ) {}
 
-  async workers(): Promise<Result<Listed[], CloudError>> {
+  async workers(): Promise<Result<ListedWorker[], CloudError>> {
     const response = await this.httpClient.call({
       method: 'GET',
       address: this.address,
--- a/src/coordination/scaling/scaler.ts
+++ b/src/coordination/scaling/scaler.ts
@@ -15,7 +15,7 @@
 import type { Rate } from '../../state/scaling/target.js';
 import type { Machine } from '../../protocol/cloud-wire.js';
 import { HEALTH_PATH, readHealth } from '../../protocol/worker-wire.js';
-import type { Listed } from '../../state/discovery/listed.js';
+import type { ListedWorker } from '../../state/discovery/listed.js';
 import { delay } from '../../transport/clock.js';
 import type { Clock } from '../../transport/clock.js';
 import type { HttpClient } from '../../transport/http.js';
@@ -106,7 +106,7 @@
     this.pricesAt = this.deps.clock.mono();
   }
 
-  private deadMachines(workers: readonly Listed[] | null): Set<string> {
+  private deadMachines(workers: readonly ListedWorker[] | null): Set<string> {
     const now = this.deps.clock.mono();
     const out = new Set<string>();
     for (const worker of workers ?? []) {
@@ -190,7 +190,7 @@
     return out;
   }
 
-  private async finishDraining(fence: number, workers: readonly Listed[] | null): Promise<void> {
+  private async finishDraining(fence: number, workers: readonly ListedWorker[] | null): Promise<void> {
     const now = this.deps.clock.mono();
     const still = new Map<string, number>();
     const work: Promise<void>[] = [];
@@ -363,7 +363,7 @@
   return null;
 }
 
-function workerOf(workers: readonly Listed[] | null, machine: string | null): Listed | null {
+function workerOf(workers: readonly ListedWorker[] | null, machine: string | null): ListedWorker | null {
   for (const worker of workers ?? []) if (worker.machine === machine) return worker;
   return null;
 }
--- a/src/coordination/scaling/worker-list-role.ts
+++ b/src/coordination/scaling/worker-list-role.ts
@@ -15,8 +15,8 @@
 import { STANDSTILL_MS } from '../../transport/standstill-detector.js';
 import type { Address } from '../../transport/wire.js';
 import type { WorkerListFeed, WorkerListFeedEvents, WorkerListReader } from '../discovery/worker-list-feed.js';
-import { createWorkerListUpdates, WORKER_LIST_PACE } from '../discovery/worker-list-updates.js';
-import type { WorkerListMessage, WorkerListPace, WorkerListUpdates } from '../discovery/worker-list-updates.js';
+import { createWorkerListUpdates, WORKER_LIST_TIMING } from '../discovery/worker-list-updates.js';
+import type { WorkerListMessage, WorkerListTiming, WorkerListUpdates } from '../discovery/worker-list-updates.js';
 import type { Peer, Peers } from '../messaging/peers.js';
 
 /** The reader, and the controllers that share the role. */
@@ -28,7 +28,7 @@
   readonly clock: Clock;
   readonly rng: Rng;
   readonly log: Log;
-  readonly pace?: WorkerListPace;
+  readonly pace?: WorkerListTiming;
 };
 
 /** The list as this controller has it, and whether it reads it now. */
@@ -44,7 +44,7 @@
 const SLOW_SHARE = 0.4;
 
 class ElectedListReader implements WorkerListRole {
-  private readonly pace: WorkerListPace;
+  private readonly pace: WorkerListTiming;
   private readonly readerId: string;
   private readonly updates: WorkerListUpdates;
   private readonly events = createEvents<WorkerListFeedEvents>();
@@ -59,7 +59,7 @@
   readonly feed: WorkerListFeed;
 
   constructor(private readonly deps: WorkerListRoleDeps) {
-    this.pace = this.deps.pace ?? WORKER_LIST_PACE;
+    this.pace = this.deps.pace ?? WORKER_LIST_TIMING;
     this.readerId = `${this.deps.self}/${newId(this.deps.rng, '').slice(1, 1 + MARK_LENGTH)}`;
     this.updates = createWorkerListUpdates(this.deps.peers, this.deps.clock, this.pace);
 
@@ -101,11 +101,11 @@
     const reads = this.updates.table.number()?.[1] ?? '';
     let count = 0;
     for (const address of this.others()) if (address < this.deps.self && !reads.startsWith(`${address}/`)) count += 1;
-    return count * this.pace.staggerMs;
+    return count * this.pace.takeoverStaggerMs;
   }
 
   private armTakeover(): void {
-    this.arm(Math.max(0, this.pace.freshMs - this.updates.sinceContactMs()) + 1 + this.rankMs());
+    this.arm(Math.max(0, this.pace.contactTimeoutMs - this.updates.sinceContactMs()) + 1 + this.rankMs());
   }
 
   private sendToAll(message: WorkerListMessage): void {
@@ -153,7 +153,7 @@
 
   private answerTo(number: WorkerListVersion | null): Message {
     const current = this.updates.table.number();
-    const unresponsive = this.updates.reportedUnresponsive();
+    const unresponsive = this.updates.isSourceUnresponsive();
     if (current === null) return { kind: 'listBeat', number: null, ageMs: null, silent: unresponsive };
     const ageMs = this.updates.ageMs();
     const sinceMs = Math.min(this.updates.sinceContactMs(), Number.MAX_SAFE_INTEGER);
@@ -233,8 +233,8 @@
   private async readOnce(): Promise<void> {
     const from = this.deps.clock.mono();
     const was = this.currentReading;
-    const waiting = this.deps.clock.timer(this.pace.readMs * SLOW_SHARE, () => this.announceUnresponsive());
-    const response = await within(this.deps.clock, this.pace.readMs, this.deps.reader.read());
+    const waiting = this.deps.clock.timer(this.pace.readTimeoutMs * SLOW_SHARE, () => this.announceUnresponsive());
+    const response = await within(this.deps.clock, this.pace.readTimeoutMs, this.deps.reader.read());
     waiting.cancel();
     this.updates.detectStandstill();
     if (this.stopped) return;
@@ -251,7 +251,9 @@
       this.announceUnresponsive();
     }
     this.arm(
-      this.currentReading ? from + this.pace.everyMs - this.deps.clock.mono() : RETRY_MS * (1 + this.deps.rng.next()),
+      this.currentReading
+        ? from + this.pace.readIntervalMs - this.deps.clock.mono()
+        : RETRY_MS * (1 + this.deps.rng.next()),
     );
   }
 
@@ -265,7 +267,7 @@
     else if (
       !this.currentReading &&
       this.newerSeenAt !== null &&
-      this.deps.clock.mono() - this.newerSeenAt < this.pace.freshMs
+      this.deps.clock.mono() - this.newerSeenAt < this.pace.contactTimeoutMs
     )
       this.arm(this.pace.queryTimeoutMs);
     else await this.readOnce();
--- a/src/protocol/messages.ts
+++ b/src/protocol/messages.ts
@@ -13,7 +13,7 @@
 import { LoadRowsShape } from '../state/distribution/load-rows.js';
 import { BatchShape, MemberShape } from '../state/consensus/entry.js';
 import { WorkerListVersionShape } from '../state/discovery/worker-list-table.js';
-import { ListedShape } from '../state/discovery/listed.js';
+import { ListedWorkerShape } from '../state/discovery/listed.js';
 import { NodeUpdateShape, NodeShape } from '../state/membership/node-info.js';
 import { ReportShape } from '../state/distribution/report.js';
 import { CHUNK_LENGTH, SnapshotOfferShape } from '../state/consensus/snapshot-chunks.js';
@@ -187,7 +187,7 @@
   Type.Object({
     kind: Type.Literal('listTold'),
     ageMs: Type.Union([Num, Type.Null()]),
-    workers: Type.Array(ListedShape),
+    workers: Type.Array(ListedWorkerShape),
   }),
   Type.Object({
     kind: Type.Literal('probe'),
--- a/src/protocol/worker-wire.ts
+++ b/src/protocol/worker-wire.ts
@@ -6,7 +6,7 @@
 
 import { Type } from '@sinclair/typebox';
 import type { Static } from '@sinclair/typebox';
-import { HealthShape } from '../state/discovery/health.js';
+import { HealthReportShape } from '../state/discovery/health.js';
 import { ResponseChunkShape, ResponseDigestShape } from '../state/forwarding/response-digest.js';
 import { readerOf } from './read-shape.js';
 
@@ -58,7 +58,7 @@
 /** Checks a refusal. */
 export const readNotRun = readerOf(NotRunShape);
 /** Checks a worker's report of its health. */
-export const readHealth = readerOf(HealthShape);
+export const readHealth = readerOf(HealthReportShape);
 
 /** Where attempts go. */
 export const RUN_PATH = '/v1/run';
--- a/src/sim/edge-day.test.ts
+++ b/src/sim/edge-day.test.ts
@@ -51,8 +51,8 @@
     const real = await import('../state/forwarding/attempt-outcome.js');
     jest.unstable_mockModule('../state/forwarding/attempt-outcome.js', () => ({
       ...real,
-      decide: (...given: Parameters<typeof real.decide>) =>
-        given[0].tag === outcome ? decision : real.decide(...given),
+      decide: (...given: Parameters<typeof real.decideAfterAttempt>) =>
+        given[0].tag === outcome ? decision : real.decideAfterAttempt(...given),
     }));
     const broken = await import('../coordination/forwarding/relay.js');
     expect(await rulesBroken({ createRelay: broken.createRelay })).toEqual(expect.arrayContaining([...rules]));
--- a/src/sim/edge-day.ts
+++ b/src/sim/edge-day.ts
@@ -116,11 +116,11 @@
     clock,
     rng,
     log: createQuietLog().component('edge'),
-    table: theTable,
-    closing: never,
-    stopTimes: nothing,
+    routeTable: theTable,
+    isClosing: never,
+    drainDeadlines: nothing,
   });
-  every(clock, 250, () => relay.turn());
+  every(clock, 250, () => relay.tick());
   function theTable(): RouteTable {
     return table;
   }
--- a/src/sim/engine/engine-worker.ts
+++ b/src/sim/engine/engine-worker.ts
@@ -94,7 +94,7 @@
   }
 
   keptTokens(parts: readonly PrefixBlock[]): number {
-    return this.kept.known(parts);
+    return this.kept.knownTokens(parts);
   }
 
   unreadTokens(): number {
--- a/src/sim/engine/load-exchange.ts
+++ b/src/sim/engine/load-exchange.ts
@@ -3,11 +3,11 @@
  * and what changed back to the proxies, with the real tables and delays of the deployment.
  */
 
-import { createFleetLoad, sumOf } from '../../state/distribution/fleet-load.js';
+import { createFleetLoad, sumLoadRows } from '../../state/distribution/fleet-load.js';
 import type { FleetLoad } from '../../state/distribution/fleet-load.js';
 import { createLoadChanges } from '../../state/distribution/load-changes.js';
 import type { LoadChanges } from '../../state/distribution/load-changes.js';
-import { withChanges } from '../../state/distribution/load-rows.js';
+import { applyRowChanges } from '../../state/distribution/load-rows.js';
 import type { LoadRows } from '../../state/distribution/load-rows.js';
 import type { WorkerRegistry } from '../../state/discovery/worker-registry.js';
 import type { Deployment } from './deployment.js';
@@ -84,7 +84,7 @@
       count += 1;
       const mine = controller.own.sums(now());
       if (controller.ownChanges.next(mine, now())) this.tellControllers(controller, index, count);
-      const changed = controller.sumChanges.next(sumOf(mine, controller.others.sums(now())), now());
+      const changed = controller.sumChanges.next(sumLoadRows(mine, controller.others.sums(now())), now());
       if (changed) this.tellSharers(index, changed);
       if (!isOver()) after(relayMs, relay);
     };
@@ -102,7 +102,7 @@
     for (const sharer of this.sharers)
       if (sharer.controller === controller)
         this.clock.after(this.deployment.crossZoneMs, () => {
-          sharer.fleetLoad = withChanges(sharer.fleetLoad, changed);
+          sharer.fleetLoad = applyRowChanges(sharer.fleetLoad, changed);
           sharer.registry.applyFleetLoad(sharer.fleetLoad, this.clock.now());
         });
   }
--- a/src/standin/hollow.ts
+++ b/src/standin/hollow.ts
@@ -4,7 +4,7 @@
 import type { Proxy } from '../coordination/proxy/proxy.js';
 import type { NodeDeps, NodeIdentity } from '../coordination/node.js';
 import { WORKERS_PATH, readWorkerList } from '../protocol/platform-wire.js';
-import type { Listed } from '../state/discovery/listed.js';
+import type { ListedWorker } from '../state/discovery/listed.js';
 import { HEALTH_PATH } from '../protocol/worker-wire.js';
 import { every, delay } from '../transport/clock.js';
 import type { Clock } from '../transport/clock.js';
@@ -48,7 +48,7 @@
 
 // The proxies of a process share one reading of the list each second, and workers' health is answered from it, so that hollow workers need no connections.
 export function hollowWorkers(httpClient: HttpClient, clock: Clock): HttpClient {
-  const listed = new Map<Address, Listed>();
+  const listed = new Map<Address, ListedWorker>();
   let reading: Promise<Result<HttpAnswer, HttpError>> | null = null;
   let readAt = 0;
   async function call(httpCall: HttpCall): Promise<Result<HttpAnswer, HttpError>> {
--- a/src/standin/platform.ts
+++ b/src/standin/platform.ts
@@ -3,8 +3,8 @@
 import { Type } from '@sinclair/typebox';
 import { readerOf } from '../protocol/read-shape.js';
 import { WORKERS_PATH } from '../protocol/platform-wire.js';
-import { ListedShape } from '../state/discovery/listed.js';
-import type { Listed } from '../state/discovery/listed.js';
+import { ListedWorkerShape } from '../state/discovery/listed.js';
+import type { ListedWorker } from '../state/discovery/listed.js';
 import type { Clock } from '../transport/clock.js';
 import type { HttpServer, HttpReply, HttpRequest } from '../transport/http.js';
 import type { Journal } from '../transport/journal.js';
@@ -12,7 +12,7 @@
 
 export type StandinPlatform = { readonly address: Address; readonly stop: () => Promise<void> };
 
-const readListed = readerOf(ListedShape);
+const readListed = readerOf(ListedWorkerShape);
 const readDrain = readerOf(Type.Object({ remainingMs: Type.Number() }));
 const readDrainMachine = readerOf(Type.Object({ machine: Type.String(), remainingMs: Type.Number() }));
 const readFault = readerOf(
@@ -21,7 +21,7 @@
 const readHide = readerOf(Type.Object({ hidden: Type.Boolean() }));
 const FORGET_MS = 5_000;
 
-type Held = { readonly listed: Listed; readonly at: number };
+type Held = { readonly listed: ListedWorker; readonly at: number };
 type Drain = { readonly machine: string; readonly by: number };
 
 export async function startStandinPlatform(
@@ -46,7 +46,7 @@
     if (mode === 'down') return { status: 500, text: 'down' };
     if (mode === 'nonsense') return { status: 200, body: { workers: 'many' } };
     const now = clock.mono();
-    const workers: Listed[] = [];
+    const workers: ListedWorker[] = [];
     for (const [id, worker] of held) {
       if (now - worker.at > FORGET_MS) {
         held.delete(id);
--- a/src/state/discovery/health.ts
+++ b/src/state/discovery/health.ts
@@ -6,7 +6,7 @@
 const BoundedString = Type.String({ minLength: 1, maxLength: 256 });
 
 /** Schema of a health report. A new incarnation means that the worker restarted and has nothing cached. */
-export const HealthShape = Type.Object({
+export const HealthReportShape = Type.Object({
   id: BoundedString,
   incarnation: BoundedString,
   model: Type.String(),
@@ -16,4 +16,4 @@
   readyForMs: Type.Number({ minimum: 0 }),
 });
 /** A validated health report. */
-export type HealthReport = Static<typeof HealthShape>;
+export type HealthReport = Static<typeof HealthReportShape>;
--- a/src/state/discovery/listed.ts
+++ b/src/state/discovery/listed.ts
@@ -6,7 +6,7 @@
 const BoundedString = Type.String({ minLength: 1, maxLength: 256 });
 
 /** Schema of a listed worker; `remainingMs` is the time until a draining worker stops. */
-export const ListedShape = Type.Object({
+export const ListedWorkerShape = Type.Object({
   id: BoundedString,
   machine: BoundedString,
   address: BoundedString,
@@ -18,4 +18,4 @@
   remainingMs: Type.Optional(Type.Number()),
 });
 /** A validated listed worker. */
-export type Listed = Static<typeof ListedShape>;
+export type ListedWorker = Static<typeof ListedWorkerShape>;
--- a/src/state/discovery/prefix-cache.ts
+++ b/src/state/discovery/prefix-cache.ts
@@ -5,7 +5,7 @@
 
 /** Returns how many leading tokens of a prompt are cached, and records the blocks of runs. */
 export interface PrefixCache {
-  known(blocks: readonly PrefixBlock[]): number;
+  knownTokens(blocks: readonly PrefixBlock[]): number;
   record(blocks: readonly PrefixBlock[]): void;
   /** Evicts the least recently used blocks until at most `maxTokens` tokens remain. */
   shrinkTo(maxTokens: number): void;
@@ -18,7 +18,7 @@
 
   constructor(private readonly maxTokens: number) {}
 
-  known(blocks: readonly PrefixBlock[]): number {
+  knownTokens(blocks: readonly PrefixBlock[]): number {
     let tokens = 0;
     for (const block of blocks) {
       if (!this.tokensById.has(block.id)) break;
--- a/src/state/discovery/prefix-table.ts
+++ b/src/state/discovery/prefix-table.ts
@@ -10,7 +10,7 @@
  * the longest matching prefix first. `forget` drops the records of a worker whose cache was lost.
  */
 export interface PrefixTable {
-  learn(model: number, blocks: readonly string[], worker: number): void;
+  recordRun(model: number, blocks: readonly string[], worker: number): void;
   knownBlocks(model: number, blocks: readonly string[], worker: number): number;
   holders(model: number, blocks: readonly string[]): readonly number[];
   forget(worker: number): void;
@@ -38,7 +38,7 @@
     return worker * 65_536 + ((this.generations.get(worker) ?? 0) % 65_536);
   }
 
-  learn(model: number, blocks: readonly string[], worker: number): void {
+  recordRun(model: number, blocks: readonly string[], worker: number): void {
     const taggedWorker = this.withGeneration(worker);
     for (const key of this.prefixKeys(model, blocks)) {
       const holders: number[] = [taggedWorker];
--- a/src/state/discovery/registry-row.ts
+++ b/src/state/discovery/registry-row.ts
@@ -8,8 +8,8 @@
 import type { LoadRows } from '../distribution/load-rows.js';
 import { createPrefixCache } from './prefix-cache.js';
 import type { PrefixCache } from './prefix-cache.js';
-import { createRateGuard } from '../forwarding/rate-guard.js';
-import type { RateGuard } from '../forwarding/rate-guard.js';
+import { createRateLimiter } from '../forwarding/rate-limiter.js';
+import type { RateLimiter } from '../forwarding/rate-limiter.js';
 import { createRunCounts } from '../forwarding/run-counts.js';
 import type { RunCounts } from '../forwarding/run-counts.js';
 import type { WorkerEntry } from './worker-entry.js';
@@ -28,14 +28,14 @@
   leaving: boolean;
   leaveBy: number | null;
   coldUntil: number;
-  coldStarts: RateGuard;
+  coldStarts: RateLimiter;
   running: number;
-  unread: number;
+  unreadTokens: number;
   kvTokens: number;
   otherLoad: WorkerLoad;
   reportedLoad: WorkerLoad;
-  fails: number;
-  badUntil: number;
+  consecutiveFailures: number;
+  backoffUntil: number;
   isSuspected: boolean;
   unresponsiveSince: number;
   doubtUntil: number;
@@ -55,13 +55,13 @@
  */
 export type WorkerLoad = {
   readonly running: number;
-  readonly unread: number;
+  readonly unreadTokens: number;
   readonly kvTokens: number;
   readonly bad: number;
   readonly ran: number;
 };
 /** The load of an idle worker. */
-export const NO_LOAD: WorkerLoad = { running: 0, unread: 0, kvTokens: 0, bad: 0, ran: 0 };
+export const NO_LOAD: WorkerLoad = { running: 0, unreadTokens: 0, kvTokens: 0, bad: 0, ran: 0 };
 
 /** Window in which requests to a cold worker are counted: slightly over the one second that its rate refers to. */
 const COLD_START_WINDOW_MS = 1_150;
@@ -74,14 +74,14 @@
     leaving: entry.leaving,
     leaveBy: null,
     coldUntil: 0,
-    coldStarts: createRateGuard(COLD_START_WINDOW_MS),
+    coldStarts: createRateLimiter(COLD_START_WINDOW_MS),
     running: 0,
-    unread: 0,
+    unreadTokens: 0,
     kvTokens: 0,
     otherLoad: NO_LOAD,
     reportedLoad: NO_LOAD,
-    fails: 0,
-    badUntil: 0,
+    consecutiveFailures: 0,
+    backoffUntil: 0,
     isSuspected: false,
     unresponsiveSince: 0,
     doubtUntil: 0,
@@ -93,9 +93,9 @@
 }
 
 /** Returns the fraction of recent runs on all proxies that were bad; 0 if fewer than `minBad` were bad. */
-export function spoiledFraction(row: RegistryRow, now: number, minBad: number): number {
+export function badRunFraction(row: RegistryRow, now: number, minBad: number): number {
   const bad = row.runs.bad(now) + row.otherLoad.bad;
-  const ran = row.runs.ran(now) + row.otherLoad.ran;
+  const ran = row.runs.total(now) + row.otherLoad.ran;
   return bad < minBad ? 0 : bad / Math.max(1, ran);
 }
 
@@ -103,7 +103,7 @@
 export function loadOfOthers(total: LoadRows[string], reportedLoad: WorkerLoad): WorkerLoad {
   return {
     running: Math.max(0, total[0] - reportedLoad.running),
-    unread: Math.max(0, total[1] - reportedLoad.unread),
+    unreadTokens: Math.max(0, total[1] - reportedLoad.unreadTokens),
     kvTokens: Math.max(0, total[2] - reportedLoad.kvTokens),
     bad: Math.max(0, total[3] - reportedLoad.bad),
     ran: Math.max(0, total[4] - reportedLoad.ran),
--- a/src/state/discovery/worker-registry.test.ts
+++ b/src/state/discovery/worker-registry.test.ts
@@ -141,7 +141,7 @@
   const [first, second] = createRegistries(2, [entry('w0'), entry('w1')]);
   const row = [...first!.rows()].find((r) => r.entry.id === 'w0')!;
   for (let i = 0; i < 6; i += 1) {
-    if (i % 2 === 0) first!.recordSpoiled(row, 100);
+    if (i % 2 === 0) first!.recordBadRun(row, 100);
     else first!.recordServed(row, 100);
   }
   second!.applyFleetLoad(first!.load(200), 200);
@@ -160,7 +160,7 @@
   const [registry] = createRegistries(1, [entry('w0')]);
   const row = [...registry!.rows()][0]!;
   for (let i = 0; i < 30; i += 1) registry!.recordServed(row, 50);
-  registry!.recordSpoiled(row, 60);
+  registry!.recordBadRun(row, 60);
   const selection = registry!.selectWorker(requestWith({ now: 1_000 }));
   expect(selection.tag === 'row' && selection.costMs).toBeLessThan(100);
 });
@@ -185,11 +185,11 @@
   for (const registry of registries) {
     const row = [...registry.rows()][0]!;
     for (let i = 0; i < 8; i += 1) registry.markUnresponsive(row, 1_000);
-    if (row.badUntil <= 3_000) frequent += 1;
+    if (row.backoffUntil <= 3_000) frequent += 1;
     else {
-      expect(row.badUntil).toBeGreaterThan(10_000);
+      expect(row.backoffUntil).toBeGreaterThan(10_000);
       registry.applyFleetLoad({ w: [1, 0, 0, 0, 1] }, 4_000);
-      expect(row.badUntil).toBe(4_000);
+      expect(row.backoffUntil).toBe(4_000);
     }
   }
   expect(frequent).toBe(EDGE_TUNING.redialers);
--- a/src/state/discovery/worker-registry.ts
+++ b/src/state/discovery/worker-registry.ts
@@ -45,11 +45,11 @@
   selectWorker(request: SelectionRequest): Selection;
   reserve(row: RegistryRow, request: SelectionRequest): Reservation;
   recordFailure(row: RegistryRow, now: number): void;
-  recordSpoiled(row: RegistryRow, now: number): void;
+  recordBadRun(row: RegistryRow, now: number): void;
   markUnresponsive(row: RegistryRow, now: number): void;
   markReachable(row: RegistryRow, now: number): void;
   recordServed(row: RegistryRow, now: number): void;
-  connectMs(row: RegistryRow): number;
+  connectTimeoutMs(row: RegistryRow): number;
   hasFewSharingProxies(): boolean;
   markFull(row: RegistryRow, now: number, forMs: number): void;
   markRelocated(row: RegistryRow): void;
@@ -168,8 +168,8 @@
     for (const row of rows) {
       if (!this.isUsable(row, request)) continue;
       if (!row.isSuspected) hasCandidate = true;
-      if (row.isSuspected || row.badUntil > request.now || row.fullUntil > request.now) continue;
-      if (row.fails > 0 && row.running > 0) continue;
+      if (row.isSuspected || row.backoffUntil > request.now || row.fullUntil > request.now) continue;
+      if (row.consecutiveFailures > 0 && row.running > 0) continue;
       if (row.running >= this.slotsOf(row, request) || !this.hasColdStartQuota(row, request)) continue;
       const costMs = this.placementCost.cost(row, request, home);
       if (costMs < lowestCostMs) {
@@ -185,23 +185,23 @@
     if (request.parts.length < 2) return null;
     const candidates: RegistryRow[] = [];
     for (const row of rows)
-      if (this.isUsable(row, request) && !row.isSuspected && row.badUntil <= request.now) candidates.push(row);
+      if (this.isUsable(row, request) && !row.isSuspected && row.backoffUntil <= request.now) candidates.push(row);
     return selectHomeWorker(candidates, request.parts, this.tuning);
   }
 
   reserve(row: RegistryRow, request: SelectionRequest): Reservation {
-    const knownTokens = request.pinned ? row.prefixCache.known(request.parts) : 0;
+    const knownTokens = request.pinned ? row.prefixCache.knownTokens(request.parts) : 0;
     const unreadTokens = Math.max(0, request.tokens - knownTokens);
     const reservedKvTokens = request.tokens + request.outTokens;
     row.running += 1;
-    row.unread += unreadTokens;
+    row.unreadTokens += unreadTokens;
     row.kvTokens += reservedKvTokens;
     if (row.coldUntil > request.now) row.coldStarts.record(request.now);
     if (request.pinned) row.prefixCache.record(request.parts);
     let isReading = true;
     let hasEnded = false;
     function read(): void {
-      if (isReading) row.unread -= unreadTokens;
+      if (isReading) row.unreadTokens -= unreadTokens;
       isReading = false;
     }
     function end(): void {
@@ -215,16 +215,16 @@
   }
 
   recordFailure(row: RegistryRow, now: number): void {
-    row.fails += 1;
-    row.badUntil = now + Math.min(4_000, 125 * 2 ** row.fails);
+    row.consecutiveFailures += 1;
+    row.backoffUntil = now + Math.min(4_000, 125 * 2 ** row.consecutiveFailures);
     row.prefixCache.clear();
   }
 
   markUnresponsive(row: RegistryRow, now: number): void {
-    row.fails += 1;
+    row.consecutiveFailures += 1;
     if (!row.isSuspected || row.unresponsiveSince === 0) row.unresponsiveSince = now;
     row.isSuspected = true;
-    row.badUntil = now + Math.min(this.redialIntervalMs(row), 250 * 2 ** row.fails);
+    row.backoffUntil = now + Math.min(this.redialIntervalMs(row), 250 * 2 ** row.consecutiveFailures);
   }
 
   hasFewSharingProxies(): boolean {
@@ -242,21 +242,21 @@
       row.doubtUntil = now + this.tuning.doubtForMs;
     row.unresponsiveSince = 0;
     row.isSuspected = false;
-    row.badUntil = 0;
-    row.fails = 0;
+    row.backoffUntil = 0;
+    row.consecutiveFailures = 0;
   }
 
-  recordSpoiled(row: RegistryRow, now: number): void {
+  recordBadRun(row: RegistryRow, now: number): void {
     row.runs.record(now, true);
     this.recordFailure(row, now);
   }
 
   recordServed(row: RegistryRow, now: number): void {
     row.runs.record(now, false);
-    row.fails = 0;
+    row.consecutiveFailures = 0;
   }
 
-  connectMs(row: RegistryRow): number {
+  connectTimeoutMs(row: RegistryRow): number {
     const distanceMs = row.entry.region === this.self.region ? 5 : this.placementCost.regionDelayMs(row);
     return Math.min(this.tuning.connectMs, this.tuning.connectLeastMs + 3 * distanceMs);
   }
@@ -278,12 +278,12 @@
     for (const row of this.rowsById.values()) {
       row.reportedLoad = {
         running: row.running,
-        unread: roundToMultiple(row.unread, 100),
+        unreadTokens: roundToMultiple(row.unreadTokens, 100),
         kvTokens: roundToMultiple(row.kvTokens, 1_000),
         bad: row.runs.bad(now),
-        ran: row.runs.ran(now),
+        ran: row.runs.total(now),
       };
-      const { running, unread, kvTokens, bad, ran } = row.reportedLoad;
+      const { running, unreadTokens: unread, kvTokens, bad, ran } = row.reportedLoad;
       if (running > 0 || bad > 0) loads[row.entry.id] = [running, unread, kvTokens, bad, ran];
     }
     return loads;
@@ -295,7 +295,7 @@
       const previous = row.otherLoad;
       row.otherLoad = total ? loadOfOthers(total, row.reportedLoad) : NO_LOAD;
       if (row.isSuspected && row.otherLoad.ran > previous.ran && row.otherLoad.bad <= previous.bad)
-        row.badUntil = Math.min(row.badUntil, now);
+        row.backoffUntil = Math.min(row.backoffUntil, now);
     }
   }
 
--- a/src/state/discovery/worker-row.ts
+++ b/src/state/discovery/worker-row.ts
@@ -1,5 +1,5 @@
 /** State that a proxy keeps for each worker that it probes. */
-import type { Listed } from './listed.js';
+import type { ListedWorker } from './listed.js';
 
 /**
  * One worker. Times are in milliseconds of the monotonic clock. `reported` is the number of requests that the worker
@@ -8,7 +8,7 @@
  */
 export type WorkerRow = {
   readonly index: number;
-  listed: Listed;
+  listed: ListedWorker;
   present: boolean;
   leaving: boolean;
   leaveBy: number | null;
@@ -29,7 +29,7 @@
 export const MAX_WINDOW = 1_024;
 
 /** Creates the row of a newly listed worker. */
-export function createWorkerRow(index: number, listed: Listed): WorkerRow {
+export function createWorkerRow(index: number, listed: ListedWorker): WorkerRow {
   return {
     index,
     listed,
--- a/src/state/discovery/worker-table.ts
+++ b/src/state/discovery/worker-table.ts
@@ -4,7 +4,7 @@
 import type { Order } from '../scaling/order.js';
 import type { HealthReport } from './health.js';
 import { createIndices } from './indices.js';
-import type { Listed } from './listed.js';
+import type { ListedWorker } from './listed.js';
 import { createPrefixTable } from './prefix-table.js';
 import type { PrefixTable } from './prefix-table.js';
 import type { Resolved } from '../configuration/settings-tree.js';
@@ -18,7 +18,7 @@
  * request, and grows with each request that it serves.
  */
 export interface WorkerTable {
-  applyList(list: readonly Listed[], now: number): void;
+  applyList(list: readonly ListedWorker[], now: number): void;
   recordHealth(id: string, health: HealthReport, now: number): void;
   recordMissedProbe(id: string): void;
   applyControlState(controlState: ControlState): void;
@@ -27,11 +27,11 @@
   begin(index: number): WorkerRow | null;
   end(row: WorkerRow): void;
   isCurrent(row: WorkerRow): boolean;
-  recordRefused(index: number): void;
+  recordRejected(index: number): void;
   recordServed(index: number): void;
   candidates(query: CandidateQuery): Candidate[];
   readonly prefixes: PrefixTable;
-  modelIx(model: string): number;
+  modelIndex(model: string): number;
 }
 
 /**
@@ -43,7 +43,7 @@
   readonly parts: readonly string[];
   readonly values: Resolved;
   readonly zone: string;
-  readonly near: string;
+  readonly callerZone: string;
   readonly zonesWithProxy: ReadonlySet<string>;
   readonly now: number;
   readonly homes: readonly string[] | null;
@@ -64,7 +64,7 @@
   private departedMachines = new Set<string>();
   private evacuatedZones: Readonly<Record<string, number>> = {};
 
-  applyList(list: readonly Listed[], now: number): void {
+  applyList(list: readonly ListedWorker[], now: number): void {
     const seen = new Set<number>();
     for (const listed of list) {
       const index = this.workerIndices.indexOf(listed.id);
@@ -157,8 +157,13 @@
       if (row?.listed.model === query.model) holders.push(row);
     }
     return (
-      this.pools.sample({ model: query.model, zone: query.near, homes: query.homes, seed: query.seed, holders }) ??
-      this.pools.all(query.model)
+      this.pools.sample({
+        model: query.model,
+        zone: query.callerZone,
+        homes: query.homes,
+        seed: query.seed,
+        holders,
+      }) ?? this.pools.all(query.model)
     );
   }
 
@@ -186,11 +191,11 @@
         leaving: row.leaving || listed.state === 'draining',
         evacuated: this.evacuatedZones[listed.zone] !== undefined,
         healthy: isResponsive && row.ready,
-        answersUs: isResponsive,
+        respondsToProbes: isResponsive,
         running: row.inFlight >= Math.floor(row.window) ? Math.max(this.loadOf(row), limit) : this.loadOf(row),
         limit,
         agreed,
-        knownFraction:
+        cachedFraction:
           query.parts.length === 0 ? 0 : this.prefixes.knownBlocks(model, query.parts, row.index) / query.parts.length,
       });
     }
@@ -211,7 +216,7 @@
     return this.rowsByIndex.get(row.index) === row;
   }
 
-  recordRefused(index: number): void {
+  recordRejected(index: number): void {
     const row = this.rowsByIndex.get(index);
     if (row) row.window = Math.max(1, Math.min(row.window, row.inFlight) * WINDOW_DECREASE_FACTOR);
   }
@@ -229,7 +234,7 @@
     return this.rowsByIndex.get(index) ?? null;
   }
 
-  modelIx(name: string): number {
+  modelIndex(name: string): number {
     return this.modelIndices.indexOf(name);
   }
 }
--- a/src/state/distribution/controller-candidates.ts
+++ b/src/state/distribution/controller-candidates.ts
@@ -2,7 +2,7 @@
 import { sha256 } from '../../base/digest.js';
 
 /** Zone and region of a controller, and whether it is up. */
-export type Location = { readonly zone: string; readonly region: string; readonly up: boolean };
+export type ControllerLocation = { readonly zone: string; readonly region: string; readonly up: boolean };
 
 /**
  * A controller that may be followed. `name` and `location` are null if unknown; `failed` says that it failed recently.
@@ -10,14 +10,14 @@
 export type Candidate = {
   readonly address: string;
   readonly name: string | null;
-  readonly location: Location | null;
+  readonly location: ControllerLocation | null;
   readonly failed: boolean;
 };
 
 /** Returns 0 for the same zone, 1 for the same region, and 2 otherwise. */
 export function networkDistance(
   own: { readonly zone: string; readonly region: string },
-  location: Location | null,
+  location: ControllerLocation | null,
 ): number {
   if (location === null || location.region !== own.region) return 2;
   return location.zone === own.zone ? 0 : 1;
--- a/src/state/distribution/fleet-load.ts
+++ b/src/state/distribution/fleet-load.ts
@@ -1,7 +1,7 @@
 /** Load on each worker, summed over the proxies. */
 import { Type } from '@sinclair/typebox';
 import type { Static } from '@sinclair/typebox';
-import { LoadRowsShape, withChanges } from './load-rows.js';
+import { LoadRowsShape, applyRowChanges } from './load-rows.js';
 import type { LoadRow, LoadRows } from './load-rows.js';
 
 /**
@@ -42,7 +42,7 @@
       return true;
     }
     if (!sameRun || previous.report.count + 1 !== report.count) return false;
-    const rows = withChanges(previous.report.rows, report.rows);
+    const rows = applyRowChanges(previous.report.rows, report.rows);
     this.reports.set(report.name, { report: { ...report, rows }, at: now });
     return true;
   }
@@ -73,7 +73,7 @@
 }
 
 /** Returns the sum of two tables by worker. */
-export function sumOf(left: LoadRows, right: LoadRows): LoadRows {
+export function sumLoadRows(left: LoadRows, right: LoadRows): LoadRows {
   const totals: LoadRows = { ...left };
   for (const [id, row] of Object.entries(right)) addRow(totals, id, row);
   return totals;
--- a/src/state/distribution/load-changes.test.ts
+++ b/src/state/distribution/load-changes.test.ts
@@ -3,7 +3,7 @@
 import { createFleetLoad } from './fleet-load.js';
 import type { LoadRows } from './load-rows.js';
 import { createLoadChanges } from './load-changes.js';
-import { withChanges } from './load-rows.js';
+import { applyRowChanges } from './load-rows.js';
 
 test('a difference that matters for selecting a worker is sent at the next tick, a small one half a second later', () => {
   const changes = createLoadChanges();
@@ -22,7 +22,7 @@
   changes.next({ w: [4, 0, 30_000, 0, 1] }, 0);
   const removal = changes.next({}, 100) as LoadRows;
   expect(removal).toEqual({ w: [0, 0, 0, 0, 0] });
-  expect(withChanges({ w: [4, 0, 30_000, 0, 1] }, removal)).toEqual({});
+  expect(applyRowChanges({ w: [4, 0, 30_000, 0, 1] }, removal)).toEqual({});
   expect(changes.next({}, 5_000)).toBeNull();
   expect(changes.told()).toEqual({});
 });
@@ -51,11 +51,11 @@
       for (const sums of tables) {
         now += 100;
         const rows = changes.next(sums, now);
-        if (rows) received = withChanges(received, rows);
+        if (rows) received = applyRowChanges(received, rows);
       }
       const last = tables[tables.length - 1] as LoadRows;
       const lastChanges = changes.next(last, now + 2_000);
-      if (lastChanges) received = withChanges(received, lastChanges);
+      if (lastChanges) received = applyRowChanges(received, lastChanges);
       const nonZeroRows = Object.entries(last).filter(([, values]) => values.some((value) => value > 0));
       expect(received).toEqual(Object.fromEntries(nonZeroRows));
       expect(changes.told()).toEqual(received);
--- a/src/state/distribution/load-rows.ts
+++ b/src/state/distribution/load-rows.ts
@@ -27,7 +27,7 @@
 }
 
 /** Returns a copy of the table with the changed rows applied; a row of zeros removes the worker. */
-export function withChanges(rows: LoadRows, changedRows: LoadRows): LoadRows {
+export function applyRowChanges(rows: LoadRows, changedRows: LoadRows): LoadRows {
   const merged: LoadRows = { ...rows };
   for (const [id, row] of Object.entries(changedRows)) {
     if (isZeroRow(row)) delete merged[id];
--- a/src/state/forwarding/admission-token.ts
+++ b/src/state/forwarding/admission-token.ts
@@ -8,7 +8,7 @@
 import { parsedJson } from '../../base/parsed-json.js';
 
 /** The constraints that were asked for; the home regions are derived from them again when the request arrives. */
-export type Bound = {
+export type PlacementConstraints = {
   readonly mapping: string | null;
   readonly kind: string | null;
   readonly asked: readonly string[] | null;
@@ -21,7 +21,7 @@
   readonly proxy: string;
   readonly model: string;
   readonly region: string;
-  readonly bound: Bound;
+  readonly bound: PlacementConstraints;
   readonly repeatable: boolean;
   readonly expiresAt: number;
 };
--- a/src/state/forwarding/attempt-budget.test.ts
+++ b/src/state/forwarding/attempt-budget.test.ts
@@ -23,11 +23,11 @@
     const budget = budgets[Math.floor(rng.next() * proxyCount)]!;
     const isBurst = now > 10_000 && now < 12_000;
     if (isBurst || rng.next() < 0.3) {
-      budget.arrived('m', now);
+      budget.recordFirstAttempt('m', now);
       firstAttempts.push(now);
     }
     for (let k = 0; k < 3; k += 1) {
-      if (!budget.take('m', now)) continue;
+      if (!budget.tryAcquire('m', now)) continue;
       if (rng.next() < 0.1) budget.refund('m');
       else retries.push(now);
     }
@@ -41,14 +41,14 @@
 
 test('the retries of one model are not taken from the budget of another', () => {
   const budget = createAttemptBudget(BOUNDS);
-  for (let i = 0; i < 100 && budget.take('m', 0); i += 1);
+  for (let i = 0; i < 100 && budget.tryAcquire('m', 0); i += 1);
   expect(budget.hasCapacity('m', 0)).toBe(false);
   expect(budget.hasCapacity('n', 0)).toBe(true);
 });
 
 test('a retry that was taken and not sent can be taken again', () => {
   const budget = createAttemptBudget(BOUNDS);
-  while (budget.take('m', 0));
+  while (budget.tryAcquire('m', 0));
   budget.refund('m');
-  expect([budget.take('m', 0), budget.take('m', 0)]).toEqual([true, false]);
+  expect([budget.tryAcquire('m', 0), budget.tryAcquire('m', 0)]).toEqual([true, false]);
 });
--- a/src/state/forwarding/attempt-budget.ts
+++ b/src/state/forwarding/attempt-budget.ts
@@ -7,11 +7,11 @@
 /** Counts first attempts per model and grants retries. */
 export interface AttemptBudget {
   /** Counts the first attempt of a request. */
-  arrived(model: string, now: number): void;
+  recordFirstAttempt(model: string, now: number): void;
   /** Returns whether a retry would be granted now. */
   hasCapacity(model: string, now: number): boolean;
   /** Takes one retry from the budget; returns false if none is left. */
-  take(model: string, now: number): boolean;
+  tryAcquire(model: string, now: number): boolean;
   /** Gives back a retry that was taken but not sent. */
   refund(model: string): void;
   /** Sets the number of proxies that share the slack equally. */
@@ -41,7 +41,7 @@
     return attemptTimes;
   }
 
-  arrived(model: string, now: number): void {
+  recordFirstAttempt(model: string, now: number): void {
     this.recentAttempts(this.firstAttempts, model, now).push(now);
   }
 
@@ -53,7 +53,7 @@
     return this.recentAttempts(this.retries, model, now).length + 1 <= allowance;
   }
 
-  take(model: string, now: number): boolean {
+  tryAcquire(model: string, now: number): boolean {
     if (!this.hasCapacity(model, now)) return false;
     this.recentAttempts(this.retries, model, now).push(now);
     return true;
--- a/src/state/forwarding/attempt-outcome.test.ts
+++ b/src/state/forwarding/attempt-outcome.test.ts
@@ -1,16 +1,16 @@
 import { describe, expect, test } from '@jest/globals';
-import { decide, MIN_RETRY_TIME_MS, mayHaveRun, wasSent } from './attempt-outcome.js';
-import type { AttemptOutcome, Repeatability, RequestSituation } from './attempt-outcome.js';
+import { decideAfterAttempt, MIN_RETRY_TIME_MS, mayHaveRun, wasSent } from './attempt-outcome.js';
+import type { AttemptOutcome, Repeatability, RetryContext } from './attempt-outcome.js';
 
 const REPEATABILITIES: readonly Repeatability[] = ['once', 'repeatable', 'resumable'];
 
-function retryContext(overrides: Partial<RequestSituation> = {}): RequestSituation {
+function retryContext(overrides: Partial<RetryContext> = {}): RetryContext {
   return {
     repeatability: 'once',
     answerBegun: false,
     canResume: true,
     mayHaveRun: false,
-    leftMs: 5_000,
+    remainingMs: 5_000,
     acquireAttempt: () => true,
     ...overrides,
   };
@@ -43,8 +43,8 @@
   [{ tag: 'answered' }, ['passOn', 'passOn', 'passOn', 'passOn'], 'passOn'],
 ];
 
-function decisionAfter(outcome: AttemptOutcome, overrides: Partial<RequestSituation>): string {
-  const decision = decide(outcome, retryContext(overrides));
+function decisionAfter(outcome: AttemptOutcome, overrides: Partial<RetryContext>): string {
+  const decision = decideAfterAttempt(outcome, retryContext(overrides));
   if (decision.tag === 'repeat') return decision.resume ? 'resume' : 'repeat';
   return decision.tag === 'fail' ? `fail ${decision.status}` : decision.tag;
 }
@@ -61,7 +61,7 @@
 
     test('without time left', () => {
       for (const repeatability of REPEATABILITIES)
-        expect(decisionAfter(outcome, { repeatability, leftMs: 0 })).toBe(withoutTimeLeft);
+        expect(decisionAfter(outcome, { repeatability, remainingMs: 0 })).toBe(withoutTimeLeft);
     });
 
     test('without attempts left only a request that was never sent is retried', () => {
@@ -94,7 +94,9 @@
             acquiredCount += 1;
             return true;
           };
-          const isRetried = decide(outcome, retryContext({ repeatability, leftMs, acquireAttempt })).tag === 'repeat';
+          const isRetried =
+            decideAfterAttempt(outcome, retryContext({ repeatability, remainingMs: leftMs, acquireAttempt })).tag ===
+            'repeat';
           expect(acquiredCount).toBe(isRetried && wasSent(outcome) ? 1 : 0);
         }
     });
@@ -106,7 +108,7 @@
             for (const mayHaveRunBefore of [true, false]) {
               const decision = decisionAfter(outcome, {
                 repeatability,
-                leftMs,
+                remainingMs: leftMs,
                 acquireAttempt: () => hasAttemptsLeft,
                 mayHaveRun: mayHaveRunBefore,
               });
--- a/src/state/forwarding/attempt-outcome.ts
+++ b/src/state/forwarding/attempt-outcome.ts
@@ -39,7 +39,7 @@
   | { readonly tag: 'answered' };
 
 /** State of the request at the end of an attempt. */
-export type RequestSituation = {
+export type RetryContext = {
   readonly repeatability: Repeatability;
   /** The response head, and possibly events, have been passed to the caller. */
   readonly answerBegun: boolean;
@@ -48,13 +48,13 @@
   /** The request may have run in an earlier attempt. */
   readonly mayHaveRun: boolean;
   /** Time until the deadline, in milliseconds. */
-  readonly leftMs: number;
+  readonly remainingMs: number;
   /** Takes a retry from the route's maximum and the shared budget; called only if a retry is otherwise allowed. */
   readonly acquireAttempt: () => boolean;
 };
 
 /** What to do after an attempt. */
-export type Decision =
+export type RetryDecision =
   /** Retry on another worker; with `resume` it continues the response that was started. */
   | { readonly tag: 'repeat'; readonly resume: boolean }
   /** Keep waiting for the pending attempt. */
@@ -101,7 +101,7 @@
 }
 
 /** Decides what to do after an attempt. */
-export function decide(outcome: AttemptOutcome, context: RequestSituation): Decision {
+export function decideAfterAttempt(outcome: AttemptOutcome, context: RetryContext): RetryDecision {
   switch (outcome.tag) {
     case 'callerGone':
       return { tag: 'done' };
@@ -118,8 +118,8 @@
   }
 }
 
-function mayRetry(outcome: AttemptOutcome, context: RequestSituation): boolean {
-  const { repeatability, answerBegun, canResume, leftMs } = context;
+function mayRetry(outcome: AttemptOutcome, context: RetryContext): boolean {
+  const { repeatability, answerBegun, canResume, remainingMs: leftMs } = context;
   const executionState = executionStateOf(outcome);
   if (leftMs <= (outcome.tag === 'withheld' ? 0 : MIN_RETRY_TIME_MS)) return false;
   if (answerBegun && !(repeatability === 'resumable' && canResume)) return false;
@@ -128,7 +128,7 @@
   return context.acquireAttempt();
 }
 
-function finalDecision(outcome: AttemptOutcome, context: RequestSituation): Decision {
+function finalDecision(outcome: AttemptOutcome, context: RetryContext): RetryDecision {
   if (context.answerBegun) return { tag: 'cut' };
   if (outcome.tag === 'workerFailed') return { tag: 'passOn' };
   if (context.mayHaveRun || mayHaveRun(outcome)) return { tag: 'fail', status: 502 };
--- a/src/state/forwarding/candidate.ts
+++ b/src/state/forwarding/candidate.ts
@@ -11,13 +11,13 @@
   readonly evacuated: boolean;
   readonly healthy: boolean;
   /** Responds to health checks of this proxy. */
-  readonly answersUs: boolean;
+  readonly respondsToProbes: boolean;
   readonly running: number;
   readonly limit: number;
   /** Belongs to the candidates that every proxy derives from the prompt. */
   readonly agreed: boolean;
   /** Fraction of the prompt that the worker has cached. */
-  readonly knownFraction: number;
+  readonly cachedFraction: number;
 };
 
 /** Properties of the request, its caller and the selecting proxy. */
--- a/src/state/forwarding/event-splitter.ts
+++ b/src/state/forwarding/event-splitter.ts
@@ -54,6 +54,6 @@
 const COLON = 58;
 
 /** Returns true for an event of comment lines alone, which carries no data and may occur any number of times. */
-export function isComment(event: Buffer): boolean {
+export function isCommentOnly(event: Buffer): boolean {
   return event[0] === COLON && !/\n[^:\r\n]/.test(event.toString('latin1'));
 }
--- a/src/state/forwarding/placement-cost.ts
+++ b/src/state/forwarding/placement-cost.ts
@@ -7,7 +7,7 @@
 import type { EdgeTuning } from './edge-tuning.js';
 import { sharedTokens } from '../discovery/home-worker.js';
 import type { PrefixBlock } from '../discovery/prefix-cache.js';
-import { spoiledFraction } from '../discovery/registry-row.js';
+import { badRunFraction } from '../discovery/registry-row.js';
 import type { RegistryRow } from '../discovery/registry-row.js';
 import type { ModelTraits } from '../configuration/serving.js';
 
@@ -52,7 +52,7 @@
   /** Time to read the prompt, after the prompts that wait at the worker already. */
   private prefillMs(row: RegistryRow, request: SelectionRequest, cachedTokens: number): number {
     const uncachedTokens = Math.max(0, request.tokens - cachedTokens);
-    const backlogTokens = row.unread + row.otherLoad.unread;
+    const backlogTokens = row.unreadTokens + row.otherLoad.unreadTokens;
     let ms = (uncachedTokens + backlogTokens) / this.tuning.tokensPerMs;
     if (request.tokens <= 0) return ms;
     ms += Math.max(0, sharedTokens(request.parts) - cachedTokens) * this.tuning.sharedMs;
@@ -87,8 +87,8 @@
   /** Delay to expect from the worker's state and its recent failures. */
   private reliabilityPenaltyMs(row: RegistryRow, request: SelectionRequest): number {
     let ms =
-      row.fails * this.tuning.failMs +
-      spoiledFraction(row, request.now, this.tuning.spoiltLeast) * this.tuning.spoiltMs;
+      row.consecutiveFailures * this.tuning.failMs +
+      badRunFraction(row, request.now, this.tuning.spoiltLeast) * this.tuning.spoiltMs;
     if (row.coldUntil > request.now) ms += this.tuning.coldMs;
     if (row.doubtUntil > request.now) ms += this.tuning.doubtMs;
     if (this.isPreemptive(request.model, row.entry.zone)) ms += this.tuning.preemptiveMs;
@@ -97,7 +97,7 @@
 
   cost(row: RegistryRow, request: SelectionRequest, home: RegistryRow | null): number {
     const cachedTokens = request.pinned
-      ? Math.max(row.prefixCache.known(request.parts), row === home ? sharedTokens(request.parts) : 0)
+      ? Math.max(row.prefixCache.knownTokens(request.parts), row === home ? sharedTokens(request.parts) : 0)
       : 0;
     return (
       this.prefillMs(row, request, cachedTokens) +
--- a/src/state/forwarding/policies.test.ts
+++ b/src/state/forwarding/policies.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, test } from '@jest/globals';
 import type { Candidate, SelectionContext } from './candidate.js';
-import { selectAmong, POLICIES } from './policies.js';
+import { selectCandidate, POLICIES } from './policies.js';
 
 const base: Candidate = {
   index: 0,
@@ -11,11 +11,11 @@
   leaving: false,
   evacuated: false,
   healthy: true,
-  answersUs: true,
+  respondsToProbes: true,
   running: 0,
   limit: 8,
   agreed: true,
-  knownFraction: 0,
+  cachedFraction: 0,
 };
 const ctx: SelectionContext = {
   zone: 'z1',
@@ -31,7 +31,7 @@
   return { ...base, ...overrides };
 }
 function chosen(candidates: readonly Candidate[], contextOverrides: Partial<SelectionContext> = {}): string {
-  const result = selectAmong(candidates, { ...ctx, ...contextOverrides }, POLICIES);
+  const result = selectCandidate(candidates, { ...ctx, ...contextOverrides }, POLICIES);
   return result.tag === 'chosen' ? result.candidate.id : `none: ${result.stoppedBy}`;
 }
 
@@ -42,7 +42,7 @@
     ['evacuated', { evacuated: true }, {}],
     ['health', { healthy: false }, {}],
     ['partition', { region: 'r2' }, { partitioned: true }],
-    ['partition', { answersUs: false }, { partitioned: true }],
+    ['partition', { respondsToProbes: false }, { partitioned: true }],
     ['untried', {}, { avoid: new Set([0]) }],
     ['room', { running: 8 }, {}],
   ])('the filter %s excludes a worker and is named in the result', (name, candidateOverrides, contextOverrides) => {
@@ -54,12 +54,12 @@
   });
 
   test('a cached prefix outweighs the distance to another region', () => {
-    const far = candidateWith({ index: 1, id: 'far', zone: 'z2', region: 'r2', knownFraction: 0.8 });
+    const far = candidateWith({ index: 1, id: 'far', zone: 'z2', region: 'r2', cachedFraction: 0.8 });
     expect(chosen([base, far])).toBe('far');
   });
 
   test('a worker with the prefix cached that is above its load bound loses to the next one in the home regions', () => {
-    const busy = candidateWith({ index: 1, id: 'busy', knownFraction: 1, running: 7 });
+    const busy = candidateWith({ index: 1, id: 'busy', cachedFraction: 1, running: 7 });
     const idle = candidateWith({ index: 2, id: 'idle' });
     const outsideHomes = candidateWith({ index: 3, id: 'abroad', region: 'r9', zone: 'z9' });
     expect(chosen([busy, idle, outsideHomes], { meanLoad: 0.3, homes: ['r1'] })).toBe('idle');
--- a/src/state/forwarding/policies.ts
+++ b/src/state/forwarding/policies.ts
@@ -30,7 +30,7 @@
   return candidate.healthy;
 }
 function filterPartition(candidate: Candidate, ctx: SelectionContext): boolean {
-  return !ctx.partitioned || (candidate.region === ctx.ownRegion && candidate.answersUs);
+  return !ctx.partitioned || (candidate.region === ctx.ownRegion && candidate.respondsToProbes);
 }
 function filterTried(candidate: Candidate, ctx: SelectionContext): boolean {
   return !ctx.avoid.has(candidate.index);
@@ -45,7 +45,7 @@
 function scorePrefix(candidate: Candidate, ctx: SelectionContext): number {
   if (!isWithinLoadBound(candidate, ctx)) return 0;
   const hashScore = !candidate.agreed ? 0 : hash32(`${ctx.seed}|${candidate.id}`) / 4294967296;
-  return AFFINITY_WEIGHT * candidate.knownFraction + HASH_WEIGHT * hashScore;
+  return AFFINITY_WEIGHT * candidate.cachedFraction + HASH_WEIGHT * hashScore;
 }
 function scoreLoad(candidate: Candidate): number {
   return -LOAD_WEIGHT * (candidate.running / candidate.limit);
@@ -76,11 +76,15 @@
 ];
 
 /** The selected worker, or the name of the filter that excluded the last candidate. */
-export type Choice =
+export type SelectionResult =
   { readonly tag: 'chosen'; readonly candidate: Candidate } | { readonly tag: 'none'; readonly stoppedBy: string };
 
 /** Selects the candidate with the highest score; the lower id wins a tie. */
-export function selectAmong(all: readonly Candidate[], ctx: SelectionContext, policies: readonly Policy[]): Choice {
+export function selectCandidate(
+  all: readonly Candidate[],
+  ctx: SelectionContext,
+  policies: readonly Policy[],
+): SelectionResult {
   let eligible = all;
   for (const policy of policies) {
     if (!policy.filter) continue;
--- a/src/state/forwarding/queue-pacer.test.ts
+++ b/src/state/forwarding/queue-wait-estimator.test.ts
@@ -1,8 +1,8 @@
 import { expect, test } from '@jest/globals';
-import { createQueuePacer } from './queue-pacer.js';
+import { createQueueWaitEstimator } from './queue-wait-estimator.js';
 
 test('the wait is estimated from the rate of freed slots, and not from too few samples', () => {
-  const estimator = createQueuePacer();
+  const estimator = createQueueWaitEstimator();
   expect(estimator.expectedWaitMs(5, 0)).toBeNull();
   for (let i = 0; i < 21; i += 1) estimator.record(i * 100);
   expect(estimator.expectedWaitMs(9, 2_000)).toBe(1_000);
--- a/src/state/forwarding/queue-pacer.ts
+++ b/src/state/forwarding/queue-wait-estimator.ts
@@ -4,7 +4,7 @@
  */
 
 /** Records the times at which slots became free, and estimates the wait behind `ahead` other waiters. */
-export interface QueuePacer {
+export interface QueueWaitEstimator {
   record(now: number): void;
   /** Returns null if there are too few recent samples. */
   expectedWaitMs(ahead: number, now: number): number | null;
@@ -14,7 +14,7 @@
 const MIN_SAMPLES = 8;
 const SAMPLE_WINDOW_MS = 10_000;
 
-class RecentSampleWaitEstimator implements QueuePacer {
+class RecentSampleWaitEstimator implements QueueWaitEstimator {
   private freedAt: number[] = [];
 
   record(now: number): void {
@@ -32,6 +32,6 @@
 }
 
 /** Creates an estimator; it returns null until eight slots have become free within ten seconds. */
-export function createQueuePacer(): QueuePacer {
+export function createQueueWaitEstimator(): QueueWaitEstimator {
   return new RecentSampleWaitEstimator();
 }
--- a/src/state/forwarding/rate-guard.ts
+++ b/src/state/forwarding/rate-limiter.ts
@@ -4,12 +4,12 @@
  */
 
 /** `hasCapacity` returns whether one more request fits, `record` counts it. */
-export interface RateGuard {
+export interface RateLimiter {
   hasCapacity(now: number, max: number): boolean;
   record(now: number): void;
 }
 
-class SlidingWindowRateLimiter implements RateGuard {
+class SlidingWindowRateLimiter implements RateLimiter {
   private startTimes: number[] = [];
 
   constructor(private readonly windowMs: number) {}
@@ -26,6 +26,6 @@
 }
 
 /** Creates a limiter for a window of `windowMs` without any requests. */
-export function createRateGuard(windowMs: number): RateGuard {
+export function createRateLimiter(windowMs: number): RateLimiter {
   return new SlidingWindowRateLimiter(windowMs);
 }
--- a/src/state/forwarding/response-digest.test.ts
+++ b/src/state/forwarding/response-digest.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from '@jest/globals';
-import { addChunk, checkDigest, closeDigest, startDigest } from './response-digest.js';
+import { addChunk, verifyDigest, closeDigest, startDigest } from './response-digest.js';
 
 function digestOf(texts: readonly string[]): ReturnType<typeof closeDigest> {
   const running = startDigest('r1', 'd1');
@@ -12,7 +12,7 @@
   function verify(requestId: string, attemptId: string | null, texts: readonly string[]): unknown {
     const running = startDigest(requestId, attemptId);
     texts.forEach((text, n) => addChunk(running, { n, text }));
-    return checkDigest(running, digest);
+    return verifyDigest(running, digest);
   }
   expect(verify('r1', 'd1', ['ab', 'c'])).toBeNull();
   expect(verify('r1', null, ['ab', 'c'])).toBeNull();
--- a/src/state/forwarding/response-digest.ts
+++ b/src/state/forwarding/response-digest.ts
@@ -30,7 +30,7 @@
 export type ResponseDigestError = 'foreign' | 'pieceOutOfTurn' | 'pieceCount' | 'digest';
 
 /** A digest being computed. `attemptId` is null where the verifier doesn't know the attempt. */
-export type DigestCheck = {
+export type RunningDigest = {
   readonly requestId: string;
   readonly attemptId: string | null;
   pieces: number;
@@ -38,29 +38,29 @@
 };
 
 /** Starts the digest of one response. */
-export function startDigest(requestId: string, attemptId: string | null): DigestCheck {
+export function startDigest(requestId: string, attemptId: string | null): RunningDigest {
   return { requestId, attemptId, pieces: 0, hash: createHash('sha256') };
 }
 
 /** Adds the next chunk; returns an error if it is out of order, else null. */
-export function addChunk(running: DigestCheck, chunk: ResponseChunk): ResponseDigestError | null {
+export function addChunk(running: RunningDigest, chunk: ResponseChunk): ResponseDigestError | null {
   if (chunk.n !== running.pieces) return 'pieceOutOfTurn';
   running.pieces += 1;
   running.hash.update(`${chunk.n}:${Buffer.byteLength(chunk.text)}:${chunk.text}`);
   return null;
 }
 
-function finalHash(running: DigestCheck, attemptId: string): string {
+function finalHash(running: RunningDigest, attemptId: string): string {
   return running.hash.copy().update(`|${running.requestId}|${attemptId}|${running.pieces}`).digest('hex');
 }
 
 /** Returns the digest over the chunks added so far. */
-export function closeDigest(running: DigestCheck, attemptId: string): ResponseDigest {
+export function closeDigest(running: RunningDigest, attemptId: string): ResponseDigest {
   return { requestId: running.requestId, attemptId, pieces: running.pieces, digest: finalHash(running, attemptId) };
 }
 
 /** Returns null if the digest matches the chunks added so far, else the error. */
-export function checkDigest(running: DigestCheck, digest: ResponseDigest): ResponseDigestError | null {
+export function verifyDigest(running: RunningDigest, digest: ResponseDigest): ResponseDigestError | null {
   if (digest.requestId !== running.requestId) return 'foreign';
   if (running.attemptId !== null && digest.attemptId !== running.attemptId) return 'foreign';
   if (digest.pieces !== running.pieces) return 'pieceCount';
--- a/src/state/forwarding/retry-budget.ts
+++ b/src/state/forwarding/retry-budget.ts
@@ -5,7 +5,7 @@
 
 /** Adds, takes and counts tokens. */
 export interface RetryBudget {
-  recordAttempt(fraction: number): void;
+  recordFirstAttempt(fraction: number): void;
   /** Takes one token; returns false if less than one is left. */
   spend(): boolean;
   tokens(): number;
@@ -16,7 +16,7 @@
 class TokenRetryBudget implements RetryBudget {
   private currentTokens = 0;
 
-  recordAttempt(fraction: number): void {
+  recordFirstAttempt(fraction: number): void {
     this.currentTokens = Math.min(MAX_TOKENS, this.currentTokens + fraction);
   }
 
--- a/src/state/forwarding/run-counts.ts
+++ b/src/state/forwarding/run-counts.ts
@@ -7,7 +7,7 @@
 export interface RunCounts {
   record(now: number, isBad: boolean): void;
   bad(now: number): number;
-  ran(now: number): number;
+  total(now: number): number;
 }
 
 type Bucket = { index: number; bad: number; ran: number };
@@ -40,7 +40,7 @@
     return this.currentBucket.bad + this.previousBucket.bad;
   }
 
-  ran(now: number): number {
+  total(now: number): number {
     this.rotate(now);
     return this.currentBucket.ran + this.previousBucket.ran;
   }
