--- a/src/coordination/consensus/catch-up.test.ts
+++ b/src/coordination/consensus/catch-up.test.ts
@@ -16,28 +16,28 @@
 
 const FAR_BEHIND = { orders: 2_000, changes: 1_000 };
 
-describe('on links of 35 ms one way with windows of 64 KB', () => {
+describe('on links with a one-way latency of 35 ms and a window of 64 KB', () => {
   test.each([1, 2])(
-    'a controller 1,000 changes and 2,000 orders behind is whole within 4 s (seed %i)',
+    'a controller that lags by 1,000 changes and 2,000 orders catches up within 4 s (seed %i)',
     async (seed) => {
       expect((await controllerBehind(seed, FAR_BEHIND)).ms).toBeLessThan(4_000);
     },
   );
 
   test.each([1, 2])(
-    'a proxy on a line of 7 Mbit/s, cut off meanwhile, serves with all of it within 2 s (seed %i)',
+    'a proxy on a 7 Mbit/s link that was partitioned meanwhile serves with the complete state within 2 s (seed %i)',
     async (seed) => {
       expect((await proxyBehind(seed, FAR_BEHIND, false)).ms).toBeLessThan(2_000);
     },
   );
 
-  test.each([1, 2])('a proxy on a line of 7 Mbit/s that begins anew serves within 2 s (seed %i)', async (seed) => {
+  test.each([1, 2])('a proxy on a 7 Mbit/s link that starts from scratch serves within 2 s (seed %i)', async (seed) => {
     expect((await proxyBehind(seed, FAR_BEHIND, true)).ms).toBeLessThan(2_000);
   });
 });
 
-/** A state of some 3 MB, of which no slots are kept that a lagging controller could be told one by one. */
-async function largeState(seed: number): Promise<SimCore> {
+/** Builds a state of about 3 MB whose slots are no longer kept, so that a lagging controller needs a snapshot. */
+async function coreWithLargeState(seed: number): Promise<SimCore> {
   const core = await bootstrapped(seed, NARROW);
   core.kill('h3');
   core.rates.limitWindow(0);
@@ -65,60 +65,63 @@
   }
 }
 
-describe('a state too large for one call', () => {
-  test.each([1, 2, 3])('is fetched in parts while others change it (seed %i)', async (seed) => {
-    const core = await largeState(seed);
+describe('a state too large for one message', () => {
+  test.each([1, 2, 3])('is fetched in chunks while others keep changing it (seed %i)', async (seed) => {
+    const core = await coreWithLargeState(seed);
     const stateBytes = JSON.stringify(core.node('h1').controller?.ledger.controlState()).length;
     expect(stateBytes).toBeGreaterThan(3_000_000);
     core.start('h3');
-    const isWhole = () => {
+    const hasCaughtUp = () => {
       const [h1, h3] = ['h1', 'h3'].map((name) => core.node(name).controller?.ledger.controlState().slot);
       return h3 !== undefined && h1 === h3;
     };
     await core.world.advance(500);
-    await keepChanging(core, 'h1', isWhole);
-    expect(isWhole()).toBe(true);
+    await keepChanging(core, 'h1', hasCaughtUp);
+    expect(hasCaughtUp()).toBe(true);
     expect(core.node('h3').controller?.ledger.controlState()).toEqual(
       core.node('h1').controller?.ledger.controlState(),
     );
     expect(core.broken).toEqual([]);
   });
 
-  test.each([1, 2, 3])('its giver is lost on the way: it comes whole from the other (seed %i)', async (seed) => {
-    const core = await largeState(seed);
-    await core.world.advance(2_000);
-    core.start('h3');
-    await core.world.advance(2_500);
-    expect(core.node('h3').controller?.ledger.controlState().slot).toBeLessThan(
-      core.node('h1').controller?.ledger.controlState().slot ?? 0,
-    );
-    core.kill(seed % 2 === 0 ? 'h2' : 'h1');
-    const left = seed % 2 === 0 ? 'h1' : 'h2';
-    expect(
-      await core.until(
-        10_000,
-        () =>
-          core.node('h3').controller?.ledger.controlState().slot ===
-          core.node(left).controller?.ledger.controlState().slot,
-      ),
-    ).toBe(true);
-    expect((await core.order('h3', 'after')).result?.ok).toBe(true);
-    expect(core.broken).toEqual([]);
-  });
+  test.each([1, 2, 3])(
+    'is fetched completely from the other controller if the sender is lost midway (seed %i)',
+    async (seed) => {
+      const core = await coreWithLargeState(seed);
+      await core.world.advance(2_000);
+      core.start('h3');
+      await core.world.advance(2_500);
+      expect(core.node('h3').controller?.ledger.controlState().slot).toBeLessThan(
+        core.node('h1').controller?.ledger.controlState().slot ?? 0,
+      );
+      core.kill(seed % 2 === 0 ? 'h2' : 'h1');
+      const survivor = seed % 2 === 0 ? 'h1' : 'h2';
+      expect(
+        await core.until(
+          10_000,
+          () =>
+            core.node('h3').controller?.ledger.controlState().slot ===
+            core.node(survivor).controller?.ledger.controlState().slot,
+        ),
+      ).toBe(true);
+      expect((await core.order('h3', 'after')).result?.ok).toBe(true);
+      expect(core.broken).toEqual([]);
+    },
+  );
 });
 
-describe('closed orders are kept by controllers, not in the replicated state', () => {
-  function closedAt(core: SimCore, name: string): string {
+describe('closed orders, which are kept by each controller and not in the replicated state', () => {
+  function closedOrdersAt(core: SimCore, name: string): string {
     return JSON.stringify(core.node(name).controller?.ledger.closedOrders.all());
   }
 
   test.each([1, 2, 3])(
-    'one that lost its disk tells again who ordered what and why, from the others (seed %i)',
+    'a controller that lost its disk gets them (who ordered what and why) from the others again (seed %i)',
     async (seed) => {
       const core = await bootstrapped(seed, NARROW);
       await addOrders(core, 600);
-      const told = closedAt(core, 'h1');
-      expect(told.length).toBeGreaterThan(300_000);
+      const expectedOrders = closedOrdersAt(core, 'h1');
+      expect(expectedOrders.length).toBeGreaterThan(300_000);
       expect(JSON.stringify(core.node('h1').controller?.ledger.controlState()).length).toBeLessThan(100_000);
       core.powerLoss('h3');
       core.wipe('h3');
@@ -129,59 +132,68 @@
           () =>
             core.whole(['h1', 'h2', 'h3']) &&
             core.node('h3').controller?.ledger.closedOrders.lacking() === null &&
-            closedAt(core, 'h3') === told,
+            closedOrdersAt(core, 'h3') === expectedOrders,
         ),
       ).toBe(true);
       core.kill('h3');
       core.start('h3');
-      expect(await core.until(2_000, () => core.node('h3').controller !== null && closedAt(core, 'h3') === told)).toBe(
-        true,
-      );
+      expect(
+        await core.until(
+          2_000,
+          () => core.node('h3').controller !== null && closedOrdersAt(core, 'h3') === expectedOrders,
+        ),
+      ).toBe(true);
       expect(core.broken).toEqual([]);
     },
   );
 
-  test.each([1, 2, 3])('all lose their power, then two their disks one after another (seed %i)', async (seed) => {
-    const core = await bootstrapped(seed, NARROW);
-    await addOrders(core, 100);
-    const told = closedAt(core, 'h1');
-    for (const name of ['h1', 'h2', 'h3']) core.powerLoss(name);
-    core.startAll();
-    await core.until(10_000, () => core.whole(['h1', 'h2', 'h3']));
-    for (const name of ['h1', 'h2']) {
-      core.powerLoss(name);
-      core.wipe(name);
-      core.start(name);
-      const isBack = () =>
-        core.whole(['h1', 'h2', 'h3']) && core.node(name).controller?.ledger.closedOrders.lacking() === null;
-      expect(await core.until(20_000, isBack)).toBe(true);
-    }
-    for (const name of ['h1', 'h2', 'h3']) expect(closedAt(core, name)).toBe(told);
-    expect(core.broken).toEqual([]);
-  });
+  test.each([1, 2, 3])(
+    'survive a power loss of all controllers, then the loss of two disks one after the other (seed %i)',
+    async (seed) => {
+      const core = await bootstrapped(seed, NARROW);
+      await addOrders(core, 100);
+      const expectedOrders = closedOrdersAt(core, 'h1');
+      for (const name of ['h1', 'h2', 'h3']) core.powerLoss(name);
+      core.startAll();
+      await core.until(10_000, () => core.whole(['h1', 'h2', 'h3']));
+      for (const name of ['h1', 'h2']) {
+        core.powerLoss(name);
+        core.wipe(name);
+        core.start(name);
+        const hasRecovered = () =>
+          core.whole(['h1', 'h2', 'h3']) && core.node(name).controller?.ledger.closedOrders.lacking() === null;
+        expect(await core.until(20_000, hasRecovered)).toBe(true);
+      }
+      for (const name of ['h1', 'h2', 'h3']) expect(closedOrdersAt(core, name)).toBe(expectedOrders);
+      expect(core.broken).toEqual([]);
+    },
+  );
 });
 
-describe('the state that a proxy is given', () => {
-  test('folds on as the whole one: the same members, configuration, zones, machines', async () => {
+describe('the state sent to a proxy', () => {
+  test('applies later entries like the complete state: the same members, configuration, zones, machines', async () => {
     const core = await bootstrapped(4, NARROW);
     await addOrders(core, 40);
     await addChanges(core, 5);
     await stepOrders(core, 12, ['intended', 'placed']);
     await addChanges(core, 1);
     const before = core.node('h1').controller?.ledger.since(1) ?? [];
-    const whole = structuredClone(core.node('h1').controller?.ledger.controlState() as ControlState);
-    const given = JSON.parse(JSON.stringify(proxyState(whole))) as ControlState;
-    expect(isControlState(given)).toBe(true);
-    const from = whole.slot + 1;
-    expect(JSON.stringify(given).length).toBeLessThan(JSON.stringify(whole).length - 12 * 200);
+    const fullState = structuredClone(core.node('h1').controller?.ledger.controlState() as ControlState);
+    const proxyCopy = JSON.parse(JSON.stringify(proxyState(fullState))) as ControlState;
+    expect(isControlState(proxyCopy)).toBe(true);
+    const from = fullState.slot + 1;
+    expect(JSON.stringify(proxyCopy).length).toBeLessThan(JSON.stringify(fullState).length - 12 * 200);
     await stepOrders(core, 12, ['ready', 'lost']);
     await addOrders(core, 30);
     await addChanges(core, 3);
     const later = core.node('h1').controller?.ledger.since(from) ?? [];
     expect(later.length).toBeGreaterThan(5);
-    for (const { slot, batch } of later) expect(foldBatch(given, slot, batch)).toEqual(foldBatch(whole, slot, batch));
-    const again = before[before.length - 1]?.batch as Batch;
-    expect(foldBatch(given, whole.slot + 1, again)).toEqual(foldBatch(whole, whole.slot + 1, again));
-    expect(proxyState(given)).toEqual(proxyState(whole));
+    for (const { slot, batch } of later)
+      expect(foldBatch(proxyCopy, slot, batch)).toEqual(foldBatch(fullState, slot, batch));
+    const repeated = before[before.length - 1]?.batch as Batch;
+    expect(foldBatch(proxyCopy, fullState.slot + 1, repeated)).toEqual(
+      foldBatch(fullState, fullState.slot + 1, repeated),
+    );
+    expect(proxyState(proxyCopy)).toEqual(proxyState(fullState));
   });
 });
--- a/src/coordination/consensus/catch-up.ts
+++ b/src/coordination/consensus/catch-up.ts
@@ -1,4 +1,4 @@
-/** How a controller that lags gets the slots that it lacks, or a snapshot, from another one; and how it serves them. */
+/** Fetches missing slots or a snapshot from another controller, and serves such fetches. */
 import type { Message, MessageOf, SlotBatch } from '../../protocol/messages.js';
 import type { ControlState } from '../../state/consensus/control-state.js';
 import type { Batch } from '../../state/consensus/entry.js';
@@ -14,45 +14,48 @@
 import type { Store } from './store.js';
 
 /**
- * How a controller that lags gets what it lacks from another one: the slots it is missing, or
- * the whole state where the other no longer keeps these slots. The other side, which hands them
- * out, is here as well. The ledger calls it whenever it hears of a member that is further.
+ * Lets a lagging controller catch up with another one: fetches the missing slots, or the complete
+ * state if the other one no longer keeps these slots or a snapshot is smaller. Also answers such
+ * fetches. Called by the ledger when another member turns out to be ahead.
  */
 export interface CatchUp {
-  /** Asks one controller until nothing more comes; calls for the same one join the one under way. */
+  /** Fetches from one controller until it returns nothing new. Concurrent calls for the same address share a fetch. */
   from(address: Address): Promise<void>;
   readonly snapshots: SnapshotSender;
 }
 
-/** The store that is caught up; `learn` folds a chosen batch into its slot. */
+/** The store to bring up to date, and how it reaches the other controllers. */
 export type CatchUpDeps = {
   readonly peers: Pick<Peers, 'call' | 'on'>;
   readonly clock: Clock;
   readonly log: Log;
   readonly store: Pick<Store, 'put' | 'recent' | 'page' | 'bytesSince'>;
   readonly controlState: () => ControlState;
-  /** Folds a chosen batch into the next slot. */
+  /** Applies a chosen batch to the next slot. */
   readonly learn: (slot: number, batch: Batch) => Promise<void>;
 };
 
-const FETCH_WAIT_MS = 2_000;
-/** More than the kept slots come to, page by page. */
-const MOST_FETCHES = 256;
-/** A page is carried in one round trip by links with windows of 64 KB. */
+const FETCH_TIMEOUT_MS = 2_000;
+/** Upper bound on the pages of one fetch; more than all kept slots take. */
+const MAX_FETCHES = 256;
+/** Fits into a window of 64 KB, so that a link with such a window carries a page in one round trip. */
 export const PAGE_BYTES = 48_000;
-/** Up to here single slots are told without a look at how large a snapshot would be. */
-const FEW_BYTES = 256_000;
+/** Up to this size the slots themselves are sent, without checking how large a snapshot would be. */
+const SNAPSHOT_THRESHOLD_BYTES = 256_000;
 
-/** Whether a node that lags from a slot on is helped sooner by a snapshot than by the slots themselves. */
+/**
+ * Returns a snapshot to send to a node that lacks the slots from `from` on, if the snapshot is smaller than these
+ * slots or they are no longer kept; otherwise null.
+ */
 export function snapshotInstead(
   store: Pick<Store, 'bytesSince'>,
   from: number,
   offer: (slot: number) => SnapshotOffer | null,
 ): SnapshotOffer | null {
   const bytes = store.bytesSince(from);
-  if (bytes !== null && bytes <= FEW_BYTES) return null;
-  const offered = offer(from);
-  return offered && (bytes === null || offered.length < bytes) ? offered : null;
+  if (bytes !== null && bytes <= SNAPSHOT_THRESHOLD_BYTES) return null;
+  const snapshot = offer(from);
+  return snapshot && (bytes === null || snapshot.length < bytes) ? snapshot : null;
 }
 
 class LogCatchUp implements CatchUp {
@@ -66,52 +69,52 @@
       clock: this.deps.clock,
       log: this.deps.log,
       controlState: this.deps.controlState,
-      keepsFrom: (slot) => this.keepsFrom(slot),
+      hasSlotsFrom: (slot) => this.hasSlotsFrom(slot),
     });
     this.receiver = createSnapshotReceiver(this.deps.peers, this.deps.clock, this.deps.log);
 
     this.deps.peers.on('fetch', (message) => this.onFetch(message));
   }
 
-  private keepsFrom(slot: number): boolean {
+  private hasSlotsFrom(slot: number): boolean {
     return this.deps.store.recent(slot) !== null;
   }
 
   from(address: Address): Promise<void> {
-    const joined = this.fetches.get(address);
-    if (joined) return joined;
+    const running = this.fetches.get(address);
+    if (running) return running;
 
-    const done = (): void => {
+    const onDone = (): void => {
       this.fetches.delete(address);
     };
-    const made = this.fetchAll(address).then(done);
-    this.fetches.set(address, made);
-    return made;
+    const fetching = this.fetchAll(address).then(onDone);
+    this.fetches.set(address, fetching);
+    return fetching;
   }
 
   private async fetchAll(address: Address): Promise<void> {
-    for (let i = 0; i < MOST_FETCHES; i += 1) {
-      const at = this.deps.controlState().slot;
+    for (let i = 0; i < MAX_FETCHES; i += 1) {
+      const slotBefore = this.deps.controlState().slot;
       const reply = await this.deps.peers.call(
         address,
-        { kind: 'fetch', ledger: this.deps.controlState().ledger, from: at + 1 },
-        FETCH_WAIT_MS,
+        { kind: 'fetch', ledger: this.deps.controlState().ledger, from: slotBefore + 1 },
+        FETCH_TIMEOUT_MS,
       );
       if (!reply.ok || reply.value.kind !== 'fetched') return;
       const { batches, snapshot } = reply.value;
       if (snapshot && snapshot.slot > this.deps.controlState().slot && !(await this.adopt(address, snapshot))) return;
       await this.learnAll(batches);
-      if (this.deps.controlState().slot === at) return;
+      if (this.deps.controlState().slot === slotBefore) return;
     }
   }
 
-  /** False if the fetch ended without a state; the next call goes on where it stood. */
+  /** Fetches and adopts a snapshot. False if it ended without a state; if interrupted, a later call resumes it. */
   private async adopt(address: Address, offer: SnapshotOffer): Promise<boolean> {
     const received = await this.receiver.receive(address, offer);
     if (received.tag === 'joined') return true;
     if (received.tag !== 'whole') return false;
-    const own = this.deps.controlState().ledger;
-    if (own !== '' && received.state.ledger !== own) {
+    const ownLedger = this.deps.controlState().ledger;
+    if (ownLedger !== '' && received.state.ledger !== ownLedger) {
       this.deps.log.error('snapshot of another ledger rejected', { from: address, ledger: received.state.ledger });
       return false;
     }
@@ -119,10 +122,10 @@
     return true;
   }
 
-  /** All at once, so that the disk syncs a page and not each slot. */
+  /** Applies a page of slots concurrently, so that the disk syncs once for the page and not for each slot. */
   private async learnAll(batches: readonly SlotBatch[]): Promise<void> {
     const learning: Promise<void>[] = [];
-    for (const second of batches) learning.push(this.deps.learn(second.slot, second.batch));
+    for (const slotBatch of batches) learning.push(this.deps.learn(slotBatch.slot, slotBatch.batch));
     await Promise.all(learning);
   }
 
@@ -142,7 +145,7 @@
   }
 }
 
-/** Catches up by fetching, and answers the fetches of others. */
+/** Creates the catch-up client and registers its server side for `fetch`. */
 export function createCatchUp(deps: CatchUpDeps): CatchUp {
   return new LogCatchUp(deps);
 }
--- a/src/coordination/consensus/core-chaos.test.ts
+++ b/src/coordination/consensus/core-chaos.test.ts
@@ -3,89 +3,89 @@
 import type { SimCore } from '../../sim/sim-core.js';
 import { below } from '../../transport/rng.js';
 
-const SYNC_MS = 4_000;
+const RECOVERY_TIMEOUT_MS = 4_000;
 
-type Run = { readonly core: SimCore; running: string[]; serial: number; readonly acknowledged: string[] };
+type ChaosRun = { readonly core: SimCore; running: string[]; serial: number; readonly acknowledged: string[] };
 
-async function anOrder(r: Run, limitMs: number): Promise<void> {
-  const { core } = r;
-  const from = core.world.now();
-  for (let tries = 0; core.world.now() - from < limitMs; tries += 1) {
-    const name = r.running[below(core.world.rng, r.running.length)] as string;
-    const zone = `z${r.serial}`;
+async function placeOrder(run: ChaosRun, timeoutMs: number): Promise<void> {
+  const { core } = run;
+  const startedAt = core.world.now();
+  for (let attempts = 0; core.world.now() - startedAt < timeoutMs; attempts += 1) {
+    const name = run.running[below(core.world.rng, run.running.length)] as string;
+    const zone = `z${run.serial}`;
     const response = await core.order(name, zone);
     if (response.result?.ok && response.result.value.outcome.tag === 'applied') {
-      r.acknowledged.push(zone);
-      r.serial += 1;
+      run.acknowledged.push(zone);
+      run.serial += 1;
       return;
     }
     await core.world.advance(100);
   }
-  expect(`an order after ${Math.round(core.world.now())} ms`).toBe('taken');
+  expect(`an order after ${Math.round(core.world.now())} ms`).toBe('applied');
 }
 
-async function trouble(r: Run): Promise<void> {
-  const { core } = r;
+async function injectFault(run: ChaosRun): Promise<void> {
+  const { core } = run;
   const { rng } = core.world;
-  const at = below(rng, r.running.length);
-  const name = r.running[at] as string;
+  const index = below(rng, run.running.length);
+  const name = run.running[index] as string;
   const host = core.node(name).host;
-  const spell = 200 + below(rng, 7_000);
-  const kind = below(rng, 7);
-  if (kind === 0) core.kill(name);
-  else if (kind === 1) core.powerLoss(name);
-  else if (kind === 2) core.world.freeze(host);
-  else if (kind === 3) core.cutOff([name]);
-  else if (kind === 4) {
+  const durationMs = 200 + below(rng, 7_000);
+  const faultKind = below(rng, 7);
+  if (faultKind === 0) core.kill(name);
+  else if (faultKind === 1) core.powerLoss(name);
+  else if (faultKind === 2) core.world.freeze(host);
+  else if (faultKind === 3) core.cutOff([name]);
+  else if (faultKind === 4) {
     core.powerLoss(name);
     core.wipe(name);
-  } else if (kind === 5) {
-    for (const n of r.running) core.powerLoss(n);
+  } else if (faultKind === 5) {
+    for (const n of run.running) core.powerLoss(n);
     if (rng.next() < 0.5) core.wipe(name);
   } else {
-    const next = core.add(`n${r.serial}`).name;
-    core.seeds(r.running.slice(0, 3));
-    const planned = rng.next() < 0.5;
-    if (planned) {
-      core.start(next);
+    const newName = core.add(`n${run.serial}`).name;
+    core.seeds(run.running.slice(0, 3));
+    const startsFirst = rng.next() < 0.5;
+    if (startsFirst) {
+      core.start(newName);
       await core.world.advance(1_500 + below(rng, 3_000));
     }
     if (rng.next() < 0.5) await core.end(name);
     else core.powerLoss(name);
-    r.running.splice(at, 1);
-    if (!planned) {
+    run.running.splice(index, 1);
+    if (!startsFirst) {
       await core.world.advance(below(rng, 3_000));
-      core.start(next);
+      core.start(newName);
     }
-    r.running.push(next);
+    run.running.push(newName);
   }
-  if (kind !== 5 && kind !== 6)
-    await anOrder({ ...r, running: r.running.filter((n) => n !== name) }, 2_000).then(() => (r.serial += 1));
-  if (kind < 6) await core.world.advance(spell);
-  if (kind === 2) core.world.thaw(host);
-  if (kind === 3) core.world.healAll();
-  for (const n of r.running) if (!core.node(n).host.running) core.start(n);
-  await anOrder(r, SYNC_MS);
-  if (!(await core.until(12_000, () => core.whole(r.running))))
-    expect([kind, name, ...r.running.map((n) => `${n}: ${core.members(n).join()}`)]).toEqual('whole');
+  if (faultKind !== 5 && faultKind !== 6)
+    await placeOrder({ ...run, running: run.running.filter((n) => n !== name) }, 2_000).then(() => (run.serial += 1));
+  if (faultKind < 6) await core.world.advance(durationMs);
+  if (faultKind === 2) core.world.thaw(host);
+  if (faultKind === 3) core.world.healAll();
+  for (const n of run.running) if (!core.node(n).host.running) core.start(n);
+  await placeOrder(run, RECOVERY_TIMEOUT_MS);
+  if (!(await core.until(12_000, () => core.whole(run.running))))
+    expect([faultKind, name, ...run.running.map((n) => `${n}: ${core.members(n).join()}`)]).toEqual('all are members');
 }
 
 describe.each([
   [3, 3],
   [5, 3],
-])('a core of %i, %i of them seeds', (controllers, seeds) => {
+])('a core of %i controllers, %i of them seeds', (controllers, seeds) => {
   test.each([...Array(20).keys()])(
-    'through ten troubles one after another nothing acknowledged is lost (seed %i)',
+    'loses nothing acknowledged through ten consecutive faults (seed %i)',
     async (seed) => {
       const core = createSimCore(7_000 + seed, { controllers, seeds, regionMs: 20 });
-      const r: Run = { core, running: core.nodes.map((n) => n.name), serial: 0, acknowledged: [] };
+      const run: ChaosRun = { core, running: core.nodes.map((n) => n.name), serial: 0, acknowledged: [] };
       core.startAll();
-      expect(await core.until(5_000, () => core.whole(r.running))).toBe(true);
+      expect(await core.until(5_000, () => core.whole(run.running))).toBe(true);
       for (let n = 0; n < 10; n += 1) {
-        await anOrder(r, 2_000);
-        await trouble(r);
-        for (const name of r.running)
-          expect(await core.evacuatedAt(name)).toEqual(expect.arrayContaining(r.acknowledged));
+        await placeOrder(run, 2_000);
+        await injectFault(run);
+        for (const name of run.running)
+          expect(await core.evacuatedAt(name)).toEqual(expect.arrayContaining(run.acknowledged));
       }
       expect(core.broken).toEqual([]);
     },
--- a/src/coordination/consensus/damaged-ring.test.ts
+++ b/src/coordination/consensus/damaged-ring.test.ts
@@ -14,10 +14,10 @@
 const SEEDS = [1, 2, 3, 4, 5, 6];
 const SHAPE: CoreShape = { controllers: 3, seeds: 3, regionMs: 35 };
 
-function recorded(): { readonly logs: LogRoot; readonly lines: string[] } {
+function createRecordingLog(): { readonly logs: LogRoot; readonly lines: string[] } {
   const lines: string[] = [];
-  const note: Log['info'] = (event, fields) => void lines.push(`${event} ${fieldsText(fields ?? {})}`);
-  return { logs: { component: () => ({ info: note, warn: note, error: note }) }, lines };
+  const record: Log['info'] = (event, fields) => void lines.push(`${event} ${fieldsText(fields ?? {})}`);
+  return { logs: { component: () => ({ info: record, warn: record, error: record }) }, lines };
 }
 
 async function bootstrapped(seed: number, shape: CoreShape, logs: LogRoot): Promise<SimCore> {
@@ -30,36 +30,39 @@
   return core.node(name).controller?.ledger.self.incarnation ?? '';
 }
 
-/** Damages the oldest record of a ring, with younger ones behind it. */
-function damage(platter: Platter, file: string): void {
-  const held = platter.files.get(file);
-  for (const copy of held ? [held.current, held.synced] : []) copy.writeUInt8(copy.readUInt8(60) ^ 0xff, 60);
+/** Damages the oldest record of a ring log, which newer records follow. */
+function damageOldestRecord(platter: Platter, file: string): void {
+  const stored = platter.files.get(file);
+  for (const copy of stored ? [stored.current, stored.synced] : []) copy.writeUInt8(copy.readUInt8(60) ^ 0xff, 60);
 }
 
-describe('a damaged ring', () => {
-  test.each(SEEDS)('the controller rejoins blank under a new incarnation, and says so once (seed %i)', async (seed) => {
-    const { logs, lines } = recorded();
-    const core = await bootstrapped(seed, SHAPE, logs);
-    for (const zone of ['a', 'b', 'c']) expect((await core.order('h1', zone)).result?.ok).toBe(true);
-    await core.world.advance(1_000);
-    const before = incarnation(core, 'h2');
-    core.powerLoss('h2');
-    damage(core.node('h2').platter, 'ledger-0');
-    core.start('h2');
-    expect(await core.until(6_000, () => core.whole(THREE) && incarnation(core, 'h2') !== before)).toBe(true);
-    expect(lines.filter((line) => line.includes('log damaged')).length).toBe(1);
-    expect(lines.find((line) => line.includes('log damaged'))).toContain(`h2#${incarnation(core, 'h2')}`);
-    core.kill('h1');
-    expect((await core.order('h2', 'd', 4_000)).result?.ok).toBe(true);
-    expect(await core.evacuatedAt('h3')).toEqual(['a', 'b', 'c', 'd']);
-    core.powerLoss('h2');
-    core.start('h2');
-    expect(await core.until(4_000, () => core.node('h2').controller?.ledger.isMember() === true)).toBe(true);
-    expect(core.broken).toEqual([]);
-  });
+describe('a damaged ring log', () => {
+  test.each(SEEDS)(
+    'the controller rejoins blank under a new incarnation, and logs this once (seed %i)',
+    async (seed) => {
+      const { logs, lines } = createRecordingLog();
+      const core = await bootstrapped(seed, SHAPE, logs);
+      for (const zone of ['a', 'b', 'c']) expect((await core.order('h1', zone)).result?.ok).toBe(true);
+      await core.world.advance(1_000);
+      const before = incarnation(core, 'h2');
+      core.powerLoss('h2');
+      damageOldestRecord(core.node('h2').platter, 'ledger-0');
+      core.start('h2');
+      expect(await core.until(6_000, () => core.whole(THREE) && incarnation(core, 'h2') !== before)).toBe(true);
+      expect(lines.filter((line) => line.includes('log damaged')).length).toBe(1);
+      expect(lines.find((line) => line.includes('log damaged'))).toContain(`h2#${incarnation(core, 'h2')}`);
+      core.kill('h1');
+      expect((await core.order('h2', 'd', 4_000)).result?.ok).toBe(true);
+      expect(await core.evacuatedAt('h3')).toEqual(['a', 'b', 'c', 'd']);
+      core.powerLoss('h2');
+      core.start('h2');
+      expect(await core.until(4_000, () => core.node('h2').controller?.ledger.isMember() === true)).toBe(true);
+      expect(core.broken).toEqual([]);
+    },
+  );
 
   test('of run-once claims: no claim is answered from a blank table under the old incarnation', async () => {
-    const { logs, lines } = recorded();
+    const { logs, lines } = createRecordingLog();
     const core = await bootstrapped(7, { ...SHAPE, claims: true }, logs);
     expect(
       await core.until(10_000, () => THREE.every((name) => core.node(name).controller?.claimsReady() === true)),
@@ -69,7 +72,7 @@
     const claims = core.node('h2').platter.files.get('claims-0')?.current as Buffer;
     const records = core.node('h2').platter.files.get('ledger-0')?.current as Buffer;
     records.copy(claims, 0, 0, 4_000);
-    damage(core.node('h2').platter, 'claims-0');
+    damageOldestRecord(core.node('h2').platter, 'claims-0');
     core.start('h2');
     await core.until(10_000, () => core.node('h2').controller !== null);
     expect(incarnation(core, 'h2')).not.toBe(before);
@@ -81,7 +84,7 @@
     expect(core.broken).toEqual([]);
   });
 
-  test('power lost at any write of it: a ring that is no longer damaged always has a new incarnation', async () => {
+  test('power loss at any write of the recovery: a ring that is no longer damaged always has a new incarnation', async () => {
     const shape = { name: 'r', files: 3, fileBytes: 500, snapshotBytes: 800 };
     const world = createWorld(1);
     async function within<T>(work: Promise<T>): Promise<T | null> {
@@ -93,16 +96,16 @@
     function freshDisk(platter: Platter) {
       return simDisk(platter, world.begin(world.host('h', 'z')), world);
     }
-    async function damaged(): Promise<Platter> {
+    async function createDamagedPlatter(): Promise<Platter> {
       const platter = createPlatter();
       const opened = await within(openRing(freshDisk(platter), shape));
       for (let n = 0; n < 30 && opened?.ok; n += 1)
         await within(opened.value.ring.append([Buffer.from(`record ${n}`)]));
       await within(freshDisk(platter).replace('identity', Buffer.from('old')));
-      damage(platter, 'r-0');
+      damageOldestRecord(platter, 'r-0');
       return platter;
     }
-    async function life(platter: Platter, operations: number) {
+    async function openOnStoppingDisk(platter: Platter, operations: number) {
       const { disk, used } = stoppingDisk(freshDisk(platter), operations);
       const log = createQuietLog().component('x');
       const renew = async () => (await disk.replace('identity', Buffer.from('new'))).ok;
@@ -111,27 +114,27 @@
       );
       return { ended, used: used() };
     }
-    const { ended, used } = await life(await damaged(), Infinity);
+    const { ended, used } = await openOnStoppingDisk(await createDamagedPlatter(), Infinity);
     expect(ended).toMatchObject({ ok: true, value: { snapshot: null, records: [] } });
-    for (let stop = 0; stop < used; stop += 1) {
-      for (const kept of [0, 1]) {
-        const platter = await damaged();
-        await life(platter, stop);
-        losePowerWith(platter, (bytes) => kept * bytes);
+    for (let stopAfter = 0; stopAfter < used; stopAfter += 1) {
+      for (const keptShare of [0, 1]) {
+        const platter = await createDamagedPlatter();
+        await openOnStoppingDisk(platter, stopAfter);
+        losePowerWith(platter, (bytes) => keptShare * bytes);
         const identity = platter.files.get('identity')?.current.toString();
-        const bare = await within(openRing(freshDisk(platter), shape));
-        if (bare?.ok) expect([stop, identity]).toEqual([stop, 'new']);
-        const again = await life(platter, Infinity);
-        expect([stop, again.ended?.ok]).toEqual([stop, true]);
+        const reopened = await within(openRing(freshDisk(platter), shape));
+        if (reopened?.ok) expect([stopAfter, identity]).toEqual([stopAfter, 'new']);
+        const secondRun = await openOnStoppingDisk(platter, Infinity);
+        expect([stopAfter, secondRun.ended?.ok]).toEqual([stopAfter, true]);
         expect(platter.files.get('identity')?.current.toString()).toBe('new');
       }
     }
   });
 });
 
-describe('a blank controller whose seeds are all gone', () => {
-  test.each(SEEDS)('joins by itself once a member that knows its address contacts it (seed %i)', async (seed) => {
-    const { logs, lines } = recorded();
+describe('a blank controller whose seeds no longer exist', () => {
+  test.each(SEEDS)('joins on its own once a member that knows its address contacts it (seed %i)', async (seed) => {
+    const { logs, lines } = createRecordingLog();
     const core = await bootstrapped(seed, SHAPE, logs);
     expect((await core.order('h1', 'a')).result?.ok).toBe(true);
     const before = incarnation(core, 'h3');
--- a/src/coordination/consensus/ledger.test.ts
+++ b/src/coordination/consensus/ledger.test.ts
@@ -10,7 +10,7 @@
   expect(await core.until(4_000, () => core.whole(THREE))).toBe(true);
   return core;
 }
-async function change(core: SimCore, at: string, base: number, bytes: number): Promise<unknown> {
+async function proposeChange(core: SimCore, at: string, base: number, bytes: number): Promise<unknown> {
   const ledger = core.node(at).controller?.ledger;
   const command = {
     tag: 'configured' as const,
@@ -20,16 +20,16 @@
   return core.finish(Promise.resolve(ledger?.propose({ cause: 'A test.', act: command }, 1_500)), 5_000);
 }
 
-test('an order that no record can hold is refused, and harms no later one', async () => {
+test('an order too large for a record is rejected, and does not affect later ones', async () => {
   const core = await bootstrapped(1);
-  expect(await change(core, 'h1', 0, 300_000)).toMatchObject({
+  expect(await proposeChange(core, 'h1', 0, 300_000)).toMatchObject({
     ok: false,
     error: { tag: 'cannotWrite', error: { tag: 'recordTooLarge' } },
   });
   for (const name of THREE) expect((await core.order(name, name)).result?.ok).toBe(true);
 });
 
-test('orders that together pass a record are taken one after another', async () => {
+test('orders that together exceed a record are committed one after another', async () => {
   const core = await bootstrapped(2);
   const ledger = core.node('h1').controller?.ledger;
   const all = ['a', 'b', 'c'].map((zone) =>
@@ -48,12 +48,12 @@
   expect(response?.map((r) => r?.ok)).toEqual([true, true, true]);
 });
 
-test('what is kept in memory of past slots is bounded in bytes; a member that lacks more takes the whole control state', async () => {
+test('the slots kept in memory are bounded in bytes; a member that lags further takes the complete control state', async () => {
   const core = await bootstrapped(3);
   core.kill('h3');
   let base = 0;
   for (let n = 0; n < 40; n += 1) {
-    const response = (await change(core, 'h1', base, 100_000)) as {
+    const response = (await proposeChange(core, 'h1', base, 100_000)) as {
       readonly ok: boolean;
       readonly value: { readonly slot: number };
     };
@@ -73,7 +73,7 @@
 });
 
 test.each([1, 2, 3, 4, 5, 6])(
-  'one that lags learns what came before it accepts: its disk alone then tells all (seed %i)',
+  'a lagging member catches up before it accepts: its disk alone then holds all earlier entries (seed %i)',
   async (seed) => {
     const core = await bootstrapped(20 + seed);
     await core.world.advance(1_500);
--- a/src/coordination/consensus/ledger.ts
+++ b/src/coordination/consensus/ledger.ts
@@ -1,8 +1,8 @@
 /**
- * The ledger of one controller: slots of entries that a majority of the members agrees, one after another, and the state
- * that they fold to. This module holds its parts together (replica, voter, proposer, reader, catching up, membership
- * changes, bootstrap) and finishes slots that somebody left open; `controller.ts` makes it. What it promises, and why it
- * holds, stands in docs/consistency.md.
+ * The replicated log of one controller: slots of entries on which a majority of the members agrees one after another,
+ * and the control state that results from applying them. This module connects the components (replica, voter,
+ * proposer, linearizable reads, catch-up, membership changes, bootstrap) and completes slots that a proposer left
+ * undecided. Created by `controller.ts`. The guarantees, and why they hold, are described in docs/consistency.md.
  */
 import { createEvents } from '../../base/events.js';
 import type { Events } from '../../base/events.js';
@@ -48,30 +48,33 @@
 import type { RecentSlot } from '../../state/consensus/recent-slots.js';
 import type { CatchUp } from './catch-up.js';
 
-/** What happens to the ledger: a slot was folded, a snapshot was adopted, a member's status came. */
+/** Events of the replicated log: a slot was applied, a snapshot was adopted, a member's status was received. */
 export type LedgerEvents = {
   readonly folded: { readonly slot: number; readonly batch: Batch; readonly outcomes: readonly Outcome[] };
   readonly adopted: { readonly slot: number };
   readonly heard: ReceivedMemberStatus;
 };
 
-/** The replicated log of one controller, and the state that it folds to. */
+/** The replicated log of one controller, and the control state that results from applying it. */
 export interface Ledger {
   controlState(): ControlState;
   readonly events: {
     readonly on: <K extends keyof LedgerEvents>(name: K, callback: (event: LedgerEvents[K]) => void) => void;
   };
-  /** Agrees one entry. `noMajority` says that it was given up: it may still come to be agreed, once at most. */
-  propose(draft: Draft, waitMs: number): Promise<Result<Agreed, ProposeError>>;
-  /** True once the state is no older than anything confirmed before the call. */
-  linearizableRead(waitMs: number): Promise<boolean>;
-  /** The orders that were closed, as far as this controller knows them. */
+  /** Commits one entry. `noMajority` means that the attempt was abandoned; it may still be committed, at most once. */
+  propose(draft: Draft, timeoutMs: number): Promise<Result<Agreed, ProposeError>>;
+  /** Resolves to true once the state includes everything confirmed before the call, or to false after `timeoutMs`. */
+  linearizableRead(timeoutMs: number): Promise<boolean>;
+  /** The closed orders that this controller knows. */
   readonly closedOrders: Pick<ClosedOrders, 'all' | 'lacking'>;
   since(from: number): readonly SlotBatch[] | null;
-  /** What nodes that lag are told: the kept slots page by page, or a snapshot. */
+  /** What lagging nodes are sent: the kept slots page by page, or a snapshot. */
   readonly history: LedgerHistory;
   readonly bootstrap: Bootstrap;
-  /** Most bytes of JSON of a configuration with the changes back from it, and of the draft of an entry that changes it. */
+  /**
+   * Maximum size as JSON, in bytes: of a configuration with the changes that lead back from it, and of the draft of an
+   * entry that changes it.
+   */
   readonly most: { readonly configuration: number; readonly change: number };
   isMember(): boolean;
   writable(): boolean;
@@ -79,18 +82,15 @@
   lastContactAt(id: string): number | null;
   requestMemberStatuses(): void;
   readonly self: Member;
-  /** Leaves the group before this controller ends. */
+  /** Leaves the group before this controller shuts down. */
   leave(withinMs: number): Promise<LeaveOutcome>;
   stop(): void;
 }
 
-/** What lagging nodes are served: pages of recent slots, or a snapshot. */
+/** Serves lagging nodes: pages of recent slots, or a snapshot. */
 export type LedgerHistory = SnapshotSender & Pick<Store, 'page' | 'bytesSince'>;
 
-/**
- * What a ledger is made of. `renew` takes a new incarnation, `noteMember` keeps on the disk that this one is a
- * member.
- */
+/** The dependencies of a ledger. */
 export type LedgerDeps = {
   readonly clock: Clock;
   readonly rng: Rng;
@@ -99,28 +99,33 @@
   readonly log: Log;
   readonly shape: RingShape;
   readonly self: Member;
-  /** Addresses of controllers that are known otherwise than by the ledger: the seeds, and those heard of by membership. */
+  /** Addresses of controllers known from outside the log: seeds, and those learned from the membership protocol. */
   readonly contacts: () => Iterable<Address>;
   readonly seeds: readonly Address[];
   readonly bootstrapMembers: readonly Address[] | null;
+  /** Switches to a new incarnation. */
   readonly renew: () => Promise<boolean>;
   readonly keepsClaims: boolean;
   readonly wasMember: boolean | null;
+  /** Stores on disk that this controller is a member. */
   readonly recordMember: () => Promise<boolean>;
 };
 
-/** How long one member is waited for; where a majority answers nobody waits for the rest. */
-const VOTE_WAIT_MS = 1_000;
-/** A slot that was accepted and stays open this long is balloted by whoever holds it. */
-const DANGLING_MS = 1_000;
-/** Kept free in a ring file for what stands around an entry in its record. */
-const RECORD_ROOM = 4_096;
-/** Kept free in an entry for its id, author and times. */
-const ENTRY_ROOM = 1_024;
-/** Of a snapshot: what a configuration and the changes back from it may take beside the rest of the state. */
+/** Timeout of a request to one member. Once a majority has responded, the remaining members are not waited for. */
+const VOTE_TIMEOUT_MS = 1_000;
+/** A member that holds an accepted but undecided slot for longer than this runs a ballot on it itself. */
+const OPEN_SLOT_TIMEOUT_MS = 1_000;
+/** Space reserved in a file of the ring log for the data that surrounds an entry in its record. */
+const RECORD_OVERHEAD_BYTES = 4_096;
+/** Space reserved in an entry for its id, author and times. */
+const ENTRY_OVERHEAD_BYTES = 1_024;
+/**
+ * The share of a snapshot that a configuration and the changes that lead back from it may take; the rest is left for
+ * the remaining state.
+ */
 const CONFIGURATION_SHARE = 0.85;
 
-/** Opens the ledger on a disk. The error says why the disk can't be used. */
+/** Opens the ledger on a disk. The error states why the disk can't be used. */
 export async function createLedger(deps: LedgerDeps): Promise<Result<Ledger, RingError>> {
   const events = createEvents<LedgerEvents>();
   function onFold(slot: number, batch: Batch, outcomes: readonly Outcome[]): void {
@@ -138,13 +143,13 @@
 class ReplicatedLedger implements Ledger {
   private stopped = false;
   private readonly replica: Replica;
-  private readonly closedFetch: ClosedOrdersFetch;
+  private readonly closedOrdersFetch: ClosedOrdersFetch;
   private readonly voter: Voter;
   private readonly proposer: Proposer;
-  readonly linearizableRead: (waitMs: number) => Promise<boolean>;
+  readonly linearizableRead: (timeoutMs: number) => Promise<boolean>;
   readonly bootstrap: Bootstrap;
-  private openSince: number | null = null;
-  private watching = false;
+  private slotOpenSince: number | null = null;
+  private isMaintaining = false;
   private readonly memberStatuses: MemberStatuses;
   private readonly membershipChanges: MembershipChanges;
   private readonly selfBootstrap: SelfBootstrap;
@@ -163,10 +168,10 @@
     this.self = deps.self;
     this.most = {
       configuration: Math.floor(CONFIGURATION_SHARE * deps.shape.snapshotBytes),
-      change: deps.shape.fileBytes - RECORD_ROOM - ENTRY_ROOM,
+      change: deps.shape.fileBytes - RECORD_OVERHEAD_BYTES - ENTRY_OVERHEAD_BYTES,
     };
     this.replica = createReplica(this.store, this.deps.self, this.deps.clock, this.deps.log);
-    this.closedFetch = createClosedOrdersFetch({
+    this.closedOrdersFetch = createClosedOrdersFetch({
       peers: this.deps.peers,
       clock: this.deps.clock,
       log: this.deps.log,
@@ -189,7 +194,7 @@
       peers: this.deps.peers,
       replica: this.replica,
       catchUp: (address) => this.catchUp.from(address),
-      bootstrapBallot: () => this.bootstrapBallot(),
+      bootstrapLedgerName: () => this.bootstrapLedgerName(),
     });
 
     this.proposer = this.makeProposer();
@@ -197,7 +202,7 @@
       clock: this.deps.clock,
       replica: this.replica,
       proposer: this.proposer,
-      requesterUntil: (until) => this.requesterUntil(until),
+      requesterUntil: (deadline) => this.requesterUntil(deadline),
       catchUp: (address) => this.catchUp.from(address),
     });
 
@@ -220,7 +225,7 @@
     this.closedOrders = this.store.closed;
     this.history = {
       offer: (view, slot) => this.catchUp.snapshots.offer(view, slot),
-      page: (from, mostBytes) => this.store.page(from, mostBytes),
+      page: (from, maxBytes) => this.store.page(from, maxBytes),
       bytesSince: (from) => this.store.bytesSince(from),
     };
   }
@@ -233,7 +238,7 @@
       controlState: () => this.replica.controlState(),
       top: () => this.store.top(),
       writable: () => this.store.writable(),
-      onMemberStatus: (heard) => this.onMemberStatus(heard),
+      onMemberStatus: (received) => this.onMemberStatus(received),
     });
   }
 
@@ -248,7 +253,7 @@
       seeds: this.deps.seeds,
       controlState: () => this.replica.controlState(),
       memberStatuses: this.memberStatuses,
-      propose: (draft, waitMs) => this.proposer.propose(draft, waitMs),
+      propose: (draft, timeoutMs) => this.proposer.propose(draft, timeoutMs),
       linearizableRead: this.linearizableRead,
       catchUp: (address) => this.catchUp.from(address),
       renew: this.deps.renew,
@@ -268,7 +273,7 @@
       bootstrapMembers: this.deps.bootstrapMembers,
       ledgerName: () => this.ledgerName(),
       requestVote: this.requesterUntil(Infinity),
-      learnZero: (batch) => this.learnZero(batch),
+      learnZero: (batch) => this.learnSlotZero(batch),
       seek: () => this.heartbeat(),
     });
   }
@@ -279,9 +284,9 @@
       rng: this.deps.rng,
       peers: this.deps.peers,
       replica: this.replica,
-      requesterUntil: (until) => this.requesterUntil(until),
+      requesterUntil: (deadline) => this.requesterUntil(deadline),
       catchUp: (address) => this.catchUp.from(address),
-      mostBytes: this.deps.shape.fileBytes - RECORD_ROOM,
+      maxBatchBytes: this.deps.shape.fileBytes - RECORD_OVERHEAD_BYTES,
     });
   }
 
@@ -293,75 +298,78 @@
     return this.replica.isMember();
   }
 
-  propose(draft: Draft, waitMs: number): Promise<Result<Agreed, ProposeError>> {
-    return this.proposer.propose(draft, waitMs);
+  propose(draft: Draft, timeoutMs: number): Promise<Result<Agreed, ProposeError>> {
+    return this.proposer.propose(draft, timeoutMs);
   }
 
-  private bootstrapBallot(): string | null {
+  private bootstrapLedgerName(): string | null {
     return this.selfBootstrap.ballotOf;
   }
 
-  /** An answer counts for a member only under the identity that the ledger has of it: a blank disk answers as another one. */
-  private requesterUntil(until: number): RequestMember {
-    const ask = async (member: Member, message: Message): Promise<Message | null> => {
+  /**
+   * Sends requests to members until `deadline`. A response counts only if it carries the identity that the log has
+   * for the member: a controller with a blank disk responds at the same address, but under another identity.
+   */
+  private requesterUntil(deadline: number): RequestMember {
+    const requestMember = async (member: Member, message: Message): Promise<Message | null> => {
       const id = memberId(member);
-      if (id === this.replica.id()) return this.ownAnswer(message);
+      if (id === this.replica.id()) return this.respondLocally(message);
       const reply = await this.deps.peers.call(
         member.address,
         message,
-        Math.min(VOTE_WAIT_MS, until - this.deps.clock.mono()),
+        Math.min(VOTE_TIMEOUT_MS, deadline - this.deps.clock.mono()),
       );
       if (!reply.ok) return null;
       return 'voter' in reply.value && reply.value.voter !== id ? null : reply.value;
     };
-    return ask;
+    return requestMember;
   }
 
-  private ownAnswer(message: Message): Promise<Message> | Message {
+  private respondLocally(message: Message): Promise<Message> | Message {
     return message.kind === 'prepare' || message.kind === 'accept'
-      ? this.voter.onVote(message)
+      ? this.voter.onVoteRequest(message)
       : this.memberStatuses.own();
   }
 
-  private isCommitted(): boolean {
+  private areAllSlotsApplied(): boolean {
     return this.store.top() <= this.replica.controlState().slot;
   }
 
-  private async watch(): Promise<void> {
+  private async maintain(): Promise<void> {
     await this.replica.repair();
     await this.membershipChanges.turn();
     const now = this.deps.clock.mono();
-    if (!this.replica.isMember() || this.isCommitted()) this.openSince = null;
-    else this.openSince ??= now;
-    if (this.openSince === null || now - this.openSince <= DANGLING_MS) return;
-    this.openSince = null;
-    await this.proposer.finish(now + VOTE_WAIT_MS, () => this.isCommitted());
+    if (!this.replica.isMember() || this.areAllSlotsApplied()) this.slotOpenSince = null;
+    else this.slotOpenSince ??= now;
+    if (this.slotOpenSince === null || now - this.slotOpenSince <= OPEN_SLOT_TIMEOUT_MS) return;
+    this.slotOpenSince = null;
+    await this.proposer.finishOpenSlots(now + VOTE_TIMEOUT_MS, () => this.areAllSlotsApplied());
   }
 
-  private async watchOnce(): Promise<void> {
-    if (this.watching) return;
-    this.watching = true;
-    await this.watch();
-    this.watching = false;
+  private async maintainOnce(): Promise<void> {
+    if (this.isMaintaining) return;
+    this.isMaintaining = true;
+    await this.maintain();
+    this.isMaintaining = false;
   }
 
   private heartbeat(): void {
     if (this.stopped) return;
     this.memberStatuses.ask();
-    void this.watchOnce();
+    void this.maintainOnce();
   }
 
-  private onMemberStatus(heard: ReceivedMemberStatus): void {
-    if (heard.memberStatus.learned > this.replica.controlState().slot)
-      void this.catchUp.from(heard.memberStatus.address);
-    this.events.emit('heard', heard);
+  private onMemberStatus(received: ReceivedMemberStatus): void {
+    if (received.memberStatus.learned > this.replica.controlState().slot)
+      void this.catchUp.from(received.memberStatus.address);
+    this.events.emit('heard', received);
   }
 
   private ledgerName(): string {
     return this.replica.controlState().ledger;
   }
 
-  private learnZero(batch: Batch): Promise<void> {
+  private learnSlotZero(batch: Batch): Promise<void> {
     return this.replica.learn(0, batch);
   }
 
@@ -369,7 +377,7 @@
     this.stopped = true;
     this.selfBootstrap.stop();
     this.heartbeatTimer.cancel();
-    this.closedFetch.stop();
+    this.closedOrdersFetch.stop();
   }
 
   since(from: number): readonly RecentSlot[] | null {
--- a/src/coordination/consensus/linearizable-read.ts
+++ b/src/coordination/consensus/linearizable-read.ts
@@ -1,10 +1,10 @@
 /**
- * Brings this controller to a state that is no older than anything confirmed before the call, which is what a reading (and
- * the check of an order's base) needs. `ledger.ts` makes one; any controller that knows the ledger may read.
+ * Brings this controller to a state that includes everything confirmed before the call, as needed for a linearizable
+ * read and for checking the base of an order. Created by `ledger.ts`; any controller that knows the ledger may read.
  *
- * Why it holds (docs/consistency.md, section 1): slot s+1 is accepted by a majority of the members after s. A reading ends
- * at slot s when a majority of these members, asked after it began, knew of nothing above s; had s+1 been chosen before,
- * one of them would have accepted it, synced, and told s+1 at least.
+ * Correctness (docs/consistency.md, section 1): slot s+1 is chosen by a majority of the members as of slot s. A read
+ * ends at slot s when a majority of these members, asked after the read began, reported nothing above s. If s+1 had
+ * been chosen before, at least one of them would have accepted and synced it, and would have reported s+1 or higher.
  */
 import type { Message } from '../../protocol/messages.js';
 import { majorityOf, membersDigest } from '../../state/consensus/control-state.js';
@@ -18,53 +18,60 @@
 import type { Proposer } from './proposer.js';
 import type { Replica } from './replica.js';
 
-/** The replica to bring up to date; `requesterUntil` asks members until a moment. */
+/** The replica to bring up to date. `requesterUntil` returns a function that sends requests up to a deadline. */
 export type LinearizableReadDeps = {
   readonly clock: Clock;
   readonly replica: Replica;
   readonly proposer: Proposer;
-  readonly requesterUntil: (until: number) => RequestMember;
+  readonly requesterUntil: (deadline: number) => RequestMember;
   readonly catchUp: (from: Address) => Promise<void>;
 };
 
-/** Newest slot that was accepted, and newest that was learned, by anyone of a majority. */
-type Newest = { readonly top: number; readonly learned: number };
+/** The highest slot accepted (`top`) and the highest slot learned by any responding member of a majority. */
+type NewestSlots = { readonly top: number; readonly learned: number };
 
-const ASK_AGAIN_MS = 50;
-/** How long a slot that another has learned is waited for, and one that may be a proposal under way, before this one ballots. */
-const LEARNED_WAIT_MS = 400;
-const UNDER_WAY_WAIT_MS = 150;
+const RETRY_DELAY_MS = 50;
+/**
+ * How long to wait before running a ballot on an unapplied slot: for a slot that another member has already learned,
+ * and for one that may still be in the middle of its proposal.
+ */
+const LEARNED_SLOT_WAIT_MS = 400;
+const OPEN_SLOT_WAIT_MS = 150;
 
-/** Makes the reading: true once the state is settled, false after `waitMs`. */
-export function createLinearizableRead(deps: LinearizableReadDeps): (waitMs: number) => Promise<boolean> {
+/** Creates the read operation. It resolves to true once the state is up to date, or to false after `timeoutMs`. */
+export function createLinearizableRead(deps: LinearizableReadDeps): (timeoutMs: number) => Promise<boolean> {
   const { clock, replica, proposer, requesterUntil, catchUp } = deps;
   function controlState(): ControlState {
     return replica.controlState();
   }
 
-  /** The members must be the same at the end: a majority of former ones may hold a removed one and others that lag. */
-  async function linearizableRead(waitMs: number): Promise<boolean> {
-    const until = clock.mono() + waitMs;
-    if (!(await replica.knowsLedger(waitMs))) return false;
-    while (clock.mono() < until) {
+  /**
+   * The members must be the same before and after: a majority of former members may consist of removed and lagging
+   * ones, none of which knows the newest slot.
+   */
+  async function linearizableRead(timeoutMs: number): Promise<boolean> {
+    const deadline = clock.mono() + timeoutMs;
+    if (!(await replica.waitForLedger(timeoutMs))) return false;
+    while (clock.mono() < deadline) {
       const membersBefore = membersDigest(controlState().members);
-      const newest = await newestOfMajority(until);
-      if (!newest) await delay(clock, Math.min(ASK_AGAIN_MS, until - clock.mono()));
-      else if ((await reach(newest, until)) && membersDigest(controlState().members) === membersBefore) return true;
+      const newest = await newestOfMajority(deadline);
+      if (!newest) await delay(clock, Math.min(RETRY_DELAY_MS, deadline - clock.mono()));
+      else if ((await catchUpTo(newest, deadline)) && membersDigest(controlState().members) === membersBefore)
+        return true;
     }
     return false;
   }
 
-  async function newestOfMajority(until: number): Promise<Newest | null> {
+  async function newestOfMajority(deadline: number): Promise<NewestSlots | null> {
     const { members, ledger } = controlState();
     const quorumSize = majorityOf(members);
-    const requestMember = requesterUntil(until);
+    const requestMember = requesterUntil(deadline);
     async function request(member: Member): Promise<Message | null> {
       const reply = await requestMember(member, { kind: 'memberStatusAsk' });
       return reply?.kind === 'memberStatus' && reply.ledger === ledger ? reply : null;
     }
-    function isEnough(votes: Votes, open: number): boolean {
-      return votes.size >= quorumSize || votes.size + open < quorumSize;
+    function isEnough(votes: Votes, pending: number): boolean {
+      return votes.size >= quorumSize || votes.size + pending < quorumSize;
     }
     const votes = await poll(members, request, isEnough);
     if (votes.size < quorumSize) return null;
@@ -79,14 +86,14 @@
     return { top, learned };
   }
 
-  async function reach(newest: Newest, until: number): Promise<boolean> {
-    function atTop(): boolean {
+  async function catchUpTo(newest: NewestSlots, deadline: number): Promise<boolean> {
+    function hasReachedTop(): boolean {
       return controlState().slot >= newest.top;
     }
-    const waitMs = newest.learned >= newest.top ? LEARNED_WAIT_MS : UNDER_WAY_WAIT_MS;
-    await replica.slotDone(newest.top, Math.min(waitMs, until - clock.mono()));
-    if (!atTop()) await proposer.finish(until, atTop);
-    return atTop();
+    const waitMs = newest.learned >= newest.top ? LEARNED_SLOT_WAIT_MS : OPEN_SLOT_WAIT_MS;
+    await replica.waitForSlot(newest.top, Math.min(waitMs, deadline - clock.mono()));
+    if (!hasReachedTop()) await proposer.finishOpenSlots(deadline, hasReachedTop);
+    return hasReachedTop();
   }
   return linearizableRead;
 }
--- a/src/coordination/consensus/partition.test.ts
+++ b/src/coordination/consensus/partition.test.ts
@@ -13,8 +13,8 @@
   return core;
 }
 
-function cutBetween(core: SimCore, some: readonly string[], others: readonly string[]): void {
-  for (const a of some) {
+function partitionBetween(core: SimCore, group: readonly string[], others: readonly string[]): void {
+  for (const a of group) {
     for (const b of others) {
       core.world.cut(a, b);
       core.world.cut(b, a);
@@ -27,7 +27,7 @@
   core.world.heal(b, a);
 }
 
-async function confirmed(core: SimCore, at: string, zone: string, withinMs: number): Promise<void> {
+async function expectConfirmed(core: SimCore, at: string, zone: string, withinMs: number): Promise<void> {
   const response = await core.order(at, zone, withinMs);
   expect([at, zone, response.result, response.tookMs]).toMatchObject([
     at,
@@ -38,24 +38,24 @@
   expect(response.tookMs).toBeLessThan(withinMs);
 }
 
-describe('a member that was cut off reads through members that were removed or lag', () => {
-  // Five members; two are cut off, and one of them is replaced. The order that follows is confirmed without `h5`. Then the
-  // member that is still in the ledger reaches only the replaced one and `h5`: a majority of the members it knows, but none
-  // of them has heard of the order.
-  test.each(SEEDS)('what it reads is never older than what was confirmed before (seed %i)', async (seed) => {
+describe('a formerly partitioned member reads through removed or lagging members', () => {
+  // Of five members two are partitioned, and one of these is replaced. The next order is confirmed without `h5`. Then
+  // the partitioned member that is still in the group reaches only the replaced one and `h5`: a majority of the
+  // members that it knows, but none of them knows the order.
+  test.each(SEEDS)('a read is never older than what was confirmed before it (seed %i)', async (seed) => {
     const core = await bootstrapped(seed, FIVE);
-    cutBetween(core, ['h1', 'h3'], ['h2', 'h4', 'h5']);
+    partitionBetween(core, ['h1', 'h3'], ['h2', 'h4', 'h5']);
     core.add('h6');
-    cutBetween(core, ['h1', 'h3'], ['h6']);
+    partitionBetween(core, ['h1', 'h3'], ['h6']);
     core.seeds(['h2', 'h4', 'h5']);
     core.start('h6');
     expect(await core.until(8_000, () => core.members('h6').includes('h6') && core.members('h5').includes('h6'))).toBe(
       true,
     );
     const stale = core.members('h6').includes('h1') ? 'h1' : 'h3';
-    cutBetween(core, ['h5'], ['h2', 'h4', 'h6']);
+    partitionBetween(core, ['h5'], ['h2', 'h4', 'h6']);
     await core.world.advance(core.world.rng.next() * 1_000);
-    await confirmed(core, 'h2', 'new', 2_000);
+    await expectConfirmed(core, 'h2', 'new', 2_000);
     healBetween(core, stale, 'h5');
     for (let n = 0; n < 6; n += 1) {
       const read = await core.evacuatedAt(stale);
@@ -69,58 +69,58 @@
   });
 });
 
-describe('orders while one is cut off, and right after', () => {
-  // While it is cut off, the member is given orders that it can't have agreed: it holds them accepted by itself alone, and
-  // outbids the others when it is back.
+describe('orders while one member is partitioned, and right after', () => {
+  // While partitioned, the member is given orders that it can't commit. It alone has accepted them, and it outbids the
+  // others when it is back.
   test.each(SEEDS)(
-    'each is confirmed within 5 s wherever it first goes; one given up is the same order later, or nothing (seed %i)',
+    'each is confirmed within 5 s wherever it is placed; an abandoned one takes effect everywhere or nowhere (seed %i)',
     async (seed) => {
       const core = await bootstrapped(seed, seed % 2 === 0 ? ['h1', 'h2', 'h3'] : FIVE);
       const names = core.nodes.map((n) => n.name);
-      const lone = names[seed % names.length] as string;
-      const others = names.filter((name) => name !== lone);
-      await confirmed(core, lone, 'before', 1_500);
-      core.cutOff([lone]);
-      const givenUp: string[] = [];
+      const isolated = names[seed % names.length] as string;
+      const others = names.filter((name) => name !== isolated);
+      await expectConfirmed(core, isolated, 'before', 1_500);
+      core.cutOff([isolated]);
+      const abandoned: string[] = [];
       const from = core.world.now();
       for (let n = 0; core.world.now() - from < 20_000; n += 1) {
-        const stale = core.order(lone, `alone-${n}`, 1_500);
-        await confirmed(core, others[n % others.length] as string, `during-${n}`, 1_500);
-        const refused = await stale;
-        expect([refused.result?.ok, refused.tookMs < 1_600]).toEqual([false, true]);
-        expect(await core.evacuatedAt(lone)).toBeNull();
-        givenUp.push(`alone-${n}`);
+        const pendingOrder = core.order(isolated, `alone-${n}`, 1_500);
+        await expectConfirmed(core, others[n % others.length] as string, `during-${n}`, 1_500);
+        const rejected = await pendingOrder;
+        expect([rejected.result?.ok, rejected.tookMs < 1_600]).toEqual([false, true]);
+        expect(await core.evacuatedAt(isolated)).toBeNull();
+        abandoned.push(`alone-${n}`);
         await core.world.advance(core.world.rng.next() * 2_000);
       }
       core.world.healAll();
-      const first = others.map((name, i) => confirmed(core, name, `healed-${i}`, 1_500));
-      await confirmed(core, lone, 'returned', 5_000);
+      const first = others.map((name, i) => expectConfirmed(core, name, `healed-${i}`, 1_500));
+      await expectConfirmed(core, isolated, 'returned', 5_000);
       await Promise.all(first);
       const reads = new Set<string>();
       for (const name of names)
-        reads.add((await core.evacuatedAt(name))?.filter((zone) => givenUp.includes(zone)).join() ?? 'refused');
+        reads.add((await core.evacuatedAt(name))?.filter((zone) => abandoned.includes(zone)).join() ?? 'refused');
       await core.world.advance(6_000);
       for (const name of names)
-        reads.add((await core.evacuatedAt(name))?.filter((zone) => givenUp.includes(zone)).join() ?? 'refused');
+        reads.add((await core.evacuatedAt(name))?.filter((zone) => abandoned.includes(zone)).join() ?? 'refused');
       expect(reads.size).toBe(1);
       expect(core.broken).toEqual([]);
     },
   );
 
   test.each(SEEDS)(
-    'one that was replaced or left out meanwhile takes orders and reads at once when it is back (seed %i)',
+    'a member replaced or removed meanwhile accepts orders and reads as soon as it is back (seed %i)',
     async (seed) => {
       const core = await bootstrapped(seed, ['h1', 'h2', 'h3']);
       core.cutOff(['h2']);
       core.add('h4');
-      cutBetween(core, ['h2'], ['h4']);
+      partitionBetween(core, ['h2'], ['h4']);
       core.start('h4');
       expect(await core.until(8_000, () => core.whole(['h1', 'h3', 'h4']))).toBe(true);
-      await confirmed(core, 'h4', 'during', 1_500);
+      await expectConfirmed(core, 'h4', 'during', 1_500);
       await core.world.advance(12_000);
       core.world.healAll();
       await core.world.advance(core.world.rng.next() * 1_500);
-      await confirmed(core, 'h2', 'returned', 2_500);
+      await expectConfirmed(core, 'h2', 'returned', 2_500);
       expect(await core.evacuatedAt('h2')).toEqual(['during', 'returned']);
       expect(await core.until(8_000, () => core.whole(['h1', 'h2', 'h3', 'h4']))).toBe(true);
       expect(core.broken).toEqual([]);
@@ -129,60 +129,65 @@
 });
 
 describe('the lease while the members change', () => {
-  const SEEDS_OF_LEASE = [...Array(24).keys()];
-  const noList = { read: () => Promise.resolve(err({ tag: 'listSilent' as const })) };
+  const LEASE_SEEDS = [...Array(24).keys()];
+  const unavailableList = { read: () => Promise.resolve(err({ tag: 'listSilent' as const })) };
 
   function holders(core: SimCore): string[] {
     return core.nodes.filter((n) => n.host.running && n.controller?.holdsScaler()).map((n) => n.name);
   }
-  async function withLease(seed: number, names: readonly string[]): Promise<SimCore> {
-    const core = createSimCore(seed, { controllers: names.length, seeds: 3, regionMs: 35, listReader: () => noList });
+  async function createCoreWithLease(seed: number, names: readonly string[]): Promise<SimCore> {
+    const core = createSimCore(seed, {
+      controllers: names.length,
+      seeds: 3,
+      regionMs: 35,
+      listReader: () => unavailableList,
+    });
     core.startAll();
     expect(await core.until(6_000, () => core.whole(names))).toBe(true);
     expect(await core.until(20_000, () => holders(core).length === 1)).toBe(true);
     return core;
   }
-  async function neverTwo(core: SimCore, ms: number): Promise<void> {
+  async function expectAtMostOneHolder(core: SimCore, ms: number): Promise<void> {
     for (const end = core.world.now() + ms; core.world.now() < end;) {
       await core.world.advance(20);
       expect(holders(core).length).toBeLessThanOrEqual(1);
     }
   }
 
-  test.each(SEEDS_OF_LEASE)(
-    'five of which the holder, which two no longer heard, and another are left out: never two holders (seed %i)',
+  test.each(LEASE_SEEDS)(
+    'five members, of which the holder (out of contact with two) and another are removed: never two holders (seed %i)',
     async (seed) => {
-      const core = await withLease(seed, FIVE);
+      const core = await createCoreWithLease(seed, FIVE);
       const holder = holders(core)[0] as string;
       const others = FIVE.filter((name) => name !== holder);
-      const second = others[seed % 4] as string;
-      const rest = others.filter((name) => name !== second);
-      cutBetween(core, [holder], rest.slice(1));
+      const companion = others[seed % 4] as string;
+      const rest = others.filter((name) => name !== companion);
+      partitionBetween(core, [holder], rest.slice(1));
       await core.world.advance(8_000 + core.world.rng.next() * 1_000);
       expect(holders(core)).toEqual([holder]);
-      cutBetween(core, [holder, second], rest);
-      await neverTwo(core, 16_000);
+      partitionBetween(core, [holder, companion], rest);
+      await expectAtMostOneHolder(core, 16_000);
       expect(holders(core)).toHaveLength(1);
       expect(core.members(holders(core)[0] as string)).toHaveLength(3);
     },
   );
 
-  test.each(SEEDS_OF_LEASE)(
-    'the holder, which one no longer heard, is replaced by one that waited: never two holders (seed %i)',
+  test.each(LEASE_SEEDS)(
+    'the holder (out of contact with one) is replaced by a waiting controller: never two holders (seed %i)',
     async (seed) => {
-      const core = await withLease(seed, ['h1', 'h2', 'h3']);
+      const core = await createCoreWithLease(seed, ['h1', 'h2', 'h3']);
       const holder = holders(core)[0] as string;
       const others = ['h1', 'h2', 'h3'].filter((name) => name !== holder);
       core.add('h4');
-      cutBetween(core, ['h4'], ['h1', 'h2', 'h3']);
+      partitionBetween(core, ['h4'], ['h1', 'h2', 'h3']);
       core.start('h4');
-      cutBetween(core, [holder], others.slice(1));
+      partitionBetween(core, [holder], others.slice(1));
       await core.world.advance(8_000 + core.world.rng.next() * 1_000);
       expect(holders(core)).toEqual([holder]);
-      cutBetween(core, [holder], others);
+      partitionBetween(core, [holder], others);
       await core.world.advance(core.world.rng.next() * 3_000);
       for (const name of others) healBetween(core, 'h4', name);
-      await neverTwo(core, 16_000);
+      await expectAtMostOneHolder(core, 16_000);
       expect(holders(core)).toHaveLength(1);
     },
   );
--- a/src/coordination/consensus/poll.ts
+++ b/src/coordination/consensus/poll.ts
@@ -1,30 +1,33 @@
-/** Asks all members at once and resolves as soon as the answers are enough; nobody waits for the rest. */
+/** Sends a request to all members in parallel and resolves as soon as enough responses have arrived. */
 import type { Message } from '../../protocol/messages.js';
 import { memberId } from '../../state/consensus/control-state.js';
 import type { Member } from '../../state/consensus/entry.js';
 
-/** Answers by the id of the member that gave them. */
+/** Responses, keyed by the id of the responding member. */
 export type Votes = ReadonlyMap<string, Message>;
-/** Sends a message to one member; null if no answer of that member came. */
+/** Sends a message to one member. Resolves to null if that member did not respond. */
 export type RequestMember = (member: Member, message: Message) => Promise<Message | null>;
 
-/** Sends to all members; `enough` is asked after each answer, with the number of those still open. */
+/**
+ * Sends a request to all members. Calls `isEnough` after each response or failure with the number of requests still
+ * pending, and resolves without waiting for those once it returns true.
+ */
 export function poll(
   members: readonly Member[],
   request: (member: Member) => Promise<Message | null>,
-  enough: (votes: Votes, open: number) => boolean,
+  isEnough: (votes: Votes, pending: number) => boolean,
 ): Promise<Votes> {
   function start(resolve: (votes: Votes) => void): void {
     const votes = new Map<string, Message>();
-    let open = members.length;
-    if (open === 0) resolve(votes);
-    async function one(member: Member): Promise<void> {
+    let pending = members.length;
+    if (pending === 0) resolve(votes);
+    async function requestOne(member: Member): Promise<void> {
       const response = await request(member);
-      open -= 1;
+      pending -= 1;
       if (response) votes.set(memberId(member), response);
-      if (open === 0 || enough(votes, open)) resolve(votes);
+      if (pending === 0 || isEnough(votes, pending)) resolve(votes);
     }
-    for (const member of members) void one(member);
+    for (const member of members) void requestOne(member);
   }
   return new Promise(start);
 }
--- a/src/coordination/consensus/proposer.ts
+++ b/src/coordination/consensus/proposer.ts
@@ -1,10 +1,11 @@
 /**
- * The proposer's side: takes drafts, batches those that wait, and ballots slot after slot until each of them is folded or
- * its time is over. Any controller that knows the ledger may propose, also one that is no member: it needs no vote of its
- * own. `ledger.ts` makes one.
+ * The proposer side of Paxos: queues drafts, combines the queued ones into a batch, and runs ballots on consecutive
+ * slots until each entry is applied or its deadline has passed. Any controller that knows the ledger may propose,
+ * including one that is not a member, because a proposer needs no vote of its own. Created by `ledger.ts`.
  *
- * Invariants (docs/consistency.md, section 1): slot s is balloted only once s-1 is folded, among the members after s-1,
- * whose votes count by identity; an entry keeps its id over all its ballots, so it is folded once at most.
+ * Invariants (docs/consistency.md, section 1): a ballot on slot s starts only after slot s-1 is applied and runs
+ * among the members as of s-1, whose votes count by identity. An entry keeps its id over all its ballots, so it is
+ * applied at most once.
  */
 import { createBatchQueue } from '../../base/batch-queue.js';
 import type { BatchQueue } from '../../base/batch-queue.js';
@@ -24,12 +25,12 @@
 import { runRound } from './round.js';
 import { otherMembers } from '../../state/consensus/fold-members.js';
 
-/** Proposes entries and finishes slots that others left open. */
+/** Proposes entries, and completes slots that other proposers left undecided. */
 export interface Proposer {
-  /** Agrees one entry; `noMajority` after `waitMs` says that it may still come to be agreed, once at most. */
-  propose(draft: Draft, waitMs: number): Promise<Result<Agreed, ProposeError>>;
-  /** Ballots what others left open (with an empty batch of its own) until `isDone`. */
-  finish(until: number, isDone: () => boolean): Promise<void>;
+  /** Commits one entry. `noMajority` after `timeoutMs` means that it may still be committed later, at most once. */
+  propose(draft: Draft, timeoutMs: number): Promise<Result<Agreed, ProposeError>>;
+  /** Runs ballots on undecided slots, with an empty batch as its own value, until `isDone` or the deadline. */
+  finishOpenSlots(deadline: number, isDone: () => boolean): Promise<void>;
 }
 
 /** The replica that proposes, and how it reaches the members. */
@@ -38,27 +39,30 @@
   readonly rng: Rng;
   readonly peers: Pick<Peers, 'send'>;
   readonly replica: Replica;
-  readonly requesterUntil: (until: number) => RequestMember;
+  readonly requesterUntil: (deadline: number) => RequestMember;
   readonly catchUp: (from: Address) => Promise<void>;
-  /** The largest entry that a record of the ring holds. */
-  readonly mostBytes: number;
+  /** The largest batch of entries that fits into one record of the ring log. */
+  readonly maxBatchBytes: number;
 };
 
-type Proposal = { readonly entry: Entry; readonly bytes: number; readonly until: number };
+type Proposal = { readonly entry: Entry; readonly bytes: number; readonly deadline: number };
 
-/** One batch is tried no longer than this, so that younger entries come into the next one. */
-const SLICE_MS = 1_000;
-const BEHIND_PAUSE_MS = 20;
-/** After being outbid: the winner's round is waited for, then a random while that grows up to threefold. */
-const LEAST_WAIT_MS = 10;
-const WINNER_ROUNDS = 1.5;
-const MOST_BACKOFF = 3;
+/** Upper bound on the time spent on one batch, so that entries queued meanwhile get into the next one. */
+const BATCH_TIMEOUT_MS = 1_000;
+const CATCH_UP_RETRY_DELAY_MS = 20;
+/**
+ * Backoff after a lost or failed round: the expected duration of the winner's round, then a random delay whose upper
+ * bound grows with each attempt, up to threefold.
+ */
+const MIN_BACKOFF_MS = 10;
+const WINNER_WAIT_ROUNDS = 1.5;
+const MAX_BACKOFF_FACTOR = 3;
 
 class BatchingProposer implements Proposer {
   private readonly queue: BatchQueue<Proposal, Result<Agreed, ProposeError>>;
 
   constructor(private readonly deps: ProposerDeps) {
-    this.queue = createBatchQueue((proposals) => this.work(proposals));
+    this.queue = createBatchQueue((proposals) => this.proposeBatch(proposals));
   }
 
   private sendLearned(slot: number, batch: Batch): void {
@@ -74,90 +78,91 @@
     }
   }
 
-  private async catchUpFrom(ahead: readonly Member[]): Promise<void> {
+  private async catchUpFrom(aheadMembers: readonly Member[]): Promise<void> {
     const requests: Promise<void>[] = [];
-    for (const member of otherMembers(ahead, this.deps.replica.self)) requests.push(this.deps.catchUp(member.address));
+    for (const member of otherMembers(aheadMembers, this.deps.replica.self))
+      requests.push(this.deps.catchUp(member.address));
     if (requests.length > 0) await Promise.race(requests);
   }
 
-  private async ballot(batch: Batch, until: number, isDone: () => boolean): Promise<Result<null, ProposeError>> {
+  private async runBallots(batch: Batch, deadline: number, isDone: () => boolean): Promise<Result<null, ProposeError>> {
     let highestRound = 0;
-    let longestMs = 0;
-    for (let tries = 0; this.deps.clock.mono() < until; tries += 1) {
+    let longestRoundMs = 0;
+    for (let attempts = 0; this.deps.clock.mono() < deadline; attempts += 1) {
       if (isDone()) return ok(null);
-      const { ledger, members, slot: folded } = this.deps.replica.controlState();
-      const slot = folded + 1;
-      const from = this.deps.clock.mono();
+      const { ledger, members, slot: appliedSlot } = this.deps.replica.controlState();
+      const slot = appliedSlot + 1;
+      const startedAt = this.deps.clock.mono();
       const electorate = { ledger, members, quorumSize: majorityOf(members) };
-      const own = { round: highestRound + 1, by: `${this.deps.replica.id()}/${newId(this.deps.rng, 'b')}` };
-      const end = await runRound(electorate, slot, own, batch, this.deps.requesterUntil(until));
-      if (end.tag === 'chosen') {
-        await this.deps.replica.learn(slot, end.batch);
-        this.sendLearned(slot, end.batch);
+      const ballot = { round: highestRound + 1, by: `${this.deps.replica.id()}/${newId(this.deps.rng, 'b')}` };
+      const result = await runRound(electorate, slot, ballot, batch, this.deps.requesterUntil(deadline));
+      if (result.tag === 'chosen') {
+        await this.deps.replica.learn(slot, result.batch);
+        this.sendLearned(slot, result.batch);
         highestRound = 0;
         continue;
       }
-      const error = this.deps.replica.blockedBy();
+      const error = this.deps.replica.writeError();
       if (error) return err({ tag: 'cannotWrite', error });
-      if (end.tag === 'behind') {
-        await this.catchUpFrom(end.ahead);
+      if (result.tag === 'behind') {
+        await this.catchUpFrom(result.aheadMembers);
         if (this.deps.replica.controlState().slot >= slot) highestRound = 0;
-        else await delay(this.deps.clock, BEHIND_PAUSE_MS);
+        else await delay(this.deps.clock, CATCH_UP_RETRY_DELAY_MS);
         continue;
       }
-      if (end.tag === 'outbid') highestRound = Math.max(highestRound, end.round);
-      longestMs = Math.max(longestMs, this.deps.clock.mono() - from);
-      await this.deps.replica.slotDone(
+      if (result.tag === 'outbid') highestRound = Math.max(highestRound, result.round);
+      longestRoundMs = Math.max(longestRoundMs, this.deps.clock.mono() - startedAt);
+      await this.deps.replica.waitForSlot(
         slot,
-        Math.min(until - this.deps.clock.mono(), this.waitAfter(longestMs, tries)),
+        Math.min(deadline - this.deps.clock.mono(), this.backoffMs(longestRoundMs, attempts)),
       );
     }
     return isDone() ? ok(null) : err({ tag: 'noMajority' });
   }
 
-  private waitAfter(roundMs: number, tries: number): number {
-    const backoff = this.deps.rng.next() * (roundMs + LEAST_WAIT_MS) * Math.min(MOST_BACKOFF, tries + 1);
-    return LEAST_WAIT_MS + WINNER_ROUNDS * roundMs + backoff;
+  private backoffMs(roundMs: number, attempts: number): number {
+    const jitterMs = this.deps.rng.next() * (roundMs + MIN_BACKOFF_MS) * Math.min(MAX_BACKOFF_FACTOR, attempts + 1);
+    return MIN_BACKOFF_MS + WINNER_WAIT_ROUNDS * roundMs + jitterMs;
   }
 
-  /** Agrees all that wait in one batch; what no longer fits comes with the next one. */
-  private async work(proposals: readonly Proposal[]): Promise<readonly Result<Agreed, ProposeError>[]> {
+  /** Proposes the queued entries in one batch; entries that do not fit are proposed again with the next one. */
+  private async proposeBatch(proposals: readonly Proposal[]): Promise<readonly Result<Agreed, ProposeError>[]> {
     const now = this.deps.clock.mono();
     const entries: Entry[] = [];
-    let until = now;
-    let total = 0;
+    let deadline = now;
+    let totalBytes = 0;
     for (const proposal of proposals) {
       if (
-        proposal.until <= now ||
+        proposal.deadline <= now ||
         operationOf(this.deps.replica.controlState(), proposal.entry.id) ||
-        total + proposal.bytes > this.deps.mostBytes
+        totalBytes + proposal.bytes > this.deps.maxBatchBytes
       )
         continue;
-      total += proposal.bytes;
+      totalBytes += proposal.bytes;
       entries.push(proposal.entry);
-      until = Math.min(now + SLICE_MS, Math.max(until, proposal.until));
+      deadline = Math.min(now + BATCH_TIMEOUT_MS, Math.max(deadline, proposal.deadline));
     }
-    let failed: ProposeError = { tag: 'noMajority' };
+    let batchError: ProposeError = { tag: 'noMajority' };
 
-    const allFolded = (): boolean => {
-      for (const event of entries) if (!operationOf(this.deps.replica.controlState(), event.id)) return false;
+    const allApplied = (): boolean => {
+      for (const entry of entries) if (!operationOf(this.deps.replica.controlState(), entry.id)) return false;
       return true;
     };
     if (entries.length > 0) {
-      const decided = await this.ballot({ id: newId(this.deps.rng, 'batch'), entries }, until, allFolded);
-      if (!decided.ok) failed = decided.error;
+      const decided = await this.runBallots({ id: newId(this.deps.rng, 'batch'), entries }, deadline, allApplied);
+      if (!decided.ok) batchError = decided.error;
     }
     const results: Result<Agreed, ProposeError>[] = [];
     for (const proposal of proposals) {
-      const done = operationOf(this.deps.replica.controlState(), proposal.entry.id);
-      results.push(done ? ok({ slot: done.slot, outcome: done.outcome }) : err(failed));
+      const operation = operationOf(this.deps.replica.controlState(), proposal.entry.id);
+      results.push(operation ? ok({ slot: operation.slot, outcome: operation.outcome }) : err(batchError));
     }
     return results;
   }
 
-  async propose(draft: Draft, waitMs: number): Promise<Result<Agreed, ProposeError>> {
-    const until = this.deps.clock.mono() + waitMs;
-    if (!(await this.deps.replica.knowsLedger(waitMs))) return err({ tag: 'notBootstrapped' });
+  async propose(draft: Draft, timeoutMs: number): Promise<Result<Agreed, ProposeError>> {
+    const deadline = this.deps.clock.mono() + timeoutMs;
+    if (!(await this.deps.replica.waitForLedger(timeoutMs))) return err({ tag: 'notBootstrapped' });
     const entry: Entry = {
       id: draft.id ?? newId(this.deps.rng, 'op'),
       author: this.deps.replica.self.name,
@@ -167,24 +172,25 @@
       ...(draft.fence === undefined ? {} : { fence: draft.fence }),
     };
     const bytes = Buffer.byteLength(JSON.stringify(entry));
-    if (bytes > this.deps.mostBytes) return err({ tag: 'cannotWrite', error: { tag: 'recordTooLarge', bytes } });
-    return this.agreedWithin(entry, bytes, until);
+    if (bytes > this.deps.maxBatchBytes) return err({ tag: 'cannotWrite', error: { tag: 'recordTooLarge', bytes } });
+    return this.proposeUntil(entry, bytes, deadline);
   }
 
-  private async agreedWithin(entry: Entry, bytes: number, until: number): Promise<Result<Agreed, ProposeError>> {
+  private async proposeUntil(entry: Entry, bytes: number, deadline: number): Promise<Result<Agreed, ProposeError>> {
     for (;;) {
-      const queued = this.queue.put({ entry, bytes, until });
-      const end = (await within(this.deps.clock, until - this.deps.clock.mono(), queued)) ?? err({ tag: 'noMajority' });
-      if (end.ok || end.error.tag !== 'noMajority' || this.deps.clock.mono() >= until) return end;
+      const queued = this.queue.put({ entry, bytes, deadline });
+      const result =
+        (await within(this.deps.clock, deadline - this.deps.clock.mono(), queued)) ?? err({ tag: 'noMajority' });
+      if (result.ok || result.error.tag !== 'noMajority' || this.deps.clock.mono() >= deadline) return result;
     }
   }
 
-  async finish(until: number, isDone: () => boolean): Promise<void> {
-    await this.ballot({ id: newId(this.deps.rng, 'batch'), entries: [] }, until, isDone);
+  async finishOpenSlots(deadline: number, isDone: () => boolean): Promise<void> {
+    await this.runBallots({ id: newId(this.deps.rng, 'batch'), entries: [] }, deadline, isDone);
   }
 }
 
-/** A proposer that puts all waiting entries into one batch. */
+/** Creates a proposer that combines queued entries into batches. */
 export function createProposer(deps: ProposerDeps): Proposer {
   return new BatchingProposer(deps);
 }
--- a/src/coordination/consensus/replica.ts
+++ b/src/coordination/consensus/replica.ts
@@ -1,8 +1,8 @@
 /**
- * This controller's copy of the ledger: its store, its identity, and whether its disk takes writes. The parts of the
- * ledger (voter, proposer, reader, membership changes) share one replica, which `ledger.ts` makes.
+ * This controller's replica of the log: its store, its identity, and whether its disk accepts writes. The components of
+ * the ledger (voter, proposer, linearizable reads, membership changes) share one replica, which `ledger.ts` creates.
  *
- * Invariant: what `put` answers with anything but `cannotWrite` is on the disk.
+ * Invariant: a command that `put` answers with anything but `cannotWrite` is on disk.
  */
 import { memberId } from '../../state/consensus/control-state.js';
 import type { ControlState } from '../../state/consensus/control-state.js';
@@ -11,33 +11,36 @@
 import type { Clock } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
 import type { RingError } from '../../transport/ring.js';
-import type { Store, StoreAnswer, StoreCommand } from './store.js';
+import type { Store, StoreResult, StoreCommand } from './store.js';
 
-/** The store of one controller under its present identity. */
+/** The store of one controller under its current identity. */
 export interface Replica {
   readonly store: Store;
   readonly self: Member;
   controlState(): ControlState;
-  /** The identity under which this controller votes now; it changes when the controller joins anew. */
+  /** The identity under which this controller currently votes; it changes when the controller rejoins. */
   id(): string;
   isMember(): boolean;
-  put(command: StoreCommand): Promise<StoreAnswer>;
-  /** Folds a chosen batch into its slot, if that is the next one. */
+  put(command: StoreCommand): Promise<StoreResult>;
+  /** Applies a chosen batch if its slot is the next one; otherwise does nothing. */
   learn(slot: number, batch: Batch): Promise<void>;
-  /** Resolves once `slot` is folded, or after `waitMs`. */
-  slotDone(slot: number, waitMs: number): Promise<void>;
-  /** Resolves true once the ledger is known: a blank controller learns it from the others in its first second. */
-  knowsLedger(waitMs: number): Promise<boolean>;
-  /** After a failed write: tries to write the whole state anew, so that this member votes again once its disk takes it. */
+  /** Resolves once `slot` is applied, or after `timeoutMs`. */
+  waitForSlot(slot: number, timeoutMs: number): Promise<void>;
+  /**
+   * Resolves to true once the name of the ledger is known, or to false after `timeoutMs`. A blank controller learns it
+   * from the other controllers within its first second.
+   */
+  waitForLedger(timeoutMs: number): Promise<boolean>;
+  /** After a failed write, tries to rewrite the whole state, so that this member votes again once its disk recovers. */
   repair(): Promise<void>;
-  /** Why the last vote or fold could not be written; null once something was written again. */
-  blockedBy(): RingError | null;
+  /** Why the last vote or applied slot could not be written; null once a write has succeeded again. */
+  writeError(): RingError | null;
 }
 
-const POLL_MS = 15;
+const POLL_INTERVAL_MS = 15;
 
 class StoreReplica implements Replica {
-  private blocked: RingError | null = null;
+  private lastWriteError: RingError | null = null;
 
   constructor(
     readonly store: Store,
@@ -55,16 +58,16 @@
     return false;
   }
 
-  async put(command: StoreCommand): Promise<StoreAnswer> {
-    const answer = await this.store.put(command);
-    if (answer.tag === 'cannotWrite') {
-      if (!this.blocked) this.log.error('log write failed', { error: answer.error.tag });
-      this.blocked = answer.error;
-    } else if (this.blocked && this.store.writable()) {
+  async put(command: StoreCommand): Promise<StoreResult> {
+    const result = await this.store.put(command);
+    if (result.tag === 'cannotWrite') {
+      if (!this.lastWriteError) this.log.error('log write failed', { error: result.error.tag });
+      this.lastWriteError = result.error;
+    } else if (this.lastWriteError && this.store.writable()) {
       this.log.info('log writable again');
-      this.blocked = null;
+      this.lastWriteError = null;
     }
-    return answer;
+    return result;
   }
 
   async repair(): Promise<void> {
@@ -75,28 +78,29 @@
     await this.put({ tag: 'chosen', slot, batch });
   }
 
-  private async waitUntil(test: () => boolean, waitMs: number): Promise<boolean> {
-    const until = this.clock.mono() + waitMs;
-    while (!test() && this.clock.mono() < until) await delay(this.clock, Math.min(POLL_MS, until - this.clock.mono()));
-    return test();
+  private async waitUntil(condition: () => boolean, timeoutMs: number): Promise<boolean> {
+    const deadline = this.clock.mono() + timeoutMs;
+    while (!condition() && this.clock.mono() < deadline)
+      await delay(this.clock, Math.min(POLL_INTERVAL_MS, deadline - this.clock.mono()));
+    return condition();
   }
 
-  async slotDone(slot: number, waitMs: number): Promise<void> {
-    const isDone = (): boolean => {
+  async waitForSlot(slot: number, timeoutMs: number): Promise<void> {
+    const isApplied = (): boolean => {
       return this.store.controlState().slot >= slot;
     };
-    await this.waitUntil(isDone, waitMs);
+    await this.waitUntil(isApplied, timeoutMs);
   }
 
-  knowsLedger(waitMs: number): Promise<boolean> {
+  waitForLedger(timeoutMs: number): Promise<boolean> {
     const isKnown = (): boolean => {
       return this.store.controlState().ledger !== '';
     };
-    return this.waitUntil(isKnown, waitMs);
+    return this.waitUntil(isKnown, timeoutMs);
   }
 
-  blockedBy(): RingError | null {
-    return this.blocked;
+  writeError(): RingError | null {
+    return this.lastWriteError;
   }
 
   controlState(): ControlState {
@@ -104,7 +108,7 @@
   }
 }
 
-/** A replica over a store; `self` may change its incarnation while it runs. */
+/** Creates a replica on top of a store. The incarnation of `self` may change while the replica is in use. */
 export function createReplica(store: Store, self: Member, clock: Clock, log: Log): Replica {
   return new StoreReplica(store, self, clock, log);
 }
--- a/src/coordination/consensus/round.ts
+++ b/src/coordination/consensus/round.ts
@@ -1,6 +1,7 @@
 /**
- * One ballot for one slot, as in single-decree Paxos: collects promises, takes over the batch accepted under the highest
- * ballot, if any, and has it accepted. Pure but for `ask`; `proposer.ts` and `self-bootstrap.ts` run it.
+ * One ballot for one slot, as in single-decree Paxos. Phase 1 collects promises; phase 2 asks the members to accept
+ * the batch that was accepted under the highest ballot, or the proposer's own batch if there is none. `requestMember`
+ * is the only side effect. Used by `proposer.ts` and `self-bootstrap.ts`.
  */
 import type { Message, MessageOf } from '../../protocol/messages.js';
 import { compareBallots } from '../../state/consensus/ballot.js';
@@ -10,19 +11,19 @@
 import { poll } from './poll.js';
 import type { RequestMember, Votes } from './poll.js';
 
-/** The members that vote on a slot, and how many make a quorum. */
+/** The members that vote on a slot, and the number of votes that form a quorum. */
 export type Electorate = { readonly ledger: string; readonly members: readonly Member[]; readonly quorumSize: number };
 
-/** How a round ended; `behind` names members that already know the slot. */
-export type RoundEnd =
+/** How a round ended. `behind`: the listed members already know the chosen batch of the slot. */
+export type RoundResult =
   | { readonly tag: 'chosen'; readonly batch: Batch }
   | { readonly tag: 'outbid'; readonly round: number }
-  | { readonly tag: 'behind'; readonly ahead: readonly Member[] }
+  | { readonly tag: 'behind'; readonly aheadMembers: readonly Member[] }
   | { readonly tag: 'noMajority' };
 
-function tally(votes: Votes, kind: Message['kind']): number {
+function countVotes(votes: Votes, kind: Message['kind']): number {
   let count = 0;
-  for (const value of votes.values()) if (value.kind === kind) count += 1;
+  for (const vote of votes.values()) if (vote.kind === kind) count += 1;
   return count;
 }
 
@@ -31,47 +32,56 @@
   electorate: Electorate,
   slot: number,
   ballot: Ballot,
-  mine: Batch,
-  request: RequestMember,
-): Promise<RoundEnd> {
+  ownBatch: Batch,
+  requestMember: RequestMember,
+): Promise<RoundResult> {
   const { ledger, members, quorumSize } = electorate;
-  function isDecided(kind: Message['kind']): (votes: Votes, open: number) => boolean {
-    function check(votes: Votes, open: number): boolean {
+  function decisionCheck(kind: Message['kind']): (votes: Votes, pending: number) => boolean {
+    function isPhaseDecided(votes: Votes, pending: number): boolean {
       let count = 0;
-      for (const value of votes.values()) {
-        if (value.kind === 'outbid' || value.kind === 'alreadyChosen') return true;
-        if (value.kind === kind) count += 1;
+      for (const vote of votes.values()) {
+        if (vote.kind === 'outbid' || vote.kind === 'alreadyChosen') return true;
+        if (vote.kind === kind) count += 1;
       }
-      return count >= quorumSize || count + open < quorumSize;
+      return count >= quorumSize || count + pending < quorumSize;
     }
-    return check;
+    return isPhaseDecided;
   }
-  function failureOf(votes: Votes): RoundEnd {
-    let top = 0;
-    const ahead: Member[] = [];
+  function failureOf(votes: Votes): RoundResult {
+    let highestRound = 0;
+    const aheadMembers: Member[] = [];
     for (const member of members) {
-      const value = votes.get(memberId(member));
-      if (value?.kind === 'alreadyChosen') ahead.push(member);
-      else if (value?.kind === 'outbid') top = Math.max(top, value.by.round);
+      const vote = votes.get(memberId(member));
+      if (vote?.kind === 'alreadyChosen') aheadMembers.push(member);
+      else if (vote?.kind === 'outbid') highestRound = Math.max(highestRound, vote.by.round);
     }
-    if (ahead.length > 0) return { tag: 'behind', ahead };
-    return top > 0 ? { tag: 'outbid', round: top } : { tag: 'noMajority' };
+    if (aheadMembers.length > 0) return { tag: 'behind', aheadMembers };
+    return highestRound > 0 ? { tag: 'outbid', round: highestRound } : { tag: 'noMajority' };
   }
-  function put(message: Message): (member: Member) => Promise<Message | null> {
-    function one(member: Member): Promise<Message | null> {
-      return request(member, message);
+  function requestWith(message: Message): (member: Member) => Promise<Message | null> {
+    function sendTo(member: Member): Promise<Message | null> {
+      return requestMember(member, message);
     }
-    return one;
+    return sendTo;
   }
 
-  const promises = await poll(members, put({ kind: 'prepare', ledger, slot, ballot }), isDecided('promised'));
-  if (tally(promises, 'promised') < quorumSize) return failureOf(promises);
-  let best: MessageOf<'promised'>['accepted'] = null;
-  for (const value of promises.values()) {
-    if (value.kind !== 'promised' || !value.accepted) continue;
-    if (!best || compareBallots(value.accepted.ballot, best.ballot) > 0) best = value.accepted;
+  const promises = await poll(
+    members,
+    requestWith({ kind: 'prepare', ledger, slot, ballot }),
+    decisionCheck('promised'),
+  );
+  if (countVotes(promises, 'promised') < quorumSize) return failureOf(promises);
+  let highestAccepted: MessageOf<'promised'>['accepted'] = null;
+  for (const vote of promises.values()) {
+    if (vote.kind !== 'promised' || !vote.accepted) continue;
+    if (!highestAccepted || compareBallots(vote.accepted.ballot, highestAccepted.ballot) > 0)
+      highestAccepted = vote.accepted;
   }
-  const batch = best ? best.batch : mine;
-  const accepts = await poll(members, put({ kind: 'accept', ledger, slot, ballot, batch }), isDecided('accepted'));
-  return tally(accepts, 'accepted') >= quorumSize ? { tag: 'chosen', batch } : failureOf(accepts);
+  const batch = highestAccepted ? highestAccepted.batch : ownBatch;
+  const acceptances = await poll(
+    members,
+    requestWith({ kind: 'accept', ledger, slot, ballot, batch }),
+    decisionCheck('accepted'),
+  );
+  return countVotes(acceptances, 'accepted') >= quorumSize ? { tag: 'chosen', batch } : failureOf(acceptances);
 }
--- a/src/coordination/consensus/snapshot-receiver.ts
+++ b/src/coordination/consensus/snapshot-receiver.ts
@@ -1,4 +1,4 @@
-/** Receives a snapshot chunk by chunk, and resumes one that was interrupted. */
+/** Receives a snapshot in chunks, and resumes an interrupted transfer. */
 import { parsedJson } from '../../base/parsed-json.js';
 import { isControlState } from '../../state/consensus/control-state.js';
 import type { ControlState } from '../../state/consensus/control-state.js';
@@ -10,9 +10,9 @@
 import type { Peers } from '../messaging/peers.js';
 
 /**
- * Fetches an offered snapshot part by part. What came of it is kept when its giver falls silent, and the
- * fetch goes on where it stood with whoever offers the same snapshot (the same digest); any other offer
- * begins anew. A state is returned only if the digest of the whole is the one that was offered.
+ * Fetches an offered snapshot chunk by chunk. If the sender stops responding, the chunks received so far are
+ * kept, and the fetch resumes with any sender that offers the same snapshot (the same digest). Any other offer
+ * starts a new fetch. A state is returned only if the digest of the complete text matches the offer.
  */
 export interface SnapshotReceiver {
   receive(from: Address, offer: SnapshotOffer): Promise<SnapshotReceipt>;
@@ -22,16 +22,16 @@
 /** How receiving a snapshot ended. */
 export type SnapshotReceipt =
   | { readonly tag: 'whole'; readonly state: ControlState }
-  /** The giver fell silent or was lost; what came is kept. */
+  /** The sender stopped responding; the chunks received so far are kept. */
   | { readonly tag: 'interrupted' }
-  /** The giver no longer has it, or what it gave is not what it offered; nothing is kept. */
+  /** The sender no longer has the snapshot, or its data does not match the offer; nothing is kept. */
   | { readonly tag: 'refused' }
-  /** Another fetch was under way and has ended, or another giver took over. */
+  /** Another fetch was in progress and has ended, or another sender has taken over. */
   | { readonly tag: 'joined' };
 
-const PART_WAIT_MS = 2_000;
-/** Without a part in this long another giver takes over; at 7 Mbit/s a part takes some 60 ms and a round trip. */
-const STALLED_MS = 600;
+const CHUNK_TIMEOUT_MS = 2_000;
+/** After this long without a chunk another sender takes over. At 7 Mbit/s a chunk takes some 60 ms and a round trip. */
+const STALL_TIMEOUT_MS = 600;
 
 const INTERRUPTED: SnapshotReceipt = { tag: 'interrupted' };
 const REFUSED: SnapshotReceipt = { tag: 'refused' };
@@ -39,10 +39,10 @@
 
 class ResumingSnapshotReceiver implements SnapshotReceiver {
   private assembly: Assembly | null = null;
-  private fetch: Promise<SnapshotReceipt> | null = null;
+  private currentFetch: Promise<SnapshotReceipt> | null = null;
 
-  /** Counts the fetches begun. One that is no longer the newest adds nothing to the assembly. */
-  private newest = 0;
+  /** Number of fetches started so far. A fetch that is no longer the newest adds nothing to the assembly. */
+  private newestFetchId = 0;
   private lastChunkAt = 0;
 
   constructor(
@@ -52,61 +52,61 @@
   ) {}
 
   isReceiving(): boolean {
-    return this.fetch !== null;
+    return this.currentFetch !== null;
   }
 
   async receive(from: Address, offer: SnapshotOffer): Promise<SnapshotReceipt> {
-    if (this.fetch && this.clock.mono() - this.lastChunkAt < STALLED_MS) {
-      await this.fetch;
+    if (this.currentFetch && this.clock.mono() - this.lastChunkAt < STALL_TIMEOUT_MS) {
+      await this.currentFetch;
       return JOINED;
     }
-    this.newest += 1;
+    this.newestFetchId += 1;
     this.lastChunkAt = this.clock.mono();
-    const own = this.newest;
-    this.fetch = this.fetchFrom(from, offer, own);
-    const ended = await this.fetch;
-    if (own !== this.newest) return JOINED;
-    this.fetch = null;
-    if (ended.tag !== 'interrupted') this.assembly = null;
-    return ended;
+    const fetchId = this.newestFetchId;
+    this.currentFetch = this.fetchFrom(from, offer, fetchId);
+    const receipt = await this.currentFetch;
+    if (fetchId !== this.newestFetchId) return JOINED;
+    this.currentFetch = null;
+    if (receipt.tag !== 'interrupted') this.assembly = null;
+    return receipt;
   }
 
-  private async fetchFrom(from: Address, offer: SnapshotOffer, own: number): Promise<SnapshotReceipt> {
+  private async fetchFrom(from: Address, offer: SnapshotOffer, fetchId: number): Promise<SnapshotReceipt> {
     if (!isBounded(offer)) {
       this.log.error('snapshot too large, not fetched', { from, length: offer.length });
       return REFUSED;
     }
-    const current = this.assembly?.offer.digest === offer.digest ? this.assembly : createAssembly(offer);
-    this.assembly = current;
-    for (let next = nextChunk(current); next !== null; next = nextChunk(current)) {
+    const assembly = this.assembly?.offer.digest === offer.digest ? this.assembly : createAssembly(offer);
+    this.assembly = assembly;
+    for (let next = nextChunk(assembly); next !== null; next = nextChunk(assembly)) {
       const reply = await this.peers.call(
         from,
         { kind: 'snapshotAsk', digest: offer.digest, part: next },
-        PART_WAIT_MS,
+        CHUNK_TIMEOUT_MS,
       );
-      if (!reply.ok || own !== this.newest) return INTERRUPTED;
+      if (!reply.ok || fetchId !== this.newestFetchId) return INTERRUPTED;
       const answer = reply.value;
       if (
         answer.kind !== 'snapshotPart' ||
         answer.digest !== offer.digest ||
-        !addChunk(current, answer.part, answer.text)
+        !addChunk(assembly, answer.part, answer.text)
       )
         return REFUSED;
       this.lastChunkAt = this.clock.mono();
     }
-    return this.stateIn(from, current);
+    return this.stateFrom(from, assembly);
   }
 
-  private stateIn(from: Address, current: Assembly): SnapshotReceipt {
-    const text = assembled(current);
+  private stateFrom(from: Address, assembly: Assembly): SnapshotReceipt {
+    const text = assembled(assembly);
     const state = text.ok ? parsedJson(text.value) : null;
-    if (text.ok && isControlState(state) && state.slot === current.offer.slot) return { tag: 'whole', state };
-    this.log.warn('snapshot digest mismatch', { from, slot: current.offer.slot });
+    if (text.ok && isControlState(state) && state.slot === assembly.offer.slot) return { tag: 'whole', state };
+    this.log.warn('snapshot digest mismatch', { from, slot: assembly.offer.slot });
     return REFUSED;
   }
 }
 
-/** A receiver without any chunk yet. */
+/** Creates a receiver without any chunks. */
 export function createSnapshotReceiver(peers: Pick<Peers, 'call'>, clock: Clock, log: Log): SnapshotReceiver {
   return new ResumingSnapshotReceiver(peers, clock, log);
 }
--- a/src/coordination/consensus/snapshots.test.ts
+++ b/src/coordination/consensus/snapshots.test.ts
@@ -23,195 +23,209 @@
   } as ControlState;
 }
 
-type Ask = (m: MessageOf<'snapshotAsk'>) => Message | Promise<Message>;
+type RequestHandler = (m: MessageOf<'snapshotAsk'>) => Message | Promise<Message>;
 
-/** One taker and the givers it can reach; each reply takes 10 ms, and the test may come between. */
-function rig() {
+/**
+ * One receiver and the senders it can reach. Each response takes 10 ms; `hooks` lets a test intervene before a
+ * request.
+ */
+function createTransfer() {
   const world = createWorld(1);
   const clock = world.clockOf(world.begin(world.host('n', 'z')));
-  const givers = new Map<string, Ask>();
+  const senders = new Map<string, RequestHandler>();
   const requests: string[] = [];
-  const hooks: { before: (to: string, m: MessageOf<'snapshotAsk'>) => void } = { before: () => undefined };
+  const hooks: { beforeRequest: (to: string, m: MessageOf<'snapshotAsk'>) => void } = {
+    beforeRequest: () => undefined,
+  };
 
-  function giver(address: string, first: ControlState) {
+  function createSender(address: string, first: ControlState) {
     let state = first;
-    let kept = 0;
+    let keptFrom = 0;
     const on = (kind: MessageKind, handler: unknown) => {
-      if (kind === 'snapshotAsk') givers.set(address, handler as Ask);
+      if (kind === 'snapshotAsk') senders.set(address, handler as RequestHandler);
     };
-    const made = createSnapshotSender({
+    const sender = createSnapshotSender({
       peers: { on: on },
       clock,
       log,
       controlState: () => state,
-      keepsFrom: (slot) => slot >= kept,
+      hasSlotsFrom: (slot) => slot >= keptFrom,
     });
     return {
-      offer: (view: SnapshotView, slot: number) => made.offer(view, slot),
-      become: (next: ControlState) => (state = next),
-      keepFrom: (slot: number) => (kept = slot),
+      offer: (view: SnapshotView, slot: number) => sender.offer(view, slot),
+      setState: (next: ControlState) => (state = next),
+      setKeptFrom: (slot: number) => (keptFrom = slot),
     };
   }
   const receiver = createSnapshotReceiver(
     {
       call: async (to, m) => {
-        hooks.before(to, m as MessageOf<'snapshotAsk'>);
+        hooks.beforeRequest(to, m as MessageOf<'snapshotAsk'>);
         await delay(clock, 10);
-        const ask = givers.get(to);
+        const handler = senders.get(to);
         requests.push(`${to} ${(m as MessageOf<'snapshotAsk'>).part}`);
-        return ask
-          ? { ok: true, value: await ask(m as MessageOf<'snapshotAsk'>) }
+        return handler
+          ? { ok: true, value: await handler(m as MessageOf<'snapshotAsk'>) }
           : { ok: false, error: { tag: 'peerSilent', address: to } };
       },
     },
     clock,
     log,
   );
-  async function take(from: string, offer: SnapshotOffer | null): Promise<SnapshotReceipt> {
-    let ended: SnapshotReceipt | null = null;
-    void receiver.receive(from, offer as SnapshotOffer).then((t) => (ended = t));
-    await world.until(60_000, () => ended !== null);
-    return ended as unknown as SnapshotReceipt;
+  async function receive(from: string, offer: SnapshotOffer | null): Promise<SnapshotReceipt> {
+    let receipt: SnapshotReceipt | null = null;
+    void receiver.receive(from, offer as SnapshotOffer).then((t) => (receipt = t));
+    await world.until(60_000, () => receipt !== null);
+    return receipt as unknown as SnapshotReceipt;
   }
-  return { world, giver, givers, taker: receiver, take, asks: requests, hooks };
+  return { world, createSender, senders, snapshotReceiver: receiver, receive, requestLog: requests, hooks };
 }
 
-describe('a snapshot is fetched in parts', () => {
-  test('whole, and as it was when it was offered, though its giver folds on meanwhile', async () => {
-    const { giver, take, hooks } = rig();
-    const a = giver('a', stateAt(7));
-    hooks.before = () => void a.become(stateAt(99, 'y'));
+describe('a snapshot is fetched in chunks', () => {
+  test('completely, and as of the offer, although the sender applies further slots meanwhile', async () => {
+    const { createSender, receive, hooks } = createTransfer();
+    const a = createSender('a', stateAt(7));
+    hooks.beforeRequest = () => void a.setState(stateAt(99, 'y'));
     const offer = a.offer('controller', 0);
     expect(chunkCount(offer as SnapshotOffer)).toBeGreaterThan(4);
-    expect(await take('a', offer)).toEqual({ tag: 'whole', state: stateAt(7) });
+    expect(await receive('a', offer)).toEqual({ tag: 'whole', state: stateAt(7) });
   });
 
-  test('a giver that is lost: the fetch goes on with another that offers the same', async () => {
-    const { giver, givers, take, asks: requests, hooks } = rig();
-    const a = giver('a', stateAt(7));
-    const b = giver('b', stateAt(7));
-    hooks.before = (to, m) => void (to === 'a' && m.part === 3 && givers.delete('a'));
-    expect(await take('a', a.offer('controller', 0))).toEqual({ tag: 'interrupted' });
-    expect(await take('b', b.offer('controller', 0))).toEqual({ tag: 'whole', state: stateAt(7) });
+  test('after the sender is lost the fetch resumes with another one that offers the same snapshot', async () => {
+    const { createSender, senders, receive, requestLog: requests, hooks } = createTransfer();
+    const a = createSender('a', stateAt(7));
+    const b = createSender('b', stateAt(7));
+    hooks.beforeRequest = (to, m) => void (to === 'a' && m.part === 3 && senders.delete('a'));
+    expect(await receive('a', a.offer('controller', 0))).toEqual({ tag: 'interrupted' });
+    expect(await receive('b', b.offer('controller', 0))).toEqual({ tag: 'whole', state: stateAt(7) });
     expect(requests).toEqual(['a 0', 'a 1', 'a 2', 'a 3', 'b 3', 'b 4', 'b 5']);
   });
 
-  test('a giver that is lost: with another that has come further the fetch begins anew, and never mixes', async () => {
-    const { giver, givers, take, asks: requests, hooks } = rig();
-    const a = giver('a', stateAt(7));
-    const b = giver('b', stateAt(8, 'y'));
-    hooks.before = (to, m) => void (to === 'a' && m.part === 3 && givers.delete('a'));
-    expect(await take('a', a.offer('controller', 0))).toEqual({ tag: 'interrupted' });
-    expect(await take('b', b.offer('controller', 0))).toEqual({ tag: 'whole', state: stateAt(8, 'y') });
+  test('after the sender is lost the fetch restarts with another one that is further ahead, and never mixes the two', async () => {
+    const { createSender, senders, receive, requestLog: requests, hooks } = createTransfer();
+    const a = createSender('a', stateAt(7));
+    const b = createSender('b', stateAt(8, 'y'));
+    hooks.beforeRequest = (to, m) => void (to === 'a' && m.part === 3 && senders.delete('a'));
+    expect(await receive('a', a.offer('controller', 0))).toEqual({ tag: 'interrupted' });
+    expect(await receive('b', b.offer('controller', 0))).toEqual({ tag: 'whole', state: stateAt(8, 'y') });
     expect(requests.slice(4)).toEqual(['b 0', 'b 1', 'b 2', 'b 3', 'b 4', 'b 5']);
   });
 
-  test('one that restarted knows the digest no more; it says so, and offers what it has', async () => {
-    const { giver, take, hooks } = rig();
-    const a = giver('a', stateAt(7));
+  test('a restarted sender no longer knows the digest; it says so, and offers its current state', async () => {
+    const { createSender, receive, hooks } = createTransfer();
+    const a = createSender('a', stateAt(7));
     const offer = a.offer('controller', 0);
-    let restarted: ReturnType<typeof giver> | null = null;
-    hooks.before = (_, m) => {
-      if (m.part === 2) restarted ??= giver('a', stateAt(9, 'z'));
+    let restarted: ReturnType<typeof createSender> | null = null;
+    hooks.beforeRequest = (_, m) => {
+      if (m.part === 2) restarted ??= createSender('a', stateAt(9, 'z'));
     };
-    expect(await take('a', offer)).toEqual({ tag: 'refused' });
-    expect(await take('a', (restarted as unknown as typeof a).offer('controller', 0))).toEqual({
+    expect(await receive('a', offer)).toEqual({ tag: 'refused' });
+    expect(await receive('a', (restarted as unknown as typeof a).offer('controller', 0))).toEqual({
       tag: 'whole',
       state: stateAt(9, 'z'),
     });
   });
 
-  const LIES: Readonly<Record<string, (answer: Message) => Message>> = {
-    'another letter': (m) => (m.kind === 'snapshotPart' && m.part === 1 ? { ...m, text: `!${m.text.slice(1)}` } : m),
-    'a part too short': (m) => (m.kind === 'snapshotPart' && m.part === 1 ? { ...m, text: m.text.slice(1) } : m),
-    'a part of another index': (m) => (m.kind === 'snapshotPart' && m.part === 1 ? { ...m, part: 2 } : m),
-    'a part of another snapshot': (m) =>
+  const CORRUPTIONS: Readonly<Record<string, (answer: Message) => Message>> = {
+    'altered text': (m) => (m.kind === 'snapshotPart' && m.part === 1 ? { ...m, text: `!${m.text.slice(1)}` } : m),
+    'a chunk too short': (m) => (m.kind === 'snapshotPart' && m.part === 1 ? { ...m, text: m.text.slice(1) } : m),
+    'a chunk with another index': (m) => (m.kind === 'snapshotPart' && m.part === 1 ? { ...m, part: 2 } : m),
+    'a chunk of another snapshot': (m) =>
       m.kind === 'snapshotPart' && m.part === 1 ? { ...m, digest: 'e'.repeat(64) } : m,
   };
-  test.each(Object.keys(LIES))('what is not as offered is never adopted: %s', async (lie) => {
-    const { giver, givers, take } = rig();
-    const a = giver('a', stateAt(7));
-    const honest = givers.get('a') as Ask;
-    givers.set('a', (m) => (LIES[lie] as (m: Message) => Message)(honest(m) as Message));
-    expect(await take('a', a.offer('controller', 0))).toEqual({ tag: 'refused' });
-    givers.set('a', honest);
-    expect(await take('a', a.offer('controller', 0))).toEqual({ tag: 'whole', state: stateAt(7) });
+  test.each(Object.keys(CORRUPTIONS))('data that does not match the offer is never adopted: %s', async (corruption) => {
+    const { createSender, senders, receive } = createTransfer();
+    const a = createSender('a', stateAt(7));
+    const originalHandler = senders.get('a') as RequestHandler;
+    senders.set('a', (m) => (CORRUPTIONS[corruption] as (m: Message) => Message)(originalHandler(m) as Message));
+    expect(await receive('a', a.offer('controller', 0))).toEqual({ tag: 'refused' });
+    senders.set('a', originalHandler);
+    expect(await receive('a', a.offer('controller', 0))).toEqual({ tag: 'whole', state: stateAt(7) });
   });
 
-  test('a whole text that is no state, or one of another slot than offered, is not taken', async () => {
-    const { giver, take } = rig();
-    expect(await take('a', giver('a', { slot: 7, ledger: 'l1' } as ControlState).offer('controller', 0))).toEqual({
+  test('a complete text that is not a valid state, or is of another slot than offered, is rejected', async () => {
+    const { createSender, receive } = createTransfer();
+    expect(
+      await receive('a', createSender('a', { slot: 7, ledger: 'l1' } as ControlState).offer('controller', 0)),
+    ).toEqual({
       tag: 'refused',
     });
   });
 
-  test('two fetches do not run side by side, but one whose giver stalls is taken over', async () => {
-    const { giver, givers, take, taker: receiver, world, asks: requests } = rig();
-    const a = giver('a', stateAt(7));
-    const b = giver('b', stateAt(7));
+  test('two fetches do not run in parallel, but one whose sender stalls is taken over', async () => {
+    const {
+      createSender,
+      senders,
+      receive,
+      snapshotReceiver: receiver,
+      world,
+      requestLog: requests,
+    } = createTransfer();
+    const a = createSender('a', stateAt(7));
+    const b = createSender('b', stateAt(7));
     const [first, second] = [
       receiver.receive('a', a.offer('controller', 0) as SnapshotOffer),
-      take('b', b.offer('controller', 0)),
+      receive('b', b.offer('controller', 0)),
     ];
     expect(await second).toEqual({ tag: 'joined' });
     expect(await first).toEqual({ tag: 'whole', state: stateAt(7) });
-    expect(requests.every((ask) => ask.startsWith('a'))).toBe(true);
-
-    const honest = givers.get('a') as Ask;
-    const slow: Promise<Message>[] = [];
-    givers.set('a', (m) => {
-      if (m.part < 2) return honest(m);
-      const late = delay(world.clockOf(world.begin(world.host('late', 'z'))), 5_000).then(() => honest(m));
-      slow.push(late);
-      return late;
+    expect(requests.every((request) => request.startsWith('a'))).toBe(true);
+
+    const originalHandler = senders.get('a') as RequestHandler;
+    const delayedResponses: Promise<Message>[] = [];
+    senders.set('a', (m) => {
+      if (m.part < 2) return originalHandler(m);
+      const delayed = delay(world.clockOf(world.begin(world.host('late', 'z'))), 5_000).then(() => originalHandler(m));
+      delayedResponses.push(delayed);
+      return delayed;
     });
     const stalled = receiver.receive('a', a.offer('controller', 0) as SnapshotOffer);
     await world.advance(1_000);
-    expect(await take('b', b.offer('controller', 0))).toEqual({ tag: 'whole', state: stateAt(7) });
+    expect(await receive('b', b.offer('controller', 0))).toEqual({ tag: 'whole', state: stateAt(7) });
     await world.advance(10_000);
     expect(await stalled).toEqual({ tag: 'joined' });
-    expect(slow.length).toBe(1);
+    expect(delayedResponses.length).toBe(1);
   });
 });
 
-describe('what a giver pins is bounded', () => {
-  test('nodes that lag together are offered the same, as long as the slots since are kept', () => {
-    const { giver } = rig();
-    const a = giver('a', stateAt(7));
+describe('the snapshots that a sender pins are bounded', () => {
+  test('nodes that lag at the same time are offered the same one, as long as the slots after it are kept', () => {
+    const { createSender } = createTransfer();
+    const a = createSender('a', stateAt(7));
     const first = a.offer('controller', 0);
-    a.become(stateAt(20, 'y'));
+    a.setState(stateAt(20, 'y'));
     expect(a.offer('controller', 3)).toEqual(first);
     expect(a.offer('controller', 8)?.slot).toBe(20);
-    a.keepFrom(15);
+    a.setKeptFrom(15);
     expect(a.offer('controller', 0)?.slot).toBe(20);
     expect(a.offer('controller', 21)).toBeNull();
   });
 
-  test('two of each view at most; the older is gone, and said to be', () => {
-    const { giver, givers } = rig();
-    const a = giver('a', stateAt(1));
+  test('at most two per view; an older one is dropped, and requests for it are told so', () => {
+    const { createSender, senders } = createTransfer();
+    const a = createSender('a', stateAt(1));
     const offers: SnapshotOffer[] = [];
     for (let slot = 1; slot <= 4; slot += 1) {
-      a.become(stateAt(slot, String(slot)));
-      a.keepFrom(slot + 1);
+      a.setState(stateAt(slot, String(slot)));
+      a.setKeptFrom(slot + 1);
       offers.push(a.offer('controller', 0) as SnapshotOffer, a.offer('proxy', 0) as SnapshotOffer);
     }
     const kinds = offers.map(
-      (o) => (givers.get('a')?.({ kind: 'snapshotAsk', digest: o.digest, part: 0 }) as Message).kind,
+      (o) => (senders.get('a')?.({ kind: 'snapshotAsk', digest: o.digest, part: 0 }) as Message).kind,
     );
     const gone = 'snapshotGone';
-    const there = 'snapshotPart';
-    expect(kinds).toEqual([gone, gone, gone, gone, there, there, there, there]);
+    const available = 'snapshotPart';
+    expect(kinds).toEqual([gone, gone, gone, gone, available, available, available, available]);
   });
 
-  test('one that nobody asked for in 10 s is let go of', async () => {
-    const { world, giver, givers } = rig();
-    const a = giver('a', stateAt(1));
+  test('one that was not requested for 10 s is dropped', async () => {
+    const { world, createSender, senders } = createTransfer();
+    const a = createSender('a', stateAt(1));
     const old = a.offer('controller', 0) as SnapshotOffer;
     await world.advance(10_100);
-    a.become(stateAt(2, 'y'));
+    a.setState(stateAt(2, 'y'));
     expect(a.offer('controller', 0)?.slot).toBe(2);
-    expect(givers.get('a')?.({ kind: 'snapshotAsk', digest: old.digest, part: 0 })).toEqual({
+    expect(senders.get('a')?.({ kind: 'snapshotAsk', digest: old.digest, part: 0 })).toEqual({
       kind: 'snapshotGone',
       digest: old.digest,
     });
--- a/src/coordination/consensus/store.test.ts
+++ b/src/coordination/consensus/store.test.ts
@@ -8,9 +8,9 @@
 import type { ControlState } from '../../state/consensus/control-state.js';
 import type { Batch } from '../../state/consensus/entry.js';
 import { openStore } from './store.js';
-import type { Store, StoreAnswer, StoreCommand } from './store.js';
+import type { Store, StoreResult, StoreCommand } from './store.js';
 
-/** Small enough that the script below crosses files, fills the ring and compacts many times. */
+/** Small enough for the script below to cross files, fill the ring log and compact many times. */
 const SHAPE = { name: 'ledger', files: 3, fileBytes: 1_400, snapshotBytes: 24_000 };
 const SLOTS = 14;
 
@@ -45,7 +45,7 @@
   return { tag: 'adopt', controlState: STATES[slot] as ControlState };
 }
 
-/** Commands of one line are put at once, so they share writes and a sync. */
+/** The commands of one line are issued together, so they share writes and a sync. */
 const SCRIPT: readonly (readonly StoreCommand[])[] = [
   [prepare(0, 1)],
   [accept(0, 1)],
@@ -74,52 +74,56 @@
   [accept(14, 1)],
 ];
 
-/** What was answered, and so may have been acted on by others: nothing of it may ever be taken back. */
-type Answered = { readonly promised: Map<number, Ballot>; readonly accepted: Map<number, Ballot>; learned: number };
-
-function note(answered: Answered, command: StoreCommand, answer: StoreAnswer): void {
-  if (answer.tag === 'vote' && answer.vote.tag === 'promised' && command.tag === 'prepare')
-    answered.promised.set(command.slot, command.ballot);
-  if (answer.tag === 'vote' && answer.vote.tag === 'accepted' && command.tag === 'accept')
-    answered.accepted.set(command.slot, command.ballot);
-  if (answer.tag !== 'folded') return;
-  if (command.tag === 'chosen') answered.learned = command.slot;
-  if (command.tag === 'adopt') answered.learned = command.controlState.slot;
+/** The commands answered so far. Other members may have acted on the answers, so none of these may ever be lost. */
+type Acknowledged = { readonly promised: Map<number, Ballot>; readonly accepted: Map<number, Ballot>; learned: number };
+
+function recordAcknowledged(acknowledged: Acknowledged, command: StoreCommand, result: StoreResult): void {
+  if (result.tag === 'vote' && result.vote.tag === 'promised' && command.tag === 'prepare')
+    acknowledged.promised.set(command.slot, command.ballot);
+  if (result.tag === 'vote' && result.vote.tag === 'accepted' && command.tag === 'accept')
+    acknowledged.accepted.set(command.slot, command.ballot);
+  if (result.tag !== 'folded') return;
+  if (command.tag === 'chosen') acknowledged.learned = command.slot;
+  if (command.tag === 'adopt') acknowledged.learned = command.controlState.slot;
 }
 
-type Life = {
+type ScriptRun = {
   readonly store: Store | null;
   readonly error: string | null;
   readonly used: number;
-  readonly answered: Answered;
+  readonly answered: Acknowledged;
 };
 
-/** Opens the store on a disk that stops after so many operations, and runs the script as far as it goes. */
-async function live(platter: Platter, operations: number, script: readonly (readonly StoreCommand[])[]): Promise<Life> {
+/** Opens the store on a disk that stops after a number of operations, and runs the script until then. */
+async function runScript(
+  platter: Platter,
+  operations: number,
+  script: readonly (readonly StoreCommand[])[],
+): Promise<ScriptRun> {
   const world = createWorld(1);
   const stopping = stoppingDisk(simDisk(platter, world.begin(world.host('h', 'z')), world), operations);
-  const answered: Answered = { promised: new Map(), accepted: new Map(), learned: -1 };
+  const answered: Acknowledged = { promised: new Map(), accepted: new Map(), learned: -1 };
   const opened: { store: Store | null; error: string | null; ended: boolean } = {
     store: null,
     error: null,
     ended: false,
   };
   async function run(): Promise<void> {
-    const made = await openStore(
+    const openResult = await openStore(
       stopping.disk,
       SHAPE,
       () => undefined,
       () => undefined,
     );
-    if (!made.ok) {
-      opened.error = made.error.tag;
+    if (!openResult.ok) {
+      opened.error = openResult.error.tag;
       opened.ended = true;
       return;
     }
-    opened.store = made.value;
-    for (const line of script) {
-      const answers = await Promise.all(line.map((command) => made.value.put(command)));
-      line.forEach((command, i) => note(answered, command, answers[i] as StoreAnswer));
+    opened.store = openResult.value;
+    for (const commands of script) {
+      const results = await Promise.all(commands.map((command) => openResult.value.put(command)));
+      commands.forEach((command, i) => recordAcknowledged(answered, command, results[i] as StoreResult));
     }
     opened.ended = true;
   }
@@ -128,7 +132,7 @@
   return { store: opened.store, error: opened.error, used: stopping.used(), answered };
 }
 
-const FATES: Readonly<Record<string, WriteFate>> = {
+const WRITE_FATES: Readonly<Record<string, WriteFate>> = {
   'none kept': () => 0,
   'all kept': (bytes) => bytes,
   'halves kept': (bytes) => Math.floor(bytes / 2),
@@ -136,34 +140,40 @@
   'all but the first kept': (bytes, index) => (index === 0 ? 0 : bytes),
 };
 
-async function nothingTakenBack(where: string, platter: Platter, before: Answered): Promise<void> {
-  const { store, error } = await live(platter, Infinity, []);
+async function expectNothingLost(where: string, platter: Platter, before: Acknowledged): Promise<void> {
+  const { store, error } = await runScript(platter, Infinity, []);
   expect([where, error]).toEqual([where, null]);
-  const held = store as Store;
-  const { slot } = held.controlState();
+  const reopened = store as Store;
+  const { slot } = reopened.controlState();
   expect([where, slot]).toEqual([where, expect.any(Number)]);
   expect(slot).toBeGreaterThanOrEqual(before.learned);
-  expect([where, held.controlState()]).toEqual([where, slot < 0 ? emptyControlState() : STATES[slot]]);
-  for (const [at, was] of before.accepted) {
-    if (at > slot) expect([where, at, held.accepted(at)]).toEqual([where, at, batchOf(at)]);
-    expect(held.top()).toBeGreaterThanOrEqual(at);
-    await refuses(where, held, at, was);
+  expect([where, reopened.controlState()]).toEqual([where, slot < 0 ? emptyControlState() : STATES[slot]]);
+  for (const [votedSlot, ballotBefore] of before.accepted) {
+    if (votedSlot > slot)
+      expect([where, votedSlot, reopened.accepted(votedSlot)]).toEqual([where, votedSlot, batchOf(votedSlot)]);
+    expect(reopened.top()).toBeGreaterThanOrEqual(votedSlot);
+    await expectRejected(where, reopened, votedSlot, ballotBefore);
   }
-  for (const [at, was] of before.promised) await refuses(where, held, at, was);
+  for (const [votedSlot, ballotBefore] of before.promised)
+    await expectRejected(where, reopened, votedSlot, ballotBefore);
 }
 
-/** A ballot below what was promised or accepted is turned away, with nothing less than that. */
-async function refuses(where: string, store: Store, slot: number, was: Ballot): Promise<void> {
+/**
+ * Expects a ballot below the promised or accepted one to be rejected, with that ballot or a higher one as the reason.
+ */
+async function expectRejected(where: string, store: Store, slot: number, ballotBefore: Ballot): Promise<void> {
   const world = createWorld(2);
-  let vote: StoreAnswer | null = null;
-  void store.put({ tag: 'prepare', slot, ballot: { ...was, by: '' } }).then((answer) => (vote = answer));
+  let pendingResult: StoreResult | null = null;
+  void store
+    .put({ tag: 'prepare', slot, ballot: { ...ballotBefore, by: '' } })
+    .then((response) => (pendingResult = response));
   await world.advance(1);
-  const told = vote as StoreAnswer | null;
+  const result = pendingResult as StoreResult | null;
   if (slot <= store.controlState().slot)
-    expect([where, told]).toEqual([where, { tag: 'vote', vote: { tag: 'alreadyChosen' } }]);
-  else if (told?.tag === 'vote' && told.vote.tag === 'outbid')
-    expect(compareBallots(told.vote.by, was)).toBeGreaterThanOrEqual(0);
-  else expect([where, slot, told]).toEqual([where, slot, 'outbid']);
+    expect([where, result]).toEqual([where, { tag: 'vote', vote: { tag: 'alreadyChosen' } }]);
+  else if (result?.tag === 'vote' && result.vote.tag === 'outbid')
+    expect(compareBallots(result.vote.by, ballotBefore)).toBeGreaterThanOrEqual(0);
+  else expect([where, slot, result]).toEqual([where, slot, 'outbid']);
 }
 
 function copyOf(platter: Platter): Platter {
@@ -178,52 +188,52 @@
   return out;
 }
 
-describe('power lost between any two writes of the store', () => {
-  test('the script crosses files, fills the ring, and adopts while newer votes are held', async () => {
+describe('power loss between any two writes of the store', () => {
+  test('the script crosses files, fills the ring log, and adopts states while newer votes are held', async () => {
     const platter = createPlatter();
-    const { store, used, answered } = await live(platter, Infinity, SCRIPT);
+    const { store, used, answered } = await runScript(platter, Infinity, SCRIPT);
     expect(store?.controlState()).toEqual(STATES[13]);
     expect([answered.learned, store?.accepted(14)]).toEqual([13, batchOf(14)]);
     expect(used).toBeGreaterThan(60);
   });
 
-  test.each(Object.keys(FATES))(
-    'nothing that was answered is taken back: of the writes that were not synced %s',
+  test.each(Object.keys(WRITE_FATES))('nothing that was answered is lost: of the unsynced writes %s', async (fate) => {
+    const { used } = await runScript(createPlatter(), Infinity, SCRIPT);
+    for (let stopAfter = 0; stopAfter <= used; stopAfter += 1) {
+      const platter = createPlatter();
+      const { answered } = await runScript(platter, stopAfter, SCRIPT);
+      losePowerWith(platter, WRITE_FATES[fate] as WriteFate);
+      await expectNothingLost(`stopped after ${stopAfter}`, platter, answered);
+    }
+  });
+
+  test.each(Object.keys(WRITE_FATES))(
+    'nothing that was answered is lost by a second power loss while the store is reopened: %s',
     async (fate) => {
-      const { used } = await live(createPlatter(), Infinity, SCRIPT);
-      for (let stop = 0; stop <= used; stop += 1) {
-        const platter = createPlatter();
-        const { answered } = await live(platter, stop, SCRIPT);
-        losePowerWith(platter, FATES[fate] as WriteFate);
-        await nothingTakenBack(`stopped after ${stop}`, platter, answered);
+      const { used } = await runScript(createPlatter(), Infinity, SCRIPT);
+      for (let stopAfter = 0; stopAfter <= used; stopAfter += 1) {
+        const first = createPlatter();
+        const { answered } = await runScript(first, stopAfter, SCRIPT);
+        losePowerWith(first, WRITE_FATES['halves kept'] as WriteFate);
+        const operationsToOpen = (await runScript(copyOf(first), Infinity, [])).used;
+        for (let secondStopAfter = 0; secondStopAfter <= operationsToOpen; secondStopAfter += 1) {
+          const platter = copyOf(first);
+          await runScript(platter, secondStopAfter, []);
+          losePowerWith(platter, WRITE_FATES[fate] as WriteFate);
+          await expectNothingLost(`stopped after ${stopAfter}, then ${secondStopAfter}`, platter, answered);
+        }
       }
     },
   );
-
-  test.each(Object.keys(FATES))('nor by a second loss while the store is opened again: %s', async (fate) => {
-    const { used } = await live(createPlatter(), Infinity, SCRIPT);
-    for (let stop = 0; stop <= used; stop += 1) {
-      const first = createPlatter();
-      const { answered } = await live(first, stop, SCRIPT);
-      losePowerWith(first, FATES['halves kept'] as WriteFate);
-      const opening = (await live(copyOf(first), Infinity, [])).used;
-      for (let again = 0; again <= opening; again += 1) {
-        const platter = copyOf(first);
-        await live(platter, again, []);
-        losePowerWith(platter, FATES[fate] as WriteFate);
-        await nothingTakenBack(`stopped after ${stop}, then ${again}`, platter, answered);
-      }
-    }
-  });
 });
 
-describe('what the disk holds after losses of other kinds', () => {
-  test('a snapshot older than the ring beside it is damage, not an older state', async () => {
+describe('damage of other kinds on the disk', () => {
+  test('a snapshot older than the ring log next to it is reported as damage, not read as an older state', async () => {
     const platter = createPlatter();
-    await live(platter, Infinity, SCRIPT);
+    await runScript(platter, Infinity, SCRIPT);
     const areas = ['ledger-snapshot-0', 'ledger-snapshot-1'].map((name) => platter.files.get(name)?.current as Buffer);
     const newest = areas.sort((a, b) => b.readUIntBE(14, 6) - a.readUIntBE(14, 6))[0] as Buffer;
     newest.writeUInt8(newest.readUInt8(40) ^ 0xff, 40);
-    expect((await live(platter, Infinity, [])).error).toBe('ringDamaged');
+    expect((await runScript(platter, Infinity, [])).error).toBe('ringDamaged');
   });
 });
--- a/src/coordination/consensus/store.ts
+++ b/src/coordination/consensus/store.ts
@@ -1,4 +1,4 @@
-/** What a controller holds on its disk, and the one place that writes it. */
+/** The persistent state of a controller. Only this module writes it. */
 import { ok } from '../../base/result.js';
 import type { Result } from '../../base/result.js';
 import { createBatchQueue } from '../../base/batch-queue.js';
@@ -26,43 +26,44 @@
 import { openRing } from '../../transport/ring.js';
 import type { Opened, Ring, RingError, RingShape } from '../../transport/ring.js';
 
-/** A change of the store. Commands that wait together share one write and one sync. */
+/** A change to the store. Commands that are queued together share one write and one sync. */
 export type StoreCommand =
   | { readonly tag: 'prepare'; readonly slot: number; readonly ballot: Ballot }
   | { readonly tag: 'accept'; readonly slot: number; readonly ballot: Ballot; readonly batch: Batch }
   | { readonly tag: 'chosen'; readonly slot: number; readonly batch: Batch }
   | { readonly tag: 'adopt'; readonly controlState: ControlState }
   | { readonly tag: 'fillClosed'; readonly orders: readonly string[]; readonly whole: boolean }
-  /** Writes the whole state anew, after which a ring that was broken takes records again. */
+  /** Rewrites the complete state, after which a ring log that failed accepts records again. */
   | { readonly tag: 'rewrite' };
 
-/** What became of a command; anything but `cannotWrite` is on the disk. */
-export type StoreAnswer =
+/** The result of a command. The effect of any result but `cannotWrite` is on disk. */
+export type StoreResult =
   | { readonly tag: 'vote'; readonly vote: Vote }
   | { readonly tag: 'folded'; readonly outcomes: readonly Outcome[] }
   | { readonly tag: 'outOfOrder' }
   | { readonly tag: 'cannotWrite'; readonly error: RingError };
 
 /**
- * What one controller holds on its disk: its votes (the acceptor), the control state that it has folded, the newest slots
- * as batches, and the closed orders. Commands are taken one after another; those that wait together share writes
- * and a sync. What holds at any moment:
+ * The persistent state of one controller: its votes (the acceptor), the control state as of the last applied slot, the
+ * most recent slots as batches, and the closed orders. Commands are executed in order; those that are queued together
+ * share writes and a sync. Invariants:
  *
- * - Nothing is answered before it is synced: a vote, a folded slot, an adopted state. After a write that failed every
- *   answer is `cannotWrite`, until the disk is opened again.
- * - Slots are folded in order, each once, or skipped by adopting a state that has folded them; never back.
- * - Votes are kept for each slot above the folded one, also when a state is adopted: what was accepted there may be
- *   chosen. Below it every ballot is answered with `alreadyChosen`.
- * - The snapshot on the disk is the state, the closed orders and these votes, as of one moment. Records written after it
- *   say the same again or more, so replaying one that the snapshot covers changes nothing.
+ * - Votes, applied slots and adopted states are synced before they are answered. If a write fails, all commands that
+ *   share it are answered with `cannotWrite`, and the ring log accepts no record until the complete state is rewritten.
+ * - Slots are applied in order, each exactly once, or skipped by adopting a state that includes them. The slot never
+ *   goes back.
+ * - Votes are kept for each slot above the last applied one, also when a state is adopted, because a batch accepted
+ *   there may have been chosen. For lower slots every ballot is answered with `alreadyChosen`.
+ * - The snapshot on disk holds the state, the closed orders and these votes as of one moment. Later records repeat or
+ *   extend it, so replaying a record that the snapshot covers changes nothing.
  */
 export interface Store {
-  put(command: StoreCommand): Promise<StoreAnswer>;
+  put(command: StoreCommand): Promise<StoreResult>;
   controlState(): ControlState;
-  /** The chosen batches from that slot on; null if the first of them is no longer kept, empty if there is none yet. */
+  /** The chosen batches from slot `from` on; null if the first is no longer kept, empty if there is none yet. */
   recent(from: number): readonly RecentSlot[] | null;
-  /** As many of these as fit the bound in bytes, but one at least. */
-  page(from: number, mostBytes: number): readonly RecentSlot[] | null;
+  /** As many of the batches from slot `from` on as fit into `maxBytes`, but at least one. */
+  page(from: number, maxBytes: number): readonly RecentSlot[] | null;
   bytesSince(from: number): number | null;
   readonly closed: ClosedOrders;
   top(): number;
@@ -70,25 +71,28 @@
   writable(): boolean;
 }
 
-/** One record of the ring. */
-type Saved =
+/** One record of the ring log. */
+type StoredRecord =
   | { readonly t: 'slot'; readonly slot: number; readonly state: SlotState }
   | { readonly t: 'chosen'; readonly slot: number; readonly batch: Batch };
 
-type Snapshot = {
+type StoredSnapshot = {
   readonly controlState: ControlState;
   readonly closed: SavedClosedOrders;
   readonly slots: readonly (readonly [number, SlotState])[];
 };
 
-/** Of the snapshot's area, so that the state itself always has room. */
-const CLOSED_SHARE = 1 / 4;
+/** The share of the snapshot area that closed orders may take, so that the control state always has room. */
+const CLOSED_ORDERS_SHARE = 1 / 4;
 
-function encoded(value: Saved | Snapshot): Buffer {
+function encode(value: StoredRecord | StoredSnapshot): Buffer {
   return Buffer.from(JSON.stringify(value));
 }
 
-/** Reads what the disk holds; `onFold` and `onAdopt` are told of each step that follows, before it is answered. */
+/**
+ * Opens the store and restores the state from disk. Afterwards `onFold` is called for each applied slot and `onAdopt`
+ * for each adopted state, before the command is answered.
+ */
 export async function openStore(
   disk: Disk,
   shape: RingShape,
@@ -102,12 +106,12 @@
 
 class RingStore implements Store {
   private currentControlState = emptyControlState();
-  private acc: Acceptor = createAcceptor(0);
-  private readonly currentRecent = createRecentSlots();
-  private canWrite = true;
+  private acceptor: Acceptor = createAcceptor(0);
+  private readonly recentSlots = createRecentSlots();
+  private isWritable = true;
   readonly closed: ClosedOrders;
   private readonly ring: Ring;
-  private readonly queue: BatchQueue<StoreCommand, StoreAnswer>;
+  private readonly queue: BatchQueue<StoreCommand, StoreResult>;
 
   constructor(
     { ring, snapshot, records }: Opened,
@@ -116,52 +120,57 @@
     private readonly onAdopt: () => void,
   ) {
     this.ring = ring;
-    let saved: Snapshot | null = null;
+    let storedSnapshot: StoredSnapshot | null = null;
     if (snapshot) {
-      saved = JSON.parse(snapshot.toString()) as Snapshot;
-      this.currentControlState = saved.controlState;
-      this.acc = createAcceptor(this.currentControlState.slot + 1);
-      for (const [slot, state] of saved.slots) restoreSlot(this.acc, slot, state);
+      storedSnapshot = JSON.parse(snapshot.toString()) as StoredSnapshot;
+      this.currentControlState = storedSnapshot.controlState;
+      this.acceptor = createAcceptor(this.currentControlState.slot + 1);
+      for (const [slot, state] of storedSnapshot.slots) restoreSlot(this.acceptor, slot, state);
     }
-    this.closed = createClosedOrders(shape.snapshotBytes * CLOSED_SHARE, saved ? saved.closed : null);
-    for (const rec of records) {
-      const record = JSON.parse(rec.toString()) as Saved;
-      if (record.t === 'slot') restoreSlot(this.acc, record.slot, record.state);
+    this.closed = createClosedOrders(
+      shape.snapshotBytes * CLOSED_ORDERS_SHARE,
+      storedSnapshot ? storedSnapshot.closed : null,
+    );
+    for (const recordBuffer of records) {
+      const record = JSON.parse(recordBuffer.toString()) as StoredRecord;
+      if (record.t === 'slot') restoreSlot(this.acceptor, record.slot, record.state);
       else if (record.slot === this.currentControlState.slot + 1) {
         foldBatch(this.currentControlState, record.slot, record.batch);
-        this.keepClosed();
-        raiseFloor(this.acc, record.slot + 1);
-        this.currentRecent.remember(record.slot, record.batch, rec.length);
+        this.addClosedOrders();
+        raiseFloor(this.acceptor, record.slot + 1);
+        this.recentSlots.remember(record.slot, record.batch, recordBuffer.length);
       }
     }
-    this.queue = createBatchQueue((commands) => this.work(commands));
+    this.queue = createBatchQueue((commands) => this.executeAll(commands));
   }
 
-  private keepClosed(): void {
+  private addClosedOrders(): void {
     for (const order of this.currentControlState.closed) this.closed.add(order);
   }
 
-  private decide(command: StoreCommand, write: (saved: Saved) => number): StoreAnswer {
+  private execute(command: StoreCommand, appendRecord: (record: StoredRecord) => number): StoreResult {
     switch (command.tag) {
       case 'prepare': {
-        const vote = prepare(this.acc, command.slot, command.ballot);
-        if (vote.tag === 'promised') write({ t: 'slot', slot: command.slot, state: slotOf(this.acc, command.slot) });
+        const vote = prepare(this.acceptor, command.slot, command.ballot);
+        if (vote.tag === 'promised')
+          appendRecord({ t: 'slot', slot: command.slot, state: slotOf(this.acceptor, command.slot) });
         return { tag: 'vote', vote };
       }
       case 'accept': {
-        const vote = accept(this.acc, command.slot, command.ballot, command.batch);
-        if (vote.tag === 'accepted') write({ t: 'slot', slot: command.slot, state: slotOf(this.acc, command.slot) });
+        const vote = accept(this.acceptor, command.slot, command.ballot, command.batch);
+        if (vote.tag === 'accepted')
+          appendRecord({ t: 'slot', slot: command.slot, state: slotOf(this.acceptor, command.slot) });
         return { tag: 'vote', vote };
       }
       case 'chosen': {
         if (command.slot !== this.currentControlState.slot + 1) return { tag: 'outOfOrder' };
         const outcomes = foldBatch(this.currentControlState, command.slot, command.batch);
-        this.keepClosed();
-        raiseFloor(this.acc, command.slot + 1);
-        this.currentRecent.remember(
+        this.addClosedOrders();
+        raiseFloor(this.acceptor, command.slot + 1);
+        this.recentSlots.remember(
           command.slot,
           command.batch,
-          write({ t: 'chosen', slot: command.slot, batch: command.batch }),
+          appendRecord({ t: 'chosen', slot: command.slot, batch: command.batch }),
         );
         this.onFold(command.slot, command.batch, outcomes);
         return { tag: 'folded', outcomes };
@@ -170,9 +179,9 @@
         if (command.controlState.slot <= this.currentControlState.slot) return { tag: 'outOfOrder' };
         this.closed.skip({ from: this.currentControlState.slot + 1, to: command.controlState.slot });
         this.currentControlState = structuredClone(command.controlState);
-        this.keepClosed();
-        raiseFloor(this.acc, this.currentControlState.slot + 1);
-        this.currentRecent.clear();
+        this.addClosedOrders();
+        raiseFloor(this.acceptor, this.currentControlState.slot + 1);
+        this.recentSlots.clear();
         this.onAdopt();
         return { tag: 'folded', outcomes: [] };
       }
@@ -185,40 +194,40 @@
     }
   }
 
-  private async compacted(): Promise<Result<null, RingError>> {
+  private async compact(): Promise<Result<null, RingError>> {
     return this.ring.compact(
-      encoded({ controlState: this.currentControlState, closed: this.closed.saved(), slots: [...this.acc.slots] }),
+      encode({ controlState: this.currentControlState, closed: this.closed.saved(), slots: [...this.acceptor.slots] }),
     );
   }
 
-  private async work(commands: readonly StoreCommand[]): Promise<readonly StoreAnswer[]> {
-    const answers: StoreAnswer[] = [];
-    const writes: Buffer[] = [];
-    let rewritesAll = false;
-    function write(saved: Saved): number {
-      const record = encoded(saved);
-      writes.push(record);
-      return record.length;
+  private async executeAll(commands: readonly StoreCommand[]): Promise<readonly StoreResult[]> {
+    const results: StoreResult[] = [];
+    const records: Buffer[] = [];
+    let needsRewrite = false;
+    function appendRecord(record: StoredRecord): number {
+      const encodedRecord = encode(record);
+      records.push(encodedRecord);
+      return encodedRecord.length;
     }
     for (const command of commands) {
-      answers.push(this.decide(command, write));
-      if (command.tag === 'adopt' || command.tag === 'fillClosed' || command.tag === 'rewrite') rewritesAll = true;
+      results.push(this.execute(command, appendRecord));
+      if (command.tag === 'adopt' || command.tag === 'fillClosed' || command.tag === 'rewrite') needsRewrite = true;
     }
     let written: Result<null, RingError> = ok(null);
-    if (rewritesAll) written = await this.compacted();
-    else if (writes.length > 0) {
-      if (this.ring.crowded()) written = await this.compacted();
-      if (written.ok) written = await this.ring.append(writes);
+    if (needsRewrite) written = await this.compact();
+    else if (records.length > 0) {
+      if (this.ring.crowded()) written = await this.compact();
+      if (written.ok) written = await this.ring.append(records);
       if (!written.ok && (written.error.tag === 'ringFull' || written.error.tag === 'ringBroken'))
-        written = await this.compacted();
+        written = await this.compact();
     }
-    this.canWrite = written.ok;
-    if (written.ok) return answers;
+    this.isWritable = written.ok;
+    if (written.ok) return results;
     const error = written.error;
-    function failed(): StoreAnswer {
+    function writeFailure(): StoreResult {
       return { tag: 'cannotWrite', error };
     }
-    return answers.map(failed);
+    return results.map(writeFailure);
   }
 
   controlState(): ControlState {
@@ -226,30 +235,30 @@
   }
 
   recent(from: number): readonly RecentSlot[] | null {
-    return from > this.currentControlState.slot ? [] : this.currentRecent.since(from);
+    return from > this.currentControlState.slot ? [] : this.recentSlots.since(from);
   }
 
-  page(from: number, mostBytes: number): readonly RecentSlot[] | null {
-    return from > this.currentControlState.slot ? [] : this.currentRecent.page(from, mostBytes);
+  page(from: number, maxBytes: number): readonly RecentSlot[] | null {
+    return from > this.currentControlState.slot ? [] : this.recentSlots.page(from, maxBytes);
   }
 
   bytesSince(from: number): number | null {
-    return from > this.currentControlState.slot ? 0 : this.currentRecent.bytesSince(from);
+    return from > this.currentControlState.slot ? 0 : this.recentSlots.bytesSince(from);
   }
 
   top(): number {
-    return Math.max(this.currentControlState.slot, highestAccepted(this.acc));
+    return Math.max(this.currentControlState.slot, highestAccepted(this.acceptor));
   }
 
   accepted(slot: number): Batch | null {
-    return acceptedAt(this.acc, slot)?.batch ?? null;
+    return acceptedAt(this.acceptor, slot)?.batch ?? null;
   }
 
   writable(): boolean {
-    return this.canWrite;
+    return this.isWritable;
   }
 
-  put(command: StoreCommand): Promise<StoreAnswer> {
+  put(command: StoreCommand): Promise<StoreResult> {
     return this.queue.put(command);
   }
 }
--- a/src/coordination/consensus/voter.ts
+++ b/src/coordination/consensus/voter.ts
@@ -1,9 +1,9 @@
 /**
- * The acceptor's side of a ballot: answers `prepare` and `accept`, and takes the word that a slot was chosen. `ledger.ts`
- * makes one; the rules of a single slot are in `consensus/acceptor.ts`.
+ * The acceptor side of Paxos: answers `prepare` and `accept` requests and handles `learned` messages, which announce a
+ * chosen slot. Created by `ledger.ts`; the rules for a single slot are in `state/consensus/acceptor.ts`.
  *
- * Invariants (docs/consistency.md, sections 1 and 3): a controller votes on slot s only once it has folded s-1 and is a
- * member after it under its present identity; each vote is synced before it is answered.
+ * Invariants (docs/consistency.md, sections 1 and 3): a controller votes on slot s only after it has applied slot s-1
+ * and is, under its current identity, a member as of that slot. Each vote is synced to disk before it is answered.
  */
 import type { Message, MessageOf } from '../../protocol/messages.js';
 import type { Vote } from '../../state/consensus/acceptor.js';
@@ -15,71 +15,71 @@
 import type { Peers } from '../messaging/peers.js';
 import type { Replica } from './replica.js';
 
-/** A message of either phase of a ballot. */
+/** A request of either phase of a ballot. */
 export type VoteRequest = MessageOf<'prepare'> | MessageOf<'accept'>;
 
-/** Answers the messages of a ballot. */
+/** Answers the requests of a ballot. */
 export interface Voter {
-  onVote(request: VoteRequest): Promise<Message>;
+  onVoteRequest(request: VoteRequest): Promise<Message>;
 }
 
-/** The replica that votes, and how it catches up first. */
+/** The replica that votes, and what it needs to catch up before a vote. */
 export type VoterDeps = {
   readonly clock: Clock;
   readonly peers: Pick<Peers, 'on'>;
   readonly replica: Replica;
   readonly catchUp: (from: Address) => Promise<void>;
-  /** The name under which the first controllers ballot slot zero; null where this one is none of them. */
-  readonly bootstrapBallot: () => string | null;
+  /** The ledger name used by the initial controllers for ballots on slot zero; null if this is not one of them. */
+  readonly bootstrapLedgerName: () => string | null;
 };
 
-const LEARN_WAIT_MS = 400;
+const CATCH_UP_TIMEOUT_MS = 400;
 
 class ReplicaVoter implements Voter {
   constructor(private readonly deps: VoterDeps) {
-    this.deps.peers.on('prepare', (request) => this.onVote(request));
+    this.deps.peers.on('prepare', (request) => this.onVoteRequest(request));
 
-    this.deps.peers.on('accept', (request) => this.onVote(request));
+    this.deps.peers.on('accept', (request) => this.onVoteRequest(request));
 
     this.deps.peers.on('learned', (update) => this.onLearned(update));
   }
 
-  /** One that lags learns from the proposer what it lacks, so that its vote counts at once. */
-  private async learnUpTo(slot: number, ballot: Ballot): Promise<void> {
+  /** Fetches the missing slots from the proposer before voting, so that the vote of a lagging member counts at once. */
+  private async catchUpTo(slot: number, ballot: Ballot): Promise<void> {
     for (const member of this.deps.replica.controlState().members) {
       const id = memberId(member);
       if (id === this.deps.replica.id() || !ballot.by.startsWith(`${id}/`)) continue;
-      await within(this.deps.clock, LEARN_WAIT_MS, this.deps.catchUp(member.address));
+      await within(this.deps.clock, CATCH_UP_TIMEOUT_MS, this.deps.catchUp(member.address));
       if (this.deps.replica.controlState().slot < slot)
-        await within(this.deps.clock, LEARN_WAIT_MS, this.deps.catchUp(member.address));
+        await within(this.deps.clock, CATCH_UP_TIMEOUT_MS, this.deps.catchUp(member.address));
     }
   }
 
   private mayVote(request: VoteRequest): boolean {
     if (request.slot > this.deps.replica.controlState().slot + 1) return false;
-    if (request.ledger === this.deps.bootstrapBallot()) return request.slot === 0;
+    if (request.ledger === this.deps.bootstrapLedgerName()) return request.slot === 0;
     return request.ledger === this.deps.replica.controlState().ledger && this.deps.replica.isMember();
   }
 
-  async onVote(request: VoteRequest): Promise<Message> {
+  async onVoteRequest(request: VoteRequest): Promise<Message> {
     if (
       request.ledger === this.deps.replica.controlState().ledger &&
       request.slot > this.deps.replica.controlState().slot + 1
     )
-      await this.learnUpTo(request.slot - 1, request.ballot);
+      await this.catchUpTo(request.slot - 1, request.ballot);
     if (!this.mayVote(request)) return { kind: 'cannotVote' };
     const { slot, ballot } = request;
-    const answer = await this.deps.replica.put(
+    const result = await this.deps.replica.put(
       request.kind === 'prepare'
         ? { tag: 'prepare', slot, ballot }
         : { tag: 'accept', slot, ballot, batch: request.batch },
     );
-    return answer.tag === 'vote' ? messageOf(answer.vote, this.deps.replica.id()) : { kind: 'cannotVote' };
+    return result.tag === 'vote' ? messageOf(result.vote, this.deps.replica.id()) : { kind: 'cannotVote' };
   }
 
   private onLearned(update: MessageOf<'learned'>): null {
     const { ledger, slot } = this.deps.replica.controlState();
-    const isSlotZero = ledger === '' && update.slot === 0 && update.ledger === this.deps.bootstrapBallot();
+    const isSlotZero = ledger === '' && update.slot === 0 && update.ledger === this.deps.bootstrapLedgerName();
     if (!isSlotZero && (update.ledger !== ledger || update.slot <= slot)) return null;
     const accepted = this.deps.replica.store.accepted(update.slot);
     if (update.slot === slot + 1 && accepted?.id === update.batch) void this.deps.replica.learn(update.slot, accepted);
@@ -88,7 +88,7 @@
   }
 }
 
-/** A voter that answers `prepare`, `accept` and `learned`. */
+/** Creates a voter and registers it for `prepare`, `accept` and `learned`. */
 export function createVoter(deps: VoterDeps): Voter {
   return new ReplicaVoter(deps);
 }
