--- a/src/coordination/consensus/ledger.ts
+++ b/src/coordination/consensus/ledger.ts
@@ -61,12 +61,13 @@
   readonly events: {
     readonly on: <K extends keyof LedgerEvents>(name: K, callback: (event: LedgerEvents[K]) => void) => void;
   };
-  /** Commits one entry. `noMajority` means that the attempt was abandoned; it may still be committed, at most once. */
+  /** Commits one entry. After `noMajority` (the attempt was abandoned) it may still be committed, at most once. */
   propose(draft: Draft, timeoutMs: number): Promise<Result<Agreed, ProposeError>>;
   /** Resolves to true once the state includes everything confirmed before the call, or to false after `timeoutMs`. */
   linearizableRead(timeoutMs: number): Promise<boolean>;
   /** The closed orders that this controller knows. */
   readonly closedOrders: Pick<ClosedOrders, 'all' | 'lacking'>;
+  /** The slots from `from` on that are kept in memory; null if the first of them is no longer kept. */
   since(from: number): readonly SlotBatch[] | null;
   /** What lagging nodes are sent: the kept slots page by page, or a snapshot. */
   readonly history: LedgerHistory;
@@ -78,7 +79,9 @@
   readonly most: { readonly configuration: number; readonly change: number };
   isMember(): boolean;
   writable(): boolean;
+  /** The highest slot that is applied or has an accepted batch here. */
   top(): number;
+  /** Monotonic time of the last contact with a member; null if there was none. */
   lastContactAt(id: string): number | null;
   requestMemberStatuses(): void;
   readonly self: Member;
@@ -335,6 +338,7 @@
     return this.store.top() <= this.replica.controlState().slot;
   }
 
+  /** Retries failed writes, proposes due membership changes, and completes a slot that stays undecided for too long. */
   private async maintain(): Promise<void> {
     await this.replica.repair();
     await this.membershipChanges.turn();
@@ -346,6 +350,7 @@
     await this.proposer.finishOpenSlots(now + VOTE_TIMEOUT_MS, () => this.areAllSlotsApplied());
   }
 
+  /** Does nothing while the previous run is still in progress. */
   private async maintainOnce(): Promise<void> {
     if (this.isMaintaining) return;
     this.isMaintaining = true;
--- a/src/coordination/consensus/store.ts
+++ b/src/coordination/consensus/store.ts
@@ -64,10 +64,14 @@
   recent(from: number): readonly RecentSlot[] | null;
   /** As many of the batches from slot `from` on as fit into `maxBytes`, but at least one. */
   page(from: number, maxBytes: number): readonly RecentSlot[] | null;
+  /** The size of the batches from slot `from` on, in bytes; null if the first of them is no longer kept. */
   bytesSince(from: number): number | null;
   readonly closed: ClosedOrders;
+  /** The highest slot that is applied or has an accepted batch. */
   top(): number;
+  /** The batch accepted for an unapplied slot, or null. */
   accepted(slot: number): Batch | null;
+  /** False after a failed write, until a later batch of commands succeeds. */
   writable(): boolean;
 }
 
