--- a/src/coordination/configuration/configuration-service.ts
+++ b/src/coordination/configuration/configuration-service.ts
@@ -26,7 +26,7 @@
 import type { Clock } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
 import type { Ledger } from '../consensus/ledger.js';
-import type { Draft } from '../consensus/proposal.js';
+import type { EntryDraft } from '../consensus/proposal.js';
 import type { RecentStandstill } from './recent-standstill.js';
 
 /** Why an operator's call was not confirmed. Only `stale`, `invalid` and `tooLarge` say that it was not and will not be applied. */
@@ -126,7 +126,7 @@
   request: string,
   base: number,
   judged: Exclude<Judged, { tag: 'answer' }>,
-): Draft {
+): EntryDraft {
   const { number } = judged;
   const id = `${request}@${state.version}`;
   if (judged.tag === 'repeat')
@@ -180,7 +180,7 @@
   private sizeError(
     state: ControlState,
     judged: Exclude<Judged, { tag: 'answer' }>,
-    draft: Draft,
+    draft: EntryDraft,
   ): NumberedError | null {
     if (judged.tag !== 'apply') return null;
     const back = differences(judged.next, servingOf(state));
--- a/src/coordination/consensus/catch-up.ts
+++ b/src/coordination/consensus/catch-up.ts
@@ -47,7 +47,7 @@
  * Returns a snapshot to send to a node that lacks the slots from `from` on, if the snapshot is smaller than these
  * slots or they are no longer kept; otherwise null.
  */
-export function snapshotInstead(
+export function snapshotIfSmaller(
   store: Pick<Store, 'bytesSince'>,
   from: number,
   offer: (slot: number) => SnapshotOffer | null,
@@ -139,7 +139,7 @@
     const snapshot =
       message.ledger === ''
         ? this.offerToController(message.from)
-        : snapshotInstead(this.deps.store, message.from, (slot) => this.offerToController(slot));
+        : snapshotIfSmaller(this.deps.store, message.from, (slot) => this.offerToController(slot));
     if (snapshot) return { kind: 'fetched', snapshot, batches: [] };
     return { kind: 'fetched', batches: [...(this.deps.store.page(message.from, PAGE_BYTES) ?? [])] };
   }
--- a/src/coordination/consensus/damaged-ring.test.ts
+++ b/src/coordination/consensus/damaged-ring.test.ts
@@ -8,7 +8,7 @@
 import type { Log, LogRoot } from '../../transport/log.js';
 import { createQuietLog } from '../../transport/log.js';
 import { openRing } from '../../transport/ring.js';
-import { openRenewed } from './damaged-ring.js';
+import { openOrRejoinBlank } from './damaged-ring.js';
 
 const THREE = ['h1', 'h2', 'h3'];
 const SEEDS = [1, 2, 3, 4, 5, 6];
@@ -110,7 +110,13 @@
       const log = createQuietLog().component('x');
       const renew = async () => (await disk.replace('identity', Buffer.from('new'))).ok;
       const ended = await within(
-        openRenewed(() => openRing(disk, shape), { disk, shape, log, renew, self: () => 'h' }),
+        openOrRejoinBlank(() => openRing(disk, shape), {
+          disk,
+          shape,
+          log,
+          renewIncarnation: renew,
+          memberId: () => 'h',
+        }),
       );
       return { ended, used: used() };
     }
--- a/src/coordination/consensus/damaged-ring.ts
+++ b/src/coordination/consensus/damaged-ring.ts
@@ -16,23 +16,23 @@
   readonly shape: RingShape;
   readonly log: Log;
   /** Switches to a new incarnation and stores it; false if it can't be written. */
-  readonly renew: () => Promise<boolean>;
+  readonly renewIncarnation: () => Promise<boolean>;
   /** Returns the member id of this node, for the log. */
-  readonly self: () => string;
+  readonly memberId: () => string;
 };
 
 /** Calls `open`. If it reports a damaged ring, clears the ring and opens it again under a new incarnation. */
-export async function openRenewed<T>(
+export async function openOrRejoinBlank<T>(
   open: () => Promise<Result<T, RingError>>,
   deps: DamagedRingDeps,
 ): Promise<Result<T, RingError>> {
   const opened = await open();
   if (opened.ok || opened.error.tag !== 'ringDamaged') return opened;
   const { file, at } = opened.error;
-  const previousId = deps.self();
-  if (!(await deps.renew())) return opened;
+  const previousId = deps.memberId();
+  if (!(await deps.renewIncarnation())) return opened;
   const cleared = await clearRing(deps.disk, deps.shape);
   if (!cleared.ok) return cleared;
-  deps.log.error('log damaged, rejoining blank', { file, offset: at, previous: previousId, member: deps.self() });
+  deps.log.error('log damaged, rejoining blank', { file, offset: at, previous: previousId, member: deps.memberId() });
   return open();
 }
--- a/src/coordination/consensus/ledger.ts
+++ b/src/coordination/consensus/ledger.ts
@@ -32,7 +32,7 @@
 import { createOperatorBootstrap } from '../membership/operator-bootstrap.js';
 import type { Bootstrap } from '../membership/operator-bootstrap.js';
 import type { RequestMember } from './poll.js';
-import type { Agreed, Draft, ProposeError } from './proposal.js';
+import type { CommittedEntry, EntryDraft, ProposeError } from './proposal.js';
 import { createProposer } from './proposer.js';
 import type { Proposer } from './proposer.js';
 import { createReplica } from './replica.js';
@@ -62,7 +62,7 @@
     readonly on: <K extends keyof LedgerEvents>(name: K, callback: (event: LedgerEvents[K]) => void) => void;
   };
   /** Commits one entry. After `noMajority` (the attempt was abandoned) it may still be committed, at most once. */
-  propose(draft: Draft, timeoutMs: number): Promise<Result<Agreed, ProposeError>>;
+  propose(draft: EntryDraft, timeoutMs: number): Promise<Result<CommittedEntry, ProposeError>>;
   /** Resolves to true once the state includes everything confirmed before the call, or to false after `timeoutMs`. */
   linearizableRead(timeoutMs: number): Promise<boolean>;
   /** The closed orders that this controller knows. */
@@ -103,15 +103,15 @@
   readonly shape: RingShape;
   readonly self: Member;
   /** Addresses of controllers known from outside the log: seeds, and those learned from the membership protocol. */
-  readonly contacts: () => Iterable<Address>;
+  readonly knownAddresses: () => Iterable<Address>;
   readonly seeds: readonly Address[];
   readonly bootstrapMembers: readonly Address[] | null;
   /** Switches to a new incarnation. */
-  readonly renew: () => Promise<boolean>;
+  readonly renewIncarnation: () => Promise<boolean>;
   readonly keepsClaims: boolean;
   readonly wasMember: boolean | null;
   /** Stores on disk that this controller is a member. */
-  readonly recordMember: () => Promise<boolean>;
+  readonly recordMembership: () => Promise<boolean>;
 };
 
 /** Timeout of a request to one member. Once a majority has responded, the remaining members are not waited for. */
@@ -252,16 +252,16 @@
       peers: this.deps.peers,
       log: this.deps.log,
       self: this.deps.self,
-      contacts: this.deps.contacts,
+      contacts: this.deps.knownAddresses,
       seeds: this.deps.seeds,
       controlState: () => this.replica.controlState(),
       memberStatuses: this.memberStatuses,
       propose: (draft, timeoutMs) => this.proposer.propose(draft, timeoutMs),
       linearizableRead: this.linearizableRead,
       catchUp: (address) => this.catchUp.from(address),
-      renew: this.deps.renew,
+      renew: this.deps.renewIncarnation,
       wasMember: this.deps.wasMember,
-      recordMember: this.deps.recordMember,
+      recordMember: this.deps.recordMembership,
       mayShrinkOdd: !this.deps.keepsClaims,
     });
   }
@@ -301,7 +301,7 @@
     return this.replica.isMember();
   }
 
-  propose(draft: Draft, timeoutMs: number): Promise<Result<Agreed, ProposeError>> {
+  propose(draft: EntryDraft, timeoutMs: number): Promise<Result<CommittedEntry, ProposeError>> {
     return this.proposer.propose(draft, timeoutMs);
   }
 
--- a/src/coordination/consensus/linearizable-read.ts
+++ b/src/coordination/consensus/linearizable-read.ts
@@ -14,7 +14,7 @@
 import type { Clock } from '../../transport/clock.js';
 import type { Address } from '../../transport/wire.js';
 import { poll } from './poll.js';
-import type { RequestMember, Votes } from './poll.js';
+import type { RequestMember, MemberResponses } from './poll.js';
 import type { Proposer } from './proposer.js';
 import type { Replica } from './replica.js';
 
@@ -70,7 +70,7 @@
       const reply = await requestMember(member, { kind: 'memberStatusAsk' });
       return reply?.kind === 'memberStatus' && reply.ledger === ledger ? reply : null;
     }
-    function isEnough(votes: Votes, pending: number): boolean {
+    function isEnough(votes: MemberResponses, pending: number): boolean {
       return votes.size >= quorumSize || votes.size + pending < quorumSize;
     }
     const votes = await poll(members, request, isEnough);
--- a/src/coordination/consensus/poll.ts
+++ b/src/coordination/consensus/poll.ts
@@ -4,7 +4,7 @@
 import type { Member } from '../../state/consensus/entry.js';
 
 /** Responses, keyed by the id of the responding member. */
-export type Votes = ReadonlyMap<string, Message>;
+export type MemberResponses = ReadonlyMap<string, Message>;
 /** Sends a message to one member. Resolves to null if that member did not respond. */
 export type RequestMember = (member: Member, message: Message) => Promise<Message | null>;
 
@@ -15,9 +15,9 @@
 export function poll(
   members: readonly Member[],
   request: (member: Member) => Promise<Message | null>,
-  isEnough: (votes: Votes, pending: number) => boolean,
-): Promise<Votes> {
-  function start(resolve: (votes: Votes) => void): void {
+  isEnough: (votes: MemberResponses, pending: number) => boolean,
+): Promise<MemberResponses> {
+  function start(resolve: (votes: MemberResponses) => void): void {
     const votes = new Map<string, Message>();
     let pending = members.length;
     if (pending === 0) resolve(votes);
--- a/src/coordination/consensus/proposal.ts
+++ b/src/coordination/consensus/proposal.ts
@@ -10,6 +10,11 @@
   | { readonly tag: 'cannotWrite'; readonly error: RingError };
 
 /** An entry to propose. With an `id` it is applied only once, however often it is proposed. */
-export type Draft = { readonly id?: string; readonly cause: string; readonly act: Command; readonly fence?: number };
+export type EntryDraft = {
+  readonly id?: string;
+  readonly cause: string;
+  readonly act: Command;
+  readonly fence?: number;
+};
 /** The slot of a committed entry, and the outcome of applying it. */
-export type Agreed = { readonly slot: number; readonly outcome: Outcome };
+export type CommittedEntry = { readonly slot: number; readonly outcome: Outcome };
--- a/src/coordination/consensus/proposer.ts
+++ b/src/coordination/consensus/proposer.ts
@@ -20,7 +20,7 @@
 import type { Address } from '../../transport/wire.js';
 import type { Peers } from '../messaging/peers.js';
 import type { RequestMember } from './poll.js';
-import type { Agreed, Draft, ProposeError } from './proposal.js';
+import type { CommittedEntry, EntryDraft, ProposeError } from './proposal.js';
 import type { Replica } from './replica.js';
 import { runRound } from './round.js';
 import { otherMembers } from '../../state/consensus/fold-members.js';
@@ -28,7 +28,7 @@
 /** Proposes entries, and completes slots that other proposers left undecided. */
 export interface Proposer {
   /** Commits one entry. `noMajority` after `timeoutMs` means that it may still be committed later, at most once. */
-  propose(draft: Draft, timeoutMs: number): Promise<Result<Agreed, ProposeError>>;
+  propose(draft: EntryDraft, timeoutMs: number): Promise<Result<CommittedEntry, ProposeError>>;
   /** Runs ballots on undecided slots, with an empty batch as its own value, until `isDone` or the deadline. */
   finishOpenSlots(deadline: number, isDone: () => boolean): Promise<void>;
 }
@@ -59,7 +59,7 @@
 const MAX_BACKOFF_FACTOR = 3;
 
 class BatchingProposer implements Proposer {
-  private readonly queue: BatchQueue<Proposal, Result<Agreed, ProposeError>>;
+  private readonly queue: BatchQueue<Proposal, Result<CommittedEntry, ProposeError>>;
 
   constructor(private readonly deps: ProposerDeps) {
     this.queue = createBatchQueue((proposals) => this.proposeBatch(proposals));
@@ -126,7 +126,7 @@
   }
 
   /** Proposes the queued entries in one batch; entries that do not fit are proposed again with the next one. */
-  private async proposeBatch(proposals: readonly Proposal[]): Promise<readonly Result<Agreed, ProposeError>[]> {
+  private async proposeBatch(proposals: readonly Proposal[]): Promise<readonly Result<CommittedEntry, ProposeError>[]> {
     const now = this.deps.clock.mono();
     const entries: Entry[] = [];
     let deadline = now;
@@ -152,7 +152,7 @@
       const decided = await this.runBallots({ id: newId(this.deps.rng, 'batch'), entries }, deadline, allApplied);
       if (!decided.ok) batchError = decided.error;
     }
-    const results: Result<Agreed, ProposeError>[] = [];
+    const results: Result<CommittedEntry, ProposeError>[] = [];
     for (const proposal of proposals) {
       const operation = operationOf(this.deps.replica.controlState(), proposal.entry.id);
       results.push(operation ? ok({ slot: operation.slot, outcome: operation.outcome }) : err(batchError));
@@ -160,7 +160,7 @@
     return results;
   }
 
-  async propose(draft: Draft, timeoutMs: number): Promise<Result<Agreed, ProposeError>> {
+  async propose(draft: EntryDraft, timeoutMs: number): Promise<Result<CommittedEntry, ProposeError>> {
     const deadline = this.deps.clock.mono() + timeoutMs;
     if (!(await this.deps.replica.waitForLedger(timeoutMs))) return err({ tag: 'notBootstrapped' });
     const entry: Entry = {
@@ -176,7 +176,11 @@
     return this.proposeUntil(entry, bytes, deadline);
   }
 
-  private async proposeUntil(entry: Entry, bytes: number, deadline: number): Promise<Result<Agreed, ProposeError>> {
+  private async proposeUntil(
+    entry: Entry,
+    bytes: number,
+    deadline: number,
+  ): Promise<Result<CommittedEntry, ProposeError>> {
     for (;;) {
       const queued = this.queue.put({ entry, bytes, deadline });
       const result =
--- a/src/coordination/consensus/round.ts
+++ b/src/coordination/consensus/round.ts
@@ -9,7 +9,7 @@
 import { memberId } from '../../state/consensus/control-state.js';
 import type { Batch, Member } from '../../state/consensus/entry.js';
 import { poll } from './poll.js';
-import type { RequestMember, Votes } from './poll.js';
+import type { RequestMember, MemberResponses } from './poll.js';
 
 /** The members that vote on a slot, and the number of votes that form a quorum. */
 export type Electorate = { readonly ledger: string; readonly members: readonly Member[]; readonly quorumSize: number };
@@ -21,7 +21,7 @@
   | { readonly tag: 'behind'; readonly aheadMembers: readonly Member[] }
   | { readonly tag: 'noMajority' };
 
-function countVotes(votes: Votes, kind: Message['kind']): number {
+function countVotes(votes: MemberResponses, kind: Message['kind']): number {
   let count = 0;
   for (const vote of votes.values()) if (vote.kind === kind) count += 1;
   return count;
@@ -36,8 +36,8 @@
   requestMember: RequestMember,
 ): Promise<RoundResult> {
   const { ledger, members, quorumSize } = electorate;
-  function decisionCheck(kind: Message['kind']): (votes: Votes, pending: number) => boolean {
-    function isPhaseDecided(votes: Votes, pending: number): boolean {
+  function decisionCheck(kind: Message['kind']): (votes: MemberResponses, pending: number) => boolean {
+    function isPhaseDecided(votes: MemberResponses, pending: number): boolean {
       let count = 0;
       for (const vote of votes.values()) {
         if (vote.kind === 'outbid' || vote.kind === 'alreadyChosen') return true;
@@ -47,7 +47,7 @@
     }
     return isPhaseDecided;
   }
-  function failureOf(votes: Votes): RoundResult {
+  function failureOf(votes: MemberResponses): RoundResult {
     let highestRound = 0;
     const aheadMembers: Member[] = [];
     for (const member of members) {
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -16,7 +16,7 @@
 import { createLatencyTargetTracker } from './configuration/latency-target-tracker.js';
 import { createClaims, noClaims } from './idempotency/claims.js';
 import type { Claims } from './idempotency/claims.js';
-import { openRenewed } from './consensus/damaged-ring.js';
+import { openOrRejoinBlank } from './consensus/damaged-ring.js';
 import { createCloudClient, createPlatformClient } from './scaling/cloud-client.js';
 import { openIdentity, saveIdentity } from './membership/identity.js';
 import type { Identity, IdentityError } from './membership/identity.js';
@@ -150,15 +150,21 @@
       shape: shapes.ledger,
       self,
       seeds: id.seeds,
-      contacts: knownControllers,
+      knownAddresses: knownControllers,
       bootstrapMembers: kept.bootstrapMembers,
-      renew,
+      renewIncarnation: renew,
       wasMember: kept.wasMember,
-      recordMember,
+      recordMembership: recordMember,
       keepsClaims: id.claims !== false,
     });
   }
-  const made = await openRenewed(openLedger, { disk, shape: shapes.ledger, log, renew, self: ownId });
+  const made = await openOrRejoinBlank(openLedger, {
+    disk,
+    shape: shapes.ledger,
+    log,
+    renewIncarnation: renew,
+    memberId: ownId,
+  });
   if (!made.ok) return made;
   const ledger = made.value;
   function openClaims(): Promise<Result<Claims, RingError>> {
@@ -167,7 +173,13 @@
   const claims =
     id.claims === false
       ? ok(noClaims())
-      : await openRenewed(openClaims, { disk, shape: shapes.claims, log, renew, self: ownId });
+      : await openOrRejoinBlank(openClaims, {
+          disk,
+          shape: shapes.claims,
+          log,
+          renewIncarnation: renew,
+          memberId: ownId,
+        });
   if (!claims.ok) {
     ledger.stop();
     return claims;
--- a/src/coordination/distribution/change-publisher.ts
+++ b/src/coordination/distribution/change-publisher.ts
@@ -7,7 +7,7 @@
 import { every } from '../../transport/clock.js';
 import type { Clock, Timer } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
-import { PAGE_BYTES, snapshotInstead } from '../consensus/catch-up.js';
+import { PAGE_BYTES, snapshotIfSmaller } from '../consensus/catch-up.js';
 import type { Ledger } from '../consensus/ledger.js';
 import type { Peer, Peers } from '../messaging/peers.js';
 import type { QuorumAttestation } from './quorum-attestation.js';
@@ -129,7 +129,7 @@
   private publishTo(subscription: Subscription): void {
     const { ledger, slot } = this.ledger.controlState();
     if (ledger === '' || subscription.sentSlot >= slot) return;
-    const snapshot = snapshotInstead(this.ledger.history, subscription.sentSlot + 1, (from) =>
+    const snapshot = snapshotIfSmaller(this.ledger.history, subscription.sentSlot + 1, (from) =>
       this.snapshotOfferFrom(from),
     );
     if (snapshot) {
--- a/src/coordination/leases/lease.ts
+++ b/src/coordination/leases/lease.ts
@@ -14,7 +14,7 @@
 import type { Ledger } from '../consensus/ledger.js';
 import type { Peers } from '../messaging/peers.js';
 import { poll } from '../consensus/poll.js';
-import type { Votes } from '../consensus/poll.js';
+import type { MemberResponses } from '../consensus/poll.js';
 
 /** A lease on a singleton role; `fence` is the fencing token while it is held, else null. */
 export interface Lease {
@@ -149,7 +149,7 @@
         : null;
     };
 
-    const decided = (votes: Votes, open: number): boolean => {
+    const decided = (votes: MemberResponses, open: number): boolean => {
       const granted = this.grantsIn(votes);
       return granted >= quorumSize || granted + open < quorumSize;
     };
@@ -160,7 +160,7 @@
     return message.kind === 'leaseAnswer' && message.granted;
   }
 
-  private grantsIn(votes: Votes): number {
+  private grantsIn(votes: MemberResponses): number {
     let count = 0;
     for (const value of votes.values()) if (this.isGrant(value)) count += 1;
     return count;
--- a/src/coordination/membership/group-leave.ts
+++ b/src/coordination/membership/group-leave.ts
@@ -12,8 +12,8 @@
 import type { Clock } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
 import { poll } from '../consensus/poll.js';
-import type { Votes } from '../consensus/poll.js';
-import type { Agreed, Draft, ProposeError } from '../consensus/proposal.js';
+import type { MemberResponses } from '../consensus/poll.js';
+import type { CommittedEntry, EntryDraft, ProposeError } from '../consensus/proposal.js';
 import type { Peers } from '../messaging/peers.js';
 
 /** What a leave is carried out with. */
@@ -23,7 +23,7 @@
   readonly log: Log;
   readonly self: Member;
   readonly controlState: () => ControlState;
-  readonly propose: (draft: Draft, waitMs: number) => Promise<Result<Agreed, ProposeError>>;
+  readonly propose: (draft: EntryDraft, waitMs: number) => Promise<Result<CommittedEntry, ProposeError>>;
 };
 
 /** `isHandedOver`: a majority of the others knows all that this controller does. */
@@ -95,7 +95,8 @@
     const others = otherMembers(this.members(), this.deps.self);
     const needed = Math.min(others.length, majorityOf(this.members()));
     const request = (member: Member): Promise<Message | null> => this.knowsAll(member, slot);
-    const isEnough = (votes: Votes, open: number): boolean => votes.size >= needed || votes.size + open < needed;
+    const isEnough = (votes: MemberResponses, open: number): boolean =>
+      votes.size >= needed || votes.size + open < needed;
     return (await poll(others, request, isEnough)).size >= needed;
   }
 
--- a/src/coordination/membership/membership-changes.ts
+++ b/src/coordination/membership/membership-changes.ts
@@ -17,7 +17,7 @@
 import type { Rng } from '../../transport/rng.js';
 import type { Address } from '../../transport/wire.js';
 import type { Peers } from '../messaging/peers.js';
-import type { Agreed, Draft, ProposeError } from '../consensus/proposal.js';
+import type { CommittedEntry, EntryDraft, ProposeError } from '../consensus/proposal.js';
 import { GroupLeave } from './group-leave.js';
 import type { LeaveOutcome } from './group-leave.js';
 import type { MemberStatuses } from './member-statuses.js';
@@ -39,7 +39,7 @@
   readonly seeds: readonly Address[];
   readonly controlState: () => ControlState;
   readonly memberStatuses: MemberStatuses;
-  readonly propose: (draft: Draft, waitMs: number) => Promise<Result<Agreed, ProposeError>>;
+  readonly propose: (draft: EntryDraft, waitMs: number) => Promise<Result<CommittedEntry, ProposeError>>;
   readonly linearizableRead: (waitMs: number) => Promise<boolean>;
   readonly catchUp: (from: Address) => Promise<void>;
   /** Takes a new identity, and keeps it on the disk. */
--- a/src/coordination/membership/operator-bootstrap.ts
+++ b/src/coordination/membership/operator-bootstrap.ts
@@ -11,7 +11,7 @@
 import type { Rng } from '../../transport/rng.js';
 import type { Address } from '../../transport/wire.js';
 import type { Peers } from '../messaging/peers.js';
-import type { Agreed } from '../consensus/proposal.js';
+import type { CommittedEntry } from '../consensus/proposal.js';
 import type { Replica } from '../consensus/replica.js';
 import { bootstrapEntry } from './self-bootstrap.js';
 
@@ -21,7 +21,7 @@
   | { readonly tag: 'memberSilent'; readonly address: Address };
 
 /** Makes a ledger of the blank controllers at these addresses. */
-export type Bootstrap = (addresses: readonly Address[]) => Promise<Result<Agreed, BootstrapError>>;
+export type Bootstrap = (addresses: readonly Address[]) => Promise<Result<CommittedEntry, BootstrapError>>;
 
 /** The replica that takes part. */
 export type OperatorBootstrapDeps = {
@@ -62,7 +62,7 @@
     return ok(reply.value.member);
   }
 
-  async function bootstrap(addresses: readonly Address[]): Promise<Result<Agreed, BootstrapError>> {
+  async function bootstrap(addresses: readonly Address[]): Promise<Result<CommittedEntry, BootstrapError>> {
     const ledger = newId(rng, 'ledger');
     const blank: Batch = { id: newId(rng, 'batch'), entries: [] };
     const members: Member[] = [];
--- a/src/sim/sim-core.ts
+++ b/src/sim/sim-core.ts
@@ -1,7 +1,7 @@
 import { startController } from '../coordination/controller.js';
 import type { WorkerListReader } from '../coordination/discovery/worker-list-feed.js';
 import type { Controller } from '../coordination/controller.js';
-import type { Agreed, ProposeError } from '../coordination/consensus/proposal.js';
+import type { CommittedEntry, ProposeError } from '../coordination/consensus/proposal.js';
 import type { Result } from '../base/result.js';
 import { POLICIES } from '../state/forwarding/policies.js';
 import { createQuietLog } from '../transport/log.js';
@@ -40,7 +40,7 @@
   readonly claims?: boolean;
 };
 
-export type Ordered = { readonly result: Result<Agreed, ProposeError> | null; readonly tookMs: number };
+export type Ordered = { readonly result: Result<CommittedEntry, ProposeError> | null; readonly tookMs: number };
 
 export type Lab = { readonly wire: Wire; readonly clock: Clock; readonly httpClient: HttpClient };
 
--- a/src/sim/sim-ledger.ts
+++ b/src/sim/sim-ledger.ts
@@ -1,7 +1,7 @@
 import { err, ok } from '../base/result.js';
 import type { Result } from '../base/result.js';
 import type { Ledger } from '../coordination/consensus/ledger.js';
-import type { Agreed, Draft, ProposeError } from '../coordination/consensus/proposal.js';
+import type { CommittedEntry, EntryDraft, ProposeError } from '../coordination/consensus/proposal.js';
 import { emptyControlState, foldBatch } from '../state/consensus/control-state.js';
 import type { ControlState, Outcome } from '../state/consensus/control-state.js';
 import type { Command, Entry } from '../state/consensus/entry.js';
@@ -15,7 +15,7 @@
   readonly clock: Clock;
   readonly controlState: ControlState;
   readonly entryBytes: readonly number[];
-  readonly fold: (id: string, command: Command) => Agreed;
+  readonly fold: (id: string, command: Command) => CommittedEntry;
   readonly ledgerAfter: (ms: number) => Pick<Ledger, 'controlState' | 'linearizableRead' | 'propose'>;
   readonly cut: (on: boolean) => void;
   readonly deaf: (on: boolean) => void;
@@ -32,7 +32,7 @@
   let isDeaf = false;
   let proposals = 0;
 
-  function fold(id: string, command: Command): Agreed {
+  function fold(id: string, command: Command): CommittedEntry {
     const entry: Entry = { id, author: 'sim', wall: 0, cause: 'A test proposed it.', act: command };
     entryBytes.push(JSON.stringify(entry).length);
     const outcomes = foldBatch(controlState, controlState.slot + 1, {
@@ -49,7 +49,7 @@
     return !isCut;
   }
   function ledgerAfter(ms: number): Pick<Ledger, 'controlState' | 'linearizableRead' | 'propose'> {
-    async function propose(draft: Draft, waitMs: number): Promise<Result<Agreed, ProposeError>> {
+    async function propose(draft: EntryDraft, waitMs: number): Promise<Result<CommittedEntry, ProposeError>> {
       await delay(clock, ms);
       proposals += 1;
       const done = fold(draft.id ?? `op-${proposals}`, draft.act);
