--- a/src/coordination/forwarding/dispatcher.test.ts
+++ b/src/coordination/forwarding/dispatcher.test.ts
@@ -41,7 +41,7 @@
     recordServed: () => undefined,
     recordMissedProbe: () => undefined,
     modelIndex: () => 0,
-    prefixes: { learn: () => undefined },
+    prefixes: { recordRun: () => undefined },
   } as unknown as WorkerTable;
   const placement = {
     resolved: () => ({ values: SETTINGS }),
--- a/src/coordination/forwarding/dispatcher.ts
+++ b/src/coordination/forwarding/dispatcher.ts
@@ -264,7 +264,7 @@
     if (mayHaveRun(end.outcome)) job.mayHaveRunFailure = job.key === null ? end.failure : { tag: 'outcomeUnknown' };
     const decision = decideAfterAttempt(end.outcome, {
       repeatability: job.key === null ? 'repeatable' : 'once',
-      answerBegun: false,
+      isResponseStarted: false,
       canResume: false,
       mayHaveRun: mayHaveRunBefore,
       remainingMs: job.deadlineAt - this.deps.clock.mono(),
--- a/src/coordination/forwarding/relay.ts
+++ b/src/coordination/forwarding/relay.ts
@@ -264,7 +264,7 @@
     };
     return {
       repeatability: request.repeatability,
-      answerBegun: request.isResponseStarted,
+      isResponseStarted: request.isResponseStarted,
       canResume: !request.hasUnnumberedEvent,
       mayHaveRun: request.mayHaveRun,
       remainingMs: request.deadlineAt - this.deps.clock.mono(),
--- a/src/sim/edge-day.test.ts
+++ b/src/sim/edge-day.test.ts
@@ -51,7 +51,7 @@
     const real = await import('../state/forwarding/attempt-outcome.js');
     jest.unstable_mockModule('../state/forwarding/attempt-outcome.js', () => ({
       ...real,
-      decide: (...given: Parameters<typeof real.decideAfterAttempt>) =>
+      decideAfterAttempt: (...given: Parameters<typeof real.decideAfterAttempt>) =>
         given[0].tag === outcome ? decision : real.decideAfterAttempt(...given),
     }));
     const broken = await import('../coordination/forwarding/relay.js');
--- a/src/state/discovery/worker-registry.ts
+++ b/src/state/discovery/worker-registry.ts
@@ -283,8 +283,8 @@
         bad: row.runs.bad(now),
         ran: row.runs.total(now),
       };
-      const { running, unreadTokens: unread, kvTokens, bad, ran } = row.reportedLoad;
-      if (running > 0 || bad > 0) loads[row.entry.id] = [running, unread, kvTokens, bad, ran];
+      const { running, unreadTokens, kvTokens, bad, ran } = row.reportedLoad;
+      if (running > 0 || bad > 0) loads[row.entry.id] = [running, unreadTokens, kvTokens, bad, ran];
     }
     return loads;
   }
--- a/src/state/forwarding/attempt-outcome.test.ts
+++ b/src/state/forwarding/attempt-outcome.test.ts
@@ -7,7 +7,7 @@
 function retryContext(overrides: Partial<RetryContext> = {}): RetryContext {
   return {
     repeatability: 'once',
-    answerBegun: false,
+    isResponseStarted: false,
     canResume: true,
     mayHaveRun: false,
     remainingMs: 5_000,
@@ -56,7 +56,7 @@
       expect(decisionAfter(outcome, { repeatability: 'once' })).toBe(once);
       expect(decisionAfter(outcome, { repeatability: 'repeatable' })).toBe(repeatable);
       expect(decisionAfter(outcome, { repeatability: 'resumable' })).toBe(resumable);
-      expect(decisionAfter(outcome, { repeatability: 'resumable', answerBegun: true })).toBe(afterFirstEvent);
+      expect(decisionAfter(outcome, { repeatability: 'resumable', isResponseStarted: true })).toBe(afterFirstEvent);
     });
 
     test('without time left', () => {
@@ -77,9 +77,9 @@
         { repeatability: 'once' },
         { repeatability: 'repeatable' },
         { repeatability: 'resumable', canResume: false },
-        { repeatability: 'resumable', leftMs: 0 },
+        { repeatability: 'resumable', remainingMs: 0 },
       ] as const) {
-        const decision = decisionAfter(outcome, { ...overrides, answerBegun: true });
+        const decision = decisionAfter(outcome, { ...overrides, isResponseStarted: true });
         expect(outcome.tag === 'workerFailed' || !notTruncated.includes(withoutTimeLeft) ? decision : 'cut').toBe(
           'cut',
         );
--- a/src/state/forwarding/attempt-outcome.ts
+++ b/src/state/forwarding/attempt-outcome.ts
@@ -42,7 +42,7 @@
 export type RetryContext = {
   readonly repeatability: Repeatability;
   /** The response head, and possibly events, have been passed to the caller. */
-  readonly answerBegun: boolean;
+  readonly isResponseStarted: boolean;
   /** All events passed so far are numbered, so that another worker can resume after the last one. */
   readonly canResume: boolean;
   /** The request may have run in an earlier attempt. */
@@ -108,28 +108,28 @@
     case 'answered':
       return { tag: 'passOn' };
     case 'deadline':
-      return context.answerBegun ? { tag: 'cut' } : { tag: 'fail', status: 504 };
+      return context.isResponseStarted ? { tag: 'cut' } : { tag: 'fail', status: 504 };
     case 'silent':
-      return mayRetry(outcome, context) ? { tag: 'repeat', resume: context.answerBegun } : { tag: 'wait' };
+      return mayRetry(outcome, context) ? { tag: 'repeat', resume: context.isResponseStarted } : { tag: 'wait' };
     default:
       return mayRetry(outcome, context)
-        ? { tag: 'repeat', resume: context.answerBegun }
+        ? { tag: 'repeat', resume: context.isResponseStarted }
         : finalDecision(outcome, context);
   }
 }
 
 function mayRetry(outcome: AttemptOutcome, context: RetryContext): boolean {
-  const { repeatability, answerBegun, canResume, remainingMs: leftMs } = context;
+  const { repeatability, isResponseStarted, canResume, remainingMs } = context;
   const executionState = executionStateOf(outcome);
-  if (leftMs <= (outcome.tag === 'withheld' ? 0 : MIN_RETRY_TIME_MS)) return false;
-  if (answerBegun && !(repeatability === 'resumable' && canResume)) return false;
+  if (remainingMs <= (outcome.tag === 'withheld' ? 0 : MIN_RETRY_TIME_MS)) return false;
+  if (isResponseStarted && !(repeatability === 'resumable' && canResume)) return false;
   if (executionState === 'none') return true;
   if (executionState === 'mayHaveRun' && repeatability === 'once') return false;
   return context.acquireAttempt();
 }
 
 function finalDecision(outcome: AttemptOutcome, context: RetryContext): RetryDecision {
-  if (context.answerBegun) return { tag: 'cut' };
+  if (context.isResponseStarted) return { tag: 'cut' };
   if (outcome.tag === 'workerFailed') return { tag: 'passOn' };
   if (context.mayHaveRun || mayHaveRun(outcome)) return { tag: 'fail', status: 502 };
   const isRejected = outcome.tag === 'wrongWorker' || outcome.tag === 'notExecuted';
