--- a/src/coordination/leases/lease.test.ts
+++ b/src/coordination/leases/lease.test.ts
@@ -13,7 +13,7 @@
 
 const NAMES = ['h1', 'h2', 'h3'];
 
-type Room = {
+type Fixture = {
   readonly world: World;
   readonly hosts: Map<string, Host>;
   readonly leases: Map<string, Lease>;
@@ -21,7 +21,7 @@
   readonly frames: () => number;
 };
 
-async function room(seed: number): Promise<Room> {
+async function createFixture(seed: number): Promise<Fixture> {
   const world = createWorld(seed);
   const net = createSimNet(world);
   const controlState = emptyControlState();
@@ -29,12 +29,12 @@
   controlState.members = NAMES.map((name) => ({ name, incarnation: 'i1', address: `${name}:1` }));
   const hosts = new Map<string, Host>();
   const leases = new Map<string, Lease>();
-  let serial = 0;
+  let entryCount = 0;
   function propose(draft: { readonly cause: string; readonly act: Command }): Promise<unknown> {
     const slot = controlState.slot + 1;
     const [outcome] = foldBatch(controlState, slot, {
       id: `b${slot}`,
-      entries: [{ id: `e${(serial += 1)}`, author: '-', wall: 0, ...draft }],
+      entries: [{ id: `e${(entryCount += 1)}`, author: '-', wall: 0, ...draft }],
     });
     return Promise.resolve({ ok: true, value: { slot, outcome } });
   }
@@ -63,44 +63,47 @@
 }
 
 describe('a lease', () => {
-  test.each([1, 2, 3, 4])('stays with its holder while another member says nothing (seed %i)', async (seed) => {
-    const { world, hosts, holders, leases } = await room(seed);
+  test.each([1, 2, 3, 4])('stays with its holder while another member is down (seed %i)', async (seed) => {
+    const { world, hosts, holders, leases } = await createFixture(seed);
     expect(await world.until(15_000, () => holders().length === 1)).toBe(true);
     const holder = holders()[0] as string;
-    const silent = hosts.get(NAMES.find((n) => n !== holder) as string) as Host;
-    silent.powered = false;
-    world.kill(silent);
-    let least = Infinity;
+    const stoppedHost = hosts.get(NAMES.find((n) => n !== holder) as string) as Host;
+    stoppedHost.powered = false;
+    world.kill(stoppedHost);
+    let minRemainingMs = Infinity;
     for (let ms = 0; ms < 20_000; ms += 50) {
       expect(holders()).toEqual([holder]);
-      least = Math.min(least, leases.get(holder)?.leftMs() ?? 0);
+      minRemainingMs = Math.min(minRemainingMs, leases.get(holder)?.leftMs() ?? 0);
       await world.advance(50);
     }
-    expect(least).toBeGreaterThan(3_700);
+    expect(minRemainingMs).toBeGreaterThan(3_700);
   });
 
-  test.each([1, 2, 3, 4])('goes to one other once its holder is cut off (seed %i)', async (seed) => {
-    const { world, holders, leases } = await room(10 + seed);
-    expect(await world.until(15_000, () => holders().length === 1)).toBe(true);
-    const was = holders()[0] as string;
-    for (const n of NAMES) {
-      world.cut(was, n);
-      world.cut(n, was);
-    }
-    for (let ms = 0; ms < 13_000; ms += 50) {
-      await world.advance(50);
-      expect(holders().length).toBeLessThanOrEqual(1);
-    }
-    expect(leases.get(was)?.fence()).toBeNull();
-    expect(holders()).toHaveLength(1);
-  });
+  test.each([1, 2, 3, 4])(
+    'moves to exactly one other member after its holder is partitioned (seed %i)',
+    async (seed) => {
+      const { world, holders, leases } = await createFixture(10 + seed);
+      expect(await world.until(15_000, () => holders().length === 1)).toBe(true);
+      const oldHolder = holders()[0] as string;
+      for (const n of NAMES) {
+        world.cut(oldHolder, n);
+        world.cut(n, oldHolder);
+      }
+      for (let ms = 0; ms < 13_000; ms += 50) {
+        await world.advance(50);
+        expect(holders().length).toBeLessThanOrEqual(1);
+      }
+      expect(leases.get(oldHolder)?.fence()).toBeNull();
+      expect(holders()).toHaveLength(1);
+    },
+  );
 
-  test('whoever is refused by its own book asks nobody', async () => {
-    const { world, holders, frames } = await room(21);
+  test('a member whose own lease table refuses the grant sends no requests', async () => {
+    const { world, holders, frames } = await createFixture(21);
     expect(await world.until(15_000, () => holders().length === 1)).toBe(true);
     await world.advance(3_000);
-    const before = frames();
+    const framesBefore = frames();
     await world.advance(10_000);
-    expect((frames() - before) / 10).toBeLessThanOrEqual(4.1);
+    expect((frames() - framesBefore) / 10).toBeLessThanOrEqual(4.1);
   });
 });
--- a/src/coordination/leases/lease.ts
+++ b/src/coordination/leases/lease.ts
@@ -1,6 +1,8 @@
 /**
- * A lease on a duty: a majority of the members grants it for one term, and taking it is an entry whose slot is the fence.
- * The holder counts from before it asked and stops a margin early, so two never hold it at once (monotonic clocks only).
+ * A lease on a singleton role. A majority of the members grants it for one term; the holder then records it as an
+ * entry of the replicated log, and the slot of that entry is the fencing token. The holder counts the term from
+ * before it sent its request and stops a margin before the term ends, so that two nodes never hold the lease at once.
+ * Uses monotonic clocks only.
  */
 import { majorityOf, memberId, membersDigest } from '../../state/consensus/control-state.js';
 import { requestGrant, createLeaseTable, dropGrant } from '../../state/idempotency/lease-table.js';
@@ -16,9 +18,11 @@
 import { poll } from '../consensus/poll.js';
 import type { Votes } from '../consensus/poll.js';
 
-/** A lease on a singleton role; `fence` is the fencing token while it is held, else null. */
+/** A lease on a singleton role. */
 export interface Lease {
+  /** The fencing token while this node holds the lease, else null. */
   fence(): number | null;
+  /** Time until the holder stops, in milliseconds; negative once the lease has expired. */
   leftMs(): number;
   stop(): void;
 }
@@ -29,22 +33,23 @@
   return ids;
 }
 
-/** Length of a lease from its grant, in milliseconds. */
+/** Term of a lease, in milliseconds. */
 export const LEASE_TERM_MS = 6_000;
-const MARGIN_MS = 1_000;
-const RENEW_MS = 1_000;
+const EXPIRY_MARGIN_MS = 1_000;
+const RENEW_INTERVAL_MS = 1_000;
 
 class MajorityLease implements Lease {
   private readonly grants: LeaseTable;
   private grantedUntil = 0;
-  private ownFence: number | null = null;
+  private ownFencingToken: number | null = null;
   private stopped = false;
   private round = 0;
 
-  // A majority of the members after a change need not share anyone with the majority that granted a lease before it, where
-  // this node is new among them or where two are gone. Then for one term only the holder that the ledger names is granted it.
+  // After a change of the members, a majority may have no node in common with the majority that granted the current
+  // lease: if this node is new among the members, or if two members were removed. For one term after such a change,
+  // this node grants the lease only to the holder recorded in the replicated log.
   private members: readonly Member[];
-  private othersFrom = 0;
+  private newHoldersFrom = 0;
 
   constructor(
     private readonly role: string,
@@ -64,26 +69,26 @@
     void this.run();
   }
 
-  private me(): string {
+  private selfId(): string {
     return memberId(this.ledger.self);
   }
 
-  private onMembersChanged(): void {
-    const now = this.ledger.controlState().members;
-    if (membersDigest(now) === membersDigest(this.members)) return;
-    const before = idsOf(this.members);
-    const after = idsOf(now);
-    let gone = 0;
-    for (const id of before) if (!after.has(id)) gone += 1;
-    const bootstrapped = before.size === 0 && this.ledger.controlState().leases[this.role] === undefined;
-    const joined = !before.has(this.me()) && !bootstrapped;
-    const shrank = after.size < before.size && (before.size % 2 !== 0 || gone > 1);
-    if (joined || shrank) this.othersFrom = this.clock.mono() + LEASE_TERM_MS;
-    this.members = now;
+  private updateMembers(): void {
+    const current = this.ledger.controlState().members;
+    if (membersDigest(current) === membersDigest(this.members)) return;
+    const idsBefore = idsOf(this.members);
+    const idsAfter = idsOf(current);
+    let removed = 0;
+    for (const id of idsBefore) if (!idsAfter.has(id)) removed += 1;
+    const isBootstrap = idsBefore.size === 0 && this.ledger.controlState().leases[this.role] === undefined;
+    const isNewMember = !idsBefore.has(this.selfId()) && !isBootstrap;
+    const mayMissOldMajority = idsAfter.size < idsBefore.size && (idsBefore.size % 2 !== 0 || removed > 1);
+    if (isNewMember || mayMissOldMajority) this.newHoldersFrom = this.clock.mono() + LEASE_TERM_MS;
+    this.members = current;
   }
 
   private mayGrant(message: MessageOf<'leaseAsk'>): boolean {
-    this.onMembersChanged();
+    this.updateMembers();
     if (
       message.ledger !== this.ledger.controlState().ledger ||
       !this.ledger.isMember() ||
@@ -91,17 +96,18 @@
     )
       return false;
     return (
-      this.clock.mono() >= this.othersFrom || this.ledger.controlState().leases[message.duty]?.holder === message.holder
+      this.clock.mono() >= this.newHoldersFrom ||
+      this.ledger.controlState().leases[message.duty]?.holder === message.holder
     );
   }
 
   private onRequest(message: MessageOf<'leaseAsk'>): Message {
-    const mine = this.mayGrant(message);
+    const isAllowed = this.mayGrant(message);
     return {
       kind: 'leaseAnswer',
-      voter: this.me(),
+      voter: this.selfId(),
       granted:
-        mine &&
+        isAllowed &&
         requestGrant(
           this.grants,
           { role: message.duty, holder: message.holder, round: message.round, termMs: message.termMs },
@@ -117,107 +123,110 @@
   }
 
   leftMs(): number {
-    return this.grantedUntil - MARGIN_MS - this.clock.mono();
+    return this.grantedUntil - EXPIRY_MARGIN_MS - this.clock.mono();
   }
 
   fence(): number | null {
-    if (this.stopped || this.ownFence === null || this.leftMs() <= 0) return null;
+    if (this.stopped || this.ownFencingToken === null || this.leftMs() <= 0) return null;
     const record = this.ledger.controlState().leases[this.role];
-    return record && record.fence === this.ownFence ? this.ownFence : null;
+    return record && record.fence === this.ownFencingToken ? this.ownFencingToken : null;
   }
 
-  private async requestMajority(): Promise<'granted' | 'refused' | 'notAsked'> {
+  private async requestMajority(): Promise<'granted' | 'refused' | 'notRequested'> {
     const state = this.ledger.controlState();
     this.round += 1;
     const request: MessageOf<'leaseAsk'> = {
       kind: 'leaseAsk',
       ledger: state.ledger,
       duty: this.role,
-      holder: this.me(),
+      holder: this.selfId(),
       termMs: LEASE_TERM_MS,
       round: this.round,
     };
     const quorumSize = majorityOf(state.members);
-    const own = this.onRequest(request);
-    if (!this.isGrant(own)) return 'notAsked';
+    const ownResponse = this.onRequest(request);
+    if (!this.isGrant(ownResponse)) return 'notRequested';
 
-    const one = async (member: Member): Promise<Message | null> => {
-      if (memberId(member) === this.me()) return own;
-      const response = await this.peers.call(member.address, request, RENEW_MS);
+    const requestFrom = async (member: Member): Promise<Message | null> => {
+      if (memberId(member) === this.selfId()) return ownResponse;
+      const response = await this.peers.call(member.address, request, RENEW_INTERVAL_MS);
       return response.ok && response.value.kind === 'leaseAnswer' && response.value.voter === memberId(member)
         ? response.value
         : null;
     };
 
-    const decided = (votes: Votes, open: number): boolean => {
-      const granted = this.grantsIn(votes);
-      return granted >= quorumSize || granted + open < quorumSize;
+    const isDecided = (votes: Votes, outstanding: number): boolean => {
+      const granted = this.countGrants(votes);
+      return granted >= quorumSize || granted + outstanding < quorumSize;
     };
-    return this.grantsIn(await poll(state.members, one, decided)) >= quorumSize ? 'granted' : 'refused';
+    return this.countGrants(await poll(state.members, requestFrom, isDecided)) >= quorumSize ? 'granted' : 'refused';
   }
 
   private isGrant(message: Message): boolean {
     return message.kind === 'leaseAnswer' && message.granted;
   }
 
-  private grantsIn(votes: Votes): number {
+  private countGrants(votes: Votes): number {
     let count = 0;
     for (const value of votes.values()) if (this.isGrant(value)) count += 1;
     return count;
   }
 
-  private dropAll(): void {
+  private dropAllGrants(): void {
     const state = this.ledger.controlState();
     const drop: MessageOf<'leaseDrop'> = {
       kind: 'leaseDrop',
       ledger: state.ledger,
       duty: this.role,
-      holder: this.me(),
+      holder: this.selfId(),
       round: this.round,
     };
     for (const member of state.members) {
-      if (memberId(member) === this.me()) this.onDrop(drop);
+      if (memberId(member) === this.selfId()) this.onDrop(drop);
       else void this.peers.send(member.address, drop);
     }
   }
 
-  private async turn(): Promise<void> {
+  private async tick(): Promise<void> {
     if (!this.ledger.isMember()) {
-      this.ownFence = null;
+      this.ownFencingToken = null;
       return;
     }
     const requestedAt = this.clock.mono();
-    const expired = this.leftMs() <= 0;
+    const wasExpired = this.leftMs() <= 0;
     const outcome = await this.requestMajority();
     if (outcome !== 'granted') {
-      if (outcome === 'refused' && this.clock.mono() > this.grantedUntil) this.dropAll();
-      if (this.ownFence !== null && this.leftMs() <= 0) {
+      if (outcome === 'refused' && this.clock.mono() > this.grantedUntil) this.dropAllGrants();
+      if (this.ownFencingToken !== null && this.leftMs() <= 0) {
         this.log.warn('lease lost', { role: this.role });
-        this.ownFence = null;
+        this.ownFencingToken = null;
       }
       return;
     }
     this.grantedUntil = requestedAt + LEASE_TERM_MS;
     const record = this.ledger.controlState().leases[this.role];
-    if (!expired && this.ownFence !== null && record?.fence === this.ownFence) return;
-    this.ownFence = null;
-    const agreed = await this.ledger.propose(
+    if (!wasExpired && this.ownFencingToken !== null && record?.fence === this.ownFencingToken) return;
+    this.ownFencingToken = null;
+    const proposed = await this.ledger.propose(
       {
         cause: `A majority granted the ${this.role} lease.`,
-        act: { tag: 'leaseTaken', duty: this.role, holder: this.me() },
+        act: { tag: 'leaseTaken', duty: this.role, holder: this.selfId() },
       },
-      RENEW_MS * 2,
+      RENEW_INTERVAL_MS * 2,
     );
-    if (agreed.ok && agreed.value.outcome.tag === 'applied') {
-      this.ownFence = agreed.value.slot;
-      this.log.info('lease acquired', { role: this.role, fencingToken: this.ownFence });
+    if (proposed.ok && proposed.value.outcome.tag === 'applied') {
+      this.ownFencingToken = proposed.value.slot;
+      this.log.info('lease acquired', { role: this.role, fencingToken: this.ownFencingToken });
     }
   }
 
   private async run(): Promise<void> {
     while (!this.stopped) {
-      await delay(this.clock, this.ownFence === null ? RENEW_MS * (0.3 + 1.7 * this.rng.next()) : RENEW_MS);
-      if (!this.stopped) await this.turn();
+      await delay(
+        this.clock,
+        this.ownFencingToken === null ? RENEW_INTERVAL_MS * (0.3 + 1.7 * this.rng.next()) : RENEW_INTERVAL_MS,
+      );
+      if (!this.stopped) await this.tick();
     }
   }
 
@@ -226,7 +235,7 @@
   }
 }
 
-/** Competes for the lease until stopped, and grants it to others as a member. */
+/** Requests and renews the lease until stopped, and as a member grants it to others. */
 export function createLease(role: string, ledger: Ledger, peers: Peers, clock: Clock, rng: Rng, log: Log): Lease {
   return new MajorityLease(role, ledger, peers, clock, rng, log);
 }
--- a/src/coordination/messaging/peer-link.ts
+++ b/src/coordination/messaging/peer-link.ts
@@ -1,6 +1,7 @@
 /**
- * One connection to another node: the calls that wait for an answer on it, and when it is closed. A connection that owes an
- * answer for too long is closed, and so is one that nobody has used for a while. `peers.ts` makes one for each connection.
+ * One connection to another node: its pending calls, and when it is closed. A connection on which no byte arrives for
+ * too long after a call is closed, and so is one that has been idle for a while. `peers.ts` creates one link for each
+ * connection.
  */
 import { readFrame } from '../../protocol/messages.js';
 import type { Message } from '../../protocol/messages.js';
@@ -15,43 +16,43 @@
   readonly close: () => void;
 };
 
-/** What a link tells its owner. */
+/** Callbacks from a link to its owner. */
 export type PeerLinkEvents = {
-  /** A message came; the value is sent back if it was a call. */
+  /** Called for each message received; the value is sent back if the message was a call. */
   readonly onMessage: (message: Message, peer: Peer) => Promise<Message> | Message | null;
-  readonly onGone: () => void;
+  readonly onLinkClosed: () => void;
 };
 
-type PendingCall = { readonly done: (answer: Message | null) => void; readonly timer: Timer };
+type PendingCall = { readonly done: (response: Message | null) => void; readonly timer: Timer };
 
-/** Longest wait for any byte after a call was sent, in milliseconds. */
+/** Maximum time without any byte received after a call was sent, in milliseconds. */
 export const SILENT_MS = 1_200;
-/** A timer that fires this much late says that this process stood still, and nothing of the peer. */
-const STOOD_STILL_MS = 600;
-/** Least time between two looks at whether the link is idle. */
-const LEAST_IDLE_CHECK_MS = 1_000;
+/** A timer that fires this late, in milliseconds, indicates a pause of this process and not an unresponsive peer. */
+const PROCESS_PAUSE_MS = 600;
+/** Minimum interval between two idle checks, in milliseconds. */
+const MIN_IDLE_CHECK_INTERVAL_MS = 1_000;
 
-/** A link over one connection. It closes itself after `idleMs` without use, unless `keep` was called. */
+/** A link over one connection. It closes itself after `idleTimeoutMs` without use, unless `keepOpen` was called. */
 export class PeerLink {
   readonly peer: Peer;
   private readonly closeCallbacks: (() => void)[] = [];
   private readonly pending = new Map<number, PendingCall>();
-  private owedSince: number | null = null;
-  private responseTimer: Timer | null = null;
-  private usedAt: number;
+  private awaitingBytesSince: number | null = null;
+  private unresponsiveTimer: Timer | null = null;
+  private lastUsedAt: number;
   private idleTimer: Timer;
   private closed = false;
-  private isKept = false;
+  private isKeptOpen = false;
 
   constructor(
     private readonly connection: Connection,
-    private readonly idleMs: number,
+    private readonly idleTimeoutMs: number,
     private readonly clock: Clock,
     private readonly log: Log,
     private readonly events: PeerLinkEvents,
   ) {
-    this.usedAt = clock.mono();
-    this.idleTimer = clock.timer(idleMs, () => this.checkIdle());
+    this.lastUsedAt = clock.mono();
+    this.idleTimer = clock.timer(idleTimeoutMs, () => this.checkIdle());
     this.peer = {
       send: (message) => this.send(message),
       onClosed: (callback) => this.onClosed(callback),
@@ -68,9 +69,9 @@
     return this.closed;
   }
 
-  /** From now on the link is not closed for being idle. */
-  keep(): void {
-    this.isKept = true;
+  /** Exempts the link from the idle timeout. */
+  keepOpen(): void {
+    this.isKeptOpen = true;
   }
 
   close(): void {
@@ -78,21 +79,27 @@
   }
 
   /**
-   * Sends a call. `done` is given the answer, or null if none came within `leftMs` or the connection ended. With `watched`
-   * a peer that sends no byte at all for SILENT_MS loses the connection.
+   * Sends a call. `onResponse` is called with the response, or with null if none arrived within `timeoutMs` or the
+   * connection closed. With `isWatched`, the connection is closed if the peer is unresponsive: no byte arrives in time.
    */
-  call(id: number, message: Message, leftMs: number, watched: boolean, done: (answer: Message | null) => void): void {
-    const expire = (): void => {
+  call(
+    id: number,
+    message: Message,
+    timeoutMs: number,
+    isWatched: boolean,
+    onResponse: (response: Message | null) => void,
+  ): void {
+    const onTimeout = (): void => {
       this.pending.delete(id);
-      done(null);
+      onResponse(null);
     };
-    this.pending.set(id, { done, timer: this.clock.timer(leftMs, expire) });
+    this.pending.set(id, { done: onResponse, timer: this.clock.timer(timeoutMs, onTimeout) });
     this.connection.send({ t: 'call', id, m: message });
-    if (watched) this.expectBytes();
+    if (isWatched) this.expectBytes();
   }
 
   private send(message: Message): void {
-    this.usedAt = this.clock.mono();
+    this.lastUsedAt = this.clock.mono();
     this.connection.send({ t: 'tell', m: message });
   }
 
@@ -102,41 +109,41 @@
   }
 
   private expectBytes(): void {
-    this.usedAt = this.clock.mono();
-    if (this.owedSince !== null) return;
-    this.owedSince = this.usedAt;
-    this.responseTimer = this.clock.timer(SILENT_MS, () => this.checkTimeout());
+    this.lastUsedAt = this.clock.mono();
+    if (this.awaitingBytesSince !== null) return;
+    this.awaitingBytesSince = this.lastUsedAt;
+    this.unresponsiveTimer = this.clock.timer(SILENT_MS, () => this.checkUnresponsive());
   }
 
   private onBytes(): void {
-    this.usedAt = this.clock.mono();
-    this.owedSince = null;
-    this.responseTimer?.cancel();
+    this.lastUsedAt = this.clock.mono();
+    this.awaitingBytesSince = null;
+    this.unresponsiveTimer?.cancel();
   }
 
-  private checkTimeout(): void {
-    if (this.owedSince === null || this.closed) return;
-    if (this.clock.mono() - this.owedSince < SILENT_MS + STOOD_STILL_MS) {
+  private checkUnresponsive(): void {
+    if (this.awaitingBytesSince === null || this.closed) return;
+    if (this.clock.mono() - this.awaitingBytesSince < SILENT_MS + PROCESS_PAUSE_MS) {
       this.connection.close();
       return;
     }
-    this.owedSince = null;
+    this.awaitingBytesSince = null;
     this.expectBytes();
   }
 
   private checkIdle(): void {
     if (this.closed) return;
-    const left = this.usedAt + this.idleMs - this.clock.mono();
-    if (left <= 0 && !this.isKept) this.connection.close();
-    else this.idleTimer = this.clock.timer(Math.max(LEAST_IDLE_CHECK_MS, left), () => this.checkIdle());
+    const remainingMs = this.lastUsedAt + this.idleTimeoutMs - this.clock.mono();
+    if (remainingMs <= 0 && !this.isKeptOpen) this.connection.close();
+    else this.idleTimer = this.clock.timer(Math.max(MIN_IDLE_CHECK_INTERVAL_MS, remainingMs), () => this.checkIdle());
   }
 
   private onConnectionClosed(): void {
     if (this.closed) return;
     this.closed = true;
-    this.responseTimer?.cancel();
+    this.unresponsiveTimer?.cancel();
     this.idleTimer.cancel();
-    this.events.onGone();
+    this.events.onLinkClosed();
     for (const call of this.pending.values()) {
       call.timer.cancel();
       call.done(null);
@@ -149,28 +156,28 @@
     this.onBytes();
     const frame = readFrame(body);
     if (!frame) {
-      this.log.warn('connection closed', { peer: this.connection.peer, reason: 'a frame had no known shape' });
+      this.log.warn('connection closed', { peer: this.connection.peer, reason: 'received a malformed frame' });
       this.connection.close();
       return;
     }
     if (frame.t === 'answer') {
-      this.onAnswer(frame.id, frame.m);
+      this.onResponse(frame.id, frame.m);
       return;
     }
-    const answer = this.events.onMessage(frame.m, this.peer);
-    if (frame.t === 'call') void this.answer(frame.id, answer);
+    const response = this.events.onMessage(frame.m, this.peer);
+    if (frame.t === 'call') void this.respond(frame.id, response);
   }
 
-  private onAnswer(id: number, answer: Message): void {
+  private onResponse(id: number, response: Message): void {
     const call = this.pending.get(id);
     if (!call) return;
     this.pending.delete(id);
     call.timer.cancel();
-    call.done(answer);
+    call.done(response);
   }
 
-  private async answer(id: number, given: Promise<Message> | Message | null): Promise<void> {
-    const answer = await given;
-    if (answer) this.connection.send({ t: 'answer', id, m: answer });
+  private async respond(id: number, pendingResponse: Promise<Message> | Message | null): Promise<void> {
+    const response = await pendingResponse;
+    if (response) this.connection.send({ t: 'answer', id, m: response });
   }
 }
--- a/src/coordination/messaging/peers.ts
+++ b/src/coordination/messaging/peers.ts
@@ -1,6 +1,7 @@
 /**
- * Messages between nodes: calls with an answer, messages without one, and held connections. One connection for each
- * address, dialled when needed; one that owes an answer for too long is dialled anew.
+ * Messages between nodes: calls with a response, one-way messages, and connections that are kept open. There is one
+ * outbound connection for each address, dialled on demand. One that is unresponsive for too long is closed and
+ * dialled again.
  */
 import { err, ok } from '../../base/result.js';
 import type { Result } from '../../base/result.js';
@@ -14,28 +15,34 @@
 
 export type { Peer } from './peer-link.js';
 
-/** Why a call has no answer. Neither says whether the message arrived. */
+/** Why a call has no response. In both cases the message may or may not have arrived. */
 export type PeerError =
   | { readonly tag: 'peerUnreachable'; readonly address: Address }
   | { readonly tag: 'peerSilent'; readonly address: Address };
 
-/** Handles one kind of message; what it returns answers a call. */
+/** Handles one kind of message. The value it returns is sent back as the response if the message was a call. */
 export type Handler<K extends MessageKind> = (message: MessageOf<K>, peer: Peer) => Promise<Message> | Message | null;
 
 /** Messages to and from other nodes. */
 export interface Peers {
   open(address: Address): Promise<Result<Listener, WireError>>;
   on<K extends MessageKind>(kind: K, handler: Handler<K>): void;
-  call(to: Address, message: Message, waitMs: number): Promise<Result<Message, PeerError>>;
+  call(to: Address, message: Message, timeoutMs: number): Promise<Result<Message, PeerError>>;
   send(to: Address, message: Message): Promise<boolean>;
+  /** Opens a connection that is not closed when idle. */
   connect(to: Address): Promise<Result<Peer, PeerError>>;
-  relocate(old: Address, now: Address): void;
+  /** Dials `currentAddress` from now on for messages to `knownAddress`. */
+  relocate(knownAddress: Address, currentAddress: Address): void;
   close(): Promise<void>;
 }
 
-const SLOW_CALL_MS = 1_500;
-const IDLE_OUT_MS = 20_000;
-const IDLE_IN_MS = 45_000;
+/**
+ * Calls with a timeout up to this one close the connection of an unresponsive peer; longer ones may take long to
+ * answer.
+ */
+const MAX_WATCHED_CALL_MS = 1_500;
+const OUTBOUND_IDLE_TIMEOUT_MS = 20_000;
+const INBOUND_IDLE_TIMEOUT_MS = 45_000;
 
 class WirePeers implements Peers {
   private readonly handlers = new Map<MessageKind, Handler<MessageKind>>();
@@ -53,10 +60,10 @@
     private readonly log: Log,
   ) {}
 
-  private linkOver(connection: Connection, idleMs: number, onGone: () => void): PeerLink {
-    return new PeerLink(connection, idleMs, this.clock, this.log, {
+  private createLink(connection: Connection, idleTimeoutMs: number, onLinkClosed: () => void): PeerLink {
+    return new PeerLink(connection, idleTimeoutMs, this.clock, this.log, {
       onMessage: (message, peer) => this.handlers.get(message.kind)?.(message, peer) ?? null,
-      onGone,
+      onLinkClosed,
     });
   }
 
@@ -68,58 +75,59 @@
       return null;
     }
 
-    const gone = (): void => {
+    const onLinkClosed = (): void => {
       this.links.delete(to);
       this.live.delete(to);
     };
-    const link = this.linkOver(dialled.value, IDLE_OUT_MS, gone);
+    const link = this.createLink(dialled.value, OUTBOUND_IDLE_TIMEOUT_MS, onLinkClosed);
     if (!link.isClosed()) this.live.set(to, link);
     return link;
   }
 
-  private linkTo(to: Address): Promise<PeerLink | null> {
-    const have = this.links.get(to);
-    if (have) return have;
-    const made = this.dialLink(to);
-    this.links.set(to, made);
-    return made;
+  private getOrDial(to: Address): Promise<PeerLink | null> {
+    const existing = this.links.get(to);
+    if (existing) return existing;
+    const pendingLink = this.dialLink(to);
+    this.links.set(to, pendingLink);
+    return pendingLink;
   }
 
-  private linkWithin(to: Address, waitMs: number): Promise<PeerLink | null> {
-    const open = this.live.get(to);
-    return open ? Promise.resolve(open) : within(this.clock, waitMs, this.linkTo(to));
+  private getOrDialWithin(to: Address, timeoutMs: number): Promise<PeerLink | null> {
+    const openLink = this.live.get(to);
+    return openLink ? Promise.resolve(openLink) : within(this.clock, timeoutMs, this.getOrDial(to));
   }
 
-  async call(to: Address, message: Message, waitMs: number): Promise<Result<Message, PeerError>> {
-    const until = this.clock.mono() + waitMs;
-    const joined = this.links.has(to);
-    let link = await this.linkWithin(to, waitMs);
-    if (!link && joined && this.clock.mono() < until) link = await this.linkWithin(to, until - this.clock.mono());
+  async call(to: Address, message: Message, timeoutMs: number): Promise<Result<Message, PeerError>> {
+    const deadline = this.clock.mono() + timeoutMs;
+    const isSharedLink = this.links.has(to);
+    let link = await this.getOrDialWithin(to, timeoutMs);
+    if (!link && isSharedLink && this.clock.mono() < deadline)
+      link = await this.getOrDialWithin(to, deadline - this.clock.mono());
     if (!link || link.isClosed()) return err({ tag: 'peerUnreachable', address: to });
-    const held = link;
-    const left = until - this.clock.mono();
-    if (left <= 0) return err({ tag: 'peerSilent', address: to });
+    const openLink = link;
+    const remainingMs = deadline - this.clock.mono();
+    if (remainingMs <= 0) return err({ tag: 'peerSilent', address: to });
     const id = this.nextId;
     this.nextId += 1;
 
-    const send = (done: (answer: Message | null) => void): void => {
-      held.call(id, message, left, waitMs <= SLOW_CALL_MS, done);
+    const startCall = (onResponse: (response: Message | null) => void): void => {
+      openLink.call(id, message, remainingMs, timeoutMs <= MAX_WATCHED_CALL_MS, onResponse);
     };
-    const response = await new Promise<Message | null>(send);
+    const response = await new Promise<Message | null>(startCall);
     return response ? ok(response) : err({ tag: 'peerSilent', address: to });
   }
 
   async send(to: Address, message: Message): Promise<boolean> {
-    const link = await this.linkTo(to);
+    const link = await this.getOrDial(to);
     if (!link || link.isClosed()) return false;
     link.peer.send(message);
     return true;
   }
 
   async connect(to: Address): Promise<Result<Peer, PeerError>> {
-    const link = await this.linkTo(to);
+    const link = await this.getOrDial(to);
     if (!link || link.isClosed()) return err({ tag: 'peerUnreachable', address: to });
-    link.keep();
+    link.keepOpen();
     return ok(link.peer);
   }
 
@@ -131,10 +139,10 @@
     const accept = (connection: Connection): void => {
       let link: PeerLink | null = null;
 
-      const gone = (): void => {
+      const onLinkClosed = (): void => {
         if (link) this.inbound.delete(link);
       };
-      link = this.linkOver(connection, IDLE_IN_MS, gone);
+      link = this.createLink(connection, INBOUND_IDLE_TIMEOUT_MS, onLinkClosed);
       this.inbound.add(link);
     };
     const opened = await this.wire.listen(address, accept);
@@ -149,15 +157,15 @@
     await this.listener?.close();
   }
 
-  relocate(old: Address, now: Address): void {
-    if ((this.relocatedTo.get(old) ?? old) === now) return;
-    if (old === now) this.relocatedTo.delete(old);
-    else this.relocatedTo.set(old, now);
-    this.live.get(old)?.close();
+  relocate(knownAddress: Address, currentAddress: Address): void {
+    if ((this.relocatedTo.get(knownAddress) ?? knownAddress) === currentAddress) return;
+    if (knownAddress === currentAddress) this.relocatedTo.delete(knownAddress);
+    else this.relocatedTo.set(knownAddress, currentAddress);
+    this.live.get(knownAddress)?.close();
   }
 }
 
-/** No connections yet; `open` listens. */
+/** Creates the messaging of a node, with no connections yet. `open` starts to listen. */
 export function createPeers(wire: Wire, clock: Clock, log: Log): Peers {
   return new WirePeers(wire, clock, log);
 }
--- a/src/coordination/messaging/silent-peers.test.ts
+++ b/src/coordination/messaging/silent-peers.test.ts
@@ -8,7 +8,7 @@
 import { createPeers } from '../messaging/peers.js';
 import type { Peer, Peers } from '../messaging/peers.js';
 
-type Room = {
+type Fixture = {
   readonly world: World;
   readonly near: Host;
   readonly far: Host;
@@ -16,22 +16,22 @@
   readonly b: Peers;
   readonly seen: Peer[];
 };
-const ASK: Message = { kind: 'memberStatusAsk' };
-const DONE: Message = { kind: 'done', agreed: true };
+const REQUEST: Message = { kind: 'memberStatusAsk' };
+const RESPONSE: Message = { kind: 'done', agreed: true };
 
 async function finish<T>(world: World, work: Promise<T>, limitMs = 60_000): Promise<T | null> {
-  const box: { value: T | null; done: boolean } = { value: null, done: false };
-  void work.then((v) => ((box.value = v), (box.done = true)));
-  await world.until(limitMs, () => box.done);
-  return box.value;
+  const settled: { value: T | null; done: boolean } = { value: null, done: false };
+  void work.then((v) => ((settled.value = v), (settled.done = true)));
+  await world.until(limitMs, () => settled.done);
+  return settled.value;
 }
-async function room(answerMs = 0): Promise<Room> {
+async function createFixture(responseDelayMs = 0): Promise<Fixture> {
   const world = createWorld(1);
   const net = createSimNet(world);
   world.setDelay('near', 'far', 35);
   const near = world.host('a', 'near');
   const far = world.host('b', 'far');
-  const ends: Peers[] = [];
+  const peersOfHosts: Peers[] = [];
   const seen: Peer[] = [];
   for (const host of [near, far]) {
     const proc = world.begin(host);
@@ -39,80 +39,83 @@
     const peers = createPeers(net.wireOf(proc), clock, createQuietLog().component(''));
     peers.on('memberStatusAsk', async (_m, peer) => {
       seen.push(peer);
-      if (answerMs > 0) await delay(clock, answerMs);
-      return DONE;
+      if (responseDelayMs > 0) await delay(clock, responseDelayMs);
+      return RESPONSE;
     });
     await finish(world, peers.open(`${host.name}:1`));
-    ends.push(peers);
+    peersOfHosts.push(peers);
   }
-  return { world, near, far, a: ends[0] as Peers, b: ends[1] as Peers, seen };
+  return { world, near, far, a: peersOfHosts[0] as Peers, b: peersOfHosts[1] as Peers, seen };
 }
-async function heldLink(r: Room): Promise<{ closedAt: number }> {
-  const told = { closedAt: 0 };
-  const response = await finish(r.world, r.a.connect('b:1'));
-  if (!response?.ok) throw new Error('not held');
-  response.value.onClosed(() => (told.closedAt = r.world.now()));
-  return told;
+async function openKeptLink(fixture: Fixture): Promise<{ closedAt: number }> {
+  const closing = { closedAt: 0 };
+  const response = await finish(fixture.world, fixture.a.connect('b:1'));
+  if (!response?.ok) throw new Error('could not open a kept connection');
+  response.value.onClosed(() => (closing.closedAt = fixture.world.now()));
+  return closing;
 }
 
-describe('a peer that says nothing more', () => {
-  test('a connection that owes an answer for 1.2 s is closed, and the next call dials anew', async () => {
-    const r = await room();
-    const link = await heldLink(r);
-    expect(await finish(r.world, r.a.call('b:1', ASK, 500))).toEqual({ ok: true, value: DONE });
-    r.far.powered = false;
-    r.world.kill(r.far);
-    const from = r.world.now();
-    expect((await finish(r.world, r.a.call('b:1', ASK, 500)))?.ok).toBe(false);
-    await r.world.advance(1_000);
+describe('an unresponsive peer', () => {
+  test('a connection without a byte for 1.2 s after a call is closed, and the next call dials again', async () => {
+    const fixture = await createFixture();
+    const link = await openKeptLink(fixture);
+    expect(await finish(fixture.world, fixture.a.call('b:1', REQUEST, 500))).toEqual({ ok: true, value: RESPONSE });
+    fixture.far.powered = false;
+    fixture.world.kill(fixture.far);
+    const from = fixture.world.now();
+    expect((await finish(fixture.world, fixture.a.call('b:1', REQUEST, 500)))?.ok).toBe(false);
+    await fixture.world.advance(1_000);
     expect(link.closedAt - from).toBeGreaterThanOrEqual(1_200);
     expect(link.closedAt - from).toBeLessThan(1_300);
   });
 
-  test('one that was itself frozen does not blame its peer', async () => {
-    const r = await room();
-    const link = await heldLink(r);
-    void r.a.call('b:1', ASK, 500);
-    r.world.freeze(r.near);
-    r.world.cut('b', 'a');
-    await r.world.advance(5_000);
-    r.world.thaw(r.near);
-    r.world.heal('b', 'a');
-    await r.world.advance(300);
+  test('a process that was paused itself does not close the connection to its peer', async () => {
+    const fixture = await createFixture();
+    const link = await openKeptLink(fixture);
+    void fixture.a.call('b:1', REQUEST, 500);
+    fixture.world.freeze(fixture.near);
+    fixture.world.cut('b', 'a');
+    await fixture.world.advance(5_000);
+    fixture.world.thaw(fixture.near);
+    fixture.world.heal('b', 'a');
+    await fixture.world.advance(300);
     expect(link.closedAt).toBe(0);
-    expect(await finish(r.world, r.a.call('b:1', ASK, 500))).toEqual({ ok: true, value: DONE });
+    expect(await finish(fixture.world, fixture.a.call('b:1', REQUEST, 500))).toEqual({ ok: true, value: RESPONSE });
   });
 
-  test('a call that is given time is not cut short by it', async () => {
-    const r = await room(3_000);
-    expect(await finish(r.world, r.a.call('b:1', ASK, 5_000))).toEqual({ ok: true, value: DONE });
+  test('a call with a long timeout is not aborted by the check for unresponsive peers', async () => {
+    const fixture = await createFixture(3_000);
+    expect(await finish(fixture.world, fixture.a.call('b:1', REQUEST, 5_000))).toEqual({ ok: true, value: RESPONSE });
   });
 
-  test('a connection that nobody uses is closed at both ends in time; a held one stays', async () => {
-    const idle = await room();
-    await finish(idle.world, idle.a.call('b:1', ASK, 500));
+  test('an idle connection is closed at both ends after its timeout; a kept one stays open', async () => {
+    const idleFixture = await createFixture();
+    await finish(idleFixture.world, idleFixture.a.call('b:1', REQUEST, 500));
     let inboundClosed = false;
-    idle.seen[0]?.onClosed(() => (inboundClosed = true));
-    await idle.world.advance(19_000);
+    idleFixture.seen[0]?.onClosed(() => (inboundClosed = true));
+    await idleFixture.world.advance(19_000);
     expect(inboundClosed).toBe(false);
-    await idle.world.advance(3_000);
+    await idleFixture.world.advance(3_000);
     expect(inboundClosed).toBe(true);
-    expect(await finish(idle.world, idle.a.call('b:1', ASK, 500))).toEqual({ ok: true, value: DONE });
+    expect(await finish(idleFixture.world, idleFixture.a.call('b:1', REQUEST, 500))).toEqual({
+      ok: true,
+      value: RESPONSE,
+    });
 
-    const kept = await room();
-    const link = await heldLink(kept);
-    await kept.world.advance(30_000);
+    const keptFixture = await createFixture();
+    const link = await openKeptLink(keptFixture);
+    await keptFixture.world.advance(30_000);
     expect(link.closedAt).toBe(0);
   });
 
-  test('an inbound connection whose peer vanished without a word is let go', async () => {
-    const r = await room();
-    await finish(r.world, r.a.call('b:1', ASK, 500));
+  test('an inbound connection is closed when its peer disappears without closing it', async () => {
+    const fixture = await createFixture();
+    await finish(fixture.world, fixture.a.call('b:1', REQUEST, 500));
     let closed = false;
-    r.seen[0]?.onClosed(() => (closed = true));
-    r.near.powered = false;
-    r.world.kill(r.near);
-    await r.world.advance(50_000);
+    fixture.seen[0]?.onClosed(() => (closed = true));
+    fixture.near.powered = false;
+    fixture.world.kill(fixture.near);
+    await fixture.world.advance(50_000);
     expect(closed).toBe(true);
   });
 });
--- a/src/state/consensus/ballot.ts
+++ b/src/state/consensus/ballot.ts
@@ -1,15 +1,15 @@
 /**
- * Ballot numbers of the agreement: ordered by round, then by the proposer's name, so that no
- * two proposers ever share one.
+ * Ballot numbers of the consensus protocol: ordered by round, then by the name of the proposer, so that no two
+ * proposers ever use the same ballot.
  */
 
-/** A ballot: its round, and the proposer it belongs to. */
+/** A ballot: its round and the name of its proposer. */
 export type Ballot = { readonly round: number; readonly by: string };
 
 /** Lower than every ballot of a proposer. */
 export const NO_BALLOT: Ballot = { round: 0, by: '' };
 
-/** Below, at or above 0 as `a` is lower than, equal to or higher than `b`. */
+/** Returns a number below 0, 0 or above 0 if `left` is lower than, equal to or higher than `right`. */
 export function compareBallots(left: Ballot, right: Ballot): number {
   if (left.round !== right.round) return left.round - right.round;
   if (left.by === right.by) return 0;
--- a/src/state/consensus/control-state.ts
+++ b/src/state/consensus/control-state.ts
@@ -1,7 +1,8 @@
 /**
- * The replicated state: the fold of the ledger. Controllers and proxies fold the same entries in the same order and so
- * come to the same state; nothing in here looks at a clock or at chance. Each part of the state has its fold in a module
- * of its own (`fold-members.ts`, `fold-operators.ts`, `fold-orders.ts`); this one puts them together.
+ * The replicated state: the result of applying (folding) the entries of the replicated log. Controllers and proxies
+ * apply the same entries in the same order and so reach the same state; nothing here reads a clock or a random
+ * number. The parts of the state are in modules of their own (`fold-members.ts`, `fold-operators.ts`,
+ * `fold-orders.ts`); this one combines them.
  */
 import { isTable } from '../../base/is-table.js';
 import type { Command, Batch, Entry, Step } from './entry.js';
@@ -9,14 +10,14 @@
 import type { MembersState } from './fold-members.js';
 import { foldChangeRepeated, foldConfigured, foldEvacuation } from './fold-operators.js';
 import type { OperatorsState } from './fold-operators.js';
-import { foldOrderIntended, foldOrdersAdopted, moveOrder } from './fold-orders.js';
+import { foldOrderIntended, foldOrdersAdopted, changeOrderStatus } from './fold-orders.js';
 import type { OrdersState } from './fold-orders.js';
 import {
   appliedChange,
-  appliedZoneOrder,
+  findAppliedZoneOrder,
   emptyOperatorHistory,
   isOperatorHistory,
-  isOperatorRequest,
+  isOperatorRequestId,
 } from './operator-history.js';
 import { APPLIED, unfit } from './outcome.js';
 import type { Outcome } from './outcome.js';
@@ -26,35 +27,35 @@
 export { majorityOf, memberId, membersDigest, MOST_MEMBERS } from './fold-members.js';
 export type { Outcome } from './outcome.js';
 
-/** Where a proxy is. */
-export type KnownProxy = { readonly zone: string; readonly region: string };
+/** The location of a proxy. */
+export type ProxyLocation = { readonly zone: string; readonly region: string };
 
-/** Who took a lease last, and its fencing token. */
+/** The last holder of a lease, and its fencing token. */
 export type LeaseRecord = { readonly holder: string; readonly fence: number };
 
-/** An entry that was folded, and what came of it. */
-export type DoneOperation = { readonly id: string; readonly slot: number; readonly outcome: Outcome };
+/** An applied entry and its outcome. */
+export type CompletedOperation = { readonly id: string; readonly slot: number; readonly outcome: Outcome };
 
-/** The replicated state. Field names are stored and in snapshots. */
+/** The replicated state. Its field names are stored and sent in snapshots. */
 export type ControlState = MembersState &
   OperatorsState &
   OrdersState & {
-    /** The newest slot that is folded; -1 before the first. */
+    /** The newest slot applied; -1 before the first. */
     slot: number;
-    proxies: Record<string, KnownProxy>;
+    proxies: Record<string, ProxyLocation>;
     leases: Record<string, LeaseRecord>;
     zoneSets: Record<string, ZoneSets>;
     targets: Record<string, number>;
-    /** What came of the newest entries of all kinds, oldest first. */
-    operations: DoneOperation[];
+    /** Outcomes of the newest entries of all kinds, oldest first. */
+    operations: CompletedOperation[];
   };
 
-/** Name of the scaler's singleton role in the ledger. */
+/** Name of the scaler's singleton role in the replicated log. */
 export const SCALER_DUTY = 'scaler';
-/** An entry that is proposed again follows its first proposal within seconds, some hundred entries behind it at most. */
-const OPERATIONS_KEPT = 1_024;
+/** An entry that is proposed again follows its first proposal within seconds, at most some hundred entries later. */
+const MAX_OPERATIONS = 1_024;
 
-/** The state before slot zero. */
+/** Returns the state before slot zero. */
 export function emptyControlState(): ControlState {
   return {
     slot: -1,
@@ -77,7 +78,7 @@
   };
 }
 
-/** Whether a parsed value has the parts of a state. */
+/** Whether a parsed value has the fields of a state. */
 export function isControlState(value: unknown): value is ControlState {
   if (!isTable(value)) return false;
   for (const key of ['slot', 'version']) if (!Number.isInteger(value[key])) return false;
@@ -124,7 +125,7 @@
 
 type ScalerCommand = Step['act'] | Extract<Command, { tag: 'decided' }>;
 
-/** What the holder of the scaler's duty decides. */
+/** Applies a decision of the node that holds the scaler role. */
 function foldScalerCommand(state: ControlState, slot: number, entry: Entry, command: ScalerCommand): Outcome {
   switch (command.tag) {
     case 'decided':
@@ -141,17 +142,17 @@
     case 'orderIntended':
       return foldOrderIntended(state, slot, entry, command);
     case 'orderPlaced':
-      return moveOrder(state, slot, entry, command.order, 'placed', command.machine);
+      return changeOrderStatus(state, slot, entry, command.order, 'placed', command.machine);
     case 'orderReady':
-      return moveOrder(state, slot, entry, command.order, 'ready');
+      return changeOrderStatus(state, slot, entry, command.order, 'ready');
     case 'orderFailed':
-      return moveOrder(state, slot, entry, command.order, 'failed');
+      return changeOrderStatus(state, slot, entry, command.order, 'failed');
     case 'orderLost':
-      return moveOrder(state, slot, entry, command.order, 'lost');
+      return changeOrderStatus(state, slot, entry, command.order, 'lost');
     case 'orderDraining':
-      return moveOrder(state, slot, entry, command.order, 'draining');
+      return changeOrderStatus(state, slot, entry, command.order, 'draining');
     case 'orderReleased':
-      return moveOrder(state, slot, entry, command.order, 'released');
+      return changeOrderStatus(state, slot, entry, command.order, 'released');
     case 'orphanReleased':
       return APPLIED;
   }
@@ -159,8 +160,8 @@
 
 function foldProxyKnown(state: ControlState, command: Extract<Command, { tag: 'proxyKnown' }>): Outcome {
   const { name, zone, region } = command;
-  const known = state.proxies[name];
-  if (known && known.zone === zone && known.region === region) return unfit('unchanged');
+  const location = state.proxies[name];
+  if (location && location.zone === zone && location.region === region) return unfit('unchanged');
   state.proxies[name] = { zone, region };
   return APPLIED;
 }
@@ -171,29 +172,32 @@
   return APPLIED;
 }
 
-/** What came of an entry that was folded already: any of the newest, or a change by an operator that is in the history. */
-export function operationOf(state: ControlState, id: string): DoneOperation | null {
+/** Returns the outcome of an entry applied before: one of the newest entries, or an operator change in the history. */
+export function operationOf(state: ControlState, id: string): CompletedOperation | null {
   for (let i = state.operations.length - 1; i >= 0; i -= 1) {
-    const operation = state.operations[i] as DoneOperation;
+    const operation = state.operations[i] as CompletedOperation;
     if (operation.id === id) return operation;
   }
-  if (!isOperatorRequest(id)) return null;
-  const change = appliedChange(state.history, id) ?? appliedZoneOrder(state.history, id);
+  if (!isOperatorRequestId(id)) return null;
+  const change = appliedChange(state.history, id) ?? findAppliedZoneOrder(state.history, id);
   return change && { id, slot: change.version, outcome: APPLIED };
 }
 
 function foldEntry(state: ControlState, slot: number, entry: Entry): Outcome {
-  const before = operationOf(state, entry.id);
-  if (before) return before.outcome;
+  const previous = operationOf(state, entry.id);
+  if (previous) return previous.outcome;
   const fence = state.leases[SCALER_DUTY]?.fence ?? -1;
   const isStale = entry.fence !== undefined && entry.fence !== fence;
   const outcome: Outcome = isStale ? { tag: 'staleFence', fence } : foldCommand(state, slot, entry, entry.act);
   state.operations.push({ id: entry.id, slot, outcome });
-  if (state.operations.length > OPERATIONS_KEPT) state.operations.splice(0, state.operations.length - OPERATIONS_KEPT);
+  if (state.operations.length > MAX_OPERATIONS) state.operations.splice(0, state.operations.length - MAX_OPERATIONS);
   return outcome;
 }
 
-/** Folds one slot of the ledger into the state, which is changed in place; the outcomes are those of its entries. */
+/**
+ * Applies one slot of the replicated log to the state, which is changed in place. Returns the outcomes of its
+ * entries.
+ */
 export function foldBatch(state: ControlState, slot: number, batch: Batch): Outcome[] {
   const outcomes: Outcome[] = [];
   state.closed = [];
--- a/src/state/consensus/entry.ts
+++ b/src/state/consensus/entry.ts
@@ -1,49 +1,64 @@
-/** Entries of the ledger. Their shapes are stored and on the wire, so fields keep their names. */
+/** Entries of the replicated log. They are stored and sent in this form, so their fields keep their names. */
 import { Type } from '@sinclair/typebox';
 import type { Static } from '@sinclair/typebox';
 
-const Str = Type.String({ minLength: 1, maxLength: 256 });
-const Slot = Type.Integer({ minimum: 0 });
+const ShortString = Type.String({ minLength: 1, maxLength: 256 });
+const NonNegativeInteger = Type.Integer({ minimum: 0 });
 
 /** A member of the group of controllers. */
-export const MemberShape = Type.Object({ name: Str, incarnation: Str, address: Str });
-/** A checked member. */
+export const MemberShape = Type.Object({ name: ShortString, incarnation: ShortString, address: ShortString });
+/** A validated member. */
 export type Member = Static<typeof MemberShape>;
 
-/** A change of the configuration: a path and its new value, none to remove it. */
+/** A change of the configuration: a path and its new value; without a value the path is removed. */
 export const ChangeShape = Type.Object({ path: Type.Array(Type.String()), value: Type.Optional(Type.Unknown()) });
-/** A checked change. */
+/** A validated change. */
 export type Change = Static<typeof ChangeShape>;
 
-/** Who asked for a change of the configuration, and under which numbers of its own. */
-const RevisionShape = Type.Object({ request: Str, base: Slot, number: Slot });
+/** The request for a change of the configuration, with the revision numbers that the operator gave it. */
+const RevisionShape = Type.Object({ request: ShortString, base: NonNegativeInteger, number: NonNegativeInteger });
 
-/** Kinds of machines. */
-export const KindShape = Type.Union([Type.Literal('spot'), Type.Literal('onDemand')]);
-/** A checked kind. */
-export type Kind = Static<typeof KindShape>;
+/** Kind of a machine: spot or on demand. */
+export const MachineKindShape = Type.Union([Type.Literal('spot'), Type.Literal('onDemand')]);
+/** A validated kind of machine. */
+export type Kind = Static<typeof MachineKindShape>;
 
-const AdoptedShape = Type.Object({ order: Str, zone: Str, machine: Str, ready: Type.Boolean() });
+const AdoptedShape = Type.Object({
+  order: ShortString,
+  zone: ShortString,
+  machine: ShortString,
+  ready: Type.Boolean(),
+});
 
 const SCALER_COMMANDS = [
   Type.Object({
     tag: Type.Literal('orderIntended'),
-    order: Str,
-    model: Str,
-    zone: Str,
-    kind: KindShape,
+    order: ShortString,
+    model: ShortString,
+    zone: ShortString,
+    kind: MachineKindShape,
     accelerator: Type.String(),
   }),
-  Type.Object({ tag: Type.Literal('orderPlaced'), order: Str, machine: Str }),
-  Type.Object({ tag: Type.Literal('orderReady'), order: Str }),
-  Type.Object({ tag: Type.Literal('orderFailed'), order: Str }),
-  Type.Object({ tag: Type.Literal('orderLost'), order: Str, preempted: Type.Boolean() }),
-  Type.Object({ tag: Type.Literal('orderDraining'), order: Str }),
-  Type.Object({ tag: Type.Literal('orderReleased'), order: Str }),
-  Type.Object({ tag: Type.Literal('orphanReleased'), machine: Str }),
-  Type.Object({ tag: Type.Literal('zonesMoved'), model: Str, active: Type.Array(Str), preemptive: Type.Array(Str) }),
-  Type.Object({ tag: Type.Literal('targetChanged'), model: Str, target: Slot }),
-  Type.Object({ tag: Type.Literal('ordersAdopted'), model: Str, kind: KindShape, adopted: Type.Array(AdoptedShape) }),
+  Type.Object({ tag: Type.Literal('orderPlaced'), order: ShortString, machine: ShortString }),
+  Type.Object({ tag: Type.Literal('orderReady'), order: ShortString }),
+  Type.Object({ tag: Type.Literal('orderFailed'), order: ShortString }),
+  Type.Object({ tag: Type.Literal('orderLost'), order: ShortString, preempted: Type.Boolean() }),
+  Type.Object({ tag: Type.Literal('orderDraining'), order: ShortString }),
+  Type.Object({ tag: Type.Literal('orderReleased'), order: ShortString }),
+  Type.Object({ tag: Type.Literal('orphanReleased'), machine: ShortString }),
+  Type.Object({
+    tag: Type.Literal('zonesMoved'),
+    model: ShortString,
+    active: Type.Array(ShortString),
+    preemptive: Type.Array(ShortString),
+  }),
+  Type.Object({ tag: Type.Literal('targetChanged'), model: ShortString, target: NonNegativeInteger }),
+  Type.Object({
+    tag: Type.Literal('ordersAdopted'),
+    model: ShortString,
+    kind: MachineKindShape,
+    adopted: Type.Array(AdoptedShape),
+  }),
 ] as const;
 
 /** One decision of the scaler, with its cause. */
@@ -51,52 +66,60 @@
   cause: Type.String({ maxLength: 1024 }),
   act: Type.Union([...SCALER_COMMANDS]),
 });
-/** A checked decision. */
+/** A validated decision of the scaler. */
 export type Step = Static<typeof StepShape>;
 
-/** What an entry does, told apart by `tag`. */
+/** The command of an entry, discriminated by `tag`. */
 export const CommandShape = Type.Union([
-  Type.Object({ tag: Type.Literal('bootstrapped'), ledger: Str, ticketKey: Str, members: Type.Array(MemberShape) }),
-  Type.Object({ tag: Type.Literal('controllerUp'), name: Str, incarnation: Str }),
-  Type.Object({ tag: Type.Literal('memberReplaced'), old: Str, member: MemberShape }),
+  Type.Object({
+    tag: Type.Literal('bootstrapped'),
+    ledger: ShortString,
+    ticketKey: ShortString,
+    members: Type.Array(MemberShape),
+  }),
+  Type.Object({ tag: Type.Literal('controllerUp'), name: ShortString, incarnation: ShortString }),
+  Type.Object({ tag: Type.Literal('memberReplaced'), old: ShortString, member: MemberShape }),
   Type.Object({ tag: Type.Literal('memberAdded'), member: MemberShape }),
-  Type.Object({ tag: Type.Literal('memberRemoved'), old: Str }),
-  Type.Object({ tag: Type.Literal('claimsReopened'), members: Type.Array(Str) }),
+  Type.Object({ tag: Type.Literal('memberRemoved'), old: ShortString }),
+  Type.Object({ tag: Type.Literal('claimsReopened'), members: Type.Array(ShortString) }),
   Type.Object({
     tag: Type.Literal('configured'),
-    base: Slot,
+    base: NonNegativeInteger,
     changes: Type.Array(ChangeShape),
     revision: Type.Optional(RevisionShape),
   }),
-  Type.Object({ tag: Type.Literal('changeRepeated'), request: Str, number: Slot }),
+  Type.Object({ tag: Type.Literal('changeRepeated'), request: ShortString, number: NonNegativeInteger }),
   Type.Object({
     tag: Type.Literal('evacuation'),
-    zone: Str,
+    zone: ShortString,
     begun: Type.Boolean(),
     base: Type.Optional(Type.Integer({ minimum: -1 })),
   }),
-  Type.Object({ tag: Type.Literal('proxyKnown'), name: Str, zone: Str, region: Str }),
-  Type.Object({ tag: Type.Literal('proxyForgotten'), name: Str }),
-  Type.Object({ tag: Type.Literal('leaseTaken'), duty: Str, holder: Str }),
+  Type.Object({ tag: Type.Literal('proxyKnown'), name: ShortString, zone: ShortString, region: ShortString }),
+  Type.Object({ tag: Type.Literal('proxyForgotten'), name: ShortString }),
+  Type.Object({ tag: Type.Literal('leaseTaken'), duty: ShortString, holder: ShortString }),
   ...SCALER_COMMANDS,
   Type.Object({ tag: Type.Literal('decided'), steps: Type.Array(StepShape, { minItems: 1 }) }),
 ]);
-/** A checked command. */
+/** A validated command. */
 export type Command = Static<typeof CommandShape>;
 
-/** An entry: who proposed it, why, and its command; with `fence` it counts only under that fencing token. */
+/**
+ * An entry: its author, its cause and its command. With `fence` it is applied only while that is the current fencing
+ * token of the scaler.
+ */
 export const EntryShape = Type.Object({
-  id: Str,
-  author: Str,
+  id: ShortString,
+  author: ShortString,
   wall: Type.Number(),
   cause: Type.String({ maxLength: 1024 }),
-  fence: Type.Optional(Slot),
+  fence: Type.Optional(NonNegativeInteger),
   act: CommandShape,
 });
-/** A checked entry. */
+/** A validated entry. */
 export type Entry = Static<typeof EntryShape>;
 
 /** The entries of one slot. */
-export const BatchShape = Type.Object({ id: Str, entries: Type.Array(EntryShape) });
-/** A checked batch. */
+export const BatchShape = Type.Object({ id: ShortString, entries: Type.Array(EntryShape) });
+/** A validated batch. */
 export type Batch = Static<typeof BatchShape>;
--- a/src/state/consensus/fold-members.ts
+++ b/src/state/consensus/fold-members.ts
@@ -1,13 +1,13 @@
 /**
- * The members of the core as the ledger has them, and the fold of the entries that change them. An entry names the member
- * as it stands now, so one that comes late changes nothing.
+ * The members of the group of controllers in the replicated state, and how entries of the log change them. An entry
+ * that replaces or removes a member names it with its incarnation, so a stale entry changes nothing.
  */
 import { sha256 } from '../../base/digest.js';
 import type { Command, Member } from './entry.js';
 import { APPLIED, unfit } from './outcome.js';
 import type { Outcome } from './outcome.js';
 
-/** The group of controllers, and who may vote on claims. */
+/** The group of controllers, and which members may vote on claims. */
 export type MembersState = {
   ledger: string;
   ticketKey: string;
@@ -15,35 +15,36 @@
   claimants: string[];
 };
 
-/** Most members of the group. */
+/** Maximum number of members of the group. */
 export const MOST_MEMBERS = 9;
-const LEAST_ODD_SHRUNK = 5;
+/** A group of odd size is reduced only from this size on. */
+const MIN_ODD_SIZE_TO_SHRINK = 5;
 
-/** The identity under which a member votes. */
+/** Returns the id under which a member votes: its name and incarnation. */
 export function memberId(member: { readonly name: string; readonly incarnation: string }): string {
   return `${member.name}#${member.incarnation}`;
 }
 
-/** A digest of the members; equal for the same members in the same order. */
+/** Returns a digest of the members that is equal for the same members in the same order. */
 export function membersDigest(members: readonly Member[]): string {
   const ids: string[] = [];
   for (const member of members) ids.push(memberId(member));
   return sha256(ids.join());
 }
 
-/** The members but this one. */
+/** Returns the members except `self`. */
 export function otherMembers(members: readonly Member[], self: Member): Member[] {
   const others: Member[] = [];
   for (const member of members) if (memberId(member) !== memberId(self)) others.push(member);
   return others;
 }
 
-/** How many members make a majority. */
+/** Returns the number of members that make a majority. */
 export function majorityOf(members: readonly Member[]): number {
   return Math.floor(members.length / 2) + 1;
 }
 
-/** Slot zero: the ledger and its first members. */
+/** Applies slot zero, which names the replicated log and its first members. */
 export function foldBootstrapped(state: MembersState, command: Extract<Command, { tag: 'bootstrapped' }>): Outcome {
   if (state.ledger !== '') return unfit('bootstrapped');
   state.ledger = command.ledger;
@@ -53,39 +54,39 @@
   return APPLIED;
 }
 
-/** One member takes the place of another, or changes its address. */
+/** Replaces a member by another, or changes its address. */
 export function foldMemberReplaced(state: MembersState, command: Extract<Command, { tag: 'memberReplaced' }>): Outcome {
-  const at = indexOfMember(state, command.old);
-  if (at < 0 || isTaken(state, command.member, at)) return unfit('member');
-  state.members = [...state.members.slice(0, at), command.member, ...state.members.slice(at + 1)];
+  const index = indexOfMember(state, command.old);
+  if (index < 0 || isTaken(state, command.member, index)) return unfit('member');
+  state.members = [...state.members.slice(0, index), command.member, ...state.members.slice(index + 1)];
   return APPLIED;
 }
 
-/** One more member. */
+/** Adds a member. */
 export function foldMemberAdded(state: MembersState, command: Extract<Command, { tag: 'memberAdded' }>): Outcome {
   if (state.members.length >= MOST_MEMBERS || isTaken(state, command.member, -1)) return unfit('member');
   state.members = [...state.members, command.member];
   return APPLIED;
 }
 
-/** One member fewer; never of a small odd group. */
+/** Removes a member, except from an odd group with fewer than MIN_ODD_SIZE_TO_SHRINK members. */
 export function foldMemberRemoved(state: MembersState, command: Extract<Command, { tag: 'memberRemoved' }>): Outcome {
-  const at = indexOfMember(state, command.old);
+  const index = indexOfMember(state, command.old);
   const isOdd = state.members.length % 2 !== 0;
-  if (at < 0 || (isOdd && state.members.length < LEAST_ODD_SHRUNK)) return unfit('member');
-  state.members = [...state.members.slice(0, at), ...state.members.slice(at + 1)];
+  if (index < 0 || (isOdd && state.members.length < MIN_ODD_SIZE_TO_SHRINK)) return unfit('member');
+  state.members = [...state.members.slice(0, index), ...state.members.slice(index + 1)];
   return APPLIED;
 }
 
 function indexOfMember(state: MembersState, id: string): number {
-  for (const [at, member] of state.members.entries()) if (memberId(member) === id) return at;
+  for (const [index, member] of state.members.entries()) if (memberId(member) === id) return index;
   return -1;
 }
 
-/** Whether another member than the one at `besides` has this one's name or address. */
-function isTaken(state: MembersState, member: Member, besides: number): boolean {
-  for (const [at, other] of state.members.entries()) {
-    if (at !== besides && (other.name === member.name || other.address === member.address)) return true;
+/** Whether a member other than the one at `exceptIndex` has the name or address of `member`. */
+function isTaken(state: MembersState, member: Member, exceptIndex: number): boolean {
+  for (const [index, other] of state.members.entries()) {
+    if (index !== exceptIndex && (other.name === member.name || other.address === member.address)) return true;
   }
   return false;
 }
--- a/src/state/consensus/fold-operators.ts
+++ b/src/state/consensus/fold-operators.ts
@@ -1,26 +1,30 @@
 /**
- * What operators change, and the fold of their entries: the configuration, which zones are evacuated, and the history by
- * which a change that is sent again is known. A change names the version that it was made on and applies on that alone.
+ * The part of the replicated state that operators change, and how their entries change it: the configuration, the
+ * evacuated zones, and the history by which a retried change is recognized. A change is applied only on the version
+ * it is based on.
  */
 import type { Command, Change } from './entry.js';
-import { recordChange, recordRepeated, recordZoneOrder, zoneVersion } from './operator-history.js';
+import { recordChange, recordRepeatedChange, recordZoneOrder, zoneVersion } from './operator-history.js';
 import type { OperatorHistory } from './operator-history.js';
 import { APPLIED, unfit } from './outcome.js';
 import type { Outcome } from './outcome.js';
 import { changesBack, withChanges } from '../configuration/settings-tree.js';
 import type { Configuration } from '../configuration/settings-tree.js';
 
-/** What operators changed. */
+/** The part of the replicated state that operators change. */
 export type OperatorsState = {
-  /** The slot that changed the configuration last. */
+  /** The slot of the last change of the configuration. */
   version: number;
   configuration: Configuration;
-  /** Zones under evacuation, each with the slot that began it. */
+  /** Zones under evacuation, each with the slot that started it. */
   evacuated: Record<string, number>;
   history: OperatorHistory;
 };
 
-/** `id` is the entry's, which names the request of a change that has no numbers of its own. */
+/**
+ * Applies a change of the configuration. `id` is that of the entry; it identifies the request of an unnumbered
+ * change.
+ */
 export function foldConfigured(
   state: OperatorsState,
   slot: number,
@@ -28,37 +32,38 @@
   command: Extract<Command, { tag: 'configured' }>,
 ): Outcome {
   if (command.base !== state.version) return { tag: 'staleVersion', winner: state.version };
-  const before = state.configuration;
-  state.configuration = withChanges(before, command.changes) as Configuration;
+  const previous = state.configuration;
+  state.configuration = withChanges(previous, command.changes) as Configuration;
   state.version = slot;
   const { revision } = command;
   if (revision) {
     const { request, base, number } = revision;
-    const undo = changesBack(before, command.changes);
+    const undo = changesBack(previous, command.changes);
     recordChange(state.history, { request, version: slot, revision: { base, number } }, undo);
   } else {
-    const undo = command.changes.some(touchesServing) ? null : state.history.undo;
+    const undo = command.changes.some(affectsServing) ? null : state.history.undo;
     recordChange(state.history, { request: id, version: slot }, undo);
   }
   return APPLIED;
 }
 
-function touchesServing(change: Change): boolean {
+function affectsServing(change: Change): boolean {
   return change.path.length === 0 || change.path[0] === 'serving';
 }
 
-/** Another request for the change that is in force. */
+/** Records another request for the change that is in force. */
 export function foldChangeRepeated(
   state: OperatorsState,
   command: Extract<Command, { tag: 'changeRepeated' }>,
 ): Outcome {
-  const isRecorded = recordRepeated(state.history, command.request, command.number);
+  const isRecorded = recordRepeatedChange(state.history, command.request, command.number);
   return isRecorded ? APPLIED : { tag: 'staleVersion', winner: state.version };
 }
 
 /**
- * An order that names the zone's version is applied only on that version, and moves it also where the zone stays as it
- * is: what was acknowledged fences off all orders that were sent before it.
+ * Applies an order to evacuate or restore a zone. An order that is based on a version of the zone is applied only on
+ * that version, and advances it even if the zone stays as it is. So an acknowledged order fences off all orders sent
+ * before it.
  */
 export function foldEvacuation(
   state: OperatorsState,
--- a/src/state/consensus/fold-orders.ts
+++ b/src/state/consensus/fold-orders.ts
@@ -1,27 +1,33 @@
-/** The orders of machines, and the fold of the entries that move them on their way. */
+/** Machine orders in the replicated state, and how entries of the log change them. */
 import type { Command, Entry } from './entry.js';
 import { isOpen, mayBecome } from '../scaling/order.js';
 import type { Order, OrderEvent, OrderStatus } from '../scaling/order.js';
 import { APPLIED, unfit } from './outcome.js';
 import type { Outcome } from './outcome.js';
 
-/** The orders of machines. */
+/** Machine orders in the replicated state. */
 export type OrdersState = {
   orders: Record<string, Order>;
-  /** Orders that the newest slot closed. Controllers keep them (`closed-orders.ts`); the state names them only until the next slot. */
+  /** Orders closed by the newest slot, listed until the next slot only. Controllers keep them in `closed-orders.ts`. */
   closed: Order[];
-  /** Machines of the orders closed last, oldest first: a proxy places nothing on them though they are still listed. */
+  /**
+   * Machines of recently closed orders, oldest first. Proxies select no worker on them, even if they are still
+   * listed.
+   */
   departed: string[];
 };
 
-/** Far more machines than go while the platform's list, read each second or so, still names one. */
-const DEPARTED_KEPT = 256;
+/**
+ * Far more machines than can depart while the platform still lists one of them; the list of the platform is read
+ * about every second.
+ */
+const MAX_DEPARTED_MACHINES = 256;
 
-function eventOf(slot: number, entry: Entry, status: OrderStatus): OrderEvent {
+function createEvent(slot: number, entry: Entry, status: OrderStatus): OrderEvent {
   return { slot, status, author: entry.author, fence: entry.fence ?? 0, cause: entry.cause, wall: entry.wall };
 }
 
-/** An order was decided. */
+/** Applies the decision to order a machine. */
 export function foldOrderIntended(
   state: OrdersState,
   slot: number,
@@ -30,12 +36,12 @@
 ): Outcome {
   if (state.orders[command.order]) return unfit('order');
   const { order: id, model, zone, kind, accelerator } = command;
-  const events = [eventOf(slot, entry, 'intended')];
+  const events = [createEvent(slot, entry, 'intended')];
   state.orders[id] = { id, model, zone, kind, accelerator, status: 'intended', machine: null, events };
   return APPLIED;
 }
 
-/** Machines that no order of ours asked for are taken as orders. */
+/** Adopts machines that exist without an order: creates an order for each. */
 export function foldOrdersAdopted(
   state: OrdersState,
   slot: number,
@@ -45,29 +51,29 @@
   const { model, kind } = command;
   for (const { order: id, zone, machine, ready } of command.adopted) {
     if (state.orders[id]) continue;
-    const events = [eventOf(slot, entry, 'placed')];
-    if (ready) events.push(eventOf(slot, entry, 'ready'));
+    const events = [createEvent(slot, entry, 'placed')];
+    if (ready) events.push(createEvent(slot, entry, 'ready'));
     const status = ready ? 'ready' : 'placed';
     state.orders[id] = { id, model, zone, kind, accelerator: 'any', status, machine, events };
   }
   return APPLIED;
 }
 
-/** Moves an order to its next status; one that can't become that from where it is stays as it is. */
-export function moveOrder(
+/** Changes the status of an order; an order that does not exist or does not allow this transition stays as it is. */
+export function changeOrderStatus(
   state: OrdersState,
   slot: number,
   entry: Entry,
   id: string,
-  to: OrderStatus,
+  nextStatus: OrderStatus,
   machine: string | null = null,
 ): Outcome {
   const order = state.orders[id];
-  if (!order || !mayBecome(order.status, to)) return unfit('order');
-  const events = [...order.events, eventOf(slot, entry, to)];
-  const moved: Order = { ...order, status: to, machine: machine ?? order.machine, events };
-  if (isOpen(to)) state.orders[id] = moved;
-  else closeOrder(state, moved);
+  if (!order || !mayBecome(order.status, nextStatus)) return unfit('order');
+  const events = [...order.events, createEvent(slot, entry, nextStatus)];
+  const updated: Order = { ...order, status: nextStatus, machine: machine ?? order.machine, events };
+  if (isOpen(nextStatus)) state.orders[id] = updated;
+  else closeOrder(state, updated);
   return APPLIED;
 }
 
@@ -75,5 +81,6 @@
   delete state.orders[order.id];
   state.closed.push(order);
   if (order.machine !== null) state.departed.push(order.machine);
-  if (state.departed.length > DEPARTED_KEPT) state.departed.splice(0, state.departed.length - DEPARTED_KEPT);
+  if (state.departed.length > MAX_DEPARTED_MACHINES)
+    state.departed.splice(0, state.departed.length - MAX_DEPARTED_MACHINES);
 }
--- a/src/state/consensus/operator-history.test.ts
+++ b/src/state/consensus/operator-history.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, test } from '@jest/globals';
 import {
   appliedChange,
-  appliedZoneOrder,
+  findAppliedZoneOrder,
   emptyOperatorHistory,
   isOperatorHistory,
   MAX_APPLIED_CHANGES,
@@ -16,28 +16,28 @@
 } from './operator-history.js';
 import type { OperatorHistory } from './operator-history.js';
 
-function withNumbered(count: number): OperatorHistory {
+function historyOfNumberedChanges(count: number): OperatorHistory {
   const history = emptyOperatorHistory();
   for (let n = 0; n < count; n += 1)
     recordChange(history, { request: `r${n}`, version: 10 * n, revision: { base: n, number: n + 1 } }, []);
   return history;
 }
 
-describe('the history of operators’ changes', () => {
-  test('is bounded, and says from which base on it knows all', () => {
-    const history = withNumbered(MAX_APPLIED_CHANGES + 2);
+describe('the history of operator changes', () => {
+  test('is bounded, and reports from which base on it is complete', () => {
+    const history = historyOfNumberedChanges(MAX_APPLIED_CHANGES + 2);
     expect(history.changes.length).toBe(MAX_APPLIED_CHANGES);
     expect([0, 1, 2].map((n) => appliedChange(history, `r${n}`)?.revision?.number)).toEqual([undefined, undefined, 3]);
     expect([0, 1, 2].map((base) => mayBeForgotten(history, base))).toEqual([true, true, false]);
     expect([9, 10, 11].map((version) => versionMayBeForgotten(history, version))).toEqual([true, false, false]);
   });
 
-  test('that never dropped a change knows all', () => {
-    const history = withNumbered(MAX_APPLIED_CHANGES);
+  test('is complete while no change was dropped', () => {
+    const history = historyOfNumberedChanges(MAX_APPLIED_CHANGES);
     expect([mayBeForgotten(history, 0), versionMayBeForgotten(history, 0)]).toEqual([false, false]);
   });
 
-  test('takes at most some hundred bytes for each change', () => {
+  test('takes little more than a hundred bytes for each change', () => {
     const history = emptyOperatorHistory();
     for (let n = 0; n < MAX_APPLIED_CHANGES; n += 1) {
       recordChange(
@@ -53,7 +53,7 @@
     expect(JSON.stringify(history).length).toBeLessThan(130 * MAX_APPLIED_CHANGES);
   });
 
-  test('of orders on zones knows the newest of each zone, and those with an id of their own', () => {
+  test('keeps the newest order of each zone, and the zone orders with an id of their own', () => {
     const history = emptyOperatorHistory();
     expect(zoneVersion(history, 'constructor')).toBe(NO_ZONE_VERSION);
     for (let n = 0; n <= MAX_ZONE_ORDERS; n += 1)
@@ -61,11 +61,11 @@
     recordZoneOrder(history, 'z', { request: 'evacuation:z@7', version: 999 });
     expect(zoneVersion(history, 'z')).toBe(999);
     expect(history.zoneOrders.length).toBe(MAX_ZONE_ORDERS);
-    expect([0, 1].map((n) => appliedZoneOrder(history, operatorRequest(`${n}`))?.version)).toEqual([undefined, 1]);
+    expect([0, 1].map((n) => findAppliedZoneOrder(history, operatorRequest(`${n}`))?.version)).toEqual([undefined, 1]);
   });
 
-  test('told or kept is looked at before it is taken', () => {
-    const history = JSON.parse(JSON.stringify(withNumbered(3))) as object;
+  test('is validated when it was received or read from disk', () => {
+    const history = JSON.parse(JSON.stringify(historyOfNumberedChanges(3))) as object;
     expect(isOperatorHistory(history)).toBe(true);
     for (const bad of [
       null,
--- a/src/state/consensus/operator-history.ts
+++ b/src/state/consensus/operator-history.ts
@@ -1,60 +1,62 @@
 /**
- * The operators' part of the replicated state: which changes of the configuration were applied, each under the identity
- * of the request that asked for it. Only the fold writes here; the operators' servers read it to tell a request that is
- * sent again from one that is late. It is bounded by itself, so no number of other entries pushes a change out of it.
+ * The history of operator changes in the replicated state: which changes of the configuration were applied, each
+ * under the id of its request. It is written only when entries are applied; the servers for operators read it to
+ * distinguish a retry of a request from a stale request. It has a bound of its own, so that other entries never push
+ * a change out of it.
  */
 import { isTable } from '../../base/is-table.js';
 import type { Change } from './entry.js';
 
-/** The operator's own numbers of a change: the one that it builds on and the one that it brings. */
+/** The operator's own revision numbers of a change: the one that it is based on and the one that it creates. */
 export type Revision = { readonly base: number; readonly number: number };
 
-/** One change that is in the history of the configuration. */
+/** An applied change of the configuration. */
 export type AppliedChange = {
-  /** Identity of the request: two requests with the same identity are one change. */
+  /** Id of the request: two requests with the same id are one change. */
   readonly request: string;
-  /** The slot that applied it, which is the configuration's version from there on. */
+  /** The slot that applied it, which became the version of the configuration. */
   readonly version: number;
-  /** Absent for a change made on the version itself. */
+  /** Absent for a change that was based on a version of the configuration. */
   readonly revision?: Revision;
 };
 
-/** The changes that were applied, bounded; stored with the state. */
+/** The applied changes, bounded in number; stored with the state. */
 export type OperatorHistory = {
   /** Oldest first, at most MAX_APPLIED_CHANGES. */
   changes: AppliedChange[];
-  /** Versions up to this one may have been dropped from `changes`; -1 while all are there. */
+  /** Versions up to this one may have been dropped from `changes`; -1 if none were. */
   forgottenVersion: number;
-  /** The same for the operators' own numbers. */
+  /** Revision numbers up to this one may have been dropped from `changes`; -1 if none were. */
   forgottenNumber: number;
-  /** Changes that lead from the configuration back to the one that the newest numbered change was built on. */
+  /** Changes that revert the configuration to the one that the newest numbered change was based on. */
   undo: Change[] | null;
-  /** The slot of each zone's newest order to evacuate it or to hand it back, kept after the hand-back too. */
+  /** The slot of the newest order to evacuate or restore each zone; kept after the zone was restored. */
   zoneVersions: Record<string, number>;
-  /** Applied orders on zones that had an id of their own, oldest first, at most MAX_ZONE_ORDERS. */
+  /** Applied zone orders that had an id of their own, oldest first, at most MAX_ZONE_ORDERS. */
   zoneOrders: AppliedChange[];
 };
 
 /**
- * A day holds some hundreds of changes, and a request is sent again within seconds or minutes: a thousand leaves a
- * margin of several times. About 100 bytes each in JSON, so the history adds at most some 100 KB to a snapshot.
+ * There are some hundreds of changes a day, and a request is retried within seconds or minutes, so a thousand changes
+ * leave a margin of several times. At about 100 bytes of JSON each, the history adds at most some 100 KB to a
+ * snapshot.
  */
 export const MAX_APPLIED_CHANGES = 1_024;
 
-/** Zones are evacuated some times a day; an order with an id is sent again within seconds. */
+/** Zones are evacuated a few times a day, and an order with an id is retried within seconds. */
 export const MAX_ZONE_ORDERS = 256;
 
-/** The version of a zone that no order named yet. */
+/** The version of a zone that has had no order yet. */
 export const NO_ZONE_VERSION = -1;
 
 const OPERATOR_PREFIX = 'operator:';
 
-/** No changes yet. */
+/** Returns a history without changes. */
 export function emptyOperatorHistory(): OperatorHistory {
   return { changes: [], forgottenVersion: -1, forgottenNumber: -1, undo: null, zoneVersions: {}, zoneOrders: [] };
 }
 
-/** Whether a parsed value has the parts of a history. */
+/** Whether a parsed value has the fields of a history. */
 export function isOperatorHistory(value: unknown): value is OperatorHistory {
   if (!isTable(value)) return false;
   const { changes, forgottenVersion, forgottenNumber, undo, zoneVersions, zoneOrders } = value;
@@ -64,54 +66,57 @@
   );
 }
 
-/** The identity of an operator's request, from the digest of what was sent or from the id that the caller gave it. */
+/** Returns the id of an operator's request, from the digest of its content or from the id that the caller gave it. */
 export function operatorRequest(digestOrId: string): string {
   return `${OPERATOR_PREFIX}${digestOrId}`;
 }
 
-/** Whether an entry's id is an operator's. */
-export function isOperatorRequest(id: string): boolean {
+/** Whether an entry's id is that of an operator's request. */
+export function isOperatorRequestId(id: string): boolean {
   return id.startsWith(OPERATOR_PREFIX);
 }
 
-/** Adds a change that was just applied. `undo` leads back to the configuration that a numbered change was built on. */
+/** Adds an applied change. `undo` reverts the configuration to the one that the newest numbered change was based on. */
 export function recordChange(history: OperatorHistory, change: AppliedChange, undo: Change[] | null): void {
   history.changes.push(change);
   history.undo = undo;
-  while (history.changes.length > MAX_APPLIED_CHANGES) forgetOldest(history);
+  while (history.changes.length > MAX_APPLIED_CHANGES) dropOldestChange(history);
 }
 
-function forgetOldest(history: OperatorHistory): void {
+function dropOldestChange(history: OperatorHistory): void {
   const oldest = history.changes.shift();
   if (!oldest) return;
   history.forgottenVersion = Math.max(history.forgottenVersion, oldest.version);
   if (oldest.revision) history.forgottenNumber = Math.max(history.forgottenNumber, oldest.revision.number);
 }
 
-/** Adds an order on a zone that was just applied. */
+/** Adds an applied zone order. */
 export function recordZoneOrder(history: OperatorHistory, zone: string, order: AppliedChange): void {
   history.zoneVersions[zone] = order.version;
-  if (!isOperatorRequest(order.request)) return;
+  if (!isOperatorRequestId(order.request)) return;
   history.zoneOrders.push(order);
   if (history.zoneOrders.length > MAX_ZONE_ORDERS) history.zoneOrders.shift();
 }
 
-/** The slot of the newest order on a zone; an order that names it is applied only while no other one came between. */
+/**
+ * Returns the slot of the newest order on a zone. An order based on that version is applied only if no other order on
+ * the zone was applied in between.
+ */
 export function zoneVersion(history: OperatorHistory, zone: string): number {
   return Object.hasOwn(history.zoneVersions, zone) ? (history.zoneVersions[zone] as number) : NO_ZONE_VERSION;
 }
 
-/** The change of the configuration that a request brought about, if it was applied and is still known. */
+/** Returns the configuration change of a request, or null if it was not applied or is no longer in the history. */
 export function appliedChange(history: OperatorHistory, request: string): AppliedChange | null {
-  return newestOf(history.changes, request);
+  return findNewest(history.changes, request);
 }
 
-/** The same for an order on a zone. */
-export function appliedZoneOrder(history: OperatorHistory, request: string): AppliedChange | null {
-  return newestOf(history.zoneOrders, request);
+/** Returns the zone order of a request, or null if it was not applied or is no longer in the history. */
+export function findAppliedZoneOrder(history: OperatorHistory, request: string): AppliedChange | null {
+  return findNewest(history.zoneOrders, request);
 }
 
-function newestOf(changes: readonly AppliedChange[], request: string): AppliedChange | null {
+function findNewest(changes: readonly AppliedChange[], request: string): AppliedChange | null {
   for (let i = changes.length - 1; i >= 0; i -= 1) {
     const change = changes[i] as AppliedChange;
     if (change.request === request) return change;
@@ -119,14 +124,14 @@
   return null;
 }
 
-/** A numbered change, as `AppliedChange` has it. */
+/** An applied change with revision numbers. */
 export type NumberedChange = AppliedChange & { readonly revision: Revision };
 
 function isNumbered(change: AppliedChange): change is NumberedChange {
   return change.revision !== undefined;
 }
 
-/** The newest numbered change, if it is also what the configuration holds now. */
+/** Returns the newest numbered change if it is still in force, else null. */
 export function newestNumbered(history: OperatorHistory): NumberedChange | null {
   if (history.undo === null) return null;
   for (let i = history.changes.length - 1; i >= 0; i -= 1) {
@@ -136,20 +141,20 @@
   return null;
 }
 
-/** Adds another request for the newest numbered change; false if that is no longer the one with this number. */
-export function recordRepeated(history: OperatorHistory, request: string, number: number): boolean {
+/** Adds another request for the newest numbered change; false if that change has another number. */
+export function recordRepeatedChange(history: OperatorHistory, request: string, number: number): boolean {
   const newest = newestNumbered(history);
   if (newest?.revision.number !== number) return false;
   if (!appliedChange(history, request)) recordChange(history, { ...newest, request }, history.undo);
   return true;
 }
 
-/** Whether a numbered change on `base` may have been applied so long ago that it is no longer known. */
+/** Whether a numbered change on `base` may have been applied but dropped from the history since. */
 export function mayBeForgotten(history: OperatorHistory, base: number): boolean {
   return base < history.forgottenNumber;
 }
 
-/** The same for a change that was built on a version of the configuration. */
+/** Whether a change on version `base` of the configuration may have been applied but dropped from the history since. */
 export function versionMayBeForgotten(history: OperatorHistory, base: number): boolean {
   return base < history.forgottenVersion;
 }
--- a/src/state/consensus/outcome.ts
+++ b/src/state/consensus/outcome.ts
@@ -1,16 +1,16 @@
-/** Outcomes of folding an entry. */
+/** Outcomes of applying an entry of the replicated log. */
 
-/** What came of an entry when it was folded into the replicated state; the same on every node. */
+/** The outcome of applying an entry to the replicated state; the same on every node. */
 export type Outcome =
   | { readonly tag: 'applied' }
   | { readonly tag: 'staleVersion'; readonly winner: number }
   | { readonly tag: 'staleFence'; readonly fence: number }
   | { readonly tag: 'unfit'; readonly why: 'order' | 'member' | 'bootstrapped' | 'unchanged' };
 
-/** The entry did what it says. */
+/** The entry was applied. */
 export const APPLIED: Outcome = { tag: 'applied' };
 
-/** The entry did not fit the state, and changed nothing. */
+/** Returns the outcome of an entry that does not fit the current state and changed nothing. */
 export function unfit(why: Extract<Outcome, { tag: 'unfit' }>['why']): Outcome {
   return { tag: 'unfit', why };
 }
--- a/src/state/consensus/proxy-state.ts
+++ b/src/state/consensus/proxy-state.ts
@@ -3,11 +3,11 @@
 import type { Order } from '../scaling/order.js';
 
 /**
- * The part of the replicated state that a proxy uses, in the same form: a proxy folds later batches into
- * it with the same code and then believes of members, configuration, zones, proxies and machines what a
- * controller believes. Left out is what neither its requests nor the fold read: how each open order came about,
- * and the orders that the newest slot closed.
- * Outcomes of operations are kept, since an entry that is chosen twice must not be folded twice at a proxy either.
+ * Returns the part of the replicated state that a proxy uses, in the same form. A proxy applies later batches to it
+ * with the same code and so has the same members, configuration, zones, proxies and machines as a controller. It
+ * leaves out what neither request handling nor `foldBatch` reads: the events of each open order, and the orders
+ * closed by the newest slot. Outcomes of operations are kept, since an entry that is chosen twice must not be applied
+ * twice at a proxy either.
  */
 export function proxyState(state: ControlState): ControlState {
   const orders: Record<string, Order> = {};
--- a/src/state/consensus/recent-slots.ts
+++ b/src/state/consensus/recent-slots.ts
@@ -1,41 +1,39 @@
-/** The newest slots of the ledger, kept as batches. */
+/** The newest slots of the replicated log, kept in memory as batches. */
 import type { Batch } from './entry.js';
 
-/** One slot of the ledger and the batch that was chosen for it. */
+/** A slot of the replicated log and the batch that was chosen for it. */
 export type RecentSlot = { readonly slot: number; readonly batch: Batch };
 
 /**
- * The newest slots of the ledger, kept as batches so that a node which lags a little is told just what it
- * lacks. Bounded in number and in bytes; whoever lags further takes a snapshot. Slots are consecutive.
+ * The newest slots of the replicated log, kept as batches so that a node which is slightly behind can catch up with
+ * just the missing slots. Bounded in number and in bytes; a node that is further behind fetches a snapshot. Slots are
+ * consecutive.
  */
 export interface RecentSlots {
   remember(slot: number, batch: Batch, bytes: number): void;
   clear(): void;
-  /** All slots from this one on; null if the first of them is no longer kept. */
+  /** Returns all slots from this one on; null if the first of them is no longer kept. */
   since(from: number): readonly RecentSlot[] | null;
-  /** As many of these as fit the bound, but one at least. */
-  page(from: number, mostBytes: number): readonly RecentSlot[] | null;
-  /** Bytes of all slots from this one on; null if the first of them is no longer kept. */
+  /** Returns as many of these as fit `maxBytes`, but at least one; null if the first of them is no longer kept. */
+  page(from: number, maxBytes: number): readonly RecentSlot[] | null;
+  /** Returns the size of all slots from this one on; null if the first of them is no longer kept. */
   bytesSince(from: number): number | null;
 }
 
-const MOST_SLOTS = 2_048;
-const MOST_BYTES = 2 * 1_048_576;
+const MAX_SLOTS = 2_048;
+const MAX_BYTES = 2 * 1_048_576;
 
-type KeptSlot = RecentSlot & { readonly bytes: number };
+type SizedSlot = RecentSlot & { readonly bytes: number };
 
 class BoundedRecentSlots implements RecentSlots {
-  private slots: KeptSlot[] = [];
+  private slots: SizedSlot[] = [];
   private bytes = 0;
 
-  /** Down to half of the bound at a time, so that the list is not copied for each slot. */
+  /** Drops the oldest slots down to half of the bound at once, so that the list is not copied for each slot. */
   private trim(): void {
     let dropped = 0;
-    while (
-      this.slots.length - dropped > 1 &&
-      (this.slots.length - dropped > MOST_SLOTS || this.bytes > MOST_BYTES / 2)
-    ) {
-      this.bytes -= (this.slots[dropped] as KeptSlot).bytes;
+    while (this.slots.length - dropped > 1 && (this.slots.length - dropped > MAX_SLOTS || this.bytes > MAX_BYTES / 2)) {
+      this.bytes -= (this.slots[dropped] as SizedSlot).bytes;
       dropped += 1;
     }
     this.slots = this.slots.slice(dropped);
@@ -44,7 +42,7 @@
   remember(slot: number, batch: Batch, size: number): void {
     this.slots.push({ slot, batch, bytes: size });
     this.bytes += size;
-    if (this.slots.length > 2 * MOST_SLOTS || this.bytes > MOST_BYTES) this.trim();
+    if (this.slots.length > 2 * MAX_SLOTS || this.bytes > MAX_BYTES) this.trim();
   }
 
   clear(): void {
@@ -52,22 +50,22 @@
     this.bytes = 0;
   }
 
-  private slotsSince(from: number): readonly KeptSlot[] | null {
+  private slotsSince(from: number): readonly SizedSlot[] | null {
     const first = this.slots[0];
     return first && first.slot <= from ? this.slots.slice(from - first.slot) : null;
   }
 
-  page(from: number, mostBytes: number): readonly RecentSlot[] | null {
+  page(from: number, maxBytes: number): readonly RecentSlot[] | null {
     const all = this.slotsSince(from);
     if (!all) return null;
-    const out: RecentSlot[] = [];
+    const fitting: RecentSlot[] = [];
     let size = 0;
-    for (const keptSlot of all) {
-      size += keptSlot.bytes;
-      if (out.length > 0 && size > mostBytes) break;
-      out.push({ slot: keptSlot.slot, batch: keptSlot.batch });
+    for (const sizedSlot of all) {
+      size += sizedSlot.bytes;
+      if (fitting.length > 0 && size > maxBytes) break;
+      fitting.push({ slot: sizedSlot.slot, batch: sizedSlot.batch });
     }
-    return out;
+    return fitting;
   }
 
   since(from: number): readonly RecentSlot[] | null {
@@ -78,12 +76,12 @@
     const all = this.slotsSince(from);
     if (!all) return null;
     let size = 0;
-    for (const keptSlot of all) size += keptSlot.bytes;
+    for (const sizedSlot of all) size += sizedSlot.bytes;
     return size;
   }
 }
 
-/** No slots yet. */
+/** Returns an empty list. */
 export function createRecentSlots(): RecentSlots {
   return new BoundedRecentSlots();
 }
--- a/src/state/consensus/snapshot-chunks.test.ts
+++ b/src/state/consensus/snapshot-chunks.test.ts
@@ -4,7 +4,7 @@
   assembled,
   createAssembly,
   isBounded,
-  MOST_SNAPSHOT_LENGTH,
+  MAX_SNAPSHOT_LENGTH,
   nextChunk,
   CHUNK_LENGTH,
   chunkCount,
@@ -18,26 +18,26 @@
   return text.slice(0, length);
 }
 
-describe('a snapshot in parts', () => {
+describe('a snapshot in chunks', () => {
   test.each([1, CHUNK_LENGTH - 1, CHUNK_LENGTH, CHUNK_LENGTH + 1, 3 * CHUNK_LENGTH + 7])(
-    'a text of %i is put together as it was, over JSON as well',
+    'a text of length %i is assembled unchanged, also after each chunk was sent as JSON',
     (length) => {
       const snapshot = snapshotOf(5, textOf(length));
       const assembly = createAssembly(snapshot.offer);
-      let asked = 0;
+      let count = 0;
       for (let next = nextChunk(assembly); next !== null; next = nextChunk(assembly)) {
-        const part = JSON.parse(JSON.stringify(chunkOf(snapshot, next))) as string;
-        expect(addChunk(assembly, next, part)).toBe(true);
-        asked += 1;
+        const chunk = JSON.parse(JSON.stringify(chunkOf(snapshot, next))) as string;
+        expect(addChunk(assembly, next, chunk)).toBe(true);
+        count += 1;
       }
-      expect(asked).toBe(chunkCount(snapshot.offer));
+      expect(count).toBe(chunkCount(snapshot.offer));
       expect(assembled(assembly)).toEqual({ ok: true, value: snapshot.text });
-      expect(chunkOf(snapshot, asked)).toBeNull();
+      expect(chunkOf(snapshot, count)).toBeNull();
       expect(chunkOf(snapshot, -1)).toBeNull();
     },
   );
 
-  test('a part out of turn, too long or too short is not added', () => {
+  test('a chunk out of order, too long or too short is not added', () => {
     const snapshot = snapshotOf(5, textOf(2 * CHUNK_LENGTH + 9));
     const assembly = createAssembly(snapshot.offer);
     const [first, second, third] = [0, 1, 2].map((i) => chunkOf(snapshot, i) ?? '') as [string, string, string];
@@ -54,7 +54,7 @@
     expect(addChunk(assembly, 3, third)).toBe(false);
   });
 
-  test('parts of two snapshots are told by the digest', () => {
+  test('a mix of chunks of two snapshots is detected by the digest', () => {
     const one = snapshotOf(5, 'a'.repeat(2 * CHUNK_LENGTH));
     const other = snapshotOf(6, 'b'.repeat(2 * CHUNK_LENGTH));
     const mixed = createAssembly(one.offer);
@@ -63,8 +63,8 @@
     expect(assembled(mixed)).toEqual({ ok: false, error: { tag: 'digestDiffers' } });
   });
 
-  test('an offer above the bound is known before anything is fetched', () => {
-    expect(isBounded({ digest: 'd', slot: 1, length: MOST_SNAPSHOT_LENGTH })).toBe(true);
-    expect(isBounded({ digest: 'd', slot: 1, length: MOST_SNAPSHOT_LENGTH + 1 })).toBe(false);
+  test('an offer above the size limit is detected before anything is fetched', () => {
+    expect(isBounded({ digest: 'd', slot: 1, length: MAX_SNAPSHOT_LENGTH })).toBe(true);
+    expect(isBounded({ digest: 'd', slot: 1, length: MAX_SNAPSHOT_LENGTH + 1 })).toBe(false);
   });
 });
--- a/src/state/consensus/snapshot-chunks.ts
+++ b/src/state/consensus/snapshot-chunks.ts
@@ -6,77 +6,77 @@
 import type { Static } from '@sinclair/typebox';
 
 /**
- * A snapshot as text, cut into parts of bounded size and put together again. Pure: who hands parts
- * over is in `snapshot-sender.ts`, who takes them in `snapshot-receiver.ts`. The digest names the whole
- * text, so parts of two snapshots are never put together, whichever node each part came from.
+ * The offer of a snapshot. A snapshot is a text that is split into chunks of bounded size and assembled again by the
+ * functions of this module, which do no I/O: `snapshot-sender.ts` sends chunks and `snapshot-receiver.ts` receives
+ * them. The digest covers the complete text, so chunks of two snapshots are never combined, whichever node sent them.
  */
 export const SnapshotOfferShape = Type.Object({
-  /** SHA-256 of the whole text. */
+  /** SHA-256 of the complete text. */
   digest: Type.String({ minLength: 64, maxLength: 64 }),
-  /** The last slot that the state has folded. */
+  /** The last slot applied to the state. */
   slot: Type.Integer({ minimum: 0 }),
-  /** Length of the whole text in UTF-16 units. */
+  /** Length of the complete text in UTF-16 code units. */
   length: Type.Integer({ minimum: 1 }),
 });
-/** A checked offer. */
+/** A validated offer. */
 export type SnapshotOffer = Static<typeof SnapshotOfferShape>;
 
 /** A snapshot as text, and its offer. */
 export type Snapshot = { readonly offer: SnapshotOffer; readonly text: string };
 
-/** What was received so far of one offered snapshot. */
+/** The chunks received so far of an offered snapshot. */
 export type Assembly = { readonly offer: SnapshotOffer; readonly parts: string[] };
 
-/** The chunks do not make the text that was offered. */
+/** The assembled chunks do not have the digest that was offered. */
 export type AssemblyError = { readonly tag: 'digestDiffers' };
 
-/** With the escaping of JSON within JSON a part stays below 64 KB, which narrow links carry in one round trip. */
+/** With the escaping of JSON inside JSON a chunk stays below 64 KB, which narrow links carry in one round trip. */
 export const CHUNK_LENGTH = 40_000;
 
-/** Four times the largest configuration that an operator may set, beside all else. */
-export const MOST_SNAPSHOT_LENGTH = 32 * 1_048_576;
+/** Four times the largest configuration that an operator may set, to leave room for the rest of the state. */
+export const MAX_SNAPSHOT_LENGTH = 32 * 1_048_576;
 
-/** The snapshot of a slot. */
+/** Returns the snapshot of a slot with its offer. */
 export function snapshotOf(slot: number, text: string): Snapshot {
   return { offer: { digest: sha256(text), slot, length: text.length }, text };
 }
 
-/** How many chunks an offered snapshot has. */
+/** Returns the number of chunks of an offered snapshot. */
 export function chunkCount(offer: SnapshotOffer): number {
   return Math.ceil(offer.length / CHUNK_LENGTH);
 }
 
-/** The part of that index, or null where the snapshot has none. */
+/** Returns the chunk with this index, or null if the snapshot has none. */
 export function chunkOf(snapshot: Snapshot, index: number): string | null {
   if (index < 0 || index >= chunkCount(snapshot.offer)) return null;
   return snapshot.text.slice(index * CHUNK_LENGTH, (index + 1) * CHUNK_LENGTH);
 }
 
-/** Whether an offered snapshot is small enough to be fetched. */
+/** Whether an offered snapshot is small enough to be fetched: at most MAX_SNAPSHOT_LENGTH. */
 export function isBounded(offer: SnapshotOffer): boolean {
-  return offer.length <= MOST_SNAPSHOT_LENGTH;
+  return offer.length <= MAX_SNAPSHOT_LENGTH;
 }
 
-/** No chunks yet. */
+/** Starts the assembly of an offered snapshot, without chunks. */
 export function createAssembly(offer: SnapshotOffer): Assembly {
   return { offer, parts: [] };
 }
 
-/** The index of the part that is to come next, or null once all are there. */
+/** Returns the index of the next chunk to receive, or null once all were received. */
 export function nextChunk(assembly: Assembly): number | null {
   return assembly.parts.length < chunkCount(assembly.offer) ? assembly.parts.length : null;
 }
 
-/** Adds the next part. False, and nothing added, if it is another one or of another length than it must have. */
+/** Adds the next chunk. Returns false, and adds nothing, if the index or the length is not that of the next chunk. */
 export function addChunk(assembly: Assembly, index: number, chunk: string): boolean {
   if (index !== nextChunk(assembly)) return false;
-  const left = assembly.offer.length - index * CHUNK_LENGTH;
-  if (chunk.length !== Math.min(CHUNK_LENGTH, left)) return false;
+  const remaining = assembly.offer.length - index * CHUNK_LENGTH;
+  if (chunk.length !== Math.min(CHUNK_LENGTH, remaining)) return false;
   assembly.parts.push(chunk);
   return true;
 }
 
-/** The whole text, once all parts are there and their digest is the one that was offered. */
+/** Returns the complete text if the digest of the received chunks matches the offer. Call it once all were received. */
 export function assembled(assembly: Assembly): Result<string, AssemblyError> {
   const text = assembly.parts.join('');
   return sha256(text) === assembly.offer.digest ? ok(text) : err({ tag: 'digestDiffers' });
