--- a/src/coordination/controller-status.ts
+++ b/src/coordination/controller-status.ts
@@ -1,7 +1,7 @@
 /**
- * What a controller tells operators of itself and of the deployment: the body of `GET /v1/status` and the gauges
- * of `GET /metrics`. Both are told from this controller's own knowledge, at once and without asking anyone; while
- * it hears no majority, `quorate` is false and the figures of the core are unknown.
+ * The status of a controller and of the deployment for operators: the body of `GET /v1/status` and the gauges of
+ * `GET /metrics`. Both come from the local state of this controller, without a request to any other node. While the
+ * controller is not in contact with a majority, `quorate` is false and the figures of the core are unknown.
  */
 import { memberId } from '../state/consensus/control-state.js';
 import type { ControlState } from '../state/consensus/control-state.js';
@@ -14,7 +14,7 @@
 import type { ChangeDistribution } from './distribution/change-distribution.js';
 import type { Membership } from './membership/failure-detector.js';
 
-/** What the status is read from. */
+/** The components that the status is read from. */
 export type ControllerStatusDeps = {
   readonly name: string;
   readonly ledger: Ledger;
@@ -26,12 +26,12 @@
   readonly holdsScaler: () => boolean;
 };
 
-/** The status answer and the gauges of one controller. */
+/** The status response and the gauges of one controller. */
 export interface ControllerStatus {
-  /** The body of the status answer. */
+  /** Returns the body of the status response. */
   body(): unknown;
-  /** Sets the gauges to what they are now. */
-  meter(meters: Meters): void;
+  /** Sets the gauges to their current values. */
+  setGauges(meters: Meters): void;
 }
 
 type WorkerVerdicts = { fit: number; unfit: number };
@@ -43,10 +43,10 @@
     const rows: Record<string, unknown> = {};
     for (const name of Object.keys(this.deps.ledger.controlState().proxies)) {
       const report = this.deps.distribution.reports().get(name);
-      const at = this.deps.distribution.lastContactAt(name);
+      const lastContactAt = this.deps.distribution.lastContactAt(name);
       rows[name] = {
         slot: this.deps.distribution.confirmedSlot(name),
-        heardMs: at === null ? null : Math.round(this.deps.clock.mono() - at),
+        heardMs: lastContactAt === null ? null : Math.round(this.deps.clock.mono() - lastContactAt),
         shed: report?.shed ?? null,
         attempted: report?.attempted ?? null,
         retried: report?.retried ?? null,
@@ -59,9 +59,9 @@
     const rows: Record<string, WorkerVerdicts> = {};
     for (const report of this.deps.distribution.reports().values()) {
       for (const [worker, verdict] of Object.entries(report.health)) {
-        const seen = rows[worker] ?? { fit: 0, unfit: 0 };
-        seen[verdict] += 1;
-        rows[worker] = seen;
+        const counts = rows[worker] ?? { fit: 0, unfit: 0 };
+        counts[verdict] += 1;
+        rows[worker] = counts;
       }
     }
     return rows;
@@ -95,7 +95,7 @@
     };
   }
 
-  meter(meters: Meters): void {
+  setGauges(meters: Meters): void {
     const state = this.deps.ledger.controlState();
     meters.set('millfield_slot', 'Newest ledger slot', state.slot);
     meters.set('millfield_version', 'Configuration in force', state.version);
@@ -110,17 +110,17 @@
       this.deps.distribution.unconfirmed(state.slot).length,
     );
     const health = this.deps.coreHealth.current();
-    meterCore(meters, 'ledger', health.ledger);
-    if (health.claims) meterCore(meters, 'claims', health.claims);
+    setCoreGauges(meters, 'ledger', health.ledger);
+    if (health.claims) setCoreGauges(meters, 'claims', health.claims);
     for (const [model, target] of Object.entries(state.targets))
       meters.set('millfield_target', 'Workers wanted', target, { model });
-    meterOrders(meters, state);
+    setOrderGauges(meters, state);
     for (const [model, zones] of Object.entries(state.zoneSets))
       meters.set('millfield_zones_preemptive', 'Zones avoided for spot', zones.preemptive.length, { model });
   }
 }
 
-/** A status that reads everything at the moment it is asked for. */
+/** Creates a status that reads all values at the time of the call and caches none. */
 export function createControllerStatus(deps: ControllerStatusDeps): ControllerStatus {
   return new LocalControllerStatus(deps);
 }
@@ -141,8 +141,8 @@
   return rows;
 }
 
-/** All gauges have a label, so that one without a known value is missing from the answer instead of being 0. */
-function meterCore(meters: Meters, group: string, health: CoreHealth): void {
+/** All gauges have a label, so that a gauge without a known value is left out of the response instead of being 0. */
+function setCoreGauges(meters: Meters, group: string, health: CoreHealth): void {
   const labels = { group };
   meters.set(
     'millfield_core_known',
@@ -159,7 +159,7 @@
     meters.set('millfield_core_spare_losses', 'Further losses that the core bears', health.spareLosses, labels);
 }
 
-function meterOrders(meters: Meters, state: ControlState): void {
+function setOrderGauges(meters: Meters, state: ControlState): void {
   const counts = new Map<string, number>();
   for (const order of Object.values(state.orders)) {
     const key = `${order.model} ${order.kind} ${order.status}`;
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -1,6 +1,6 @@
 /**
  * Composes a controller: identity, ledger, claims, change distribution, failure detector, leases and scaling.
- * Whatever it opens it closes in `stop`, in reverse order.
+ * `stop` closes everything that was opened, in reverse order.
  */
 import { err, ok } from '../base/result.js';
 import type { Result } from '../base/result.js';
@@ -55,13 +55,16 @@
   readonly claimsReady: () => boolean;
   readonly holdsScaler: () => boolean;
   readonly reads: readonly Route[];
-  /** For orders that are taken beside the controller's own HTTP interface. */
+  /** For operator orders that are accepted outside the controller's own HTTP interface. */
   readonly standstill: Pick<RecentStandstill, 'isRecent'>;
-  /** Leaves the group and answers what was read, also at `listeners` of others, for at most `withinMs`; then ends all. */
+  /**
+   * Leaves the group and responds to the requests that were already read, also those at the given `listeners`, for at
+   * most `withinMs`. Then stops everything.
+   */
   readonly stop: (withinMs: number, listeners?: readonly HttpListener[]) => Promise<void>;
 };
 
-/** Why a controller could not start. */
+/** The reason why a controller could not start. */
 export type ControllerError = WireError | RingError | { readonly tag: 'noDisk' } | IdentityError;
 
 /** Sizes of the two rings on a controller's disk. */
@@ -69,13 +72,13 @@
 
 const MB = 1_048_576;
 
-/** Rings of a controller with room enough: 96 MB and 164 MB. */
+/** Ring sizes of a controller whose disk is large enough: 96 MB for the ledger and 164 MB for the claims. */
 export const CONTROLLER_SHAPES: ControllerShapes = {
   ledger: { name: 'ledger', files: 6, fileBytes: 8 * MB, snapshotBytes: 48 * MB },
   claims: { name: 'claims', files: 6, fileBytes: 4 * MB, snapshotBytes: 70 * MB },
 };
 
-/** Rings that fit a disk of `diskBytes` bytes. */
+/** Returns ring sizes that fit on a disk of `diskBytes` bytes. */
 export function shapesFor(diskBytes: number): ControllerShapes {
   const unit = Math.max(MB / 4, Math.min(8 * MB, Math.floor(diskBytes / 64)));
   return {
@@ -84,97 +87,105 @@
   };
 }
 
-/** Starts a controller. The error says what could not be opened; everything opened before is closed then. */
+/** Starts a controller. The error says what could not be opened; everything opened before it has been closed. */
 export async function startController(
-  id: NodeIdentity,
+  nodeIdentity: NodeIdentity,
   deps: NodeDeps,
-  given?: ControllerShapes,
+  shapeOverride?: ControllerShapes,
 ): Promise<Result<Controller, ControllerError>> {
   const { clock, rng, logs, httpClient, disk } = deps;
   const log = logs.component('controller');
   if (!disk) return err({ tag: 'noDisk' });
-  const shapes = given ?? (id.diskBytes === undefined ? CONTROLLER_SHAPES : shapesFor(id.diskBytes));
-  const bootstraps = id.bootstrap === true && id.seeds.includes(id.advertised);
-  const identity = await openIdentity(disk, rng, bootstraps ? id.seeds : null);
-  if (!identity.ok) return identity;
-  const { incarnation } = identity.value;
+  const shapes =
+    shapeOverride ?? (nodeIdentity.diskBytes === undefined ? CONTROLLER_SHAPES : shapesFor(nodeIdentity.diskBytes));
+  const isBootstrapping = nodeIdentity.bootstrap === true && nodeIdentity.seeds.includes(nodeIdentity.advertised);
+  const openedIdentity = await openIdentity(disk, rng, isBootstrapping ? nodeIdentity.seeds : null);
+  if (!openedIdentity.ok) return openedIdentity;
+  const { incarnation } = openedIdentity.value;
   const self: { name: string; incarnation: string; address: Address } = {
-    name: id.name,
+    name: nodeIdentity.name,
     incarnation,
-    address: id.advertised,
+    address: nodeIdentity.advertised,
   };
   const peers = createPeers(deps.wire, clock, logs.component('peers'));
   const node: NodeInfo = {
-    name: id.name,
+    name: nodeIdentity.name,
     role: 'controller',
-    run: id.run,
+    run: nodeIdentity.run,
     incarnation: await nextIncarnation(disk, log),
-    address: id.advertised,
-    http: id.http,
-    zone: id.zone,
-    region: id.region,
+    address: nodeIdentity.advertised,
+    http: nodeIdentity.http,
+    zone: nodeIdentity.zone,
+    region: nodeIdentity.region,
     status: 'alive',
   };
 
-  let kept = identity.value;
-  async function keep(next: Identity): Promise<boolean> {
+  let storedIdentity = openedIdentity.value;
+  async function storeIdentity(next: Identity): Promise<boolean> {
     const saved = await saveIdentity(disk as Disk, next);
-    if (saved.ok) kept = next;
+    if (saved.ok) storedIdentity = next;
     return saved.ok;
   }
-  async function renew(): Promise<boolean> {
-    const renewed = await keep({ incarnation: newId(rng, 'i'), bootstrapMembers: null, wasMember: false });
-    self.incarnation = kept.incarnation;
+  async function renewIncarnation(): Promise<boolean> {
+    const renewed = await storeIdentity({ incarnation: newId(rng, 'i'), bootstrapMembers: null, wasMember: false });
+    self.incarnation = storedIdentity.incarnation;
     return renewed;
   }
   function recordMember(): Promise<boolean> {
-    return keep({ ...kept, wasMember: true });
+    return storeIdentity({ ...storedIdentity, wasMember: true });
   }
-  let nodes: Membership | null = null;
+  let startedMembership: Membership | null = null;
   function knownControllers(): Set<Address> {
-    const out = new Set<Address>(id.seeds);
-    for (const node of nodes?.all() ?? []) if (node.role === 'controller' && isUp(node)) out.add(node.address);
-    return out;
+    const addresses = new Set<Address>(nodeIdentity.seeds);
+    for (const node of startedMembership?.all() ?? [])
+      if (node.role === 'controller' && isUp(node)) addresses.add(node.address);
+    return addresses;
   }
   function ownId(): string {
     return memberId(self);
   }
-  const ownDisk = disk;
+  const presentDisk = disk;
   function openLedger(): Promise<Result<Ledger, RingError>> {
     return createLedger({
       clock,
       rng,
       peers,
-      disk: ownDisk,
+      disk: presentDisk,
       log: logs.component('ledger'),
       shape: shapes.ledger,
       self,
-      seeds: id.seeds,
+      seeds: nodeIdentity.seeds,
       contacts: knownControllers,
-      bootstrapMembers: kept.bootstrapMembers,
-      renew,
-      wasMember: kept.wasMember,
+      bootstrapMembers: storedIdentity.bootstrapMembers,
+      renew: renewIncarnation,
+      wasMember: storedIdentity.wasMember,
       recordMember,
-      keepsClaims: id.claims !== false,
+      keepsClaims: nodeIdentity.claims !== false,
     });
   }
-  const made = await openRenewed(openLedger, { disk, shape: shapes.ledger, log, renew, self: ownId });
-  if (!made.ok) return made;
-  const ledger = made.value;
+  const openedLedger = await openRenewed(openLedger, {
+    disk,
+    shape: shapes.ledger,
+    log,
+    renew: renewIncarnation,
+    self: ownId,
+  });
+  if (!openedLedger.ok) return openedLedger;
+  const ledger = openedLedger.value;
   function openClaims(): Promise<Result<Claims, RingError>> {
-    return createClaims(ledger, peers, ownDisk, shapes.claims, clock, logs.component('claims'));
+    return createClaims(ledger, peers, presentDisk, shapes.claims, clock, logs.component('claims'));
   }
   const claims =
-    id.claims === false
+    nodeIdentity.claims === false
       ? ok(noClaims())
-      : await openRenewed(openClaims, { disk, shape: shapes.claims, log, renew, self: ownId });
+      : await openRenewed(openClaims, { disk, shape: shapes.claims, log, renew: renewIncarnation, self: ownId });
   if (!claims.ok) {
     ledger.stop();
     return claims;
   }
   const coreHealth = createCoreHealthWatch({
     ledger,
-    claims: id.claims === false ? null : claims.value,
+    claims: nodeIdentity.claims === false ? null : claims.value,
     peers,
     clock,
     log: logs.component('core'),
@@ -185,56 +196,56 @@
   const latencyTargets = createLatencyTargetTracker(ledger, peers, clock);
   const standstill = watchStandstills(clock, CALLER_PATIENCE_MS);
   const lease =
-    id.cloud === null && !deps.listReader
+    nodeIdentity.cloud === null && !deps.listReader
       ? null
       : createLease(SCALER_DUTY, ledger, peers, clock, rng, logs.component('lease'));
-  const opened = await peers.open(id.listen);
-  if (!opened.ok) return opened;
-  function contacts(): Set<Address> {
-    const out = new Set<Address>(id.seeds);
-    for (const member of ledger.controlState().members) out.add(member.address);
-    return out;
+  const openedPeers = await peers.open(nodeIdentity.listen);
+  if (!openedPeers.ok) return openedPeers;
+  function peerAddresses(): Set<Address> {
+    const addresses = new Set<Address>(nodeIdentity.seeds);
+    for (const member of ledger.controlState().members) addresses.add(member.address);
+    return addresses;
   }
-  const membership = createMembership(node, contacts, peers, clock, rng, logs.component('members'));
-  nodes = membership;
+  const membership = createMembership(node, peerAddresses, peers, clock, rng, logs.component('members'));
+  startedMembership = membership;
   followRelocatedControllers(membership, () => ledger.controlState(), peers);
-  function controllers(): Set<Address> {
-    const out = new Set<Address>(ledger.controlState().members.length > 0 ? [] : id.seeds);
-    for (const member of ledger.controlState().members) out.add(member.address);
-    return out;
+  function controllerAddresses(): Set<Address> {
+    const addresses = new Set<Address>(ledger.controlState().members.length > 0 ? [] : nodeIdentity.seeds);
+    for (const member of ledger.controlState().members) addresses.add(member.address);
+    return addresses;
   }
-  const list = deps.listReader
+  const workerListRole = deps.listReader
     ? createWorkerListRole({
-        self: id.advertised,
+        self: nodeIdentity.advertised,
         reader: deps.listReader,
-        controllers,
+        controllers: controllerAddresses,
         peers,
         clock,
         rng,
         log: logs.component('list'),
       })
     : null;
-  const scaler = lease && id.cloud !== null ? startScaler(lease, id.cloud) : null;
+  const scaler = lease && nodeIdentity.cloud !== null ? startScaler(lease, nodeIdentity.cloud) : null;
   const observer =
-    lease && list && id.cloud === null
+    lease && workerListRole && nodeIdentity.cloud === null
       ? createObserver({
           ledger,
           lease,
           distribution,
-          feed: list.feed,
-          zones: id.zones ?? [],
+          feed: workerListRole.feed,
+          zones: nodeIdentity.zones ?? [],
           clock,
           rng,
           log: logs.component('scaler'),
         })
       : null;
-  function startScaler(held: Lease, cloud: Address): Scaler {
+  function startScaler(scalerLease: Lease, cloud: Address): Scaler {
     return createScaler({
       ledger,
-      lease: held,
+      lease: scalerLease,
       distribution,
       cloud: createCloudClient(httpClient, cloud),
-      platform: createPlatformClient(httpClient, id.platform),
+      platform: createPlatformClient(httpClient, nodeIdentity.platform),
       httpClient,
       clock,
       rng,
@@ -247,7 +258,7 @@
   }
 
   const status = createControllerStatus({
-    name: id.name,
+    name: nodeIdentity.name,
     ledger,
     claims: claims.value,
     distribution,
@@ -264,28 +275,28 @@
     standstill,
     status: () => status.body(),
   });
-  function openHttpServer(): Promise<Result<HttpListener, WireError>> {
-    return deps.httpServer.open(id.httpListen, [
+  function openOperatorServer(): Promise<Result<HttpListener, WireError>> {
+    return deps.httpServer.open(nodeIdentity.httpListen, [
       ...routes,
-      metricsRoute(deps.meters(), (meters) => status.meter(meters)),
+      metricsRoute(deps.meters(), (meters) => status.setGauges(meters)),
     ]);
   }
-  const httpServer = id.operatorHttpServer === false ? null : await openHttpServer();
-  if (httpServer && !httpServer.ok) {
+  const operatorServer = nodeIdentity.operatorHttpServer === false ? null : await openOperatorServer();
+  if (operatorServer && !operatorServer.ok) {
     await stopAll();
-    return httpServer;
+    return operatorServer;
   }
-  const served = httpServer?.value ?? null;
+  const operatorListener = operatorServer?.value ?? null;
   log.info('controller started', {
     member: memberId(self),
-    http: served?.address ?? 'none',
-    peers: opened.value.address,
+    http: operatorListener?.address ?? 'none',
+    peers: openedPeers.value.address,
   });
 
   async function stopAll(): Promise<void> {
     scaler?.stop();
     observer?.stop();
-    list?.stop();
+    workerListRole?.stop();
     lease?.stop();
     membership.leave();
     membership.stop();
@@ -299,27 +310,32 @@
     ledger.stop();
     await peers.close();
   }
-  /** Orders that are still answered need no membership, so nothing that holds a connection holds up the leave. */
+  /**
+   * Leaves the group and closes the listeners at the same time. Responding to orders needs no membership, so the leave
+   * doesn't wait for open connections.
+   */
   async function stop(withinMs: number, listeners: readonly HttpListener[] = []): Promise<void> {
     const limits = stopLimits(withinMs);
-    const closing = [...(served ? [served] : []), ...listeners].map((listener) => listener.close(limits));
+    const closing = [...(operatorListener ? [operatorListener] : []), ...listeners].map((listener) =>
+      listener.close(limits),
+    );
     await Promise.all([ledger.leave(withinMs), ...closing]);
     await stopAll();
     log.info('controller stopped');
   }
   return ok({
-    wire: opened.value.address,
-    http: served?.address ?? id.http,
+    wire: openedPeers.value.address,
+    http: operatorListener?.address ?? nodeIdentity.http,
     distribution,
     ledger,
     claimsReady: () => claims.value.ready(),
     holdsScaler,
-    reads: routes.filter(isRead),
+    reads: routes.filter(isReadRoute),
     standstill,
     stop,
   });
 }
 
-function isRead(route: Route): boolean {
+function isReadRoute(route: Route): boolean {
   return route.method === 'GET';
 }
--- a/src/coordination/cut-off-news.test.ts
+++ b/src/coordination/cut-off-news.test.ts
@@ -1,4 +1,4 @@
-/** What a controller that is cut off hands out: proxies' news, directory and list of workers, and until when. */
+/** What a partitioned controller serves, and until when: proxy updates, the proxy directory and the worker list. */
 import { describe, expect, test } from '@jest/globals';
 import { err, ok } from '../base/result.js';
 import type { Result } from '../base/result.js';
@@ -15,23 +15,23 @@
 import type { WorkerListError, WorkerListReader } from './discovery/worker-list-feed.js';
 import { createPeers } from './messaging/peers.js';
 
-const VICTIM = 'controller-1';
+const CONTROLLER_UNDER_TEST = 'controller-1';
 
-function cutFromOthers(fleet: SimFleet): void {
+function partitionFromOthers(fleet: SimFleet): void {
   for (const other of ['controller-2', 'controller-3']) {
-    fleet.world.cut(VICTIM, other);
-    fleet.world.cut(other, VICTIM);
+    fleet.world.cut(CONTROLLER_UNDER_TEST, other);
+    fleet.world.cut(other, CONTROLLER_UNDER_TEST);
   }
 }
-async function ready(seed: number): Promise<SimFleet> {
+async function startFleet(seed: number): Promise<SimFleet> {
   const fleet = createSimFleet(seed);
   expect(await fleet.start()).toBe(true);
   await fleet.run(4_000);
   return fleet;
 }
 
-describe('the proxies beside a controller that is cut off', () => {
-  function proxy(
+describe('proxies on the side of a partitioned controller', () => {
+  function proxyView(
     f: SimFleet,
   ): { readonly serving: boolean; readonly partitioned: boolean; readonly version: number } | undefined {
     return f.proxies[0]?.proxy?.view();
@@ -39,36 +39,36 @@
   const PROXY = 'proxy-hu-1-1';
 
   test.each([1, 2, 3])(
-    'one that reaches it alone is partitioned within 2.5 s, and never ready if it starts anew (seed %i)',
+    'a proxy that reaches only this controller is partitioned within 2.5 s, and never ready after a restart (seed %i)',
     async (seed) => {
-      const fleet = await ready(530 + seed);
-      fleet.cutOff([VICTIM, PROXY]);
+      const fleet = await startFleet(530 + seed);
+      fleet.cutOff([CONTROLLER_UNDER_TEST, PROXY]);
       await fleet.run(2_600);
       for (let n = 0; n < 40; n += 1) {
-        expect(proxy(fleet)?.partitioned).toBe(true);
+        expect(proxyView(fleet)?.partitioned).toBe(true);
         await fleet.run(100);
       }
       fleet.kill(PROXY);
       void fleet.startNode(PROXY);
       for (let n = 0; n < 60; n += 1) {
         await fleet.run(100);
-        expect(proxy(fleet)?.serving ?? false).toBe(false);
+        expect(proxyView(fleet)?.serving ?? false).toBe(false);
       }
       fleet.world.healAll();
-      expect(await fleet.until(6_000, () => proxy(fleet)?.serving === true)).toBe(true);
+      expect(await fleet.until(6_000, () => proxyView(fleet)?.serving === true)).toBe(true);
     },
   );
 });
 
-describe('the directory of a controller that is cut off', () => {
-  const WARM_MS = 1_000;
-  const GONE = 'proxy-hu-1-1';
-  type Named = { readonly fleet: SimFleet; readonly names: () => string[] };
+describe('the directory of a partitioned controller', () => {
+  const WARM_UP_MS = 1_000;
+  const STOPPED_PROXY = 'proxy-hu-1-1';
+  type DirectoryFixture = { readonly fleet: SimFleet; readonly listedProxies: () => string[] };
 
-  function namesOf(fleet: SimFleet): () => string[] {
+  function createDirectoryLookup(fleet: SimFleet): () => string[] {
     const clock: Clock = { mono: fleet.world.now, wall: fleet.world.now, timer: fleet.world.at };
     const distribution = fleet.controllers[0]?.controller?.distribution;
-    if (!distribution) throw new Error('not up');
+    if (!distribution) throw new Error('controller-1 is not running');
     const directory = createDirectory(distribution, () => null, 'hungary', clock);
     const byAddress = new Map(fleet.proxies.map((s) => [s.http, s.name]));
     return () =>
@@ -76,72 +76,79 @@
         .addressesFor({ host: 'a', zone: 'hu-1', region: 'hungary' })
         .addresses.map((a) => byAddress.get(a) ?? a);
   }
-  async function named(seed: number): Promise<Named> {
-    const fleet = await ready(seed);
-    const names = namesOf(fleet);
-    names();
-    await fleet.run(WARM_MS);
-    expect(names()).toEqual([GONE]);
-    return { fleet, names };
+  async function startWithDirectory(seed: number): Promise<DirectoryFixture> {
+    const fleet = await startFleet(seed);
+    const listedProxies = createDirectoryLookup(fleet);
+    listedProxies();
+    await fleet.run(WARM_UP_MS);
+    expect(listedProxies()).toEqual([STOPPED_PROXY]);
+    return { fleet, listedProxies };
   }
 
-  const MANNERS: readonly [string, (fleet: SimFleet) => void][] = [
-    ['from the other controllers', (fleet) => cutFromOthers(fleet)],
-    ['from all', (fleet) => fleet.cutOff([VICTIM])],
+  const PARTITIONS: readonly [string, (fleet: SimFleet) => void][] = [
+    ['from the other controllers', (fleet) => partitionFromOthers(fleet)],
+    ['from all nodes', (fleet) => fleet.cutOff([CONTROLLER_UNDER_TEST])],
   ];
-  // No proxy follows a controller that is cut off, so it hears none in either case.
-  test.each(MANNERS.flatMap(([what, cut]) => [1, 2, 3].map((n) => [what, n, cut] as const)))(
-    '%s: it names those that were ready when it last heard, as long as it lasts (seed %i)',
-    async (_what, seed, cut) => {
-      const { fleet, names } = await named(550 + seed);
-      cut(fleet);
+  // No proxy follows a partitioned controller, so it has no contact with any proxy in either case.
+  test.each(PARTITIONS.flatMap(([what, partition]) => [1, 2, 3].map((n) => [what, n, partition] as const)))(
+    '%s: it lists the proxies that were ready at the last contact, for as long as the fault lasts (seed %i)',
+    async (_what, seed, partition) => {
+      const { fleet, listedProxies } = await startWithDirectory(550 + seed);
+      partition(fleet);
       await fleet.run(3_000);
-      fleet.kill(GONE);
+      fleet.kill(STOPPED_PROXY);
       for (let n = 0; n < 20; n += 1) {
         await fleet.run(1_000);
-        expect(names()).toEqual([GONE]);
+        expect(listedProxies()).toEqual([STOPPED_PROXY]);
       }
       fleet.world.healAll();
-      expect(await fleet.until(2_600, () => names().length > 0 && !names().includes(GONE))).toBe(true);
+      expect(
+        await fleet.until(2_600, () => listedProxies().length > 0 && !listedProxies().includes(STOPPED_PROXY)),
+      ).toBe(true);
     },
   );
 
-  test.each([1, 2, 3])('from all, and restarted meanwhile: it names none until it hears (seed %i)', async (seed) => {
-    const { fleet } = await named(560 + seed);
-    fleet.cutOff([VICTIM]);
-    fleet.kill(VICTIM);
-    void fleet.startNode(VICTIM);
-    expect(await fleet.until(3_000, () => fleet.controllers[0]?.controller !== null)).toBe(true);
-    const names = namesOf(fleet);
-    for (let n = 0; n < 20; n += 1) {
-      await fleet.run(500);
-      expect(names()).toEqual([]);
-    }
-    fleet.world.healAll();
-    expect(await fleet.until(4_000, () => names().includes(GONE))).toBe(true);
-  });
+  test.each([1, 2, 3])(
+    'from all nodes, and restarted meanwhile: it lists no proxy until it is in contact (seed %i)',
+    async (seed) => {
+      const { fleet } = await startWithDirectory(560 + seed);
+      fleet.cutOff([CONTROLLER_UNDER_TEST]);
+      fleet.kill(CONTROLLER_UNDER_TEST);
+      void fleet.startNode(CONTROLLER_UNDER_TEST);
+      expect(await fleet.until(3_000, () => fleet.controllers[0]?.controller !== null)).toBe(true);
+      const listedProxies = createDirectoryLookup(fleet);
+      for (let n = 0; n < 20; n += 1) {
+        await fleet.run(500);
+        expect(listedProxies()).toEqual([]);
+      }
+      fleet.world.healAll();
+      expect(await fleet.until(4_000, () => listedProxies().includes(STOPPED_PROXY))).toBe(true);
+    },
+  );
 
   test.each([1, 2, 3])(
-    'frozen for 20 s: one that went meanwhile is named for 2.6 s at most (seed %i)',
+    'frozen for 20 s: a proxy that stopped meanwhile is listed for at most 2.6 s after the thaw (seed %i)',
     async (seed) => {
-      const { fleet, names } = await named(570 + seed);
-      fleet.world.freeze(fleet.hostOf(VICTIM));
+      const { fleet, listedProxies } = await startWithDirectory(570 + seed);
+      fleet.world.freeze(fleet.hostOf(CONTROLLER_UNDER_TEST));
       await fleet.run(10_000);
-      fleet.kill(GONE);
+      fleet.kill(STOPPED_PROXY);
       await fleet.run(10_000);
-      fleet.world.thaw(fleet.hostOf(VICTIM));
-      const from = fleet.world.now();
-      expect(await fleet.until(3_000, () => names().length > 0 && !names().includes(GONE))).toBe(true);
-      expect(fleet.world.now() - from).toBeLessThan(2_600);
+      fleet.world.thaw(fleet.hostOf(CONTROLLER_UNDER_TEST));
+      const thawedAt = fleet.world.now();
+      expect(
+        await fleet.until(3_000, () => listedProxies().length > 0 && !listedProxies().includes(STOPPED_PROXY)),
+      ).toBe(true);
+      expect(fleet.world.now() - thawedAt).toBeLessThan(2_600);
     },
   );
 });
 
-describe('the list of workers that a controller hands out while it is cut off', () => {
-  type Listing = {
+describe('the worker list that a controller serves while it is partitioned', () => {
+  type WorkerListFixture = {
     readonly core: SimCore;
-    readonly ask: () => Promise<{ readonly ids: readonly string[]; readonly ageMs: number } | null>;
-    readonly change: () => void;
+    readonly fetchList: () => Promise<{ readonly ids: readonly string[]; readonly ageMs: number } | null>;
+    readonly changeList: () => void;
     readonly unreachable: Set<string>;
   };
 
@@ -159,7 +166,7 @@
       coldMs: 0,
     };
   }
-  async function listing(seed: number): Promise<Listing> {
+  async function startCore(seed: number): Promise<WorkerListFixture> {
     let ids = ['before'];
     const unreachable = new Set<string>();
     function listReader(clock: Clock, host: Host): WorkerListReader {
@@ -176,7 +183,7 @@
     await core.world.advance(6_000);
     const lab = core.lab('proxy');
     const peers = createPeers(lab.wire, lab.clock, createQuietLog().component('peers'));
-    async function ask(): Promise<{ readonly ids: readonly string[]; readonly ageMs: number } | null> {
+    async function fetchList(): Promise<{ readonly ids: readonly string[]; readonly ageMs: number } | null> {
       const response = await core.finish(
         peers.call(core.node('h1').wire, { kind: 'listFollow', number: null }, 400),
         1_000,
@@ -184,68 +191,71 @@
       if (!response?.ok || response.value.kind !== 'listWhole') return null;
       return { ids: response.value.entries.map((e) => e.id), ageMs: response.value.ageMs };
     }
-    return { core, ask, change: () => (ids = ['after']), unreachable };
+    return { core, fetchList, changeList: () => (ids = ['after']), unreachable };
   }
-  const MANNERS: Readonly<
+  const FAULTS: Readonly<
     Record<string, { readonly begin: (core: SimCore) => void; readonly end: (core: SimCore) => void }>
   > = {
-    'cut off both ways': { begin: (c) => c.cutOff(['h1']), end: (c) => c.world.healAll() },
-    'not heard by the others': {
+    'partitioned both ways': { begin: (c) => c.cutOff(['h1']), end: (c) => c.world.healAll() },
+    'unable to send to the others': {
       begin: (c) => ['h2', 'h3'].forEach((n) => c.world.cut('h1', n)),
       end: (c) => c.world.healAll(),
     },
-    'not hearing the others': {
+    'unable to receive from the others': {
       begin: (c) => ['h2', 'h3'].forEach((n) => c.world.cut(n, 'h1')),
       end: (c) => c.world.healAll(),
     },
     frozen: { begin: (c) => c.world.freeze(c.node('h1').host), end: (c) => c.world.thaw(c.node('h1').host) },
   };
 
-  test.each(Object.keys(MANNERS).flatMap((what) => [1, 2, 3].map((n) => [what, n] as const)))(
-    '%s, and cut off from the platform: it tells the list’s true age, and is up to date 3 s after the end (seed %i)',
+  test.each(Object.keys(FAULTS).flatMap((what) => [1, 2, 3].map((n) => [what, n] as const)))(
+    '%s, and partitioned from the platform: it reports the true age of the list, and is up to date 3 s after the end (seed %i)',
     async (what, seed) => {
-      const { core, ask, change, unreachable } = await listing(600 + seed);
-      const { begin, end } = MANNERS[what] as (typeof MANNERS)[string];
+      const { core, fetchList, changeList, unreachable } = await startCore(600 + seed);
+      const { begin, end } = FAULTS[what] as (typeof FAULTS)[string];
       unreachable.add('h1');
       begin(core);
       await core.world.advance(1_000);
-      change();
+      changeList();
       const changedAt = core.world.now();
-      const young: unknown[] = [];
-      let old = 0;
-      async function look(): Promise<void> {
-        const told = await ask();
-        if (told?.ids.includes('before')) old += 1;
-        if (told?.ids.includes('before') && told.ageMs < core.world.now() - changedAt - 1_000)
-          young.push([Math.round(core.world.now() - changedAt), told]);
+      const understatedAges: unknown[] = [];
+      let outdatedCount = 0;
+      async function checkList(): Promise<void> {
+        const list = await fetchList();
+        if (list?.ids.includes('before')) outdatedCount += 1;
+        if (list?.ids.includes('before') && list.ageMs < core.world.now() - changedAt - 1_000)
+          understatedAges.push([Math.round(core.world.now() - changedAt), list]);
       }
       for (let n = 0; n < 40; n += 1) {
-        await look();
+        await checkList();
         await core.world.advance(500);
       }
       end(core);
       const endedAt = core.world.now();
       for (let n = 0; n < 40; n += 1) {
-        await look();
+        await checkList();
         await core.world.advance(50);
       }
-      expect(young).toEqual([]);
-      if (what === 'cut off both ways') expect(old).toBeGreaterThan(30);
+      expect(understatedAges).toEqual([]);
+      if (what === 'partitioned both ways') expect(outdatedCount).toBeGreaterThan(30);
       await core.world.advance(Math.max(0, endedAt + 3_000 - core.world.now()));
-      expect((await ask())?.ids).toEqual(['after']);
+      expect((await fetchList())?.ids).toEqual(['after']);
     },
   );
 
-  test.each([1, 2, 3])('restarted while it is cut off from all: it hands out none (seed %i)', async (seed) => {
-    const { core, ask, unreachable } = await listing(610 + seed);
-    unreachable.add('h1');
-    core.cutOff(['h1']);
-    core.kill('h1');
-    core.start('h1');
-    expect(await core.until(3_000, () => core.node('h1').controller !== null)).toBe(true);
-    for (let n = 0; n < 20; n += 1) {
-      expect(await ask()).toBeNull();
-      await core.world.advance(500);
-    }
-  });
+  test.each([1, 2, 3])(
+    'restarted while it is partitioned from all nodes: it serves no list (seed %i)',
+    async (seed) => {
+      const { core, fetchList, unreachable } = await startCore(610 + seed);
+      unreachable.add('h1');
+      core.cutOff(['h1']);
+      core.kill('h1');
+      core.start('h1');
+      expect(await core.until(3_000, () => core.node('h1').controller !== null)).toBe(true);
+      for (let n = 0; n < 20; n += 1) {
+        expect(await fetchList()).toBeNull();
+        await core.world.advance(500);
+      }
+    },
+  );
 });
--- a/src/coordination/idempotency/claim-client.ts
+++ b/src/coordination/idempotency/claim-client.ts
@@ -1,4 +1,7 @@
-/** The proxy's side of run-once claims: asks all controllers, and counts their votes. */
+/**
+ * The proxy side of run-once claims. The client sends a claim to all members of the core, and the request may run only
+ * if a majority granted it.
+ */
 import { createBatchQueue } from '../../base/batch-queue.js';
 import type { BatchQueue } from '../../base/batch-queue.js';
 import type { Claim, ClaimAnswer, ClaimEnd } from '../../state/idempotency/claim.js';
@@ -10,7 +13,7 @@
 import type { Clock } from '../../transport/clock.js';
 import type { Peers } from '../messaging/peers.js';
 
-/** Whether a key was claimed; only `claimed` lets the request run. */
+/** The outcome of a claim. The request may run only after `claimed`. */
 export type ClaimOutcome =
   | { readonly tag: 'claimed' }
   | { readonly tag: 'noMajority' }
@@ -18,75 +21,79 @@
   | { readonly tag: 'tooOld' }
   | { readonly tag: 'taken'; readonly answered: boolean };
 
-/** Claims keys and reports how their attempts ended. */
+/** Claims keys for attempts, and reports to the controllers how those attempts ended. */
 export interface ClaimClient {
   claim(key: RunKey, by: string): Promise<ClaimOutcome>;
   end(key: RunKey, by: string, outcome: 'released' | 'answered'): void;
 }
 
-const WAIT_MS = 1_500;
-const PATIENCE_MS = 250;
-const ENDS_TRIED = 12;
-const ENDS_PAUSE_MS = 30_000;
-
-/** One round of claims: the members' votes on all of them, each settled as soon as its majority is known. */
-class VotedClaimRound {
-  private readonly answers: ClaimAnswer[][];
-  private readonly open: Set<number>;
-  private left: number;
+const REQUEST_TIMEOUT_MS = 1_500;
+const CONTESTED_WAIT_MS = 250;
+const MAX_END_ATTEMPTS = 12;
+const MAX_END_RETRY_DELAY_MS = 30_000;
+
+/**
+ * One round of voting on a batch of claims. A claim is settled as `claimed` as soon as a majority granted it. All other
+ * claims are settled when all calls have ended, or `CONTESTED_WAIT_MS` after a response that left any undecided claim
+ * of the round with a rejection.
+ */
+class VotingRound {
+  private readonly votes: ClaimAnswer[][];
+  private readonly undecided: Set<number>;
+  private pendingResponses: number;
 
   constructor(
     private readonly state: ControlState,
     private readonly quorumSize: number,
     private readonly claims: readonly Claim[],
-    private readonly resolvers: readonly ((claimOutcome: ClaimOutcome) => void)[],
+    private readonly resolvers: readonly ((outcome: ClaimOutcome) => void)[],
     private readonly peers: Peers,
     private readonly clock: Clock,
   ) {
-    this.answers = this.claims.map(() => this.none());
-    this.open = new Set<number>(this.claims.keys());
-    this.left = this.state.members.length;
+    this.votes = this.claims.map(() => this.emptyVotes());
+    this.undecided = new Set<number>(this.claims.keys());
+    this.pendingResponses = this.state.members.length;
   }
 
-  private none(): ClaimAnswer[] {
+  private emptyVotes(): ClaimAnswer[] {
     return [];
   }
 
-  private countVotes(i: number): { granted: number; refusal: ClaimAnswer | null } {
+  private countVotes(claimIndex: number): { granted: number; rejection: ClaimAnswer | null } {
     let granted = 0;
-    let refusal: ClaimAnswer | null = null;
-    for (const first of this.answers[i] as ClaimAnswer[]) {
-      if (first.tag === 'claimed') granted += 1;
-      else if (!refusal || weightOf(first) > weightOf(refusal)) refusal = first;
+    let rejection: ClaimAnswer | null = null;
+    for (const vote of this.votes[claimIndex] as ClaimAnswer[]) {
+      if (vote.tag === 'claimed') granted += 1;
+      else if (!rejection || rejectionPriority(vote) > rejectionPriority(rejection)) rejection = vote;
     }
-    return { granted, refusal };
+    return { granted, rejection };
   }
 
-  private weigh(): void {
-    for (const i of this.open) {
+  private settleDecided(): void {
+    for (const i of this.undecided) {
       if (this.countVotes(i).granted < this.quorumSize) continue;
-      this.open.delete(i);
+      this.undecided.delete(i);
       this.resolvers[i]?.({ tag: 'claimed' });
     }
-    if (this.left === 0) this.finish();
+    if (this.pendingResponses === 0) this.settleUndecided();
   }
 
-  private finish(): void {
-    for (const i of this.open) {
-      const { refusal } = this.countVotes(i);
-      this.resolvers[i]?.(refusal && refusal.tag !== 'claimed' ? refusal : { tag: 'noMajority' });
+  private settleUndecided(): void {
+    for (const i of this.undecided) {
+      const { rejection } = this.countVotes(i);
+      this.resolvers[i]?.(rejection && rejection.tag !== 'claimed' ? rejection : { tag: 'noMajority' });
     }
-    this.open.clear();
+    this.undecided.clear();
   }
 
-  private finishContested(): void {
-    let contested = false;
-    for (const i of this.open) if (this.countVotes(i).refusal) contested = true;
-    if (contested) this.clock.timer(PATIENCE_MS, () => this.finish());
+  private limitContestedWait(): void {
+    let isContested = false;
+    for (const i of this.undecided) if (this.countVotes(i).rejection) isContested = true;
+    if (isContested) this.clock.timer(CONTESTED_WAIT_MS, () => this.settleUndecided());
   }
 
   private async request(member: Member): Promise<void> {
-    const answer = await this.peers.call(
+    const response = await this.peers.call(
       member.address,
       {
         kind: 'claim',
@@ -94,30 +101,30 @@
         members: membersDigest(this.state.members),
         claims: [...this.claims],
       },
-      WAIT_MS,
+      REQUEST_TIMEOUT_MS,
     );
-    this.left -= 1;
+    this.pendingResponses -= 1;
     if (
-      answer.ok &&
-      answer.value.kind === 'claimAnswer' &&
-      answer.value.voter === memberId(member) &&
-      answer.value.answers.length === this.claims.length
+      response.ok &&
+      response.value.kind === 'claimAnswer' &&
+      response.value.voter === memberId(member) &&
+      response.value.answers.length === this.claims.length
     ) {
-      for (let i = 0; i < this.claims.length; i += 1) this.answers[i]?.push(answer.value.answers[i] as ClaimAnswer);
-      this.finishContested();
+      for (let i = 0; i < this.claims.length; i += 1) this.votes[i]?.push(response.value.answers[i] as ClaimAnswer);
+      this.limitContestedWait();
     }
-    this.weigh();
+    this.settleDecided();
   }
 
   start(): void {
-    if (this.state.members.length === 0) this.finish();
+    if (this.state.members.length === 0) this.settleUndecided();
     for (const member of this.state.members) void this.request(member);
   }
 }
 
 class MajorityClaimClient implements ClaimClient {
-  private readonly queue: BatchQueue<{ key: string; by: string; born: number }, Promise<ClaimOutcome>>;
-  private readonly endings: BatchQueue<
+  private readonly claimQueue: BatchQueue<{ key: string; by: string; born: number }, Promise<ClaimOutcome>>;
+  private readonly endQueue: BatchQueue<
     { key: string; by: string; born: number; outcome: 'answered' | 'released' },
     null
   >;
@@ -127,27 +134,27 @@
     private readonly peers: Peers,
     private readonly clock: Clock,
   ) {
-    this.queue = createBatchQueue((claims) => this.work(claims));
-    this.endings = createBatchQueue((ends) => this.spread(ends));
+    this.claimQueue = createBatchQueue((claims) => this.startRound(claims));
+    this.endQueue = createBatchQueue((ends) => this.sendEndsToAll(ends));
   }
 
-  private async work(claims: readonly Claim[]): Promise<readonly Promise<ClaimOutcome>[]> {
+  private async startRound(claims: readonly Claim[]): Promise<readonly Promise<ClaimOutcome>[]> {
     const state = this.currentControlState();
     const quorumSize = majorityOf(state.members);
-    const out: Promise<ClaimOutcome>[] = [];
-    const resolvers: ((claimOutcome: ClaimOutcome) => void)[] = [];
+    const outcomes: Promise<ClaimOutcome>[] = [];
+    const resolvers: ((outcome: ClaimOutcome) => void)[] = [];
     for (let i = 0; i < claims.length; i += 1) {
-      function addResolver(resolve: (claimOutcome: ClaimOutcome) => void): void {
+      function addResolver(resolve: (outcome: ClaimOutcome) => void): void {
         resolvers.push(resolve);
       }
-      out.push(new Promise(addResolver));
+      outcomes.push(new Promise(addResolver));
     }
-    new VotedClaimRound(state, quorumSize, claims, resolvers, this.peers, this.clock).start();
-    return out;
+    new VotingRound(state, quorumSize, claims, resolvers, this.peers, this.clock).start();
+    return outcomes;
   }
 
   async claim(key: RunKey, by: string): Promise<ClaimOutcome> {
-    const pending = this.queue.put({ key: key.text, by, born: key.born });
+    const pending = this.claimQueue.put({ key: key.text, by, born: key.born });
     const outcome = await pending.then((inner) => this.unwrap(inner));
     if (outcome.tag !== 'claimed') this.end(key, by, 'released');
     return outcome;
@@ -157,38 +164,42 @@
     return inner;
   }
 
-  private async deliver(address: string, ledger: string, ends: readonly ClaimEnd[]): Promise<void> {
-    for (let count = 0; count < ENDS_TRIED; count += 1) {
-      const answers = await this.peers.call(address, { kind: 'claimEnds', ledger, ends: [...ends] }, WAIT_MS);
-      if (answers.ok && answers.value.kind === 'done' && answers.value.agreed) return;
-      await delay(this.clock, Math.min(ENDS_PAUSE_MS, 500 * 2 ** count));
+  private async sendEnds(address: string, ledger: string, ends: readonly ClaimEnd[]): Promise<void> {
+    for (let attempt = 0; attempt < MAX_END_ATTEMPTS; attempt += 1) {
+      const response = await this.peers.call(
+        address,
+        { kind: 'claimEnds', ledger, ends: [...ends] },
+        REQUEST_TIMEOUT_MS,
+      );
+      if (response.ok && response.value.kind === 'done' && response.value.agreed) return;
+      await delay(this.clock, Math.min(MAX_END_RETRY_DELAY_MS, 500 * 2 ** attempt));
     }
   }
 
-  private async spread(ends: readonly ClaimEnd[]): Promise<readonly null[]> {
+  private async sendEndsToAll(ends: readonly ClaimEnd[]): Promise<readonly null[]> {
     const state = this.currentControlState();
-    for (const member of state.members) void this.deliver(member.address, state.ledger, ends);
-    return ends.map(() => this.nothing());
+    for (const member of state.members) void this.sendEnds(member.address, state.ledger, ends);
+    return ends.map(() => this.toNull());
   }
 
-  private nothing(): null {
+  private toNull(): null {
     return null;
   }
 
   end(key: RunKey, by: string, outcome: 'released' | 'answered'): void {
-    void this.endings.put({ key: key.text, by, born: key.born, outcome });
+    void this.endQueue.put({ key: key.text, by, born: key.born, outcome });
   }
 }
 
-/** A client that puts claims which wait together into one message. */
+/** Creates a claim client that sends claims queued at the same time in one message. */
 export function createClaimClient(currentControlState: () => ControlState, peers: Peers, clock: Clock): ClaimClient {
   return new MajorityClaimClient(currentControlState, peers, clock);
 }
 
-function weightOf(first: ClaimAnswer): number {
-  switch (first.tag) {
+function rejectionPriority(vote: ClaimAnswer): number {
+  switch (vote.tag) {
     case 'taken':
-      return first.answered ? 4 : 3;
+      return vote.answered ? 4 : 3;
     case 'tooOld':
       return 2;
     case 'full':
--- a/src/coordination/idempotency/claims.test.ts
+++ b/src/coordination/idempotency/claims.test.ts
@@ -20,116 +20,119 @@
 
 type Handlers = Map<string, (m: Message) => Promise<Message> | Message | null>;
 type Voter = {
-  readonly ask: (m: Message) => Promise<Message | null>;
+  readonly call: (m: Message) => Promise<Message | null>;
   readonly ready: () => boolean;
   readonly size: () => number;
 };
-type Room = {
+type TestEnv = {
   readonly world: World;
   readonly controlState: ControlState;
   readonly handlers: Map<string, Handlers>;
-  readonly lost: { next: (m: Message) => boolean };
+  readonly network: { drops: (m: Message) => boolean };
 };
 
-function room(): Room {
+function createTestEnv(): TestEnv {
   const controlState = emptyControlState();
   controlState.ledger = 'ledger-1';
   controlState.members = [1, 2, 3].map((i): Member => ({ name: `h${i}`, incarnation: 'i1', address: `h${i}` }));
   controlState.claimants = controlState.members.map(memberId);
-  return { world: createWorld(1), controlState, handlers: new Map(), lost: { next: () => false } };
+  return { world: createWorld(1), controlState, handlers: new Map(), network: { drops: () => false } };
 }
-function peersOf(r: Room, address: string): Peers {
-  const own: Handlers = new Map();
-  r.handlers.set(address, own);
+function fakePeers(env: TestEnv, address: string): Peers {
+  const ownHandlers: Handlers = new Map();
+  env.handlers.set(address, ownHandlers);
   async function call(to: string, m: Message): Promise<unknown> {
-    const response = r.lost.next(m) ? null : await r.handlers.get(to)?.get(m.kind)?.(m);
+    const response = env.network.drops(m) ? null : await env.handlers.get(to)?.get(m.kind)?.(m);
     return response ? { ok: true, value: response } : { ok: false, error: { tag: 'peerSilent', address: to } };
   }
-  return { call, on: (kind: string, fn: never) => own.set(kind, fn) } as unknown as Peers;
+  return { call, on: (kind: string, fn: never) => ownHandlers.set(kind, fn) } as unknown as Peers;
 }
-async function voter(r: Room, at: number, platter: Platter): Promise<Voter> {
-  const self = r.controlState.members[at] as Member;
-  const proc = r.world.begin(r.world.host(self.name, 'z'));
-  const ledger = { controlState: () => r.controlState, isMember: () => true, self } as unknown as Ledger;
-  const made = await finish(
-    r,
+async function startVoter(env: TestEnv, index: number, platter: Platter): Promise<Voter> {
+  const self = env.controlState.members[index] as Member;
+  const proc = env.world.begin(env.world.host(self.name, 'z'));
+  const ledger = { controlState: () => env.controlState, isMember: () => true, self } as unknown as Ledger;
+  const opened = await waitFor(
+    env,
     createClaims(
       ledger,
-      peersOf(r, self.address),
-      simDisk(platter, proc, r.world),
+      fakePeers(env, self.address),
+      simDisk(platter, proc, env.world),
       SHAPE,
-      r.world.clockOf(proc),
+      env.world.clockOf(proc),
       createQuietLog().component(''),
     ),
   );
-  if (!made?.ok) throw new Error('not opened');
+  if (!opened?.ok) throw new Error('the claims could not be opened');
   return {
-    ask: (m) => finish(r, Promise.resolve(r.handlers.get(self.address)?.get(m.kind)?.(m) ?? null)),
-    ready: () => made.value.ready(),
-    size: () => made.value.size(),
+    call: (m) => waitFor(env, Promise.resolve(env.handlers.get(self.address)?.get(m.kind)?.(m) ?? null)),
+    ready: () => opened.value.ready(),
+    size: () => opened.value.size(),
   };
 }
-async function finish<T>(r: Room, work: Promise<T>): Promise<T | null> {
-  const box: { value: T | null; done: boolean } = { value: null, done: false };
-  void work.then((v) => ((box.value = v), (box.done = true)));
-  await r.world.until(60_000, () => box.done);
-  return box.value;
+async function waitFor<T>(env: TestEnv, promise: Promise<T>): Promise<T | null> {
+  const result: { value: T | null; done: boolean } = { value: null, done: false };
+  void promise.then((v) => ((result.value = v), (result.done = true)));
+  await env.world.until(60_000, () => result.done);
+  return result.value;
 }
-function claim(r: Room, key: string, by: string, at = born): MessageOf<'claim'> {
+function claim(env: TestEnv, key: string, by: string, at = born): MessageOf<'claim'> {
   return {
     kind: 'claim',
     ledger: 'ledger-1',
-    members: membersDigest(r.controlState.members),
+    members: membersDigest(env.controlState.members),
     claims: [{ key, by, born: at }],
   };
 }
-function told(m: Message | null): string {
+function voteTag(m: Message | null): string {
   return m?.kind === 'claimAnswer' ? (m.answers[0]?.tag ?? '') : (m?.kind ?? 'silent');
 }
 
 describe('claims', () => {
-  test('nothing is answered from what is not synced, a repeated question included', async () => {
-    const r = room();
+  test('a claim whose record is not synced is not answered, also when it is repeated', async () => {
+    const env = createTestEnv();
     const platter = createPlatter();
-    const v = await voter(r, 0, platter);
+    const voter = await startVoter(env, 0, platter);
     platter.failing = true;
-    expect(told(await v.ask(claim(r, 'k', 't1')))).toBe('cannotVote');
-    expect(told(await v.ask(claim(r, 'k', 't1')))).toBe('cannotVote');
-    losePower(platter, r.world);
-    r.world.kill(r.world.host('h1', 'z'));
+    expect(voteTag(await voter.call(claim(env, 'k', 't1')))).toBe('cannotVote');
+    expect(voteTag(await voter.call(claim(env, 'k', 't1')))).toBe('cannotVote');
+    losePower(platter, env.world);
+    env.world.kill(env.world.host('h1', 'z'));
     platter.failing = false;
-    const again = await voter(r, 0, platter);
-    expect(told(await again.ask(claim(r, 'k', 't2')))).toBe('claimed');
+    const restarted = await startVoter(env, 0, platter);
+    expect(voteTag(await restarted.call(claim(env, 'k', 't2')))).toBe('claimed');
   });
 
-  test('a claim that waited for the disk while the members changed is not granted for the former ones', async () => {
-    const r = room();
-    const v = await voter(r, 0, createPlatter());
-    const handler = r.handlers.get('h1')?.get('claim');
-    const first = Promise.resolve(handler?.(claim(r, 'k1', 't1')) ?? null);
-    const waiting = Promise.resolve(handler?.(claim(r, 'k2', 't1')) ?? null);
-    r.controlState.members = [...r.controlState.members.slice(0, 2), { name: 'h4', incarnation: 'i1', address: 'h4' }];
-    expect(told(await finish(r, first))).toBe('claimed');
-    expect(told(await finish(r, waiting))).toBe('cannotVote');
-    expect(told(await v.ask(claim(r, 'k2', 't2')))).toBe('claimed');
+  test('a claim that waited for the disk while the members changed is not granted for the previous members', async () => {
+    const env = createTestEnv();
+    const voter = await startVoter(env, 0, createPlatter());
+    const handler = env.handlers.get('h1')?.get('claim');
+    const first = Promise.resolve(handler?.(claim(env, 'k1', 't1')) ?? null);
+    const waiting = Promise.resolve(handler?.(claim(env, 'k2', 't1')) ?? null);
+    env.controlState.members = [
+      ...env.controlState.members.slice(0, 2),
+      { name: 'h4', incarnation: 'i1', address: 'h4' },
+    ];
+    expect(voteTag(await waitFor(env, first))).toBe('claimed');
+    expect(voteTag(await waitFor(env, waiting))).toBe('cannotVote');
+    expect(voteTag(await voter.call(claim(env, 'k2', 't2')))).toBe('claimed');
   });
 
-  test('what was granted is held after power was lost', async () => {
-    const r = room();
+  test('granted claims are still held after a power loss', async () => {
+    const env = createTestEnv();
     const platter = createPlatter();
-    const v = await voter(r, 0, platter);
-    for (let i = 0; i < 2_000; i += 1) expect(told(await v.ask(claim(r, `k${i}`, 't1')))).toBe('claimed');
-    losePower(platter, r.world);
-    r.world.kill(r.world.host('h1', 'z'));
-    const again = await voter(r, 0, platter);
-    expect(again.size()).toBe(2_000);
-    for (const i of [0, 700, 1_999]) expect(told(await again.ask(claim(r, `k${i}`, 't2')))).toBe('taken');
+    const voter = await startVoter(env, 0, platter);
+    for (let i = 0; i < 2_000; i += 1) expect(voteTag(await voter.call(claim(env, `k${i}`, 't1')))).toBe('claimed');
+    losePower(platter, env.world);
+    env.world.kill(env.world.host('h1', 'z'));
+    const restarted = await startVoter(env, 0, platter);
+    expect(restarted.size()).toBe(2_000);
+    for (const i of [0, 700, 1_999]) expect(voteTag(await restarted.call(claim(env, `k${i}`, 't2')))).toBe('taken');
   });
 
-  test('one that lost its disk reads all from the others, page by page, before it grants', async () => {
-    const r = room();
+  test('a controller that lost its disk reads all claims from the others page by page before it grants any', async () => {
+    const env = createTestEnv();
     const platters = [createPlatter(), createPlatter(), createPlatter()];
-    for (const at of [0, 1, 2]) await voter(r, at, platters[at] as Platter);
+    for (const index of [0, 1, 2]) await startVoter(env, index, platters[index] as Platter);
     for (let n = 0; n < 3; n += 1) {
       const claims = Array.from({ length: 3_000 }, (_, i) => ({
         key: `k${n}-${i}`,
@@ -137,64 +140,64 @@
         born: born + n * HOUR_MS,
       }));
       for (const h of ['h2', 'h3'])
-        await finish(r, Promise.resolve(r.handlers.get(h)?.get('claim')?.({ ...claim(r, '', ''), claims })));
+        await waitFor(env, Promise.resolve(env.handlers.get(h)?.get('claim')?.({ ...claim(env, '', ''), claims })));
     }
-    r.world.kill(r.world.host('h1', 'z'));
+    env.world.kill(env.world.host('h1', 'z'));
     loseDisk(platters[0] as Platter);
-    r.controlState.members = r.controlState.members.map((m) => (m.name === 'h1' ? { ...m, incarnation: 'i2' } : m));
-    const v = await voter(r, 0, platters[0] as Platter);
-    expect(told(await v.ask(claim(r, 'k2-77', 't2')))).toBe('cannotVote');
-    expect(await r.world.until(10_000, v.ready)).toBe(true);
-    expect(v.size()).toBe(9_000);
-    expect(told(await v.ask(claim(r, 'k2-77', 't2', born + 2 * HOUR_MS)))).toBe('taken');
+    env.controlState.members = env.controlState.members.map((m) => (m.name === 'h1' ? { ...m, incarnation: 'i2' } : m));
+    const voter = await startVoter(env, 0, platters[0] as Platter);
+    expect(voteTag(await voter.call(claim(env, 'k2-77', 't2')))).toBe('cannotVote');
+    expect(await env.world.until(10_000, voter.ready)).toBe(true);
+    expect(voter.size()).toBe(9_000);
+    expect(voteTag(await voter.call(claim(env, 'k2-77', 't2', born + 2 * HOUR_MS)))).toBe('taken');
   });
 
-  test('a claim that counts a member that was replaced meanwhile is not granted', async () => {
-    const r = room();
-    const v = await voter(r, 1, createPlatter());
-    const before = claim(r, 'k', 't1');
-    r.controlState.members = r.controlState.members.map((m) => (m.name === 'h1' ? { ...m, incarnation: 'i2' } : m));
-    expect(told(await v.ask(before))).toBe('cannotVote');
-    expect(told(await v.ask(claim(r, 'k', 't1')))).toBe('claimed');
+  test('a claim sent for members of which one was replaced since then is not granted', async () => {
+    const env = createTestEnv();
+    const voter = await startVoter(env, 1, createPlatter());
+    const claimBefore = claim(env, 'k', 't1');
+    env.controlState.members = env.controlState.members.map((m) => (m.name === 'h1' ? { ...m, incarnation: 'i2' } : m));
+    expect(voteTag(await voter.call(claimBefore))).toBe('cannotVote');
+    expect(voteTag(await voter.call(claim(env, 'k', 't1')))).toBe('claimed');
   });
 
-  test('over two days keys come and go, none is granted twice, and what is held stays bounded', async () => {
-    const r = room();
+  test('over two days of new and expiring keys none is granted twice, and the number of claims held stays bounded', async () => {
+    const env = createTestEnv();
     const platter = createPlatter();
-    const v = await voter(r, 0, platter);
-    let most = 0;
+    const voter = await startVoter(env, 0, platter);
+    let maxSize = 0;
     for (let hour = 0; hour < 50; hour += 1) {
       const at = born + hour * HOUR_MS;
       const claims = Array.from({ length: 200 }, (_, i) => ({ key: `k${hour}-${i}`, by: 't1', born: at }));
-      const response = await v.ask({ ...claim(r, '', ''), claims });
+      const response = await voter.call({ ...claim(env, '', ''), claims });
       expect(response?.kind === 'claimAnswer' && response.answers.every((a) => a.tag === 'claimed')).toBe(true);
-      await r.world.advance(HOUR_MS);
-      most = Math.max(most, v.size());
-      for (const back of [1, 20, 24, 30, 49]) {
-        if (hour < back) continue;
-        const old = await v.ask(claim(r, `k${hour - back}-5`, 't2', born + (hour - back) * HOUR_MS));
-        expect([back, told(old)]).toEqual([back, back <= 24 ? 'taken' : 'tooOld']);
+      await env.world.advance(HOUR_MS);
+      maxSize = Math.max(maxSize, voter.size());
+      for (const hoursAgo of [1, 20, 24, 30, 49]) {
+        if (hour < hoursAgo) continue;
+        const old = await voter.call(claim(env, `k${hour - hoursAgo}-5`, 't2', born + (hour - hoursAgo) * HOUR_MS));
+        expect([hoursAgo, voteTag(old)]).toEqual([hoursAgo, hoursAgo <= 24 ? 'taken' : 'tooOld']);
       }
     }
-    expect(most).toBe(26 * 200);
+    expect(maxSize).toBe(26 * 200);
   });
 });
 
-test('a release that gets lost is told again until it is heard; then the key is free', async () => {
-  const r = room();
-  for (const at of [0, 1, 2]) await voter(r, at, createPlatter());
-  const proc = r.world.begin(r.world.host('proxy', 'z'));
-  const client = createClaimClient(() => r.controlState, peersOf(r, 'proxy'), r.world.clockOf(proc));
-  let answersLost = 0;
-  r.lost.next = (m) => m.kind === 'claimEnds' && r.world.now() < 20_000;
-  const held = r.handlers.get('h2')?.get('claim') as (m: Message) => Promise<Message>;
-  r.handlers.get('h2')?.set('claim', (m) => held(m).then(() => ((answersLost += 1), null as never)));
-  r.handlers.get('h3')?.set('claim', () => ({ kind: 'cannotVote' }));
-  const first = await finish(r, client.claim({ text: 'k', born }, 't1'));
-  expect([first?.tag, answersLost]).toEqual(['noMajority', 1]);
-  r.handlers.get('h2')?.set('claim', held);
-  expect((await finish(r, client.claim({ text: 'k', born }, 't2')))?.tag).toBe('taken');
-  await r.world.advance(90_000);
-  expect((await finish(r, client.claim({ text: 'k', born }, 't3')))?.tag).toBe('claimed');
-  expect(majorityOf(r.controlState.members)).toBe(2);
+test('a lost release is sent again until it is acknowledged, and then the key is free', async () => {
+  const env = createTestEnv();
+  for (const index of [0, 1, 2]) await startVoter(env, index, createPlatter());
+  const proc = env.world.begin(env.world.host('proxy', 'z'));
+  const client = createClaimClient(() => env.controlState, fakePeers(env, 'proxy'), env.world.clockOf(proc));
+  let responsesLost = 0;
+  env.network.drops = (m) => m.kind === 'claimEnds' && env.world.now() < 20_000;
+  const originalHandler = env.handlers.get('h2')?.get('claim') as (m: Message) => Promise<Message>;
+  env.handlers.get('h2')?.set('claim', (m) => originalHandler(m).then(() => ((responsesLost += 1), null as never)));
+  env.handlers.get('h3')?.set('claim', () => ({ kind: 'cannotVote' }));
+  const first = await waitFor(env, client.claim({ text: 'k', born }, 't1'));
+  expect([first?.tag, responsesLost]).toEqual(['noMajority', 1]);
+  env.handlers.get('h2')?.set('claim', originalHandler);
+  expect((await waitFor(env, client.claim({ text: 'k', born }, 't2')))?.tag).toBe('taken');
+  await env.world.advance(90_000);
+  expect((await waitFor(env, client.claim({ text: 'k', born }, 't3')))?.tag).toBe('claimed');
+  expect(majorityOf(env.controlState.members)).toBe(2);
 });
--- a/src/coordination/idempotency/claims.ts
+++ b/src/coordination/idempotency/claims.ts
@@ -1,7 +1,8 @@
 /**
- * The voter's side of run-once claims: write-once keys, each granted by a majority of the members and synced to a ring of
- * its own. A member that is new grants nothing until it has read the claims of so many others that any majority before it
- * is met (docs/design/claims.md; docs/consistency.md, section 3).
+ * The controller side of run-once claims, where each controller is a voter. Keys are write-once: each one is granted by
+ * a majority of the members, and every voter syncs its claims to a separate ring. A new member grants nothing until it
+ * has read the claims of enough other members to intersect every earlier majority (docs/design/claims.md;
+ * docs/consistency.md, section 3).
  */
 import { createBatchQueue } from '../../base/batch-queue.js';
 import type { BatchQueue } from '../../base/batch-queue.js';
@@ -12,11 +13,11 @@
 import type { Message, MessageOf } from '../../protocol/messages.js';
 import type { Claim, ClaimAnswer, ClaimEnd } from '../../state/idempotency/claim.js';
 import { majorityOf, memberId, membersDigest } from '../../state/consensus/control-state.js';
-import { CLAIM_RECORD, createClaimTable, HOUR_MS, unpackClaims } from '../../state/idempotency/claim-table.js';
+import { CLAIM_RECORD_BYTES, createClaimTable, HOUR_MS, unpackClaims } from '../../state/idempotency/claim-table.js';
 import type { ClaimTable } from '../../state/idempotency/claim-table.js';
 import type { Member } from '../../state/consensus/entry.js';
 import type { HourRange } from '../../state/idempotency/hour-ranges.js';
-import { KEY_LIFE_MS } from '../../state/idempotency/run-key.js';
+import { MAX_KEY_AGE_MS } from '../../state/idempotency/run-key.js';
 import { every } from '../../transport/clock.js';
 import type { Clock, Timer } from '../../transport/clock.js';
 import type { Disk } from '../../transport/disk.js';
@@ -27,7 +28,7 @@
 import type { Peers } from '../messaging/peers.js';
 import { otherMembers } from '../../state/consensus/fold-members.js';
 
-/** The claims of one controller; `ready` once it may vote on any. */
+/** The claims of one controller. `ready` returns true once this controller may vote on claims. */
 export interface Claims {
   ready(): boolean;
   size(): number;
@@ -45,39 +46,39 @@
     }
   | { readonly tag: 'forget' };
 
-type Head = { readonly readyFor: string; readonly uptime: number; readonly forgotten: readonly HourRange[] };
-
-/** How long claims are remembered: longer than any key may be used. */
-export const CLAIMS_KEPT_MS = KEY_LIFE_MS + 2 * HOUR_MS;
-/** Most claims that are remembered, whatever the disk would hold. */
-export const MOST_CLAIMS = 2_500_000;
-const HEAD_ROOM = 16_384;
-const PAGE = 20_000;
-const FORGET_EVERY_MS = 60_000;
-const RECORD_MARK = 0x72;
-const NEW_LINE = 0x0a;
-const BRACE = 0x7b;
-
-function isForeign(record: Buffer): boolean {
-  return record[0] !== RECORD_MARK;
+type SnapshotHeader = { readonly readyFor: string; readonly uptime: number; readonly forgotten: readonly HourRange[] };
+
+/** How long claims are kept: 2 hours longer than the maximum age of a key. */
+export const CLAIM_RETENTION_MS = MAX_KEY_AGE_MS + 2 * HOUR_MS;
+/** Maximum number of claims that are kept, even if the disk has room for more. */
+export const MAX_CLAIMS = 2_500_000;
+const HEADER_RESERVE_BYTES = 16_384;
+const MAX_PAGE_RECORDS = 20_000;
+const FORGET_INTERVAL_MS = 60_000;
+const RECORD_MARKER = 0x72;
+const NEWLINE = 0x0a;
+const OPENING_BRACE = 0x7b;
+
+function isUnknownRecord(record: Buffer): boolean {
+  return record[0] !== RECORD_MARKER;
 }
 
-function isRanges(value: unknown): value is readonly HourRange[] {
-  return Array.isArray(value) && value.every(isRange);
+function isHourRanges(value: unknown): value is readonly HourRange[] {
+  return Array.isArray(value) && value.every(isHourRange);
 }
-function isRange(value: unknown): boolean {
+function isHourRange(value: unknown): boolean {
   return Array.isArray(value) && value.length === 2 && Number.isInteger(value[0]) && Number.isInteger(value[1]);
 }
 
-function encodedRecord(record: Buffer, uptime: number): Buffer {
-  const out = Buffer.alloc(9 + CLAIM_RECORD);
-  out[0] = RECORD_MARK;
-  out.writeDoubleBE(uptime, 1);
-  record.copy(out, 9);
-  return out;
+function encodeRingRecord(record: Buffer, uptime: number): Buffer {
+  const ringRecord = Buffer.alloc(9 + CLAIM_RECORD_BYTES);
+  ringRecord[0] = RECORD_MARKER;
+  ringRecord.writeDoubleBE(uptime, 1);
+  record.copy(ringRecord, 9);
+  return ringRecord;
 }
 
-/** Claims of a controller that keeps none. */
+/** Returns the claims of a controller that stores no claims and never votes on one. */
 export function noClaims(): Claims {
   function ready(): boolean {
     return false;
@@ -89,7 +90,7 @@
   return { ready, size, stop };
 }
 
-/** Opens the claims on a disk. The error says why the disk can't be used. */
+/** Opens the claims stored on a disk. The error says why the disk can't be used. */
 export async function createClaims(
   ledger: Ledger,
   peers: Peers,
@@ -101,20 +102,21 @@
   const opened = await openRing(disk, shape);
   if (!opened.ok) return opened;
   const { snapshot, records } = opened.value;
-  const first = snapshot?.[0] === BRACE && snapshot.indexOf(NEW_LINE) < 0 ? 0 : records.findIndex(isForeign);
-  if (first >= 0) return err({ tag: 'ringDamaged', file: shape.name, at: first });
+  const damagedAt =
+    snapshot?.[0] === OPENING_BRACE && snapshot.indexOf(NEWLINE) < 0 ? 0 : records.findIndex(isUnknownRecord);
+  if (damagedAt >= 0) return err({ tag: 'ringDamaged', file: shape.name, at: damagedAt });
   return ok(new RingClaims(opened.value, ledger, peers, shape, clock, log));
 }
 
-type FetchedRecords = { readonly forgotten: readonly HourRange[]; readonly records: readonly Buffer[] };
+type FetchedClaims = { readonly forgotten: readonly HourRange[]; readonly records: readonly Buffer[] };
 
 class RingClaims implements Claims {
   private readonly ring: Ring;
   private readonly table: ClaimTable;
   private readyFor = '';
-  private lived = 0;
-  private rebuilding = false;
-  private aheadOfDisk = false;
+  private previousUptime = 0;
+  private isRebuilding = false;
+  private hasUnsyncedChanges = false;
   private readonly openedAt: number;
 
   private readonly queue: BatchQueue<
@@ -122,8 +124,8 @@
     ({ tag: 'claimed' } | { tag: 'taken'; answered: boolean } | { tag: 'full' } | { tag: 'tooOld' })[] | null
   >;
 
-  private readonly heartbeatTimer: Timer;
-  private readonly forgetting: Timer;
+  private readonly rebuildTimer: Timer;
+  private readonly forgetTimer: Timer;
 
   constructor(
     { ring, snapshot, records }: Opened,
@@ -134,113 +136,120 @@
     private readonly log: Log,
   ) {
     this.ring = ring;
-    this.table = createClaimTable(Math.min(MOST_CLAIMS, Math.floor((shape.snapshotBytes - HEAD_ROOM) / CLAIM_RECORD)));
+    this.table = createClaimTable(
+      Math.min(MAX_CLAIMS, Math.floor((shape.snapshotBytes - HEADER_RESERVE_BYTES) / CLAIM_RECORD_BYTES)),
+    );
     if (snapshot) {
-      const end = snapshot.indexOf(NEW_LINE);
+      const end = snapshot.indexOf(NEWLINE);
       this.applyHeader(snapshot.subarray(0, end).toString());
       unpackClaims(this.table, snapshot.subarray(end + 1));
     }
-    for (const rec of records) {
-      const at = rec.readDoubleBE(1);
-      this.lived = Math.max(this.lived, at);
-      this.table.replay(rec.subarray(9), at);
+    for (const ringRecord of records) {
+      const uptime = ringRecord.readDoubleBE(1);
+      this.previousUptime = Math.max(this.previousUptime, uptime);
+      this.table.replay(ringRecord.subarray(9), uptime);
     }
     this.openedAt = this.clock.mono();
-    this.queue = createBatchQueue((commands) => this.work(commands));
+    this.queue = createBatchQueue((commands) => this.processBatch(commands));
 
     this.peers.on('claim', (message) => this.onClaim(message));
 
-    this.peers.on('claimEnds', (message) => this.onEnds(message));
+    this.peers.on('claimEnds', (message) => this.onClaimEnds(message));
 
     this.peers.on('claimsAsk', (message) => this.onPageRequest(message));
-    this.heartbeatTimer = every(this.clock, 1_000, () => this.heartbeat());
-    this.forgetting = every(this.clock, FORGET_EVERY_MS, () => this.forget());
+    this.rebuildTimer = every(this.clock, 1_000, () => this.onRebuildTimer());
+    this.forgetTimer = every(this.clock, FORGET_INTERVAL_MS, () => this.forgetExpired());
   }
 
-  private me(): string {
+  private ownMemberId(): string {
     return memberId(this.ledger.self);
   }
 
   private applyHeader(text: string): void {
-    const head = parsedJson(text);
-    if (!isTable(head)) return;
-    if (typeof head['readyFor'] === 'string') this.readyFor = head['readyFor'];
-    if (typeof head['uptime'] === 'number') this.lived = Math.max(this.lived, head['uptime']);
-    if (isRanges(head['forgotten'])) this.table.addForgotten(head['forgotten']);
+    const header = parsedJson(text);
+    if (!isTable(header)) return;
+    if (typeof header['readyFor'] === 'string') this.readyFor = header['readyFor'];
+    if (typeof header['uptime'] === 'number') this.previousUptime = Math.max(this.previousUptime, header['uptime']);
+    if (isHourRanges(header['forgotten'])) this.table.addForgotten(header['forgotten']);
   }
 
   private uptime(): number {
-    return this.lived + (this.clock.mono() - this.openedAt);
+    return this.previousUptime + (this.clock.mono() - this.openedAt);
   }
 
   ready(): boolean {
     return (
       this.ledger.isMember() &&
-      (this.readyFor === this.me() || this.ledger.controlState().claimants.includes(this.me()))
+      (this.readyFor === this.ownMemberId() || this.ledger.controlState().claimants.includes(this.ownMemberId()))
     );
   }
 
-  private async work(commands: readonly Command[]): Promise<readonly (ClaimAnswer[] | null)[]> {
-    function none(): null {
+  private async processBatch(commands: readonly Command[]): Promise<readonly (ClaimAnswer[] | null)[]> {
+    function noAnswer(): null {
       return null;
     }
-    if (this.aheadOfDisk && !(await this.compacted())) return commands.map(none);
+    if (this.hasUnsyncedChanges && !(await this.compact())) return commands.map(noAnswer);
     const answers: (ClaimAnswer[] | null)[] = [];
     const writes: Buffer[] = [];
-    let complete = false;
+    let isRebuilt = false;
     for (const command of commands) {
       if (command.tag === 'claim' && command.members !== membersDigest(this.ledger.controlState().members)) {
         answers.push(null);
         continue;
       }
-      const ownAnswers: ClaimAnswer[] = [];
-      answers.push(ownAnswers);
+      const votes: ClaimAnswer[] = [];
+      answers.push(votes);
       const now = this.uptime();
       if (command.tag === 'claim') {
         for (const claim of command.claims) {
-          const step = this.table.claim(claim, now);
-          if (step.record) writes.push(encodedRecord(step.record, now));
-          ownAnswers.push(step.answer);
+          const vote = this.table.claim(claim, now);
+          if (vote.record) writes.push(encodeRingRecord(vote.record, now));
+          votes.push(vote.answer);
         }
       } else if (command.tag === 'end') {
-        for (const event of command.ends) {
-          const record = this.table.end(event, now);
-          if (record) writes.push(encodedRecord(record, now));
+        for (const end of command.ends) {
+          const record = this.table.end(end, now);
+          if (record) writes.push(encodeRingRecord(record, now));
         }
       } else if (command.tag === 'rebuild') {
         this.table.addForgotten(command.forgotten);
-        for (const buffer of command.records) this.table.merge(buffer, now);
+        for (const page of command.records) this.table.merge(page, now);
         this.readyFor = command.member;
-        complete = true;
-      } else this.table.forgetBefore(now - CLAIMS_KEPT_MS);
+        isRebuilt = true;
+      } else this.table.forgetBefore(now - CLAIM_RETENTION_MS);
     }
-    if (writes.length === 0 && !complete) return answers;
-    this.aheadOfDisk = true;
-    if (complete || this.ring.crowded()) return (await this.compacted()) ? answers : commands.map(none);
+    if (writes.length === 0 && !isRebuilt) return answers;
+    this.hasUnsyncedChanges = true;
+    if (isRebuilt || this.ring.crowded()) return (await this.compact()) ? answers : commands.map(noAnswer);
     const written = await this.ring.append(writes);
-    if (!written.ok && written.error.tag === 'ringFull') return (await this.compacted()) ? answers : commands.map(none);
-    this.aheadOfDisk = !written.ok;
+    if (!written.ok && written.error.tag === 'ringFull')
+      return (await this.compact()) ? answers : commands.map(noAnswer);
+    this.hasUnsyncedChanges = !written.ok;
     if (written.ok) return answers;
     this.log.error('claims write failed', { error: written.error.tag });
-    return commands.map(none);
+    return commands.map(noAnswer);
   }
 
-  private async compacted(): Promise<boolean> {
-    const head: Head = { readyFor: this.readyFor, uptime: this.uptime(), forgotten: this.table.forgotten() };
-    const done = await this.ring.compact(
-      Buffer.concat([Buffer.from(`${JSON.stringify(head)}\n`), this.table.packed()]),
+  private async compact(): Promise<boolean> {
+    const header: SnapshotHeader = {
+      readyFor: this.readyFor,
+      uptime: this.uptime(),
+      forgotten: this.table.forgotten(),
+    };
+    const compacted = await this.ring.compact(
+      Buffer.concat([Buffer.from(`${JSON.stringify(header)}\n`), this.table.packed()]),
     );
-    this.aheadOfDisk = !done.ok;
-    if (!done.ok) this.log.error('claims write failed', { error: done.error.tag });
-    return done.ok;
+    this.hasUnsyncedChanges = !compacted.ok;
+    if (!compacted.ok) this.log.error('claims write failed', { error: compacted.error.tag });
+    return compacted.ok;
   }
 
-  private mayAnswer(ledgerName: string): boolean {
-    return ledgerName === this.ledger.controlState().ledger && this.ready() && !this.aheadOfDisk;
+  private mayServePage(ledgerName: string): boolean {
+    return ledgerName === this.ledger.controlState().ledger && this.ready() && !this.hasUnsyncedChanges;
   }
 
-  // The members are compared again when the claim comes into the table (in work): whoever reads all claims asks a voter that
-  // knows it as a member, and such a voter grants nothing more for the members before.
+  // `processBatch` compares the members again when it enters the claim into the table. A member that reads all claims
+  // reads them from voters that know it as a member, and such a voter grants nothing more for the previous members.
   private async onClaim(message: MessageOf<'claim'>): Promise<Message> {
     if (
       message.ledger !== this.ledger.controlState().ledger ||
@@ -249,78 +258,78 @@
     )
       return { kind: 'cannotVote' };
     const answers = await this.queue.put({ tag: 'claim', members: message.members, claims: message.claims });
-    return answers ? { kind: 'claimAnswer', voter: this.me(), answers } : { kind: 'cannotVote' };
+    return answers ? { kind: 'claimAnswer', voter: this.ownMemberId(), answers } : { kind: 'cannotVote' };
   }
 
-  private async onEnds(message: MessageOf<'claimEnds'>): Promise<Message> {
+  private async onClaimEnds(message: MessageOf<'claimEnds'>): Promise<Message> {
     if (message.ledger !== this.ledger.controlState().ledger || !this.ready()) return { kind: 'cannotVote' };
     return { kind: 'done', agreed: (await this.queue.put({ tag: 'end', ends: message.ends })) !== null };
   }
 
   private onPageRequest(message: MessageOf<'claimsAsk'>): Message {
-    if (!this.mayAnswer(message.ledger) || !this.knowsMember(message.asker)) return { kind: 'cannotVote' };
-    const page = this.table.page(message.from, PAGE);
+    if (!this.mayServePage(message.ledger) || !this.isCurrentMember(message.asker)) return { kind: 'cannotVote' };
+    const page = this.table.page(message.from, MAX_PAGE_RECORDS);
     return {
       kind: 'claimsPage',
-      voter: this.me(),
+      voter: this.ownMemberId(),
       forgotten: this.table.forgotten() as [number, number][],
       records: page.records.toString('base64'),
       next: page.next,
     };
   }
 
-  private knowsMember(id: string): boolean {
+  private isCurrentMember(id: string): boolean {
     for (const member of this.ledger.controlState().members) if (memberId(member) === id) return true;
     return false;
   }
 
-  private async readAll(member: Member): Promise<FetchedRecords | null> {
-    const found: Buffer[] = [];
+  private async fetchClaims(member: Member): Promise<FetchedClaims | null> {
+    const pages: Buffer[] = [];
     const forgotten: HourRange[] = [];
     for (let from = 0; from >= 0;) {
       const response = await this.peers.call(
         member.address,
-        { kind: 'claimsAsk', ledger: this.ledger.controlState().ledger, asker: this.me(), from },
+        { kind: 'claimsAsk', ledger: this.ledger.controlState().ledger, asker: this.ownMemberId(), from },
         5_000,
       );
       if (!response.ok || response.value.kind !== 'claimsPage' || response.value.voter !== memberId(member))
         return null;
       forgotten.push(...response.value.forgotten);
-      found.push(Buffer.from(response.value.records, 'base64'));
+      pages.push(Buffer.from(response.value.records, 'base64'));
       from = response.value.next;
     }
-    return { forgotten, records: found };
+    return { forgotten, records: pages };
   }
 
   private async rebuild(): Promise<void> {
-    if (this.ready() || !this.ledger.isMember() || this.rebuilding) return;
-    this.rebuilding = true;
+    if (this.ready() || !this.ledger.isMember() || this.isRebuilding) return;
+    this.isRebuilding = true;
     const members = this.ledger.controlState().members;
-    const quorumSize = members.length - majorityOf(members) + 1;
-    const found: Buffer[] = [];
+    const neededResponses = members.length - majorityOf(members) + 1;
+    const pages: Buffer[] = [];
     const forgotten: HourRange[] = [];
-    let answered = 0;
+    let responses = 0;
     for (const member of otherMembers(members, this.ledger.self)) {
-      const fetched = await this.readAll(member);
+      const fetched = await this.fetchClaims(member);
       if (!fetched) continue;
-      answered += 1;
+      responses += 1;
       forgotten.push(...fetched.forgotten);
-      found.push(...fetched.records);
+      pages.push(...fetched.records);
     }
     if (
-      answered >= quorumSize &&
-      (await this.queue.put({ tag: 'rebuild', member: this.me(), forgotten, records: found }))
+      responses >= neededResponses &&
+      (await this.queue.put({ tag: 'rebuild', member: this.ownMemberId(), forgotten, records: pages }))
     ) {
-      this.log.info('claims rebuilt', { members: answered, claims: this.table.size() });
+      this.log.info('claims rebuilt', { members: responses, claims: this.table.size() });
     }
-    this.rebuilding = false;
+    this.isRebuilding = false;
   }
 
-  private heartbeat(): void {
+  private onRebuildTimer(): void {
     void this.rebuild();
   }
 
-  private forget(): void {
+  private forgetExpired(): void {
     void this.queue.put({ tag: 'forget' });
   }
 
@@ -329,7 +338,7 @@
   }
 
   stop(): void {
-    this.heartbeatTimer.cancel();
-    this.forgetting.cancel();
+    this.rebuildTimer.cancel();
+    this.forgetTimer.cancel();
   }
 }
--- a/src/coordination/metrics-http-server.ts
+++ b/src/coordination/metrics-http-server.ts
@@ -1,12 +1,12 @@
-/** The route of the metrics. */
+/** The HTTP route that serves the metrics. */
 import type { HttpReply, Route } from '../transport/http.js';
 import type { Meters } from '../transport/meters.js';
 
-/** `GET /metrics` in Prometheus' text format; `fill` sets the metrics first. */
-export function metricsRoute(meters: Meters, fill: (meters: Meters) => void): Route {
-  async function tell(): Promise<HttpReply> {
-    fill(meters);
+/** Creates the route `GET /metrics`, which responds in Prometheus text format after `setGauges` updated the gauges. */
+export function metricsRoute(meters: Meters, setGauges: (meters: Meters) => void): Route {
+  async function serveMetrics(): Promise<HttpReply> {
+    setGauges(meters);
     return { status: 200, headers: { 'content-type': 'text/plain; version=0.0.4' }, text: await meters.text() };
   }
-  return { method: 'GET', path: '/metrics', handle: tell };
+  return { method: 'GET', path: '/metrics', handle: serveMetrics };
 }
--- a/src/coordination/node.ts
+++ b/src/coordination/node.ts
@@ -1,4 +1,4 @@
-/** What every node is given by the program that runs it. */
+/** The environment and the identity that a program passes to each node it runs. */
 import type { Policy } from '../state/forwarding/policies.js';
 import type { Clock } from '../transport/clock.js';
 import type { Disk } from '../transport/disk.js';
@@ -9,7 +9,7 @@
 import type { Address, Wire } from '../transport/wire.js';
 import type { WorkerListReader } from './discovery/worker-list-feed.js';
 
-/** Clock, randomness, network, disk and logs; simulated ones in tests. */
+/** Clock, random numbers, network, disk, logs and other dependencies of a node; tests pass simulated ones. */
 export type NodeDeps = {
   readonly clock: Clock;
   readonly rng: Rng;
@@ -23,7 +23,7 @@
   readonly listReader?: WorkerListReader | null;
 };
 
-/** Name, place and addresses of a node. */
+/** Name, location and addresses of a node, and the settings that differ between nodes. */
 export type NodeIdentity = {
   readonly name: string;
   readonly run: string;
--- a/src/coordination/opened-memory.test.ts
+++ b/src/coordination/opened-memory.test.ts
@@ -17,13 +17,13 @@
 
 const MB = 1_048_576;
 const SHAPE: RingShape = { name: 'ring', files: 2, fileBytes: 4_096, snapshotBytes: 9 * MB };
-/** A field that no reader looks at, and that makes the snapshot large. */
+/** A field that no reader uses, which makes the snapshot large. */
 const PADDING = 'x'.repeat(8 * MB);
 
 setFlagsFromString('--expose-gc');
 const collectGarbage = runInNewContext('gc') as () => void;
 
-/** Buffers in use. Several turns, as what was freed is given back only after the collection, and by and by. */
+/** Returns the bytes of buffers in use. Runs several ticks, as memory is released gradually after a collection. */
 async function bufferBytes(): Promise<number> {
   for (let i = 0; i < 4; i += 1) {
     collectGarbage();
@@ -34,11 +34,14 @@
 
 type Opener = (disk: Disk) => Promise<Result<unknown, unknown>>;
 
-/** Bytes of buffers that a second opening of a disk with a large snapshot adds, while the first is still in use. */
-async function heldByOpening(snapshot: Buffer, open: Opener): Promise<number> {
+/**
+ * Opens a disk with a large snapshot twice, and returns the bytes of buffers that the second opening adds while the
+ * first is still in use.
+ */
+async function bytesRetainedByOpening(snapshot: Buffer, open: Opener): Promise<number> {
   const world = createWorld(1);
   const disk = simDisk(createPlatter(), world.begin(world.host('h', 'z')), world);
-  const inUse: unknown[] = [];
+  const openedValues: unknown[] = [];
   let written = false;
   async function writeSnapshot(): Promise<void> {
     const ring = await openRing(disk, SHAPE);
@@ -47,16 +50,16 @@
   }
   async function openOnce(): Promise<void> {
     const opened = await open(disk);
-    if (!opened.ok) throw new Error('not opened');
-    inUse.push(opened.value);
+    if (!opened.ok) throw new Error('the ring could not be opened');
+    openedValues.push(opened.value);
   }
   void writeSnapshot();
   expect(await world.until(10_000, () => written)).toBe(true);
   void openOnce();
-  expect(await world.until(10_000, () => inUse.length === 1)).toBe(true);
+  expect(await world.until(10_000, () => openedValues.length === 1)).toBe(true);
   const before = await bufferBytes();
   void openOnce();
-  expect(await world.until(10_000, () => inUse.length === 2)).toBe(true);
+  expect(await world.until(10_000, () => openedValues.length === 2)).toBe(true);
   return (await bufferBytes()) - before;
 }
 
@@ -65,10 +68,10 @@
   for (const stop of stops.splice(0)) stop();
 });
 
-describe('what was read from the disk at the start is not held for good', () => {
+describe('the bytes read from the disk at startup are not retained', () => {
   test('by the store', async () => {
     const content = { controlState: emptyControlState(), closed: { orders: [], lacking: null }, slots: [], PADDING };
-    const held = await heldByOpening(Buffer.from(JSON.stringify(content)), (disk) =>
+    const retainedBytes = await bytesRetainedByOpening(Buffer.from(JSON.stringify(content)), (disk) =>
       openStore(
         disk,
         SHAPE,
@@ -76,20 +79,20 @@
         () => undefined,
       ),
     );
-    expect(held).toBeLessThan(MB);
+    expect(retainedBytes).toBeLessThan(MB);
   });
 
   test('by the claims', async () => {
-    const head = { readyFor: '', uptime: 0, forgotten: [], PADDING };
+    const header = { readyFor: '', uptime: 0, forgotten: [], PADDING };
     const world = createWorld(1);
     const clock = world.clockOf(world.begin(world.host('c', 'z')));
     const ledger = { controlState: emptyControlState, isMember: () => false } as unknown as Ledger;
     const peers = { on: () => undefined } as unknown as Peers;
-    const held = await heldByOpening(Buffer.from(`${JSON.stringify(head)}\n`), async (disk) => {
-      const made = await createClaims(ledger, peers, disk, SHAPE, clock, createQuietLog().component(''));
-      if (made.ok) stops.push(() => made.value.stop());
-      return made;
+    const retainedBytes = await bytesRetainedByOpening(Buffer.from(`${JSON.stringify(header)}\n`), async (disk) => {
+      const opened = await createClaims(ledger, peers, disk, SHAPE, clock, createQuietLog().component(''));
+      if (opened.ok) stops.push(() => opened.value.stop());
+      return opened;
     });
-    expect(held).toBeLessThan(MB);
+    expect(retainedBytes).toBeLessThan(MB);
   });
 });
--- a/src/state/idempotency/hour-ranges.ts
+++ b/src/state/idempotency/hour-ranges.ts
@@ -1,20 +1,20 @@
 /**
- * A small set of ranges of hours, for what claims were forgotten. Ranges near each other are
- * joined, and the oldest ones when there are too many: the set may grow by that, never shrink.
+ * A small set of hour ranges that records which claims were forgotten. Ranges close to each other are merged, and so
+ * are the oldest two whenever there are too many. Merging may add hours to the set but never removes any.
  */
 
 /** First and last hour of a range, both included. */
 export type HourRange = readonly [number, number];
 
-/** Adds ranges and tells what they cover. */
+/** A set of hours, stored as ranges. */
 export interface HourRanges {
   has(hour: number): boolean;
   add(range: HourRange): void;
   all(): readonly HourRange[];
 }
 
-const GAP = 3;
-const MOST = 500;
+const MAX_GAP_HOURS = 3;
+const MAX_RANGES = 500;
 
 class MergedHourRanges implements HourRanges {
   private ranges: HourRange[] = [];
@@ -25,16 +25,16 @@
   }
 
   add(range: HourRange): void {
-    const sorted = [...this.ranges, range].sort(byStart);
+    const sorted = [...this.ranges, range].sort(compareStarts);
     const merged: HourRange[] = [];
-    for (const hourRange of sorted) {
+    for (const next of sorted) {
       const last = merged[merged.length - 1];
-      if (last && hourRange[0] - last[1] <= GAP) merged[merged.length - 1] = [last[0], Math.max(last[1], hourRange[1])];
-      else merged.push(hourRange);
+      if (last && next[0] - last[1] <= MAX_GAP_HOURS) merged[merged.length - 1] = [last[0], Math.max(last[1], next[1])];
+      else merged.push(next);
     }
-    while (merged.length > MOST) {
-      const [hourRange, second] = merged as [HourRange, HourRange];
-      merged.splice(0, 2, [hourRange[0], second[1]]);
+    while (merged.length > MAX_RANGES) {
+      const [first, second] = merged as [HourRange, HourRange];
+      merged.splice(0, 2, [first[0], second[1]]);
     }
     this.ranges = merged;
   }
@@ -44,11 +44,11 @@
   }
 }
 
-/** An empty set. */
+/** Creates an empty set. */
 export function createHourRanges(): HourRanges {
   return new MergedHourRanges();
 }
 
-function byStart(left: HourRange, right: HourRange): number {
+function compareStarts(left: HourRange, right: HourRange): number {
   return left[0] - right[0];
 }
--- a/src/state/idempotency/lease-table.ts
+++ b/src/state/idempotency/lease-table.ts
@@ -1,16 +1,16 @@
 /**
- * A grantor's side of leases: which duty is granted to whom and until when, on its own
- * monotonic clock. Not kept on disk: a restarted grantor grants nothing for the longest term,
- * by when any lease it may have granted is over.
+ * The grantor side of leases: which singleton role is granted to which controller, and until when on the grantor's
+ * monotonic clock. The table is not stored on disk. A grantor that restarts grants nothing for the maximum lease term,
+ * after which every lease that it may have granted before has expired.
  */
 
-/** A duty held by one controller until a moment of the grantor's clock; `round` tells asks of one holder apart. */
+/** A role held by one controller until a time of the grantor's clock; `round` tells requests of one holder apart. */
 export type Grant = { readonly holder: string; readonly round: number; readonly until: number };
 
-/** All grants, and the moment before which none is made. */
-export type LeaseTable = { readonly quietUntil: number; readonly grants: Map<string, Grant> };
+/** All grants by role, and the time before which no grant is made. */
+export type LeaseTable = { readonly noGrantsUntil: number; readonly grants: Map<string, Grant> };
 
-/** The ask for a lease. */
+/** A request for a lease. */
 export type GrantRequest = {
   readonly role: string;
   readonly holder: string;
@@ -18,21 +18,21 @@
   readonly termMs: number;
 };
 
-/** The book of a grantor that starts now. */
-export function createLeaseTable(now: number, longestTermMs: number): LeaseTable {
-  return { quietUntil: now + longestTermMs, grants: new Map() };
+/** Creates the table of a grantor that starts at `now`. */
+export function createLeaseTable(now: number, maxTermMs: number): LeaseTable {
+  return { noGrantsUntil: now + maxTermMs, grants: new Map() };
 }
 
-/** Grants or prolongs a lease; false if another holds it or the grantor has just started. */
+/** Grants or renews a lease. Returns false if another controller holds it or the grantor has just started. */
 export function requestGrant(table: LeaseTable, request: GrantRequest, now: number): boolean {
-  if (now < table.quietUntil) return false;
+  if (now < table.noGrantsUntil) return false;
   const current = table.grants.get(request.role);
   if (current && current.until > now && current.holder !== request.holder) return false;
   table.grants.set(request.role, { holder: request.holder, round: request.round, until: now + request.termMs });
   return true;
 }
 
-/** Gives a lease back early; false if it is not that holder's grant of that round. */
+/** Releases a lease early. Returns false if the current grant is not of this holder and this round. */
 export function dropGrant(table: LeaseTable, role: string, holder: string, round: number): boolean {
   const current = table.grants.get(role);
   if (!current || current.holder !== holder || current.round !== round) return false;
--- a/src/state/idempotency/run-key.ts
+++ b/src/state/idempotency/run-key.ts
@@ -1,29 +1,29 @@
 /**
- * Keys of requests that run at most once. A key carries the time of its making, so that one
- * too old to be remembered is refused instead of being taken for new.
+ * Keys of requests that run at most once. A key contains its creation time, so that a key whose claim may have been
+ * forgotten already is rejected instead of being treated as new.
  */
 
 import { HOUR_MS } from './claim-table.js';
 
-/** A key with the time of its making, in Unix milliseconds. */
+/** A key and its creation time (`born`) in Unix milliseconds. */
 export type RunKey = { readonly text: string; readonly born: number };
-/** Why a text is no usable key. */
+/** Why a text is not a usable key. */
 export type RunKeyError = 'withoutBirth' | 'fromTheFuture' | 'tooOld';
 
-/** How long after its making a key may be used: as long as claims are remembered. */
-export const KEY_LIFE_MS = 24 * HOUR_MS;
-const AHEAD_MS = 12 * HOUR_MS;
-const BIRTH = /^.+@(\d{12,14})$/s;
+/** How long after its creation a key may be used. Claims are kept longer than this. */
+export const MAX_KEY_AGE_MS = 24 * HOUR_MS;
+const MAX_CLOCK_LEAD_MS = 12 * HOUR_MS;
+const KEY_PATTERN = /^.+@(\d{12,14})$/s;
 
-/** The key of a caller's own id. */
-export function runKey(id: string, madeAt: number): string {
-  return `${id}@${Math.floor(madeAt)}`;
+/** Builds the key for an id chosen by the caller. */
+export function runKey(id: string, createdAt: number): string {
+  return `${id}@${Math.floor(createdAt)}`;
 }
 
-/** Reads a key against shared time; makers' clocks may run ahead by up to twelve hours. */
+/** Parses a key and checks its age against `now`. The clock of the key's creator may be up to 12 hours ahead. */
 export function readRunKey(text: string, now: number): RunKey | RunKeyError {
-  const born = Number(BIRTH.exec(text)?.[1] ?? Number.NaN);
+  const born = Number(KEY_PATTERN.exec(text)?.[1] ?? Number.NaN);
   if (Number.isNaN(born)) return 'withoutBirth';
-  if (born > now + AHEAD_MS) return 'fromTheFuture';
-  return now - born > KEY_LIFE_MS ? 'tooOld' : { text, born };
+  if (born > now + MAX_CLOCK_LEAD_MS) return 'fromTheFuture';
+  return now - born > MAX_KEY_AGE_MS ? 'tooOld' : { text, born };
 }
