--- a/src/coordination/scaling/cloud-client.ts
+++ b/src/coordination/scaling/cloud-client.ts
@@ -1,4 +1,4 @@
-/** Calls to the cloud that machines are ordered from, and to the platform that lists workers. */
+/** HTTP clients of the cloud that machines are ordered from, and of the platform that lists workers. */
 import { err, ok } from '../../base/result.js';
 import type { Result } from '../../base/result.js';
 import {
@@ -16,13 +16,13 @@
 import type { HttpClient } from '../../transport/http.js';
 import type { Address } from '../../transport/wire.js';
 
-/** Why a call failed; after `cloudSilent` the machine may have been ordered. */
+/** Why a call failed. After `cloudSilent` the outcome is unknown: the machine may have been ordered. */
 export type CloudError =
   | { readonly tag: 'noCapacity' }
   | { readonly tag: 'cloudSilent' }
   | { readonly tag: 'cloudNonsense'; readonly detail: string };
 
-/** Orders, lists and releases machines. An order that is sent again under its key is one order. */
+/** Orders, lists and releases machines. Orders are idempotent by key: an order may be sent again. */
 export interface CloudClient {
   orderMachine(order: CloudOrder): Promise<Result<Machine, CloudError>>;
   machines(owner: string): Promise<Result<Machine[], CloudError>>;
@@ -30,12 +30,12 @@
   prices(): Promise<Result<Record<string, Price>, CloudError>>;
 }
 
-/** Lists workers. */
+/** Reads the platform's list of workers. */
 export interface PlatformClient {
   workers(): Promise<Result<Listed[], CloudError>>;
 }
 
-const WAIT_MS = 2_000;
+const CALL_TIMEOUT_MS = 2_000;
 
 class HttpCloudClient implements CloudClient {
   constructor(
@@ -49,14 +49,14 @@
       address: this.address,
       path: MACHINES_PATH,
       body: order,
-      timeoutMs: WAIT_MS,
+      timeoutMs: CALL_TIMEOUT_MS,
     });
     if (!response.ok) return err({ tag: 'cloudSilent' });
     if (readNoCapacity(response.value.body).ok) return err({ tag: 'noCapacity' });
     const read = readMachine(response.value.body);
     if (!read.ok) return err({ tag: 'cloudNonsense', detail: read.error.detail });
     if (read.value.machine.key !== order.key)
-      return err({ tag: 'cloudNonsense', detail: 'the machine bears another key' });
+      return err({ tag: 'cloudNonsense', detail: 'the key of the machine differs from the key of the order' });
     return ok(read.value.machine);
   }
 
@@ -65,7 +65,7 @@
       method: 'GET',
       address: this.address,
       path: `${MACHINES_PATH}?owner=${encodeURIComponent(owner)}`,
-      timeoutMs: WAIT_MS,
+      timeoutMs: CALL_TIMEOUT_MS,
     });
     if (!response.ok) return err({ tag: 'cloudSilent' });
     const read = readMachines(response.value.body);
@@ -77,7 +77,7 @@
       method: 'DELETE',
       address: this.address,
       path: `${MACHINES_PATH}/${encodeURIComponent(machine)}`,
-      timeoutMs: WAIT_MS,
+      timeoutMs: CALL_TIMEOUT_MS,
     });
     if (!response.ok) return err({ tag: 'cloudSilent' });
     return response.value.status === 200 || response.value.status === 404
@@ -90,7 +90,7 @@
       method: 'GET',
       address: this.address,
       path: PRICES_PATH,
-      timeoutMs: WAIT_MS,
+      timeoutMs: CALL_TIMEOUT_MS,
     });
     if (!response.ok) return err({ tag: 'cloudSilent' });
     const read = readPrices(response.value.body);
@@ -101,7 +101,7 @@
   }
 }
 
-/** A client of the cloud at `address`. */
+/** Creates a client of the cloud at `address`. */
 export function createCloudClient(httpClient: HttpClient, address: Address): CloudClient {
   return new HttpCloudClient(httpClient, address);
 }
@@ -125,7 +125,7 @@
   }
 }
 
-/** A client of the platform at `address`. */
+/** Creates a client of the platform at `address`. */
 export function createPlatformClient(httpClient: HttpClient, address: Address): PlatformClient {
   return new HttpPlatformClient(httpClient, address);
 }
--- a/src/coordination/scaling/observer.test.ts
+++ b/src/coordination/scaling/observer.test.ts
@@ -17,11 +17,11 @@
 import type { WorkerListReader } from '../discovery/worker-list-feed.js';
 
 const ZONES = ['a', 'b', 'c'];
-const THREE = ['h1', 'h2', 'h3'];
+const CONTROLLERS = ['h1', 'h2', 'h3'];
 
-type Day = { readonly core: SimCore; readonly platform: { list: WorkerEntry[]; down: boolean } };
+type Scenario = { readonly core: SimCore; readonly platform: { list: WorkerEntry[]; down: boolean } };
 
-async function day(seed: number, deployment: Settings = {}): Promise<Day> {
+async function startScenario(seed: number, deployment: Settings = {}): Promise<Scenario> {
   const platform = { list: [...Array(9).keys()].map((i) => workerEntry(`w${i}`, ZONES[i % 3] as string)), down: false };
   function listReader(): WorkerListReader {
     return {
@@ -37,7 +37,7 @@
     operatorHttpServer: true,
   });
   core.startAll();
-  expect(await core.until(5_000, () => core.whole(THREE))).toBe(true);
+  expect(await core.until(5_000, () => core.whole(CONTROLLERS))).toBe(true);
   const serving = {
     number: 1,
     mappings: {},
@@ -61,19 +61,19 @@
   return { core, platform };
 }
 function controlState(core: SimCore): ControlState {
-  let best: ControlState | null = null;
+  let newest: ControlState | null = null;
   for (const n of core.nodes) {
     const b = n.controller?.ledger.controlState();
-    if (b && (best === null || b.slot > best.slot)) best = b;
+    if (b && (newest === null || b.slot > newest.slot)) newest = b;
   }
-  return best as ControlState;
+  return newest as ControlState;
 }
-function holders(core: SimCore): string[] {
+function scalerHolders(core: SimCore): string[] {
   return core.nodes.filter((n) => n.host.running && !n.host.frozen && n.controller?.holdsScaler()).map((n) => n.name);
 }
-async function holder(core: SimCore): Promise<string> {
-  expect(await core.until(20_000, () => holders(core).length === 1)).toBe(true);
-  return holders(core)[0] as string;
+async function waitForHolder(core: SimCore): Promise<string> {
+  expect(await core.until(20_000, () => scalerHolders(core).length === 1)).toBe(true);
+  return scalerHolders(core)[0] as string;
 }
 function decisions(core: SimCore, from = 0): { slot: number; entry: Entry; steps: readonly Step[] }[] {
   const out: { slot: number; entry: Entry; steps: readonly Step[] }[] = [];
@@ -85,15 +85,15 @@
       if (entry.act.tag === 'decided') out.push({ slot, entry, steps: entry.act.steps });
   return out;
 }
-function sets(core: SimCore): string {
-  const z = controlState(core).zoneSets['m'];
-  return `${z?.active.join('')}|${z?.preemptive.join('')}`;
+function zoneSetsText(core: SimCore): string {
+  const zoneSets = controlState(core).zoneSets['m'];
+  return `${zoneSets?.active.join('')}|${zoneSets?.preemptive.join('')}`;
 }
-function change(d: Day, id: string, more: Partial<WorkerEntry> | null): void {
-  d.platform.list = d.platform.list.flatMap((w) => (w.id !== id ? [w] : more === null ? [] : [{ ...w, ...more }]));
+function changeWorker(d: Scenario, id: string, patch: Partial<WorkerEntry> | null): void {
+  d.platform.list = d.platform.list.flatMap((w) => (w.id !== id ? [w] : patch === null ? [] : [{ ...w, ...patch }]));
 }
 
-function report(reporter: string, count: number, more: Partial<Report>): Report {
+function report(reporter: string, count: number, overrides: Partial<Report>): Report {
   return {
     reporter,
     run: 'r1',
@@ -109,13 +109,13 @@
     ready: true,
     zone: 'a',
     region: 'a',
-    ...more,
+    ...overrides,
   };
 }
 
-describe('the scaler where no machine can be ordered', () => {
-  test('a calm day: what stands is taken over in one entry, and then none is written', async () => {
-    const { core } = await day(1);
+describe('the scaler on a platform that starts workers itself', () => {
+  test('existing workers are adopted in one entry, and no entry is written while nothing changes', async () => {
+    const { core } = await startScenario(1);
     expect(decisions(core).map((d) => d.steps.map((s) => s.act.tag))).toEqual([
       ['zonesMoved', 'targetChanged', 'ordersAdopted'],
     ]);
@@ -124,20 +124,20 @@
     expect(controlState(core).slot).toBe(slot);
   });
 
-  test('a short-notice drain demotes its zone, a launch restores it, and inspect tells who decided it and why', async () => {
-    const d = await day(2);
-    change(d, 'w1', { leaving: true, remainingMs: 6_000 });
-    expect(await d.core.until(5_000, () => sets(d.core) === 'ac|b')).toBe(true);
-    change(d, 'w1', null);
+  test('a short-notice drain demotes its zone, a launch restores it, and inspect shows who decided it and why', async () => {
+    const d = await startScenario(2);
+    changeWorker(d, 'w1', { leaving: true, remainingMs: 6_000 });
+    expect(await d.core.until(5_000, () => zoneSetsText(d.core) === 'ac|b')).toBe(true);
+    changeWorker(d, 'w1', null);
     await d.core.world.advance(4_000);
     d.platform.list.push(workerEntry('w20', 'b', { coldMs: 3_000 }));
     await d.core.world.advance(4_000);
-    expect(sets(d.core)).toBe('ac|b');
-    change(d, 'w20', { coldMs: 0 });
-    expect(await d.core.until(5_000, () => sets(d.core) === 'acb|')).toBe(true);
+    expect(zoneSetsText(d.core)).toBe('ac|b');
+    changeWorker(d, 'w20', { coldMs: 0 });
+    expect(await d.core.until(5_000, () => zoneSetsText(d.core) === 'acb|')).toBe(true);
 
     await d.core.world.advance(500);
-    const at = await holder(d.core);
+    const at = await waitForHolder(d.core);
     const fence = controlState(d.core).leases['scaler']?.fence;
     const inspect = createCore(
       ['h1', 'h2', 'h3'].map((n) => `${d.core.node(n).wire}0`),
@@ -155,30 +155,30 @@
   });
 
   test.each(['kill', 'freeze', 'cut'] as const)(
-    'a holder lost by %s: the next goes on from the ledger, and both never write',
-    async (how) => {
+    'after the holder is lost by %s, the next one continues from the log, and only the new holder writes',
+    async (fault) => {
       for (let seed = 30; seed < 34; seed += 1) {
-        const d = await day(seed);
-        change(d, 'w1', { leaving: true, remainingMs: 6_000 });
-        expect(await d.core.until(5_000, () => sets(d.core) === 'ac|b')).toBe(true);
-        const was = await holder(d.core);
-        const { host } = d.core.node(was);
+        const d = await startScenario(seed);
+        changeWorker(d, 'w1', { leaving: true, remainingMs: 6_000 });
+        expect(await d.core.until(5_000, () => zoneSetsText(d.core) === 'ac|b')).toBe(true);
+        const previousHolder = await waitForHolder(d.core);
+        const { host } = d.core.node(previousHolder);
         const { slot } = controlState(d.core);
-        if (how === 'kill') d.core.kill(was);
-        if (how === 'freeze') d.core.world.freeze(host);
-        if (how === 'cut') d.core.cutOff([was]);
-        change(d, 'w1', null);
-        change(d, 'w2', { leaving: true });
-        expect(await d.core.until(25_000, () => holders(d.core).some((n) => n !== was))).toBe(true);
+        if (fault === 'kill') d.core.kill(previousHolder);
+        if (fault === 'freeze') d.core.world.freeze(host);
+        if (fault === 'cut') d.core.cutOff([previousHolder]);
+        changeWorker(d, 'w1', null);
+        changeWorker(d, 'w2', { leaving: true });
+        expect(await d.core.until(25_000, () => scalerHolders(d.core).some((n) => n !== previousHolder))).toBe(true);
         await d.core.world.advance(3_000);
-        if (how === 'kill') d.core.start(was);
-        if (how === 'freeze') d.core.world.thaw(host);
-        if (how === 'cut') d.core.world.healAll();
+        if (fault === 'kill') d.core.start(previousHolder);
+        if (fault === 'freeze') d.core.world.thaw(host);
+        if (fault === 'cut') d.core.world.healAll();
         d.platform.list.push(workerEntry('w20', 'b'));
         await d.core.world.advance(8_000);
-        const now = await holder(d.core);
-        expect(now).not.toBe(was);
-        expect(sets(d.core)).toBe('acb|');
+        const newHolder = await waitForHolder(d.core);
+        expect(newHolder).not.toBe(previousHolder);
+        expect(zoneSetsText(d.core)).toBe('acb|');
         const since = decisions(d.core, slot + 1);
         expect(since.flatMap((x) => x.steps.map((s) => s.act.tag)).sort()).toEqual([
           'orderDraining',
@@ -187,44 +187,44 @@
         ]);
         const { leases } = controlState(d.core);
         for (const x of since)
-          expect([x.entry.author.startsWith(now), x.entry.fence]).toEqual([true, leases['scaler']?.fence]);
+          expect([x.entry.author.startsWith(newHolder), x.entry.fence]).toEqual([true, leases['scaler']?.fence]);
         expect(d.core.broken).toEqual([]);
       }
     },
   );
 
-  test('decisions of an old holder that come late fold to nothing', async () => {
-    const d = await day(40);
-    const was = await holder(d.core);
-    const old = d.core.node(was).controller?.ledger;
+  test('late decisions of a previous holder are rejected', async () => {
+    const d = await startScenario(40);
+    const previousHolder = await waitForHolder(d.core);
+    const previousLedger = d.core.node(previousHolder).controller?.ledger;
     const fence = controlState(d.core).leases['scaler']?.fence as number;
-    d.core.world.freeze(d.core.node(was).host);
-    expect(await d.core.until(25_000, () => holders(d.core).some((n) => n !== was))).toBe(true);
-    d.core.world.thaw(d.core.node(was).host);
+    d.core.world.freeze(d.core.node(previousHolder).host);
+    expect(await d.core.until(25_000, () => scalerHolders(d.core).some((n) => n !== previousHolder))).toBe(true);
+    d.core.world.thaw(d.core.node(previousHolder).host);
     const steps: Step[] = [{ cause: 'late', act: { tag: 'targetChanged', model: 'm', target: 50 } }];
     const response = await d.core.finish(
-      old?.propose({ cause: 'late', act: { tag: 'decided', steps }, fence }, 3_000) ?? Promise.resolve(null),
+      previousLedger?.propose({ cause: 'late', act: { tag: 'decided', steps }, fence }, 3_000) ?? Promise.resolve(null),
       10_000,
     );
     expect(response).toMatchObject({ ok: true, value: { outcome: { tag: 'staleFence' } } });
     expect(controlState(d.core).targets['m']).toBe(1);
   });
 
-  test('all controllers restarted: the orders stand as they stood, and nothing is written twice', async () => {
-    const d = await day(50);
+  test('after a restart of all controllers the orders are unchanged, and nothing is written twice', async () => {
+    const d = await startScenario(50);
     const before = Object.keys(controlState(d.core).orders).sort();
-    for (const n of THREE) d.core.powerLoss(n);
+    for (const n of CONTROLLERS) d.core.powerLoss(n);
     d.core.startAll();
     await d.core.world.advance(500);
-    expect(await d.core.until(20_000, () => d.core.whole(THREE))).toBe(true);
-    await holder(d.core);
+    expect(await d.core.until(20_000, () => d.core.whole(CONTROLLERS))).toBe(true);
+    await waitForHolder(d.core);
     await d.core.world.advance(5_000);
     expect(Object.keys(controlState(d.core).orders).sort()).toEqual(before);
     expect(decisions(d.core)).toHaveLength(1);
   });
 
-  test('while the platform is silent nothing is held to be lost', async () => {
-    const d = await day(60);
+  test('nothing counts as lost while the platform is unresponsive', async () => {
+    const d = await startScenario(60);
     d.platform.down = true;
     const { slot } = controlState(d.core);
     await d.core.world.advance(30_000);
@@ -233,8 +233,8 @@
     expect(controlState(d.core).slot).toBe(slot);
   });
 
-  test('a list that empties and fills again within a second and a half loses nobody', async () => {
-    const d = await day(61);
+  test('no worker is lost if the list is empty for less than 1.5 seconds', async () => {
+    const d = await startScenario(61);
     const { list } = d.platform;
     const { slot } = controlState(d.core);
     d.platform.list = [];
@@ -244,15 +244,15 @@
     expect(controlState(d.core).slot).toBe(slot);
   });
 
-  test('the target follows what the proxies count, and one whose reports stop does not make it fall', async () => {
-    const d = await day(70, { windowS: 5, holdS: 5, qTar: 2 });
+  test('the target follows the counts of proxies, and does not fall if the reports of a proxy stop', async () => {
+    const d = await startScenario(70, { windowS: 5, holdS: 5, qTar: 2 });
     const { wire, clock } = d.core.lab('proxy-1');
     const peers = createPeers(wire, clock, createQuietLog().component('peers'));
     let n = 0;
     async function send(seconds: number, perSecond: number): Promise<void> {
       for (let i = 0; i < seconds * 2; i += 1) {
         n += perSecond / 2;
-        for (const name of THREE)
+        for (const name of CONTROLLERS)
           void peers.send(d.core.node(name).wire, {
             kind: 'reports',
             reports: [report('proxy-1', i + 1, { requests: { m: n } })],
@@ -279,19 +279,21 @@
     ['most', 3, 1],
     ['one of nine', 1, 0],
   ] as const)(
-    'a worker that %s proxies find unfit for long, while it is listed, is lost or not',
-    async (_, saying, lost) => {
-      const d = await day(80);
+    'a listed worker that %s proxies report unhealthy for long is lost, or not',
+    async (_, reporterCount, lostCount) => {
+      const d = await startScenario(80);
       const { wire, clock } = d.core.lab('proxies');
       const peers = createPeers(wire, clock, createQuietLog().component('peers'));
       for (let i = 1; i <= 30; i += 1) {
         const reports = [...Array(9).keys()].map((k) =>
-          report(`s${k}`, i, { health: k < saying ? { w4: 'unfit' } : {} }),
+          report(`s${k}`, i, { health: k < reporterCount ? { w4: 'unfit' } : {} }),
         );
-        for (const name of THREE) void peers.send(d.core.node(name).wire, { kind: 'reports', reports });
+        for (const name of CONTROLLERS) void peers.send(d.core.node(name).wire, { kind: 'reports', reports });
         await d.core.world.advance(500);
       }
-      expect(controlState(d.core).closed.filter((o) => o.machine === 'w4' && o.status === 'lost')).toHaveLength(lost);
+      expect(controlState(d.core).closed.filter((o) => o.machine === 'w4' && o.status === 'lost')).toHaveLength(
+        lostCount,
+      );
     },
   );
 });
--- a/src/coordination/scaling/observer.ts
+++ b/src/coordination/scaling/observer.ts
@@ -1,10 +1,14 @@
 /**
- * The scaler where a platform starts workers by itself: it decides orders, and finds in the worker list what became
- * of them.
+ * The scaler for a platform that starts workers itself. It decides orders and finds their outcome in the worker list.
  */
 import type { Step } from '../../state/consensus/entry.js';
-import { decideObserved, decideRetired, observedMemory, observedRules } from '../../state/scaling/observed-orders.js';
-import type { ObservedMemory } from '../../state/scaling/observed-orders.js';
+import {
+  decideOrdersFromList,
+  decideRetiredModels,
+  createListScalerMemory,
+  scaledModels,
+} from '../../state/scaling/observed-orders.js';
+import type { ListScalerMemory } from '../../state/scaling/observed-orders.js';
 import type { WorkerEntry } from '../../state/discovery/worker-entry.js';
 import { delay } from '../../transport/clock.js';
 import type { Clock } from '../../transport/clock.js';
@@ -15,11 +19,11 @@
 import type { Lease } from '../leases/lease.js';
 import type { Ledger } from '../consensus/ledger.js';
 import type { ChangeDistribution } from '../distribution/change-distribution.js';
-import { createRateWatch, REPORT_FRESH_MS } from './rate-watch.js';
+import { createRateWatch, REPORT_MAX_AGE_MS } from './rate-watch.js';
 import type { RateWatch } from './rate-watch.js';
 
-/** The lease under which it decides, and what it decides by. */
-export type ObserverDeps = {
+/** Dependencies of the scaler: the lease that it holds while it decides, and the sources of its input. */
+export type ListScalerDeps = {
   readonly ledger: Ledger;
   readonly lease: Lease;
   readonly distribution: Pick<ChangeDistribution, 'reports' | 'lastContactAt'>;
@@ -30,31 +34,31 @@
   readonly log: Log;
 };
 
-/** Decides each second while the lease is held. */
-export interface Observer {
+/** Makes decisions every second while this controller holds the lease. */
+export interface ListScaler {
   stop(): void;
 }
 
 const TICK_MS = 1_000;
-const LIST_OLD_MS = 3_000;
-const DEAD_MS = 8_000;
-const UNFIT_KEPT_MS = 3_000;
-const UNFIT_SHARE = 1 / 3;
-const PROPOSE_MS = 3_000;
-const CAUSE_LENGTH = 200;
+const LIST_MAX_AGE_MS = 3_000;
+const DEAD_AFTER_MS = 8_000;
+const UNHEALTHY_RETENTION_MS = 3_000;
+const UNHEALTHY_MIN_FRACTION = 1 / 3;
+const PROPOSE_TIMEOUT_MS = 3_000;
+const MAX_CAUSE_LENGTH = 200;
 
 type UnhealthyPeriod = { readonly since: number; readonly last: number };
 
-class ListObserver implements Observer {
+class LeasedListScaler implements ListScaler {
   private readonly rates: RateWatch;
-  private readonly unhealthyWorkers = new Map<string, UnhealthyPeriod>();
-  private readonly planned = new Set<string>();
-  private memory = new Map<string, ObservedMemory>();
-  private ownFence: number | null = null;
-  private isListOld = false;
+  private readonly unhealthyPeriods = new Map<string, UnhealthyPeriod>();
+  private readonly plannedDepartures = new Set<string>();
+  private memories = new Map<string, ListScalerMemory>();
+  private lastFence: number | null = null;
+  private isListStale = false;
   private stopped = false;
 
-  constructor(private readonly deps: ObserverDeps) {
+  constructor(private readonly deps: ListScalerDeps) {
     this.rates = createRateWatch(this.deps.ledger, this.deps.distribution, this.deps.clock);
 
     void this.run();
@@ -68,67 +72,77 @@
     return newId(this.deps.rng, 'order');
   }
 
-  private recordPlanned(list: readonly WorkerEntry[]): void {
+  /**
+   * Remembers workers that the platform drains without a time limit. Called on every tick, also without the lease, so
+   * that a new holder does not take their departure for a loss.
+   */
+  private recordPlannedDepartures(list: readonly WorkerEntry[]): void {
     const machines = new Set<string | null>();
     for (const order of Object.values(this.deps.ledger.controlState().orders)) machines.add(order.machine);
-    for (const id of this.planned) if (!machines.has(id)) this.planned.delete(id);
+    for (const id of this.plannedDepartures) if (!machines.has(id)) this.plannedDepartures.delete(id);
     for (const worker of list)
-      if (worker.leaving && worker.remainingMs === null && machines.has(worker.id)) this.planned.add(worker.id);
+      if (worker.leaving && worker.remainingMs === null && machines.has(worker.id))
+        this.plannedDepartures.add(worker.id);
   }
 
+  /**
+   * Returns listed workers that have been unhealthy for longer than `DEAD_AFTER_MS`. A worker is unhealthy if the
+   * proxies that report it unhealthy outnumber those that report it healthy by at least `UNHEALTHY_MIN_FRACTION` of all
+   * that report. Gaps of up to `UNHEALTHY_RETENTION_MS` are tolerated.
+   */
   private deadWorkers(list: readonly WorkerEntry[]): Set<string> {
     const now = this.deps.clock.mono();
-    let reporters = 0;
+    let reporterCount = 0;
     const votes = new Map<string, number>();
     for (const report of this.deps.distribution.reports().values()) {
       const at = this.deps.distribution.lastContactAt(report.reporter);
-      if (at === null || now - at > REPORT_FRESH_MS) continue;
-      reporters += 1;
-      for (const [id, verdict] of Object.entries(report.health))
-        votes.set(id, (votes.get(id) ?? 0) + (verdict === 'unfit' ? 1 : -1));
+      if (at === null || now - at > REPORT_MAX_AGE_MS) continue;
+      reporterCount += 1;
+      for (const [id, health] of Object.entries(report.health))
+        votes.set(id, (votes.get(id) ?? 0) + (health === 'unfit' ? 1 : -1));
     }
-    const out = new Set<string>();
-    const listed = new Set<string>();
+    const dead = new Set<string>();
+    const listedIds = new Set<string>();
     for (const worker of list) {
-      listed.add(worker.id);
-      const count = votes.get(worker.id) ?? 0;
-      const before = this.unhealthyWorkers.get(worker.id);
-      if (count > 0 && count >= reporters * UNFIT_SHARE)
-        this.unhealthyWorkers.set(worker.id, { since: before?.since ?? now, last: now });
-      else if (before && now - before.last > UNFIT_KEPT_MS) this.unhealthyWorkers.delete(worker.id);
-      const machines = this.unhealthyWorkers.get(worker.id);
-      if (machines && now - machines.since > DEAD_MS) out.add(worker.id);
+      listedIds.add(worker.id);
+      const balance = votes.get(worker.id) ?? 0;
+      const previous = this.unhealthyPeriods.get(worker.id);
+      if (balance > 0 && balance >= reporterCount * UNHEALTHY_MIN_FRACTION)
+        this.unhealthyPeriods.set(worker.id, { since: previous?.since ?? now, last: now });
+      else if (previous && now - previous.last > UNHEALTHY_RETENTION_MS) this.unhealthyPeriods.delete(worker.id);
+      const period = this.unhealthyPeriods.get(worker.id);
+      if (period && now - period.since > DEAD_AFTER_MS) dead.add(worker.id);
     }
-    for (const id of this.unhealthyWorkers.keys()) if (!listed.has(id)) this.unhealthyWorkers.delete(id);
-    return out;
+    for (const id of this.unhealthyPeriods.keys()) if (!listedIds.has(id)) this.unhealthyPeriods.delete(id);
+    return dead;
   }
 
   private currentList(): readonly WorkerEntry[] | null {
     const at = this.deps.feed.asOf();
-    const old = at === null || this.deps.clock.mono() - at > LIST_OLD_MS;
-    if (old !== this.isListOld)
-      this.deps.log.warn(old ? 'worker list too old, not deciding' : 'worker list fresh again');
-    this.isListOld = old;
-    return old ? null : this.deps.feed.entries();
+    const isStale = at === null || this.deps.clock.mono() - at > LIST_MAX_AGE_MS;
+    if (isStale !== this.isListStale)
+      this.deps.log.warn(isStale ? 'worker list too old, not deciding' : 'worker list fresh again');
+    this.isListStale = isStale;
+    return isStale ? null : this.deps.feed.entries();
   }
 
   private decide(list: readonly WorkerEntry[]): Step[] {
     const controlState = this.deps.ledger.controlState();
     const dead = this.deadWorkers(list);
-    const rules = observedRules(controlState.configuration, this.deps.zones);
+    const models = scaledModels(controlState.configuration, this.deps.zones);
     const configured = new Set<string>();
-    for (const rule of rules) configured.add(rule.model);
-    const steps = decideRetired(controlState, configured, list);
-    for (const rule of rules) {
-      const remembered = this.memory.get(rule.model) ?? observedMemory();
-      this.memory.set(rule.model, remembered);
-      const rate = this.rates.rate(rule.model, rule.values.windowS * 1_000);
+    for (const scaledModel of models) configured.add(scaledModel.model);
+    const steps = decideRetiredModels(controlState, configured, list);
+    for (const scaledModel of models) {
+      const memory = this.memories.get(scaledModel.model) ?? createListScalerMemory();
+      this.memories.set(scaledModel.model, memory);
+      const rate = this.rates.rate(scaledModel.model, scaledModel.values.windowS * 1_000);
       steps.push(
-        ...decideObserved(
-          rule,
+        ...decideOrdersFromList(
+          scaledModel,
           controlState,
-          { now: this.deps.clock.mono(), list, rate, dead, planned: this.planned },
-          remembered,
+          { now: this.deps.clock.mono(), list, rate, dead, plannedDepartures: this.plannedDepartures },
+          memory,
           () => this.nextOrderId(),
         ),
       );
@@ -136,15 +150,19 @@
     return steps;
   }
 
-  private async turn(fence: number): Promise<void> {
+  private async runTick(fence: number): Promise<void> {
     this.rates.observe();
     const list = this.currentList();
     if (!list || this.deps.ledger.controlState().configuration.serving === undefined) return;
     const steps = this.decide(list);
     const [first] = steps;
     if (!first || !this.holdsLease(fence)) return;
-    const cause = steps.length === 1 ? first.cause : `${steps.length} decisions: ${first.cause}`.slice(0, CAUSE_LENGTH);
-    const response = await this.deps.ledger.propose({ cause, act: { tag: 'decided', steps }, fence }, PROPOSE_MS);
+    const cause =
+      steps.length === 1 ? first.cause : `${steps.length} decisions: ${first.cause}`.slice(0, MAX_CAUSE_LENGTH);
+    const response = await this.deps.ledger.propose(
+      { cause, act: { tag: 'decided', steps }, fence },
+      PROPOSE_TIMEOUT_MS,
+    );
     if (response.ok && response.value.outcome.tag === 'applied') this.deps.log.info('decisions applied', { cause });
     else if (response.ok) this.deps.log.warn('decisions rejected', { outcome: response.value.outcome.tag });
   }
@@ -153,15 +171,15 @@
     while (!this.stopped) {
       await delay(this.deps.clock, TICK_MS);
       if (this.stopped) return;
-      this.recordPlanned(this.deps.feed.entries());
+      this.recordPlannedDepartures(this.deps.feed.entries());
       const fence = this.deps.lease.fence();
-      if (fence !== this.ownFence) {
-        this.ownFence = fence;
-        this.memory = new Map();
-        this.unhealthyWorkers.clear();
+      if (fence !== this.lastFence) {
+        this.lastFence = fence;
+        this.memories = new Map();
+        this.unhealthyPeriods.clear();
         this.rates.reset();
       }
-      if (fence !== null) await this.turn(fence);
+      if (fence !== null) await this.runTick(fence);
     }
   }
 
@@ -170,7 +188,7 @@
   }
 }
 
-/** Begins at once. */
-export function createObserver(deps: ObserverDeps): Observer {
-  return new ListObserver(deps);
+/** Creates the scaler and starts it. */
+export function createObserver(deps: ListScalerDeps): ListScaler {
+  return new LeasedListScaler(deps);
 }
--- a/src/coordination/scaling/rate-watch.ts
+++ b/src/coordination/scaling/rate-watch.ts
@@ -1,4 +1,4 @@
-/** Request rates of the models, from the reports of proxies. */
+/** Samples the reports of proxies and computes the request rate of each model. */
 import { createRateWindow } from '../../state/scaling/rates.js';
 import type { RateWindow } from '../../state/scaling/rates.js';
 import type { Clock } from '../../transport/clock.js';
@@ -6,10 +6,10 @@
 import type { ChangeDistribution } from '../distribution/change-distribution.js';
 import type { Rate } from '../../state/scaling/target.js';
 
-/** A report older than this does not count, in milliseconds. */
-export const REPORT_FRESH_MS = 4_000;
+/** A proxy that has not reported for this long is not counted, in milliseconds. */
+export const REPORT_MAX_AGE_MS = 4_000;
 
-/** Takes samples and gives rates; `reset` forgets all samples. */
+/** `observe` takes a sample, `rate` computes a rate over a window, and `reset` discards all samples. */
 export interface RateWatch {
   observe(): void;
   readonly rate: RateWindow['rate'];
@@ -30,7 +30,7 @@
     let complete = true;
     for (const name of Object.keys(this.ledger.controlState().proxies)) {
       const at = this.distribution.lastContactAt(name);
-      if (at === null || now - at > REPORT_FRESH_MS) complete = false;
+      if (at === null || now - at > REPORT_MAX_AGE_MS) complete = false;
     }
     this.rates.observe(now, this.distribution.reports().values(), complete);
   }
@@ -44,7 +44,7 @@
   }
 }
 
-/** No samples yet. */
+/** Creates a rate watch without samples. */
 export function createRateWatch(
   ledger: Ledger,
   distribution: Pick<ChangeDistribution, 'reports' | 'lastContactAt'>,
--- a/src/coordination/scaling/scaler.ts
+++ b/src/coordination/scaling/scaler.ts
@@ -1,6 +1,6 @@
 /**
- * The scaler with a cloud of its own: agrees each decision in the ledger under its fencing token, then orders or
- * releases machines (docs/skyserve.md).
+ * The scaler for a cloud that machines are ordered from (docs/skyserve.md). It writes each decision to the replicated
+ * log under its fencing token, then orders or releases machines.
  */
 import type { Command } from '../../state/consensus/entry.js';
 import type { Order } from '../../state/scaling/order.js';
@@ -26,15 +26,15 @@
 import type { Lease } from '../leases/lease.js';
 import type { Ledger } from '../consensus/ledger.js';
 import type { ChangeDistribution } from '../distribution/change-distribution.js';
-import { createRateWatch, REPORT_FRESH_MS } from './rate-watch.js';
+import { createRateWatch, REPORT_MAX_AGE_MS } from './rate-watch.js';
 import type { RateWatch } from './rate-watch.js';
 
-/** Decides each second while the lease is held. */
+/** Makes decisions every second while this controller holds the lease. */
 export interface Scaler {
   stop(): void;
 }
 
-/** The lease under which it decides, and the cloud it calls. */
+/** Dependencies of the scaler: the lease that it holds while it decides, and the cloud and platform that it calls. */
 export type ScalerDeps = {
   readonly ledger: Ledger;
   readonly lease: Lease;
@@ -48,11 +48,13 @@
 };
 
 const TICK_MS = 1_000;
-const PRICES_MS = 30_000;
-const DEAD_MS = 8_000;
+const PRICE_REFRESH_MS = 30_000;
+const DEAD_AFTER_MS = 8_000;
 const ORPHAN_GRACE_MS = 10_000;
-const ACTION_LEFT_MS = 2_200;
-const MOST_SEEN = 10_000;
+/** The cloud is called only if the lease outlasts the timeout of the call. */
+const MIN_LEASE_LEFT_MS = 2_200;
+/** Above this size the set of known machines is reduced to those of open orders. */
+const MAX_KNOWN_MACHINES = 10_000;
 
 class LeasedScaler implements Scaler {
   private readonly rates: RateWatch;
@@ -62,11 +64,11 @@
   private readonly unhealthySince = new Map<string, number>();
   private readonly orphanSince = new Map<string, number>();
   private drainSince = new Map<string, number>();
-  private ownFence: number | null = null;
+  private lastFence: number | null = null;
   private readonly knownMachines = new Set<string>();
   private stopped = false;
-  private wasBlind = false;
-  private failedZones: { readonly model: string; readonly zone: string }[] = [];
+  private wasUnreachable = false;
+  private failedSpotLaunches: { readonly model: string; readonly zone: string }[] = [];
 
   constructor(private readonly deps: ScalerDeps) {
     this.rates = createRateWatch(this.deps.ledger, this.deps.distribution, this.deps.clock);
@@ -74,21 +76,21 @@
     void this.run();
   }
 
-  private async agree(fence: number, drafts: readonly Decision[]): Promise<boolean> {
-    let all = true;
+  private async proposeAll(fence: number, decisions: readonly Decision[]): Promise<boolean> {
+    let allApplied = true;
     const proposals: Promise<void>[] = [];
 
-    const one = async (decision: Decision): Promise<void> => {
+    const proposeOne = async (decision: Decision): Promise<void> => {
       const response = await this.deps.ledger.propose({ cause: decision.cause, act: decision.act, fence }, 3_000);
-      if (!response.ok || response.value.outcome.tag !== 'applied') all = false;
+      if (!response.ok || response.value.outcome.tag !== 'applied') allApplied = false;
     };
-    for (const decision of drafts) proposals.push(one(decision));
+    for (const decision of decisions) proposals.push(proposeOne(decision));
     await Promise.all(proposals);
-    return all;
+    return allApplied;
   }
 
-  private record(fence: number, cause: string, command: Command): Promise<boolean> {
-    return this.agree(fence, [{ cause, act: command }]);
+  private proposeCommand(fence: number, cause: string, command: Command): Promise<boolean> {
+    return this.proposeAll(fence, [{ cause, act: command }]);
   }
 
   private holdsLease(fence: number): boolean {
@@ -96,7 +98,7 @@
   }
 
   private async pollPrices(): Promise<void> {
-    if (this.pricesAt !== null && this.deps.clock.mono() - this.pricesAt < PRICES_MS) return;
+    if (this.pricesAt !== null && this.deps.clock.mono() - this.pricesAt < PRICE_REFRESH_MS) return;
     const response = await this.deps.cloud.prices();
     if (!response.ok) {
       this.deps.log.warn('prices unavailable, using the last ones', { error: response.error.tag });
@@ -106,15 +108,19 @@
     this.pricesAt = this.deps.clock.mono();
   }
 
-  private deadMachines(workers: readonly Listed[] | null): Set<string> {
+  /**
+   * Returns machines of workers that at least one proxy reports unhealthy, and none healthy, for longer than
+   * `DEAD_AFTER_MS`.
+   */
+  private findDeadMachines(workers: readonly Listed[] | null): Set<string> {
     const now = this.deps.clock.mono();
-    const out = new Set<string>();
+    const dead = new Set<string>();
     for (const worker of workers ?? []) {
       let healthy = 0;
       let unhealthy = 0;
       for (const report of this.deps.distribution.reports().values()) {
         const at = this.deps.distribution.lastContactAt(report.reporter);
-        if (at === null || now - at > REPORT_FRESH_MS) continue;
+        if (at === null || now - at > REPORT_MAX_AGE_MS) continue;
         if (report.health[worker.id] === 'fit') healthy += 1;
         if (report.health[worker.id] === 'unfit') unhealthy += 1;
       }
@@ -124,35 +130,42 @@
       }
       const since = this.unhealthySince.get(worker.id) ?? now;
       this.unhealthySince.set(worker.id, since);
-      if (now - since > DEAD_MS) out.add(worker.machine);
+      if (now - since > DEAD_AFTER_MS) dead.add(worker.machine);
     }
-    return out;
+    return dead;
   }
 
   private nextOrderId(): string {
     return newId(this.deps.rng, 'order');
   }
 
+  /**
+   * Orders a machine for each intended order, unless the cloud already has one for it. Tries each accelerator of the
+   * model in turn. Orders in a zone that is being evacuated fail.
+   */
   private async resolveIntended(fence: number, machines: readonly ObservedMachine[] | null): Promise<void> {
-    const work: Promise<void>[] = [];
+    const resolutions: Promise<void>[] = [];
 
     const resolveOrder = async (order: Order): Promise<void> => {
-      const had = machineByKey(machines, order.id);
-      if (had) {
-        await this.record(fence, 'The cloud already holds a machine for this order.', {
+      const existing = machineByKey(machines, order.id);
+      if (existing) {
+        await this.proposeCommand(fence, 'The cloud already holds a machine for this order.', {
           tag: 'orderPlaced',
           order: order.id,
-          machine: had.id,
+          machine: existing.id,
         });
         return;
       }
       if (this.deps.ledger.controlState().evacuated[order.zone] !== undefined) {
         if (machines)
-          await this.record(fence, `${order.zone} is being evacuated.`, { tag: 'orderFailed', order: order.id });
+          await this.proposeCommand(fence, `${order.zone} is being evacuated.`, {
+            tag: 'orderFailed',
+            order: order.id,
+          });
         return;
       }
       for (const accelerator of this.acceleratorsOf(order)) {
-        if (!this.holdsLease(fence) || this.deps.lease.leftMs() < ACTION_LEFT_MS) return;
+        if (!this.holdsLease(fence) || this.deps.lease.leftMs() < MIN_LEASE_LEFT_MS) return;
         const response = await this.deps.cloud.orderMachine({
           key: order.id,
           owner: this.deps.ledger.controlState().ledger,
@@ -162,7 +175,7 @@
           accelerator,
         });
         if (response.ok) {
-          await this.record(fence, `The cloud took the order (${accelerator}).`, {
+          await this.proposeCommand(fence, `The cloud took the order (${accelerator}).`, {
             tag: 'orderPlaced',
             order: order.id,
             machine: response.value.id,
@@ -175,52 +188,59 @@
         }
       }
       recordLaunchFailed(this.memory, order.model, order.kind, order.zone, this.deps.clock.mono());
-      await this.agree(fence, this.failedLaunch(order));
+      await this.proposeAll(fence, this.recordFailedLaunch(order));
     };
     for (const order of Object.values(this.deps.ledger.controlState().orders))
-      if (order.status === 'intended') work.push(resolveOrder(order));
-    await Promise.all(work);
+      if (order.status === 'intended') resolutions.push(resolveOrder(order));
+    await Promise.all(resolutions);
   }
 
-  private failedLaunch(order: Order): Decision[] {
-    const out: Decision[] = [
+  private recordFailedLaunch(order: Order): Decision[] {
+    const decisions: Decision[] = [
       { cause: `No ${order.kind} capacity in ${order.zone}.`, act: { tag: 'orderFailed', order: order.id } },
     ];
-    if (order.kind === 'spot') this.failedZones.push({ model: order.model, zone: order.zone });
-    return out;
+    if (order.kind === 'spot') this.failedSpotLaunches.push({ model: order.model, zone: order.zone });
+    return decisions;
   }
 
-  private async finishDraining(fence: number, workers: readonly Listed[] | null): Promise<void> {
+  /**
+   * Releases machines of draining orders once the worker has no running requests, does not respond or is not listed, or
+   * the drain timeout has passed.
+   */
+  private async releaseDrained(fence: number, workers: readonly Listed[] | null): Promise<void> {
     const now = this.deps.clock.mono();
-    const still = new Map<string, number>();
-    const work: Promise<void>[] = [];
+    const drainStarts = new Map<string, number>();
+    const releases: Promise<void>[] = [];
 
-    const finishOne = async (order: Order): Promise<void> => {
-      const since = still.get(order.id) ?? now;
+    const releaseIfDrained = async (order: Order): Promise<void> => {
+      const since = drainStarts.get(order.id) ?? now;
       if (now - since < 2 * TICK_MS) return;
       const worker = workerOf(workers, order.machine);
-      if (worker && now - since < this.drainLimitMs(order.model)) {
+      if (worker && now - since < this.drainTimeoutMs(order.model)) {
         const response = await this.deps.httpClient.call({
           method: 'GET',
           address: worker.address,
           path: HEALTH_PATH,
           timeoutMs: 900,
         });
-        const healthy = response.ok ? readHealth(response.value.body) : null;
-        if (healthy?.ok && healthy.value.running > 0) return;
+        const health = response.ok ? readHealth(response.value.body) : null;
+        if (health?.ok && health.value.running > 0) return;
       }
-      if (!this.holdsLease(fence) || this.deps.lease.leftMs() < ACTION_LEFT_MS) return;
+      if (!this.holdsLease(fence) || this.deps.lease.leftMs() < MIN_LEASE_LEFT_MS) return;
       const released = order.machine === null ? null : await this.deps.cloud.release(order.machine);
       if (released && !released.ok) return;
-      await this.record(fence, 'Drained; the machine is given back.', { tag: 'orderReleased', order: order.id });
+      await this.proposeCommand(fence, 'Drained; the machine is given back.', {
+        tag: 'orderReleased',
+        order: order.id,
+      });
     };
     for (const order of Object.values(this.deps.ledger.controlState().orders)) {
       if (order.status !== 'draining') continue;
-      still.set(order.id, this.drainSince.get(order.id) ?? now);
-      work.push(finishOne(order));
+      drainStarts.set(order.id, this.drainSince.get(order.id) ?? now);
+      releases.push(releaseIfDrained(order));
     }
-    this.drainSince = still;
-    await Promise.all(work);
+    this.drainSince = drainStarts;
+    await Promise.all(releases);
   }
 
   private valuesOf(model: string): Resolved | null {
@@ -229,67 +249,68 @@
     return null;
   }
 
-  private drainLimitMs(model: string): number {
+  private drainTimeoutMs(model: string): number {
     return (this.valuesOf(model)?.drainS ?? 0) * 1_000;
   }
 
   private acceleratorsOf(order: Order): readonly string[] {
-    const listed = this.valuesOf(order.model)?.accelerators ?? [];
-    return listed.length > 0 ? listed : [order.accelerator];
+    const configured = this.valuesOf(order.model)?.accelerators ?? [];
+    return configured.length > 0 ? configured : [order.accelerator];
   }
 
+  /** Releases machines that have belonged to no open order for `ORPHAN_GRACE_MS`. */
   private async releaseOrphans(fence: number, machines: readonly Machine[] | null): Promise<void> {
     if (!machines) return;
     const now = this.deps.clock.mono();
-    const open = new Set<string>();
+    const openIds = new Set<string>();
     for (const order of Object.values(this.deps.ledger.controlState().orders))
-      if (isOpen(order.status)) open.add(order.id);
+      if (isOpen(order.status)) openIds.add(order.id);
     for (const machine of machines) {
-      if (machine.state === 'gone' || machine.state === 'reclaiming' || open.has(machine.key)) {
+      if (machine.state === 'gone' || machine.state === 'reclaiming' || openIds.has(machine.key)) {
         this.orphanSince.delete(machine.id);
         continue;
       }
       const since = this.orphanSince.get(machine.id) ?? now;
       this.orphanSince.set(machine.id, since);
-      if (now - since < ORPHAN_GRACE_MS || !this.holdsLease(fence) || this.deps.lease.leftMs() < ACTION_LEFT_MS)
+      if (now - since < ORPHAN_GRACE_MS || !this.holdsLease(fence) || this.deps.lease.leftMs() < MIN_LEASE_LEFT_MS)
         continue;
       const released = await this.deps.cloud.release(machine.id);
       if (!released.ok) continue;
       this.orphanSince.delete(machine.id);
       this.deps.log.warn('releasing machine without an order', { machine: machine.id });
-      await this.record(fence, `No open order holds the machine (key ${machine.key}).`, {
+      await this.proposeCommand(fence, `No open order holds the machine (key ${machine.key}).`, {
         tag: 'orphanReleased',
         machine: machine.id,
       });
     }
   }
 
-  private async turn(fence: number): Promise<void> {
+  private async runTick(fence: number): Promise<void> {
     this.rates.observe();
     await this.pollPrices();
     const owner = this.deps.ledger.controlState().ledger;
     const asOf = this.deps.ledger.controlState().slot;
-    const [seenMachines, seenWorkers] = await Promise.all([
+    const [machinesResult, workersResult] = await Promise.all([
       this.deps.cloud.machines(owner),
       this.deps.platform.workers(),
     ]);
-    const machines = seenMachines.ok ? seenMachines.value : null;
-    const workers = seenWorkers.ok ? seenWorkers.value : null;
-    const blind = machines === null || workers === null;
-    if (blind !== this.wasBlind) {
-      this.deps.log.warn(blind ? 'cloud or platform unreachable' : 'cloud and platform reachable again');
+    const machines = machinesResult.ok ? machinesResult.value : null;
+    const workers = workersResult.ok ? workersResult.value : null;
+    const isUnreachable = machines === null || workers === null;
+    if (isUnreachable !== this.wasUnreachable) {
+      this.deps.log.warn(isUnreachable ? 'cloud or platform unreachable' : 'cloud and platform reachable again');
     }
-    this.wasBlind = blind;
+    this.wasUnreachable = isUnreachable;
     if (!this.holdsLease(fence)) return;
     await this.resolveIntended(fence, machines);
-    await this.finishDraining(fence, workers);
+    await this.releaseDrained(fence, workers);
     await this.releaseOrphans(fence, machines);
     if (!this.holdsLease(fence)) return;
 
-    const wanted: Decision[] = [];
-    const dead = this.deadMachines(workers);
-    const failures = this.failedZones;
-    this.failedZones = [];
+    const decisions: Decision[] = [];
+    const dead = this.findDeadMachines(workers);
+    const failures = this.failedSpotLaunches;
+    this.failedSpotLaunches = [];
     for (const resolved of resolveAll(this.deps.ledger.controlState().configuration)) {
       if (!resolved.values.scaled) continue;
       const rate: Rate | null = this.rates.rate(resolved.model, resolved.values.windowS * 1_000);
@@ -309,16 +330,16 @@
       for (const decision of decideModel(resolved, this.deps.ledger.controlState(), observation, this.memory, () =>
         this.nextOrderId(),
       ))
-        wanted.push(decision);
+        decisions.push(decision);
     }
-    if (wanted.length > 0) await this.agree(fence, wanted);
-    if (wanted.some(isIntent)) await this.resolveIntended(fence, machines);
-    this.recordMachines(machines);
+    if (decisions.length > 0) await this.proposeAll(fence, decisions);
+    if (decisions.some(isOrderIntended)) await this.resolveIntended(fence, machines);
+    this.updateKnownMachines(machines);
   }
 
-  private recordMachines(machines: readonly ObservedMachine[] | null): void {
+  private updateKnownMachines(machines: readonly ObservedMachine[] | null): void {
     for (const machine of machines ?? []) this.knownMachines.add(machine.id);
-    if (this.knownMachines.size < MOST_SEEN) return;
+    if (this.knownMachines.size < MAX_KNOWN_MACHINES) return;
     const openMachines = new Set<string | null>();
     for (const order of Object.values(this.deps.ledger.controlState().orders)) openMachines.add(order.machine);
     for (const id of this.knownMachines) if (!openMachines.has(id)) this.knownMachines.delete(id);
@@ -329,18 +350,18 @@
       await delay(this.deps.clock, TICK_MS);
       const fence = this.deps.lease.fence();
       if (fence === null) {
-        this.ownFence = null;
+        this.lastFence = null;
         continue;
       }
-      if (this.ownFence !== fence) {
-        this.ownFence = fence;
+      if (this.lastFence !== fence) {
+        this.lastFence = fence;
         this.memory = new Map();
         this.unhealthySince.clear();
         this.knownMachines.clear();
         this.orphanSince.clear();
         this.rates.reset();
       }
-      await this.turn(fence);
+      await this.runTick(fence);
     }
   }
 
@@ -349,12 +370,12 @@
   }
 }
 
-/** Begins at once. */
+/** Creates the scaler and starts it. */
 export function createScaler(deps: ScalerDeps): Scaler {
   return new LeasedScaler(deps);
 }
 
-function isIntent(decision: Decision): boolean {
+function isOrderIntended(decision: Decision): boolean {
   return decision.act.tag === 'orderIntended';
 }
 
--- a/src/coordination/scaling/worker-list-role.ts
+++ b/src/coordination/scaling/worker-list-role.ts
@@ -1,6 +1,6 @@
 /**
- * The singleton role of reading the platform's worker list: one controller reads, the others take over when its
- * updates stop. No lease is needed, as two readers cost calls and harm nothing.
+ * The singleton role of reading the platform's worker list. One controller reads the list and sends updates; another
+ * takes over when the updates stop. The role needs no lease: two concurrent readers only cost extra calls.
  */
 import { createEvents } from '../../base/events.js';
 import type { Message, MessageOf } from '../../protocol/messages.js';
@@ -19,7 +19,7 @@
 import type { WorkerListMessage, WorkerListPace, WorkerListUpdates } from '../discovery/worker-list-updates.js';
 import type { Peer, Peers } from '../messaging/peers.js';
 
-/** The reader, and the controllers that share the role. */
+/** Dependencies of the role: the reader of the list, and the controllers that share the role. */
 export type WorkerListRoleDeps = {
   readonly self: Address;
   readonly reader: WorkerListReader;
@@ -31,49 +31,52 @@
   readonly pace?: WorkerListPace;
 };
 
-/** The list as this controller has it, and whether it reads it now. */
+/** The worker list of this controller, and whether this controller is the one that reads it. */
 export interface WorkerListRole {
   readonly feed: WorkerListFeed;
-  reading(): boolean;
+  isReading(): boolean;
   stop(): void;
 }
 
-const FOLLOWER_KEPT_MS = 12_000;
-const RETRY_MS = 2_000;
-const MARK_LENGTH = 6;
-const SLOW_SHARE = 0.4;
+const FOLLOWER_TIMEOUT_MS = 12_000;
+/** A controller that is not the reader retries a failed read after a random delay of one to two times this. */
+const MIN_READ_RETRY_MS = 2_000;
+/** Length of the random part of a reader id, which differs after each restart of a controller. */
+const READER_ID_SUFFIX_LENGTH = 6;
+/** After this fraction of the read timeout the platform is announced as unresponsive. */
+const SLOW_READ_FRACTION = 0.4;
 
-class ElectedListReader implements WorkerListRole {
+class SharedWorkerListRole implements WorkerListRole {
   private readonly pace: WorkerListPace;
   private readonly readerId: string;
   private readonly updates: WorkerListUpdates;
   private readonly events = createEvents<WorkerListFeedEvents>();
-  private readonly followers = new Map<Peer, number>();
-  private highest = 0;
-  private newerSeenAt: number | null = null;
-  private currentReading = false;
+  private readonly followerContactAt = new Map<Peer, number>();
+  private highestTerm = 0;
+  private newerVersionSeenAt: number | null = null;
+  private isReader = false;
   private stopped = false;
-  private busy = false;
-  private asking = false;
-  private next: Timer | null = null;
+  private isTicking = false;
+  private isQuerying = false;
+  private nextTimer: Timer | null = null;
   readonly feed: WorkerListFeed;
 
   constructor(private readonly deps: WorkerListRoleDeps) {
     this.pace = this.deps.pace ?? WORKER_LIST_PACE;
-    this.readerId = `${this.deps.self}/${newId(this.deps.rng, '').slice(1, 1 + MARK_LENGTH)}`;
+    this.readerId = `${this.deps.self}/${newId(this.deps.rng, '').slice(1, 1 + READER_ID_SUFFIX_LENGTH)}`;
     this.updates = createWorkerListUpdates(this.deps.peers, this.deps.clock, this.pace);
 
     this.updates.events.on('taken', (event) => this.onApplied(event));
 
-    this.updates.events.on('missed', (event) => this.onMissed(event));
+    this.updates.events.on('missed', (event) => this.onUpdateGap(event));
 
-    this.updates.events.on('outrun', (event) => this.onOutrun(event));
+    this.updates.events.on('outrun', (event) => this.onSenderBehind(event));
 
-    this.updates.events.on('woke', (event) => this.onWoke(event));
+    this.updates.events.on('woke', (event) => this.onProcessPause(event));
 
     this.deps.peers.on('listFollow', (message, peer) => this.onFollow(message, peer));
 
-    this.arm(this.rankMs());
+    this.scheduleTick(this.takeoverDelayMs());
     this.feed = {
       entries: () => this.updates.table.entries(),
       asOf: () => this.updates.table.asOf(),
@@ -82,40 +85,42 @@
     };
   }
 
-  private arm(ms: number): void {
-    this.next?.cancel();
-    if (!this.stopped) this.next = this.deps.clock.timer(Math.max(0, ms), () => this.tick());
+  private scheduleTick(ms: number): void {
+    this.nextTimer?.cancel();
+    if (!this.stopped) this.nextTimer = this.deps.clock.timer(Math.max(0, ms), () => this.startTick());
   }
 
-  private tick(): void {
-    void this.runTurn();
+  private startTick(): void {
+    void this.runTick();
   }
 
-  private others(): Address[] {
-    const out = new Set<Address>(this.deps.controllers());
-    out.delete(this.deps.self);
-    return [...out];
+  private otherControllers(): Address[] {
+    const addresses = new Set<Address>(this.deps.controllers());
+    addresses.delete(this.deps.self);
+    return [...addresses];
   }
 
-  private rankMs(): number {
-    const reads = this.updates.table.number()?.[1] ?? '';
-    let count = 0;
-    for (const address of this.others()) if (address < this.deps.self && !reads.startsWith(`${address}/`)) count += 1;
-    return count * this.pace.staggerMs;
+  /** Staggers takeovers by rank: the number of controllers with a lower address, leaving out the current reader. */
+  private takeoverDelayMs(): number {
+    const currentReaderId = this.updates.table.number()?.[1] ?? '';
+    let rank = 0;
+    for (const address of this.otherControllers())
+      if (address < this.deps.self && !currentReaderId.startsWith(`${address}/`)) rank += 1;
+    return rank * this.pace.staggerMs;
   }
 
-  private armTakeover(): void {
-    this.arm(Math.max(0, this.pace.freshMs - this.updates.sinceContactMs()) + 1 + this.rankMs());
+  private scheduleTakeover(): void {
+    this.scheduleTick(Math.max(0, this.pace.freshMs - this.updates.sinceContactMs()) + 1 + this.takeoverDelayMs());
   }
 
   private sendToAll(message: WorkerListMessage): void {
-    for (const to of this.others()) void this.deps.peers.send(to, message);
+    for (const to of this.otherControllers()) void this.deps.peers.send(to, message);
     this.sendToFollowers(message);
   }
 
   private sendToFollowers(message: WorkerListMessage): void {
-    for (const [peer, at] of this.followers) {
-      if (this.deps.clock.mono() - at > FOLLOWER_KEPT_MS) this.followers.delete(peer);
+    for (const [peer, at] of this.followerContactAt) {
+      if (this.deps.clock.mono() - at > FOLLOWER_TIMEOUT_MS) this.followerContactAt.delete(peer);
       else peer.send(message);
     }
   }
@@ -123,35 +128,35 @@
   private onApplied(event: { readonly message: WorkerListMessage; readonly contents: boolean }): void {
     const message = event.message;
     if (message.number === null) return;
-    this.highest = Math.max(this.highest, message.number[0]);
-    if (this.currentReading && message.number[1] !== this.readerId) {
-      this.currentReading = false;
+    this.highestTerm = Math.max(this.highestTerm, message.number[0]);
+    if (this.isReader && message.number[1] !== this.readerId) {
+      this.isReader = false;
       this.deps.log.info('another controller reads the worker list', { reader: message.number[1] });
     }
     this.sendToFollowers(
       message.kind === 'listBeat' && message.ageMs === null ? message : { ...message, ageMs: this.updates.ageMs() },
     );
     if (event.contents) this.events.emit('changed', { entries: this.updates.table.entries() });
-    if (!this.currentReading && !this.busy && message.ageMs !== null) this.armTakeover();
+    if (!this.isReader && !this.isTicking && message.ageMs !== null) this.scheduleTakeover();
   }
 
-  private onMissed(event: { readonly number: WorkerListVersion }): void {
-    this.highest = Math.max(this.highest, event.number[0]);
-    this.newerSeenAt = this.deps.clock.mono();
-    void this.queryPeers();
+  private onUpdateGap(event: { readonly number: WorkerListVersion }): void {
+    this.highestTerm = Math.max(this.highestTerm, event.number[0]);
+    this.newerVersionSeenAt = this.deps.clock.mono();
+    void this.queryControllers();
   }
 
-  private onOutrun(event: { readonly peer: Peer }): void {
+  private onSenderBehind(event: { readonly peer: Peer }): void {
     event.peer.send({ kind: 'listBeat', number: this.updates.table.number(), ageMs: null });
   }
 
-  private onWoke(event: { readonly afterMs: number }): void {
+  private onProcessPause(event: { readonly afterMs: number }): void {
     this.deps.log.warn('process stood still, giving up the worker list role', { gapMs: Math.round(event.afterMs) });
-    this.currentReading = false;
-    if (!this.busy) this.arm(0);
+    this.isReader = false;
+    if (!this.isTicking) this.scheduleTick(0);
   }
 
-  private answerTo(number: WorkerListVersion | null): Message {
+  private responseTo(number: WorkerListVersion | null): Message {
     const current = this.updates.table.number();
     const unresponsive = this.updates.reportedUnresponsive();
     if (current === null) return { kind: 'listBeat', number: null, ageMs: null, silent: unresponsive };
@@ -164,33 +169,34 @@
 
   private onFollow(message: MessageOf<'listFollow'>, peer: Peer): Message {
     this.updates.detectStandstill();
-    const known = this.followers.has(peer);
-    this.followers.set(peer, this.deps.clock.mono());
+    const isKnown = this.followerContactAt.has(peer);
+    this.followerContactAt.set(peer, this.deps.clock.mono());
 
-    const gone = (): void => {
-      this.followers.delete(peer);
+    const removeFollower = (): void => {
+      this.followerContactAt.delete(peer);
     };
-    if (!known) peer.onClosed(gone);
-    if (message.number !== null) this.highest = Math.max(this.highest, message.number[0]);
+    if (!isKnown) peer.onClosed(removeFollower);
+    if (message.number !== null) this.highestTerm = Math.max(this.highestTerm, message.number[0]);
     const current = this.updates.table.number();
-    if (this.currentReading && message.number !== null && current && compareVersions(message.number, current) > 0)
-      this.renumber(current);
-    return this.answerTo(message.number);
+    if (this.isReader && message.number !== null && current && compareVersions(message.number, current) > 0)
+      this.startNewTerm(current);
+    return this.responseTo(message.number);
   }
 
-  private async queryPeers(): Promise<void> {
-    if (this.asking) return;
-    this.asking = true;
+  private async queryControllers(): Promise<void> {
+    if (this.isQuerying) return;
+    this.isQuerying = true;
     const requests: Promise<unknown>[] = [];
-    for (const to of this.others()) requests.push(this.updates.query(to));
+    for (const to of this.otherControllers()) requests.push(this.updates.query(to));
     await Promise.all(requests);
-    this.asking = false;
+    this.isQuerying = false;
   }
 
-  private renumber(base: WorkerListVersion): void {
-    this.publish({
+  /** Sends the unchanged list under a newer term, because a follower has a newer version than this reader. */
+  private startNewTerm(base: WorkerListVersion): void {
+    this.applyAndSend({
       kind: 'listChange',
-      number: [this.highest + 1, this.readerId, 0],
+      number: [this.highestTerm + 1, this.readerId, 0],
       base,
       ageMs: this.updates.ageMs(),
       told: [],
@@ -198,92 +204,98 @@
     });
   }
 
-  private publish(message: WorkerListMessage): void {
+  private applyAndSend(message: WorkerListMessage): void {
     const asOf = this.deps.clock.mono() - (message.ageMs ?? 0);
     if (message.kind === 'listWhole') this.updates.table.applySnapshot(message.number, message.entries, asOf);
     else if (message.kind === 'listChange')
       this.updates.table.applyChange(message.number, message.base, { changed: message.told, gone: message.gone }, asOf);
     else if (message.number !== null && message.ageMs !== null) this.updates.table.confirm(message.number, asOf);
-    if (message.number !== null) this.highest = Math.max(this.highest, message.number[0]);
+    if (message.number !== null) this.highestTerm = Math.max(this.highestTerm, message.number[0]);
     if (message.ageMs !== null) this.updates.recordContact();
     this.sendToAll(message);
   }
 
-  private onRead(entries: readonly WorkerEntry[], from: number): void {
+  private onRead(entries: readonly WorkerEntry[], startedAt: number): void {
     const base = this.updates.table.number();
-    const ageMs = this.deps.clock.mono() - from;
-    const change = this.updates.table.differenceTo(entries, from);
-    const goesOn = this.currentReading && base !== null && base[1] === this.readerId;
-    const number: WorkerListVersion = goesOn
+    const ageMs = this.deps.clock.mono() - startedAt;
+    const change = this.updates.table.differenceTo(entries, startedAt);
+    const continuesTerm = this.isReader && base !== null && base[1] === this.readerId;
+    const number: WorkerListVersion = continuesTerm
       ? [base[0], this.readerId, base[2] + 1]
-      : [this.highest + 1, this.readerId, 0];
-    if (!this.currentReading) this.deps.log.info('reading the worker list', { reader: this.readerId, term: number[0] });
-    this.currentReading = true;
-    if (base === null) this.publish({ kind: 'listWhole', number, ageMs, entries: [...entries] });
-    else if (goesOn && isEmptyChange(change)) this.publish({ kind: 'listBeat', number: base, ageMs });
-    else this.publish({ kind: 'listChange', number, base, ageMs, told: [...change.changed], gone: [...change.gone] });
+      : [this.highestTerm + 1, this.readerId, 0];
+    if (!this.isReader) this.deps.log.info('reading the worker list', { reader: this.readerId, term: number[0] });
+    this.isReader = true;
+    if (base === null) this.applyAndSend({ kind: 'listWhole', number, ageMs, entries: [...entries] });
+    else if (continuesTerm && isEmptyChange(change)) this.applyAndSend({ kind: 'listBeat', number: base, ageMs });
+    else
+      this.applyAndSend({ kind: 'listChange', number, base, ageMs, told: [...change.changed], gone: [...change.gone] });
     if (base === null || !isEmptyChange(change)) this.events.emit('changed', { entries: this.updates.table.entries() });
   }
 
-  private announceUnresponsive(): void {
-    if (this.currentReading)
+  /** If this controller is the reader, tells the others and its followers that the platform does not respond to it. */
+  private announcePlatformUnresponsive(): void {
+    if (this.isReader)
       this.sendToAll({ kind: 'listBeat', number: this.updates.table.number(), ageMs: null, silent: true });
   }
 
   private async readOnce(): Promise<void> {
-    const from = this.deps.clock.mono();
-    const was = this.currentReading;
-    const waiting = this.deps.clock.timer(this.pace.readMs * SLOW_SHARE, () => this.announceUnresponsive());
+    const startedAt = this.deps.clock.mono();
+    const wasReader = this.isReader;
+    const slowReadTimer = this.deps.clock.timer(this.pace.readMs * SLOW_READ_FRACTION, () =>
+      this.announcePlatformUnresponsive(),
+    );
     const response = await within(this.deps.clock, this.pace.readMs, this.deps.reader.read());
-    waiting.cancel();
+    slowReadTimer.cancel();
     this.updates.detectStandstill();
     if (this.stopped) return;
     if (
-      this.deps.clock.mono() - from > STANDSTILL_MS ||
-      this.currentReading !== was ||
-      (!was && this.updates.isFresh())
+      this.deps.clock.mono() - startedAt > STANDSTILL_MS ||
+      this.isReader !== wasReader ||
+      (!wasReader && this.updates.isFresh())
     )
-      return this.armTakeover();
-    if (response?.ok) this.onRead(response.value, from);
+      return this.scheduleTakeover();
+    if (response?.ok) this.onRead(response.value, startedAt);
     else {
       if (response?.error.tag === 'listNonsense')
         this.deps.log.warn('worker list invalid', { error: response.error.detail });
-      this.announceUnresponsive();
+      this.announcePlatformUnresponsive();
     }
-    this.arm(
-      this.currentReading ? from + this.pace.everyMs - this.deps.clock.mono() : RETRY_MS * (1 + this.deps.rng.next()),
+    this.scheduleTick(
+      this.isReader
+        ? startedAt + this.pace.everyMs - this.deps.clock.mono()
+        : MIN_READ_RETRY_MS * (1 + this.deps.rng.next()),
     );
   }
 
-  private async runTurn(): Promise<void> {
-    if (this.stopped || this.busy) return;
-    this.busy = true;
+  private async runTick(): Promise<void> {
+    if (this.stopped || this.isTicking) return;
+    this.isTicking = true;
     this.updates.detectStandstill();
-    if (!this.currentReading) await this.queryPeers();
+    if (!this.isReader) await this.queryControllers();
     if (this.stopped) return;
-    if (!this.currentReading && this.updates.isFresh()) this.armTakeover();
+    if (!this.isReader && this.updates.isFresh()) this.scheduleTakeover();
     else if (
-      !this.currentReading &&
-      this.newerSeenAt !== null &&
-      this.deps.clock.mono() - this.newerSeenAt < this.pace.freshMs
+      !this.isReader &&
+      this.newerVersionSeenAt !== null &&
+      this.deps.clock.mono() - this.newerVersionSeenAt < this.pace.freshMs
     )
-      this.arm(this.pace.queryTimeoutMs);
+      this.scheduleTick(this.pace.queryTimeoutMs);
     else await this.readOnce();
-    this.busy = false;
+    this.isTicking = false;
   }
 
   stop(): void {
     this.stopped = true;
-    this.next?.cancel();
+    this.nextTimer?.cancel();
     this.updates.stop();
   }
 
-  reading(): boolean {
-    return this.currentReading;
+  isReading(): boolean {
+    return this.isReader;
   }
 }
 
-/** Takes part in the role until stopped. */
+/** Creates the role; this controller takes part in it until `stop` is called. */
 export function createWorkerListRole(deps: WorkerListRoleDeps): WorkerListRole {
-  return new ElectedListReader(deps);
+  return new SharedWorkerListRole(deps);
 }
--- a/src/state/scaling/observed-orders.test.ts
+++ b/src/state/scaling/observed-orders.test.ts
@@ -3,8 +3,8 @@
 import { emptyControlState, foldBatch } from '../consensus/control-state.js';
 import type { ControlState } from '../consensus/control-state.js';
 import type { Command, Step } from '../consensus/entry.js';
-import { decideObserved, decideRetired, observedMemory, observedRules } from './observed-orders.js';
-import type { ObservedMemory, ListObservation } from './observed-orders.js';
+import { decideOrdersFromList, decideRetiredModels, createListScalerMemory, scaledModels } from './observed-orders.js';
+import type { ListScalerMemory, ListObservation } from './observed-orders.js';
 import { DEFAULT_LIMITS } from '../configuration/serving.js';
 import type { ModelTraits } from '../configuration/serving.js';
 import type { Settings } from '../configuration/settings-tree.js';
@@ -20,16 +20,16 @@
   engine: { batch: 64, kvTokens: 1 },
 };
 
-type Stage = {
+type Scenario = {
   controlState: ControlState;
-  memory: ObservedMemory;
+  memory: ListScalerMemory;
   list: WorkerEntry[];
   now: number;
   serial: number;
   entries: number;
 };
 
-function stage(deployment: Settings = {}, workers = 6): Stage {
+function createScenario(deployment: Settings = {}, workers = 6): Scenario {
   const controlState = emptyControlState();
   controlState.configuration = {
     zones: {},
@@ -43,229 +43,235 @@
     },
   };
   const list = [...Array(workers).keys()].map((i) => workerEntry(`w${i}`, ZONES[i % 3] as string));
-  return { controlState, memory: observedMemory(), list, now: 0, serial: 0, entries: 0 };
+  return { controlState, memory: createListScalerMemory(), list, now: 0, serial: 0, entries: 0 };
 }
-function fold(s: Stage, command: Command): void {
+function fold(s: Scenario, command: Command): void {
   s.serial += 1;
   foldBatch(s.controlState, s.controlState.slot + 1, {
     id: `b${s.serial}`,
     entries: [{ id: `e${s.serial}`, author: 'h1', wall: 0, cause: '-', act: command }],
   });
 }
-function turn(s: Stage, more: Partial<ListObservation> = {}, ms = 1_000): Step[] {
+function tick(s: Scenario, overrides: Partial<ListObservation> = {}, ms = 1_000): Step[] {
   s.now += ms;
-  const [rule] = observedRules(s.controlState.configuration, ZONES);
-  if (!rule) return [];
+  const [scaledModel] = scaledModels(s.controlState.configuration, ZONES);
+  if (!scaledModel) return [];
   const observation: ListObservation = {
     now: s.now,
     list: s.list,
     rate: null,
     dead: new Set(),
-    planned: new Set(),
-    ...more,
+    plannedDepartures: new Set(),
+    ...overrides,
   };
-  const steps = decideObserved(rule, s.controlState, observation, s.memory, () => `o${(s.serial += 1)}`);
+  const steps = decideOrdersFromList(scaledModel, s.controlState, observation, s.memory, () => `o${(s.serial += 1)}`);
   if (steps.length > 0) fold(s, { tag: 'decided', steps });
   return steps;
 }
-function change(s: Stage, id: string, more: Partial<WorkerEntry> | null): void {
-  s.list = s.list.flatMap((w) => (w.id !== id ? [w] : more === null ? [] : [{ ...w, ...more }]));
+function changeWorker(s: Scenario, id: string, overrides: Partial<WorkerEntry> | null): void {
+  s.list = s.list.flatMap((w) => (w.id !== id ? [w] : overrides === null ? [] : [{ ...w, ...overrides }]));
 }
 function tags(steps: readonly Step[]): string[] {
   return steps.map((s) => s.act.tag);
 }
-function sets(s: Stage): string {
-  const z = s.controlState.zoneSets['m'];
-  return `${z?.active.join('')}|${z?.preemptive.join('')}`;
+function zoneSetsText(s: Scenario): string {
+  const zoneSets = s.controlState.zoneSets['m'];
+  return `${zoneSets?.active.join('')}|${zoneSets?.preemptive.join('')}`;
 }
-function open(s: Stage): string[] {
+function orderTexts(s: Scenario): string[] {
   return Object.values(s.controlState.orders)
     .map((o) => `${o.kind} ${o.zone} ${o.status}`)
     .sort();
 }
 
-describe('orders by observation', () => {
-  test('workers in the list are taken over in one entry, and a calm day adds none', () => {
-    const s = stage();
-    expect(tags(turn(s))).toEqual(['zonesMoved', 'targetChanged', 'ordersAdopted']);
-    expect(open(s)).toHaveLength(6);
-    expect(sets(s)).toBe('abc|');
-    for (let i = 0; i < 100; i += 1) expect(turn(s, { rate: { perSecond: 3, complete: true } })).toEqual([]);
+describe('orders matched with the worker list', () => {
+  test('listed workers are adopted in one entry, and nothing is written while nothing changes', () => {
+    const s = createScenario();
+    expect(tags(tick(s))).toEqual(['zonesMoved', 'targetChanged', 'ordersAdopted']);
+    expect(orderTexts(s)).toHaveLength(6);
+    expect(zoneSetsText(s)).toBe('abc|');
+    for (let i = 0; i < 100; i += 1) expect(tick(s, { rate: { perSecond: 3, complete: true } })).toEqual([]);
   });
 
-  test('a model without an engine, or one that is not to be scaled, is left alone', () => {
-    expect(observedRules(stage().controlState.configuration, ZONES).map((r) => r.model)).toEqual(['m']);
-    expect(observedRules(stage({ scaled: false }).controlState.configuration, ZONES)).toEqual([]);
+  test('a model without an engine, or with scaling turned off, is not scaled', () => {
+    expect(scaledModels(createScenario().controlState.configuration, ZONES).map((r) => r.model)).toEqual(['m']);
+    expect(scaledModels(createScenario({ scaled: false }).controlState.configuration, ZONES)).toEqual([]);
   });
 
-  test('Q_Tar follows the batch, and a setting comes first', () => {
-    expect(observedRules(stage().controlState.configuration, ZONES)[0]?.values.qTar).toBe(6.4);
-    expect(observedRules(stage({ qTar: 2 }).controlState.configuration, ZONES)[0]?.values.qTar).toBe(2);
+  test('Q_Tar follows the batch size unless it is configured', () => {
+    expect(scaledModels(createScenario().controlState.configuration, ZONES)[0]?.values.qTar).toBe(6.4);
+    expect(scaledModels(createScenario({ qTar: 2 }).controlState.configuration, ZONES)[0]?.values.qTar).toBe(2);
   });
 
-  test('short notice moves the zone to Z_P, a ready launch there moves it back', () => {
-    const s = stage();
-    turn(s);
-    change(s, 'w1', { leaving: true, remainingMs: 6_000 });
-    const lost = turn(s);
+  test('a preemption at short notice moves the zone to Z_P, a ready launch there moves it back', () => {
+    const s = createScenario();
+    tick(s);
+    changeWorker(s, 'w1', { leaving: true, remainingMs: 6_000 });
+    const lost = tick(s);
     expect(lost.map((x) => x.act)).toEqual([
       { tag: 'zonesMoved', model: 'm', active: ['a', 'c'], preemptive: ['b'] },
       { tag: 'orderLost', order: 'found-w1', preempted: true },
     ]);
     expect(lost[1]?.cause).toContain('6000 ms');
-    expect(turn(s)).toEqual([]);
-    change(s, 'w1', null);
+    expect(tick(s)).toEqual([]);
+    changeWorker(s, 'w1', null);
     s.list.push(workerEntry('w9', 'b', { coldMs: 3_000 }));
-    expect(tags(turn(s))).toEqual(['ordersAdopted']);
-    expect(sets(s)).toBe('ac|b');
-    change(s, 'w9', { coldMs: 0 });
-    expect(tags(turn(s))).toEqual(['zonesMoved', 'orderReady']);
-    expect(sets(s)).toBe('acb|');
+    expect(tags(tick(s))).toEqual(['ordersAdopted']);
+    expect(zoneSetsText(s)).toBe('ac|b');
+    changeWorker(s, 'w9', { coldMs: 0 });
+    expect(tags(tick(s))).toEqual(['zonesMoved', 'orderReady']);
+    expect(zoneSetsText(s)).toBe('acb|');
   });
 
-  test('fewer than two active zones bring all back', () => {
-    const s = stage();
-    turn(s);
-    change(s, 'w0', { leaving: true, remainingMs: 1 });
-    turn(s);
-    change(s, 'w1', { leaving: true, remainingMs: 1 });
-    turn(s);
-    expect(sets(s)).toBe('cab|');
+  test('if fewer than two zones are active, all become active again', () => {
+    const s = createScenario();
+    tick(s);
+    changeWorker(s, 'w0', { leaving: true, remainingMs: 1 });
+    tick(s);
+    changeWorker(s, 'w1', { leaving: true, remainingMs: 1 });
+    tick(s);
+    expect(zoneSetsText(s)).toBe('cab|');
   });
 
-  test('a planned drain is a release, not a preemption', () => {
-    const s = stage();
-    turn(s);
-    change(s, 'w1', { leaving: true });
-    expect(tags(turn(s))).toEqual(['orderDraining']);
-    change(s, 'w1', null);
-    turn(s);
-    expect(tags(turn(s, {}, 2_000))).toEqual(['orderReleased']);
-    expect(sets(s)).toBe('abc|');
+  test('a planned drain ends as a release, not as a preemption', () => {
+    const s = createScenario();
+    tick(s);
+    changeWorker(s, 'w1', { leaving: true });
+    expect(tags(tick(s))).toEqual(['orderDraining']);
+    changeWorker(s, 'w1', null);
+    tick(s);
+    expect(tags(tick(s, {}, 2_000))).toEqual(['orderReleased']);
+    expect(zoneSetsText(s)).toBe('abc|');
   });
 
-  test('a worker that another holder saw leave in order is released too', () => {
-    const s = stage();
-    turn(s);
-    change(s, 'w1', null);
-    expect(turn(s)).toEqual([]);
-    expect(tags(turn(s, { planned: new Set(['w1']) }, 2_000))).toEqual(['orderReleased']);
+  test('a worker whose planned drain was seen only before this holder took over is released too', () => {
+    const s = createScenario();
+    tick(s);
+    changeWorker(s, 'w1', null);
+    expect(tick(s)).toEqual([]);
+    expect(tags(tick(s, { plannedDepartures: new Set(['w1']) }, 2_000))).toEqual(['orderReleased']);
   });
 
-  test('a worker that vanishes is lost, though not at the first list without it', () => {
-    const s = stage();
-    turn(s);
-    change(s, 'w1', null);
-    expect(turn(s)).toEqual([]);
-    expect(tags(turn(s, {}, 2_000))).toEqual(['zonesMoved', 'orderLost']);
+  test('a worker missing from the list is lost, but not at the first list without it', () => {
+    const s = createScenario();
+    tick(s);
+    changeWorker(s, 'w1', null);
+    expect(tick(s)).toEqual([]);
+    expect(tags(tick(s, {}, 2_000))).toEqual(['zonesMoved', 'orderLost']);
     s.list.push(workerEntry('w1', 'b'));
-    turn(s);
-    expect(open(s)).toHaveLength(6);
+    tick(s);
+    expect(orderTexts(s)).toHaveLength(6);
   });
 
-  test('a worker that is listed and unfit for long is lost, and taken again once it is fit', () => {
-    const s = stage();
-    turn(s);
+  test('a worker that is listed but unhealthy for long is lost, and adopted again once it is healthy', () => {
+    const s = createScenario();
+    tick(s);
     const dead = { dead: new Set(['w2']) };
-    expect(tags(turn(s, dead))).toEqual(['zonesMoved', 'orderLost']);
-    expect(turn(s, dead)).toEqual([]);
-    expect(tags(turn(s))).toEqual(['zonesMoved', 'ordersAdopted']);
-    expect(sets(s)).toBe('abc|');
+    expect(tags(tick(s, dead))).toEqual(['zonesMoved', 'orderLost']);
+    expect(tick(s, dead)).toEqual([]);
+    expect(tags(tick(s))).toEqual(['zonesMoved', 'ordersAdopted']);
+    expect(zoneSetsText(s)).toBe('abc|');
   });
 
-  test('what is wanted and not there is ordered by zone and kind, and a new worker fills the oldest order of its zone', () => {
-    const s = stage({ minTarget: 2 }, 2);
+  test('missing workers are ordered by zone and kind, and a new worker is matched with the oldest order of its zone', () => {
+    const s = createScenario({ minTarget: 2 }, 2);
     expect(
-      turn(s)
+      tick(s)
         .map((x) => x.act)
         .filter((a) => a.tag === 'orderIntended')
         .map((a) => `${a.kind} ${a.zone}`),
     ).toEqual(['spot c', 'spot a', 'onDemand a', 'onDemand a']);
     s.list.push(workerEntry('w7', 'a'));
-    expect(tags(turn(s))).toEqual(['orderPlaced', 'orderReady', 'orderReleased']);
-    expect(open(s)).toEqual(['onDemand a intended', 'spot a ready', 'spot a ready', 'spot b ready', 'spot c intended']);
+    expect(tags(tick(s))).toEqual(['orderPlaced', 'orderReady', 'orderReleased']);
+    expect(orderTexts(s)).toEqual([
+      'onDemand a intended',
+      'spot a ready',
+      'spot a ready',
+      'spot b ready',
+      'spot c intended',
+    ]);
     s.list.push(workerEntry('w8', 'c', { coldMs: 2_000 }));
-    expect(tags(turn(s))).toEqual(['orderPlaced']);
-    change(s, 'w8', { coldMs: 0 });
-    expect(tags(turn(s))).toEqual(['orderReady', 'orderReleased']);
-    expect(open(s)).toEqual(['spot a ready', 'spot a ready', 'spot b ready', 'spot c ready']);
-    expect(turn(s)).toEqual([]);
+    expect(tags(tick(s))).toEqual(['orderPlaced']);
+    changeWorker(s, 'w8', { coldMs: 0 });
+    expect(tags(tick(s))).toEqual(['orderReady', 'orderReleased']);
+    expect(orderTexts(s)).toEqual(['spot a ready', 'spot a ready', 'spot b ready', 'spot c ready']);
+    expect(tick(s)).toEqual([]);
   });
 
-  test('a fallback worker is to be given back once enough spot is ready', () => {
-    const s = stage({ minTarget: 1, nExtra: 1 }, 0);
-    turn(s);
-    expect(open(s)).toEqual(['onDemand a intended', 'spot a intended', 'spot b intended']);
+  test('an on-demand fallback worker is drained once enough spot workers are ready', () => {
+    const s = createScenario({ minTarget: 1, nExtra: 1 }, 0);
+    tick(s);
+    expect(orderTexts(s)).toEqual(['onDemand a intended', 'spot a intended', 'spot b intended']);
     s.list.push(workerEntry('x1', 'a'), workerEntry('x2', 'a'));
-    turn(s);
-    expect(open(s)).toEqual(['onDemand a ready', 'spot a ready', 'spot b intended']);
+    tick(s);
+    expect(orderTexts(s)).toEqual(['onDemand a ready', 'spot a ready', 'spot b intended']);
     s.list.push(workerEntry('x3', 'b'));
-    turn(s);
-    expect(open(s)).toEqual(['onDemand a draining', 'spot a ready', 'spot b ready']);
-    change(s, 'x2', null);
-    turn(s);
-    turn(s, {}, 2_000);
-    expect(open(s)).toEqual(['spot a ready', 'spot b ready']);
+    tick(s);
+    expect(orderTexts(s)).toEqual(['onDemand a draining', 'spot a ready', 'spot b ready']);
+    changeWorker(s, 'x2', null);
+    tick(s);
+    tick(s, {}, 2_000);
+    expect(orderTexts(s)).toEqual(['spot a ready', 'spot b ready']);
   });
 
-  test('an order of which nothing came in time has failed, and its zone is demoted', () => {
-    const s = stage({ launchTimeoutS: 60, minTarget: 3, nExtra: 1 }, 3);
-    turn(s);
-    expect(open(s).filter((o) => o.startsWith('spot') && o.endsWith('intended'))).toEqual(['spot a intended']);
-    turn(s);
-    const steps = turn(s, {}, 61_000);
+  test('an order without a worker within the launch timeout fails, and its zone is demoted', () => {
+    const s = createScenario({ launchTimeoutS: 60, minTarget: 3, nExtra: 1 }, 3);
+    tick(s);
+    expect(orderTexts(s).filter((o) => o.startsWith('spot') && o.endsWith('intended'))).toEqual(['spot a intended']);
+    tick(s);
+    const steps = tick(s, {}, 61_000);
     expect(tags(steps)).toContain('orderFailed');
-    expect(sets(s)).toBe('bc|a');
+    expect(zoneSetsText(s)).toBe('bc|a');
   });
 
-  test('the target moves by the rate once it has differed for the hold time; unknown rates move nothing', () => {
-    const s = stage({ holdS: 5, qTar: 1 });
-    turn(s);
+  test('the target follows the rate after the hold time; unknown rates change nothing', () => {
+    const s = createScenario({ holdS: 5, qTar: 1 });
+    tick(s);
     const rate = { perSecond: 3.2, complete: true };
-    for (let i = 0; i < 5; i += 1) expect(turn(s, { rate })).toEqual([]);
-    expect(turn(s, { rate })[0]).toEqual({
+    for (let i = 0; i < 5; i += 1) expect(tick(s, { rate })).toEqual([]);
+    expect(tick(s, { rate })[0]).toEqual({
       cause: 'Rate 3.20/s over 60s against 1/s a worker.',
       act: { tag: 'targetChanged', model: 'm', target: 4 },
     });
-    for (let i = 0; i < 20; i += 1) turn(s);
+    for (let i = 0; i < 20; i += 1) tick(s);
     expect(s.controlState.targets['m']).toBe(4);
   });
 
-  test('an evacuated zone leaves Z; its workers do not count, and no order is written for them', () => {
-    const s = stage({}, 6);
-    turn(s);
+  test('an evacuated zone leaves Z; its workers do not count, and no steps are written for them', () => {
+    const s = createScenario({}, 6);
+    tick(s);
     fold(s, { tag: 'evacuation', zone: 'b', begun: true });
-    expect(tags(turn(s))).toEqual(['zonesMoved']);
-    expect(sets(s)).toBe('ac|');
-    expect(turn(s)).toEqual([]);
+    expect(tags(tick(s))).toEqual(['zonesMoved']);
+    expect(zoneSetsText(s)).toBe('ac|');
+    expect(tick(s)).toEqual([]);
     fold(s, { tag: 'evacuation', zone: 'b', begun: false });
-    expect(tags(turn(s))).toEqual(['zonesMoved']);
-    expect(sets(s)).toBe('abc|');
+    expect(tags(tick(s))).toEqual(['zonesMoved']);
+    expect(zoneSetsText(s)).toBe('abc|');
   });
 
-  test('no more than a few orders an entry, however much happens', () => {
-    const s = stage({ minTarget: 30 }, 60);
-    turn(s);
+  test('the number of steps in one entry is limited, however much changes', () => {
+    const s = createScenario({ minTarget: 30 }, 60);
+    tick(s);
     s.list = s.list.map((w) => ({ ...w, leaving: true }));
     let steps = 0;
     for (let i = 0; i < 30; i += 1) {
-      const now = turn(s).length;
-      expect(now).toBeLessThanOrEqual(9);
-      steps += now;
+      const count = tick(s).length;
+      expect(count).toBeLessThanOrEqual(9);
+      steps += count;
     }
     expect(steps).toBeGreaterThan(60);
   });
 
-  test('a model that is configured no more is forgotten as its workers go', () => {
-    const s = stage();
-    turn(s);
-    expect(decideRetired(s.controlState, new Set(['m']), [])).toEqual([]);
-    expect(tags(decideRetired(s.controlState, new Set(), s.list))).toEqual([]);
-    expect(tags(decideRetired(s.controlState, new Set(), s.list.slice(1)))).toEqual(['orderReleased']);
+  test('orders of a model that is no longer configured are released once their workers are gone', () => {
+    const s = createScenario();
+    tick(s);
+    expect(decideRetiredModels(s.controlState, new Set(['m']), [])).toEqual([]);
+    expect(tags(decideRetiredModels(s.controlState, new Set(), s.list))).toEqual([]);
+    expect(tags(decideRetiredModels(s.controlState, new Set(), s.list.slice(1)))).toEqual(['orderReleased']);
   });
 
-  test('decisions under another fence fold to nothing', () => {
-    const s = stage();
+  test('decisions under a stale fencing token are rejected', () => {
+    const s = createScenario();
     fold(s, { tag: 'leaseTaken', duty: 'scaler', holder: 'h2' });
     const steps: Step[] = [{ cause: '-', act: { tag: 'targetChanged', model: 'm', target: 9 } }];
     const [outcome] = foldBatch(s.controlState, s.controlState.slot + 1, {
--- a/src/state/scaling/order.ts
+++ b/src/state/scaling/order.ts
@@ -1,14 +1,14 @@
 /**
- * Orders for machines and the states they pass. Folded from the ledger by
- * `control-state.ts`; decided by the scaler.
+ * Orders for machines and the states they pass through. The scaler decides them; `control-state.ts` builds them from
+ * the entries of the replicated log.
  */
 
 import type { Kind } from '../consensus/entry.js';
 
-/** States of an order, from the intention to its end. */
+/** States of an order, from the decision to order until it is closed. */
 export type OrderStatus = 'intended' | 'placed' | 'ready' | 'draining' | 'failed' | 'lost' | 'released';
 
-/** A change of state, by the ledger entry that made it. */
+/** A change of an order's state and the log entry that made it. */
 export type OrderEvent = {
   readonly slot: number;
   readonly status: OrderStatus;
@@ -18,7 +18,7 @@
   readonly wall: number;
 };
 
-/** An order with all of its history. */
+/** An order with its full history. */
 export type Order = {
   readonly id: string;
   readonly model: string;
@@ -30,7 +30,7 @@
   readonly events: readonly OrderEvent[];
 };
 
-const NEXT: Readonly<Record<OrderStatus, readonly OrderStatus[]>> = {
+const TRANSITIONS: Readonly<Record<OrderStatus, readonly OrderStatus[]>> = {
   intended: ['placed', 'failed', 'draining', 'lost', 'released'],
   placed: ['ready', 'lost', 'draining', 'failed', 'released'],
   ready: ['draining', 'lost', 'released'],
@@ -40,17 +40,17 @@
   released: [],
 };
 
-/** Whether an order may go from one state to another. */
+/** Returns whether an order may change from one state to another. */
 export function mayBecome(from: OrderStatus, to: OrderStatus): boolean {
-  return NEXT[from].includes(to);
+  return TRANSITIONS[from].includes(to);
 }
 
-/** Whether anything may still become of the order. */
+/** Returns whether the order may still change its state. */
 export function isOpen(status: OrderStatus): boolean {
-  return NEXT[status].length > 0;
+  return TRANSITIONS[status].length > 0;
 }
 
-/** Whether the order counts towards the workers wanted. */
+/** Returns whether the order counts towards the number of workers wanted. */
 export function counts(order: Order): boolean {
   return order.status === 'intended' || order.status === 'placed' || order.status === 'ready';
 }
--- a/src/state/scaling/rates.ts
+++ b/src/state/scaling/rates.ts
@@ -1,74 +1,74 @@
 /**
- * Request rates of each model over windows of time, from the running totals that proxies
- * report. A proxy that restarts counts from zero again and is not counted twice.
+ * Request rates of each model over a time window, computed from the running totals that proxies report. After a restart
+ * a proxy has a new incarnation and its totals start at zero again; they are added to the requests counted before.
  */
 
 import type { Report } from '../distribution/report.js';
 import type { Rate } from './target.js';
 
 type Sample = { readonly at: number; readonly totals: Readonly<Record<string, number>>; readonly complete: boolean };
-type LastReport = { readonly incarnation: number; readonly last: Readonly<Record<string, number>> };
+type LastTotals = { readonly incarnation: number; readonly totals: Readonly<Record<string, number>> };
 
-/** Takes all reports at a moment, and tells rates per second; null before a whole window was seen. */
+/** Samples the reports of proxies and computes rates per second. `rate` is null until samples span a whole window. */
 export interface RateWindow {
   observe(at: number, reports: Iterable<Report>, complete: boolean): void;
   rate(model: string, windowMs: number): Rate | null;
   reset(): void;
 }
 
-const KEPT_MS = 3_660_000;
+const RETENTION_MS = 3_660_000;
 
 class SampledRateWindow implements RateWindow {
   private samples: Sample[] = [];
-  private lastReports = new Map<string, LastReport>();
-  private running: Record<string, number> = {};
+  private lastTotals = new Map<string, LastTotals>();
+  private runningTotals: Record<string, number> = {};
 
   observe(at: number, reports: Iterable<Report>, complete: boolean): void {
-    const first = this.samples.length === 0;
-    const next: Record<string, number> = { ...this.running };
+    const isFirst = this.samples.length === 0;
+    const nextTotals: Record<string, number> = { ...this.runningTotals };
     for (const report of reports) {
-      const before = this.lastReports.get(report.reporter);
-      const restarted = before !== undefined && before.incarnation !== report.incarnation;
+      const previous = this.lastTotals.get(report.reporter);
+      const restarted = previous !== undefined && previous.incarnation !== report.incarnation;
       for (const [model, count] of Object.entries(report.requests)) {
-        const base = restarted ? 0 : before ? (before.last[model] ?? 0) : first ? count : 0;
-        next[model] = (next[model] ?? 0) + Math.max(0, count - base);
+        const baseline = restarted ? 0 : previous ? (previous.totals[model] ?? 0) : isFirst ? count : 0;
+        nextTotals[model] = (nextTotals[model] ?? 0) + Math.max(0, count - baseline);
       }
-      this.lastReports.set(report.reporter, { incarnation: report.incarnation, last: report.requests });
+      this.lastTotals.set(report.reporter, { incarnation: report.incarnation, totals: report.requests });
     }
-    this.running = next;
-    this.samples.push({ at, totals: next, complete });
-    if (this.samples.length % 256 === 0) this.samples = this.samples.filter(fresh);
-    function fresh(sample: Sample): boolean {
-      return sample.at >= at - KEPT_MS;
+    this.runningTotals = nextTotals;
+    this.samples.push({ at, totals: nextTotals, complete });
+    if (this.samples.length % 256 === 0) this.samples = this.samples.filter(isRetained);
+    function isRetained(sample: Sample): boolean {
+      return sample.at >= at - RETENTION_MS;
     }
   }
 
   rate(model: string, windowMs: number): Rate | null {
-    const last = this.samples[this.samples.length - 1];
-    if (!last) return null;
-    let from: Sample | null = null;
+    const newest = this.samples[this.samples.length - 1];
+    if (!newest) return null;
+    let windowStart: Sample | null = null;
     let complete = true;
     for (let i = this.samples.length - 1; i >= 0; i -= 1) {
       const sample = this.samples[i] as Sample;
       if (!sample.complete) complete = false;
-      if (last.at - sample.at >= windowMs) {
-        from = sample;
+      if (newest.at - sample.at >= windowMs) {
+        windowStart = sample;
         break;
       }
     }
-    if (!from) return null;
-    const count = (last.totals[model] ?? 0) - (from.totals[model] ?? 0);
-    return { perSecond: (count * 1_000) / (last.at - from.at), complete };
+    if (!windowStart) return null;
+    const count = (newest.totals[model] ?? 0) - (windowStart.totals[model] ?? 0);
+    return { perSecond: (count * 1_000) / (newest.at - windowStart.at), complete };
   }
 
   reset(): void {
     this.samples = [];
-    this.lastReports = new Map();
-    this.running = {};
+    this.lastTotals = new Map();
+    this.runningTotals = {};
   }
 }
 
-/** No samples yet; an hour of them is kept. */
+/** Creates a window without samples. Samples are kept for about an hour. */
 export function createRateWindow(): RateWindow {
   return new SampledRateWindow();
 }
--- a/src/state/scaling/scaler-decide.ts
+++ b/src/state/scaling/scaler-decide.ts
@@ -1,7 +1,7 @@
 /**
- * The scaler's decisions for one model: its target, lost orders, and machines to order or give
- * back, after SkyServe (docs/skyserve.md). Pure: `scaler.ts` agrees each decision under its fence
- * before anything outside is called.
+ * Decisions of the scaler for one model, following SkyServe (docs/skyserve.md): the target, lost orders, and machines
+ * to order or release. Has no side effects outside the process: `scaler.ts` writes each decision to the replicated log
+ * under its fencing token before it calls the cloud.
  */
 
 import type { ControlState } from '../consensus/control-state.js';
@@ -16,28 +16,30 @@
 import type { ObservedMachine, ObservedWorker, ScalerObservation } from './scaler-observation.js';
 import {
   alignZones,
-  cheapest,
+  cheapestZone,
   handleLaunch,
   handlePreemption,
   initialZones,
-  sameZones,
+  zoneSetsEqual,
   selectNextZone,
-  zonesMoved,
+  zonesMovedDecision,
 } from './zone-sets.js';
 import type { ZoneSets } from './zone-sets.js';
 
-/** An entry to be agreed, with its cause for the history. */
+/** A command for the log, with its cause for the history of the order. */
 export type Decision = { readonly act: Command; readonly cause: string };
 
-const LIST_LAG_MS = 30_000;
-/** All orders of a model, open or ended. */
+/** For this long a machine that the cloud has never listed is not taken for lost: the list may lag behind the order. */
+const CLOUD_LIST_LAG_MS = 30_000;
+
+/** Returns all orders of a model in the replicated state, whatever their status. */
 export function ordersOf(controlState: ControlState, model: string): Order[] {
-  const out: Order[] = [];
-  for (const order of Object.values(controlState.orders)) if (order.model === model) out.push(order);
-  return out;
+  const modelOrders: Order[] = [];
+  for (const order of Object.values(controlState.orders)) if (order.model === model) modelOrders.push(order);
+  return modelOrders;
 }
 
-function startedSlot(order: Order): number {
+function intendedSlot(order: Order): number {
   return order.events[0]?.slot ?? 0;
 }
 function placedSlot(order: Order): number {
@@ -45,17 +47,17 @@
   return 0;
 }
 
-/** One pass over a model: what it decided stands in `out`. */
+/** One pass over a model; collects its decisions in `decisions`. */
 class ModelDecisionPass {
-  private readonly out: Decision[] = [];
-  private readonly mem: ModelMemory;
+  private readonly decisions: Decision[] = [];
+  private readonly modelMemory: ModelMemory;
   private readonly zones: string[];
-  private readonly before: ZoneSets | undefined;
-  private sets: ZoneSets;
-  private why: string;
+  private readonly previousSets: ZoneSets | undefined;
+  private zoneSets: ZoneSets;
+  private zonesCause: string;
   private target = 0;
   private orders: Order[] = [];
-  private standing: Order[] = [];
+  private activeOrders: Order[] = [];
 
   constructor(
     private readonly resolved: ResolvedModel,
@@ -64,38 +66,41 @@
     private readonly memory: ScalerMemory,
     private readonly nextOrderId: () => string,
   ) {
-    this.mem = memoryOf(this.memory, this.resolved.model);
-    this.zones = openZones(this.resolved.values.zones, this.controlState);
-    this.before = this.controlState.zoneSets[this.resolved.model];
-    this.sets = this.before ? alignZones(this.before, this.zones) : initialZones(this.zones);
-    this.why = this.before ? 'The enabled zones changed.' : 'The model is new: all enabled zones are active.';
+    this.modelMemory = memoryOf(this.memory, this.resolved.model);
+    this.zones = usableZones(this.resolved.values.zones, this.controlState);
+    this.previousSets = this.controlState.zoneSets[this.resolved.model];
+    this.zoneSets = this.previousSets ? alignZones(this.previousSets, this.zones) : initialZones(this.zones);
+    this.zonesCause = this.previousSets
+      ? 'The enabled zones changed.'
+      : 'The model is new: all enabled zones are active.';
   }
 
   decide(): Decision[] {
-    for (const zone of this.observation.failedIn) this.demote(zone, `No spot capacity in ${zone}.`);
+    for (const zone of this.observation.failedIn) this.demoteZone(zone, `No spot capacity in ${zone}.`);
     this.target = this.decideTarget();
     this.orders = ordersOf(this.controlState, this.resolved.model);
-    this.recordPlaced();
-    this.standing = this.resolveOrders();
+    this.updatePlacedSince();
+    this.activeOrders = this.resolveOrders();
     this.decideSpot();
     this.decideOnDemand();
-    if (!this.before || !sameZones(this.before, this.sets))
-      this.out.unshift(zonesMoved(this.resolved.model, this.sets, this.why));
-    return this.out;
+    if (!this.previousSets || !zoneSetsEqual(this.previousSets, this.zoneSets))
+      this.decisions.unshift(zonesMovedDecision(this.resolved.model, this.zoneSets, this.zonesCause));
+    return this.decisions;
   }
 
-  private recordPlaced(): void {
-    const open = new Set<string>();
+  private updatePlacedSince(): void {
+    const placedIds = new Set<string>();
     for (const order of this.orders) {
       if (order.machine === null) continue;
-      open.add(order.id);
-      if (!this.mem.placedSince.has(order.id)) this.mem.placedSince.set(order.id, this.observation.now);
+      placedIds.add(order.id);
+      if (!this.modelMemory.placedSince.has(order.id)) this.modelMemory.placedSince.set(order.id, this.observation.now);
     }
-    for (const id of this.mem.placedSince.keys()) if (!open.has(id)) this.mem.placedSince.delete(id);
+    for (const id of this.modelMemory.placedSince.keys())
+      if (!placedIds.has(id)) this.modelMemory.placedSince.delete(id);
   }
 
   private placedForMs(order: Order): number {
-    return this.observation.now - (this.mem.placedSince.get(order.id) ?? this.observation.now);
+    return this.observation.now - (this.modelMemory.placedSince.get(order.id) ?? this.observation.now);
   }
 
   private decideTarget(): number {
@@ -105,62 +110,65 @@
       values,
       this.controlState.targets[model],
       this.observation.rates[model] ?? null,
-      this.mem,
+      this.modelMemory,
       this.observation.now,
     );
-    if (decision) this.out.push(decision);
+    if (decision) this.decisions.push(decision);
     return target;
   }
 
-  private lose(order: Order, cause: string): void {
+  private recordLoss(order: Order, cause: string): void {
     const preempted = order.kind === 'spot';
-    this.out.push({ cause, act: { tag: 'orderLost', order: order.id, preempted } });
-    if (preempted) this.demote(order.zone, `A spot worker was lost in ${order.zone}.`);
+    this.decisions.push({ cause, act: { tag: 'orderLost', order: order.id, preempted } });
+    if (preempted) this.demoteZone(order.zone, `A spot worker was lost in ${order.zone}.`);
   }
 
-  private demote(zone: string, cause: string): void {
-    this.sets = handlePreemption(this.sets, zone);
-    this.why = cause;
+  private demoteZone(zone: string, cause: string): void {
+    this.zoneSets = handlePreemption(this.zoneSets, zone);
+    this.zonesCause = cause;
   }
 
   private resolveOrders(): Order[] {
-    const left: Order[] = [];
+    const active: Order[] = [];
     for (const order of this.orders) {
       if (!counts(order)) continue;
-      const reason = this.lossOf(order);
+      const reason = this.lossCause(order);
       if (reason) {
-        this.lose(order, reason);
+        this.recordLoss(order, reason);
         continue;
       }
       if (this.controlState.evacuated[order.zone] !== undefined && order.status !== 'intended') {
-        this.out.push({ cause: `${order.zone} is being evacuated.`, act: { tag: 'orderDraining', order: order.id } });
+        this.decisions.push({
+          cause: `${order.zone} is being evacuated.`,
+          act: { tag: 'orderDraining', order: order.id },
+        });
         continue;
       }
       if (order.status === 'placed') {
         if (this.workerOf(order)?.state === 'ready') {
-          this.out.push({ cause: 'The worker is ready.', act: { tag: 'orderReady', order: order.id } });
+          this.decisions.push({ cause: 'The worker is ready.', act: { tag: 'orderReady', order: order.id } });
           recordLaunchSucceeded(this.memory, this.resolved.model, order.kind, order.zone);
           if (order.kind === 'spot') {
-            const moved = handleLaunch(this.sets, order.zone);
-            if (moved !== this.sets) this.why = `A launch became ready in ${order.zone}.`;
-            this.sets = moved;
+            const nextSets = handleLaunch(this.zoneSets, order.zone);
+            if (nextSets !== this.zoneSets) this.zonesCause = `A launch became ready in ${order.zone}.`;
+            this.zoneSets = nextSets;
           }
-          left.push({ ...order, status: 'ready' });
+          active.push({ ...order, status: 'ready' });
           continue;
         }
         if (this.placedForMs(order) > this.resolved.values.launchTimeoutS * 1_000) {
-          this.out.push({
+          this.decisions.push({
             cause: `Not ready within ${this.resolved.values.launchTimeoutS}s.`,
             act: { tag: 'orderDraining', order: order.id },
           });
           recordLaunchFailed(this.memory, this.resolved.model, order.kind, order.zone, this.observation.now);
-          if (order.kind === 'spot') this.demote(order.zone, `A launch in ${order.zone} never became ready.`);
+          if (order.kind === 'spot') this.demoteZone(order.zone, `A launch in ${order.zone} never became ready.`);
           continue;
         }
       }
-      left.push(order);
+      active.push(order);
     }
-    return left;
+    return active;
   }
 
   private workerOf(order: Order): ObservedWorker | null {
@@ -168,21 +176,22 @@
     return null;
   }
 
-  private lossOf(order: Order): string | null {
+  /** Returns why the order counts as lost, or null if it does not. */
+  private lossCause(order: Order): string | null {
     if (order.status === 'intended' || order.machine === null) return null;
     if (placedSlot(order) > this.observation.asOf) return null;
     if (this.observation.machines) {
-      let seen: ObservedMachine | null = null;
-      for (const machine of this.observation.machines) if (machine.id === order.machine) seen = machine;
+      let listed: ObservedMachine | null = null;
+      for (const machine of this.observation.machines) if (machine.id === order.machine) listed = machine;
       if (
-        !seen &&
+        !listed &&
         !this.observation.knownMachines.has(order.machine) &&
-        !this.isUnlisted(order) &&
-        this.placedForMs(order) < LIST_LAG_MS
+        !this.isWorkerMissing(order) &&
+        this.placedForMs(order) < CLOUD_LIST_LAG_MS
       )
         return null;
-      if (!seen || seen.state === 'gone') return 'The cloud reports the machine gone.';
-      if (seen.state === 'reclaiming') return 'The cloud is reclaiming the machine.';
+      if (!listed || listed.state === 'gone') return 'The cloud reports the machine gone.';
+      if (listed.state === 'reclaiming') return 'The cloud is reclaiming the machine.';
     }
     if (this.workerOf(order)?.state === 'draining') return 'The platform lists the worker as leaving.';
     if (order.status === 'ready' && this.observation.deadMachines.has(order.machine))
@@ -190,7 +199,8 @@
     return null;
   }
 
-  private isUnlisted(order: Order): boolean {
+  /** Returns whether the worker of a ready order is missing from the platform's list. */
+  private isWorkerMissing(order: Order): boolean {
     return order.status === 'ready' && this.observation.workers !== null && this.workerOf(order) === null;
   }
 
@@ -202,22 +212,22 @@
     return this.observation.prices[zone]?.onDemand ?? Number.MAX_VALUE;
   }
 
-  private resting(kind: Kind): (zone: string) => boolean {
-    const check = (zone: string): boolean => {
-      const delay = this.mem.retryDelay.get(`${kind} ${zone}`);
+  private backoffCheck(kind: Kind): (zone: string) => boolean {
+    const isBackingOff = (zone: string): boolean => {
+      const delay = this.modelMemory.retryDelay.get(`${kind} ${zone}`);
       return delay !== undefined && delay.until > this.observation.now;
     };
-    return check;
+    return isBackingOff;
   }
 
-  private ofKind(kind: Kind): Order[] {
-    const list: Order[] = [];
-    for (const order of this.standing) if (order.kind === kind) list.push(order);
-    return list;
+  private activeOfKind(kind: Kind): Order[] {
+    const matching: Order[] = [];
+    for (const order of this.activeOrders) if (order.kind === kind) matching.push(order);
+    return matching;
   }
 
-  private intend(kind: Kind, zone: string, cause: string): void {
-    this.out.push({
+  private intendOrder(kind: Kind, zone: string, cause: string): void {
+    this.decisions.push({
       cause,
       act: {
         tag: 'orderIntended',
@@ -231,50 +241,53 @@
   }
 
   private decideSpot(): void {
-    const spot = this.ofKind('spot');
+    const spot = this.activeOfKind('spot');
     const wanted = this.zones.length === 0 ? 0 : this.target + this.resolved.values.nExtra;
     const occupied = new Set<string>();
     for (const order of spot) occupied.add(order.zone);
-    const isResting = this.resting('spot');
+    const isBackingOff = this.backoffCheck('spot');
     for (let count = spot.length; count < wanted; count += 1) {
-      const awake: ZoneSets = { active: withoutResting(this.sets.active), preemptive: this.sets.preemptive };
-      const zone = selectNextZone(awake, this.resolved.values.zones, occupied, (zone) => this.spotPrice(zone));
+      const availableSets: ZoneSets = {
+        active: withoutBackingOff(this.zoneSets.active),
+        preemptive: this.zoneSets.preemptive,
+      };
+      const zone = selectNextZone(availableSets, this.resolved.values.zones, occupied, (zone) => this.spotPrice(zone));
       if (zone === null) return;
       occupied.add(zone);
-      this.intend(
+      this.intendOrder(
         'spot',
         zone,
         `Spot ${count + 1} of ${wanted} (target ${this.target} + extra ${this.resolved.values.nExtra}).`,
       );
     }
-    this.shrink(spot, wanted, (zone) => this.spotPrice(zone), `Only ${wanted} spot workers are wanted.`);
+    this.drainSurplus(spot, wanted, (zone) => this.spotPrice(zone), `Only ${wanted} spot workers are wanted.`);
 
-    function withoutResting(items: readonly string[]): string[] {
-      const ready: string[] = [];
-      for (const zone of items) if (!isResting(zone)) ready.push(zone);
-      return ready;
+    function withoutBackingOff(candidates: readonly string[]): string[] {
+      const available: string[] = [];
+      for (const zone of candidates) if (!isBackingOff(zone)) available.push(zone);
+      return available;
     }
   }
 
   private decideOnDemand(): void {
-    const fallback = this.ofKind('onDemand');
+    const fallback = this.activeOfKind('onDemand');
     let ready = 0;
-    for (const order of this.ofKind('spot')) if (order.status === 'ready') ready += 1;
+    for (const order of this.activeOfKind('spot')) if (order.status === 'ready') ready += 1;
     const wanted =
       this.zones.length === 0 ? 0 : decideMixture(this.target, this.resolved.values.nExtra, ready).onDemand;
-    const isResting = this.resting('onDemand');
+    const isBackingOff = this.backoffCheck('onDemand');
     for (let count = fallback.length; count < wanted; count += 1) {
-      const awake: string[] = [];
-      for (const zone of this.zones) if (!isResting(zone)) awake.push(zone);
-      const zone = cheapest(awake, this.resolved.values.zones, (zone) => this.onDemandPrice(zone));
+      const availableZones: string[] = [];
+      for (const zone of this.zones) if (!isBackingOff(zone)) availableZones.push(zone);
+      const zone = cheapestZone(availableZones, this.resolved.values.zones, (zone) => this.onDemandPrice(zone));
       if (zone === null) return;
-      this.intend(
+      this.intendOrder(
         'onDemand',
         zone,
         `Fallback ${count + 1} of ${wanted}: ${ready} spot ready of ${this.target + this.resolved.values.nExtra}.`,
       );
     }
-    this.shrink(
+    this.drainSurplus(
       fallback,
       wanted,
       (zone) => this.onDemandPrice(zone),
@@ -282,24 +295,29 @@
     );
   }
 
-  private shrink(list: readonly Order[], wanted: number, priceOf: (zone: string) => number, cause: string): void {
-    const surplus = [...list].sort(firstToGo);
-    for (let i = 0; i < list.length - wanted; i += 1) {
+  private drainSurplus(
+    active: readonly Order[],
+    wanted: number,
+    priceOf: (zone: string) => number,
+    cause: string,
+  ): void {
+    const surplus = [...active].sort(byRemovalOrder);
+    for (let i = 0; i < active.length - wanted; i += 1) {
       const order = surplus[i] as Order;
       if (order.status === 'intended') continue;
-      this.out.push({ cause, act: { tag: 'orderDraining', order: order.id } });
+      this.decisions.push({ cause, act: { tag: 'orderDraining', order: order.id } });
     }
-    function firstToGo(left: Order, right: Order): number {
+    function byRemovalOrder(left: Order, right: Order): number {
       const leftRank = left.status === 'ready' ? 1 : 0;
       const rightRank = right.status === 'ready' ? 1 : 0;
       if (leftRank !== rightRank) return leftRank - rightRank;
-      const dear = priceOf(right.zone) - priceOf(left.zone);
-      return dear !== 0 ? dear : startedSlot(right) - startedSlot(left);
+      const priceDifference = priceOf(right.zone) - priceOf(left.zone);
+      return priceDifference !== 0 ? priceDifference : intendedSlot(right) - intendedSlot(left);
     }
   }
 }
 
-/** What to change for a model now; zone sets first, if they changed. */
+/** Decides what to change for a model now; a change of the zone sets comes first. */
 export function decideModel(
   resolved: ResolvedModel,
   controlState: ControlState,
@@ -310,10 +328,10 @@
   return new ModelDecisionPass(resolved, controlState, observation, memory, nextOrderId).decide();
 }
 
-/** The zones that exist and are not evacuated. */
-export function openZones(zones: readonly string[], controlState: ControlState): string[] {
-  const out: string[] = [];
+/** Returns the zones that exist in the configuration and are not evacuated. */
+export function usableZones(zones: readonly string[], controlState: ControlState): string[] {
+  const usable: string[] = [];
   for (const zone of zones)
-    if (controlState.evacuated[zone] === undefined && controlState.configuration.zones[zone]) out.push(zone);
-  return out;
+    if (controlState.evacuated[zone] === undefined && controlState.configuration.zones[zone]) usable.push(zone);
+  return usable;
 }
--- a/src/state/scaling/scaler-observation.ts
+++ b/src/state/scaling/scaler-observation.ts
@@ -1,6 +1,6 @@
 /**
- * What the scaler sees when it takes a turn: the list of workers, the cloud's machines, prices and
- * rates. What could not be read is null, never empty, so that silence is not taken for loss.
+ * Input of the scaler at one tick: workers, the cloud's machines, prices and request rates. A list that could not be
+ * read is null, never empty, so that an unresponsive cloud or platform is not taken for the loss of its machines.
  */
 
 import type { Rate } from './target.js';
@@ -12,7 +12,7 @@
   readonly state: 'loading' | 'ready' | 'draining';
 };
 
-/** A machine of ours in the cloud's list; `key` is the order that it was rented for. */
+/** One of our machines in the cloud's list; `key` is the id of the order that it was rented for. */
 export type ObservedMachine = {
   readonly id: string;
   readonly key: string;
@@ -20,10 +20,13 @@
   readonly state: 'starting' | 'running' | 'reclaiming' | 'gone';
 };
 
-/** Prices of a zone by kind of machine. */
+/** Prices of a zone for each kind of machine. */
 export type Price = { readonly spot: number; readonly onDemand: number };
 
-/** One look. `asOf` is the slot that the lists are not older than; `seenBefore` names machines that the cloud has listed before. */
+/**
+ * Input of one tick. The lists are at least as new as the log slot `asOf`. `failedIn` has the zones where a spot launch
+ * failed for lack of capacity since the last tick, `knownMachines` the machines that the cloud has listed before.
+ */
 export type ScalerObservation = {
   readonly now: number;
   readonly workers: readonly ObservedWorker[] | null;
--- a/src/state/scaling/zone-sets.ts
+++ b/src/state/scaling/zone-sets.ts
@@ -1,18 +1,17 @@
 /**
- * Zones that spot machines are ordered in, parted as in SkyServe (docs/skyserve.md): active
- * ones, and those where machines were lately taken back. Pure steps; the sets are folded from
- * the ledger.
+ * Zones that spot machines are ordered in, divided as in SkyServe (docs/skyserve.md) into active zones and preemptive
+ * zones, where machines were preempted recently. All functions are pure; the sets are part of the replicated state.
  */
 
-/** The two sets; together they are all zones. */
+/** The two disjoint sets; together they contain all enabled zones. */
 export type ZoneSets = { readonly active: readonly string[]; readonly preemptive: readonly string[] };
 
-/** All zones active. */
+/** Returns sets with all zones active. */
 export function initialZones(zones: readonly string[]): ZoneSets {
   return { active: [...zones], preemptive: [] };
 }
 
-/** The sets after the zones of the configuration changed. */
+/** Adapts the sets to the enabled zones of a changed configuration; new zones are active. */
 export function alignZones(sets: ZoneSets, zones: readonly string[]): ZoneSets {
   const preemptive = zones.filter(inPreemptive);
   function inPreemptive(zone: string): boolean {
@@ -21,63 +20,63 @@
   function notPreemptive(zone: string): boolean {
     return !preemptive.includes(zone);
   }
-  return refilled({ active: zones.filter(notPreemptive), preemptive });
+  return refillActive({ active: zones.filter(notPreemptive), preemptive });
 }
 
-function refilled(sets: ZoneSets): ZoneSets {
+function refillActive(sets: ZoneSets): ZoneSets {
   if (sets.active.length >= 2 || sets.preemptive.length === 0) return sets;
   return { active: [...sets.active, ...sets.preemptive], preemptive: [] };
 }
 
-function without(zones: readonly string[], item: string): string[] {
-  function differs(other: string): boolean {
-    return other !== item;
+function withoutZone(zones: readonly string[], excluded: string): string[] {
+  function isOther(other: string): boolean {
+    return other !== excluded;
   }
-  return zones.filter(differs);
+  return zones.filter(isOther);
 }
 
-/** After a machine was taken back in a zone. With fewer than two active zones all become active again. */
+/** Returns the sets after a preemption in a zone. If fewer than two active zones remain, all become active again. */
 export function handlePreemption(sets: ZoneSets, zone: string): ZoneSets {
-  const moved = sets.active.includes(zone)
-    ? { active: without(sets.active, zone), preemptive: [...sets.preemptive, zone] }
+  const demoted = sets.active.includes(zone)
+    ? { active: withoutZone(sets.active, zone), preemptive: [...sets.preemptive, zone] }
     : sets;
-  return refilled(moved);
+  return refillActive(demoted);
 }
 
-/** After a machine became ready in a zone. */
+/** Returns the sets after a machine became ready in a zone. */
 export function handleLaunch(sets: ZoneSets, zone: string): ZoneSets {
   if (!sets.preemptive.includes(zone)) return sets;
-  return { active: [...sets.active, zone], preemptive: without(sets.preemptive, zone) };
+  return { active: [...sets.active, zone], preemptive: withoutZone(sets.preemptive, zone) };
 }
 
-/** The price of a spot machine in a zone. */
+/** Returns the price of a machine in a zone. */
 export type PriceOf = (zone: string) => number;
 
-/** The cheapest of the zones; the first in `order` among equals. */
-export function cheapest(zones: readonly string[], order: readonly string[], priceOf: PriceOf): string | null {
+/** Returns the cheapest of the zones; of zones with equal prices the first in `zoneOrder`. */
+export function cheapestZone(zones: readonly string[], zoneOrder: readonly string[], priceOf: PriceOf): string | null {
   let best: string | null = null;
-  for (const zone of order) {
+  for (const zone of zoneOrder) {
     if (!zones.includes(zone)) continue;
     if (best === null || priceOf(zone) < priceOf(best)) best = zone;
   }
   return best;
 }
 
-/** Where to order next: the cheapest active zone without a machine, else the cheapest active one. */
+/** Selects the zone for the next order: the cheapest active zone without a machine, else the cheapest active zone. */
 export function selectNextZone(
   sets: ZoneSets,
-  order: readonly string[],
+  zoneOrder: readonly string[],
   occupied: ReadonlySet<string>,
   priceOf: PriceOf,
 ): string | null {
   function isFree(zone: string): boolean {
     return !occupied.has(zone);
   }
-  return cheapest(sets.active.filter(isFree), order, priceOf) ?? cheapest(sets.active, order, priceOf);
+  return cheapestZone(sets.active.filter(isFree), zoneOrder, priceOf) ?? cheapestZone(sets.active, zoneOrder, priceOf);
 }
 
-/** Whether two pairs of sets are equal. */
-export function sameZones(left: ZoneSets, right: ZoneSets): boolean {
+/** Returns whether two pairs of sets have the same zones in the same order. */
+export function zoneSetsEqual(left: ZoneSets, right: ZoneSets): boolean {
   return left.active.join() === right.active.join() && left.preemptive.join() === right.preemptive.join();
 }
 
@@ -88,8 +87,8 @@
   readonly preemptive: string[];
 };
 
-/** The decision that agrees the sets of a model. */
-export function zonesMoved(
+/** Returns the decision that writes the sets of a model to the log. */
+export function zonesMovedDecision(
   model: string,
   { active, preemptive }: ZoneSets,
   cause: string,
