--- a/src/coordination/membership/core-health-watch.ts
+++ b/src/coordination/membership/core-health-watch.ts
@@ -1,9 +1,11 @@
 /**
- * Watches how many further losses the core bears: gathers what each member answers, judges it by
- * `membership/core-health.ts`, and logs one line when no loss is borne any more and one when it is again.
+ * Monitors how many further losses the core tolerates: collects the status of each member, evaluates it with
+ * `state/membership/core-health.ts`, and logs one line when the core stops tolerating a loss and one when it does
+ * again.
  *
- * `controller.ts` makes one; the status answer, the metrics and the runbooks read it. What it tells is never older
- * than `IN_TOUCH_MS`: a controller that is cut off from the majority tells that it knows nothing.
+ * Created by `controller.ts`; read by the status response, the metrics and the runbooks. The reported health is based
+ * on no response older than `MAX_CONTACT_AGE_MS`: a controller that is partitioned from the majority reports that the
+ * health is unknown.
  */
 import type { Message, MessageOf } from '../../protocol/messages.js';
 import { majorityOf, memberId } from '../../state/consensus/control-state.js';
@@ -22,94 +24,101 @@
 import type { ReceivedMemberStatus } from './member-statuses.js';
 import { otherMembers } from '../../state/consensus/fold-members.js';
 
-/** The health of the controllers, as one of them sees it. */
+/** The health of the core from the view of one controller. */
 export type CoreHealthReport = {
-  /** Health of the members that agree on the ledger. */
+  /** Health of the group that maintains the ledger. */
   readonly ledger: CoreHealth;
-  /** The same of the members that hold run-once claims; null where claims are not in use. */
+  /** Health of the group that holds run-once claims; null if claims are not in use. */
   readonly claims: CoreHealth | null;
 };
 
-/** The newest judgement. */
+/** Reports the current health of the core. */
 export interface CoreHealthWatch {
   current(): CoreHealthReport;
   stop(): void;
 }
 
-/** What the judgement is made from. */
+/** Dependencies of the health watch. */
 export type CoreHealthWatchDeps = {
   readonly ledger: Pick<Ledger, 'controlState' | 'self' | 'top' | 'writable' | 'events'>;
-  /** Null where claims are not in use. */
+  /** Null if claims are not in use. */
   readonly claims: Pick<Claims, 'ready'> | null;
   readonly peers: Peers;
   readonly clock: Clock;
   readonly log: Log;
 };
 
-/** A member's answer, or that its claims are whole, by the time at which it was asked. */
+/** The last status of a member, and when it was requested (monotonic clock). */
 type Contact = { readonly requestedAt: number; readonly memberStatus: MessageOf<'memberStatus'> };
-type KnownSlot = { readonly at: number; readonly slot: number };
+type SlotSample = { readonly at: number; readonly slot: number };
 
-/** How often the health is judged; the members are asked as often. */
-const TURN_MS = 500;
-/** Three turns and a round trip: older answers don't count as being in touch. */
-const IN_TOUCH_MS = 1_600;
-/** A member holds everything if it has all that was known this long ago: the oldest answer that counts, and a second to learn. */
-const SETTLED_MS = 2_600;
-const ASK_MS = 1_000;
+/** How often the health is evaluated; claim status is requested from the members at the same interval. */
+const CHECK_INTERVAL_MS = 500;
+/** Three check intervals and a round trip; a member whose last response is older is not in contact. */
+const MAX_CONTACT_AGE_MS = 1_600;
+/**
+ * A member is complete if it has learned every slot that was known this long ago: the age of the oldest response that
+ * counts, plus one second to catch up.
+ */
+const CATCH_UP_WINDOW_MS = 2_600;
+const REQUEST_TIMEOUT_MS = 1_000;
 
 class PollingHealthWatch implements CoreHealthWatch {
   private readonly contacts = new Map<string, Contact>();
   private readonly claimsCompleteAt = new Map<string, number>();
   private readonly ledgerLog: CoreHealthLog;
   private readonly claimsLog: CoreHealthLog;
-  private known: KnownSlot[] = [];
-  /** After a standstill, as without a majority in touch, what was known before is dropped. */
-  private readonly standstill: StandstillDetector;
-  private readonly turning: Timer;
+  private slotSamples: SlotSample[] = [];
+  /** Earlier slot samples are discarded after a process pause, and without contact to a majority. */
+  private readonly pauseDetector: StandstillDetector;
+  private readonly checkTimer: Timer;
 
   constructor(private readonly deps: CoreHealthWatchDeps) {
     this.ledgerLog = createCoreHealthLog('ledger', this.deps.clock, this.deps.log);
     this.claimsLog = createCoreHealthLog('claims', this.deps.clock, this.deps.log);
-    this.standstill = new StandstillDetector(this.deps.clock);
+    this.pauseDetector = new StandstillDetector(this.deps.clock);
 
     this.deps.ledger.events.on('heard', ({ member, requestedAt, memberStatus }) =>
       this.onMemberStatus({ member, requestedAt, memberStatus }),
     );
 
     this.deps.peers.on('claimsWholeAsk', () => this.onClaimsStatusRequest());
-    this.turning = every(this.deps.clock, TURN_MS, () => this.turn());
+    this.checkTimer = every(this.deps.clock, CHECK_INTERVAL_MS, () => this.tick());
   }
 
-  private me(): string {
+  private ownId(): string {
     return memberId(this.deps.ledger.self);
   }
 
   private isRecent(at: number | undefined): boolean {
-    return at !== undefined && this.deps.clock.mono() - at < IN_TOUCH_MS;
+    return at !== undefined && this.deps.clock.mono() - at < MAX_CONTACT_AGE_MS;
   }
 
   private onMemberStatus({ member, requestedAt, memberStatus }: ReceivedMemberStatus): void {
     this.contacts.set(memberId(member), { requestedAt, memberStatus });
   }
 
-  private newestKnown(): number {
+  private newestKnownSlot(): number {
     let newest = this.deps.ledger.controlState().slot;
     for (const { memberStatus } of this.contacts.values()) newest = Math.max(newest, memberStatus.learned);
     return newest;
   }
 
-  /** The newest slot that was known some time ago; without so long a memory, the newest one of all. */
-  private committedSlot(): number {
-    if (this.standstill.isOpen()) return this.newestKnown();
-    let settled: number | null = null;
-    for (const sample of this.known) if (this.deps.clock.mono() - sample.at >= SETTLED_MS) settled = sample.slot;
-    return settled ?? this.newestKnown();
+  /**
+   * The slot that a complete member has learned: the newest one known `CATCH_UP_WINDOW_MS` ago, or the newest known one
+   * if the samples don't reach back that far or the process was paused since the last sample.
+   */
+  private requiredSlot(): number {
+    if (this.pauseDetector.isOpen()) return this.newestKnownSlot();
+    let newestOldEnough: number | null = null;
+    for (const sample of this.slotSamples)
+      if (this.deps.clock.mono() - sample.at >= CATCH_UP_WINDOW_MS) newestOldEnough = sample.slot;
+    return newestOldEnough ?? this.newestKnownSlot();
   }
 
-  private viewOf(member: Member, settled: number): MemberView {
+  private viewOf(member: Member, requiredSlot: number): MemberView {
     const id = memberId(member);
-    if (id === this.me()) {
+    if (id === this.ownId()) {
       const learned = this.deps.ledger.controlState().slot;
       return {
         id,
@@ -118,57 +127,57 @@
         learned,
         top: this.deps.ledger.top(),
         writable: this.deps.ledger.writable(),
-        holdsAll: learned >= settled,
+        holdsAll: learned >= requiredSlot,
         unheard: [],
       };
     }
-    const answer = this.contacts.get(id);
-    const learned = answer?.memberStatus.learned ?? -1;
+    const contact = this.contacts.get(id);
+    const learned = contact?.memberStatus.learned ?? -1;
     return {
       id,
       name: member.name,
-      inTouch: this.isRecent(answer?.requestedAt),
+      inTouch: this.isRecent(contact?.requestedAt),
       learned,
-      top: answer?.memberStatus.top ?? -1,
-      writable: answer?.memberStatus.cannotWrite !== true,
-      holdsAll: learned >= settled,
-      unheard: answer?.memberStatus.unheard ?? [],
+      top: contact?.memberStatus.top ?? -1,
+      writable: contact?.memberStatus.cannotWrite !== true,
+      holdsAll: learned >= requiredSlot,
+      unheard: contact?.memberStatus.unheard ?? [],
     };
   }
 
-  private holdsClaims(view: MemberView): boolean {
-    if (view.id === this.me()) return this.deps.claims?.ready() ?? false;
+  private holdsAllClaims(view: MemberView): boolean {
+    if (view.id === this.ownId()) return this.deps.claims?.ready() ?? false;
     return this.isRecent(this.claimsCompleteAt.get(view.id));
   }
 
   current(): CoreHealthReport {
-    const settled = this.committedSlot();
+    const requiredSlot = this.requiredSlot();
     const views: MemberView[] = [];
     const claimViews: MemberView[] = [];
     for (const member of this.deps.ledger.controlState().members) {
-      const view = this.viewOf(member, settled);
+      const view = this.viewOf(member, requiredSlot);
       views.push(view);
-      claimViews.push({ ...view, holdsAll: this.holdsClaims(view) });
+      claimViews.push({ ...view, holdsAll: this.holdsAllClaims(view) });
     }
     return {
-      ledger: coreHealth(this.me(), views),
-      claims: this.deps.claims ? coreHealth(this.me(), claimViews) : null,
+      ledger: coreHealth(this.ownId(), views),
+      claims: this.deps.claims ? coreHealth(this.ownId(), claimViews) : null,
     };
   }
 
   private onClaimsStatusRequest(): Message {
-    return { kind: 'claimsWhole', voter: this.me(), whole: this.deps.claims?.ready() ?? false };
+    return { kind: 'claimsWhole', voter: this.ownId(), whole: this.deps.claims?.ready() ?? false };
   }
 
   private async requestClaimsStatus(member: Member): Promise<void> {
     const requestedAt = this.deps.clock.mono();
-    const answer = await this.deps.peers.call(member.address, { kind: 'claimsWholeAsk' }, ASK_MS);
-    if (!answer.ok || answer.value.kind !== 'claimsWhole' || answer.value.voter !== memberId(member)) return;
-    if (answer.value.whole) this.claimsCompleteAt.set(memberId(member), requestedAt);
+    const response = await this.deps.peers.call(member.address, { kind: 'claimsWholeAsk' }, REQUEST_TIMEOUT_MS);
+    if (!response.ok || response.value.kind !== 'claimsWhole' || response.value.voter !== memberId(member)) return;
+    if (response.value.whole) this.claimsCompleteAt.set(memberId(member), requestedAt);
     else this.claimsCompleteAt.delete(memberId(member));
   }
 
-  private forgetFormerMembers(): void {
+  private removeFormerMembers(): void {
     const ids = new Set(this.deps.ledger.controlState().members.map(memberId));
     for (const id of this.contacts.keys()) if (!ids.has(id)) this.contacts.delete(id);
     for (const id of this.claimsCompleteAt.keys()) if (!ids.has(id)) this.claimsCompleteAt.delete(id);
@@ -176,24 +185,25 @@
 
   private hasMajorityContact(): boolean {
     const { members } = this.deps.ledger.controlState();
-    let inTouch = 0;
+    let inContactCount = 0;
     for (const member of members) {
       const id = memberId(member);
-      if (id === this.me() || this.isRecent(this.contacts.get(id)?.requestedAt)) inTouch += 1;
+      if (id === this.ownId() || this.isRecent(this.contacts.get(id)?.requestedAt)) inContactCount += 1;
     }
-    return inTouch >= majorityOf(members);
+    return inContactCount >= majorityOf(members);
   }
 
-  private recordKnownSlot(): void {
+  private sampleNewestSlot(): void {
     const now = this.deps.clock.mono();
-    if (this.standstill.tick() !== null || !this.hasMajorityContact()) this.known = [];
-    this.known.push({ at: now, slot: this.newestKnown() });
-    while (this.known.length > 1 && now - (this.known[1] as KnownSlot).at >= SETTLED_MS) this.known.shift();
+    if (this.pauseDetector.tick() !== null || !this.hasMajorityContact()) this.slotSamples = [];
+    this.slotSamples.push({ at: now, slot: this.newestKnownSlot() });
+    while (this.slotSamples.length > 1 && now - (this.slotSamples[1] as SlotSample).at >= CATCH_UP_WINDOW_MS)
+      this.slotSamples.shift();
   }
 
-  private turn(): void {
-    this.forgetFormerMembers();
-    this.recordKnownSlot();
+  private tick(): void {
+    this.removeFormerMembers();
+    this.sampleNewestSlot();
     const report = this.current();
     this.ledgerLog.record(report.ledger);
     if (!report.claims) return;
@@ -203,11 +213,11 @@
   }
 
   stop(): void {
-    this.turning.cancel();
+    this.checkTimer.cancel();
   }
 }
 
-/** Judges twice a second until stopped. */
+/** Creates a watch that evaluates the health twice a second until stopped. */
 export function createCoreHealthWatch(deps: CoreHealthWatchDeps): CoreHealthWatch {
   return new PollingHealthWatch(deps);
 }
--- a/src/coordination/membership/group-leave.ts
+++ b/src/coordination/membership/group-leave.ts
@@ -1,6 +1,7 @@
 /**
- * How a controller that is told to end leaves the group: an even group, which bears no more losses with it than without, agrees
- * its removal; then a majority of the others has to learn all that it knows, so that no copy ends with it. `ledger.ts` makes one.
+ * Lets a controller leave the group when it is shut down. An even group, which tolerates no more losses with the member
+ * than without it, first agrees on its removal. Then a majority of the other members has to learn everything that it
+ * knows, so that nothing exists only on the replica that leaves. Created by `membership-changes.ts`.
  */
 import { majorityOf, memberId } from '../../state/consensus/control-state.js';
 import type { ControlState } from '../../state/consensus/control-state.js';
@@ -16,7 +17,7 @@
 import type { Agreed, Draft, ProposeError } from '../consensus/proposal.js';
 import type { Peers } from '../messaging/peers.js';
 
-/** What a leave is carried out with. */
+/** Dependencies of a leave. */
 export type GroupLeaveDeps = {
   readonly clock: Clock;
   readonly peers: Pick<Peers, 'call'>;
@@ -26,28 +27,28 @@
   readonly propose: (draft: Draft, waitMs: number) => Promise<Result<Agreed, ProposeError>>;
 };
 
-/** `isHandedOver`: a majority of the others knows all that this controller does. */
+/** `isHandedOver`: a majority of the other members has learned everything that this controller knows. */
 export type LeaveOutcome = { readonly isMember: boolean; readonly isHandedOver: boolean };
 
-const PROPOSE_MS = 1_000;
-const HAND_OVER_MS = 2_000;
-const ASK_MS = 600;
-const PAUSE_MS = 30;
-const RETRY_MS = 100;
+const PROPOSAL_TIMEOUT_MS = 1_000;
+const HAND_OVER_TIMEOUT_MS = 2_000;
+const REQUEST_TIMEOUT_MS = 600;
+const HAND_OVER_CHECK_INTERVAL_MS = 30;
+const RETRY_DELAY_MS = 100;
 
-/** One leave; made when the controller starts. */
+/** Carries out the leave of this controller; created when the controller starts. */
 export class GroupLeave {
   constructor(private readonly deps: GroupLeaveDeps) {}
 
-  /** Leaves within `withinMs`. The group may grow meanwhile, so its size is looked at again after the hand-over. */
+  /** Leaves within `withinMs`. The group may grow meanwhile, so its size is checked again after the hand-over. */
   async leave(withinMs: number): Promise<LeaveOutcome> {
-    const until = this.deps.clock.mono() + withinMs;
+    const deadline = this.deps.clock.mono() + withinMs;
     if (!this.isMember()) return { isMember: false, isHandedOver: true };
     let isHandedOver = false;
     do {
-      await this.leaveEvenGroup(until);
-      isHandedOver = await this.handOver(until);
-    } while (this.isInEvenGroup() && this.deps.clock.mono() < until);
+      await this.leaveEvenGroup(deadline);
+      isHandedOver = await this.handOver(deadline);
+    } while (this.isInEvenGroup() && this.deps.clock.mono() < deadline);
     const outcome = { isMember: this.isMember(), isHandedOver };
     this.deps.log.info('leave ended', outcome);
     return outcome;
@@ -65,10 +66,10 @@
     return this.isMember() && this.members().length % 2 === 0;
   }
 
-  private async leaveEvenGroup(until: number): Promise<void> {
-    while (this.isInEvenGroup() && this.deps.clock.mono() < until) {
-      await this.proposeRemoval(Math.min(PROPOSE_MS, until - this.deps.clock.mono()));
-      if (this.isInEvenGroup()) await delay(this.deps.clock, RETRY_MS);
+  private async leaveEvenGroup(deadline: number): Promise<void> {
+    while (this.isInEvenGroup() && this.deps.clock.mono() < deadline) {
+      await this.proposeRemoval(Math.min(PROPOSAL_TIMEOUT_MS, deadline - this.deps.clock.mono()));
+      if (this.isInEvenGroup()) await delay(this.deps.clock, RETRY_DELAY_MS);
     }
   }
 
@@ -80,28 +81,29 @@
     );
   }
 
-  private async handOver(until: number): Promise<boolean> {
-    const end = Math.min(until, this.deps.clock.mono() + HAND_OVER_MS);
-    while (this.deps.clock.mono() < end) {
-      if (await this.othersKnowAll()) return true;
-      await delay(this.deps.clock, PAUSE_MS);
+  private async handOver(deadline: number): Promise<boolean> {
+    const handOverDeadline = Math.min(deadline, this.deps.clock.mono() + HAND_OVER_TIMEOUT_MS);
+    while (this.deps.clock.mono() < handOverDeadline) {
+      if (await this.hasMajorityCaughtUp()) return true;
+      await delay(this.deps.clock, HAND_OVER_CHECK_INTERVAL_MS);
     }
     return false;
   }
 
-  /** Known as soon as enough have answered: nobody waits for those that are silent. */
-  private async othersKnowAll(): Promise<boolean> {
+  /** Resolves as soon as the responses decide the result, without waiting for unresponsive members. */
+  private async hasMajorityCaughtUp(): Promise<boolean> {
     const { slot } = this.deps.controlState();
     const others = otherMembers(this.members(), this.deps.self);
-    const needed = Math.min(others.length, majorityOf(this.members()));
-    const request = (member: Member): Promise<Message | null> => this.knowsAll(member, slot);
-    const isEnough = (votes: Votes, open: number): boolean => votes.size >= needed || votes.size + open < needed;
-    return (await poll(others, request, isEnough)).size >= needed;
+    const requiredCount = Math.min(others.length, majorityOf(this.members()));
+    const requestStatus = (member: Member): Promise<Message | null> => this.caughtUpStatus(member, slot);
+    const isEnough = (votes: Votes, pendingCount: number): boolean =>
+      votes.size >= requiredCount || votes.size + pendingCount < requiredCount;
+    return (await poll(others, requestStatus, isEnough)).size >= requiredCount;
   }
 
-  /** The member's status if it has learned all up to `slot`, else null. */
-  private async knowsAll(member: Member, slot: number): Promise<Message | null> {
-    const response = await this.deps.peers.call(member.address, { kind: 'memberStatusAsk' }, ASK_MS);
+  /** Returns the member's status if it has learned all slots up to `slot`, else null. */
+  private async caughtUpStatus(member: Member, slot: number): Promise<Message | null> {
+    const response = await this.deps.peers.call(member.address, { kind: 'memberStatusAsk' }, REQUEST_TIMEOUT_MS);
     if (!response.ok || response.value.kind !== 'memberStatus') return null;
     return response.value.voter === memberId(member) && response.value.learned >= slot ? response.value : null;
   }
--- a/src/coordination/membership/identity.ts
+++ b/src/coordination/membership/identity.ts
@@ -1,7 +1,7 @@
 /**
- * The identity under which a controller votes, as its disk holds it. A machine
- * keeps it as long as the disk lasts, except that one which was a member and was
- * left out of the group takes a new one before it joins again.
+ * The identity under which a controller votes, as stored on its disk. A controller keeps its identity as long as the
+ * disk lasts. The exception is a former member that was removed from the group: it creates a new identity before it
+ * joins again.
  */
 import { isTable } from '../../base/is-table.js';
 import { parsedJson } from '../../base/parsed-json.js';
@@ -12,21 +12,24 @@
 import type { Rng } from '../../transport/rng.js';
 import type { Address } from '../../transport/wire.js';
 
-/** The identity of a controller, as its disk keeps it (`identity.json`). */
+/** The identity of a controller, as stored in `identity.json`. */
 export type Identity = {
   readonly incarnation: string;
-  /** The seeds of the very first start, if this disk may help to found the ledger. */
+  /** The seeds at the first start of this disk if it may take part in the bootstrap of the ledger, else null. */
   readonly bootstrapMembers: readonly Address[] | null;
-  /** Whether the group counted this identity as a member; null if an older version wrote the file, which did not tell. */
+  /**
+   * Whether this identity has been a member of the group; null if the file was written by an older version that did not
+   * store this.
+   */
   readonly wasMember: boolean | null;
 };
 
-/** Why no identity could be read or written. */
+/** Why the identity could not be read or written. */
 export type IdentityError = DiskError | { readonly tag: 'identityUnreadable' };
 
 const IDENTITY_FILE = 'identity.json';
 
-/** Reads the identity; a disk that has none is given a new one, with these bootstrap members. */
+/** Reads the identity from the disk, or creates and stores a new one with the given bootstrap members. */
 export async function openIdentity(
   disk: Disk,
   rng: Rng,
@@ -35,23 +38,23 @@
   const stored = await disk.load(IDENTITY_FILE);
   if (!stored.ok) return stored;
   if (stored.value) {
-    const read = parsedIdentity(stored.value.toString());
-    return read === null ? err({ tag: 'identityUnreadable' }) : ok(read);
+    const parsed = parseIdentity(stored.value.toString());
+    return parsed === null ? err({ tag: 'identityUnreadable' }) : ok(parsed);
   }
-  const made: Identity = { incarnation: newId(rng, 'i'), bootstrapMembers, wasMember: false };
-  const saved = await saveIdentity(disk, made);
-  return saved.ok ? ok(made) : saved;
+  const created: Identity = { incarnation: newId(rng, 'i'), bootstrapMembers, wasMember: false };
+  const saved = await saveIdentity(disk, created);
+  return saved.ok ? ok(created) : saved;
 }
 
-/** Writes the identity; it is on the disk once this resolves. */
+/** Stores the identity; it is on the disk once the returned promise resolves without an error. */
 export function saveIdentity(disk: Disk, identity: Identity): Promise<Result<null, DiskError>> {
   return disk.replace(IDENTITY_FILE, Buffer.from(JSON.stringify(identity)));
 }
 
-function parsedIdentity(text: string): Identity | null {
-  const read = parsedJson(text);
-  if (!isTable(read) || typeof read['incarnation'] !== 'string' || read['incarnation'] === '') return null;
-  const { incarnation, bootstrapMembers, wasMember } = read;
+function parseIdentity(text: string): Identity | null {
+  const parsed = parsedJson(text);
+  if (!isTable(parsed) || typeof parsed['incarnation'] !== 'string' || parsed['incarnation'] === '') return null;
+  const { incarnation, bootstrapMembers, wasMember } = parsed;
   return {
     incarnation,
     bootstrapMembers: Array.isArray(bootstrapMembers) ? bootstrapMembers.map(String) : null,
--- a/src/coordination/membership/incarnation.ts
+++ b/src/coordination/membership/incarnation.ts
@@ -1,19 +1,23 @@
-/** Counts the starts of a node on its disk, for the failure detector. */
+/**
+ * Derives the incarnation of a node for the failure detector from a count of its starts, which it keeps on its disk, so
+ * that a restarted node begins with a higher incarnation than before.
+ */
 import { isTable } from '../../base/is-table.js';
 import { parsedJson } from '../../base/parsed-json.js';
 import type { Disk } from '../../transport/disk.js';
 import type { Log } from '../../transport/log.js';
 
-const LIFE_FILE = 'life.json';
-const STEPS_IN_A_LIFE = 4_096;
+const INCARNATION_FILE = 'life.json';
+/** Incarnations reserved for each start: a node raises its incarnation whenever it refutes its own failure. */
+const INCARNATIONS_PER_START = 4_096;
 
-/** The first incarnation of this start; without a disk, 0. */
+/** Counts this start on the disk and returns its first incarnation; returns 0 without a disk. */
 export async function nextIncarnation(disk: Disk | null, log: Log): Promise<number> {
   if (!disk) return 0;
-  const stored = await disk.load(LIFE_FILE);
-  const read = stored.ok && stored.value ? parsedJson(stored.value.toString()) : null;
-  const before = isTable(read) && Number.isInteger(read['life']) ? (read['life'] as number) : 0;
-  const saved = await disk.replace(LIFE_FILE, Buffer.from(JSON.stringify({ life: before + 1 })));
+  const stored = await disk.load(INCARNATION_FILE);
+  const parsed = stored.ok && stored.value ? parsedJson(stored.value.toString()) : null;
+  const previousStarts = isTable(parsed) && Number.isInteger(parsed['life']) ? (parsed['life'] as number) : 0;
+  const saved = await disk.replace(INCARNATION_FILE, Buffer.from(JSON.stringify({ life: previousStarts + 1 })));
   if (!saved.ok) log.warn('incarnation not stored', { error: saved.error.tag });
-  return (before + 1) * STEPS_IN_A_LIFE;
+  return (previousStarts + 1) * INCARNATIONS_PER_START;
 }
--- a/src/coordination/membership/member-statuses.ts
+++ b/src/coordination/membership/member-statuses.ts
@@ -1,6 +1,7 @@
 /**
- * How far each member stands and whom it does not hear: asks all members each half second, and answers for this one. What
- * is told may be ahead of what is on the disk, never behind what this controller accepted.
+ * Polls the status of all members every half second (newest slots, and lost contacts with others), and provides the
+ * status of this member. The reported status may be ahead of what is on the disk, but is never behind what this
+ * controller has accepted.
  */
 import type { MessageOf } from '../../protocol/messages.js';
 import { majorityOf, memberId } from '../../state/consensus/control-state.js';
@@ -11,7 +12,7 @@
 import type { Peers } from '../messaging/peers.js';
 import { otherMembers } from '../../state/consensus/fold-members.js';
 
-/** The newest status of each member, and who has lost contact with whom. */
+/** The contact to each member, and which members have lost contact with which others. */
 export interface MemberStatuses {
   own(): MessageOf<'memberStatus'>;
   ask(): void;
@@ -19,13 +20,13 @@
   isReachable(id: string): boolean;
   sinceContactMs(id: string): number;
   majorityLostContact(id: string): boolean;
-  /** Whether a member has said that it ends, and nothing else since. */
+  /** Whether the last status of a member announced that it is shutting down. */
   isLeaving(id: string): boolean;
-  /** Tells all members that this one ends. */
+  /** Announces to all members that this one is shutting down. */
   announceLeaving(): void;
 }
 
-/** The members to ask and what this one answers; `onMemberStatus` is told of each status. */
+/** Dependencies of the status polling; `onMemberStatus` is called with each received status. */
 export type MemberStatusesDeps = {
   readonly clock: Clock;
   readonly peers: Peers;
@@ -33,10 +34,10 @@
   readonly controlState: () => ControlState;
   readonly top: () => number;
   readonly writable: () => boolean;
-  readonly onMemberStatus: (contacts: ReceivedMemberStatus) => void;
+  readonly onMemberStatus: (received: ReceivedMemberStatus) => void;
 };
 
-/** A member's status, and when it was asked for (monotonic clock). */
+/** A member's status, and when it was requested (monotonic clock). */
 export type ReceivedMemberStatus = {
   readonly member: Member;
   readonly requestedAt: number;
@@ -45,28 +46,28 @@
 
 type Contact = { readonly at: number; readonly unheard: readonly string[] };
 
-/** How often members are asked, in milliseconds. */
+/** Interval at which the status of the members is requested, in milliseconds. */
 export const MEMBER_STATUS_MS = 500;
-const ASK_MS = 1_000;
-const UNHEARD_MS = 2_500;
-const FRESH_MS = 1_600;
+const REQUEST_TIMEOUT_MS = 1_000;
+const LOST_CONTACT_TIMEOUT_MS = 2_500;
+const REACHABLE_TIMEOUT_MS = 1_600;
 
 class PolledMemberStatuses implements MemberStatuses {
   private readonly contacts = new Map<string, Contact>();
-  private readonly standstill: StandstillDetector;
+  private readonly pauseDetector: StandstillDetector;
   private readonly leavingIds = new Set<string>();
-  private isOwnLeaving = false;
-  private since: number;
+  private isSelfLeaving = false;
+  private observedSince: number;
 
   constructor(private readonly deps: MemberStatusesDeps) {
-    this.standstill = new StandstillDetector(this.deps.clock);
-    this.since = this.deps.clock.mono();
-    this.deps.peers.on('memberStatus', (status) => this.onAnnounced(status));
+    this.pauseDetector = new StandstillDetector(this.deps.clock);
+    this.observedSince = this.deps.clock.mono();
+    this.deps.peers.on('memberStatus', (status) => this.onStatusAnnounced(status));
   }
 
-  private detectStandstill(): void {
-    if (this.standstill.tick() === null) return;
-    this.since = this.deps.clock.mono();
+  private resetAfterPause(): void {
+    if (this.pauseDetector.tick() === null) return;
+    this.observedSince = this.deps.clock.mono();
     this.contacts.clear();
     this.leavingIds.clear();
   }
@@ -80,19 +81,19 @@
   }
 
   sinceContactMs(id: string): number {
-    return this.deps.clock.mono() - (this.lastContactAt(id) ?? this.since);
+    return this.deps.clock.mono() - (this.lastContactAt(id) ?? this.observedSince);
   }
 
   isReachable(id: string): boolean {
     const at = this.lastContactAt(id);
-    return at !== null && this.deps.clock.mono() - at < FRESH_MS;
+    return at !== null && this.deps.clock.mono() - at < REACHABLE_TIMEOUT_MS;
   }
 
   own(): MessageOf<'memberStatus'> {
     const state = this.deps.controlState();
     const unheard: string[] = [];
     for (const member of this.others())
-      if (this.sinceContactMs(memberId(member)) > UNHEARD_MS) unheard.push(memberId(member));
+      if (this.sinceContactMs(memberId(member)) > LOST_CONTACT_TIMEOUT_MS) unheard.push(memberId(member));
     return {
       kind: 'memberStatus',
       ledger: state.ledger,
@@ -103,17 +104,18 @@
       wall: this.deps.clock.wall(),
       ...(unheard.length > 0 ? { unheard } : {}),
       ...(this.deps.writable() ? {} : { cannotWrite: true }),
-      ...(this.isOwnLeaving ? { leaving: true } : {}),
+      ...(this.isSelfLeaving ? { leaving: true } : {}),
     };
   }
 
   majorityLostContact(id: string): boolean {
-    let count = this.sinceContactMs(id) > UNHEARD_MS ? 1 : 0;
+    let lostContactCount = this.sinceContactMs(id) > LOST_CONTACT_TIMEOUT_MS ? 1 : 0;
     for (const member of this.others()) {
       const other = memberId(member);
-      if (other !== id && this.isReachable(other) && this.contacts.get(other)?.unheard.includes(id)) count += 1;
+      if (other !== id && this.isReachable(other) && this.contacts.get(other)?.unheard.includes(id))
+        lostContactCount += 1;
     }
-    return count >= majorityOf(this.deps.controlState().members);
+    return lostContactCount >= majorityOf(this.deps.controlState().members);
   }
 
   isLeaving(id: string): boolean {
@@ -121,11 +123,11 @@
   }
 
   announceLeaving(): void {
-    this.isOwnLeaving = true;
+    this.isSelfLeaving = true;
     for (const member of this.others()) void this.deps.peers.send(member.address, this.own());
   }
 
-  private onAnnounced(status: MessageOf<'memberStatus'>): null {
+  private onStatusAnnounced(status: MessageOf<'memberStatus'>): null {
     if (status.ledger === this.deps.controlState().ledger) this.recordLeaving(status);
     return null;
   }
@@ -137,9 +139,9 @@
 
   private async requestStatus(member: Member): Promise<void> {
     const requestedAt = this.deps.clock.mono();
-    const response = await this.deps.peers.call(member.address, { kind: 'memberStatusAsk' }, ASK_MS);
+    const response = await this.deps.peers.call(member.address, { kind: 'memberStatusAsk' }, REQUEST_TIMEOUT_MS);
     if (!response.ok || response.value.kind !== 'memberStatus' || response.value.voter !== memberId(member)) return;
-    if (requestedAt < this.since) return;
+    if (requestedAt < this.observedSince) return;
     this.recordLeaving(response.value);
     this.contacts.set(memberId(member), { at: requestedAt, unheard: response.value.unheard ?? [] });
     if (response.value.ledger === this.deps.controlState().ledger)
@@ -147,18 +149,18 @@
   }
 
   ask(): void {
-    this.detectStandstill();
-    const asked = new Set<string>();
+    this.resetAfterPause();
+    const requestedIds = new Set<string>();
     for (const member of this.others()) {
-      asked.add(memberId(member));
+      requestedIds.add(memberId(member));
       void this.requestStatus(member);
     }
-    for (const id of this.contacts.keys()) if (!asked.has(id)) this.contacts.delete(id);
-    for (const id of this.leavingIds) if (!asked.has(id)) this.leavingIds.delete(id);
+    for (const id of this.contacts.keys()) if (!requestedIds.has(id)) this.contacts.delete(id);
+    for (const id of this.leavingIds) if (!requestedIds.has(id)) this.leavingIds.delete(id);
   }
 }
 
-/** No statuses yet. */
+/** Creates the status polling, with no statuses yet; each call of `ask` polls all members once. */
 export function createMemberStatuses(deps: MemberStatusesDeps): MemberStatuses {
   return new PolledMemberStatuses(deps);
 }
--- a/src/coordination/membership/membership-changes.ts
+++ b/src/coordination/membership/membership-changes.ts
@@ -1,9 +1,10 @@
 /**
- * Who belongs to the core: admits joiners, leaves dead members out, and leaves before this controller ends. `ledger.ts`
- * makes one and calls `turn` each half second.
+ * Manages the membership of the core: admits joining controllers, removes dead members, joins the group, and leaves it
+ * before this controller shuts down. Created by `ledger.ts`, which runs one step every half second.
  *
- * Invariants (docs/consistency.md, section 3): each change is one entry, agreed by a majority of the members before it; no
- * member is taken out of an odd group unless two are dead; a leaving one ends after a majority has learned what it knows.
+ * Invariants (docs/consistency.md, section 3): each change is one log entry, agreed by a majority of the members before
+ * it; no member is removed from an odd group unless two are dead; a leaving member shuts down only after a majority has
+ * learned everything that it knows.
  */
 import type { Result } from '../../base/result.js';
 import type { Message, MessageOf } from '../../protocol/messages.js';
@@ -22,13 +23,16 @@
 import type { LeaveOutcome } from './group-leave.js';
 import type { MemberStatuses } from './member-statuses.js';
 
-/** `turn` is to be called each half second; `leave` once, before this controller ends, with the time that it may take. */
+/**
+ * `turn` runs one step and is to be called every half second. `leave` is to be called once, before this controller
+ * shuts down, with the maximum time that leaving may take.
+ */
 export interface MembershipChanges {
   turn(): Promise<void>;
   leave(withinMs: number): Promise<LeaveOutcome>;
 }
 
-/** What changes of the group are decided and proposed with. */
+/** Dependencies of the membership changes. */
 export type MembershipChangesDeps = {
   readonly clock: Clock;
   readonly rng: Rng;
@@ -42,75 +46,77 @@
   readonly propose: (draft: Draft, waitMs: number) => Promise<Result<Agreed, ProposeError>>;
   readonly linearizableRead: (waitMs: number) => Promise<boolean>;
   readonly catchUp: (from: Address) => Promise<void>;
-  /** Takes a new identity, and keeps it on the disk. */
+  /** Creates a new identity and stores it on the disk. */
   readonly renew: () => Promise<boolean>;
   readonly mayShrinkOdd: boolean;
-  /** Whether the disk tells that this identity was a member before; null if it does not tell. */
+  /** Whether this identity has been a member according to the disk; null if the disk does not say. */
   readonly wasMember: boolean | null;
-  /** Keeps on the disk that this identity is a member. */
+  /** Stores on the disk that this identity is a member. */
   readonly recordMember: () => Promise<boolean>;
 };
 
-const ASK_MS = 600;
-const AGREE_MS = 1_500;
-const ADMIT_MS = 2_500;
-const DEAD_MS = 3_000;
-/** One that said that it ends is left out of an even group sooner. */
-const ENDED_MS = 1_000;
-const IN_TURN_MS = 1_000;
+const REQUEST_TIMEOUT_MS = 600;
+const AGREEMENT_TIMEOUT_MS = 1_500;
+const ADMISSION_TIMEOUT_MS = 2_500;
+const DEAD_TIMEOUT_MS = 3_000;
+/** A member that announced its shutdown is removed from an even group sooner than `DEAD_TIMEOUT_MS`. */
+const LEAVING_TIMEOUT_MS = 1_000;
+/** Added per rank, so that reachable members attempt a removal one after another. */
+const STAGGER_MS = 1_000;
 
 class LedgerMembershipChanges implements MembershipChanges {
-  // To know a ledger is not to have been a member of it: one that ended while its joining was agreed must keep its identity.
+  // Knowing a ledger does not imply having been a member: a controller that stopped while its admission was being
+  // agreed must keep its identity.
   private wasMember: boolean;
-  private isRecorded: boolean;
+  private isMembershipStored: boolean;
   private isLeaving = false;
-  private joining: Promise<void> | null = null;
+  private pendingJoin: Promise<void> | null = null;
   private readonly groupLeave: GroupLeave;
 
   constructor(private readonly deps: MembershipChangesDeps) {
     this.wasMember = this.deps.wasMember ?? this.deps.controlState().ledger !== '';
-    this.isRecorded = this.deps.wasMember === true;
+    this.isMembershipStored = this.deps.wasMember === true;
     this.groupLeave = new GroupLeave(deps);
 
     this.deps.peers.on('rejoin', (message) => this.onRejoin(message));
   }
 
-  private ownEntry(): Member | null {
+  private ownMember(): Member | null {
     for (const member of this.deps.controlState().members)
       if (memberId(member) === memberId(this.deps.self)) return member;
     return null;
   }
 
-  private async agree(cause: string, command: Command): Promise<boolean> {
-    const response = await this.deps.propose({ cause, act: command }, AGREE_MS);
+  private async proposeChange(cause: string, command: Command): Promise<boolean> {
+    const response = await this.deps.propose({ cause, act: command }, AGREEMENT_TIMEOUT_MS);
     return response.ok && response.value.outcome.tag === 'applied';
   }
 
-  /** Whether a member is there to stay, as it says itself. */
-  private async answersAndStays(member: Member): Promise<boolean> {
+  /** Whether a member responds and does not announce its shutdown. */
+  private async isRespondingAndStaying(member: Member): Promise<boolean> {
     if (memberId(member) === memberId(this.deps.self)) return true;
-    const response = await this.deps.peers.call(member.address, { kind: 'memberStatusAsk' }, ASK_MS);
+    const response = await this.deps.peers.call(member.address, { kind: 'memberStatusAsk' }, REQUEST_TIMEOUT_MS);
     if (!response.ok || response.value.kind !== 'memberStatus') return false;
     return response.value.voter === memberId(member) && response.value.leaving !== true;
   }
 
   private async unresponsiveMembers(): Promise<Member[]> {
     const members = this.deps.controlState().members;
-    const heard = await Promise.all(members.map((member) => this.answersAndStays(member)));
-    const out: Member[] = [];
-    for (let i = 0; i < members.length; i += 1) if (!heard[i]) out.push(members[i] as Member);
-    return out;
+    const responded = await Promise.all(members.map((member) => this.isRespondingAndStaying(member)));
+    const unresponsive: Member[] = [];
+    for (let i = 0; i < members.length; i += 1) if (!responded[i]) unresponsive.push(members[i] as Member);
+    return unresponsive;
   }
 
-  private async admission(joiner: Member): Promise<Command | null> {
+  private async admissionCommand(joiner: Member): Promise<Command | null> {
     for (const old of this.deps.controlState().members)
       if (old.name === joiner.name) return { tag: 'memberReplaced', old: memberId(old), member: joiner };
     for (const old of this.deps.controlState().members)
       if (old.address === joiner.address) return { tag: 'memberReplaced', old: memberId(old), member: joiner };
-    const silent = await this.unresponsiveMembers();
-    if (silent.length === 0)
+    const unresponsive = await this.unresponsiveMembers();
+    if (unresponsive.length === 0)
       return this.deps.controlState().members.length < MOST_MEMBERS ? { tag: 'memberAdded', member: joiner } : null;
-    for (const old of silent)
+    for (const old of unresponsive)
       if (
         this.deps.memberStatuses.isLeaving(memberId(old)) ||
         this.deps.memberStatuses.majorityLostContact(memberId(old))
@@ -120,22 +126,22 @@
   }
 
   private async onRejoin(message: MessageOf<'rejoin'>): Promise<Message> {
-    if (message.ledger !== this.deps.controlState().ledger || !this.ownEntry()) return { kind: 'done', agreed: false };
+    if (message.ledger !== this.deps.controlState().ledger || !this.ownMember()) return { kind: 'done', agreed: false };
     for (const old of this.deps.controlState().members)
       if (memberId(old) === memberId(message.member) && old.address === message.member.address)
         return { kind: 'done', agreed: true };
-    const command = await this.admission(message.member);
+    const command = await this.admissionCommand(message.member);
     if (!command) return { kind: 'done', agreed: false };
     const cause =
       command.tag === 'memberAdded'
         ? `${message.member.name} joined.`
         : `${message.member.name} came new, or at a new address.`;
-    return { kind: 'done', agreed: await this.agree(cause, command) };
+    return { kind: 'done', agreed: await this.proposeChange(cause, command) };
   }
 
   private async publishOwnAddress(): Promise<void> {
     if (
-      await this.agree(`${this.deps.self.name} serves at a new address.`, {
+      await this.proposeChange(`${this.deps.self.name} serves at a new address.`, {
         tag: 'memberReplaced',
         old: memberId(this.deps.self),
         member: { ...this.deps.self },
@@ -144,63 +150,63 @@
       this.deps.log.info('address published', { address: this.deps.self.address });
   }
 
-  private async memberStatusesOf(targets: Iterable<Address>): Promise<MessageOf<'memberStatus'>[]> {
-    const out: MessageOf<'memberStatus'>[] = [];
+  private async requestStatuses(targets: Iterable<Address>): Promise<MessageOf<'memberStatus'>[]> {
+    const statuses: MessageOf<'memberStatus'>[] = [];
     const requests: Promise<void>[] = [];
 
-    const one = async (to: Address): Promise<void> => {
-      const response = await this.deps.peers.call(to, { kind: 'memberStatusAsk' }, ASK_MS);
+    const requestStatus = async (to: Address): Promise<void> => {
+      const response = await this.deps.peers.call(to, { kind: 'memberStatusAsk' }, REQUEST_TIMEOUT_MS);
       if (!response.ok || response.value.kind !== 'memberStatus' || response.value.ledger === '') return;
       if (this.deps.controlState().ledger === '' || response.value.ledger === this.deps.controlState().ledger)
-        out.push(response.value);
+        statuses.push(response.value);
       else this.deps.log.error('controller of another ledger ignored', { address: to });
     };
-    for (const to of targets) requests.push(one(to));
+    for (const to of targets) requests.push(requestStatus(to));
     await Promise.all(requests);
-    return out.sort((left, right) => this.furthestFirst(left, right));
+    return statuses.sort((left, right) => this.byNewestSlot(left, right));
   }
 
-  private furthestFirst(left: MessageOf<'memberStatus'>, right: MessageOf<'memberStatus'>): number {
+  private byNewestSlot(left: MessageOf<'memberStatus'>, right: MessageOf<'memberStatus'>): number {
     return right.learned - left.learned;
   }
 
-  private async seek(): Promise<void> {
+  private async catchUpAndJoin(): Promise<void> {
     const targets = new Set<Address>(this.deps.contacts());
     for (const member of this.deps.controlState().members) targets.add(member.address);
     targets.delete(this.deps.self.address);
-    const heard = await this.memberStatusesOf(targets);
-    const best = heard[0];
-    if (!best) return;
-    if (this.deps.controlState().ledger === '' && !heard.some((status) => this.isSeed(status)))
-      this.deps.log.warn('no seed reachable, using a known controller', { address: best.address });
-    if (best.learned > this.deps.controlState().slot) await this.deps.catchUp(best.address);
-    if (this.ownEntry()?.address === this.deps.self.address) return;
-    if (this.wasMember && !this.ownEntry()) {
+    const statuses = await this.requestStatuses(targets);
+    const mostAdvanced = statuses[0];
+    if (!mostAdvanced) return;
+    if (this.deps.controlState().ledger === '' && !statuses.some((status) => this.isSeed(status)))
+      this.deps.log.warn('no seed reachable, using a known controller', { address: mostAdvanced.address });
+    if (mostAdvanced.learned > this.deps.controlState().slot) await this.deps.catchUp(mostAdvanced.address);
+    if (this.ownMember()?.address === this.deps.self.address) return;
+    if (this.wasMember && !this.ownMember()) {
       if (!(await this.deps.renew())) return;
       this.wasMember = false;
-      this.isRecorded = false;
+      this.isMembershipStored = false;
       this.deps.log.info('removed from the group, rejoining', { member: memberId(this.deps.self) });
     }
     const addresses: Address[] = [];
     for (const member of this.deps.controlState().members)
-      for (const contact of heard) if (contact.address === member.address) addresses.push(member.address);
-    this.joining = this.join(shuffled(this.deps.rng, addresses).slice(0, 2));
-    await this.joining;
-    this.joining = null;
+      for (const status of statuses) if (status.address === member.address) addresses.push(member.address);
+    this.pendingJoin = this.join(shuffled(this.deps.rng, addresses).slice(0, 2));
+    await this.pendingJoin;
+    this.pendingJoin = null;
   }
 
-  /** Asks one member after the other to admit this controller. */
+  /** Requests admission from one member after the other. */
   private async join(addresses: readonly Address[]): Promise<void> {
     for (const to of addresses) {
       if (this.isLeaving) return;
-      const answer = await this.deps.peers.call(
+      const response = await this.deps.peers.call(
         to,
         { kind: 'rejoin', ledger: this.deps.controlState().ledger, member: { ...this.deps.self } },
-        ADMIT_MS,
+        ADMISSION_TIMEOUT_MS,
       );
-      if (!answer.ok || answer.value.kind !== 'done' || !answer.value.agreed) continue;
+      if (!response.ok || response.value.kind !== 'done' || !response.value.agreed) continue;
       await this.deps.catchUp(to);
-      if (this.ownEntry()?.address === this.deps.self.address)
+      if (this.ownMember()?.address === this.deps.self.address)
         this.deps.log.info('joined the group', { member: memberId(this.deps.self) });
       return;
     }
@@ -210,89 +216,91 @@
     return this.deps.seeds.includes(status.address);
   }
 
-  private turnOf(): number {
-    let count = 0;
+  private reachableRank(): number {
+    let rank = 0;
     for (const member of this.deps.controlState().members) {
-      if (memberId(member) === memberId(this.deps.self)) return count;
-      if (this.deps.memberStatuses.isReachable(memberId(member))) count += 1;
+      if (memberId(member) === memberId(this.deps.self)) return rank;
+      if (this.deps.memberStatuses.isReachable(memberId(member))) rank += 1;
     }
-    return count;
+    return rank;
   }
 
   private isDead(member: Member): boolean {
     const id = memberId(member);
     return (
       id !== memberId(this.deps.self) &&
-      this.deps.memberStatuses.sinceContactMs(id) >= DEAD_MS + IN_TURN_MS * this.turnOf() &&
+      this.deps.memberStatuses.sinceContactMs(id) >= DEAD_TIMEOUT_MS + STAGGER_MS * this.reachableRank() &&
       this.deps.memberStatuses.majorityLostContact(id)
     );
   }
 
-  /** Whether a member said that it ends, and has not answered since. */
-  private hasEnded(member: Member): boolean {
+  /** Whether a member announced its shutdown and has not responded for long enough since. */
+  private hasShutDown(member: Member): boolean {
     const id = memberId(member);
     return (
       id !== memberId(this.deps.self) &&
       this.deps.memberStatuses.isLeaving(id) &&
-      this.deps.memberStatuses.sinceContactMs(id) >= ENDED_MS + IN_TURN_MS * this.turnOf()
+      this.deps.memberStatuses.sinceContactMs(id) >= LEAVING_TIMEOUT_MS + STAGGER_MS * this.reachableRank()
     );
   }
 
-  // An even group bears as many losses with one member fewer, and an odd one bears one more with two dead ones fewer. But a
-  // run-once claim that three of five hold may then be held by one of three only; where claims are kept, an odd group stays.
+  // An even group tolerates as many losses with one member fewer, and an odd group tolerates one more loss without two
+  // dead members. But a run-once claim held by three of five members may then be held by only one of the remaining
+  // three, so an odd group keeps its size where claims are in use.
   private async removeDead(): Promise<void> {
     const members = this.deps.controlState().members;
     const isEven = members.length % 2 === 0;
-    const dead = members.filter((member) => this.isDead(member) || (isEven && this.hasEnded(member)));
-    const needed = isEven ? 1 : 2;
+    const dead = members.filter((member) => this.isDead(member) || (isEven && this.hasShutDown(member)));
+    const minDead = isEven ? 1 : 2;
     const [first] = dead;
-    if (!first || dead.length < needed || !(isEven || this.deps.mayShrinkOdd)) return;
-    const cause = `${first.name} has been dead, and ${members.length} members bear no more than without ${needed === 1 ? 'it' : 'the two that are'}.`;
-    if (await this.agree(cause, { tag: 'memberRemoved', old: memberId(first) }))
+    if (!first || dead.length < minDead || !(isEven || this.deps.mayShrinkOdd)) return;
+    const cause = `${first.name} has been dead, and ${members.length} members bear no more than without ${minDead === 1 ? 'it' : 'the two that are'}.`;
+    if (await this.proposeChange(cause, { tag: 'memberRemoved', old: memberId(first) }))
       this.deps.log.info('member removed', { member: memberId(first) });
   }
 
   private hasMajority(): boolean {
-    let count = 1;
+    let reachableCount = 1;
     for (const member of this.deps.controlState().members)
       if (memberId(member) !== memberId(this.deps.self) && this.deps.memberStatuses.isReachable(memberId(member)))
-        count += 1;
-    return 2 * count > this.deps.controlState().members.length;
+        reachableCount += 1;
+    return 2 * reachableCount > this.deps.controlState().members.length;
   }
 
   async turn(): Promise<void> {
     if (this.isLeaving) return;
-    const mine = this.ownEntry();
-    if (mine) this.wasMember = true;
-    if (mine && !this.isRecorded) this.isRecorded = await this.deps.recordMember();
+    const ownMember = this.ownMember();
+    if (ownMember) this.wasMember = true;
+    if (ownMember && !this.isMembershipStored) this.isMembershipStored = await this.deps.recordMember();
     if (
-      mine &&
-      mine.address !== this.deps.self.address &&
-      (await this.deps.linearizableRead(AGREE_MS)) &&
-      this.ownEntry()
+      ownMember &&
+      ownMember.address !== this.deps.self.address &&
+      (await this.deps.linearizableRead(AGREEMENT_TIMEOUT_MS)) &&
+      this.ownMember()
     )
       await this.publishOwnAddress();
-    if (this.ownEntry()?.address === this.deps.self.address && this.hasMajority()) await this.removeDead();
-    else await this.seek();
+    if (this.ownMember()?.address === this.deps.self.address && this.hasMajority()) await this.removeDead();
+    else await this.catchUpAndJoin();
   }
 
   async leave(withinMs: number): Promise<LeaveOutcome> {
-    const until = this.deps.clock.mono() + withinMs;
+    const deadline = this.deps.clock.mono() + withinMs;
     this.isLeaving = true;
     this.deps.memberStatuses.announceLeaving();
-    await this.awaitJoining(until);
-    return this.groupLeave.leave(until - this.deps.clock.mono());
+    await this.awaitPendingJoin(deadline);
+    return this.groupLeave.leave(deadline - this.deps.clock.mono());
   }
 
-  /** Whoever has asked to be admitted may be a member before it learns so. */
-  private async awaitJoining(until: number): Promise<void> {
-    if (!this.joining) return;
-    await within(this.deps.clock, until - this.deps.clock.mono(), this.joining);
-    if (!this.ownEntry()) await this.deps.linearizableRead(Math.min(AGREE_MS, until - this.deps.clock.mono()));
+  /** Waits for a pending admission: it may have been agreed before this controller learns of it. */
+  private async awaitPendingJoin(deadline: number): Promise<void> {
+    if (!this.pendingJoin) return;
+    await within(this.deps.clock, deadline - this.deps.clock.mono(), this.pendingJoin);
+    if (!this.ownMember())
+      await this.deps.linearizableRead(Math.min(AGREEMENT_TIMEOUT_MS, deadline - this.deps.clock.mono()));
   }
 }
 
-/** Joins, admits, and removes dead members, one step a turn. */
+/** Creates the membership changes; each step joins, publishes a new address, or removes one dead member. */
 export function createMembershipChanges(deps: MembershipChangesDeps): MembershipChanges {
   return new LedgerMembershipChanges(deps);
 }
--- a/src/coordination/membership/operator-bootstrap.ts
+++ b/src/coordination/membership/operator-bootstrap.ts
@@ -1,6 +1,6 @@
 /**
- * The bootstrap of a ledger by an operator's call: every named controller must be blank, and each records slot zero. Where
- * the controllers do it by themselves at their first start, see `self-bootstrap.ts`.
+ * Bootstraps a ledger on request of an operator: every named controller must be blank, and each one stores slot zero.
+ * For the bootstrap that controllers run on their own at their first start, see `self-bootstrap.ts`.
  */
 import { err, ok } from '../../base/result.js';
 import type { Result } from '../../base/result.js';
@@ -15,39 +15,39 @@
 import type { Replica } from '../consensus/replica.js';
 import { bootstrapEntry } from './self-bootstrap.js';
 
-/** Why no ledger was made: a controller is not blank, or does not answer. */
+/** Why no ledger was bootstrapped: a controller is not blank, or does not respond. */
 export type BootstrapError =
   | { readonly tag: 'alreadyBootstrapped'; readonly member: string }
   | { readonly tag: 'memberSilent'; readonly address: Address };
 
-/** Makes a ledger of the blank controllers at these addresses. */
+/** Bootstraps a ledger with the blank controllers at these addresses as members. */
 export type Bootstrap = (addresses: readonly Address[]) => Promise<Result<Agreed, BootstrapError>>;
 
-/** The replica that takes part. */
+/** Dependencies of the operator's bootstrap. */
 export type OperatorBootstrapDeps = {
   readonly clock: Clock;
   readonly rng: Rng;
   readonly peers: Pick<Peers, 'call' | 'on'>;
   readonly replica: Replica;
-  /** Whether this controller bootstraps by itself; then it takes no part in an operator's bootstrap. */
+  /** Whether this controller bootstraps on its own; it then rejects bootstraps by an operator. */
   readonly bootstrapsItself: boolean;
 };
 
-const ANSWER_WAIT_MS = 1_000;
+const RESPONSE_TIMEOUT_MS = 1_000;
 
-/** Takes part in the bootstraps of others, and makes one when called. */
+/** Handles bootstrap requests of other controllers, and returns the function that runs a bootstrap. */
 export function createOperatorBootstrap(deps: OperatorBootstrapDeps): Bootstrap {
   const { clock, rng, peers, replica } = deps;
   const { self } = replica;
 
   async function onBootstrap(message: MessageOf<'bootstrap'>): Promise<Message> {
     const { ledger } = replica.controlState();
-    const isSame = ledger === message.ledger;
-    if (deps.bootstrapsItself || (ledger !== '' && !isSame))
+    const isSameLedger = ledger === message.ledger;
+    if (deps.bootstrapsItself || (ledger !== '' && !isSameLedger))
       return { kind: 'bootstrapAnswer', agreed: false, member: self };
-    if (!message.commit || isSame) return { kind: 'bootstrapAnswer', agreed: true, member: self };
-    const answer = await replica.put({ tag: 'chosen', slot: 0, batch: message.slotZero });
-    return { kind: 'bootstrapAnswer', agreed: answer.tag === 'folded', member: self };
+    if (!message.commit || isSameLedger) return { kind: 'bootstrapAnswer', agreed: true, member: self };
+    const result = await replica.put({ tag: 'chosen', slot: 0, batch: message.slotZero });
+    return { kind: 'bootstrapAnswer', agreed: result.tag === 'folded', member: self };
   }
   peers.on('bootstrap', onBootstrap);
 
@@ -55,21 +55,21 @@
     address: Address,
     message: MessageOf<'bootstrap'>,
   ): Promise<Result<Member, BootstrapError>> {
-    const own = address === self.address;
-    const reply = own ? ok(await onBootstrap(message)) : await peers.call(address, message, ANSWER_WAIT_MS);
-    if (!reply.ok || reply.value.kind !== 'bootstrapAnswer') return err({ tag: 'memberSilent', address });
-    if (!reply.value.agreed) return err({ tag: 'alreadyBootstrapped', member: reply.value.member.name });
-    return ok(reply.value.member);
+    const isSelf = address === self.address;
+    const response = isSelf ? ok(await onBootstrap(message)) : await peers.call(address, message, RESPONSE_TIMEOUT_MS);
+    if (!response.ok || response.value.kind !== 'bootstrapAnswer') return err({ tag: 'memberSilent', address });
+    if (!response.value.agreed) return err({ tag: 'alreadyBootstrapped', member: response.value.member.name });
+    return ok(response.value.member);
   }
 
   async function bootstrap(addresses: readonly Address[]): Promise<Result<Agreed, BootstrapError>> {
     const ledger = newId(rng, 'ledger');
-    const blank: Batch = { id: newId(rng, 'batch'), entries: [] };
+    const emptyBatch: Batch = { id: newId(rng, 'batch'), entries: [] };
     const members: Member[] = [];
     for (const address of addresses) {
-      const answer = await requestMember(address, { kind: 'bootstrap', ledger, slotZero: blank, commit: false });
-      if (!answer.ok) return answer;
-      members.push(answer.value);
+      const member = await requestMember(address, { kind: 'bootstrap', ledger, slotZero: emptyBatch, commit: false });
+      if (!member.ok) return member;
+      members.push(member.value);
     }
     const slotZero = bootstrapEntry(self, ledger, members, 'The operator bootstrapped the ledger.', clock, rng);
     for (const address of addresses) {
--- a/src/coordination/membership/relocated-controllers.ts
+++ b/src/coordination/membership/relocated-controllers.ts
@@ -1,4 +1,4 @@
-/** Controllers that serve at another address than the ledger has. */
+/** Handles controllers that serve at a different address than the one in the ledger. */
 import type { NodeInfo } from '../../state/membership/node-info.js';
 import type { ControlState } from '../../state/consensus/control-state.js';
 import type { Location } from '../../state/distribution/controller-candidates.js';
@@ -6,7 +6,7 @@
 import type { Membership } from './failure-detector.js';
 import type { Peers } from '../messaging/peers.js';
 
-/** Leads connections to a controller to the address that the failure detector has of it. */
+/** Redirects connections to a controller to the address that the failure detector knows for it. */
 export function followRelocatedControllers(
   membership: Membership,
   currentControlState: () => ControlState,
@@ -20,11 +20,11 @@
   membership.events.on('changed', onChanged);
 }
 
-/** Locations of nodes, as the failure detector knows them. */
+/** Returns a function that looks up the location of a node in the failure detector. */
 export function locationsOf(membership: Membership): (name: string) => Location | null {
-  function spot(name: string): Location | null {
+  function locationOf(name: string): Location | null {
     const node = membership.get(name);
     return node && { zone: node.zone, region: node.region, up: node.status === 'alive' };
   }
-  return spot;
+  return locationOf;
 }
--- a/src/coordination/membership/self-bootstrap.ts
+++ b/src/coordination/membership/self-bootstrap.ts
@@ -1,6 +1,7 @@
 /**
- * The first start of the first controllers: those whose disks hold the seeds of that start agree slot zero by a ballot
- * among them. A disk that was not there from the start has no vote, so nobody bootstraps beside an old ledger.
+ * Bootstraps the ledger at the first start of the first controllers: those whose disks store the seeds of that start
+ * agree on slot zero by a ballot among themselves. A disk that was not present at the first start has no vote, so that
+ * no second ledger is bootstrapped beside an existing one.
  */
 import { sha256 } from '../../base/digest.js';
 import type { Message, MessageOf } from '../../protocol/messages.js';
@@ -16,13 +17,13 @@
 import type { RequestMember } from '../consensus/poll.js';
 import { runRound } from '../consensus/round.js';
 
-/** `ballotOf` is the name under which slot zero is balloted; null on a disk without a vote. */
+/** `ballotOf` is the ledger name used in the ballot for slot zero; null on a disk without a vote. */
 export interface SelfBootstrap {
   readonly ballotOf: string | null;
   stop(): void;
 }
 
-/** The seeds of the first start, and how this controller votes and learns. */
+/** Dependencies of the bootstrap: the seeds of the first start, and how this controller votes and learns. */
 export type SelfBootstrapDeps = {
   readonly clock: Clock;
   readonly rng: Rng;
@@ -36,12 +37,14 @@
   readonly seek: () => void;
 };
 
-const TURN_MS = 150;
-const ASK_MS = 400;
-const IN_TURN_MS = 800;
-const WITHOUT_ALL_MS = 3_000;
+const TICK_INTERVAL_MS = 150;
+const REQUEST_TIMEOUT_MS = 400;
+/** Added per position among the blank members, so that they propose one after another; also bounds the retry delay. */
+const STAGGER_MS = 800;
+/** After this time, the bootstrap proceeds with a majority of the seeds instead of all of them. */
+const ALL_SEEDS_TIMEOUT_MS = 3_000;
 
-/** The batch of slot zero. */
+/** Creates the batch of slot zero, which names the ledger and its first members. */
 export function bootstrapEntry(
   self: Member,
   ledger: string,
@@ -70,24 +73,26 @@
   private readonly bootstrapMembers: string[];
   readonly ballotOf: string | null;
   private readonly quorumSize: number;
-  private readonly openedAt: number;
-  private ableSince: number | null = null;
+  private readonly startedAt: number;
+  private readySince: number | null = null;
   private round = 0;
-  private busy = false;
-  private readonly ticking: Timer | null;
+  private isAttempting = false;
+  private readonly attemptTimer: Timer | null;
 
   constructor(private readonly deps: SelfBootstrapDeps) {
     this.bootstrapMembers = this.deps.bootstrapMembers ? [...this.deps.bootstrapMembers].sort() : [];
     this.ballotOf = this.deps.bootstrapMembers ? bootstrapDigest(this.bootstrapMembers) : null;
     this.quorumSize = Math.floor(this.bootstrapMembers.length / 2) + 1;
-    this.openedAt = this.deps.clock.mono();
+    this.startedAt = this.deps.clock.mono();
 
-    this.deps.peers.on('bootstrapVoteAsk', (message) => this.onRequest(message));
-    this.ticking =
-      this.ballotOf && this.deps.ledgerName() === '' ? every(this.deps.clock, TURN_MS, () => this.tick()) : null;
+    this.deps.peers.on('bootstrapVoteAsk', (message) => this.onVoteRequest(message));
+    this.attemptTimer =
+      this.ballotOf && this.deps.ledgerName() === ''
+        ? every(this.deps.clock, TICK_INTERVAL_MS, () => this.tick())
+        : null;
   }
 
-  private onRequest(message: MessageOf<'bootstrapVoteAsk'>): MessageOf<'bootstrapVoteAnswer'> {
+  private onVoteRequest(message: MessageOf<'bootstrapVoteAsk'>): MessageOf<'bootstrapVoteAnswer'> {
     return {
       kind: 'bootstrapVoteAnswer',
       member: this.deps.self,
@@ -96,93 +101,98 @@
     };
   }
 
-  private async requestVoteOf(to: Address, ballotName: string): Promise<Message | null> {
+  private async requestBootstrapVote(to: Address, ballotName: string): Promise<Message | null> {
     if (to === this.deps.self.address)
-      return this.onRequest({ kind: 'bootstrapVoteAsk', bootstrapMembers: ballotName });
-    const response = await this.deps.peers.call(to, { kind: 'bootstrapVoteAsk', bootstrapMembers: ballotName }, ASK_MS);
+      return this.onVoteRequest({ kind: 'bootstrapVoteAsk', bootstrapMembers: ballotName });
+    const response = await this.deps.peers.call(
+      to,
+      { kind: 'bootstrapVoteAsk', bootstrapMembers: ballotName },
+      REQUEST_TIMEOUT_MS,
+    );
     return response.ok ? response.value : null;
   }
 
-  private async tryBootstrap(ballotName: string): Promise<void> {
+  private async attemptBootstrap(ballotName: string): Promise<void> {
     const requests: Promise<Message | null>[] = [];
-    for (const to of this.bootstrapMembers) requests.push(this.requestVoteOf(to, ballotName));
-    const blank: Member[] = [];
-    let voters = 0;
+    for (const to of this.bootstrapMembers) requests.push(this.requestBootstrapVote(to, ballotName));
+    const blankMembers: Member[] = [];
+    let voteCount = 0;
     for (const response of await Promise.all(requests)) {
       if (response?.kind !== 'bootstrapVoteAnswer') continue;
       if (response.ledger !== '') {
         this.deps.seek();
         return;
       }
-      blank.push(response.member);
-      if (response.votes) voters += 1;
+      blankMembers.push(response.member);
+      if (response.votes) voteCount += 1;
     }
     const now = this.deps.clock.mono();
-    const complete = blank.length === this.bootstrapMembers.length || now - this.openedAt > WITHOUT_ALL_MS;
-    if (!complete || voters < this.quorumSize || this.deps.ledgerName() !== '') {
-      this.ableSince = null;
+    const isWaitOver =
+      blankMembers.length === this.bootstrapMembers.length || now - this.startedAt > ALL_SEEDS_TIMEOUT_MS;
+    if (!isWaitOver || voteCount < this.quorumSize || this.deps.ledgerName() !== '') {
+      this.readySince = null;
       return;
     }
-    this.ableSince ??= now;
-    if (now - this.ableSince < IN_TURN_MS * blank.findIndex((member) => this.isSelf(member))) return;
-    const mine = bootstrapEntry(
+    this.readySince ??= now;
+    if (now - this.readySince < STAGGER_MS * blankMembers.findIndex((member) => this.isSelf(member))) return;
+    const ownBatch = bootstrapEntry(
       this.deps.self,
       newId(this.deps.rng, 'ledger'),
-      blank,
+      blankMembers,
       'The first controllers bootstrapped the ledger at their first start.',
       this.deps.clock,
       this.deps.rng,
     );
-    const end = await runRound(
-      { ledger: ballotName, members: blank, quorumSize: this.quorumSize },
+    const result = await runRound(
+      { ledger: ballotName, members: blankMembers, quorumSize: this.quorumSize },
       0,
       { round: this.round + 1, by: `${memberId(this.deps.self)}/${newId(this.deps.rng, 'b')}` },
-      mine,
+      ownBatch,
       this.deps.requestVote,
     );
-    if (end.tag === 'outbid') {
-      this.round = end.round;
-      this.ableSince = this.deps.clock.mono() + this.deps.rng.next() * IN_TURN_MS;
+    if (result.tag === 'outbid') {
+      this.round = result.round;
+      this.readySince = this.deps.clock.mono() + this.deps.rng.next() * STAGGER_MS;
     }
-    if (end.tag !== 'chosen') return;
-    await this.deps.learnZero(end.batch);
-    for (const member of blank)
+    if (result.tag !== 'chosen') return;
+    await this.deps.learnZero(result.batch);
+    for (const member of blankMembers)
       if (!this.isSelf(member))
         void this.deps.peers.send(member.address, {
           kind: 'learned',
           ledger: ballotName,
           slot: 0,
-          batch: end.batch.id,
+          batch: result.batch.id,
           at: this.deps.self.address,
         });
-    this.deps.log.info('ledger bootstrapped', { members: blank.length });
+    this.deps.log.info('ledger bootstrapped', { members: blankMembers.length });
   }
 
   private isSelf(member: Member): boolean {
     return memberId(member) === memberId(this.deps.self);
   }
 
-  private async tryOnce(ballotName: string): Promise<void> {
-    this.busy = true;
-    await this.tryBootstrap(ballotName);
-    this.busy = false;
+  private async runAttempt(ballotName: string): Promise<void> {
+    this.isAttempting = true;
+    await this.attemptBootstrap(ballotName);
+    this.isAttempting = false;
   }
 
   private tick(): void {
     if (!this.ballotOf) return;
     if (this.deps.ledgerName() !== '') {
-      this.ticking?.cancel();
+      this.attemptTimer?.cancel();
       return;
     }
-    if (!this.busy) void this.tryOnce(this.ballotOf);
+    if (!this.isAttempting) void this.runAttempt(this.ballotOf);
   }
 
   stop(): void {
-    this.ticking?.cancel();
+    this.attemptTimer?.cancel();
   }
 }
 
-/** Tries until the ledger is known. */
+/** Creates the bootstrap; on a disk with a vote, it is attempted repeatedly until the ledger is known. */
 export function createSelfBootstrap(deps: SelfBootstrapDeps): SelfBootstrap {
   return new SeedBallotBootstrap(deps);
 }
--- a/src/state/membership/node-info.ts
+++ b/src/state/membership/node-info.ts
@@ -1,26 +1,26 @@
-/** What nodes tell each other of a node. */
+/** Schemas of the node information that nodes exchange in probes of the failure detector. */
 import { Type } from '@sinclair/typebox';
 import type { Static } from '@sinclair/typebox';
 
-const Str = Type.String({ minLength: 1, maxLength: 256 });
+const ShortString = Type.String({ minLength: 1, maxLength: 256 });
 
-/** A node, with its address and status. */
+/** Schema of a node with its addresses, location and status. */
 export const NodeShape = Type.Object({
-  name: Str,
+  name: ShortString,
   role: Type.Union([Type.Literal('proxy'), Type.Literal('controller')]),
-  run: Str,
+  run: ShortString,
   incarnation: Type.Integer({ minimum: 0 }),
-  address: Str,
+  address: ShortString,
   http: Type.String(),
-  zone: Str,
-  region: Str,
+  zone: ShortString,
+  region: ShortString,
   status: Type.Union([Type.Literal('alive'), Type.Literal('suspect'), Type.Literal('dead'), Type.Literal('left')]),
 });
 
-/** A checked node. */
+/** A node that matches `NodeShape`. */
 export type NodeInfo = Static<typeof NodeShape>;
 
-/** The part that changes often. */
+/** Schema of the fields that change often. */
 export const NodeUpdateShape = Type.Pick(NodeShape, ['name', 'run', 'incarnation', 'status']);
-/** A checked update. */
+/** An update that matches `NodeUpdateShape`. */
 export type NodeUpdate = Static<typeof NodeUpdateShape>;
