--- a/src/coordination/membership/core-health-watch.test.ts
+++ b/src/coordination/membership/core-health-watch.test.ts
@@ -21,28 +21,32 @@
 const SEEDS = [1, 2, 3, 4];
 const THREE = ['h1', 'h2', 'h3'];
 const FIVE = ['h1', 'h2', 'h3', 'h4', 'h5'];
-/** Time in which every judgement has taken up a change: the freshness of an answer, and a turn. */
-const JUDGED_MS = 2_200;
+/** Time after which every controller reports a change: the maximum age of a response, and a check interval. */
+const EVALUATION_MS = 2_200;
 
-type Stage = { readonly core: SimCore; readonly httpClient: HttpClient; readonly lines: string[] };
+type TestSetup = { readonly core: SimCore; readonly httpClient: HttpClient; readonly lines: string[] };
 
-function collectedLogs(lines: string[]): LogRoot {
-  function part(prefix: string): Log {
-    const take =
+function createCollectingLog(lines: string[]): LogRoot {
+  function createComponentLog(name: string): Log {
+    const collect =
       (level: string): Log['info'] =>
       (event, fields) =>
-        void (prefix === 'core' && lines.push(`${level} ${event} ${fieldsText(fields ?? {})}`));
-    return { info: take('info'), warn: take('warn'), error: take('error') };
+        void (name === 'core' && lines.push(`${level} ${event} ${fieldsText(fields ?? {})}`));
+    return { info: collect('info'), warn: collect('warn'), error: collect('error') };
   }
-  return { component: part };
+  return { component: createComponentLog };
 }
 
-async function bootstrapped(seed: number, names: readonly string[], more: Partial<CoreShape> = {}): Promise<Stage> {
+async function createBootstrappedCore(
+  seed: number,
+  names: readonly string[],
+  shape: Partial<CoreShape> = {},
+): Promise<TestSetup> {
   const lines: string[] = [];
   const core = createSimCore(
     seed,
-    { controllers: names.length, seeds: 3, regionMs: 35, operatorHttpServer: true, ...more },
-    collectedLogs(lines),
+    { controllers: names.length, seeds: 3, regionMs: 35, operatorHttpServer: true, ...shape },
+    createCollectingLog(lines),
   );
   core.startAll();
   expect(await core.until(8_000, () => core.whole(names))).toBe(true);
@@ -50,136 +54,152 @@
   return { core, httpClient: core.lab('operator').httpClient, lines };
 }
 
-async function get(s: Stage, name: string, path: string): Promise<{ readonly status: number; readonly body: unknown }> {
-  const response = await s.core.finish(
-    s.httpClient.call({ method: 'GET', address: `${s.core.node(name).wire}0`, path, timeoutMs: 3_000 }),
+async function get(
+  setup: TestSetup,
+  name: string,
+  path: string,
+): Promise<{ readonly status: number; readonly body: unknown }> {
+  const response = await setup.core.finish(
+    setup.httpClient.call({ method: 'GET', address: `${setup.core.node(name).wire}0`, path, timeoutMs: 3_000 }),
     4_000,
   );
-  if (!response?.ok) throw new Error(`${name} does not answer ${path}`);
+  if (!response?.ok) throw new Error(`${name} does not respond to GET ${path}`);
   return response.value;
 }
-async function health(s: Stage, name: string): Promise<CoreHealthReport> {
-  return ((await get(s, name, '/v1/status')).body as { readonly core: CoreHealthReport }).core;
+async function readHealth(setup: TestSetup, name: string): Promise<CoreHealthReport> {
+  return ((await get(setup, name, '/v1/status')).body as { readonly core: CoreHealthReport }).core;
 }
-async function figures(s: Stage, name: string): Promise<unknown[]> {
-  const { ledger } = await health(s, name);
+async function readFigures(setup: TestSetup, name: string): Promise<unknown[]> {
+  const { ledger } = await readHealth(setup, name);
   return [ledger.members, ledger.inTouch, ledger.holdingAll, ledger.spareLosses, ledger.warning];
 }
-async function expectAll(s: Stage, names: readonly string[], expected: readonly unknown[]): Promise<void> {
-  for (const name of names) expect([name, await figures(s, name)]).toEqual([name, expected]);
+async function expectFigures(setup: TestSetup, names: readonly string[], expected: readonly unknown[]): Promise<void> {
+  for (const name of names) expect([name, await readFigures(setup, name)]).toEqual([name, expected]);
 }
 
-describe('the losses that the core bears, told by each controller', () => {
-  test.each(SEEDS)('three all well: one; one dead: none, with a warning; back again: one (seed %i)', async (seed) => {
-    const s = await bootstrapped(seed, THREE);
-    await expectAll(s, THREE, [3, 3, 3, 1, null]);
-    s.core.kill('h2');
-    await s.core.world.advance(JUDGED_MS);
-    await expectAll(s, ['h1', 'h3'], [3, 2, 2, 0, 'noSpareLoss']);
-    expect((await health(s, 'h1')).ledger.details.map((d) => [d.name, d.lack, d.essential])).toEqual([
-      ['h1', null, true],
-      ['h2', 'silent', false],
-      ['h3', null, true],
-    ]);
-    s.core.start('h2');
-    await s.core.world.advance(6_000);
-    await expectAll(s, THREE, [3, 3, 3, 1, null]);
-  });
+describe('the number of tolerated losses that each controller reports', () => {
+  test.each(SEEDS)(
+    'three healthy: one; one dead: none, with a warning; restarted: one again (seed %i)',
+    async (seed) => {
+      const setup = await createBootstrappedCore(seed, THREE);
+      await expectFigures(setup, THREE, [3, 3, 3, 1, null]);
+      setup.core.kill('h2');
+      await setup.core.world.advance(EVALUATION_MS);
+      await expectFigures(setup, ['h1', 'h3'], [3, 2, 2, 0, 'noSpareLoss']);
+      expect((await readHealth(setup, 'h1')).ledger.details.map((d) => [d.name, d.lack, d.essential])).toEqual([
+        ['h1', null, true],
+        ['h2', 'silent', false],
+        ['h3', null, true],
+      ]);
+      setup.core.start('h2');
+      await setup.core.world.advance(6_000);
+      await expectFigures(setup, THREE, [3, 3, 3, 1, null]);
+    },
+  );
 
   test.each(SEEDS)(
-    'the claim holds: with one to spare any one may go, with none the next one stops it (seed %i)',
+    'the report is right: with one spare loss any member may be lost, with none the next loss stops the core (seed %i)',
     async (seed) => {
-      const s = await bootstrapped(seed, THREE);
+      const setup = await createBootstrappedCore(seed, THREE);
       const lost = THREE[seed % 3] as string;
       const [first, second] = THREE.filter((n) => n !== lost) as [string, string];
-      s.core.powerLoss(lost);
-      expect((await s.core.order(first, 'a')).result?.ok).toBe(true);
-      await s.core.world.advance(JUDGED_MS);
-      expect((await health(s, first)).ledger.spareLosses).toBe(0);
-      s.core.powerLoss(second);
-      expect((await s.core.order(first, 'b')).result?.ok).toBe(false);
+      setup.core.powerLoss(lost);
+      expect((await setup.core.order(first, 'a')).result?.ok).toBe(true);
+      await setup.core.world.advance(EVALUATION_MS);
+      expect((await readHealth(setup, first)).ledger.spareLosses).toBe(0);
+      setup.core.powerLoss(second);
+      expect((await setup.core.order(first, 'b')).result?.ok).toBe(false);
     },
   );
 
   test.each(SEEDS)(
-    'five: two; two dead: none; all along the claim is never above what is left (seed %i)',
+    'five: two; one dead: one; two dead: none; the reported number never exceeds the real one (seed %i)',
     async (seed) => {
-      const s = await bootstrapped(seed, FIVE);
-      await expectAll(s, FIVE, [5, 5, 5, 2, null]);
-      s.core.kill('h4');
-      await s.core.world.advance(JUDGED_MS);
-      await expectAll(s, ['h1', 'h2', 'h3', 'h5'], [5, 4, 4, 1, null]);
-      s.core.kill('h5');
-      await s.core.world.advance(JUDGED_MS);
-      await expectAll(s, THREE, [5, 3, 3, 0, 'noSpareLoss']);
+      const setup = await createBootstrappedCore(seed, FIVE);
+      await expectFigures(setup, FIVE, [5, 5, 5, 2, null]);
+      setup.core.kill('h4');
+      await setup.core.world.advance(EVALUATION_MS);
+      await expectFigures(setup, ['h1', 'h2', 'h3', 'h5'], [5, 4, 4, 1, null]);
+      setup.core.kill('h5');
+      await setup.core.world.advance(EVALUATION_MS);
+      await expectFigures(setup, THREE, [5, 3, 3, 0, 'noSpareLoss']);
     },
   );
 
-  test.each(SEEDS)('one that does not follow the ledger is in touch and does not count (seed %i)', async (seed) => {
-    const s = await bootstrapped(seed, THREE);
-    const lagging = s.core.node('h3').platter;
-    lagging.failing = true;
-    for (let n = 0; n < 6; n += 1) {
-      expect((await s.core.order('h1', `z${n}`)).result?.ok).toBe(true);
-      await s.core.world.advance(1_000);
-    }
-    await expectAll(s, ['h1', 'h2'], [3, 3, 2, 0, 'noSpareLoss']);
-    expect((await health(s, 'h1')).ledger.details[2]?.lack).toBe('cannotWrite');
-  });
+  test.each(SEEDS)(
+    'a member that does not keep up with the ledger is in contact but does not count (seed %i)',
+    async (seed) => {
+      const setup = await createBootstrappedCore(seed, THREE);
+      const platter = setup.core.node('h3').platter;
+      platter.failing = true;
+      for (let n = 0; n < 6; n += 1) {
+        expect((await setup.core.order('h1', `z${n}`)).result?.ok).toBe(true);
+        await setup.core.world.advance(1_000);
+      }
+      await expectFigures(setup, ['h1', 'h2'], [3, 3, 2, 0, 'noSpareLoss']);
+      expect((await readHealth(setup, 'h1')).ledger.details[2]?.lack).toBe('cannotWrite');
+    },
+  );
 
-  test.each(SEEDS)('a fourth one joined: still one; dead, none; shed, one again (seed %i)', async (seed) => {
-    const s = await bootstrapped(seed, THREE);
-    s.core.add('h4');
-    s.core.start('h4');
-    expect(await s.core.until(6_000, () => s.core.whole([...THREE, 'h4']))).toBe(true);
-    await s.core.world.advance(4_000);
-    await expectAll(s, [...THREE, 'h4'], [4, 4, 4, 1, null]);
-    s.core.powerLoss('h2');
-    await s.core.world.advance(JUDGED_MS);
-    await expectAll(s, ['h1', 'h3', 'h4'], [4, 3, 3, 0, 'noSpareLoss']);
-    expect(await s.core.until(6_000, () => s.core.whole(['h1', 'h3', 'h4']))).toBe(true);
-    await s.core.world.advance(JUDGED_MS);
-    await expectAll(s, ['h1', 'h3', 'h4'], [3, 3, 3, 1, null]);
-  });
+  test.each(SEEDS)(
+    'a fourth member joined: still one; one dead: none; the dead one removed: one again (seed %i)',
+    async (seed) => {
+      const setup = await createBootstrappedCore(seed, THREE);
+      setup.core.add('h4');
+      setup.core.start('h4');
+      expect(await setup.core.until(6_000, () => setup.core.whole([...THREE, 'h4']))).toBe(true);
+      await setup.core.world.advance(4_000);
+      await expectFigures(setup, [...THREE, 'h4'], [4, 4, 4, 1, null]);
+      setup.core.powerLoss('h2');
+      await setup.core.world.advance(EVALUATION_MS);
+      await expectFigures(setup, ['h1', 'h3', 'h4'], [4, 3, 3, 0, 'noSpareLoss']);
+      expect(await setup.core.until(6_000, () => setup.core.whole(['h1', 'h3', 'h4']))).toBe(true);
+      await setup.core.world.advance(EVALUATION_MS);
+      await expectFigures(setup, ['h1', 'h3', 'h4'], [3, 3, 3, 1, null]);
+    },
+  );
 
   test.each(SEEDS)('one dead and replaced by a new machine: one again (seed %i)', async (seed) => {
-    const s = await bootstrapped(seed, THREE);
-    s.core.powerLoss('h2');
-    await s.core.world.advance(4_000);
-    s.core.add('h4');
-    s.core.start('h4');
-    expect(await s.core.until(6_000, () => s.core.whole(['h1', 'h3', 'h4']))).toBe(true);
-    await s.core.world.advance(4_000);
-    await expectAll(s, ['h1', 'h3', 'h4'], [3, 3, 3, 1, null]);
+    const setup = await createBootstrappedCore(seed, THREE);
+    setup.core.powerLoss('h2');
+    await setup.core.world.advance(4_000);
+    setup.core.add('h4');
+    setup.core.start('h4');
+    expect(await setup.core.until(6_000, () => setup.core.whole(['h1', 'h3', 'h4']))).toBe(true);
+    await setup.core.world.advance(4_000);
+    await expectFigures(setup, ['h1', 'h3', 'h4'], [3, 3, 3, 1, null]);
   });
 
-  test.each(SEEDS)('one that has joined counts from the moment it holds all, not before (seed %i)', async (seed) => {
-    const s = await bootstrapped(seed, THREE);
-    s.core.add('h4');
-    s.core.start('h4');
-    let early = 0;
-    for (let n = 0; n < 300; n += 1) {
-      await s.core.world.advance(10);
-      const member = (await health(s, 'h1')).ledger.details.find((d) => d.name === 'h4');
-      if (!member) continue;
-      const before = s.core.node('h1').controller?.ledger.controlState().slot ?? 0;
-      if (member.learned < before - 1 && member.lack === null) early += 1;
-    }
-    expect(early).toBe(0);
-    await expectAll(s, [...THREE, 'h4'], [4, 4, 4, 1, null]);
-  });
+  test.each(SEEDS)(
+    'a member that has joined counts only from the time at which it is complete (seed %i)',
+    async (seed) => {
+      const setup = await createBootstrappedCore(seed, THREE);
+      setup.core.add('h4');
+      setup.core.start('h4');
+      let prematureCount = 0;
+      for (let n = 0; n < 300; n += 1) {
+        await setup.core.world.advance(10);
+        const member = (await readHealth(setup, 'h1')).ledger.details.find((d) => d.name === 'h4');
+        if (!member) continue;
+        const newestSlot = setup.core.node('h1').controller?.ledger.controlState().slot ?? 0;
+        if (member.learned < newestSlot - 1 && member.lack === null) prematureCount += 1;
+      }
+      expect(prematureCount).toBe(0);
+      await expectFigures(setup, [...THREE, 'h4'], [4, 4, 4, 1, null]);
+    },
+  );
 });
 
-describe('a member that is in touch and behind', () => {
+describe('a member that is in contact and behind', () => {
   const members: Member[] = THREE.map((name) => ({ name, incarnation: 'i', address: name }));
 
-  type Bench = {
+  type WatchFixture = {
     readonly world: World;
     readonly controlState: { slot: number };
-    readonly hear: (name: string, learned: number) => void;
+    readonly receiveStatus: (name: string, learned: number) => void;
     readonly watch: CoreHealthWatch;
   };
-  function watched(slot: number): Bench {
+  function createWatchFixture(slot: number): WatchFixture {
     const world = createWorld(1);
     const clock = world.clockOf(world.begin(world.host('h1', 'z')));
     const events = createEvents<LedgerEvents>();
@@ -199,7 +219,7 @@
       clock,
       log: createQuietLog().component('core'),
     });
-    function hear(name: string, learned: number): void {
+    function receiveStatus(name: string, learned: number): void {
       const member = members.find((m) => m.name === name) as Member;
       events.emit('heard', {
         member,
@@ -214,163 +234,166 @@
         },
       });
     }
-    return { world, controlState, hear, watch };
+    return { world, controlState, receiveStatus, watch };
   }
-  function told(b: Bench): unknown[] {
-    const { ledger } = b.watch.current();
+  function currentFigures(fixture: WatchFixture): unknown[] {
+    const { ledger } = fixture.watch.current();
     return [ledger.inTouch, ledger.holdingAll, ledger.spareLosses];
   }
 
-  test('does not count, however often it answers, until it holds what was known 2.6 s ago', async () => {
-    const b = watched(100);
+  test('does not count, however often it responds, until it has learned what was known 2.6 s ago', async () => {
+    const fixture = createWatchFixture(100);
     for (let n = 0; n < 20; n += 1) {
-      b.hear('h2', 100);
-      b.hear('h3', 40 + n);
-      expect(told(b)).toEqual([3, 2, 0]);
-      await b.world.advance(500);
+      fixture.receiveStatus('h2', 100);
+      fixture.receiveStatus('h3', 40 + n);
+      expect(currentFigures(fixture)).toEqual([3, 2, 0]);
+      await fixture.world.advance(500);
     }
-    b.hear('h2', 100);
-    b.hear('h3', 100);
-    expect(told(b)).toEqual([3, 3, 1]);
+    fixture.receiveStatus('h2', 100);
+    fixture.receiveStatus('h3', 100);
+    expect(currentFigures(fixture)).toEqual([3, 3, 1]);
   });
 
-  test('answers that are half a second old under steady changes are not behind', async () => {
-    const b = watched(100);
+  test('is not inferred from responses that are half a second old under steady changes', async () => {
+    const fixture = createWatchFixture(100);
     for (let n = 0; n < 40; n += 1) {
-      b.hear('h2', b.controlState.slot);
-      b.hear('h3', b.controlState.slot);
+      fixture.receiveStatus('h2', fixture.controlState.slot);
+      fixture.receiveStatus('h3', fixture.controlState.slot);
       for (let step = 0; step < 5; step += 1) {
-        await b.world.advance(100);
-        b.controlState.slot += 4;
-        if (n > 8) expect(told(b)).toEqual([3, 3, 1]);
+        await fixture.world.advance(100);
+        fixture.controlState.slot += 4;
+        if (n > 8) expect(currentFigures(fixture)).toEqual([3, 3, 1]);
       }
     }
   });
 
-  test('the controller itself is behind where the others hold more, from the first answer on', () => {
-    const b = watched(10);
-    b.hear('h2', 100);
-    b.hear('h3', 100);
-    expect(told(b)).toEqual([3, 2, 0]);
+  test('is the observing controller itself if the others have learned more, from the first response on', () => {
+    const fixture = createWatchFixture(10);
+    fixture.receiveStatus('h2', 100);
+    fixture.receiveStatus('h3', 100);
+    expect(currentFigures(fixture)).toEqual([3, 2, 0]);
   });
 
-  test('after a standstill it does not judge by what it knew before', async () => {
-    const b = watched(100);
-    await b.world.advance(5_000);
-    b.world.freeze(b.world.host('h1', 'z'));
-    await b.world.advance(20_000);
-    b.world.thaw(b.world.host('h1', 'z'));
+  test('is not judged by slots known before a process pause', async () => {
+    const fixture = createWatchFixture(100);
+    await fixture.world.advance(5_000);
+    fixture.world.freeze(fixture.world.host('h1', 'z'));
+    await fixture.world.advance(20_000);
+    fixture.world.thaw(fixture.world.host('h1', 'z'));
     for (const ms of [0, 10, 600]) {
-      await b.world.advance(ms);
-      b.hear('h2', 200);
-      b.hear('h3', 200);
-      expect(told(b)).toEqual([3, 2, 0]);
+      await fixture.world.advance(ms);
+      fixture.receiveStatus('h2', 200);
+      fixture.receiveStatus('h3', 200);
+      expect(currentFigures(fixture)).toEqual([3, 2, 0]);
     }
   });
 
-  test('answers count for 1.6 s, no longer', async () => {
-    const b = watched(100);
-    b.hear('h2', 100);
-    b.hear('h3', 100);
-    await b.world.advance(1_590);
-    expect(told(b)).toEqual([3, 3, 1]);
-    await b.world.advance(20);
-    expect(told(b)).toEqual([1, null, null]);
+  test('responses count as contact for 1.6 s, no longer', async () => {
+    const fixture = createWatchFixture(100);
+    fixture.receiveStatus('h2', 100);
+    fixture.receiveStatus('h3', 100);
+    await fixture.world.advance(1_590);
+    expect(currentFigures(fixture)).toEqual([3, 3, 1]);
+    await fixture.world.advance(20);
+    expect(currentFigures(fixture)).toEqual([1, null, null]);
   });
 });
 
-describe('a controller that is cut off says that it knows nothing', () => {
-  const unknown = [3, 1, null, null, 'noMajority'];
+describe('a partitioned controller reports the health as unknown', () => {
+  const unknownFigures = [3, 1, null, null, 'noMajority'];
 
-  test.each(SEEDS)('both ways: within 2.2 s, while the others know; healed it knows again (seed %i)', async (seed) => {
-    const s = await bootstrapped(seed, THREE);
-    s.core.cutOff(['h1']);
-    await s.core.world.advance(JUDGED_MS);
-    await expectAll(s, ['h1'], unknown);
-    await expectAll(s, ['h2', 'h3'], [3, 2, 2, 0, 'noSpareLoss']);
-    await s.core.world.advance(20_000);
-    await expectAll(s, ['h1'], unknown);
-    s.core.world.healAll();
-    await s.core.world.advance(6_000);
-    await expectAll(s, THREE, [3, 3, 3, 1, null]);
-  });
+  test.each(SEEDS)(
+    'both directions cut: within 2.2 s, while the others still know it; after healing it knows it again (seed %i)',
+    async (seed) => {
+      const setup = await createBootstrappedCore(seed, THREE);
+      setup.core.cutOff(['h1']);
+      await setup.core.world.advance(EVALUATION_MS);
+      await expectFigures(setup, ['h1'], unknownFigures);
+      await expectFigures(setup, ['h2', 'h3'], [3, 2, 2, 0, 'noSpareLoss']);
+      await setup.core.world.advance(20_000);
+      await expectFigures(setup, ['h1'], unknownFigures);
+      setup.core.world.healAll();
+      await setup.core.world.advance(6_000);
+      await expectFigures(setup, THREE, [3, 3, 3, 1, null]);
+    },
+  );
 
-  test.each(SEEDS)('one way, either way (seed %i)', async (seed) => {
-    const s = await bootstrapped(seed, THREE);
+  test.each(SEEDS)('one direction cut, either one (seed %i)', async (seed) => {
+    const setup = await createBootstrappedCore(seed, THREE);
     for (const other of ['h2', 'h3']) {
-      if (seed % 2 === 0) s.core.world.cut('h1', other);
-      else s.core.world.cut(other, 'h1');
+      if (seed % 2 === 0) setup.core.world.cut('h1', other);
+      else setup.core.world.cut(other, 'h1');
     }
-    await s.core.world.advance(JUDGED_MS);
-    await expectAll(s, ['h1'], unknown);
+    await setup.core.world.advance(EVALUATION_MS);
+    await expectFigures(setup, ['h1'], unknownFigures);
   });
 
-  test.each(SEEDS)('restarted while it is cut off (seed %i)', async (seed) => {
-    const s = await bootstrapped(seed, THREE);
-    s.core.cutOff(['h1']);
-    await s.core.world.advance(500);
-    s.core.kill('h1');
-    s.core.start('h1');
-    await s.core.until(2_000, () => s.core.node('h1').controller !== null);
+  test.each(SEEDS)('restarted while it is partitioned (seed %i)', async (seed) => {
+    const setup = await createBootstrappedCore(seed, THREE);
+    setup.core.cutOff(['h1']);
+    await setup.core.world.advance(500);
+    setup.core.kill('h1');
+    setup.core.start('h1');
+    await setup.core.until(2_000, () => setup.core.node('h1').controller !== null);
     for (let n = 0; n < 12; n += 1) {
-      await expectAll(s, ['h1'], unknown);
-      await s.core.world.advance(500);
+      await expectFigures(setup, ['h1'], unknownFigures);
+      await setup.core.world.advance(500);
     }
   });
 
   test.each(SEEDS)(
-    'thawed after 20 s in which the others changed: nothing of before is told (seed %i)',
+    'resumed after a pause of 20 s in which the others made changes: nothing outdated is reported (seed %i)',
     async (seed) => {
-      const s = await bootstrapped(seed, THREE);
-      s.core.world.freeze(s.core.node('h1').host);
-      await s.core.world.advance(1_000);
-      for (let n = 0; n < 8; n += 1) expect((await s.core.order('h2', `z${n}`)).result?.ok).toBe(true);
-      await s.core.world.advance(19_000);
-      s.core.world.thaw(s.core.node('h1').host);
-      const told: unknown[] = [];
+      const setup = await createBootstrappedCore(seed, THREE);
+      setup.core.world.freeze(setup.core.node('h1').host);
+      await setup.core.world.advance(1_000);
+      for (let n = 0; n < 8; n += 1) expect((await setup.core.order('h2', `z${n}`)).result?.ok).toBe(true);
+      await setup.core.world.advance(19_000);
+      setup.core.world.thaw(setup.core.node('h1').host);
+      const overstated: unknown[] = [];
       for (let n = 0; n < 40; n += 1) {
-        const { ledger } = await health(s, 'h1');
-        const learned = s.core.node('h1').controller?.ledger.controlState().slot ?? -1;
-        const newest = s.core.node('h2').controller?.ledger.controlState().slot ?? -1;
-        if (learned < newest && ledger.spareLosses !== null && ledger.spareLosses > 0) told.push(ledger);
+        const { ledger } = await readHealth(setup, 'h1');
+        const learned = setup.core.node('h1').controller?.ledger.controlState().slot ?? -1;
+        const newest = setup.core.node('h2').controller?.ledger.controlState().slot ?? -1;
+        if (learned < newest && ledger.spareLosses !== null && ledger.spareLosses > 0) overstated.push(ledger);
       }
-      expect(told).toEqual([]);
-      await s.core.world.advance(6_000);
-      await expectAll(s, THREE, [3, 3, 3, 1, null]);
+      expect(overstated).toEqual([]);
+      await setup.core.world.advance(6_000);
+      await expectFigures(setup, THREE, [3, 3, 3, 1, null]);
     },
   );
 });
 
 describe('log and metrics', () => {
-  test('one line when it turns to none, one when it recovers, none in between and none at a good start', async () => {
-    const s = await bootstrapped(5, THREE);
-    expect(s.lines).toEqual([]);
-    s.core.kill('h3');
-    await s.core.world.advance(30_000);
-    const figuresNow = 'group=ledger members=3 inTouch=2 holdingAll=2 quorumSize=2 spareLosses=0 lacking=h3:silent';
-    expect(s.lines).toEqual([
-      `warn controllers tolerate no further loss ${figuresNow}`,
-      `warn controllers tolerate no further loss ${figuresNow}`,
+  test('one line per group when no loss is tolerated any more, one on recovery, none in between or at a healthy start', async () => {
+    const setup = await createBootstrappedCore(5, THREE);
+    expect(setup.lines).toEqual([]);
+    setup.core.kill('h3');
+    await setup.core.world.advance(30_000);
+    const noneFields = 'group=ledger members=3 inTouch=2 holdingAll=2 quorumSize=2 spareLosses=0 lacking=h3:silent';
+    expect(setup.lines).toEqual([
+      `warn controllers tolerate no further loss ${noneFields}`,
+      `warn controllers tolerate no further loss ${noneFields}`,
     ]);
-    s.lines.length = 0;
-    s.core.start('h3');
-    await s.core.world.advance(30_000);
-    const again =
+    setup.lines.length = 0;
+    setup.core.start('h3');
+    await setup.core.world.advance(30_000);
+    const recoveredLine =
       'info controllers tolerate a further loss again group=ledger members=3 inTouch=3 holdingAll=3 quorumSize=2 spareLosses=1 lacking=none';
-    expect(s.lines).toEqual([again, again]);
+    expect(setup.lines).toEqual([recoveredLine, recoveredLine]);
   });
 
-  test('a controller that is cut off says once that it does not know', async () => {
-    const s = await bootstrapped(6, THREE);
-    s.core.cutOff(['h1']);
-    await s.core.world.advance(30_000);
-    expect(s.lines.filter((l) => l.includes('no majority'))).toEqual([
+  test('a partitioned controller logs once that the number is unknown', async () => {
+    const setup = await createBootstrappedCore(6, THREE);
+    setup.core.cutOff(['h1']);
+    await setup.core.world.advance(30_000);
+    expect(setup.lines.filter((l) => l.includes('no majority'))).toEqual([
       'warn no majority of controllers reachable, tolerated losses unknown group=ledger members=3 inTouch=1 holdingAll=unknown quorumSize=2 spareLosses=unknown lacking=h2:silent,h3:silent',
     ]);
   });
 
-  async function gauges(s: Stage, name: string): Promise<Record<string, string>> {
-    const text = String((await get(s, name, '/metrics')).body);
+  async function gauges(setup: TestSetup, name: string): Promise<Record<string, string>> {
+    const text = String((await get(setup, name, '/metrics')).body);
     const out: Record<string, string> = {};
     for (const line of text.split('\n')) {
       const found = /^millfield_core_(\w+)\{group="ledger"\} (\S+)$/.exec(line);
@@ -378,40 +401,47 @@
     }
     return out;
   }
-  test('the gauges tell the same; what is not known is missing, not 0, also when read again', async () => {
-    const s = await bootstrapped(7, THREE);
-    const well = { known: '1', members: '3', quorum_size: '2', in_touch: '3', holding_all: '3', spare_losses: '1' };
-    expect(await gauges(s, 'h1')).toEqual(well);
-    s.core.cutOff(['h1']);
-    await s.core.world.advance(JUDGED_MS);
+  test('the gauges report the same; unknown values are missing, not 0, also when read again', async () => {
+    const setup = await createBootstrappedCore(7, THREE);
+    const healthyGauges = {
+      known: '1',
+      members: '3',
+      quorum_size: '2',
+      in_touch: '3',
+      holding_all: '3',
+      spare_losses: '1',
+    };
+    expect(await gauges(setup, 'h1')).toEqual(healthyGauges);
+    setup.core.cutOff(['h1']);
+    await setup.core.world.advance(EVALUATION_MS);
     for (let n = 0; n < 2; n += 1)
-      expect(await gauges(s, 'h1')).toEqual({ known: '0', members: '3', quorum_size: '2', in_touch: '1' });
-    s.core.world.healAll();
-    await s.core.world.advance(6_000);
-    expect(await gauges(s, 'h1')).toEqual(well);
+      expect(await gauges(setup, 'h1')).toEqual({ known: '0', members: '3', quorum_size: '2', in_touch: '1' });
+    setup.core.world.healAll();
+    await setup.core.world.advance(6_000);
+    expect(await gauges(setup, 'h1')).toEqual(healthyGauges);
   });
 });
 
-describe('run-once claims have a health of their own', () => {
-  async function ready(seed: number): Promise<SimFleet> {
+describe('run-once claims have a separate health', () => {
+  async function startFleet(seed: number): Promise<SimFleet> {
     const fleet = createSimFleet(seed);
     expect(await fleet.start()).toBe(true);
     await fleet.run(4_000);
     return fleet;
   }
-  async function told(fleet: SimFleet): Promise<CoreHealthReport> {
+  async function readFleetHealth(fleet: SimFleet): Promise<CoreHealthReport> {
     const response = await fleet.operator(0, 'GET', '/v1/status');
     if (!response.ok) throw new Error(response.error.tag);
     return (response.value.body as { readonly core: CoreHealthReport }).core;
   }
 
-  test('a lost disk costs one, until its claims were rebuilt', async () => {
-    const fleet = await ready(8);
-    expect((await told(fleet)).claims).toMatchObject({ holdingAll: 3, spareLosses: 1, warning: null });
+  test('a lost disk costs one tolerated loss until the claims are rebuilt', async () => {
+    const fleet = await startFleet(8);
+    expect((await readFleetHealth(fleet)).claims).toMatchObject({ holdingAll: 3, spareLosses: 1, warning: null });
     fleet.kill('controller-2');
     fleet.wipe('controller-2');
     await fleet.run(3_000);
-    expect((await told(fleet)).claims).toMatchObject({
+    expect((await readFleetHealth(fleet)).claims).toMatchObject({
       inTouch: 2,
       holdingAll: 2,
       spareLosses: 0,
@@ -419,11 +449,16 @@
     });
     void fleet.startNode('controller-2');
     await fleet.run(15_000);
-    expect((await told(fleet)).claims).toMatchObject({ inTouch: 3, holdingAll: 3, spareLosses: 1, warning: null });
+    expect((await readFleetHealth(fleet)).claims).toMatchObject({
+      inTouch: 3,
+      holdingAll: 3,
+      spareLosses: 1,
+      warning: null,
+    });
   });
 
-  test('a member that can not rebuild its claims counts for the ledger alone', async () => {
-    const fleet = await ready(9);
+  test('a member that cannot rebuild its claims counts for the ledger only', async () => {
+    const fleet = await startFleet(9);
     const before = fleet.controllers[1]?.controller?.ledger.self.incarnation;
     fleet.kill('controller-2');
     fleet.wipe('controller-2');
@@ -435,7 +470,7 @@
     ).toBe(true);
     fleet.kill('controller-3');
     await fleet.run(5_000);
-    const core = await told(fleet);
+    const core = await readFleetHealth(fleet);
     expect(core.ledger).toMatchObject({ inTouch: 2, holdingAll: 2, spareLosses: 0, warning: 'noSpareLoss' });
     expect(core.claims).toMatchObject({ inTouch: 2, holdingAll: 1, spareLosses: 0, warning: 'noWholeQuorum' });
   });
--- a/src/coordination/membership/failure-detector.ts
+++ b/src/coordination/membership/failure-detector.ts
@@ -38,7 +38,7 @@
 /** Maximum size of the updates piggybacked on one message, as JSON. */
 const MAX_UPDATE_BYTES = 1_000;
 const MAX_SENDS_PER_UPDATE = 4;
-/** One probe in this many prefers a node of another region; all others prefer a node of the own region. */
+/** One probe in this many prefers a node of another region; the others prefer one of the same region. */
 const TICKS_PER_FAR_PROBE = 4;
 const TICKS_PER_SEED_CONTACT = 8;
 const TICKS_PER_LOST_CONTROLLER_CONTACT = 3;
@@ -53,6 +53,7 @@
   private readonly sendCounts = new Map<string, number>();
   private readonly suspectSince = new Map<string, number>();
   private readonly downSince = new Map<string, number>();
+  /** Remaining targets of the current round in the same region (`near`) and in other regions (`far`). */
   private readonly probeQueues: Record<'near' | 'far', string[]> = { near: [], far: [] };
   private tickCount = 0;
   private isIntroduced = false;
@@ -300,7 +301,7 @@
     await this.probeRandom((node) => this.isDead(node));
   }
 
-  // A controller that was partitioned while all others were replaced knows none of the current controllers. It can't
+  // A controller that was partitioned while the others were replaced knows none of the current controllers. It can't
   // contact them, so they probe it.
   private async contactLostControllers(): Promise<void> {
     if (this.self.role === 'controller') await this.probeRandom((node) => this.isDeadController(node));
--- a/src/coordination/membership/member-statuses.test.ts
+++ b/src/coordination/membership/member-statuses.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from '@jest/globals';
 import { createSimCore } from '../../sim/sim-core.js';
 
-test('three controllers at rest say little to each other', async () => {
+test('three idle controllers exchange little traffic', async () => {
   const core = createSimCore(1);
   core.startAll();
   expect(await core.until(4_000, () => core.whole(['h1', 'h2', 'h3']))).toBe(true);
--- a/src/coordination/membership/member-statuses.ts
+++ b/src/coordination/membership/member-statuses.ts
@@ -14,12 +14,14 @@
 
 /** The contact to each member, and which members have lost contact with which others. */
 export interface MemberStatuses {
+  /** Returns the status of this member. */
   own(): MessageOf<'memberStatus'>;
+  /** Requests the status of all other members; to be called every half second. */
   ask(): void;
   lastContactAt(id: string): number | null;
   isReachable(id: string): boolean;
   sinceContactMs(id: string): number;
-  majorityLostContact(id: string): boolean;
+  isUnreachableByMajority(id: string): boolean;
   /** Whether the last status of a member announced that it is shutting down. */
   isLeaving(id: string): boolean;
   /** Announces to all members that this one is shutting down. */
@@ -108,7 +110,7 @@
     };
   }
 
-  majorityLostContact(id: string): boolean {
+  isUnreachableByMajority(id: string): boolean {
     let lostContactCount = this.sinceContactMs(id) > LOST_CONTACT_TIMEOUT_MS ? 1 : 0;
     for (const member of this.others()) {
       const other = memberId(member);
@@ -160,7 +162,7 @@
   }
 }
 
-/** Creates the status polling, with no statuses yet; each call of `ask` polls all members once. */
+/** Creates the status polling, with no statuses yet. */
 export function createMemberStatuses(deps: MemberStatusesDeps): MemberStatuses {
   return new PolledMemberStatuses(deps);
 }
--- a/src/coordination/membership/membership-changes.ts
+++ b/src/coordination/membership/membership-changes.ts
@@ -23,12 +23,11 @@
 import type { LeaveOutcome } from './group-leave.js';
 import type { MemberStatuses } from './member-statuses.js';
 
-/**
- * `turn` runs one step and is to be called every half second. `leave` is to be called once, before this controller
- * shuts down, with the maximum time that leaving may take.
- */
+/** Maintains the membership of the group, as seen by one controller. */
 export interface MembershipChanges {
+  /** Runs one step; to be called every half second. */
   turn(): Promise<void>;
+  /** Leaves the group within the given time; to be called once, before this controller shuts down. */
   leave(withinMs: number): Promise<LeaveOutcome>;
 }
 
@@ -119,7 +118,7 @@
     for (const old of unresponsive)
       if (
         this.deps.memberStatuses.isLeaving(memberId(old)) ||
-        this.deps.memberStatuses.majorityLostContact(memberId(old))
+        this.deps.memberStatuses.isUnreachableByMajority(memberId(old))
       )
         return { tag: 'memberReplaced', old: memberId(old), member: joiner };
     return null;
@@ -230,7 +229,7 @@
     return (
       id !== memberId(this.deps.self) &&
       this.deps.memberStatuses.sinceContactMs(id) >= DEAD_TIMEOUT_MS + STAGGER_MS * this.reachableRank() &&
-      this.deps.memberStatuses.majorityLostContact(id)
+      this.deps.memberStatuses.isUnreachableByMajority(id)
     );
   }
 
@@ -300,7 +299,10 @@
   }
 }
 
-/** Creates the membership changes; each step joins, publishes a new address, or removes one dead member. */
+/**
+ * Creates the membership changes, which also answer the join requests of other controllers. Each step catches up and
+ * joins, publishes a new address, or removes one dead member.
+ */
 export function createMembershipChanges(deps: MembershipChangesDeps): MembershipChanges {
   return new LedgerMembershipChanges(deps);
 }
--- a/src/coordination/membership/operator-bootstrap.ts
+++ b/src/coordination/membership/operator-bootstrap.ts
@@ -13,7 +13,7 @@
 import type { Peers } from '../messaging/peers.js';
 import type { Agreed } from '../consensus/proposal.js';
 import type { Replica } from '../consensus/replica.js';
-import { bootstrapEntry } from './self-bootstrap.js';
+import { createBootstrapBatch } from './self-bootstrap.js';
 
 /** Why no ledger was bootstrapped: a controller is not blank, or does not respond. */
 export type BootstrapError =
@@ -71,7 +71,7 @@
       if (!member.ok) return member;
       members.push(member.value);
     }
-    const slotZero = bootstrapEntry(self, ledger, members, 'The operator bootstrapped the ledger.', clock, rng);
+    const slotZero = createBootstrapBatch(self, ledger, members, 'The operator bootstrapped the ledger.', clock, rng);
     for (const address of addresses) {
       const recorded = await requestMember(address, { kind: 'bootstrap', ledger, slotZero, commit: true });
       if (!recorded.ok) return recorded;
--- a/src/coordination/membership/self-bootstrap.ts
+++ b/src/coordination/membership/self-bootstrap.ts
@@ -17,8 +17,9 @@
 import type { RequestMember } from '../consensus/poll.js';
 import { runRound } from '../consensus/round.js';
 
-/** `ballotOf` is the ledger name used in the ballot for slot zero; null on a disk without a vote. */
+/** The running bootstrap of one controller. */
 export interface SelfBootstrap {
+  /** The ledger name used in the ballot for slot zero; null on a disk without a vote. */
   readonly ballotOf: string | null;
   stop(): void;
 }
@@ -34,6 +35,7 @@
   readonly ledgerName: () => string;
   readonly requestVote: RequestMember;
   readonly learnZero: (batch: Batch) => Promise<void>;
+  /** Called when another controller already knows a ledger. */
   readonly seek: () => void;
 };
 
@@ -45,7 +47,7 @@
 const ALL_SEEDS_TIMEOUT_MS = 3_000;
 
 /** Creates the batch of slot zero, which names the ledger and its first members. */
-export function bootstrapEntry(
+export function createBootstrapBatch(
   self: Member,
   ledger: string,
   members: readonly Member[],
@@ -65,7 +67,7 @@
   };
 }
 
-function bootstrapDigest(bootstrapMembers: readonly Address[]): string {
+function bootstrapBallotName(bootstrapMembers: readonly Address[]): string {
   return `bootstrap-members-${sha256([...bootstrapMembers].sort().join()).slice(0, 16)}`;
 }
 
@@ -81,7 +83,7 @@
 
   constructor(private readonly deps: SelfBootstrapDeps) {
     this.bootstrapMembers = this.deps.bootstrapMembers ? [...this.deps.bootstrapMembers].sort() : [];
-    this.ballotOf = this.deps.bootstrapMembers ? bootstrapDigest(this.bootstrapMembers) : null;
+    this.ballotOf = this.deps.bootstrapMembers ? bootstrapBallotName(this.bootstrapMembers) : null;
     this.quorumSize = Math.floor(this.bootstrapMembers.length / 2) + 1;
     this.startedAt = this.deps.clock.mono();
 
@@ -135,7 +137,7 @@
     }
     this.readySince ??= now;
     if (now - this.readySince < STAGGER_MS * blankMembers.findIndex((member) => this.isSelf(member))) return;
-    const ownBatch = bootstrapEntry(
+    const ownBatch = createBootstrapBatch(
       this.deps.self,
       newId(this.deps.rng, 'ledger'),
       blankMembers,
