--- a/src/base/batch-queue.ts
+++ b/src/base/batch-queue.ts
@@ -1,41 +1,46 @@
 /**
- * A queue in front of an asynchronous worker that takes commands in batches. Used for
- * writing to disk and for proposals: what arrives while a batch is worked on goes into the
- * next one, in order of arrival, so that one flush or one agreement serves many callers.
+ * Batches commands for an asynchronous function. Used for disk writes and for proposals: commands that arrive while a
+ * batch is being processed form the next batch, in order of arrival, so that one flush or one round of agreement
+ * serves many callers.
  */
 
-/** Puts commands in the queue, each promise giving its own answer; `length` counts those not begun. */
+/**
+ * `put` enqueues a command and resolves with the result of that command. `length` is the number of commands whose batch
+ * has not started.
+ */
 export type BatchQueue<C, A> = { readonly put: (command: C) => Promise<A>; readonly length: () => number };
 
-type Waiting<C, A> = { readonly command: C; readonly done: (answer: A) => void };
+type PendingCommand<C, A> = { readonly command: C; readonly resolve: (answer: A) => void };
 
-/** A queue whose worker must give as many answers as it took commands, in their order. */
-export function createBatchQueue<C, A>(work: (commands: readonly C[]) => Promise<readonly A[]>): BatchQueue<C, A> {
-  let waiting: Waiting<C, A>[] = [];
-  let busy = false;
+/** Creates a queue. `processBatch` must return one result per command, in the same order. */
+export function createBatchQueue<C, A>(
+  processBatch: (commands: readonly C[]) => Promise<readonly A[]>,
+): BatchQueue<C, A> {
+  let pending: PendingCommand<C, A>[] = [];
+  let isDraining = false;
 
   async function drain(): Promise<void> {
-    busy = true;
-    while (waiting.length > 0) {
-      const batch = waiting;
-      waiting = [];
+    isDraining = true;
+    while (pending.length > 0) {
+      const batch = pending;
+      pending = [];
       const commands: C[] = [];
-      for (const waiting of batch) commands.push(waiting.command);
-      const answers = await work(commands);
-      for (let i = 0; i < batch.length; i += 1) (batch[i] as Waiting<C, A>).done(answers[i] as A);
+      for (const entry of batch) commands.push(entry.command);
+      const results = await processBatch(commands);
+      for (let i = 0; i < batch.length; i += 1) (batch[i] as PendingCommand<C, A>).resolve(results[i] as A);
     }
-    busy = false;
+    isDraining = false;
   }
 
   function put(command: C): Promise<A> {
-    function enqueue(done: (answer: A) => void): void {
-      waiting.push({ command, done });
-      if (!busy) void drain();
+    function executor(resolve: (answer: A) => void): void {
+      pending.push({ command, resolve });
+      if (!isDraining) void drain();
     }
-    return new Promise<A>(enqueue);
+    return new Promise<A>(executor);
   }
   function length(): number {
-    return waiting.length;
+    return pending.length;
   }
   return { put, length };
 }
--- a/src/base/describe-error.ts
+++ b/src/base/describe-error.ts
@@ -1,6 +1,6 @@
-/** Text of anything that may be thrown, for logs. */
+/** Formats thrown values for logs. */
 
-/** The stack of an error, or whatever else was thrown as text. */
+/** Returns the stack of an error, or any other thrown value as text. */
 export function describeError(error: unknown): string {
   return error instanceof Error ? (error.stack ?? error.message) : String(error);
 }
--- a/src/base/digest.ts
+++ b/src/base/digest.ts
@@ -1,28 +1,28 @@
 /**
- * Hashes of text: cryptographic ones for identities and signatures, a fast one for
- * spreading keys. Used by every layer; pure functions.
+ * Hash functions of text: cryptographic hashes for identities and signatures, and a fast hash for distributing keys.
+ * Pure functions, used by every layer.
  */
 
 import { createHash, createHmac, timingSafeEqual } from 'node:crypto';
 
-/** SHA-256 of a text, in hexadecimal. */
+/** Returns the SHA-256 of a text, in hexadecimal. */
 export function sha256(text: string): string {
   return createHash('sha256').update(text).digest('hex');
 }
 
-/** HMAC-SHA-256 of a text under a secret, in URL-safe base 64. */
+/** Returns the HMAC-SHA-256 of a text under a secret, in URL-safe base64. */
 export function hmac(secret: string, text: string): string {
   return createHmac('sha256', secret).update(text).digest('base64url');
 }
 
-/** Whether two texts are equal, in a time that does not tell where they differ. */
+/** Compares two texts; the time taken does not reveal where they differ, as needed for signatures. */
 export function sameText(left: string, right: string): boolean {
   const leftBytes = Buffer.from(left);
   const rightBytes = Buffer.from(right);
   return leftBytes.length === rightBytes.length && timingSafeEqual(leftBytes, rightBytes);
 }
 
-/** A 32-bit hash for spreading keys evenly (FNV-1a with the final mix of MurmurHash3). Not for secrets. */
+/** Returns a 32-bit hash that distributes keys evenly (FNV-1a with the finalizer of MurmurHash3). Not for secrets. */
 export function hash32(text: string): number {
   let hash = 0x811c9dc5;
   for (let i = 0; i < text.length; i += 1) {
--- a/src/base/is-table.ts
+++ b/src/base/is-table.ts
@@ -1,6 +1,6 @@
-/** Tells JSON objects from the other values that parsing may give. Used wherever a document is read. */
+/** Type guard for JSON objects, used wherever a parsed document is read. */
 
-/** Whether a value is a plain JSON object: neither null nor an array. */
+/** Returns whether a value is a JSON object: neither null, nor an array, nor a primitive. */
 export function isTable(value: unknown): value is Record<string, unknown> {
   return typeof value === 'object' && value !== null && !Array.isArray(value);
 }
--- a/src/base/parsed-json.ts
+++ b/src/base/parsed-json.ts
@@ -1,6 +1,8 @@
-/** The one place below the transport where an exception of a library is caught: JSON text becomes a value or nothing. */
+/**
+ * Parses JSON without throwing. Below the transport layer this is the only place that catches a library's exception.
+ */
 
-/** The value of a JSON text, or undefined if the text is not JSON. */
+/** Returns the value of a JSON text, or undefined if the text is not valid JSON. */
 export function parsedJson(text: string): unknown {
   try {
     return JSON.parse(text) as unknown;
--- a/src/base/result.ts
+++ b/src/base/result.ts
@@ -1,21 +1,21 @@
 /**
- * Outcomes as values. Every operation that may fail returns a result whose error is a tagged union named `…Error`, each
- * case with its fields; nothing in the core throws.
+ * Results as values. Every operation that may fail returns a result whose error is a tagged union named `…Error`, with
+ * the fields of each case. Nothing in the core throws.
  */
 
-/** An operation that succeeded, with its value. */
+/** The result of an operation that succeeded. */
 export type Ok<T> = { readonly ok: true; readonly value: T };
-/** An operation that failed, with its tagged error. */
+/** The result of an operation that failed; the error is tagged. */
 export type Err<E> = { readonly ok: false; readonly error: E };
-/** Either outcome of an operation; `ok` tells which. */
+/** The result of an operation; `ok` discriminates success from failure. */
 export type Result<T, E> = Ok<T> | Err<E>;
 
-/** A success. */
+/** Creates the result of a success. */
 export function ok<T>(value: T): Ok<T> {
   return { ok: true, value };
 }
 
-/** A failure. */
+/** Creates the result of a failure. */
 export function err<E>(error: E): Err<E> {
   return { ok: false, error };
 }
--- a/src/coordination/configuration/configuration-service.test.ts
+++ b/src/coordination/configuration/configuration-service.test.ts
@@ -13,170 +13,192 @@
 import type { Caller, ConfigurationService } from './configuration-service.js';
 import { createQuietLog } from '../../transport/log.js';
 
-function serving(number: number, mappings = 1): Serving {
-  const out: Record<string, RouteSettings> = {};
-  for (let i = 0; i < mappings; i += 1) out[`r-${i}`] = routeSettings({ at: i, prefix: `/p${i}/` });
+function createServing(number: number, routeCount = 1): Serving {
+  const routes: Record<string, RouteSettings> = {};
+  for (let i = 0; i < routeCount; i += 1) routes[`r-${i}`] = routeSettings({ at: i, prefix: `/p${i}/` });
   return {
     number,
-    mappings: out,
+    mappings: routes,
     models: { m: { at: 0, probePath: '/h', maxConns: 9, coldS: 0, coldRateS: 0, engine: null } },
     limits: DEFAULT_LIMITS,
   };
 }
 
-function extra(count: number): Record<string, RouteSettings> {
-  const out: Record<string, RouteSettings> = {};
-  for (let i = 0; i < count; i += 1) out[`x-${i}`] = routeSettings({ at: 100 + i, prefix: `/x${i}/` });
-  return out;
+function extraRoutes(count: number): Record<string, RouteSettings> {
+  const routes: Record<string, RouteSettings> = {};
+  for (let i = 0; i < count; i += 1) routes[`x-${i}`] = routeSettings({ at: 100 + i, prefix: `/x${i}/` });
+  return routes;
 }
 
-const CALM = { log: createQuietLog().component('operator'), standstill: { isRecent: () => false } };
-const WAITS: Caller = { gone: () => false };
+const COMMON_DEPS = { log: createQuietLog().component('operator'), standstill: { isRecent: () => false } };
+const WAITING_CALLER: Caller = { gone: () => false };
 
-function sharedLedger() {
+function createSharedLedger() {
   const sim = createSimLedger(5);
   const serviceAfter = (ms: number): ConfigurationService =>
-    createConfigurationService({ ledger: sim.ledgerAfter(ms), clock: sim.clock, ...CALM });
-  const now = (): Serving => sim.controlState.configuration.serving as Serving;
-  return { ...sim, serviceAfter, now };
+    createConfigurationService({ ledger: sim.ledgerAfter(ms), clock: sim.clock, ...COMMON_DEPS });
+  const currentServing = (): Serving => sim.controlState.configuration.serving as Serving;
+  return { ...sim, serviceAfter, currentServing };
 }
 
-function ordinaryEntries(s: Pick<SimLedger, 'fold'>, count: number): void {
-  for (let n = 0; n < count; n += 1) s.fold(`ordinary-${n}`, { tag: 'targetChanged', model: 'm', target: n });
+function addOrdinaryEntries(ledger: Pick<SimLedger, 'fold'>, count: number): void {
+  for (let n = 0; n < count; n += 1) ledger.fold(`ordinary-${n}`, { tag: 'targetChanged', model: 'm', target: n });
 }
 
-function shapeOf(of: Serving | undefined): unknown {
-  return [of?.number, Object.keys(of?.mappings ?? {}), Object.keys(of?.models ?? {})];
+function summaryOf(serving: Serving | undefined): unknown {
+  return [serving?.number, Object.keys(serving?.mappings ?? {}), Object.keys(serving?.models ?? {})];
 }
 
 const TAKEN = (number: number) => ok({ tag: 'taken', number });
 const STALE = (number: number) => err({ tag: 'stale', number });
 
 describe('configurations by the operator’s own number', () => {
-  test('numbers rise in uneven steps, each on the one before', async () => {
-    const s = sharedLedger();
-    const service = s.serviceAfter(5);
-    expect(await s.run(service.replace(0, serving(7), 'a'))).toEqual(TAKEN(7));
-    expect(await s.run(service.replace(7, serving(12, 2), 'b'))).toEqual(TAKEN(12));
-    expect(await s.run(service.replace(7, serving(20), 'c'))).toEqual(STALE(12));
-    const read = await s.run(service.read());
+  test('numbers increase in uneven steps, each change based on the number before', async () => {
+    const sim = createSharedLedger();
+    const service = sim.serviceAfter(5);
+    expect(await sim.run(service.replace(0, createServing(7), 'a'))).toEqual(TAKEN(7));
+    expect(await sim.run(service.replace(7, createServing(12, 2), 'b'))).toEqual(TAKEN(12));
+    expect(await sim.run(service.replace(7, createServing(20), 'c'))).toEqual(STALE(12));
+    const read = await sim.run(service.read());
     expect(read?.ok && read.value.number).toBe(12);
     expect(read?.ok && Object.keys(read.value.mappings)).toEqual(['r-0', 'r-1']);
   });
 
-  // Guards against a configuration that is answered 503 without end, as no record holds it, and is sent again for ever.
-  test('one that is too large to be stored is told so at once, and leaves the one in force as it is', async () => {
-    const s = sharedLedger();
-    const most = { configuration: JSON.stringify(serving(8, 40)).length + 200, change: Infinity };
-    const service = createConfigurationService({ ledger: s.ledgerAfter(5), clock: s.clock, ...CALM, most });
-    expect(await s.run(service.replace(0, serving(7, 3), 'a'))).toEqual(TAKEN(7));
-    const refused = await s.run(service.replace(7, serving(8, 42), 'b'));
+  // Guards against endless retries: a configuration that does not fit into a log record was answered with 503 each time
+  // it was sent.
+  test('one that is too large to be stored is rejected at once, and the one in force stays unchanged', async () => {
+    const sim = createSharedLedger();
+    const most = { configuration: JSON.stringify(createServing(8, 40)).length + 200, change: Infinity };
+    const service = createConfigurationService({
+      ledger: sim.ledgerAfter(5),
+      clock: sim.clock,
+      ...COMMON_DEPS,
+      most,
+    });
+    expect(await sim.run(service.replace(0, createServing(7, 3), 'a'))).toEqual(TAKEN(7));
+    const refused = await sim.run(service.replace(7, createServing(8, 42), 'b'));
     expect(refused).toMatchObject(err({ tag: 'tooLarge', what: 'configuration', most: most.configuration }));
-    expect(shapeOf(s.now())).toEqual(shapeOf(serving(7, 3)));
-    const grown = (serving: Serving): ReturnType<typeof ok> =>
-      ok({ ...serving, number: 9, mappings: { ...serving.mappings, ...extra(50) } });
-    expect(await s.run(service.amend(7, grown, 'c'))).toMatchObject({ ok: false, error: { tag: 'tooLarge' } });
-    expect(await s.run(service.replace(7, serving(8, 20), 'd'))).toEqual(TAKEN(8));
+    expect(summaryOf(sim.currentServing())).toEqual(summaryOf(createServing(7, 3)));
+    const growingEdit = (serving: Serving): ReturnType<typeof ok> =>
+      ok({ ...serving, number: 9, mappings: { ...serving.mappings, ...extraRoutes(50) } });
+    expect(await sim.run(service.amend(7, growingEdit, 'c'))).toMatchObject({ ok: false, error: { tag: 'tooLarge' } });
+    expect(await sim.run(service.replace(7, createServing(8, 20), 'd'))).toEqual(TAKEN(8));
   });
 
-  test('a change that no record holds is told so at once; a smaller one on the same number is taken', async () => {
-    const s = sharedLedger();
+  test('a change too large for a log record is rejected at once; a smaller one on the same number is accepted', async () => {
+    const sim = createSharedLedger();
     const most = { configuration: Infinity, change: 10_000 };
-    const service = createConfigurationService({ ledger: s.ledgerAfter(5), clock: s.clock, ...CALM, most });
-    expect(await s.run(service.replace(0, serving(7, 3), 'a'))).toEqual(TAKEN(7));
-    const refused = await s.run(service.replace(7, serving(8, 200), 'b'));
+    const service = createConfigurationService({
+      ledger: sim.ledgerAfter(5),
+      clock: sim.clock,
+      ...COMMON_DEPS,
+      most,
+    });
+    expect(await sim.run(service.replace(0, createServing(7, 3), 'a'))).toEqual(TAKEN(7));
+    const refused = await sim.run(service.replace(7, createServing(8, 200), 'b'));
     expect(refused).toMatchObject(err({ tag: 'tooLarge', what: 'change', most: most.change }));
-    expect(await s.run(service.replace(7, serving(8, 10), 'd'))).toEqual(TAKEN(8));
+    expect(await sim.run(service.replace(7, createServing(8, 10), 'd'))).toEqual(TAKEN(8));
   });
 
   test.each([
-    ['a number that is not above', { number: 7 }, '/number'],
-    ['a number below', { number: 3 }, '/number'],
+    ['the number in force', { number: 7 }, '/number'],
+    ['a lower number', { number: 3 }, '/number'],
     ['an unknown model', { models: {} }, '/mappings/r-0/shares/0/model'],
-    ['a document cut short', null, '/'],
-  ])('%s is invalid and changes nothing', async (_name, more, path) => {
-    const s = sharedLedger();
-    const service = s.serviceAfter(5);
-    await s.run(service.replace(0, serving(7), 'a'));
-    const response = await s.run(service.replace(7, more === null ? null : { ...serving(9), ...more }, 'b'));
+    ['a truncated document', null, '/'],
+  ])('%s is invalid and changes nothing', async (_name, overrides, path) => {
+    const sim = createSharedLedger();
+    const service = sim.serviceAfter(5);
+    await sim.run(service.replace(0, createServing(7), 'a'));
+    const response = await sim.run(
+      service.replace(7, overrides === null ? null : { ...createServing(9), ...overrides }, 'b'),
+    );
     expect(
       !response || response.ok || response.error.tag !== 'invalid'
         ? response
-        : response.error.faults.map((f) => f.path),
+        : response.error.faults.map((error) => error.path),
     ).toEqual([path]);
-    expect(s.controlState.slot).toBe(0);
-    expect(s.now().number).toBe(7);
+    expect(sim.controlState.slot).toBe(0);
+    expect(sim.currentServing().number).toBe(7);
   });
 
-  test('of two operators on the same base exactly one wins, whichever node each asked', async () => {
+  test('of two operators on the same base exactly one wins, whichever node each calls', async () => {
     for (const [first, second] of [
       [5, 40],
       [40, 5],
       [5, 5],
     ] as const) {
-      const s = sharedLedger();
-      await s.run(s.serviceAfter(5).replace(0, serving(7), 'a'));
+      const sim = createSharedLedger();
+      await sim.run(sim.serviceAfter(5).replace(0, createServing(7), 'a'));
       const both = [
-        s.serviceAfter(first).replace(7, serving(8, 2), 'x'),
-        s.serviceAfter(second).replace(7, serving(9, 3), 'y'),
+        sim.serviceAfter(first).replace(7, createServing(8, 2), 'x'),
+        sim.serviceAfter(second).replace(7, createServing(9, 3), 'y'),
       ];
-      const response = await s.run(Promise.all(both));
-      const taken = (response ?? []).filter((g) => g.ok);
-      const lost = (response ?? []).filter((g) => !g.ok && g.error.tag === 'stale');
-      expect([taken.length, lost.length]).toEqual([1, 1]);
-      expect(taken).toEqual([TAKEN(s.now().number)]);
+      const response = await sim.run(Promise.all(both));
+      const confirmed = (response ?? []).filter((result) => result.ok);
+      const rejected = (response ?? []).filter((result) => !result.ok && result.error.tag === 'stale');
+      expect([confirmed.length, rejected.length]).toEqual([1, 1]);
+      expect(confirmed).toEqual([TAKEN(sim.currentServing().number)]);
     }
   });
 
-  test('the same submission sent again, to any node and after newer ones, is the same success; another on that base is stale', async () => {
-    const s = sharedLedger();
-    await s.run(s.serviceAfter(5).replace(0, serving(7), 'a'));
-    await s.run(s.serviceAfter(5).replace(7, serving(8, 2), 'b'));
-    const again = await s.run(s.serviceAfter(40).replace(0, serving(7), 'a'));
+  test('a submission resent to any node, also after newer ones, is the same success; another on that base is stale', async () => {
+    const sim = createSharedLedger();
+    await sim.run(sim.serviceAfter(5).replace(0, createServing(7), 'a'));
+    await sim.run(sim.serviceAfter(5).replace(7, createServing(8, 2), 'b'));
+    const again = await sim.run(sim.serviceAfter(40).replace(0, createServing(7), 'a'));
     expect(again?.ok && again.value.tag).toBe('taken');
-    expect(await s.run(s.serviceAfter(40).replace(0, serving(7), 'other'))).toEqual(STALE(8));
-    expect(s.now().number).toBe(8);
-    const twice = [s.serviceAfter(5).replace(8, serving(11), 'c'), s.serviceAfter(40).replace(8, serving(11), 'c')];
-    expect((await s.run(Promise.all(twice)))?.map((g) => g.ok)).toEqual([true, true]);
+    expect(await sim.run(sim.serviceAfter(40).replace(0, createServing(7), 'other'))).toEqual(STALE(8));
+    expect(sim.currentServing().number).toBe(8);
+    const duplicates = [
+      sim.serviceAfter(5).replace(8, createServing(11), 'c'),
+      sim.serviceAfter(40).replace(8, createServing(11), 'c'),
+    ];
+    expect((await sim.run(Promise.all(duplicates)))?.map((result) => result.ok)).toEqual([true, true]);
   });
 
-  test('a change keeps its identity past any number of ordinary entries', async () => {
-    const s = sharedLedger();
-    await s.run(s.serviceAfter(5).replace(0, serving(7), 'a'));
-    await s.run(s.serviceAfter(5).replace(7, serving(8, 2), 'b'));
-    ordinaryEntries(s, 1_100);
-    expect(await s.run(s.serviceAfter(40).replace(7, serving(8, 2), 'b'))).toEqual(TAKEN(8));
-    expect(await s.run(s.serviceAfter(40).replace(0, serving(7), 'a'))).toEqual(TAKEN(7));
-    expect(await s.run(s.serviceAfter(40).replace(7, serving(8, 3), 'other'))).toEqual(STALE(8));
-    expect(Object.keys(s.now().mappings)).toEqual(['r-0', 'r-1']);
+  test('a change keeps its identity after any number of ordinary entries', async () => {
+    const sim = createSharedLedger();
+    await sim.run(sim.serviceAfter(5).replace(0, createServing(7), 'a'));
+    await sim.run(sim.serviceAfter(5).replace(7, createServing(8, 2), 'b'));
+    addOrdinaryEntries(sim, 1_100);
+    expect(await sim.run(sim.serviceAfter(40).replace(7, createServing(8, 2), 'b'))).toEqual(TAKEN(8));
+    expect(await sim.run(sim.serviceAfter(40).replace(0, createServing(7), 'a'))).toEqual(TAKEN(7));
+    expect(await sim.run(sim.serviceAfter(40).replace(7, createServing(8, 3), 'other'))).toEqual(STALE(8));
+    expect(Object.keys(sim.currentServing().mappings)).toEqual(['r-0', 'r-1']);
   });
 
-  test('two operators pick the same number for different contents: one is taken, the other stays late', async () => {
+  test('two operators use the same number for different contents: one is accepted, the other stays stale', async () => {
     for (const [first, second] of [
       [5, 40],
       [40, 5],
       [5, 5],
     ] as const) {
-      const s = sharedLedger();
-      await s.run(s.serviceAfter(5).replace(0, serving(7), 'a'));
-      const sent = [serving(8, 2), serving(8, 3)];
-      const response = await s.run(
-        Promise.all([s.serviceAfter(first).replace(7, sent[0], 'x'), s.serviceAfter(second).replace(7, sent[1], 'y')]),
+      const sim = createSharedLedger();
+      await sim.run(sim.serviceAfter(5).replace(0, createServing(7), 'a'));
+      const sent = [createServing(8, 2), createServing(8, 3)];
+      const response = await sim.run(
+        Promise.all([
+          sim.serviceAfter(first).replace(7, sent[0], 'x'),
+          sim.serviceAfter(second).replace(7, sent[1], 'y'),
+        ]),
       );
-      const winner = (response ?? []).findIndex((g) => g.ok);
-      expect((response ?? []).filter((g) => g.ok).length).toBe(1);
-      expect(shapeOf(s.now())).toEqual(shapeOf(sent[winner]));
-      const again = await s.run(
-        Promise.all([s.serviceAfter(second).replace(7, sent[0], 'x'), s.serviceAfter(first).replace(7, sent[1], 'y')]),
+      const winner = (response ?? []).findIndex((result) => result.ok);
+      expect((response ?? []).filter((result) => result.ok).length).toBe(1);
+      expect(summaryOf(sim.currentServing())).toEqual(summaryOf(sent[winner]));
+      const again = await sim.run(
+        Promise.all([
+          sim.serviceAfter(second).replace(7, sent[0], 'x'),
+          sim.serviceAfter(first).replace(7, sent[1], 'y'),
+        ]),
       );
       expect(again?.[winner]).toEqual(TAKEN(8));
       expect(again?.[1 - winner]).toEqual(STALE(8));
     }
   });
 
-  test('a change of one and a whole configuration of another with the same number, base and result are one change', async () => {
-    const s = sharedLedger();
-    const service = s.serviceAfter(5);
+  test('an amendment and a complete configuration with the same number, base and result are one change', async () => {
+    const sim = createSharedLedger();
+    const service = sim.serviceAfter(5);
     const edit = (before: Serving): ReturnType<typeof ok<unknown>> =>
       ok({
         ...before,
@@ -184,232 +206,251 @@
         mappings: { ...before.mappings, extra: { ...routeSettings(), at: 9_999, prefix: '/extra/' } },
       });
     const result = {
-      ...serving(8),
-      mappings: { ...serving(8).mappings, extra: { ...routeSettings(), at: 1, prefix: '/extra/' } },
+      ...createServing(8),
+      mappings: { ...createServing(8).mappings, extra: { ...routeSettings(), at: 1, prefix: '/extra/' } },
     };
-    await s.run(service.replace(0, serving(7), 'a'));
-    expect(await s.run(service.replace(7, result, 'whole'))).toEqual(TAKEN(8));
-    expect(await s.run(s.serviceAfter(40).amend(7, edit, 'change'))).toEqual(TAKEN(8));
-    expect(await s.run(s.serviceAfter(40).amend(0, edit, 'on another base'))).toEqual(STALE(8));
-    const less = (before: Serving): ReturnType<typeof ok<unknown>> => ok({ ...before, number: 8 });
-    expect(await s.run(s.serviceAfter(40).amend(7, less, 'less'))).toEqual(STALE(8));
-    expect(await s.run(service.replace(8, serving(9), 'b'))).toEqual(TAKEN(9));
-    expect(await s.run(s.serviceAfter(40).amend(7, edit, 'another'))).toEqual(STALE(9));
-    expect(s.controlState.history.changes.filter((c) => c.revision?.number === 8).length).toBe(2);
+    await sim.run(service.replace(0, createServing(7), 'a'));
+    expect(await sim.run(service.replace(7, result, 'whole'))).toEqual(TAKEN(8));
+    expect(await sim.run(sim.serviceAfter(40).amend(7, edit, 'change'))).toEqual(TAKEN(8));
+    expect(await sim.run(sim.serviceAfter(40).amend(0, edit, 'on another base'))).toEqual(STALE(8));
+    const smallerEdit = (before: Serving): ReturnType<typeof ok<unknown>> => ok({ ...before, number: 8 });
+    expect(await sim.run(sim.serviceAfter(40).amend(7, smallerEdit, 'less'))).toEqual(STALE(8));
+    expect(await sim.run(service.replace(8, createServing(9), 'b'))).toEqual(TAKEN(9));
+    expect(await sim.run(sim.serviceAfter(40).amend(7, edit, 'another'))).toEqual(STALE(9));
+    expect(sim.controlState.history.changes.filter((change) => change.revision?.number === 8).length).toBe(2);
   });
 
-  test('what was confirmed as the same change as another one stays so once a newer one is in force', async () => {
-    const s = sharedLedger();
-    const service = s.serviceAfter(5);
-    await s.run(service.replace(0, serving(7), 'a'));
-    expect(await s.run(service.replace(7, serving(8), 'first'))).toEqual(TAKEN(8));
-    expect(await s.run(service.replace(7, serving(8), 'second'))).toEqual(TAKEN(8));
-    expect(await s.run(service.replace(8, serving(9), 'b'))).toEqual(TAKEN(9));
-    expect(await s.run(s.serviceAfter(40).replace(7, serving(8), 'second'))).toEqual(TAKEN(8));
-    expect(await s.run(s.serviceAfter(40).replace(7, serving(8), 'third'))).toEqual(STALE(9));
-    expect(s.controlState.version).toBe(3);
+  test('a submission confirmed as the same change as another is still confirmed once a newer one is in force', async () => {
+    const sim = createSharedLedger();
+    const service = sim.serviceAfter(5);
+    await sim.run(service.replace(0, createServing(7), 'a'));
+    expect(await sim.run(service.replace(7, createServing(8), 'first'))).toEqual(TAKEN(8));
+    expect(await sim.run(service.replace(7, createServing(8), 'second'))).toEqual(TAKEN(8));
+    expect(await sim.run(service.replace(8, createServing(9), 'b'))).toEqual(TAKEN(9));
+    expect(await sim.run(sim.serviceAfter(40).replace(7, createServing(8), 'second'))).toEqual(TAKEN(8));
+    expect(await sim.run(sim.serviceAfter(40).replace(7, createServing(8), 'third'))).toEqual(STALE(9));
+    expect(sim.controlState.version).toBe(3);
   });
 
-  test('a change whose settings fill what another cleared is not the same change, though it would leave what stands as it is', async () => {
-    const s = sharedLedger();
-    const service = s.serviceAfter(5);
-    await s.run(service.replace(0, serving(7, 3), 'a'));
-    expect(await s.run(service.replace(7, serving(8, 1), 'b'))).toEqual(TAKEN(8));
-    const without =
+  test('an amendment is not the same change if its result on its base differs, though it would not alter what is in force', async () => {
+    const sim = createSharedLedger();
+    const service = sim.serviceAfter(5);
+    await sim.run(service.replace(0, createServing(7, 3), 'a'));
+    expect(await sim.run(service.replace(7, createServing(8, 1), 'b'))).toEqual(TAKEN(8));
+    const withoutRoute =
       (name: string) =>
       (before: Serving): ReturnType<typeof ok<unknown>> => {
         const mappings = Object.fromEntries(Object.entries(before.mappings).filter(([key]) => key !== name));
         return ok({ ...before, number: 8, mappings });
       };
-    expect(await s.run(s.serviceAfter(40).amend(7, without('r-2'), 'c'))).toEqual(STALE(8));
-    expect(Object.keys(s.now().mappings)).toEqual(['r-0']);
+    expect(await sim.run(sim.serviceAfter(40).amend(7, withoutRoute('r-2'), 'c'))).toEqual(STALE(8));
+    expect(Object.keys(sim.currentServing().mappings)).toEqual(['r-0']);
   });
 
-  test('eight under way at once on one base, each sent to two nodes: one is taken, at both', async () => {
-    const s = sharedLedger();
-    await s.run(s.serviceAfter(5).replace(0, serving(7), 'a'));
+  test('eight concurrent changes on one base, each sent to two nodes: one is accepted, at both nodes', async () => {
+    const sim = createSharedLedger();
+    await sim.run(sim.serviceAfter(5).replace(0, createServing(7), 'a'));
     const sends = Array.from({ length: 16 }, (_, i) =>
-      s.serviceAfter(1 + ((i * 37) % 60)).replace(7, serving(8 + (i % 8)), `change-${i % 8}`),
+      sim.serviceAfter(1 + ((i * 37) % 60)).replace(7, createServing(8 + (i % 8)), `change-${i % 8}`),
     );
-    const response = (await s.run(Promise.all(sends))) ?? [];
-    const winners = response.map((g, i) => (g.ok ? i % 8 : -1)).filter((i) => i >= 0);
+    const response = (await sim.run(Promise.all(sends))) ?? [];
+    const winners = response.map((result, i) => (result.ok ? i % 8 : -1)).filter((i) => i >= 0);
     expect(winners.length).toBe(2);
     expect(new Set(winners).size).toBe(1);
-    expect(response.filter((g) => !g.ok && g.error.tag === 'stale').length).toBe(14);
-    expect(s.now().number).toBe(8 + (winners[0] ?? -1));
+    expect(response.filter((result) => !result.ok && result.error.tag === 'stale').length).toBe(14);
+    expect(sim.currentServing().number).toBe(8 + (winners[0] ?? -1));
   });
 
-  test('a change that is sent again while its first sending is under way at another node is taken once, at both', async () => {
+  test('a change resent while its first attempt is in progress at another node is applied once and confirmed at both', async () => {
     for (const [first, second] of [
       [300, 5],
       [5, 300],
       [60, 60],
     ] as const) {
-      const s = sharedLedger();
-      await s.run(s.serviceAfter(5).replace(0, serving(7), 'a'));
-      const slow = s.serviceAfter(first).replace(7, serving(8, 2), 'b');
-      await s.world.advance(100);
-      const response = await s.run(Promise.all([slow, s.serviceAfter(second).replace(7, serving(8, 2), 'b')]));
+      const sim = createSharedLedger();
+      await sim.run(sim.serviceAfter(5).replace(0, createServing(7), 'a'));
+      const slow = sim.serviceAfter(first).replace(7, createServing(8, 2), 'b');
+      await sim.world.advance(100);
+      const response = await sim.run(
+        Promise.all([slow, sim.serviceAfter(second).replace(7, createServing(8, 2), 'b')]),
+      );
       expect(response).toEqual([TAKEN(8), TAKEN(8)]);
-      const { changes } = s.controlState.history;
-      expect(changes.map((c) => c.revision?.number)).toEqual([7, 8]);
+      const { changes } = sim.controlState.history;
+      expect(changes.map((change) => change.revision?.number)).toEqual([7, 8]);
     }
   });
 
-  test('one that is given up and agreed later is taken under its own number, or nothing once another one was taken', async () => {
+  test('an abandoned change agreed later takes effect under its own number, or not at all once another was accepted', async () => {
     for (const other of [false, true]) {
-      const s = sharedLedger();
-      await s.run(s.serviceAfter(5).replace(0, serving(7), 'a'));
-      const late = createConfigurationService({ ledger: s.ledgerAfter(700), clock: s.clock, ...CALM, agreeMs: 300 });
-      const givenUp = late.replace(7, serving(8, 2), 'late');
-      await s.world.advance(400);
-      if (other) expect(await s.run(s.serviceAfter(5).replace(7, serving(9, 3), 'other'))).toEqual(TAKEN(9));
-      await s.world.advance(2_000);
-      void givenUp;
-      expect(shapeOf(s.now())).toEqual(shapeOf(other ? serving(9, 3) : serving(8, 2)));
-      expect(await s.run(s.serviceAfter(5).replace(7, serving(8, 2), 'late'))).toEqual(other ? STALE(9) : TAKEN(8));
+      const sim = createSharedLedger();
+      await sim.run(sim.serviceAfter(5).replace(0, createServing(7), 'a'));
+      const slowService = createConfigurationService({
+        ledger: sim.ledgerAfter(700),
+        clock: sim.clock,
+        ...COMMON_DEPS,
+        agreementTimeoutMs: 300,
+      });
+      const abandonedCall = slowService.replace(7, createServing(8, 2), 'late');
+      await sim.world.advance(400);
+      if (other) expect(await sim.run(sim.serviceAfter(5).replace(7, createServing(9, 3), 'other'))).toEqual(TAKEN(9));
+      await sim.world.advance(2_000);
+      void abandonedCall;
+      expect(summaryOf(sim.currentServing())).toEqual(summaryOf(other ? createServing(9, 3) : createServing(8, 2)));
+      expect(await sim.run(sim.serviceAfter(5).replace(7, createServing(8, 2), 'late'))).toEqual(
+        other ? STALE(9) : TAKEN(8),
+      );
     }
   });
 
-  test('one that is both invalid and late changes nothing', async () => {
-    const s = sharedLedger();
-    await s.run(s.serviceAfter(5).replace(0, serving(7), 'a'));
-    for (const draft of [null, { ...serving(9), models: {} }, serving(3)]) {
-      const response = await s.run(s.serviceAfter(5).replace(3, draft, 'b'));
+  test('one that is both invalid and stale changes nothing', async () => {
+    const sim = createSharedLedger();
+    await sim.run(sim.serviceAfter(5).replace(0, createServing(7), 'a'));
+    for (const draft of [null, { ...createServing(9), models: {} }, createServing(3)]) {
+      const response = await sim.run(sim.serviceAfter(5).replace(3, draft, 'b'));
       expect(response?.ok === false && ['stale', 'invalid'].includes(response.error.tag)).toBe(true);
     }
-    expect(shapeOf(s.now())).toEqual(shapeOf(serving(7)));
+    expect(summaryOf(sim.currentServing())).toEqual(summaryOf(createServing(7)));
   });
 
-  test('one that builds on more than the history holds gets no clear answer, and is not applied again', async () => {
-    const s = sharedLedger();
-    const service = s.serviceAfter(1);
+  test('one based on a number older than the history gets outcomeUnknown, and is not applied again', async () => {
+    const sim = createSharedLedger();
+    const service = sim.serviceAfter(1);
     for (let n = 0; n <= MAX_APPLIED_CHANGES; n += 1)
-      expect(await s.run(service.replace(n, serving(n + 1), `change-${n}`))).toEqual(TAKEN(n + 1));
+      expect(await sim.run(service.replace(n, createServing(n + 1), `change-${n}`))).toEqual(TAKEN(n + 1));
     const newest = MAX_APPLIED_CHANGES + 1;
-    expect(await s.run(service.replace(0, serving(1), 'change-0'))).toEqual(err({ tag: 'outcomeUnknown' }));
-    expect(await s.run(service.replace(1, serving(2), 'change-1'))).toEqual(TAKEN(2));
-    expect(await s.run(service.replace(1, serving(2, 2), 'another'))).toEqual(STALE(newest));
-    expect(s.now().number).toBe(newest);
+    expect(await sim.run(service.replace(0, createServing(1), 'change-0'))).toEqual(err({ tag: 'outcomeUnknown' }));
+    expect(await sim.run(service.replace(1, createServing(2), 'change-1'))).toEqual(TAKEN(2));
+    expect(await sim.run(service.replace(1, createServing(2, 2), 'another'))).toEqual(STALE(newest));
+    expect(sim.currentServing().number).toBe(newest);
   });
 
-  test('a version that something else moved is no race lost', async () => {
-    const s = sharedLedger();
-    const service = s.serviceAfter(50);
-    await s.run(service.replace(0, serving(7), 'a'));
-    const going = service.replace(7, serving(8), 'b');
-    await s.world.advance(30);
-    s.fold('other', {
+  test('a change is retried, not rejected as stale, if another entry moved the version but not the number', async () => {
+    const sim = createSharedLedger();
+    const service = sim.serviceAfter(50);
+    await sim.run(service.replace(0, createServing(7), 'a'));
+    const call = service.replace(7, createServing(8), 'b');
+    await sim.world.advance(30);
+    sim.fold('other', {
       tag: 'configured',
-      base: s.controlState.version,
+      base: sim.controlState.version,
       changes: [{ path: ['deployment', 'nExtra'], value: 3 }],
     });
-    expect(await s.run(going)).toEqual(TAKEN(8));
-    expect(s.now().number).toBe(8);
-    expect(s.controlState.configuration.deployment).toEqual({ nExtra: 3 });
+    expect(await sim.run(call)).toEqual(TAKEN(8));
+    expect(sim.currentServing().number).toBe(8);
+    expect(sim.controlState.configuration.deployment).toEqual({ nExtra: 3 });
   });
 
-  test('without a majority there is no success, and soon; what was agreed unseen is found at the next try', async () => {
-    const s = sharedLedger();
-    const service = s.serviceAfter(5);
-    s.cut(true);
-    expect(await s.run(service.replace(0, serving(7), 'a'), 1_000)).toEqual(err({ tag: 'noMajority' }));
-    expect(await s.run(service.read(), 1_000)).toEqual(err({ tag: 'noMajority' }));
-    expect(await s.run(service.evacuate('z', true, WAITS), 1_000)).toEqual(err({ tag: 'noMajority' }));
-    s.cut(false);
-    s.deaf(true);
-    expect(await s.run(service.replace(0, serving(7), 'a'))).toEqual(err({ tag: 'noMajority' }));
-    s.deaf(false);
-    expect(await s.run(service.replace(0, serving(7), 'a'))).toEqual(TAKEN(7));
-    expect(s.controlState.slot).toBe(0);
+  test('without a majority calls fail soon; a change agreed without the caller seeing it is found at the next attempt', async () => {
+    const sim = createSharedLedger();
+    const service = sim.serviceAfter(5);
+    sim.cut(true);
+    expect(await sim.run(service.replace(0, createServing(7), 'a'), 1_000)).toEqual(err({ tag: 'noMajority' }));
+    expect(await sim.run(service.read(), 1_000)).toEqual(err({ tag: 'noMajority' }));
+    expect(await sim.run(service.evacuate('z', true, WAITING_CALLER), 1_000)).toEqual(err({ tag: 'noMajority' }));
+    sim.cut(false);
+    sim.deaf(true);
+    expect(await sim.run(service.replace(0, createServing(7), 'a'))).toEqual(err({ tag: 'noMajority' }));
+    sim.deaf(false);
+    expect(await sim.run(service.replace(0, createServing(7), 'a'))).toEqual(TAKEN(7));
+    expect(sim.controlState.slot).toBe(0);
   });
 
-  test('of a thousand mappings a change of one travels alone, and is quick', async () => {
-    const s = sharedLedger();
-    const service = s.serviceAfter(1);
-    await s.run(service.replace(0, serving(7, 1_000), 'a'));
-    const next = withChanges(serving(9, 1_000), [
+  test('a change of two routes among a thousand puts only these two into the log entry', async () => {
+    const sim = createSharedLedger();
+    const service = sim.serviceAfter(1);
+    await sim.run(service.replace(0, createServing(7, 1_000), 'a'));
+    const next = withChanges(createServing(9, 1_000), [
       { path: ['mappings', 'r-500', 'deadlineMs'], value: 77 },
       { path: ['mappings', 'r-0'] },
     ]) as Serving;
     for (const [at, m] of Object.values(next.mappings).entries()) (m as { at: number }).at = at;
-    await s.run(service.replace(7, next, 'b'));
-    expect(s.now().mappings['r-500']?.deadlineMs).toBe(77);
-    expect(Object.keys(s.now().mappings).length).toBe(999);
-    expect(s.entryBytes[1]).toBeLessThan(600);
+    await sim.run(service.replace(7, next, 'b'));
+    expect(sim.currentServing().mappings['r-500']?.deadlineMs).toBe(77);
+    expect(Object.keys(sim.currentServing().mappings).length).toBe(999);
+    expect(sim.entryBytes[1]).toBeLessThan(600);
   });
 });
 
 describe('evacuations', () => {
-  test('each order is a success however often it is sent', async () => {
-    const s = sharedLedger();
-    const service = s.serviceAfter(5);
+  test('each order succeeds however often it is sent', async () => {
+    const sim = createSharedLedger();
+    const service = sim.serviceAfter(5);
     for (const begun of [false, true, true, false, false, true]) {
-      expect(await s.run(service.evacuate('z', begun, WAITS))).toEqual(ok({ tag: 'taken' }));
-      expect(s.controlState.evacuated['z'] !== undefined).toBe(begun);
+      expect(await sim.run(service.evacuate('z', begun, WAITING_CALLER))).toEqual(ok({ tag: 'taken' }));
+      expect(sim.controlState.evacuated['z'] !== undefined).toBe(begun);
     }
   });
 
-  test('an order that is agreed late, after the one that takes it back, does nothing', async () => {
-    const s = sharedLedger();
-    const slow = s.serviceAfter(400).evacuate('z', true, WAITS);
-    expect(await s.run(s.serviceAfter(5).evacuate('z', true, WAITS))).toEqual(ok({ tag: 'taken' }));
-    expect(await s.run(s.serviceAfter(5).evacuate('z', false, WAITS))).toEqual(ok({ tag: 'taken' }));
-    await s.world.advance(4_000);
-    expect(s.controlState.evacuated).toEqual({});
+  test('an order that is agreed late, after the one that reverts it, has no effect', async () => {
+    const sim = createSharedLedger();
+    const slow = sim.serviceAfter(400).evacuate('z', true, WAITING_CALLER);
+    expect(await sim.run(sim.serviceAfter(5).evacuate('z', true, WAITING_CALLER))).toEqual(ok({ tag: 'taken' }));
+    expect(await sim.run(sim.serviceAfter(5).evacuate('z', false, WAITING_CALLER))).toEqual(ok({ tag: 'taken' }));
+    await sim.world.advance(4_000);
+    expect(sim.controlState.evacuated).toEqual({});
     void slow;
   });
 
-  test('a process that stood still while it asked a majority does not go on with the order', async () => {
-    const s = sharedLedger();
-    const frozen = s.world.host('frozen', 'a');
-    const clock = s.world.clockOf(s.world.begin(frozen));
-    const asked = { ...s.ledgerAfter(5), linearizableRead: () => delay(clock, 10).then(() => true) };
-    const late = createConfigurationService({ ledger: asked, clock, ...CALM }).evacuate('z', true, WAITS);
-    s.world.freeze(frozen);
-    expect(await s.run(s.serviceAfter(5).evacuate('z', true, WAITS))).toEqual(ok({ tag: 'taken' }));
-    expect(await s.run(s.serviceAfter(5).evacuate('z', false, WAITS))).toEqual(ok({ tag: 'taken' }));
-    await s.world.advance(5_000);
-    s.world.thaw(frozen);
-    expect(await s.run(late)).toEqual(err({ tag: 'noMajority' }));
-    expect(s.controlState.evacuated).toEqual({});
+  test('an order is not proposed by a process that was paused while it read from a majority', async () => {
+    const sim = createSharedLedger();
+    const pausedHost = sim.world.host('frozen', 'a');
+    const clock = sim.world.clockOf(sim.world.begin(pausedHost));
+    const ledgerWithDelay = { ...sim.ledgerAfter(5), linearizableRead: () => delay(clock, 10).then(() => true) };
+    const call = createConfigurationService({ ledger: ledgerWithDelay, clock, ...COMMON_DEPS }).evacuate(
+      'z',
+      true,
+      WAITING_CALLER,
+    );
+    sim.world.freeze(pausedHost);
+    expect(await sim.run(sim.serviceAfter(5).evacuate('z', true, WAITING_CALLER))).toEqual(ok({ tag: 'taken' }));
+    expect(await sim.run(sim.serviceAfter(5).evacuate('z', false, WAITING_CALLER))).toEqual(ok({ tag: 'taken' }));
+    await sim.world.advance(5_000);
+    sim.world.thaw(pausedHost);
+    expect(await sim.run(call)).toEqual(err({ tag: 'noMajority' }));
+    expect(sim.controlState.evacuated).toEqual({});
   });
 
-  // A hand-back that lay unread in a frozen controller undid an evacuation that another one had acknowledged meanwhile.
-  test('an order that may have lain unread in a process that stood still is not taken, one a second later is', async () => {
-    const s = sharedLedger();
-    const frozen = s.world.host('frozen', 'a');
-    const clock = s.world.clockOf(s.world.begin(frozen));
+  // Guards against a restore order that lies unread in a paused controller, and then undoes an evacuation that another
+  // controller acknowledged in the meantime.
+  test('an order that may have been waiting unread during a process pause is rejected; one sent a second later is accepted', async () => {
+    const sim = createSharedLedger();
+    const frozen = sim.world.host('frozen', 'a');
+    const clock = sim.world.clockOf(sim.world.begin(frozen));
     const standstill = watchStandstills(clock, CALLER_PATIENCE_MS);
-    const woken = createConfigurationService({ ledger: s.ledgerAfter(5), clock, ...CALM, standstill });
-    expect(await s.run(woken.evacuate('z', true, WAITS))).toEqual(ok({ tag: 'taken' }));
-    s.world.freeze(frozen);
-    await s.world.advance(4_000);
-    s.world.thaw(frozen);
-    expect(await s.run(woken.evacuate('z', false, WAITS))).toEqual(err({ tag: 'mayBeAbandoned' }));
-    expect(Object.keys(s.controlState.evacuated)).toEqual(['z']);
-    await s.world.advance(CALLER_PATIENCE_MS);
-    expect(await s.run(woken.evacuate('z', false, WAITS))).toEqual(ok({ tag: 'taken' }));
+    const resumedService = createConfigurationService({
+      ledger: sim.ledgerAfter(5),
+      clock,
+      ...COMMON_DEPS,
+      standstill,
+    });
+    expect(await sim.run(resumedService.evacuate('z', true, WAITING_CALLER))).toEqual(ok({ tag: 'taken' }));
+    sim.world.freeze(frozen);
+    await sim.world.advance(4_000);
+    sim.world.thaw(frozen);
+    expect(await sim.run(resumedService.evacuate('z', false, WAITING_CALLER))).toEqual(err({ tag: 'mayBeAbandoned' }));
+    expect(Object.keys(sim.controlState.evacuated)).toEqual(['z']);
+    await sim.world.advance(CALLER_PATIENCE_MS);
+    expect(await sim.run(resumedService.evacuate('z', false, WAITING_CALLER))).toEqual(ok({ tag: 'taken' }));
     standstill.stop();
   });
 
-  test('an order whose caller has closed its connection by the time a majority was asked is not taken', async () => {
-    const s = sharedLedger();
+  test('an order whose caller closed its connection during the read from a majority is rejected', async () => {
+    const sim = createSharedLedger();
     let gone = false;
-    const left = s.serviceAfter(50).evacuate('z', true, { gone: () => gone });
+    const abandonedCall = sim.serviceAfter(50).evacuate('z', true, { gone: () => gone });
     gone = true;
-    expect(await s.run(left)).toEqual(err({ tag: 'mayBeAbandoned' }));
-    expect(s.controlState.evacuated).toEqual({});
+    expect(await sim.run(abandonedCall)).toEqual(err({ tag: 'mayBeAbandoned' }));
+    expect(sim.controlState.evacuated).toEqual({});
   });
 
-  test('an order that is agreed late does nothing, however many ordinary entries came between', async () => {
-    const s = sharedLedger();
-    const slow = s.serviceAfter(400).evacuate('z', true, WAITS);
-    expect(await s.run(s.serviceAfter(5).evacuate('z', true, WAITS))).toEqual(ok({ tag: 'taken' }));
-    expect(await s.run(s.serviceAfter(5).evacuate('z', false, WAITS))).toEqual(ok({ tag: 'taken' }));
-    ordinaryEntries(s, 1_100);
-    await s.world.advance(4_000);
-    expect(s.controlState.evacuated).toEqual({});
+  test('an order that is agreed late has no effect, however many ordinary entries came in between', async () => {
+    const sim = createSharedLedger();
+    const slow = sim.serviceAfter(400).evacuate('z', true, WAITING_CALLER);
+    expect(await sim.run(sim.serviceAfter(5).evacuate('z', true, WAITING_CALLER))).toEqual(ok({ tag: 'taken' }));
+    expect(await sim.run(sim.serviceAfter(5).evacuate('z', false, WAITING_CALLER))).toEqual(ok({ tag: 'taken' }));
+    addOrdinaryEntries(sim, 1_100);
+    await sim.world.advance(4_000);
+    expect(sim.controlState.evacuated).toEqual({});
     expect((await slow).ok).toBe(false);
   });
 });
--- a/src/coordination/configuration/configuration-service.ts
+++ b/src/coordination/configuration/configuration-service.ts
@@ -1,7 +1,8 @@
 /**
- * The operators' calls by numbers of their own: put a configuration on the newest number, change it, read it, evacuate a
- * zone. Each call first learns all that a majority has accepted. What a change is known by, and why it is neither lost
- * nor applied twice when it is sent again, stands in docs/consistency.md, section 2.
+ * The operators' calls on configurations that carry the operator's own numbers: replace the configuration in force,
+ * amend it, read it, evacuate a zone. Each call first catches up with everything that a majority has accepted. How a
+ * change is identified, and why it is neither lost nor applied twice when it is sent again, is described in
+ * docs/consistency.md, section 2.
  */
 import { err, ok } from '../../base/result.js';
 import type { Result } from '../../base/result.js';
@@ -29,55 +30,67 @@
 import type { Draft } from '../consensus/proposal.js';
 import type { RecentStandstill } from './recent-standstill.js';
 
-/** Why an operator's call was not confirmed. Only `stale`, `invalid` and `tooLarge` say that it was not and will not be applied. */
+/**
+ * Why an operator's call was not confirmed. Only `stale`, `invalid` and `tooLarge` mean that it was not and will not be
+ * applied.
+ */
 export type NumberedError =
   | { readonly tag: 'stale'; readonly number: number }
   | { readonly tag: 'invalid'; readonly faults: readonly ConfigError[] }
-  /** Larger than can be stored, in bytes of JSON. Nothing was changed. */
+  /** Larger than the maximum that can be stored (`most`), in bytes of JSON. Nothing was changed. */
   | { readonly tag: 'tooLarge'; readonly what: keyof StoredBytes; readonly bytes: number; readonly most: number }
   | { readonly tag: 'noMajority' }
-  /** Its caller may have given up before it was read; a caller who still waits sends it again. */
+  /** The caller may have abandoned the call before it was read. A caller that still waits should retry. */
   | { readonly tag: 'mayBeAbandoned' }
-  /** It builds on a number so old that a change which was applied then may be forgotten: neither yes nor no is certain. */
+  /**
+   * It is not known whether this was applied: the change is based on a number so old that the history may have dropped
+   * changes applied on it, or another order on the zone was agreed first.
+   */
   | { readonly tag: 'outcomeUnknown' };
 
-/** A confirmed change and the operator's number that is in force with it. */
-export type Accepted = { readonly tag: 'taken'; readonly number: number };
-/** What a change makes of the configuration that it builds on. */
+/** A confirmed change and the operator's number that it put in force. */
+export type ConfirmedChange = { readonly tag: 'taken'; readonly number: number };
+/** Computes the new configuration from the one that the change is based on. */
 export type Edit = (serving: Serving) => Result<unknown, readonly ConfigError[]>;
 
-/** Whoever waits for the answer to a call; `gone` once the connection was closed. */
+/** The caller that waits for the response to a call; `gone` returns true once its connection is closed. */
 export type Caller = { readonly gone: () => boolean };
 
-/** `digest` is the identity of the request: the same digest is the same change, whenever and wherever it is sent. */
+/**
+ * The operators' calls. `digest` identifies the request: the same digest is the same change, whenever it is sent and to
+ * whichever controller.
+ */
 export interface ConfigurationService {
-  replace(base: number, draft: unknown, digest: string): Promise<Result<Accepted, NumberedError>>;
-  amend(base: number, edit: Edit, digest: string): Promise<Result<Accepted, NumberedError>>;
+  replace(base: number, draft: unknown, digest: string): Promise<Result<ConfirmedChange, NumberedError>>;
+  amend(base: number, edit: Edit, digest: string): Promise<Result<ConfirmedChange, NumberedError>>;
   read(): Promise<Result<Serving, NumberedError>>;
   evacuate(zone: string, begun: boolean, caller: Caller): Promise<Result<{ readonly tag: 'taken' }, NumberedError>>;
 }
 
-/** The ledger to read and propose on; waits are in milliseconds. */
+/** Dependencies of the service, with the replicated log that it reads and proposes on. Timeouts are in milliseconds. */
 export type ConfigurationServiceDeps = {
   readonly ledger: Pick<Ledger, 'controlState' | 'linearizableRead' | 'propose'>;
   readonly clock: Clock;
   readonly log: Log;
   readonly standstill: Pick<RecentStandstill, 'isRecent'>;
   readonly readTimeoutMs?: number;
-  readonly agreeMs?: number;
-  /** What can be stored; anything if left out. */
+  readonly agreementTimeoutMs?: number;
+  /** The maximum that can be stored; no limit if omitted. */
   readonly most?: StoredBytes;
 };
 
-/** Bytes of JSON of a configuration with the changes back from it, which a snapshot holds, and of a change, which a record holds. */
+/**
+ * Sizes in bytes of JSON: of a configuration with the changes that undo it, which a snapshot holds, and of a change,
+ * which a log record holds.
+ */
 export type StoredBytes = { readonly configuration: number; readonly change: number };
 
-/** Longest look at a majority, under the second of silence after which callers turn to another node. */
+/** Timeout of a read from a majority; below the one second without a response after which callers try another node. */
 const READ_TIMEOUT_MS = 900;
-/** A caller who heard nothing for this long has turned to another controller. */
+/** A caller that has had no response for this long has switched to another controller. */
 export const CALLER_PATIENCE_MS = 1_000;
-/** Longest wait for an entry to be agreed. */
-const AGREE_MS = 3_000;
+/** Timeout for agreement on an entry. */
+const AGREEMENT_TIMEOUT_MS = 3_000;
 
 const NO_MAJORITY: NumberedError = { tag: 'noMajority' };
 
@@ -88,67 +101,72 @@
 function changesTo(state: ControlState, next: Serving): Change[] {
   const before = state.configuration.serving;
   if (!before) return [{ path: ['serving'], value: next }];
-  const out: Change[] = [];
-  for (const change of differences(before, next)) out.push({ ...change, path: ['serving', ...change.path] });
-  return out;
+  const changes: Change[] = [];
+  for (const change of differences(before, next)) changes.push({ ...change, path: ['serving', ...change.path] });
+  return changes;
 }
 
-type Judged =
-  | { readonly tag: 'answer'; readonly answer: Result<Accepted, NumberedError> }
+type Decision =
+  | { readonly tag: 'answer'; readonly answer: Result<ConfirmedChange, NumberedError> }
   | { readonly tag: 'apply'; readonly number: number; readonly next: Serving }
   | { readonly tag: 'repeat'; readonly number: number };
 
-/** What to do about a request for a change, by a state that is no older than the request. */
-function judge(state: ControlState, request: string, base: number, edit: Edit): Judged {
-  const now = servingOf(state);
-  const done = appliedChange(state.history, request);
-  if (done) return answered(ok({ tag: 'taken', number: done.revision?.number ?? now.number }));
-  if (now.number !== base) return judgeLate(state, base, edit);
-  const next = resultOf(now, edit);
-  return next.ok ? { tag: 'apply', number: next.value.number, next: next.value } : answered(next);
+/** Decides how to handle a change request, from a state that is no older than the request. */
+function decide(state: ControlState, request: string, base: number, edit: Edit): Decision {
+  const current = servingOf(state);
+  const applied = appliedChange(state.history, request);
+  if (applied) return finalAnswer(ok({ tag: 'taken', number: applied.revision?.number ?? current.number }));
+  if (current.number !== base) return decideOnOtherBase(state, base, edit);
+  const next = applyEdit(current, edit);
+  return next.ok ? { tag: 'apply', number: next.value.number, next: next.value } : finalAnswer(next);
 }
 
-/** A change that is not known by its request, and doesn't build on what is in force. */
-function judgeLate(state: ControlState, base: number, edit: Edit): Judged {
+/** Decides on a change whose request is not in the history, and that is not based on the configuration in force. */
+function decideOnOtherBase(state: ControlState, base: number, edit: Edit): Decision {
   const { number } = servingOf(state);
   if (isInForce(state, base, edit)) return { tag: 'repeat', number };
-  if (mayBeForgotten(state.history, base)) return answered(err({ tag: 'outcomeUnknown' }));
-  return answered(err({ tag: 'stale', number }));
+  if (mayBeForgotten(state.history, base)) return finalAnswer(err({ tag: 'outcomeUnknown' }));
+  return finalAnswer(err({ tag: 'stale', number }));
 }
 
-function answered(answer: Result<Accepted, NumberedError>): Judged {
+function finalAnswer(answer: Result<ConfirmedChange, NumberedError>): Decision {
   return { tag: 'answer', answer };
 }
 
-/** The entry that applies a change, or that keeps one more request for the change that is in force. */
-function draftOf(
+/** Creates the entry that applies a change, or that records one more request for the change that is in force. */
+function createDraft(
   state: ControlState,
   request: string,
   base: number,
-  judged: Exclude<Judged, { tag: 'answer' }>,
+  decision: Exclude<Decision, { tag: 'answer' }>,
 ): Draft {
-  const { number } = judged;
+  const { number } = decision;
   const id = `${request}@${state.version}`;
-  if (judged.tag === 'repeat')
+  if (decision.tag === 'repeat')
     return {
       id,
       cause: `Another request for number ${number} on ${base}.`,
       act: { tag: 'changeRepeated', request, number },
     };
   const revision = { request, base, number };
-  const command = { tag: 'configured' as const, base: state.version, changes: changesTo(state, judged.next), revision };
+  const command = {
+    tag: 'configured' as const,
+    base: state.version,
+    changes: changesTo(state, decision.next),
+    revision,
+  };
   return { id, cause: `The operator put number ${number} on ${base}.`, act: command };
 }
 
-function bytesOf(value: unknown): number {
+function jsonBytes(value: unknown): number {
   return Buffer.byteLength(JSON.stringify(value));
 }
 
-/** The configuration that a change makes of the one it builds on. */
-function resultOf(before: Serving, edit: Edit): Result<Serving, NumberedError> {
-  const made = edit(before);
-  if (!made.ok) return err({ tag: 'invalid', faults: made.error });
-  const read = readServing(made.value);
+/** Returns the configuration that an edit makes of the one it is based on, or why it is invalid. */
+function applyEdit(before: Serving, edit: Edit): Result<Serving, NumberedError> {
+  const edited = edit(before);
+  if (!edited.ok) return err({ tag: 'invalid', faults: edited.error });
+  const read = readServing(edited.value);
   if (!read.ok) return err({ tag: 'invalid', faults: read.error });
   const { number } = read.value;
   if (number <= before.number)
@@ -156,37 +174,39 @@
   return ok(withPreservedOrder(before, read.value));
 }
 
-/** Whether what is in force is just what this change makes of the base that it names: then it is the same change. */
+/**
+ * Returns whether the configuration in force is exactly what this edit makes of its base: then it is the same change.
+ */
 function isInForce(state: ControlState, base: number, edit: Edit): boolean {
   const newest = newestNumbered(state.history)?.revision;
   const { undo } = state.history;
   if (undo === null || newest?.base !== base) return false;
   const before = withChanges(state.configuration, undo) as Configuration;
-  const result = resultOf(before.serving ?? EMPTY_SERVING, edit);
+  const result = applyEdit(before.serving ?? EMPTY_SERVING, edit);
   return result.ok && result.value.number === newest.number && differences(servingOf(state), result.value).length === 0;
 }
 
 class LedgerConfigurationService implements ConfigurationService {
   private readonly readTimeoutMs: number;
-  private readonly agreeMs: number;
-  private readonly most: StoredBytes;
+  private readonly agreementTimeoutMs: number;
+  private readonly maxBytes: StoredBytes;
 
   constructor(private readonly deps: ConfigurationServiceDeps) {
     this.readTimeoutMs = this.deps.readTimeoutMs ?? READ_TIMEOUT_MS;
-    this.agreeMs = this.deps.agreeMs ?? AGREE_MS;
-    this.most = this.deps.most ?? { configuration: Infinity, change: Infinity };
+    this.agreementTimeoutMs = this.deps.agreementTimeoutMs ?? AGREEMENT_TIMEOUT_MS;
+    this.maxBytes = this.deps.most ?? { configuration: Infinity, change: Infinity };
   }
 
   private sizeError(
     state: ControlState,
-    judged: Exclude<Judged, { tag: 'answer' }>,
+    decision: Exclude<Decision, { tag: 'answer' }>,
     draft: Draft,
   ): NumberedError | null {
-    if (judged.tag !== 'apply') return null;
-    const back = differences(judged.next, servingOf(state));
-    const stored: StoredBytes = { configuration: bytesOf(judged.next) + bytesOf(back), change: bytesOf(draft) };
+    if (decision.tag !== 'apply') return null;
+    const undo = differences(decision.next, servingOf(state));
+    const stored: StoredBytes = { configuration: jsonBytes(decision.next) + jsonBytes(undo), change: jsonBytes(draft) };
     for (const what of ['configuration', 'change'] as const) {
-      const error = { tag: 'tooLarge' as const, what, bytes: stored[what], most: this.most[what] };
+      const error = { tag: 'tooLarge' as const, what, bytes: stored[what], most: this.maxBytes[what] };
       if (error.bytes <= error.most) continue;
       this.deps.log.warn('configuration too large', { what, bytes: error.bytes, most: error.most });
       return error;
@@ -194,39 +214,42 @@
     return null;
   }
 
-  /** To be asked after a round trip: the end of a connection is read a turn later than the call that it carried. */
+  /**
+   * Must be called after a network round trip: the end of a connection is read one tick of the event loop later than
+   * the call that arrived on it.
+   */
   private mayBeAbandoned(caller: Caller): boolean {
     return this.deps.standstill.isRecent() || caller.gone();
   }
 
-  private async tooLate(): Promise<boolean> {
+  private async readTimeout(): Promise<boolean> {
     await delay(this.deps.clock, this.readTimeoutMs);
     return false;
   }
 
   private readCurrent(): Promise<boolean> {
-    return Promise.race([this.deps.ledger.linearizableRead(this.readTimeoutMs), this.tooLate()]);
+    return Promise.race([this.deps.ledger.linearizableRead(this.readTimeoutMs), this.readTimeout()]);
   }
 
-  async amend(base: number, edit: Edit, digest: string): Promise<Result<Accepted, NumberedError>> {
+  async amend(base: number, edit: Edit, digest: string): Promise<Result<ConfirmedChange, NumberedError>> {
     const request = operatorRequest(digest);
-    const until = this.deps.clock.mono() + this.agreeMs;
-    while (this.deps.clock.mono() < until) {
+    const deadline = this.deps.clock.mono() + this.agreementTimeoutMs;
+    while (this.deps.clock.mono() < deadline) {
       if (!(await this.readCurrent())) return err(NO_MAJORITY);
       const state = this.deps.ledger.controlState();
-      const judged = judge(state, request, base, edit);
-      if (judged.tag === 'answer') return judged.answer;
-      const draft = draftOf(state, request, base, judged);
-      const tooLarge = this.sizeError(state, judged, draft);
+      const decision = decide(state, request, base, edit);
+      if (decision.tag === 'answer') return decision.answer;
+      const draft = createDraft(state, request, base, decision);
+      const tooLarge = this.sizeError(state, decision, draft);
       if (tooLarge) return err(tooLarge);
-      const agreed = await this.deps.ledger.propose(draft, until - this.deps.clock.mono());
+      const agreed = await this.deps.ledger.propose(draft, deadline - this.deps.clock.mono());
       if (!agreed.ok) return err(NO_MAJORITY);
-      if (agreed.value.outcome.tag === 'applied') return ok({ tag: 'taken', number: judged.number });
+      if (agreed.value.outcome.tag === 'applied') return ok({ tag: 'taken', number: decision.number });
     }
     return err(NO_MAJORITY);
   }
 
-  replace(base: number, draft: unknown, digest: string): Promise<Result<Accepted, NumberedError>> {
+  replace(base: number, draft: unknown, digest: string): Promise<Result<ConfirmedChange, NumberedError>> {
     function replacement(): Result<unknown, never> {
       return ok(draft);
     }
@@ -238,18 +261,19 @@
   }
 
   /**
-   * One proposal, on the zone's version as it was when the order came. It isn't made anew where another order was agreed
-   * first: that one may be the later order, and the caller of this one may be long gone. Whoever still wants it sends it
-   * again. For the same reason a process that stood still while it asked a majority doesn't go on, nor does one that
-   * stood still shortly before: the order may have lain unread since, with newer ones acknowledged elsewhere.
+   * Makes a single proposal, based on the zone's version at the time the order arrived. It is not repeated on a newer
+   * version if another order was agreed first: that one may be the later order, and the caller of this one may have
+   * left long ago. A caller that still wants the order sends it again. For the same reason the order is not proposed if
+   * the process was paused while it read from a majority, or shortly before: the order may have been waiting unread
+   * since then, while newer ones were acknowledged elsewhere.
    */
   async evacuate(
     zone: string,
     begun: boolean,
     caller: Caller,
   ): Promise<Result<{ readonly tag: 'taken' }, NumberedError>> {
-    const cameAt = this.deps.clock.mono();
-    if (!(await this.readCurrent()) || this.deps.clock.mono() - cameAt > this.readTimeoutMs) return err(NO_MAJORITY);
+    const arrivedAt = this.deps.clock.mono();
+    if (!(await this.readCurrent()) || this.deps.clock.mono() - arrivedAt > this.readTimeoutMs) return err(NO_MAJORITY);
     if (this.mayBeAbandoned(caller)) {
       this.deps.log.warn('order on a zone not taken, its caller may be gone', { zone, begun, gone: caller.gone() });
       return err({ tag: 'mayBeAbandoned' });
@@ -259,16 +283,18 @@
     const cause = begun ? `The operator evacuates ${zone}.` : `The operator hands ${zone} back.`;
     const agreed = await this.deps.ledger.propose(
       { id, cause, act: { tag: 'evacuation', zone, begun, base } },
-      this.agreeMs,
+      this.agreementTimeoutMs,
     );
     if (!agreed.ok) return err(NO_MAJORITY);
     this.deps.log.info('order on a zone agreed', { zone, begun, base, outcome: agreed.value.outcome.tag });
-    const isSo = (this.deps.ledger.controlState().evacuated[zone] !== undefined) === begun;
-    return agreed.value.outcome.tag === 'applied' || isSo ? ok({ tag: 'taken' }) : err({ tag: 'outcomeUnknown' });
+    const isInRequestedState = (this.deps.ledger.controlState().evacuated[zone] !== undefined) === begun;
+    return agreed.value.outcome.tag === 'applied' || isInRequestedState
+      ? ok({ tag: 'taken' })
+      : err({ tag: 'outcomeUnknown' });
   }
 }
 
-/** The operators' calls over one controller's ledger. */
+/** Creates the operators' calls on one controller's replicated log. */
 export function createConfigurationService(deps: ConfigurationServiceDeps): ConfigurationService {
   return new LedgerConfigurationService(deps);
 }
--- a/src/coordination/configuration/latency-target-tracker.ts
+++ b/src/coordination/configuration/latency-target-tracker.ts
@@ -1,6 +1,6 @@
 /**
- * Counts, by minute, how requests and changes fared, for reports on service-level targets. Every controller has its
- * own counts; `operator/latency-targets.ts` puts those of all together.
+ * Counts the outcomes of requests and configuration changes by minute, for reports on service-level objectives. Each
+ * controller keeps its own counts; `operator/latency-targets.ts` combines those of all controllers.
  */
 import type { MessageOf } from '../../protocol/messages.js';
 import { createLatencyTargetTable } from '../../state/configuration/latency-target-table.js';
@@ -12,12 +12,12 @@
 import type { Ledger } from '../consensus/ledger.js';
 import type { Peers } from '../messaging/peers.js';
 
-/** Counts of the last minutes as one controller, `by`, knows them; `now` is its current minute. */
+/** Counts of the last minutes as known to the controller `by`; `now` is its current minute. */
 export type MinuteCounts = { readonly by: string; readonly now: number; readonly minutes: readonly Minute[] };
 
-/** Records changes of its own controller and gives the last minutes. */
+/** Records the changes of its own controller and returns the counts of the last minutes. */
 export interface LatencyTargetTracker {
-  recordChange(ms: number): void;
+  recordChange(durationMs: number): void;
   last(minutes: number): MinuteCounts;
   stop(): void;
 }
@@ -25,10 +25,10 @@
 const MINUTE_MS = 60_000;
 
 class MinuteCountTracker implements LatencyTargetTracker {
-  private readonly book = createLatencyTargetTable();
+  private readonly minuteTable = createLatencyTargetTable();
   private readonly startedAt: number;
-  private closed = 0;
-  private readonly turning: Timer;
+  private nextMinuteToClose = 0;
+  private readonly ticker: Timer;
 
   constructor(
     private readonly ledger: Ledger,
@@ -38,46 +38,51 @@
     this.startedAt = this.clock.mono();
 
     this.peers.on('counts', (message) => this.onCounts(message));
-    this.turning = every(this.clock, 1_000, () => this.closePast());
+    this.ticker = every(this.clock, 1_000, () => this.closePastMinutes());
   }
 
-  private minute(): number {
+  private currentMinute(): number {
     return Math.floor((this.clock.mono() - this.startedAt) / MINUTE_MS);
   }
 
-  private closePast(): void {
-    for (; this.closed < this.minute(); this.closed += 1)
-      this.book.close(this.closed, Object.keys(this.ledger.controlState().proxies));
+  private closePastMinutes(): void {
+    for (; this.nextMinuteToClose < this.currentMinute(); this.nextMinuteToClose += 1)
+      this.minuteTable.close(this.nextMinuteToClose, Object.keys(this.ledger.controlState().proxies));
   }
 
   private onCounts(message: MessageOf<'counts'>): null {
-    this.closePast();
-    this.book.record(message.reporter, message.incarnation, message.totals, this.minute());
+    this.closePastMinutes();
+    this.minuteTable.record(message.reporter, message.incarnation, message.totals, this.currentMinute());
     if (message.by === undefined)
-      for (const to of this.ledger.controlState().members)
-        if (to.name !== this.ledger.self.name)
-          void this.peers.send(to.address, { ...message, by: this.ledger.self.name });
+      for (const member of this.ledger.controlState().members)
+        if (member.name !== this.ledger.self.name)
+          void this.peers.send(member.address, { ...message, by: this.ledger.self.name });
     return null;
   }
 
-  recordChange(ms: number): void {
-    this.closePast();
+  recordChange(durationMs: number): void {
+    this.closePastMinutes();
     const table: CountTable = {};
-    recordIn(table, CHANGES_SUBJECT, { outcome: 'good', firstMs: null, wholeMs: ms });
-    for (const [subject, counts] of Object.entries(table)) this.book.recordOwn(subject, counts, this.minute());
+    recordIn(table, CHANGES_SUBJECT, { outcome: 'good', firstMs: null, wholeMs: durationMs });
+    for (const [subject, counts] of Object.entries(table))
+      this.minuteTable.recordOwn(subject, counts, this.currentMinute());
   }
 
   last(minutes: number): MinuteCounts {
-    this.closePast();
-    return { by: this.ledger.self.name, now: this.minute(), minutes: this.book.since(this.minute() - minutes) };
+    this.closePastMinutes();
+    return {
+      by: this.ledger.self.name,
+      now: this.currentMinute(),
+      minutes: this.minuteTable.since(this.currentMinute() - minutes),
+    };
   }
 
   stop(): void {
-    this.turning.cancel();
+    this.ticker.cancel();
   }
 }
 
-/** Tracks the counts that proxies send and shares them with the other controllers. */
+/** Creates a tracker of the counts that proxies send, which forwards them to the other controllers. */
 export function createLatencyTargetTracker(ledger: Ledger, peers: Peers, clock: Clock): LatencyTargetTracker {
   return new MinuteCountTracker(ledger, peers, clock);
 }
--- a/src/coordination/configuration/operator-http-server.ts
+++ b/src/coordination/configuration/operator-http-server.ts
@@ -1,6 +1,7 @@
 /**
- * The operators' HTTP interface of a controller: configuration, zones, proxies, claims, bootstrap, and the readings of the
- * status. A change with an operation id is applied once, however often it is sent; one without is judged by its base alone.
+ * The operators' HTTP interface of a controller: configuration, zones, proxies, claims, bootstrap and status. A change
+ * with an operation id is applied once, however often it is sent; for one without an id only its base version is
+ * compared.
  */
 import { Type } from '@sinclair/typebox';
 import { readConfiguration } from '../../protocol/configuration.js';
@@ -18,32 +19,35 @@
 import type { Ledger } from '../consensus/ledger.js';
 import type { ChangeDistribution } from '../distribution/change-distribution.js';
 
-const Operation = Type.Optional(Type.String({ minLength: 1, maxLength: 128 }));
-const Base = Type.Integer({ minimum: 0 });
-const readApply = readerOf(
-  Type.Object({ base: Base, configuration: Type.Unknown(), operation: Operation }, { additionalProperties: false }),
+const OperationId = Type.Optional(Type.String({ minLength: 1, maxLength: 128 }));
+const BaseVersion = Type.Integer({ minimum: 0 });
+const readReplaceBody = readerOf(
+  Type.Object(
+    { base: BaseVersion, configuration: Type.Unknown(), operation: OperationId },
+    { additionalProperties: false },
+  ),
 );
-const readAmend = readerOf(
+const readAmendBody = readerOf(
   Type.Object(
-    { base: Base, changes: Type.Array(ChangeShape, { minItems: 1 }), operation: Operation },
+    { base: BaseVersion, changes: Type.Array(ChangeShape, { minItems: 1 }), operation: OperationId },
     { additionalProperties: false },
   ),
 );
-const readZone = readerOf(Type.Object({ operation: Operation }, { additionalProperties: false }));
-const readFound = readerOf(
+const readZoneBody = readerOf(Type.Object({ operation: OperationId }, { additionalProperties: false }));
+const readBootstrapBody = readerOf(
   Type.Object({ members: Type.Array(Type.String(), { minItems: 1, maxItems: 9 }) }, { additionalProperties: false }),
 );
 
-const AGREE_MS = 5_000;
-const CONFIRM_MS = 2_800;
-const MAX_CONFIGURATION = 8 * 1_048_576;
-const MAX_CHANGES = 4 * 1_048_576;
+const AGREEMENT_TIMEOUT_MS = 5_000;
+const CONFIRMATION_TIMEOUT_MS = 2_800;
+const MAX_CONFIGURATION_BYTES = 8 * 1_048_576;
+const MAX_CHANGES_LENGTH = 4 * 1_048_576;
 
-function fail(status: number, error: Readonly<Record<string, unknown>> & { readonly tag: string }): HttpReply {
+function errorReply(status: number, error: Readonly<Record<string, unknown>> & { readonly tag: string }): HttpReply {
   return { status, ...(status === 503 ? { headers: { 'retry-after': '1' } } : {}), body: { error } };
 }
 
-/** What the operators' calls read and change; `status` is the body of the status answer. */
+/** Dependencies of the operators' calls; `status` returns the body of the status response. */
 export type OperatorHttpServerDeps = {
   readonly ledger: Ledger;
   readonly distribution: ChangeDistribution;
@@ -53,76 +57,79 @@
   readonly status: () => unknown;
 };
 
-/** The operators' calls of one controller. */
-class LedgerOperatorCalls {
+/** Handles the operators' calls of one controller. */
+class OperatorRequestHandlers {
   constructor(private readonly deps: OperatorHttpServerDeps) {}
 
-  private async agree(command: Command, cause: string, operation: string | undefined): Promise<HttpReply> {
-    const from = this.deps.clock.mono();
+  private async proposeAndConfirm(command: Command, cause: string, operation: string | undefined): Promise<HttpReply> {
+    const startedAt = this.deps.clock.mono();
     const response = await this.deps.ledger.propose(
       { ...(operation === undefined ? {} : { id: operatorRequest(operation) }), cause, act: command },
-      AGREE_MS,
+      AGREEMENT_TIMEOUT_MS,
     );
     if (!response.ok)
-      return fail(
+      return errorReply(
         503,
         response.error.tag === 'cannotWrite'
           ? { tag: 'cannotWrite', fault: response.error.error }
           : { tag: response.error.tag },
       );
     const { slot, outcome } = response.value;
-    if (outcome.tag === 'staleVersion') return fail(409, { tag: 'staleVersion', winner: outcome.winner });
-    if (outcome.tag !== 'applied') return fail(409, { tag: 'unchanged' });
-    const waiting = await this.deps.distribution.confirm(slot, CONFIRM_MS);
-    this.deps.latencyTargets.recordChange(waiting.length === 0 ? this.deps.clock.mono() - from : Infinity);
+    if (outcome.tag === 'staleVersion') return errorReply(409, { tag: 'staleVersion', winner: outcome.winner });
+    if (outcome.tag !== 'applied') return errorReply(409, { tag: 'unchanged' });
+    const waiting = await this.deps.distribution.confirm(slot, CONFIRMATION_TIMEOUT_MS);
+    this.deps.latencyTargets.recordChange(waiting.length === 0 ? this.deps.clock.mono() - startedAt : Infinity);
     if (waiting.length === 0) return { status: 200, body: { acknowledged: true, version: slot } };
     return { status: 202, body: { acknowledged: false, version: slot, waiting } };
   }
 
-  private async configure(
+  private async changeConfiguration(
     base: number,
-    make: (state: ControlState) => unknown,
+    edit: (state: ControlState) => unknown,
     operation: string | undefined,
   ): Promise<HttpReply> {
-    if (!(await this.deps.ledger.linearizableRead(AGREE_MS))) return fail(503, { tag: 'noMajority' });
+    if (!(await this.deps.ledger.linearizableRead(AGREEMENT_TIMEOUT_MS))) return errorReply(503, { tag: 'noMajority' });
     const controlState = this.deps.ledger.controlState();
-    const done = operation === undefined ? null : operationOf(controlState, operatorRequest(operation));
-    const forgotten = operation !== undefined && versionMayBeForgotten(controlState.history, base);
-    if (!done && controlState.version !== base && forgotten) return fail(503, { tag: 'outcomeUnknown' });
-    if (!done && controlState.version !== base) return fail(409, { tag: 'staleVersion', winner: controlState.version });
-    const next = readConfiguration(make(controlState));
-    if (!done && !next.ok) return fail(422, { tag: 'invalidConfiguration', faults: next.error });
+    const appliedOperation = operation === undefined ? null : operationOf(controlState, operatorRequest(operation));
+    const mayBeForgotten = operation !== undefined && versionMayBeForgotten(controlState.history, base);
+    if (!appliedOperation && controlState.version !== base && mayBeForgotten)
+      return errorReply(503, { tag: 'outcomeUnknown' });
+    if (!appliedOperation && controlState.version !== base)
+      return errorReply(409, { tag: 'staleVersion', winner: controlState.version });
+    const next = readConfiguration(edit(controlState));
+    if (!appliedOperation && !next.ok) return errorReply(422, { tag: 'invalidConfiguration', faults: next.error });
     const changes: Change[] = next.ok ? differences(controlState.configuration, next.value) : [];
-    if (JSON.stringify(changes).length > MAX_CHANGES) return fail(413, { tag: 'changesTooLarge', most: MAX_CHANGES });
-    return this.agree(
+    if (JSON.stringify(changes).length > MAX_CHANGES_LENGTH)
+      return errorReply(413, { tag: 'changesTooLarge', most: MAX_CHANGES_LENGTH });
+    return this.proposeAndConfirm(
       { tag: 'configured', base, changes },
       `The operator changed ${changes.length} settings on version ${base}.`,
       operation,
     );
   }
 
-  private async apply(req: HttpRequest): Promise<HttpReply> {
-    const body = readApply(req.body);
-    if (!body.ok) return fail(400, body.error);
+  private async replaceConfiguration(req: HttpRequest): Promise<HttpReply> {
+    const body = readReplaceBody(req.body);
+    if (!body.ok) return errorReply(400, body.error);
     function replacement(): unknown {
       return body.ok ? body.value.configuration : null;
     }
-    return this.configure(body.value.base, replacement, body.value.operation);
+    return this.changeConfiguration(body.value.base, replacement, body.value.operation);
   }
 
-  private async amend(req: HttpRequest): Promise<HttpReply> {
-    const body = readAmend(req.body);
-    if (!body.ok) return fail(400, body.error);
+  private async amendConfiguration(req: HttpRequest): Promise<HttpReply> {
+    const body = readAmendBody(req.body);
+    if (!body.ok) return errorReply(400, body.error);
     function amended(state: ControlState): unknown {
       return body.ok ? withChanges(state.configuration, body.value.changes) : null;
     }
-    return this.configure(body.value.base, amended, body.value.operation);
+    return this.changeConfiguration(body.value.base, amended, body.value.operation);
   }
 
-  private async readBack(): Promise<HttpReply> {
-    const isCurrent = await this.deps.ledger.linearizableRead(AGREE_MS);
+  private async readCurrentConfiguration(): Promise<HttpReply> {
+    const isCurrent = await this.deps.ledger.linearizableRead(AGREEMENT_TIMEOUT_MS);
     const state = this.deps.ledger.controlState();
-    if (!isCurrent) return fail(503, { tag: 'noMajority', version: state.version });
+    if (!isCurrent) return errorReply(503, { tag: 'noMajority', version: state.version });
     return {
       status: 200,
       body: {
@@ -134,15 +141,15 @@
     };
   }
 
-  private async zone(req: HttpRequest, begun: boolean): Promise<HttpReply> {
-    const body = readZone(req.body ?? {});
-    if (!body.ok) return fail(400, body.error);
+  private async orderEvacuation(req: HttpRequest, begun: boolean): Promise<HttpReply> {
+    const body = readZoneBody(req.body ?? {});
+    if (!body.ok) return errorReply(400, body.error);
     const name = req.params['zone'] ?? '';
-    if (!(await this.deps.ledger.linearizableRead(AGREE_MS))) return fail(503, { tag: 'noMajority' });
+    if (!(await this.deps.ledger.linearizableRead(AGREEMENT_TIMEOUT_MS))) return errorReply(503, { tag: 'noMajority' });
     if (!Object.hasOwn(this.deps.ledger.controlState().configuration.zones, name))
-      return fail(404, { tag: 'unknownZone', zone: name });
-    if (this.deps.standstill.isRecent() || req.gone()) return fail(503, { tag: 'mayBeAbandoned' });
-    return this.agree(
+      return errorReply(404, { tag: 'unknownZone', zone: name });
+    if (this.deps.standstill.isRecent() || req.gone()) return errorReply(503, { tag: 'mayBeAbandoned' });
+    return this.proposeAndConfirm(
       { tag: 'evacuation', zone: name, begun },
       begun ? `The operator evacuates ${name}.` : `The operator hands ${name} back.`,
       body.value.operation,
@@ -150,30 +157,30 @@
   }
 
   private evacuate(req: HttpRequest): Promise<HttpReply> {
-    return this.zone(req, true);
+    return this.orderEvacuation(req, true);
   }
 
   private restore(req: HttpRequest): Promise<HttpReply> {
-    return this.zone(req, false);
+    return this.orderEvacuation(req, false);
   }
 
-  private forget(req: HttpRequest): Promise<HttpReply> {
+  private forgetProxy(req: HttpRequest): Promise<HttpReply> {
     const name = req.params['name'] ?? '';
-    return this.agree({ tag: 'proxyForgotten', name }, `The operator forgot the proxy ${name}.`, undefined);
+    return this.proposeAndConfirm({ tag: 'proxyForgotten', name }, `The operator forgot the proxy ${name}.`, undefined);
   }
 
   private async bootstrap(req: HttpRequest): Promise<HttpReply> {
-    const body = readFound(req.body);
-    if (!body.ok) return fail(400, body.error);
+    const body = readBootstrapBody(req.body);
+    if (!body.ok) return errorReply(400, body.error);
     const response = await this.deps.ledger.bootstrap(body.value.members);
     return response.ok
       ? { status: 200, body: { acknowledged: true, ledger: this.deps.ledger.controlState().ledger } }
-      : fail(409, response.error);
+      : errorReply(409, response.error);
   }
 
   private reopenClaims(): Promise<HttpReply> {
     const members = this.deps.ledger.controlState().members.map(memberId);
-    return this.agree(
+    return this.proposeAndConfirm(
       { tag: 'claimsReopened', members },
       'The operator accepted that run-once claims were lost with their disks.',
       undefined,
@@ -181,10 +188,10 @@
   }
 
   private async latencyTargetMinutes(req: HttpRequest): Promise<HttpReply> {
-    if (!this.deps.distribution.quorate()) return fail(503, { tag: 'noMajority' });
+    if (!this.deps.distribution.quorate()) return errorReply(503, { tag: 'noMajority' });
     const minutes = Number(req.query['minutes'] ?? 60);
     if (!Number.isInteger(minutes) || minutes < 1 || minutes > 1_440)
-      return fail(400, { tag: 'malformed', detail: '/minutes: expected a whole number from 1 to 1440' });
+      return errorReply(400, { tag: 'malformed', detail: '/minutes: expected a whole number from 1 to 1440' });
     return { status: 200, body: this.deps.latencyTargets.last(minutes) };
   }
 
@@ -192,18 +199,18 @@
     return { status: 200, body: this.deps.status() };
   }
 
-  private async history(req: HttpRequest): Promise<HttpReply> {
+  private async readOrders(req: HttpRequest): Promise<HttpReply> {
     const state = this.deps.ledger.controlState();
-    const wanted = req.query['model'];
-    const out = [];
+    const requestedModel = req.query['model'];
+    const matching = [];
     for (const order of [...this.deps.ledger.closedOrders.all(), ...Object.values(state.orders)])
-      if (wanted === undefined || order.model === wanted) out.push(order);
+      if (requestedModel === undefined || order.model === requestedModel) matching.push(order);
     return {
       status: 200,
       body: {
         slot: state.slot,
         complete: this.deps.ledger.closedOrders.lacking() === null,
-        orders: out,
+        orders: matching,
         zoneSets: state.zoneSets,
         targets: state.targets,
         leases: state.leases,
@@ -211,7 +218,7 @@
     };
   }
 
-  private async entries(req: HttpRequest): Promise<HttpReply> {
+  private async readLogEntries(req: HttpRequest): Promise<HttpReply> {
     const from = Number(req.query['from'] ?? 0);
     const state = this.deps.ledger.controlState();
     const first = Math.max(0, Number.isInteger(from) && from >= 0 ? from : 0);
@@ -228,28 +235,33 @@
 
   routes(): Route[] {
     return [
-      { method: 'POST', path: '/v1/configuration', maxBytes: MAX_CONFIGURATION, handle: (req) => this.apply(req) },
+      {
+        method: 'POST',
+        path: '/v1/configuration',
+        maxBytes: MAX_CONFIGURATION_BYTES,
+        handle: (req) => this.replaceConfiguration(req),
+      },
       {
         method: 'POST',
         path: '/v1/configuration/amend',
-        maxBytes: MAX_CONFIGURATION,
-        handle: (req) => this.amend(req),
+        maxBytes: MAX_CONFIGURATION_BYTES,
+        handle: (req) => this.amendConfiguration(req),
       },
-      { method: 'GET', path: '/v1/configuration', handle: () => this.readBack() },
+      { method: 'GET', path: '/v1/configuration', handle: () => this.readCurrentConfiguration() },
       { method: 'POST', path: '/v1/zones/:zone/evacuate', handle: (req) => this.evacuate(req) },
       { method: 'POST', path: '/v1/zones/:zone/restore', handle: (req) => this.restore(req) },
-      { method: 'DELETE', path: '/v1/proxies/:name', handle: (req) => this.forget(req) },
+      { method: 'DELETE', path: '/v1/proxies/:name', handle: (req) => this.forgetProxy(req) },
       { method: 'POST', path: '/v1/claims/reopen', handle: () => this.reopenClaims() },
       { method: 'POST', path: '/v1/bootstrap', handle: (req) => this.bootstrap(req) },
       { method: 'GET', path: '/v1/aims', handle: (req) => this.latencyTargetMinutes(req) },
       { method: 'GET', path: '/v1/status', handle: () => this.readStatus() },
-      { method: 'GET', path: '/v1/orders', handle: (req) => this.history(req) },
-      { method: 'GET', path: '/v1/ledger', handle: (req) => this.entries(req) },
+      { method: 'GET', path: '/v1/orders', handle: (req) => this.readOrders(req) },
+      { method: 'GET', path: '/v1/ledger', handle: (req) => this.readLogEntries(req) },
     ];
   }
 }
 
-/** Routes of the operators' HTTP interface (docs/http.md). */
+/** Returns the routes of the operators' HTTP interface (docs/http.md). */
 export function operatorRoutes(deps: OperatorHttpServerDeps): Route[] {
-  return new LedgerOperatorCalls(deps).routes();
+  return new OperatorRequestHandlers(deps).routes();
 }
--- a/src/coordination/configuration/operator-identity.test.ts
+++ b/src/coordination/configuration/operator-identity.test.ts
@@ -8,10 +8,10 @@
 import type { ConfigurationService } from '../configuration/configuration-service.js';
 import { createQuietLog } from '../../transport/log.js';
 
-const THREE = ['h1', 'h2', 'h3'];
-const ENTRIES_BETWEEN = 1_100;
+const CONTROLLERS = ['h1', 'h2', 'h3'];
+const ORDINARY_ENTRIES = 1_100;
 
-function serving(number: number): Serving {
+function createServing(number: number): Serving {
   return {
     number,
     mappings: {},
@@ -26,30 +26,30 @@
   readonly numberAt: (node: string) => Promise<number>;
 };
 
-async function bootstrapped(seed: number): Promise<{ readonly core: SimCore; readonly operator: Operator }> {
+async function createBootstrappedCore(seed: number): Promise<{ readonly core: SimCore; readonly operator: Operator }> {
   const core = createSimCore(seed);
   const { clock } = core.lab('operator');
   core.startAll();
-  expect(await core.until(4_000, () => core.whole(THREE))).toBe(true);
+  expect(await core.until(4_000, () => core.whole(CONTROLLERS))).toBe(true);
 
-  function httpServerOf(node: string): ConfigurationService {
+  function serviceOf(node: string): ConfigurationService {
     const controller = core.node(node).controller;
-    if (!controller) throw new Error(`${node} does not run`);
+    if (!controller) throw new Error(`controller ${node} is not running`);
     return createConfigurationService({ ...controller, clock, log: createQuietLog().component('operator') });
   }
   function replace(node: string, base: number, number: number, digest = `${base}-${number}`): Promise<unknown> {
-    return core.finish(httpServerOf(node).replace(base, serving(number), digest), 10_000);
+    return core.finish(serviceOf(node).replace(base, createServing(number), digest), 10_000);
   }
   async function ordinaryEntries(node: string): Promise<void> {
     const ledger = core.node(node).controller?.ledger;
-    const all = Array.from({ length: ENTRIES_BETWEEN }, async (_, target) =>
+    const all = Array.from({ length: ORDINARY_ENTRIES }, async (_, target) =>
       ledger?.propose({ cause: 'A test.', act: { tag: 'targetChanged', model: 'm', target } }, 9_000),
     );
     const agreed = await core.finish(Promise.all(all), 10_000);
-    expect(agreed?.every((a) => a?.ok)).toBe(true);
+    expect(agreed?.every((result) => result?.ok)).toBe(true);
   }
   async function numberAt(node: string): Promise<number> {
-    const read = await core.finish(httpServerOf(node).read(), 10_000);
+    const read = await core.finish(serviceOf(node).read(), 10_000);
     return read?.ok ? read.value.number : -1;
   }
   return { core, operator: { replace, ordinaryEntries, numberAt } };
@@ -58,7 +58,7 @@
 const taken = (number: number): unknown => ok({ tag: 'taken', number });
 const stale = (number: number): unknown => ({ ok: false, error: { tag: 'stale', number } });
 
-async function expectSameChange(operator: Operator, nodes: readonly string[]): Promise<void> {
+async function expectRepeatsRecognised(operator: Operator, nodes: readonly string[]): Promise<void> {
   for (const node of nodes) {
     expect(await operator.replace(node, 7, 8)).toEqual(taken(8));
     expect(await operator.replace(node, 0, 7)).toEqual(taken(7));
@@ -67,23 +67,23 @@
   }
 }
 
-async function twoChanges(operator: Operator): Promise<void> {
+async function submitTwoChanges(operator: Operator): Promise<void> {
   expect(await operator.replace('h1', 0, 7)).toEqual(taken(7));
   expect(await operator.replace('h3', 7, 8)).toEqual(taken(8));
 }
 
-test('a change sent again after many ordinary entries is the same change at every node', async () => {
-  const { core, operator } = await bootstrapped(31);
-  await twoChanges(operator);
+test('a change resent after many ordinary entries is the same change at every node', async () => {
+  const { core, operator } = await createBootstrappedCore(31);
+  await submitTwoChanges(operator);
   await operator.ordinaryEntries('h2');
-  await expectSameChange(operator, THREE);
+  await expectRepeatsRecognised(operator, CONTROLLERS);
   expect(core.broken).toEqual([]);
 });
 
-test('a change sent again to a member that learned of it by a snapshot alone is the same change', async () => {
-  const { core, operator } = await bootstrapped(32);
+test('a change resent to a member that has it only from a snapshot is the same change', async () => {
+  const { core, operator } = await createBootstrappedCore(32);
   core.kill('h2');
-  await twoChanges(operator);
+  await submitTwoChanges(operator);
   await operator.ordinaryEntries('h1');
   const ledger = core.node('h1').controller?.ledger;
   for (let n = 0; n < 40; n += 1) {
@@ -99,27 +99,27 @@
   core.start('h2');
   const top = ledger?.controlState().slot;
   expect(await core.until(4_000, () => core.node('h2').controller?.ledger.controlState().slot === top)).toBe(true);
-  await expectSameChange(operator, ['h2']);
+  await expectRepeatsRecognised(operator, ['h2']);
   expect(core.broken).toEqual([]);
 });
 
-test.each([1, 2, 3, 4])('a change sent again after all have lost power is the same change (seed %i)', async (seed) => {
-  const { core, operator } = await bootstrapped(40 + seed);
-  await twoChanges(operator);
+test.each([1, 2, 3, 4])('a change resent after all members lost power is the same change (seed %i)', async (seed) => {
+  const { core, operator } = await createBootstrappedCore(40 + seed);
+  await submitTwoChanges(operator);
   await operator.ordinaryEntries('h2');
-  for (const name of THREE) core.powerLoss(name);
+  for (const name of CONTROLLERS) core.powerLoss(name);
   await core.world.advance(500);
   core.startAll();
-  expect(await core.until(10_000, () => core.whole(THREE))).toBe(true);
-  await expectSameChange(operator, THREE);
+  expect(await core.until(10_000, () => core.whole(CONTROLLERS))).toBe(true);
+  await expectRepeatsRecognised(operator, CONTROLLERS);
   expect(core.broken).toEqual([]);
 });
 
 test.each([1, 2, 3, 4])(
-  'a change sent again after the member that took it was replaced is the same change (seed %i)',
+  'a change resent after the member that accepted it was replaced is the same change (seed %i)',
   async (seed) => {
-    const { core, operator } = await bootstrapped(50 + seed);
-    await twoChanges(operator);
+    const { core, operator } = await createBootstrappedCore(50 + seed);
+    await submitTwoChanges(operator);
     core.powerLoss('h3');
     await operator.ordinaryEntries('h2');
     const successor = core.add('h4').name;
@@ -129,22 +129,22 @@
     expect(await core.until(12_000, () => core.whole(members))).toBe(true);
     core.powerLoss('h1');
     expect(await operator.replace(successor, 7, 8)).toEqual(taken(8));
-    await expectSameChange(operator, ['h2', successor]);
+    await expectRepeatsRecognised(operator, ['h2', successor]);
     expect(core.broken).toEqual([]);
   },
 );
 
-type AdminAnswer = { readonly status: number; readonly version: number };
+type OperatorResponse = { readonly status: number; readonly version: number };
 
-async function admin(seed: number): Promise<{
+async function createHttpCore(seed: number): Promise<{
   readonly core: SimCore;
-  readonly post: (node: string, path: string, body: object) => Promise<AdminAnswer>;
+  readonly post: (node: string, path: string, body: object) => Promise<OperatorResponse>;
 }> {
   const core = createSimCore(seed, { controllers: 3, seeds: 3, regionMs: 35, operatorHttpServer: true });
   const { httpClient } = core.lab('operator');
   core.startAll();
-  expect(await core.until(4_000, () => core.whole(THREE))).toBe(true);
-  async function post(node: string, path: string, body: object): Promise<AdminAnswer> {
+  expect(await core.until(4_000, () => core.whole(CONTROLLERS))).toBe(true);
+  async function post(node: string, path: string, body: object): Promise<OperatorResponse> {
     const response = await core.finish(
       httpClient.call({ method: 'POST', address: `${core.node(node).wire}0`, path, body, timeoutMs: 8_000 }),
       10_000,
@@ -158,24 +158,24 @@
   return { core, post };
 }
 
-async function manyEntries(core: SimCore): Promise<void> {
+async function addOrdinaryEntries(core: SimCore): Promise<void> {
   const ledger = core.node('h2').controller?.ledger;
-  const all = Array.from({ length: ENTRIES_BETWEEN }, async (_, target) =>
+  const all = Array.from({ length: ORDINARY_ENTRIES }, async (_, target) =>
     ledger?.propose({ cause: 'A test.', act: { tag: 'targetChanged', model: 'm', target } }, 9_000),
   );
-  expect((await core.finish(Promise.all(all), 10_000))?.every((a) => a?.ok)).toBe(true);
+  expect((await core.finish(Promise.all(all), 10_000))?.every((result) => result?.ok)).toBe(true);
 }
 
-test('a change with an operation id keeps it past ordinary entries; another id on the same version is late', async () => {
-  const { core, post } = await admin(61);
+test('a change with an operation id is recognised after ordinary entries; another id on the same version is stale', async () => {
+  const { core, post } = await createHttpCore(61);
   const configuration = { zones: { z: { region: 'r' } }, deployment: {}, regions: {} };
   const first = await post('h1', '/v1/configuration', { base: 0, configuration, operation: 'first' });
   expect(first.status).toBe(200);
   const changes = [{ path: ['deployment', 'nExtra'], value: 3 }];
   const second = await post('h3', '/v1/configuration/amend', { base: first.version, changes, operation: 'second' });
   expect(second.status).toBe(200);
-  await manyEntries(core);
-  for (const node of THREE) {
+  await addOrdinaryEntries(core);
+  for (const node of CONTROLLERS) {
     expect(await post(node, '/v1/configuration', { base: 0, configuration, operation: 'first' })).toEqual(first);
     expect(await post(node, '/v1/configuration/amend', { base: first.version, changes, operation: 'second' })).toEqual(
       second,
@@ -187,14 +187,15 @@
   expect(core.node('h1').controller?.ledger.controlState().version).toBe(second.version);
 });
 
-test('an order on a zone with an operation id is applied once, also when it is sent again after the one that takes it back', async () => {
-  const { core, post } = await admin(62);
+test('an order on a zone with an operation id is applied once, also when resent after the order that reverts it', async () => {
+  const { core, post } = await createHttpCore(62);
   const configuration = { zones: { z: { region: 'r' } }, deployment: {}, regions: {} };
   expect((await post('h1', '/v1/configuration', { base: 0, configuration })).status).toBe(200);
   const begun = await post('h1', '/v1/zones/z/evacuate', { operation: 'begin' });
   expect(begun.status).toBe(200);
   expect((await post('h2', '/v1/zones/z/restore', { operation: 'finish' })).status).toBe(200);
-  await manyEntries(core);
-  for (const node of THREE) expect(await post(node, '/v1/zones/z/evacuate', { operation: 'begin' })).toEqual(begun);
+  await addOrdinaryEntries(core);
+  for (const node of CONTROLLERS)
+    expect(await post(node, '/v1/zones/z/evacuate', { operation: 'begin' })).toEqual(begun);
   expect(core.node('h3').controller?.ledger.controlState().evacuated).toEqual({});
 });
--- a/src/coordination/configuration/recent-standstill.ts
+++ b/src/coordination/configuration/recent-standstill.ts
@@ -1,27 +1,27 @@
-/** Remembers for a while that the process stood still. */
+/** Remembers for a limited time that the process was paused. */
 import { createStandstill } from '../../state/forwarding/standstill.js';
 import { every } from '../../transport/clock.js';
 import type { Clock } from '../../transport/clock.js';
 
-/** Whether this process stood still a moment ago. */
+/** Tells whether this process was paused recently. */
 export interface RecentStandstill {
   isRecent(): boolean;
   stop(): void;
 }
 
-/** So often it looks at the clock; a standstill is noticed by a longer gap. */
-const LOOK_MS = 250;
+/** Interval at which the clock is checked; a longer gap between two checks reveals a process pause. */
+const CHECK_INTERVAL_MS = 250;
 
-/** Watches the clock from now on; a standstill is recent for `recentMs` after its end. */
+/** Starts to watch the clock; a process pause counts as recent for `recentMs` after its end. */
 export function watchStandstills(clock: Clock, recentMs: number): RecentStandstill {
-  const standstill = createStandstill(recentMs);
+  const detector = createStandstill(recentMs);
   function isRecent(): boolean {
-    return standstill.observe(clock.mono()) !== null;
+    return detector.observe(clock.mono()) !== null;
   }
   isRecent();
-  const looking = every(clock, LOOK_MS, isRecent);
+  const ticker = every(clock, CHECK_INTERVAL_MS, isRecent);
   function stop(): void {
-    looking.cancel();
+    ticker.cancel();
   }
   return { isRecent, stop };
 }
--- a/src/protocol/caller-wire.ts
+++ b/src/protocol/caller-wire.ts
@@ -1,7 +1,7 @@
 /**
- * The HTTP interface between callers and a proxy: bodies, failures, paths and headers.
- * Proxies check what comes in by these readers, the client library what comes back. A
- * failure with `notRun` promises that no worker has run the request nor ever will.
+ * The HTTP interface between callers and a proxy: bodies, errors, paths and headers. Proxies validate requests with
+ * these readers, and the client library validates responses. An error with `notRun` guarantees that no worker has run
+ * the request or will run it later.
  */
 
 import { Type } from '@sinclair/typebox';
@@ -10,54 +10,56 @@
 import { ResponseChunkShape, ResponseDigestShape } from '../state/forwarding/response-digest.js';
 import { PrefixBlockShape } from './worker-wire.js';
 
-const tString = Type.String({ minLength: 1, maxLength: 128 });
-const Tokens = Type.Integer({ minimum: 0, maximum: 10_000_000 });
+const ShortString = Type.String({ minLength: 1, maxLength: 128 });
+const TokenCount = Type.Integer({ minimum: 0, maximum: 10_000_000 });
 
-/** Question for a place: which proxy should take a request of this kind and size. */
+/** A placement request: asks which proxy should take a request of this kind and size. */
 export const PlacementRequestShape = Type.Object(
   {
-    model: Type.Optional(tString),
-    mapping: Type.Optional(tString),
-    kind: Type.Optional(tString),
-    homes: Type.Optional(Type.Array(tString, { minItems: 1, maxItems: 64 })),
-    inputTokens: Tokens,
-    outputTokens: Tokens,
+    model: Type.Optional(ShortString),
+    mapping: Type.Optional(ShortString),
+    kind: Type.Optional(ShortString),
+    homes: Type.Optional(Type.Array(ShortString, { minItems: 1, maxItems: 64 })),
+    inputTokens: TokenCount,
+    outputTokens: TokenCount,
     parts: Type.Array(Type.String({ minLength: 1, maxLength: 128 }), { maxItems: 1_024 }),
     repeatable: Type.Boolean(),
-    zone: Type.Optional(tString),
-    without: Type.Optional(Type.Array(tString, { maxItems: 16 })),
+    zone: Type.Optional(ShortString),
+    without: Type.Optional(Type.Array(ShortString, { maxItems: 16 })),
   },
   { additionalProperties: false },
 );
-/** A checked question for a place. */
+/** A validated placement request. */
 export type PlacementRequest = Static<typeof PlacementRequestShape>;
 
-/** Answer to it: the proxy to go to, and a ticket that only that proxy process takes. */
+/**
+ * The response to a placement request: the proxy to use, and an admission ticket that only that proxy process accepts.
+ */
 export const PlacementShape = Type.Object({
-  proxy: tString,
-  address: tString,
+  proxy: ShortString,
+  address: ShortString,
   ticket: Type.String(),
-  requestId: tString,
+  requestId: ShortString,
   expiresInMs: Type.Number(),
 });
-/** A checked place. */
+/** A validated placement. */
 export type Placement = Static<typeof PlacementShape>;
 
-/** The request itself; `key` makes it run at most once. */
-export const SubmitShape = Type.Object(
+/** The submitted request itself; `key` makes it run at most once. */
+export const SubmittedRequestShape = Type.Object(
   {
-    requestId: tString,
+    requestId: ShortString,
     parts: Type.Array(PrefixBlockShape, { maxItems: 1_024 }),
-    outputTokens: Tokens,
+    outputTokens: TokenCount,
     stream: Type.Boolean(),
-    key: Type.Optional(tString),
+    key: Type.Optional(ShortString),
   },
   { additionalProperties: false },
 );
-/** A checked request. */
-export type Submit = Static<typeof SubmitShape>;
+/** A validated request. */
+export type Submit = Static<typeof SubmittedRequestShape>;
 
-/** Why a request was refused before any worker ran it. */
+/** Why a request was rejected before any worker ran it. */
 export const RejectReasonShape = Type.Union([
   Type.Literal('notReady'),
   Type.Literal('noWorker'),
@@ -72,10 +74,10 @@
   Type.Literal('workersShed'),
   Type.Literal('stopping'),
 ]);
-/** One such reason. */
+/** A reason for rejecting a request before it ran. */
 export type RejectReason = Static<typeof RejectReasonShape>;
 
-/** Every way in which a request can fail, as callers are told. */
+/** Every error of a request that is sent to callers. */
 export const FailureShape = Type.Union([
   Type.Object({ tag: Type.Literal('shed'), notRun: Type.Literal(true), reason: RejectReasonShape }),
   Type.Object({ tag: Type.Literal('unknownModel') }),
@@ -88,36 +90,36 @@
   Type.Object({ tag: Type.Literal('badSeal') }),
   Type.Object({ tag: Type.Literal('cut'), pieces: Type.Integer(), retryAfterS: Type.Integer() }),
 ]);
-/** A failure as told to callers. */
+/** A validated error as sent to callers. */
 export type Failure = Static<typeof FailureShape>;
 
-/** A whole answer: its pieces and the worker's seal over them. */
-export const AnswerShape = Type.Object({ pieces: Type.Array(ResponseChunkShape), seal: ResponseDigestShape });
-/** One line of a streamed answer: a piece, the seal that ends it, or the failure that does. */
-export const AnswerLineShape = Type.Union([
+/** A complete response: its chunks (`pieces`) and the worker's digest over them (`seal`). */
+export const ResponseShape = Type.Object({ pieces: Type.Array(ResponseChunkShape), seal: ResponseDigestShape });
+/** One line of a streamed response: a chunk, or the digest or error that ends the response. */
+export const ResponseLineShape = Type.Union([
   Type.Object({ piece: ResponseChunkShape }, { additionalProperties: false }),
   Type.Object({ seal: ResponseDigestShape }, { additionalProperties: false }),
   Type.Object({ error: FailureShape }, { additionalProperties: false }),
 ]);
 
-/** Checks a question for a place. */
+/** Validates a placement request. */
 export const readPlacementRequest = readerOf(PlacementRequestShape);
-/** Checks a place. */
+/** Validates a placement. */
 export const readPlacement = readerOf(PlacementShape);
-/** Checks a request. */
-export const readSubmit = readerOf(SubmitShape);
-/** Checks the body of a failure. */
+/** Validates a submitted request. */
+export const readSubmit = readerOf(SubmittedRequestShape);
+/** Validates the body of an error response. */
 export const readFailure = readerOf(Type.Object({ error: FailureShape }));
-/** Checks a whole answer. */
-export const readAnswer = readerOf(AnswerShape);
-/** Checks one line of a streamed answer. */
-export const readAnswerLine = readerOf(AnswerLineShape);
+/** Validates a complete response. */
+export const readAnswer = readerOf(ResponseShape);
+/** Validates one line of a streamed response. */
+export const readAnswerLine = readerOf(ResponseLineShape);
 
-/** Where places are asked for. */
+/** Path of placement requests. */
 export const PLACE_PATH = '/v1/place';
-/** Where a proxy tells whether it serves. */
+/** Path at which a proxy reports whether it serves. */
 export const EDGE_HEALTH_PATH = '/v1/health';
-/** Where requests go. */
+/** Path to which requests are submitted. */
 export const REQUESTS_PATH = '/v1/requests';
-/** Header that carries the ticket. */
+/** Header that carries the admission ticket. */
 export const ADMISSION_TOKEN_HEADER = 'x-millfield-ticket';
--- a/src/protocol/cloud-wire.ts
+++ b/src/protocol/cloud-wire.ts
@@ -1,22 +1,21 @@
 /**
- * The HTTP interface to the cloud that rents machines: orders, machines, prices. Used by the
- * scaler's client and by the stand-in of the cloud. The key of an order names it: the
- * same key never rents a second machine.
+ * The HTTP interface of the cloud that rents out machines: orders, machines and prices. Used by the scaler's client and
+ * by the cloud's stand-in. The key of an order makes it idempotent: the same key never rents a second machine.
  */
 
 import { Type } from '@sinclair/typebox';
 import type { Static } from '@sinclair/typebox';
 import { readerOf } from './read-shape.js';
 
-const Str = Type.String({ minLength: 1, maxLength: 256 });
+const ShortString = Type.String({ minLength: 1, maxLength: 256 });
 
-/** A rented machine, as the cloud lists it. */
+/** A rented machine as listed by the cloud. */
 export const MachineShape = Type.Object({
-  id: Str,
-  key: Str,
-  zone: Str,
+  id: ShortString,
+  key: ShortString,
+  zone: ShortString,
   kind: Type.Union([Type.Literal('spot'), Type.Literal('onDemand')]),
-  model: Str,
+  model: ShortString,
   state: Type.Union([
     Type.Literal('starting'),
     Type.Literal('running'),
@@ -24,39 +23,39 @@
     Type.Literal('gone'),
   ]),
 });
-/** A checked machine. */
+/** A validated machine. */
 export type Machine = Static<typeof MachineShape>;
 
 /** An order for one machine. */
 export const OrderShape = Type.Object({
-  key: Str,
-  owner: Str,
-  model: Str,
-  zone: Str,
+  key: ShortString,
+  owner: ShortString,
+  model: ShortString,
+  zone: ShortString,
   kind: Type.Union([Type.Literal('spot'), Type.Literal('onDemand')]),
   accelerator: Type.String(),
 });
-/** A checked order. */
+/** A validated order. */
 export type CloudOrder = Static<typeof OrderShape>;
 
-/** Checks an order. */
+/** Validates an order. */
 export const readOrder = readerOf(OrderShape);
-/** Checks the answer to an order. */
+/** Validates the response to an order. */
 export const readMachine = readerOf(Type.Object({ machine: MachineShape }));
-/** Checks the list of an owner's machines. */
+/** Validates the list of an owner's machines. */
 export const readMachines = readerOf(Type.Object({ machines: Type.Array(MachineShape) }));
-/** Checks the refusal of an order for want of machines in the zone. */
+/** Validates the rejection of an order because the zone has no capacity left. */
 export const readNoCapacity = readerOf(Type.Object({ error: Type.Literal('noCapacity') }));
-/** Checks the list of prices by zone. */
+/** Validates the list of prices by zone. */
 export const readPrices = readerOf(
   Type.Object({
     prices: Type.Array(
-      Type.Object({ zone: Str, spot: Type.Number({ minimum: 0 }), onDemand: Type.Number({ minimum: 0 }) }),
+      Type.Object({ zone: ShortString, spot: Type.Number({ minimum: 0 }), onDemand: Type.Number({ minimum: 0 }) }),
     ),
   }),
 );
 
-/** Where machines are ordered, listed and given back. */
+/** Path at which machines are ordered, listed and returned. */
 export const MACHINES_PATH = '/v1/machines';
-/** Where prices are told. */
+/** Path at which prices are read. */
 export const PRICES_PATH = '/v1/prices';
--- a/src/protocol/codecs.ts
+++ b/src/protocol/codecs.ts
@@ -1,37 +1,36 @@
 /**
- * Building blocks for checking operators' documents, on io-ts: bounded numbers, tested texts,
- * and faults that name a path. Used by the readers of configurations, served configurations
- * and aims.
+ * io-ts codecs for validating operators' documents: bounded numbers, constrained texts, and errors that name a path.
+ * Used by the readers of configurations, served configurations and latency targets.
  */
 
 import * as t from 'io-ts';
 
-/** One thing wrong in a document: where (a JSON pointer), what was expected and what was found. */
+/** One error in a document: its path (a JSON pointer), what was expected and what was found. */
 export type ConfigError = { readonly path: string; readonly expected: string; readonly found: string };
 
-function ranged(name: string, low: number, high: number, whole: boolean): t.Type<number> {
+function rangeCodec(name: string, min: number, max: number, isInteger: boolean): t.Type<number> {
   function is(value: unknown): value is number {
-    return typeof value === 'number' && value >= low && value <= high && (!whole || Number.isInteger(value));
+    return typeof value === 'number' && value >= min && value <= max && (!isInteger || Number.isInteger(value));
   }
   function validate(value: unknown, context: t.Context): t.Validation<number> {
     return is(value) ? t.success(value) : t.failure(value, context);
   }
-  return new t.Type<number>(`${name} from ${low} to ${high}`, is, validate, t.identity);
+  return new t.Type<number>(`${name} from ${min} to ${max}`, is, validate, t.identity);
 }
 
-/** A whole number from `low` to `high`, both included. */
-export function whole(low: number, high: number): t.Type<number> {
-  return ranged('a whole number', low, high, true);
+/** Creates a codec of whole numbers from `min` to `max`, both included. */
+export function whole(min: number, max: number): t.Type<number> {
+  return rangeCodec('a whole number', min, max, true);
 }
-/** Any number from `low` to `high`, both included. */
-export function real(low: number, high: number): t.Type<number> {
-  return ranged('a number', low, high, false);
+/** Creates a codec of numbers from `min` to `max`, both included. */
+export function numberBetween(min: number, max: number): t.Type<number> {
+  return rangeCodec('a number', min, max, false);
 }
 
-/** A text that passes a test; `name` tells operators what is expected. */
-export function text(name: string, test: (text: string) => boolean): t.Type<string> {
+/** Creates a codec of texts that satisfy `isValid`; `name` tells operators what is expected. */
+export function text(name: string, isValid: (text: string) => boolean): t.Type<string> {
   function is(value: unknown): value is string {
-    return typeof value === 'string' && test(value);
+    return typeof value === 'string' && isValid(value);
   }
   function validate(value: unknown, context: t.Context): t.Validation<string> {
     return is(value) ? t.success(value) : t.failure(value, context);
@@ -39,37 +38,37 @@
   return new t.Type<string>(name, is, validate, t.identity);
 }
 
-const NAME = /^[a-zA-Z0-9][a-zA-Z0-9._-]{0,62}$/;
-/** Whether a value is a name: up to 63 letters, digits, dots, dashes or underscores, beginning with a letter or digit. */
+const NAME_PATTERN = /^[a-zA-Z0-9][a-zA-Z0-9._-]{0,62}$/;
+/** Returns whether a value is a name: up to 63 letters, digits, `.`, `-` or `_`, starting with a letter or digit. */
 export function isName(value: unknown): value is string {
-  return typeof value === 'string' && NAME.test(value);
+  return typeof value === 'string' && NAME_PATTERN.test(value);
 }
 /** The codec of a name. */
 export const Name = text('a name of letters, digits, dot, dash or underscore', isName);
 /** The codec of a list of names. */
 export const Names = t.readonlyArray(Name, 'a list of names');
 
-/** A value as shown to operators: its JSON, cut to 80 letters. */
-export function shown(value: unknown): string {
-  const said = value === undefined ? 'nothing' : JSON.stringify(value);
-  return said.length > 80 ? `${said.slice(0, 77)}...` : said;
+/** Formats a value for operators: its JSON, truncated to 80 characters. */
+export function describeValue(value: unknown): string {
+  const json = value === undefined ? 'nothing' : JSON.stringify(value);
+  return json.length > 80 ? `${json.slice(0, 77)}...` : json;
 }
 
-/** A fault at a path given by its keys. */
+/** Creates an error at a path given by its keys. */
 export function errorAt(path: readonly string[], expected: string, found: unknown): ConfigError {
-  return { path: `/${path.join('/')}`, expected, found: shown(found) };
+  return { path: `/${path.join('/')}`, expected, found: describeValue(found) };
 }
 
-/** Every fault that a codec finds in a value; none if it fits. */
+/** Returns every error that a codec finds in a value; empty if the value is valid. */
 export function errorsIn(path: readonly string[], codec: t.Mixed, value: unknown): ConfigError[] {
-  const read = codec.decode(value);
-  const out: ConfigError[] = [];
-  if (read._tag === 'Right') return out;
-  for (const validationError of read.left) {
-    const inner: string[] = [];
-    for (const contextEntry of validationError.context.slice(1)) inner.push(contextEntry.key);
+  const decoded = codec.decode(value);
+  const errors: ConfigError[] = [];
+  if (decoded._tag === 'Right') return errors;
+  for (const validationError of decoded.left) {
+    const keys: string[] = [];
+    for (const contextEntry of validationError.context.slice(1)) keys.push(contextEntry.key);
     const last = validationError.context[validationError.context.length - 1];
-    out.push(errorAt([...path, ...inner], last ? last.type.name : codec.name, validationError.value));
+    errors.push(errorAt([...path, ...keys], last ? last.type.name : codec.name, validationError.value));
   }
-  return out;
+  return errors;
 }
--- a/src/protocol/configuration.test.ts
+++ b/src/protocol/configuration.test.ts
@@ -3,19 +3,19 @@
 import { parse } from 'yaml';
 import { readConfiguration } from './configuration.js';
 
-function faults(doc: unknown): string[] {
+function errorPaths(doc: unknown): string[] {
   const read = readConfiguration(doc);
-  return read.ok ? [] : read.error.map((f) => f.path);
+  return read.ok ? [] : read.error.map((error) => error.path);
 }
 
 describe('configuration', () => {
-  test.each(['kutfo', 'telar'])('the example %s is sound', (name) => {
-    expect(faults(parse(readFileSync(`examples/${name}.yaml`, 'utf8')))).toEqual([]);
+  test.each(['kutfo', 'telar'])('the example %s is valid', (name) => {
+    expect(errorPaths(parse(readFileSync(`examples/${name}.yaml`, 'utf8')))).toEqual([]);
   });
 
-  test('every fault is told, each with its path', () => {
+  test('every error is reported, each with its path', () => {
     expect(
-      faults({
+      errorPaths({
         zones: { a: { region: 'north' }, 'b c': {} },
         deployment: { nExtra: -1, colour: 'blue', minTarget: 5, maxTarget: 2, homes: { card: [] } },
         regions: {
@@ -46,7 +46,7 @@
   });
 
   test.each([null, 7, 'text', [], { zones: [] }, { zones: {}, regions: 3 }])(
-    'nonsense is a fault, not a crash: %j',
+    'a malformed document is an error, not a crash: %j',
     (doc) => {
       const read = readConfiguration(doc);
       expect(read.ok).toBe(
--- a/src/protocol/configuration.ts
+++ b/src/protocol/configuration.ts
@@ -1,7 +1,7 @@
 /**
- * Reads an operator's configuration: zones, settings by deployment, region and model, mappings,
- * and what is served. Called where operators submit one; a configuration that passes here is
- * complete and consistent in itself, so that what folds it needs no further checks.
+ * Validates an operator's configuration: zones; settings of the deployment, of regions and of models; routes
+ * (`mappings`); and the served configuration. Called when an operator submits one. A configuration that passes is
+ * complete and consistent in itself, so the code that applies it to the replicated state needs no further checks.
  */
 
 import * as t from 'io-ts';
@@ -9,7 +9,7 @@
 import { err, ok } from '../base/result.js';
 import type { Result } from '../base/result.js';
 import type { Configuration, Settings } from '../state/configuration/settings-tree.js';
-import { errorAt, errorsIn, isName, Name, Names, real, whole } from './codecs.js';
+import { errorAt, errorsIn, isName, Name, Names, numberBetween, whole } from './codecs.js';
 import type { ConfigError } from './codecs.js';
 import { readServing } from './serving.js';
 
@@ -17,7 +17,7 @@
   zones: Names,
   homes: t.record(t.string, Names, 'a table of lists of regions'),
   nExtra: whole(0, 1_000),
-  qTar: real(0.001, 1_000_000),
+  qTar: numberBetween(0.001, 1_000_000),
   windowS: whole(5, 3_600),
   holdS: whole(0, 86_400),
   minTarget: whole(0, 10_000),
@@ -29,29 +29,29 @@
   requestDeadlineMs: whole(100, 3_600_000),
   pieceWaitMs: whole(100, 3_600_000),
   rampS: whole(0, 3_600),
-  retryShare: real(0, 1),
+  retryShare: numberBetween(0, 1),
   maxBodyBytes: whole(1_024, 64 * 1_048_576),
   scaled: t.boolean,
   launchTimeoutS: whole(1, 86_400),
   drainS: whole(0, 3_600),
 } as const satisfies Record<keyof Settings, t.Mixed>;
 
-const BranchShape = { settings: true, models: true };
-const TopShape = { zones: true, deployment: true, regions: true, mappings: true, serving: true };
+const REGION_KEYS = { settings: true, models: true };
+const TOP_LEVEL_KEYS = { zones: true, deployment: true, regions: true, mappings: true, serving: true };
 
-/** The configuration of a parsed document, or every fault in it. */
+/** Returns the configuration in a parsed document, or every error in it. */
 export function readConfiguration(doc: unknown): Result<Configuration, readonly ConfigError[]> {
-  const faults: ConfigError[] = [];
+  const errors: ConfigError[] = [];
   function addError(path: readonly string[], expected: string, found: unknown): void {
-    faults.push(errorAt(path, expected, found));
+    errors.push(errorAt(path, expected, found));
   }
   function check(path: readonly string[], codec: t.Mixed, value: unknown): void {
-    faults.push(...errorsIn(path, codec, value));
+    errors.push(...errorsIn(path, codec, value));
   }
-  function table(
+  function readTable(
     path: readonly string[],
     value: unknown,
-    known: Readonly<Record<string, unknown>> | null,
+    knownKeys: Readonly<Record<string, unknown>> | null,
   ): Record<string, unknown> {
     if (value === undefined) return {};
     if (!isTable(value)) {
@@ -59,70 +59,72 @@
       return {};
     }
     for (const key of Object.keys(value)) {
-      if (known && !Object.hasOwn(known, key)) addError([...path, key], `one of ${Object.keys(known).join(', ')}`, key);
-      if (!known && !isName(key)) addError([...path, key], Name.name, key);
+      if (knownKeys && !Object.hasOwn(knownKeys, key))
+        addError([...path, key], `one of ${Object.keys(knownKeys).join(', ')}`, key);
+      if (!knownKeys && !isName(key)) addError([...path, key], Name.name, key);
     }
     return value;
   }
-  function settings(path: readonly string[], value: unknown): void {
-    const at = table(path, value, SETTING_CODECS);
+  function checkSettings(path: readonly string[], value: unknown): void {
+    const values = readTable(path, value, SETTING_CODECS);
     for (const [key, codec] of Object.entries(SETTING_CODECS)) {
-      if (Object.hasOwn(at, key)) check([...path, key], codec, at[key]);
+      if (Object.hasOwn(values, key)) check([...path, key], codec, values[key]);
     }
-    if (Array.isArray(at['zones']))
-      for (const zone of at['zones'])
+    if (Array.isArray(values['zones']))
+      for (const zone of values['zones'])
         if (!zoneNames.has(String(zone))) addError([...path, 'zones'], 'zones named under /zones', zone);
-    const homes = isTable(at['homes']) ? at['homes'] : {};
-    for (const [kind, list] of Object.entries(homes)) {
-      if (!Array.isArray(list)) continue;
-      if (list.length === 0) addError([...path, 'homes', kind], 'at least one region', list);
-      for (const region of list)
+    const homes = isTable(values['homes']) ? values['homes'] : {};
+    for (const [kind, homeRegions] of Object.entries(homes)) {
+      if (!Array.isArray(homeRegions)) continue;
+      if (homeRegions.length === 0) addError([...path, 'homes', kind], 'at least one region', homeRegions);
+      for (const region of homeRegions)
         if (!regionNames.has(String(region))) addError([...path, 'homes', kind], 'regions that hold a zone', region);
     }
-    const low = at['minTarget'];
-    const high = at['maxTarget'];
-    if (typeof low === 'number' && typeof high === 'number' && low > high)
-      addError([...path, 'minTarget'], `at most maxTarget (${high})`, low);
+    const minTarget = values['minTarget'];
+    const maxTarget = values['maxTarget'];
+    if (typeof minTarget === 'number' && typeof maxTarget === 'number' && minTarget > maxTarget)
+      addError([...path, 'minTarget'], `at most maxTarget (${maxTarget})`, minTarget);
   }
 
-  const top = table([], doc, TopShape);
-  if (!isTable(doc)) return err(faults);
-  const zones = table(['zones'], top['zones'], null);
+  const top = readTable([], doc, TOP_LEVEL_KEYS);
+  if (!isTable(doc)) return err(errors);
+  const zones = readTable(['zones'], top['zones'], null);
   const zoneNames = new Set(Object.keys(zones));
   const regionNames = new Set<string>();
   for (const [name, value] of Object.entries(zones)) {
-    const zone = table(['zones', name], value, { region: true });
+    const zone = readTable(['zones', name], value, { region: true });
     if (isName(zone['region'])) regionNames.add(zone['region']);
     else addError(['zones', name, 'region'], Name.name, zone['region']);
   }
-  settings(['deployment'], top['deployment']);
-  const regions = table(['regions'], top['regions'], null);
-  const modelHome = new Map<string, string>();
+  checkSettings(['deployment'], top['deployment']);
+  const regions = readTable(['regions'], top['regions'], null);
+  const regionOfModel = new Map<string, string>();
   for (const [region, value] of Object.entries(regions)) {
     if (!regionNames.has(region)) addError(['regions', region], 'a region that holds a zone', region);
-    const branch = table(['regions', region], value, BranchShape);
-    settings(['regions', region, 'settings'], branch['settings']);
-    const models = table(['regions', region, 'models'], branch['models'], null);
-    for (const [model, own] of Object.entries(models)) {
-      settings(['regions', region, 'models', model], own);
-      const other = modelHome.get(model);
-      if (other) addError(['regions', region, 'models', model], `a model that is not also under ${other}`, model);
-      modelHome.set(model, region);
+    const regionTable = readTable(['regions', region], value, REGION_KEYS);
+    checkSettings(['regions', region, 'settings'], regionTable['settings']);
+    const models = readTable(['regions', region, 'models'], regionTable['models'], null);
+    for (const [model, modelSettings] of Object.entries(models)) {
+      checkSettings(['regions', region, 'models', model], modelSettings);
+      const otherRegion = regionOfModel.get(model);
+      if (otherRegion)
+        addError(['regions', region, 'models', model], `a model that is not also under ${otherRegion}`, model);
+      regionOfModel.set(model, region);
     }
   }
-  const mappings = table(['mappings'], top['mappings'], null);
-  for (const [name, value] of Object.entries(mappings)) {
-    const mapping = table(['mappings', name], value, { model: true, kind: true });
-    if (!modelHome.has(String(mapping['model'])))
-      addError(['mappings', name, 'model'], 'a model named under /regions', mapping['model']);
-    if (mapping['kind'] !== undefined && typeof mapping['kind'] !== 'string')
-      addError(['mappings', name, 'kind'], 'a kind of request', mapping['kind']);
+  const routes = readTable(['mappings'], top['mappings'], null);
+  for (const [name, value] of Object.entries(routes)) {
+    const route = readTable(['mappings', name], value, { model: true, kind: true });
+    if (!regionOfModel.has(String(route['model'])))
+      addError(['mappings', name, 'model'], 'a model named under /regions', route['model']);
+    if (route['kind'] !== undefined && typeof route['kind'] !== 'string')
+      addError(['mappings', name, 'kind'], 'a kind of request', route['kind']);
   }
   if (top['serving'] !== undefined) {
     const serving = readServing(top['serving'], ['serving']);
-    if (!serving.ok) faults.push(...serving.error);
+    if (!serving.ok) errors.push(...serving.error);
   }
-  if (faults.length > 0) return err(faults);
+  if (errors.length > 0) return err(errors);
   return ok({
     ...(doc as Configuration),
     zones: zones as Configuration['zones'],
--- a/src/protocol/header-names.ts
+++ b/src/protocol/header-names.ts
@@ -1,9 +1,9 @@
 /**
- * Names of the headers that the opaque proxy reads from callers and workers and writes to them.
- * Every deployment may have its own; the adapter of a platform gives those of the platform.
+ * Names of the headers that the opaque proxy exchanges with callers and workers. Each deployment may use its own names;
+ * a platform's adapter supplies those of the platform.
  */
 
-/** The header that carries each piece of information, in lower case. */
+/** The header name, in lower case, that carries each value. */
 export type HeaderNames = {
   readonly attemptId: string;
   readonly deadline: string;
@@ -17,7 +17,7 @@
   readonly coldMs: string;
 };
 
-/** The product's own names. */
+/** The default header names, used where no platform supplies its own. */
 export const OPEN_WORDS: HeaderNames = {
   attemptId: 'millfield-attempt',
   deadline: 'millfield-deadline-ms',
--- a/src/protocol/messages.test.ts
+++ b/src/protocol/messages.test.ts
@@ -8,7 +8,7 @@
   [{ t: 'call', id: 7, m: { kind: 'memberStatusAsk' } }],
   [{ t: 'answer', id: 7, m: memberStatus }],
   [{ t: 'tell', m: { ...memberStatus, more: 1 } }],
-])('a frame of a known shape is read: %j', (frame) => {
+])('a frame of a known shape is accepted: %j', (frame) => {
   expect(readFrame(frame)).toBe(frame);
 });
 
@@ -27,6 +27,6 @@
   [{ t: 'answer', id: 1.5, m: { kind: 'memberStatusAsk' } }],
   [{ t: 'answer', id: 7, m: { ...memberStatus, learned: 'x' } }],
   [{ t: 'answer', id: 7, m: { ...memberStatus, voter: undefined } }],
-])('any other is none: %j', (frame) => {
+])('any other value is rejected with null: %j', (frame) => {
   expect(readFrame(frame)).toBe(null);
 });
--- a/src/protocol/messages.ts
+++ b/src/protocol/messages.ts
@@ -1,6 +1,6 @@
 /**
- * Messages between nodes and the frames that carry them. Field names are the wire's: an older node must still read
- * them.
+ * Messages between nodes and the frames that carry them. Field names are part of the wire format: nodes of an older
+ * version must still be able to read them.
  */
 import { Type } from '@sinclair/typebox';
 import type { Static, TSchema } from '@sinclair/typebox';
@@ -19,42 +19,52 @@
 import { CHUNK_LENGTH, SnapshotOfferShape } from '../state/consensus/snapshot-chunks.js';
 import { WorkerEntryShape } from '../state/discovery/worker-entry.js';
 
-const Str = Type.String({ minLength: 1, maxLength: 256 });
+const ShortString = Type.String({ minLength: 1, maxLength: 256 });
 const Num = Type.Number();
 const Slot = Type.Integer({ minimum: -1 });
 const Index = Type.Integer({ minimum: 0 });
 const SlotRangeShape = Type.Object({ from: Slot, to: Slot });
-const ClosedCursorShape = Type.Object({ slot: Slot, id: Str });
+const ClosedCursorShape = Type.Object({ slot: Slot, id: ShortString });
 const BallotShape = Type.Object({ round: Type.Integer({ minimum: 0 }), by: Type.String() });
 const AcceptedShape = Type.Object({ ballot: BallotShape, batch: BatchShape });
 
-/** A slot of the ledger and its batch. */
+/** A slot of the replicated log and its batch of entries. */
 export const SlotBatchShape = Type.Object({ slot: Slot, batch: BatchShape });
-/** A checked slot. */
+/** A validated slot and its batch. */
 export type SlotBatch = Static<typeof SlotBatchShape>;
 
-const UpdateShape = Type.Array(Type.Union([NodeShape, NodeUpdateShape]));
+const NodeUpdatesShape = Type.Array(Type.Union([NodeShape, NodeUpdateShape]));
 
-/** All messages, told apart by `kind`. */
+/** All messages, discriminated by `kind`. */
 export const MessageShape = Type.Union([
-  Type.Object({ kind: Type.Literal('prepare'), ledger: Str, slot: Slot, ballot: BallotShape }),
-  Type.Object({ kind: Type.Literal('accept'), ledger: Str, slot: Slot, ballot: BallotShape, batch: BatchShape }),
-  Type.Object({ kind: Type.Literal('promised'), voter: Str, accepted: Type.Union([AcceptedShape, Type.Null()]) }),
-  Type.Object({ kind: Type.Literal('accepted'), voter: Str }),
-  Type.Object({ kind: Type.Literal('outbid'), voter: Str, by: BallotShape }),
-  Type.Object({ kind: Type.Literal('alreadyChosen'), voter: Str }),
+  Type.Object({ kind: Type.Literal('prepare'), ledger: ShortString, slot: Slot, ballot: BallotShape }),
+  Type.Object({
+    kind: Type.Literal('accept'),
+    ledger: ShortString,
+    slot: Slot,
+    ballot: BallotShape,
+    batch: BatchShape,
+  }),
+  Type.Object({
+    kind: Type.Literal('promised'),
+    voter: ShortString,
+    accepted: Type.Union([AcceptedShape, Type.Null()]),
+  }),
+  Type.Object({ kind: Type.Literal('accepted'), voter: ShortString }),
+  Type.Object({ kind: Type.Literal('outbid'), voter: ShortString, by: BallotShape }),
+  Type.Object({ kind: Type.Literal('alreadyChosen'), voter: ShortString }),
   Type.Object({ kind: Type.Literal('cannotVote') }),
-  Type.Object({ kind: Type.Literal('learned'), ledger: Str, slot: Slot, batch: Str, at: Str }),
+  Type.Object({ kind: Type.Literal('learned'), ledger: ShortString, slot: Slot, batch: ShortString, at: ShortString }),
   Type.Object({ kind: Type.Literal('memberStatusAsk') }),
   Type.Object({
     kind: Type.Literal('memberStatus'),
     ledger: Type.String(),
-    voter: Str,
-    address: Str,
+    voter: ShortString,
+    address: ShortString,
     learned: Slot,
     top: Slot,
     wall: Type.Optional(Num),
-    unheard: Type.Optional(Type.Array(Str)),
+    unheard: Type.Optional(Type.Array(ShortString)),
     cannotWrite: Type.Optional(Type.Boolean()),
     leaving: Type.Optional(Type.Boolean()),
   }),
@@ -64,17 +74,17 @@
     snapshot: Type.Optional(SnapshotOfferShape),
     batches: Type.Array(SlotBatchShape),
   }),
-  Type.Object({ kind: Type.Literal('snapshotAsk'), digest: Str, part: Index }),
+  Type.Object({ kind: Type.Literal('snapshotAsk'), digest: ShortString, part: Index }),
   Type.Object({
     kind: Type.Literal('snapshotPart'),
-    digest: Str,
+    digest: ShortString,
     part: Index,
     text: Type.String({ maxLength: CHUNK_LENGTH }),
   }),
-  Type.Object({ kind: Type.Literal('snapshotGone'), digest: Str }),
+  Type.Object({ kind: Type.Literal('snapshotGone'), digest: ShortString }),
   Type.Object({
     kind: Type.Literal('closedAsk'),
-    ledger: Str,
+    ledger: ShortString,
     slots: SlotRangeShape,
     after: Type.Union([ClosedCursorShape, Type.Null()]),
   }),
@@ -84,62 +94,73 @@
     next: Type.Union([ClosedCursorShape, Type.Null()]),
     lacking: Type.Boolean(),
   }),
-  Type.Object({ kind: Type.Literal('bootstrap'), ledger: Str, slotZero: BatchShape, commit: Type.Boolean() }),
+  Type.Object({ kind: Type.Literal('bootstrap'), ledger: ShortString, slotZero: BatchShape, commit: Type.Boolean() }),
   Type.Object({ kind: Type.Literal('bootstrapAnswer'), agreed: Type.Boolean(), member: MemberShape }),
-  Type.Object({ kind: Type.Literal('bootstrapVoteAsk'), bootstrapMembers: Str }),
+  Type.Object({ kind: Type.Literal('bootstrapVoteAsk'), bootstrapMembers: ShortString }),
   Type.Object({
     kind: Type.Literal('bootstrapVoteAnswer'),
     member: MemberShape,
     ledger: Type.String(),
     votes: Type.Boolean(),
   }),
-  Type.Object({ kind: Type.Literal('rejoin'), ledger: Str, member: MemberShape }),
+  Type.Object({ kind: Type.Literal('rejoin'), ledger: ShortString, member: MemberShape }),
   Type.Object({ kind: Type.Literal('done'), agreed: Type.Boolean() }),
   Type.Object({
     kind: Type.Literal('leaseAsk'),
-    ledger: Str,
-    duty: Str,
-    holder: Str,
+    ledger: ShortString,
+    duty: ShortString,
+    holder: ShortString,
     termMs: Num,
     round: Type.Integer(),
   }),
-  Type.Object({ kind: Type.Literal('leaseDrop'), ledger: Str, duty: Str, holder: Str, round: Type.Integer() }),
-  Type.Object({ kind: Type.Literal('leaseAnswer'), voter: Str, granted: Type.Boolean() }),
-  Type.Object({ kind: Type.Literal('claim'), ledger: Str, members: Str, claims: Type.Array(ClaimShape) }),
-  Type.Object({ kind: Type.Literal('claimAnswer'), voter: Str, answers: Type.Array(ClaimAnswerShape) }),
-  Type.Object({ kind: Type.Literal('claimEnds'), ledger: Str, ends: Type.Array(ClaimEndShape) }),
-  Type.Object({ kind: Type.Literal('claimsAsk'), ledger: Str, asker: Str, from: Num }),
+  Type.Object({
+    kind: Type.Literal('leaseDrop'),
+    ledger: ShortString,
+    duty: ShortString,
+    holder: ShortString,
+    round: Type.Integer(),
+  }),
+  Type.Object({ kind: Type.Literal('leaseAnswer'), voter: ShortString, granted: Type.Boolean() }),
+  Type.Object({
+    kind: Type.Literal('claim'),
+    ledger: ShortString,
+    members: ShortString,
+    claims: Type.Array(ClaimShape),
+  }),
+  Type.Object({ kind: Type.Literal('claimAnswer'), voter: ShortString, answers: Type.Array(ClaimAnswerShape) }),
+  Type.Object({ kind: Type.Literal('claimEnds'), ledger: ShortString, ends: Type.Array(ClaimEndShape) }),
+  Type.Object({ kind: Type.Literal('claimsAsk'), ledger: ShortString, asker: ShortString, from: Num }),
   Type.Object({
     kind: Type.Literal('claimsPage'),
-    voter: Str,
+    voter: ShortString,
     forgotten: Type.Array(Type.Tuple([Num, Num])),
     records: Type.String(),
     next: Num,
   }),
   Type.Object({ kind: Type.Literal('claimsWholeAsk') }),
-  Type.Object({ kind: Type.Literal('claimsWhole'), voter: Str, whole: Type.Boolean() }),
+  Type.Object({ kind: Type.Literal('claimsWhole'), voter: ShortString, whole: Type.Boolean() }),
   Type.Object({
     kind: Type.Literal('follow'),
-    name: Str,
-    zone: Str,
-    region: Str,
+    name: ShortString,
+    zone: ShortString,
+    region: ShortString,
     ledger: Type.String(),
     from: Slot,
     nonce: Type.Integer(),
   }),
   Type.Object({
     kind: Type.Literal('changes'),
-    ledger: Str,
+    ledger: ShortString,
     snapshot: Type.Optional(SnapshotOfferShape),
     batches: Type.Array(SlotBatchShape),
   }),
-  Type.Object({ kind: Type.Literal('attend'), name: Str, nonce: Type.Integer() }),
-  Type.Object({ kind: Type.Literal('unfollow'), name: Str }),
-  Type.Object({ kind: Type.Literal('followed'), name: Str, slot: Slot }),
+  Type.Object({ kind: Type.Literal('attend'), name: ShortString, nonce: Type.Integer() }),
+  Type.Object({ kind: Type.Literal('unfollow'), name: ShortString }),
+  Type.Object({ kind: Type.Literal('followed'), name: ShortString, slot: Slot }),
   Type.Object({ kind: Type.Literal('confirmed'), slots: Type.Record(Type.String(), Slot) }),
   Type.Object({
     kind: Type.Literal('beat'),
-    from: Str,
+    from: ShortString,
     ledger: Type.String(),
     slot: Slot,
     top: Slot,
@@ -147,13 +168,13 @@
     wall: Num,
     echo: Type.Integer(),
   }),
-  Type.Object({ kind: Type.Literal('outlived'), reporter: Str, incarnation: Type.Integer() }),
-  Type.Object({ kind: Type.Literal('reports'), by: Type.Optional(Str), reports: Type.Array(ReportShape) }),
-  Type.Object({ kind: Type.Literal('reportsAsk'), by: Str, reporters: Type.Array(Str) }),
+  Type.Object({ kind: Type.Literal('outlived'), reporter: ShortString, incarnation: Type.Integer() }),
+  Type.Object({ kind: Type.Literal('reports'), by: Type.Optional(ShortString), reports: Type.Array(ReportShape) }),
+  Type.Object({ kind: Type.Literal('reportsAsk'), by: ShortString, reporters: Type.Array(ShortString) }),
   Type.Object({
     kind: Type.Literal('counts'),
-    by: Type.Optional(Str),
-    reporter: Str,
+    by: Type.Optional(ShortString),
+    reporter: ShortString,
     incarnation: Type.Integer(),
     totals: Type.Record(Type.String(), CountsShape),
   }),
@@ -171,7 +192,7 @@
     base: WorkerListVersionShape,
     ageMs: Num,
     told: Type.Array(WorkerEntryShape),
-    gone: Type.Array(Str),
+    gone: Type.Array(ShortString),
   }),
   Type.Object({
     kind: Type.Literal('listBeat'),
@@ -193,53 +214,53 @@
     kind: Type.Literal('probe'),
     from: NodeUpdateShape,
     all: Type.Optional(Type.Boolean()),
-    news: UpdateShape,
+    news: NodeUpdatesShape,
   }),
-  Type.Object({ kind: Type.Literal('probeFor'), target: Str, news: UpdateShape }),
+  Type.Object({ kind: Type.Literal('probeFor'), target: ShortString, news: NodeUpdatesShape }),
   Type.Object({
     kind: Type.Literal('probeAnswer'),
     reached: Type.Boolean(),
     stranger: Type.Optional(Type.Boolean()),
     sum: Type.Optional(Type.Integer()),
     from: Type.Optional(NodeUpdateShape),
-    news: UpdateShape,
+    news: NodeUpdatesShape,
   }),
 ]);
-/** A checked message. */
+/** A validated message. */
 export type Message = Static<typeof MessageShape>;
 /** The kinds of messages. */
 export type MessageKind = Message['kind'];
 /** The message of one kind. */
 export type MessageOf<K extends MessageKind> = Extract<Message, { kind: K }>;
 
-/** A frame: a message without answer (`tell`), a call, or an answer. */
+/** A frame: a one-way message (`tell`), a call (`call`), or the response to a call (`answer`). */
 export const FrameShape = Type.Union([
   Type.Object({ t: Type.Literal('tell'), m: MessageShape }),
   Type.Object({ t: Type.Literal('call'), id: Type.Integer(), m: MessageShape }),
   Type.Object({ t: Type.Literal('answer'), id: Type.Integer(), m: MessageShape }),
 ]);
-/** A checked frame. */
+/** A validated frame. */
 export type Frame = Static<typeof FrameShape>;
 
-const shapes = new Map<unknown, TSchema>();
-for (const shape of MessageShape.anyOf) shapes.set(shape.properties.kind.const, shape);
-const checkers = new Map<unknown, TypeCheck<TSchema>>();
+const shapesByKind = new Map<unknown, TSchema>();
+for (const shape of MessageShape.anyOf) shapesByKind.set(shape.properties.kind.const, shape);
+const checkersByKind = new Map<unknown, TypeCheck<TSchema>>();
 
 function isMessage(value: unknown): boolean {
   if (!isTable(value)) return false;
   const { kind } = value;
-  let checker = checkers.get(kind);
+  let checker = checkersByKind.get(kind);
   if (!checker) {
-    const shape = shapes.get(kind);
+    const shape = shapesByKind.get(kind);
     if (!shape) return false;
     checker = TypeCompiler.Compile(shape);
-    checkers.set(kind, checker);
+    checkersByKind.set(kind, checker);
   }
   return checker.Check(value);
 }
 
-// Each kind's check is made when the first of its kind comes: making them all takes a third of a start.
-/** The frame in a parsed value, or null if it has no known shape. */
+// The check of each kind is compiled when its first message arrives: compiling all takes a third of the startup time.
+/** Returns the frame in a parsed value, or null if it matches no known frame or message. */
 export function readFrame(body: unknown): Frame | null {
   if (!isTable(body) || !isMessage(body['m'])) return null;
   const { t, id } = body;
--- a/src/protocol/platform-wire.ts
+++ b/src/protocol/platform-wire.ts
@@ -1,10 +1,10 @@
-/** The HTTP interface to a platform that lists workers. Used by proxies and controllers, which poll it. */
+/** The HTTP interface of a platform that lists workers, polled by proxies and controllers. */
 
 import { Type } from '@sinclair/typebox';
 import { ListedShape } from '../state/discovery/listed.js';
 import { readerOf } from './read-shape.js';
 
-/** Checks the list of workers. */
+/** Validates the list of workers. */
 export const readWorkerList = readerOf(Type.Object({ workers: Type.Array(ListedShape) }));
-/** Where the list is read. */
+/** Path at which the list of workers is read. */
 export const WORKERS_PATH = '/v1/workers';
--- a/src/protocol/serving.ts
+++ b/src/protocol/serving.ts
@@ -1,8 +1,8 @@
 /**
- * Reads the served configuration of opaque requests: routes by host and path prefix, models,
- * and limits on callers. Called for operators' submissions and for the part "serving" of a
- * configuration. What passes is consistent: no two routes have the same host and prefix, each
- * share names a model, and the shares of a route add up to more than 0.
+ * Validates the served configuration of opaque requests: routes by host and path prefix, models, and limits on callers.
+ * Called for operators' submissions and for the `serving` section of a configuration. A document that passes is
+ * consistent: no two routes have the same host and prefix, each share names a model, and the shares of a route add up
+ * to more than 0.
  */
 
 import * as t from 'io-ts';
@@ -17,17 +17,17 @@
   Serving,
   Share,
 } from '../state/configuration/serving.js';
-import { errorAt, errorsIn, real, text, whole } from './codecs.js';
+import { errorAt, errorsIn, numberBetween, text, whole } from './codecs.js';
 import type { ConfigError } from './codecs.js';
 
-const MOST = Number.MAX_SAFE_INTEGER;
-const MOST_NAME = 256;
+const MAX_NUMBER = Number.MAX_SAFE_INTEGER;
+const MAX_NAME_LENGTH = 256;
 
-function isFilled(text: string): boolean {
-  return text !== '' && text.length <= MOST_NAME && text !== '__proto__';
+function isNonEmptyText(text: string): boolean {
+  return text !== '' && text.length <= MAX_NAME_LENGTH && text !== '__proto__';
 }
 function isHost(text: string): boolean {
-  return isFilled(text) && !/[\s/]/.test(text);
+  return isNonEmptyText(text) && !/[\s/]/.test(text);
 }
 function isPrefix(text: string): boolean {
   return text.startsWith('/') && text.endsWith('/');
@@ -35,23 +35,23 @@
 function isPath(text: string): boolean {
   return text.startsWith('/');
 }
-function above(value: unknown): value is number {
-  return typeof value === 'number' && value > 0 && value <= MOST;
+function isPositive(value: unknown): value is number {
+  return typeof value === 'number' && value > 0 && value <= MAX_NUMBER;
 }
-function validateAbove(value: unknown, context: t.Context): t.Validation<number> {
-  return above(value) ? t.success(value) : t.failure(value, context);
+function validatePositive(value: unknown, context: t.Context): t.Validation<number> {
+  return isPositive(value) ? t.success(value) : t.failure(value, context);
 }
 
-const Filled = text(`a text of up to ${MOST_NAME} letters`, isFilled);
-const Above = new t.Type<number>('a number above 0', above, validateAbove, t.identity);
-const Amount = real(0, MOST);
-const Count = whole(0, MOST);
-const Flag = new t.Type<boolean>('true or false', t.boolean.is, t.boolean.validate, t.identity);
-const Table = new t.Type<Record<string, unknown>>('a table', isTable, validateTable, t.identity);
+const NonEmptyText = text(`a text of up to ${MAX_NAME_LENGTH} letters`, isNonEmptyText);
+const PositiveNumber = new t.Type<number>('a number above 0', isPositive, validatePositive, t.identity);
+const NonNegativeNumber = numberBetween(0, MAX_NUMBER);
+const NonNegativeInteger = whole(0, MAX_NUMBER);
+const BooleanCodec = new t.Type<boolean>('true or false', t.boolean.is, t.boolean.validate, t.identity);
+const TableCodec = new t.Type<Record<string, unknown>>('a table', isTable, validateTable, t.identity);
 function validateTable(value: unknown, context: t.Context): t.Validation<Record<string, unknown>> {
   return isTable(value) ? t.success(value) : t.failure(value, context);
 }
-function orNull<A>(codec: t.Type<A>): t.Type<A | null> {
+function nullable<A>(codec: t.Type<A>): t.Type<A | null> {
   function is(value: unknown): value is A | null {
     return value === null || codec.is(value);
   }
@@ -61,81 +61,86 @@
   return new t.Type<A | null>(`${codec.name}, or null`, is, validate, t.identity);
 }
 
-type Codecs<T> = { readonly [K in Exclude<keyof T, 'extra'>]-?: t.Mixed };
+type FieldCodecs<T> = { readonly [K in Exclude<keyof T, 'extra'>]-?: t.Mixed };
 
-const SHARE: Codecs<Share> = { model: Filled, share: Amount };
-const MAPPING: Codecs<RouteSettings> = {
-  at: Count,
+const SHARE_CODECS: FieldCodecs<Share> = { model: NonEmptyText, share: NonNegativeNumber };
+const ROUTE_CODECS: FieldCodecs<RouteSettings> = {
+  at: NonNegativeInteger,
   host: text('a host', isHost),
   prefix: text('a path that begins and ends with a slash', isPrefix),
   kind: t.keyof({ repeatable: null, once: null, stream: null }, 'one of repeatable, once, stream'),
-  resumable: Flag,
-  pinned: Flag,
-  rank: orNull(Count),
-  deadlineMs: Above,
-  aimMs: orNull(Above),
-  pauseMs: orNull(Above),
+  resumable: BooleanCodec,
+  pinned: BooleanCodec,
+  rank: nullable(NonNegativeInteger),
+  deadlineMs: PositiveNumber,
+  aimMs: nullable(PositiveNumber),
+  pauseMs: nullable(PositiveNumber),
   attempts: whole(1, 1_000),
-  shares: t.readonlyArray(t.type(SHARE, 'a share'), 'a list of shares'),
-  split: Flag,
-  homes: t.readonlyArray(Filled, 'a list of regions'),
+  shares: t.readonlyArray(t.type(SHARE_CODECS, 'a share'), 'a list of shares'),
+  split: BooleanCodec,
+  homes: t.readonlyArray(NonEmptyText, 'a list of regions'),
 };
-const ENGINE: Codecs<EngineTraits> = { batch: whole(1, MOST), kvTokens: Amount };
-const MODEL: Codecs<ModelTraits> = {
-  at: Count,
+const ENGINE_CODECS: FieldCodecs<EngineTraits> = { batch: whole(1, MAX_NUMBER), kvTokens: NonNegativeNumber };
+const MODEL_CODECS: FieldCodecs<ModelTraits> = {
+  at: NonNegativeInteger,
   probePath: text('a path', isPath),
-  maxConns: whole(1, MOST),
-  coldS: Amount,
-  coldRateS: Amount,
-  engine: orNull(t.type(ENGINE, 'a table of batch and kvTokens')),
+  maxConns: whole(1, MAX_NUMBER),
+  coldS: NonNegativeNumber,
+  coldRateS: NonNegativeNumber,
+  engine: nullable(t.type(ENGINE_CODECS, 'a table of batch and kvTokens')),
 };
-const LIMITS: Codecs<CallerLimits> = { headerBytes: Above, bodyBytes: Amount, headerMs: Above, idleMs: Above };
-const ModelRoute = t.type(MAPPING, 'a mapping');
-const Model = t.type(MODEL, 'a model');
-const Limits = t.type(LIMITS, 'a table of limits');
-const Numbered = whole(1, MOST);
+const LIMITS_CODECS: FieldCodecs<CallerLimits> = {
+  headerBytes: PositiveNumber,
+  bodyBytes: NonNegativeNumber,
+  headerMs: PositiveNumber,
+  idleMs: PositiveNumber,
+};
+const RouteCodec = t.type(ROUTE_CODECS, 'a mapping');
+const ModelCodec = t.type(MODEL_CODECS, 'a model');
+const LimitsCodec = t.type(LIMITS_CODECS, 'a table of limits');
+const ConfigurationNumber = whole(1, MAX_NUMBER);
 
-/** The served configuration in a value, or every fault in it, each below `path`. */
+/** Returns the served configuration in a value, or every error in it, with paths below `path`. */
 export function readServing(document: unknown, path: readonly string[] = []): Result<Serving, readonly ConfigError[]> {
-  const faults: ConfigError[] = [];
+  const errors: ConfigError[] = [];
   function addError(at: readonly string[], expected: string, found: unknown): void {
-    faults.push(errorAt([...path, ...at], expected, found));
+    errors.push(errorAt([...path, ...at], expected, found));
   }
   function check(at: readonly string[], codec: t.Mixed, value: unknown): boolean {
-    const found = errorsIn([...path, ...at], codec, value);
-    faults.push(...found);
-    return found.length === 0;
+    const valueErrors = errorsIn([...path, ...at], codec, value);
+    errors.push(...valueErrors);
+    return valueErrors.length === 0;
   }
-  function items<T>(key: string, value: unknown, codec: t.Mixed): [string, T][] {
-    const out: [string, T][] = [];
-    if (!check([key], Table, value)) return out;
+  function validItems<T>(key: string, value: unknown, codec: t.Mixed): [string, T][] {
+    const valid: [string, T][] = [];
+    if (!check([key], TableCodec, value)) return valid;
     for (const [name, item] of Object.entries(value as Record<string, unknown>)) {
-      if (!isFilled(name)) addError([key, name], Filled.name, name);
-      else if (check([key, name], codec, item)) out.push([name, item as T]);
+      if (!isNonEmptyText(name)) addError([key, name], NonEmptyText.name, name);
+      else if (check([key, name], codec, item)) valid.push([name, item as T]);
     }
-    return out;
+    return valid;
   }
 
-  if (!check([], Table, document)) return err(faults);
+  if (!check([], TableCodec, document)) return err(errors);
   const top = document as Record<string, unknown>;
-  check(['number'], Numbered, top['number']);
-  check(['limits'], Limits, top['limits']);
-  items<ModelTraits>('models', top['models'], Model);
+  check(['number'], ConfigurationNumber, top['number']);
+  check(['limits'], LimitsCodec, top['limits']);
+  validItems<ModelTraits>('models', top['models'], ModelCodec);
   const models = isTable(top['models']) ? top['models'] : {};
-  const taken = new Map<string, string>();
-  for (const [name, mapping] of items<RouteSettings>('mappings', top['mappings'], ModelRoute)) {
-    const place = `${mapping.host.toLowerCase()} ${mapping.prefix}`;
-    const other = taken.get(place);
-    if (other !== undefined)
-      addError(['mappings', name, 'prefix'], `a host and prefix that ${other} does not have`, place);
-    taken.set(place, name);
-    let sum = 0;
-    for (const [i, share] of mapping.shares.entries()) {
-      sum += share.share;
+  const routeAtLocation = new Map<string, string>();
+  for (const [name, route] of validItems<RouteSettings>('mappings', top['mappings'], RouteCodec)) {
+    const location = `${route.host.toLowerCase()} ${route.prefix}`;
+    const otherRoute = routeAtLocation.get(location);
+    if (otherRoute !== undefined)
+      addError(['mappings', name, 'prefix'], `a host and prefix that ${otherRoute} does not have`, location);
+    routeAtLocation.set(location, name);
+    let shareTotal = 0;
+    for (const [i, share] of route.shares.entries()) {
+      shareTotal += share.share;
       if (!Object.hasOwn(models, share.model))
         addError(['mappings', name, 'shares', String(i), 'model'], 'a model named under models', share.model);
     }
-    if (!(sum > 0)) addError(['mappings', name, 'shares'], 'shares that add up to more than 0', mapping.shares);
+    if (!(shareTotal > 0)) addError(['mappings', name, 'shares'], 'shares that add up to more than 0', route.shares);
   }
-  return faults.length > 0 ? err(faults) : ok(document as Serving);
+  return errors.length > 0 ? err(errors) : ok(document as Serving);
 }
--- a/src/protocol/worker-wire.ts
+++ b/src/protocol/worker-wire.ts
@@ -1,7 +1,7 @@
 /**
- * The HTTP interface between proxies and workers: runs, streamed pieces, seals and health.
- * Proxies are the callers, and check every answer by these readers; `notRun` promises that the
- * worker has not begun the request and never will.
+ * The HTTP interface between proxies and workers: attempts (`run`), streamed chunks, digests and health. Proxies are
+ * the clients and validate every response with these readers. `notRun` guarantees that the worker has not started the
+ * request and never will.
  */
 
 import { Type } from '@sinclair/typebox';
@@ -10,57 +10,57 @@
 import { ResponseChunkShape, ResponseDigestShape } from '../state/forwarding/response-digest.js';
 import { readerOf } from './read-shape.js';
 
-const tString = Type.String({ minLength: 1, maxLength: 256 });
+const ShortString = Type.String({ minLength: 1, maxLength: 256 });
 
-/** A part of a prompt: the hash that names it, its length in tokens, its text where it is sent. */
+/** A block of a prompt: the hash that identifies it, its length in tokens, and its text if it is sent along. */
 export const PrefixBlockShape = Type.Object({
   hash: Type.String({ minLength: 1, maxLength: 128 }),
   tokens: Type.Integer({ minimum: 0, maximum: 10_000_000 }),
   text: Type.Optional(Type.String()),
 });
-/** A checked part. */
+/** A validated block of a prompt. */
 export type PrefixBlock = Static<typeof PrefixBlockShape>;
 
 /** One attempt to run a request on a worker. */
 export const RunShape = Type.Object({
-  requestId: tString,
-  attemptId: tString,
-  model: tString,
+  requestId: ShortString,
+  attemptId: ShortString,
+  model: ShortString,
   parts: Type.Array(PrefixBlockShape, { maxItems: 1_024 }),
   outputTokens: Type.Integer({ minimum: 0, maximum: 10_000_000 }),
   stream: Type.Boolean(),
 });
-/** A checked attempt. */
+/** A validated attempt. */
 export type Run = Static<typeof RunShape>;
 
-/** A whole answer with its seal. */
+/** A complete response: its chunks (`pieces`) and the worker's digest over them (`seal`). */
 export const CompleteResponseShape = Type.Object({ pieces: Type.Array(ResponseChunkShape), seal: ResponseDigestShape });
-/** A checked whole answer. */
+/** A validated complete response. */
 export type CompleteResponse = Static<typeof CompleteResponseShape>;
 
-/** One line of a streamed answer: a piece, or the seal that ends it. */
+/** One line of a streamed response: a chunk, or the digest that ends the response. */
 export const StreamLineShape = Type.Union([
   Type.Object({ piece: ResponseChunkShape }, { additionalProperties: false }),
   Type.Object({ seal: ResponseDigestShape }, { additionalProperties: false }),
 ]);
-/** A checked line. */
+/** A validated line of a streamed response. */
 export type StreamLine = Static<typeof StreamLineShape>;
 
-/** A refusal of an attempt that was not begun. */
-export const NotRunShape = Type.Object({ notRun: Type.Literal(true), requestId: tString, attemptId: tString });
+/** The rejection of an attempt that was not started. */
+export const NotRunShape = Type.Object({ notRun: Type.Literal(true), requestId: ShortString, attemptId: ShortString });
 
-/** Checks an attempt. */
+/** Validates an attempt. */
 export const readRun = readerOf(RunShape);
-/** Checks a whole answer. */
+/** Validates a complete response. */
 export const readCompleteResponse = readerOf(CompleteResponseShape);
-/** Checks one line of a stream. */
+/** Validates one line of a streamed response. */
 export const readStreamLine = readerOf(StreamLineShape);
-/** Checks a refusal. */
+/** Validates the rejection of an attempt. */
 export const readNotRun = readerOf(NotRunShape);
-/** Checks a worker's report of its health. */
+/** Validates a worker's health report. */
 export const readHealth = readerOf(HealthShape);
 
-/** Where attempts go. */
+/** Path to which attempts are sent. */
 export const RUN_PATH = '/v1/run';
-/** Where workers tell their health. */
+/** Path at which workers report their health. */
 export const HEALTH_PATH = '/v1/health';
--- a/src/state/configuration/latency-target-report.ts
+++ b/src/state/configuration/latency-target-report.ts
@@ -1,12 +1,12 @@
-/** Reports on service-level targets: whether each was met over its window, and how much of its error budget is left. */
+/** Reports on service-level objectives: whether each was met over its window, and how much error budget remains. */
 import { addCounts, CHANGES_SUBJECT, routeSubject, noCounts, within } from './latency-target-counts.js';
 import type { Counts, CountTable } from './latency-target-counts.js';
 import type { Minute } from './latency-target-table.js';
 
-/** What a target is about. */
+/** What a target measures. */
 export type Measure = 'success' | 'firstPiece' | 'whole' | 'changeInForce' | 'shed';
 
-/** A target: at least `objective` of the events of a subject are good, over `windowMinutes`. */
+/** A target: at least the share `objective` of a subject's events within `windowMinutes` must be good. */
 export type LatencyTarget = {
   readonly name: string;
   readonly measure: Measure;
@@ -17,10 +17,10 @@
   readonly windowMinutes: number;
 };
 
-/** Whether a target was met; `unknown` where minutes are missing. */
+/** Whether a target was met. `unknown`: no event was counted, or it was not missed but minutes are incomplete. */
 export type LatencyTargetState = 'met' | 'missed' | 'unknown';
 
-/** One target's report; `burnRate` is bad events by those that the objective allows. */
+/** The report on one target; `burnRate` is the number of bad events divided by the number that the objective allows. */
 export type LatencyTargetRow = {
   readonly name: string;
   readonly state: LatencyTargetState;
@@ -35,19 +35,19 @@
   readonly unknownOf: readonly string[];
 };
 
-/** The subject that a target counts. */
-export function subjectOf(target: LatencyTarget): string {
+/** Returns the subject whose counts a target is measured on. */
+export function countedSubject(target: LatencyTarget): string {
   if (target.measure === 'changeInForce') return CHANGES_SUBJECT;
   return target.mapping === null ? (target.model ?? '') : routeSubject(target.mapping);
 }
 
-function weighed(target: LatencyTarget, counts: Counts): { readonly good: number; readonly all: number } {
-  const asked = counts.good + counts.shed + counts.failed;
+function goodAndTotal(target: LatencyTarget, counts: Counts): { readonly good: number; readonly all: number } {
+  const requests = counts.good + counts.shed + counts.failed;
   switch (target.measure) {
     case 'success':
-      return { good: counts.good, all: asked };
+      return { good: counts.good, all: requests };
     case 'shed':
-      return { good: asked - counts.shed, all: asked };
+      return { good: requests - counts.shed, all: requests };
     case 'firstPiece':
       return within(counts.first, target.withinMs ?? 0);
     case 'whole':
@@ -56,26 +56,26 @@
   }
 }
 
-/** The report on one target, from the minutes before `nowMinute`. */
+/** Returns the report on one target over its window, which ends before `nowMinute`. */
 export function reportLatencyTarget(
   target: LatencyTarget,
   minutes: readonly Minute[],
   nowMinute: number,
 ): LatencyTargetRow {
-  const subject = subjectOf(target);
-  const from = nowMinute - target.windowMinutes;
-  const sum: CountTable = { [subject]: noCounts() };
+  const subject = countedSubject(target);
+  const firstMinute = nowMinute - target.windowMinutes;
+  const sums: CountTable = { [subject]: noCounts() };
   const unknownOf = new Set<string>();
-  let known = 0;
+  let completeMinutes = 0;
   for (const minute of minutes) {
-    if (minute.minute < from || minute.minute >= nowMinute) continue;
+    if (minute.minute < firstMinute || minute.minute >= nowMinute) continue;
     const counts = minute.counts[subject];
-    if (counts) addCounts(sum, subject, counts);
-    if (minute.unknown.length === 0) known += 1;
+    if (counts) addCounts(sums, subject, counts);
+    if (minute.unknown.length === 0) completeMinutes += 1;
     for (const name of minute.unknown) unknownOf.add(name);
   }
-  const unknownMinutes = target.windowMinutes - known;
-  const { good, all } = weighed(target, sum[subject] as Counts);
+  const unknownMinutes = target.windowMinutes - completeMinutes;
+  const { good, all } = goodAndTotal(target, sums[subject] as Counts);
   const bad = all - good;
   const attained = all === 0 ? null : good / all;
   const allowed = (1 - target.objective) * all;
@@ -91,7 +91,7 @@
     bad,
     budgetLeft: burnRate === null ? null : 1 - burnRate,
     burnRate,
-    knownMinutes: known,
+    knownMinutes: completeMinutes,
     unknownMinutes,
     unknownOf: [...unknownOf].sort(),
   };
--- a/src/state/configuration/route-table.ts
+++ b/src/state/configuration/route-table.ts
@@ -1,14 +1,14 @@
 /**
- * Routes of opaque requests: the route of a host with the longest path prefix that fits. Built
- * anew from each served configuration.
+ * Routing of opaque requests: selects the route with the request's host and the longest matching path prefix. Rebuilt
+ * for each served configuration.
  */
 
 import type { RouteSettings, ModelTraits, Serving } from './serving.js';
 
-/** A route by its name. */
+/** A route and its name. */
 export type MatchedRoute = { readonly name: string; readonly settings: RouteSettings };
 
-/** Finds routes, and the traits of models. */
+/** Looks up routes and the traits of models. */
 export interface RouteTable {
   readonly serving: Serving;
   match(host: string, path: string): MatchedRoute | null;
@@ -16,23 +16,23 @@
 }
 
 class PrefixRouteTable implements RouteTable {
-  private readonly hosts = new Map<string, Map<string, MatchedRoute>>();
+  private readonly routesByHost = new Map<string, Map<string, MatchedRoute>>();
 
   constructor(readonly serving: Serving) {
     for (const [name, settings] of Object.entries(this.serving.mappings)) {
       const host = settings.host.toLowerCase();
-      const routes = this.hosts.get(host) ?? new Map<string, MatchedRoute>();
-      this.hosts.set(host, routes);
+      const routes = this.routesByHost.get(host) ?? new Map<string, MatchedRoute>();
+      this.routesByHost.set(host, routes);
       routes.set(settings.prefix, { name, settings });
     }
   }
 
   match(host: string, path: string): MatchedRoute | null {
-    const routes = this.hosts.get(bare(host));
+    const routes = this.routesByHost.get(hostWithoutPort(host));
     if (!routes) return null;
-    for (let end = path.lastIndexOf('/'); end >= 0; end = end === 0 ? -1 : path.lastIndexOf('/', end - 1)) {
-      const found = routes.get(path.slice(0, end + 1));
-      if (found) return found;
+    for (let slash = path.lastIndexOf('/'); slash >= 0; slash = slash === 0 ? -1 : path.lastIndexOf('/', slash - 1)) {
+      const route = routes.get(path.slice(0, slash + 1));
+      if (route) return route;
     }
     return null;
   }
@@ -42,12 +42,12 @@
   }
 }
 
-/** The table of one configuration. */
+/** Creates the route table of a served configuration. */
 export function createRouteTable(serving: Serving): RouteTable {
   return new PrefixRouteTable(serving);
 }
 
-function bare(host: string): string {
-  const at = host.lastIndexOf(':');
-  return (at > 0 && /^\d+$/.test(host.slice(at + 1)) ? host.slice(0, at) : host).toLowerCase();
+function hostWithoutPort(host: string): string {
+  const colon = host.lastIndexOf(':');
+  return (colon > 0 && /^\d+$/.test(host.slice(colon + 1)) ? host.slice(0, colon) : host).toLowerCase();
 }
--- a/src/state/configuration/serving-order.ts
+++ b/src/state/configuration/serving-order.ts
@@ -1,41 +1,41 @@
 /**
- * Keeps the order in which an operator listed routes and models through the agreed state,
- * whose tables have none: each item bears a number. Numbers are given with gaps, so that an
- * insertion changes few of them.
+ * Preserves the order in which an operator listed routes and models. The objects of the replicated state have no order,
+ * so each item carries a position number (`at`). Positions at the end are assigned with gaps, so that an insertion
+ * changes few of them.
  */
 
 import type { Serving } from './serving.js';
 
 type Positioned = { readonly at: number };
 
-const GAP = 1_024;
+const POSITION_GAP = 1_024;
 
-function byPosition(left: readonly [string, Positioned], right: readonly [string, Positioned]): number {
+function comparePositions(left: readonly [string, Positioned], right: readonly [string, Positioned]): number {
   return left[1].at - right[1].at;
 }
 
-function positioned<T extends Positioned>(
+function assignPositions<T extends Positioned>(
   before: Readonly<Record<string, T>>,
   after: Readonly<Record<string, T>>,
 ): Record<string, T> {
-  const out: Record<string, T> = {};
-  let end = 0;
-  for (const item of Object.values(before)) end = Math.max(end, item.at);
-  let last = 0;
-  for (const [name, item] of Object.entries(after).sort(byPosition)) {
-    const old = Object.hasOwn(before, name) ? (before[name] as T).at : 0;
-    if (old > last) last = old;
-    else last += last >= end ? GAP : 1;
-    out[name] = { ...item, at: last };
+  const renumbered: Record<string, T> = {};
+  let highestPosition = 0;
+  for (const item of Object.values(before)) highestPosition = Math.max(highestPosition, item.at);
+  let lastPosition = 0;
+  for (const [name, item] of Object.entries(after).sort(comparePositions)) {
+    const oldPosition = Object.hasOwn(before, name) ? (before[name] as T).at : 0;
+    if (oldPosition > lastPosition) lastPosition = oldPosition;
+    else lastPosition += lastPosition >= highestPosition ? POSITION_GAP : 1;
+    renumbered[name] = { ...item, at: lastPosition };
   }
-  return out;
+  return renumbered;
 }
 
-/** The new configuration with the numbers of the old one wherever their order still holds. */
+/** Returns `after` with the positions of `before` wherever these still give the order of `after`. */
 export function withPreservedOrder(before: Serving, after: Serving): Serving {
   return {
     ...after,
-    mappings: positioned(before.mappings, after.mappings),
-    models: positioned(before.models, after.models),
+    mappings: assignPositions(before.mappings, after.mappings),
+    models: assignPositions(before.models, after.models),
   };
 }
--- a/src/state/configuration/serving.ts
+++ b/src/state/configuration/serving.ts
@@ -1,16 +1,19 @@
 /**
- * Types of the served configuration: routes, models and limits of opaque requests. Checked by
- * `protocol/serving.ts`; the adapter of a platform translates its documents to these. `extra`
- * keeps fields that the platform may add, to be told back.
+ * Types of the served configuration: routes, models and limits of opaque requests. Validated by `protocol/serving.ts`;
+ * a platform's adapter translates the platform's documents to these types. `extra` keeps additional fields of the
+ * platform, so that they can be returned when the configuration is read.
  */
 
-/** Whether requests of a route may be repeated, run once, or stream. */
+/** Whether requests of a route may run more than once, run at most once, or are streamed. */
 export type RouteKind = 'repeatable' | 'once' | 'stream';
 
-/** The share of a route's requests that a model takes; shares need not add up to 1. */
+/** The share of a route's requests that goes to a model; shares need not add up to 1. */
 export type Share = { readonly model: string; readonly share: number };
 
-/** A route: what it fits, what it allows, and where it leads. `attempts` counts the first one; `homes` are the regions its requests stay in, all if empty. */
+/**
+ * A route: the requests it matches, what it allows, and the models it leads to. `attempts` includes the first one;
+ * `homes` are the regions that its requests stay in, all regions if empty.
+ */
 export type RouteSettings = {
   readonly at: number;
   readonly host: string;
@@ -29,14 +32,14 @@
   readonly extra?: Readonly<Record<string, unknown>>;
 };
 
-/** The engine of a model: requests in one batch, tokens of KV cache. */
+/** The engine of a model: requests in one batch (`batch`) and tokens of KV cache (`kvTokens`). */
 export type EngineTraits = {
   readonly batch: number;
   readonly kvTokens: number;
   readonly extra?: Readonly<Record<string, unknown>>;
 };
 
-/** A model: how its workers are probed, their connections at most, and how they warm up. */
+/** A model: the health check path of its workers, the maximum of connections to each, and how they warm up. */
 export type ModelTraits = {
   readonly at: number;
   readonly probePath: string;
@@ -47,7 +50,7 @@
   readonly extra?: Readonly<Record<string, unknown>>;
 };
 
-/** Bounds on what callers may send. */
+/** Limits on the requests of callers. */
 export type CallerLimits = {
   readonly headerBytes: number;
   readonly bodyBytes: number;
@@ -56,7 +59,7 @@
   readonly extra?: Readonly<Record<string, unknown>>;
 };
 
-/** All that is served, by the operator's own number. */
+/** Everything that is served, under the operator's own number of this configuration. */
 export type Serving = {
   readonly number: number;
   readonly mappings: Readonly<Record<string, RouteSettings>>;
@@ -65,7 +68,7 @@
   readonly extra?: Readonly<Record<string, unknown>>;
 };
 
-/** Limits before any configuration was submitted. */
+/** The limits before any configuration is submitted. */
 export const DEFAULT_LIMITS: CallerLimits = {
   headerBytes: 16_384,
   bodyBytes: 4_194_304,
@@ -73,5 +76,5 @@
   idleMs: 15_000,
 };
 
-/** Before any configuration was submitted: nothing is served. */
+/** The configuration before any is submitted: nothing is served. */
 export const EMPTY_SERVING: Serving = { number: 0, mappings: {}, models: {}, limits: DEFAULT_LIMITS };
--- a/src/state/configuration/settings-tree.ts
+++ b/src/state/configuration/settings-tree.ts
@@ -1,9 +1,11 @@
-/** The configuration as a tree of settings, resolved from the most specific level up, and changes between two trees. */
+/**
+ * The configuration as a tree of settings, resolved from the most specific level upwards, and diffs between two trees.
+ */
 import { isTable } from '../../base/is-table.js';
 import type { Change } from '../consensus/entry.js';
 import type { Serving } from './serving.js';
 
-/** Settings as an operator gives them; each may be left out. */
+/** Settings as given by an operator; each may be omitted. */
 export type Settings = {
   readonly zones?: readonly string[];
   readonly homes?: Readonly<Record<string, readonly string[]>>;
@@ -27,22 +29,22 @@
   readonly drainS?: number;
 };
 
-/** Settings of a region and of its models. */
-export type Branch = { readonly settings?: Settings; readonly models?: Readonly<Record<string, Settings>> };
+/** The settings of a region and of its models. */
+export type RegionSettings = { readonly settings?: Settings; readonly models?: Readonly<Record<string, Settings>> };
 
 /** A name under which callers ask for a model. */
 export type ModelRoute = { readonly model: string; readonly kind?: string };
 
-/** All that operators configure. Field names are stored and on the wire. */
+/** Everything that operators configure. Field names are stored and sent, so they must not change. */
 export type Configuration = {
   readonly zones: Readonly<Record<string, { readonly region: string }>>;
   readonly deployment: Settings;
-  readonly regions: Readonly<Record<string, Branch>>;
+  readonly regions: Readonly<Record<string, RegionSettings>>;
   readonly mappings?: Readonly<Record<string, ModelRoute>>;
   readonly serving?: Serving;
 };
 
-/** All settings of a model, each with a value. */
+/** All settings of a model, each with its effective value. */
 export type Resolved = {
   readonly zones: readonly string[];
   readonly homes: Readonly<Record<string, readonly string[]>>;
@@ -66,8 +68,8 @@
   readonly drainS: number;
 };
 
-/** Values of settings that no level gives. */
-export const DEFAULTS: Resolved = {
+/** Default values, used for settings that no level gives. */
+export const DEFAULT_SETTINGS: Resolved = {
   zones: [],
   homes: {},
   nExtra: 2,
@@ -90,34 +92,34 @@
   drainS: 60,
 };
 
-/** Where a value comes from. */
-export type Level = 'default' | 'deployment' | 'region' | 'model';
-/** The level of each value. */
-export type Callers = Readonly<Record<keyof Resolved, Level>>;
-/** A model's settings and where they come from. */
+/** The level that a value comes from. */
+export type SettingLevel = 'default' | 'deployment' | 'region' | 'model';
+/** The level that each setting's value comes from. */
+export type SettingLevels = Readonly<Record<keyof Resolved, SettingLevel>>;
+/** A model's effective settings and the levels that they come from. */
 export type ResolvedModel = {
   readonly model: string;
   readonly region: string;
   readonly values: Resolved;
-  readonly levels: Callers;
+  readonly levels: SettingLevels;
 };
 
-/** Before the first change. */
+/** The configuration before the first change. */
 export const EMPTY_CONFIGURATION: Configuration = { zones: {}, deployment: {}, regions: {} };
 
-/** The settings of a model in a region. */
+/** Returns the effective settings of a model in a region. */
 export function resolveModel(cfg: Configuration, region: string, model: string): ResolvedModel {
-  const branch = cfg.regions[region] ?? {};
-  const tiers: readonly (readonly [Level, Settings])[] = [
-    ['model', branch.models?.[model] ?? {}],
-    ['region', branch.settings ?? {}],
+  const regionSettings = cfg.regions[region] ?? {};
+  const settingsByLevel: readonly (readonly [SettingLevel, Settings])[] = [
+    ['model', regionSettings.models?.[model] ?? {}],
+    ['region', regionSettings.settings ?? {}],
     ['deployment', cfg.deployment],
-    ['default', { ...DEFAULTS, zones: Object.keys(cfg.zones).sort() }],
+    ['default', { ...DEFAULT_SETTINGS, zones: Object.keys(cfg.zones).sort() }],
   ];
   const values: Record<string, unknown> = {};
-  const levels: Record<string, Level> = {};
-  for (const key of Object.keys(DEFAULTS)) {
-    for (const [level, settings] of tiers) {
+  const levels: Record<string, SettingLevel> = {};
+  for (const key of Object.keys(DEFAULT_SETTINGS)) {
+    for (const [level, settings] of settingsByLevel) {
       const value = settings[key as keyof Settings];
       if (value === undefined) continue;
       values[key] = value;
@@ -125,114 +127,114 @@
       break;
     }
   }
-  return { model, region, values: values as unknown as Resolved, levels: levels as Callers };
+  return { model, region, values: values as unknown as Resolved, levels: levels as SettingLevels };
 }
 
-/** The settings of all models. */
+/** Returns the effective settings of all models, sorted by region and model. */
 export function resolveAll(cfg: Configuration): ResolvedModel[] {
-  const out: ResolvedModel[] = [];
+  const resolved: ResolvedModel[] = [];
   for (const region of Object.keys(cfg.regions).sort()) {
     for (const model of Object.keys(cfg.regions[region]?.models ?? {}).sort())
-      out.push(resolveModel(cfg, region, model));
+      resolved.push(resolveModel(cfg, region, model));
   }
-  return out;
+  return resolved;
 }
 
-/** The changes that lead from one tree to another, in a fixed order. */
+/** Returns the changes that turn one tree into another, sorted by path. */
 export function differences(from: unknown, to: unknown): Change[] {
-  const out: Change[] = [];
-  function walk(path: readonly string[], first: unknown, second: unknown): void {
-    if (isTable(first) && isTable(second)) {
-      const keys = new Set([...Object.keys(first), ...Object.keys(second)]);
-      for (const key of [...keys].sort()) walk([...path, key], own(first, key), own(second, key));
+  const changes: Change[] = [];
+  function walk(path: readonly string[], before: unknown, after: unknown): void {
+    if (isTable(before) && isTable(after)) {
+      const keys = new Set([...Object.keys(before), ...Object.keys(after)]);
+      for (const key of [...keys].sort()) walk([...path, key], ownValue(before, key), ownValue(after, key));
       return;
     }
-    if (JSON.stringify(first) === JSON.stringify(second)) return;
-    out.push(second === undefined ? { path: [...path] } : { path: [...path], value: second });
+    if (JSON.stringify(before) === JSON.stringify(after)) return;
+    changes.push(after === undefined ? { path: [...path] } : { path: [...path], value: after });
   }
   walk([], from, to);
-  return out;
+  return changes;
 }
 
-function own(tree: Record<string, unknown>, key: string): unknown {
+function ownValue(tree: Record<string, unknown>, key: string): unknown {
   return Object.hasOwn(tree, key) ? tree[key] : undefined;
 }
 
-/** A tree that takes changes one after the other; the one it began with is left as it is, each table copied once. */
-class ChangedTree {
+/** A tree that applies changes in sequence. The initial tree is not modified; each object is copied at most once. */
+class CopyOnWriteTree {
   private readonly copies = new Set<unknown>();
 
   constructor(private root: unknown) {}
 
-  tree(): unknown {
+  current(): unknown {
     return this.root;
   }
 
   apply({ path, value }: Change): void {
-    const leaf = path.at(-1);
-    if (leaf === undefined) {
+    const lastKey = path.at(-1);
+    if (lastKey === undefined) {
       this.root = value;
       return;
     }
-    const at = this.copiedTo(path.slice(0, -1));
-    if (value === undefined) delete at[leaf];
-    else define(at, leaf, value);
+    const object = this.writableObjectAt(path.slice(0, -1));
+    if (value === undefined) delete object[lastKey];
+    else defineOwnProperty(object, lastKey, value);
   }
 
-  /** The table at the end of a path, which may be changed. */
-  private copiedTo(path: readonly string[]): Record<string, unknown> {
-    let at = this.copied(this.root);
-    this.root = at;
-    for (const step of path) {
-      const down = own(at, step);
-      const made = this.copied(down);
-      if (made !== down) define(at, step, made);
-      at = made;
+  /** Returns the object at the end of a path, as a copy that may be modified. */
+  private writableObjectAt(path: readonly string[]): Record<string, unknown> {
+    let object = this.writableCopy(this.root);
+    this.root = object;
+    for (const key of path) {
+      const child = ownValue(object, key);
+      const copy = this.writableCopy(child);
+      if (copy !== child) defineOwnProperty(object, key, copy);
+      object = copy;
     }
-    return at;
+    return object;
   }
 
-  private copied(at: unknown): Record<string, unknown> {
-    if (this.copies.has(at)) return at as Record<string, unknown>;
-    const made: Record<string, unknown> = isTable(at) ? { ...at } : {};
-    this.copies.add(made);
-    return made;
+  private writableCopy(value: unknown): Record<string, unknown> {
+    if (this.copies.has(value)) return value as Record<string, unknown>;
+    const copy: Record<string, unknown> = isTable(value) ? { ...value } : {};
+    this.copies.add(copy);
+    return copy;
   }
 }
 
-/** The tree after these changes; `base` is left as it is. */
+/** Returns the tree after the changes; `base` is not modified. */
 export function withChanges(base: unknown, changes: readonly Change[]): unknown {
-  const changed = new ChangedTree(base);
-  for (const change of changes) changed.apply(change);
-  return changed.tree();
+  const tree = new CopyOnWriteTree(base);
+  for (const change of changes) tree.apply(change);
+  return tree.current();
 }
 
 /**
- * The changes that lead from `withChanges(base, changes)` back to `base`. A table that a change takes out of the tree is
- * not changed any more, so it may stand in the result as it is.
+ * Returns the changes that turn `withChanges(base, changes)` back into `base`. An object that a change removes from the
+ * tree is not modified any more, so the result may refer to it without a copy.
  */
 export function changesBack(base: unknown, changes: readonly Change[]): Change[] {
-  const back: Change[] = [];
-  const changed = new ChangedTree(base);
+  const inverse: Change[] = [];
+  const tree = new CopyOnWriteTree(base);
   for (const change of changes) {
-    back.push(changeBack(changed.tree(), change.path));
-    changed.apply(change);
+    inverse.push(inverseChange(tree.current(), change.path));
+    tree.apply(change);
   }
-  return back.reverse();
+  return inverse.reverse();
 }
 
-function changeBack(tree: unknown, path: readonly string[]): Change {
-  let at = tree;
+function inverseChange(tree: unknown, path: readonly string[]): Change {
+  let node = tree;
   for (let depth = 0; depth < path.length; depth += 1) {
-    const here = path.slice(0, depth);
-    if (!isTable(at)) return depth === 0 ? { path: [], value: at } : { path: here, value: at };
-    const step = path[depth] as string;
-    if (!Object.hasOwn(at, step)) return { path: path.slice(0, depth + 1) };
-    at = at[step];
+    const prefix = path.slice(0, depth);
+    if (!isTable(node)) return depth === 0 ? { path: [], value: node } : { path: prefix, value: node };
+    const key = path[depth] as string;
+    if (!Object.hasOwn(node, key)) return { path: path.slice(0, depth + 1) };
+    node = node[key];
   }
-  return { path: [...path], value: at };
+  return { path: [...path], value: node };
 }
 
-function define(at: Record<string, unknown>, key: string, value: unknown): void {
-  Object.defineProperty(at, key, { value, writable: true, enumerable: true, configurable: true });
+function defineOwnProperty(object: Record<string, unknown>, key: string, value: unknown): void {
+  Object.defineProperty(object, key, { value, writable: true, enumerable: true, configurable: true });
 }
