--- a/src/operator/core-report.ts
+++ b/src/operator/core-report.ts
@@ -1,10 +1,10 @@
 /**
- * What a majority of controllers says of the core: how many further losses it bears, and which member's loss
- * alone would stop it.
+ * The health of the core according to a majority of controllers: how many further losses it tolerates, and which
+ * members cannot be lost without stopping it.
  *
- * Every controller that can be reached is asked for its status. A figure counts only where a majority of the
- * members gives one for the very same members; of different figures the smallest stands. With fewer words nothing
- * is known, whatever a single controller says.
+ * The status of every reachable controller is requested. The number of tolerated losses is reported only if a majority
+ * of the members state one for the same set of members; where they differ, the smallest is used. With fewer statements
+ * the number is unknown, whatever a single controller states.
  */
 import { isTable } from '../base/is-table.js';
 import type { CoreHealth, CoreWarning, MemberHealth } from '../state/membership/core-health.js';
@@ -12,10 +12,10 @@
 import { statusRequest } from './requests.js';
 import type { Core } from './core.js';
 
-/** Which membership is judged: the members as voters of the ledger, or as holders of run-once claims. */
+/** Which membership is reported: the members as acceptors of the replicated log, or as holders of run-once claims. */
 export type CoreGroup = 'ledger' | 'claims';
 
-/** One controller's answer; `ledger` is null if it did not answer, or not in a way that is understood. */
+/** The status of one controller; `ledger` is null if it did not respond or the response could not be parsed. */
 export type ControllerStatus = {
   readonly address: Address;
   readonly member: string | null;
@@ -25,41 +25,41 @@
   readonly claims: CoreHealth | null;
 };
 
-/** What a majority of the members says of one membership. */
+/** The health of one membership according to a majority of its members. */
 export type GroupReport = {
   readonly members: number;
   readonly quorumSize: number;
-  /** Members whose words count: they know, and know of the same members. */
+  /** Number of members whose status counts: they state a number of losses, for the same set of members. */
   readonly agreeing: number;
-  /** Null while fewer than a majority of the members know. */
+  /** Null if fewer than a majority of the members agree. */
   readonly spareLosses: number | null;
   readonly warning: CoreWarning | null;
-  /** Ids of the members whose loss alone would stop the core, by any word that counts. */
+  /** Ids of the members whose loss alone would stop the core, according to any status that counts. */
   readonly essential: readonly string[];
-  /** Each member as the controller with the newest state sees it. */
+  /** Each member as seen by the controller with the newest state. */
   readonly details: readonly MemberHealth[];
 };
 
-/** Each controller's own answer, and what follows from them for both memberships. */
+/** The status of each controller (`words`), and the report on each membership that is derived from them. */
 export type CoreReport = {
   readonly words: readonly ControllerStatus[];
   readonly ledger: GroupReport;
   readonly claims: GroupReport | null;
 };
 
-type Answer = { readonly status: ControllerStatus; readonly others: readonly Address[] };
+type StatusResponse = { readonly status: ControllerStatus; readonly memberAddresses: readonly Address[] };
 
-/** A controller that answers no status in this time is taken for silent. */
-const STATUS_WAIT_MS = 3_000;
+/** A controller that returns no status within this time counts as unresponsive. */
+const STATUS_TIMEOUT_MS = 3_000;
 
-function healthIn(value: unknown): CoreHealth | null {
+function parseCoreHealth(value: unknown): CoreHealth | null {
   if (!isTable(value) || !Array.isArray(value['details']) || typeof value['quorumSize'] !== 'number') return null;
-  const figure = value['spareLosses'];
-  return figure === null || typeof figure === 'number' ? (value as CoreHealth) : null;
+  const spareLosses = value['spareLosses'];
+  return spareLosses === null || typeof spareLosses === 'number' ? (value as CoreHealth) : null;
 }
 
-/** Operators' addresses of the members, as the answering controller knows them. */
-function memberAddresses(body: Readonly<Record<string, unknown>>): Address[] {
+/** Returns the operator addresses of the members that the responding controller knows. */
+function memberAddressesIn(body: Readonly<Record<string, unknown>>): Address[] {
   const names = new Set<unknown>();
   for (const member of Array.isArray(body['members']) ? body['members'] : [])
     if (isTable(member)) names.add(member['name']);
@@ -71,68 +71,68 @@
   return addresses;
 }
 
-function answerIn(address: Address, body: unknown): Answer {
+function parseStatus(address: Address, body: unknown): StatusResponse {
   const unresponsive: ControllerStatus = { address, member: null, name: null, slot: -1, ledger: null, claims: null };
-  if (!isTable(body) || !isTable(body['core'])) return { status: unresponsive, others: [] };
+  if (!isTable(body) || !isTable(body['core'])) return { status: unresponsive, memberAddresses: [] };
   const status: ControllerStatus = {
     address,
     member: typeof body['member'] === 'string' ? body['member'] : null,
     name: typeof body['name'] === 'string' ? body['name'] : null,
     slot: typeof body['slot'] === 'number' ? body['slot'] : -1,
-    ledger: healthIn(body['core']['ledger']),
-    claims: healthIn(body['core']['claims']),
+    ledger: parseCoreHealth(body['core']['ledger']),
+    claims: parseCoreHealth(body['core']['claims']),
   };
-  return { status, others: memberAddresses(body) };
+  return { status, memberAddresses: memberAddressesIn(body) };
 }
 
-async function requestAll(core: Core, addresses: readonly Address[]): Promise<Answer[]> {
-  async function requestStatus(address: Address): Promise<Answer> {
-    const response = await core.requestAt(address, statusRequest(), STATUS_WAIT_MS);
-    return answerIn(address, response?.status === 200 ? response.body : null);
+async function requestAll(core: Core, addresses: readonly Address[]): Promise<StatusResponse[]> {
+  async function requestStatus(address: Address): Promise<StatusResponse> {
+    const response = await core.requestAt(address, statusRequest(), STATUS_TIMEOUT_MS);
+    return parseStatus(address, response?.status === 200 ? response.body : null);
   }
   return Promise.all(addresses.map(requestStatus));
 }
 
-function idsOf(health: CoreHealth): string {
+function memberIds(health: CoreHealth): string {
   const ids: string[] = [];
   for (const member of health.details) ids.push(member.id);
   return ids.sort().join();
 }
 
-/** The words of one group, judged by the members that the controller with the newest state names. */
+/** Merges the statuses for one membership, against the members that the controller with the newest state lists. */
 export function groupReport(statuses: readonly ControllerStatus[], group: CoreGroup): GroupReport | null {
-  const known = statuses.filter(hasGroup).sort(newestAndKnowingFirst);
-  const newest = known[0]?.[group];
+  const reporting = statuses.filter(hasGroup).sort(newestAndKnownFirst);
+  const newest = reporting[0]?.[group];
   if (!newest) return null;
-  const ids = idsOf(newest);
-  const counted = new Map<string, CoreHealth>();
-  for (const status of known) {
+  const ids = memberIds(newest);
+  const agreeing = new Map<string, CoreHealth>();
+  for (const status of reporting) {
     const health = status[group] as CoreHealth;
-    if (status.member === null || health.spareLosses === null || idsOf(health) !== ids) continue;
-    if (health.details.some(isSpeaker)) counted.set(status.member, health);
-    function isSpeaker(member: MemberHealth): boolean {
+    if (status.member === null || health.spareLosses === null || memberIds(health) !== ids) continue;
+    if (health.details.some(isReporter)) agreeing.set(status.member, health);
+    function isReporter(member: MemberHealth): boolean {
       return member.id === status.member;
     }
   }
   const { members, quorumSize, details } = newest;
-  const base = { members, quorumSize, agreeing: counted.size, details };
-  if (counted.size < quorumSize) return { ...base, spareLosses: null, warning: 'noMajority', essential: [] };
-  return { ...base, ...worstOf([...counted.values()]) };
+  const summary = { members, quorumSize, agreeing: agreeing.size, details };
+  if (agreeing.size < quorumSize) return { ...summary, spareLosses: null, warning: 'noMajority', essential: [] };
+  return { ...summary, ...worstHealth([...agreeing.values()]) };
 
   function hasGroup(status: ControllerStatus): boolean {
     return status[group] !== null;
   }
-  function newestAndKnowingFirst(left: ControllerStatus, right: ControllerStatus): number {
+  function newestAndKnownFirst(left: ControllerStatus, right: ControllerStatus): number {
     return (
       right.slot - left.slot || Number(right[group]?.spareLosses !== null) - Number(left[group]?.spareLosses !== null)
     );
   }
 }
 
-function worstOf(known: readonly CoreHealth[]): Pick<GroupReport, 'spareLosses' | 'warning' | 'essential'> {
+function worstHealth(agreeing: readonly CoreHealth[]): Pick<GroupReport, 'spareLosses' | 'warning' | 'essential'> {
   const essential = new Set<string>();
-  let worst = known[0] as CoreHealth;
-  for (const health of known) {
+  let worst = agreeing[0] as CoreHealth;
+  for (const health of agreeing) {
     if (isWorse(health, worst)) worst = health;
     for (const member of health.details) if (member.essential !== false) essential.add(member.id);
   }
@@ -144,14 +144,16 @@
   return left.warning === 'noWholeQuorum' && right.warning !== 'noWholeQuorum';
 }
 
-/** Asks every controller that is named, and the members that they name; null if none answers. */
+/** Requests the status of the configured controllers and of the members that these list; null if none responds. */
 export async function requestCoreReport(core: Core): Promise<CoreReport | null> {
-  const first = await requestAll(core, core.addresses);
-  const requests = new Set<Address>(core.addresses);
-  const further = new Set<Address>();
-  for (const answer of first) for (const address of answer.others) if (!requests.has(address)) further.add(address);
+  const firstResponses = await requestAll(core, core.addresses);
+  const requested = new Set<Address>(core.addresses);
+  const additional = new Set<Address>();
+  for (const response of firstResponses)
+    for (const address of response.memberAddresses) if (!requested.has(address)) additional.add(address);
   const statuses: ControllerStatus[] = [];
-  for (const answer of [...first, ...(await requestAll(core, [...further]))]) statuses.push(answer.status);
+  for (const response of [...firstResponses, ...(await requestAll(core, [...additional]))])
+    statuses.push(response.status);
   const ledger = groupReport(statuses, 'ledger');
   return ledger ? { words: statuses, ledger, claims: groupReport(statuses, 'claims') } : null;
 }
--- a/src/operator/core.ts
+++ b/src/operator/core.ts
@@ -1,42 +1,49 @@
-/** The controllers' HTTP interface as the operator's commands use it: one address after the other until one answers. */
+/** Client of the controllers' HTTP interface for operator commands; tries the addresses in order until one responds. */
 import type { HttpClient } from '../transport/http.js';
 import type { Address } from '../transport/wire.js';
 import type { CoreRequest } from './requests.js';
 import { readRequest } from './requests.js';
 
 /** Status and parsed body of an HTTP response. */
-export type CoreAnswer = { readonly status: number; readonly body: unknown };
+export type CoreResponse = { readonly status: number; readonly body: unknown };
 
-/** Calls to the controllers. A call gives null if none answers, and the last 503 if all answer that. */
+/**
+ * Requests to the controllers. Each returns null if no controller responds, and the last response if all responses have
+ * status 503.
+ */
 export type Core = {
   readonly addresses: readonly Address[];
-  readonly request: (message: CoreRequest) => Promise<CoreAnswer | null>;
-  readonly requestAt: (address: Address, message: CoreRequest, waitMs?: number) => Promise<CoreAnswer | null>;
+  readonly request: (message: CoreRequest) => Promise<CoreResponse | null>;
+  readonly requestAt: (address: Address, message: CoreRequest, timeoutMs?: number) => Promise<CoreResponse | null>;
   readonly version: () => Promise<number | null>;
 };
 
-const WAIT_MS = 12_000;
+const REQUEST_TIMEOUT_MS = 12_000;
 
-/** Calls to these addresses, in their order; each waits 12 s at most. */
+/** Returns a client that tries these addresses in order; the timeout of each request is 12 s. */
 export function createCore(addresses: readonly Address[], httpClient: HttpClient): Core {
-  async function request(coreRequest: CoreRequest): Promise<CoreAnswer | null> {
-    let last: CoreAnswer | null = null;
+  async function request(message: CoreRequest): Promise<CoreResponse | null> {
+    let lastResponse: CoreResponse | null = null;
     for (const address of addresses) {
-      const response = await requestAt(address, coreRequest);
+      const response = await requestAt(address, message);
       if (!response) continue;
-      last = response;
-      if (last.status !== 503) return last;
+      lastResponse = response;
+      if (lastResponse.status !== 503) return lastResponse;
     }
-    return last;
+    return lastResponse;
   }
-  async function requestAt(address: Address, coreRequest: CoreRequest, waitMs = WAIT_MS): Promise<CoreAnswer | null> {
-    const response = await httpClient.call({ ...coreRequest, address, timeoutMs: waitMs });
+  async function requestAt(
+    address: Address,
+    message: CoreRequest,
+    requestTimeoutMs = REQUEST_TIMEOUT_MS,
+  ): Promise<CoreResponse | null> {
+    const response = await httpClient.call({ ...message, address, timeoutMs: requestTimeoutMs });
     return response.ok ? { status: response.value.status, body: response.value.body } : null;
   }
   async function version(): Promise<number | null> {
     const response = await request(readRequest());
-    const attempt = response?.status === 200 ? (response.body as { readonly version?: unknown }).version : null;
-    return typeof attempt === 'number' ? attempt : null;
+    const version = response?.status === 200 ? (response.body as { readonly version?: unknown }).version : null;
+    return typeof version === 'number' ? version : null;
   }
   return { addresses, request, requestAt, version };
 }
--- a/src/operator/latency-targets.test.ts
+++ b/src/operator/latency-targets.test.ts
@@ -7,13 +7,13 @@
 import { reportLatencyTargets } from './latency-targets.js';
 import type { Core } from './core.js';
 
-const cfg: Configuration = {
+const configuration: Configuration = {
   zones: {},
   deployment: {},
   regions: { hungary: { models: { summary: {}, 'card-gateway': {} } } },
   mappings: { review: { model: 'summary' } },
 };
-const doc = {
+const targetDocument = {
   aims: [
     { name: 'summaries succeed', measure: 'success', model: 'summary', objective: 0.99, window: '2m' },
     { name: 'few are shed', measure: 'shed', model: 'summary', objective: 0.9, window: '2m' },
@@ -23,21 +23,21 @@
   ],
 };
 
-function faultsOf(u: unknown): string[] {
-  const read = readLatencyTargets(u, cfg);
+function errorsIn(document: unknown): string[] {
+  const read = readLatencyTargets(document, configuration);
   return read.ok ? [] : read.error.map((f) => `${f.path}: ${f.expected}; ${f.found}`);
 }
 
-describe('a document of aims', () => {
-  test('is read, and each fault is told with its place', () => {
-    expect(faultsOf(doc)).toEqual([]);
+describe('a document of latency targets', () => {
+  test('is read, and each error is reported with its path', () => {
+    expect(errorsIn(targetDocument)).toEqual([]);
     expect(
-      faultsOf({ aims: [{ name: 'a', measure: 'success', mapping: 'review', objective: 1, window: '24h' }] }),
+      errorsIn({ aims: [{ name: 'a', measure: 'success', mapping: 'review', objective: 1, window: '24h' }] }),
     ).toEqual([]);
-    expect(faultsOf({ aim: [] })).toEqual(['/aim: aims; "aim"', '/aims: a list of aims; nothing']);
-    expect(faultsOf(null)).toEqual(['/aims: a list of aims; nothing']);
+    expect(errorsIn({ aim: [] })).toEqual(['/aim: aims; "aim"', '/aims: a list of aims; nothing']);
+    expect(errorsIn(null)).toEqual(['/aims: a list of aims; nothing']);
     expect(
-      faultsOf({
+      errorsIn({
         aims: [
           { name: 'a', measure: 'luck', model: 'ghost', objective: 2, window: '3 days', colour: 1 },
           {
@@ -67,14 +67,14 @@
   });
 });
 
-describe('a report', () => {
-  function coreOf(fleet: SimFleet): Core {
-    const at = (address: string): number => fleet.controllers.findIndex((h) => h.http === address);
+describe('a report on latency targets', () => {
+  function coreClientOf(fleet: SimFleet): Core {
+    const controllerIndex = (address: string): number => fleet.controllers.findIndex((h) => h.http === address);
     async function requestAt(
       address: string,
-      ask: { method: 'GET' | 'POST' | 'DELETE'; path: string },
+      message: { method: 'GET' | 'POST' | 'DELETE'; path: string },
     ): Promise<{ status: number; body: unknown } | null> {
-      const response = await fleet.operator(at(address), ask.method, ask.path);
+      const response = await fleet.operator(controllerIndex(address), message.method, message.path);
       return response.ok ? { status: response.value.status, body: response.value.body } : null;
     }
     return {
@@ -84,18 +84,18 @@
       version: () => Promise.resolve(null),
     };
   }
-  async function reported(fleet: SimFleet): Promise<Record<string, LatencyTargetRow> | null> {
-    const latencyTargets = readLatencyTargets(doc, cfg);
+  async function fetchReport(fleet: SimFleet): Promise<Record<string, LatencyTargetRow> | null> {
+    const latencyTargets = readLatencyTargets(targetDocument, configuration);
     const rows = latencyTargets.ok
       ? await reportLatencyTargets(
-          coreOf(fleet),
+          coreClientOf(fleet),
           fleet.controllers.map((h) => h.http),
           latencyTargets.value,
         )
       : null;
     return rows && Object.fromEntries(rows.map((r) => [r.name, r]));
   }
-  async function busy(fleet: SimFleet, seconds: number, perSecond: number): Promise<void> {
+  async function runTraffic(fleet: SimFleet, seconds: number, perSecond: number): Promise<void> {
     await fleet.finish(
       Promise.all(
         fleet.zones.map((zone) =>
@@ -106,12 +106,12 @@
     );
   }
 
-  test('tells a fleet that keeps its aims from one that misses them, and never takes the unknown for good', async () => {
+  test('distinguishes met from missed targets, and never counts unknown minutes as good', async () => {
     const fleet = createSimFleet(31);
     expect(await fleet.start()).toBe(true);
     await fleet.run(61_000);
-    expect((await reported(fleet))?.['summaries succeed']).toMatchObject({ state: 'unknown', attained: null });
-    await busy(fleet, 130, 3);
+    expect((await fetchReport(fleet))?.['summaries succeed']).toMatchObject({ state: 'unknown', attained: null });
+    await runTraffic(fleet, 130, 3);
     const base = ((await fleet.operator(1, 'GET', '/v1/configuration')) as { value: { body: { version: number } } })
       .value.body.version;
     await fleet.operator(1, 'POST', '/v1/configuration/amend', {
@@ -119,8 +119,8 @@
       changes: [{ path: ['deployment', 'lineLimit'], value: 9 }],
     });
     await fleet.run(120_000 - (fleet.world.now() % 60_000));
-    const calm = await reported(fleet);
-    expect(calm?.['summaries succeed']).toMatchObject({
+    const underLightLoad = await fetchReport(fleet);
+    expect(underLightLoad?.['summaries succeed']).toMatchObject({
       state: 'met',
       attained: 1,
       bad: 0,
@@ -128,38 +128,38 @@
       budgetLeft: 1,
       unknownMinutes: 0,
     });
-    expect(calm?.['summaries succeed']?.events).toBeGreaterThan(100);
+    expect(underLightLoad?.['summaries succeed']?.events).toBeGreaterThan(100);
     expect([
-      calm?.['first piece']?.state,
-      calm?.['cards whole']?.state,
-      calm?.['changes']?.state,
-      calm?.['changes']?.events,
+      underLightLoad?.['first piece']?.state,
+      underLightLoad?.['cards whole']?.state,
+      underLightLoad?.['changes']?.state,
+      underLightLoad?.['changes']?.events,
     ]).toEqual(['met', 'met', 'met', 1]);
 
-    await busy(fleet, 20, 60);
+    await runTraffic(fleet, 20, 60);
     await fleet.run(120_000 - (fleet.world.now() % 60_000));
-    const crowded = await reported(fleet);
-    expect(crowded?.['summaries succeed']).toMatchObject({ state: 'missed', unknownMinutes: 0 });
-    expect(crowded?.['summaries succeed']?.burnRate).toBeGreaterThan(1);
-    expect(crowded?.['few are shed']?.state).toBe('missed');
-    expect(crowded?.['summaries succeed']?.budgetLeft).toBeLessThan(0);
+    const underOverload = await fetchReport(fleet);
+    expect(underOverload?.['summaries succeed']).toMatchObject({ state: 'missed', unknownMinutes: 0 });
+    expect(underOverload?.['summaries succeed']?.burnRate).toBeGreaterThan(1);
+    expect(underOverload?.['few are shed']?.state).toBe('missed');
+    expect(underOverload?.['summaries succeed']?.budgetLeft).toBeLessThan(0);
 
     await fleet.run(180_000);
-    await busy(fleet, 60, 2);
+    await runTraffic(fleet, 60, 2);
     fleet.kill('proxy-hu-1-1');
     void fleet.startNode('proxy-hu-1-1');
     await fleet.run(70_000);
-    const restarted = await reported(fleet);
-    expect(restarted?.['summaries succeed']).toMatchObject({ state: 'unknown', unknownOf: ['proxy-hu-1-1'] });
-    expect(restarted?.['summaries succeed']?.unknownMinutes).toBeGreaterThan(0);
+    const afterRestart = await fetchReport(fleet);
+    expect(afterRestart?.['summaries succeed']).toMatchObject({ state: 'unknown', unknownOf: ['proxy-hu-1-1'] });
+    expect(afterRestart?.['summaries succeed']?.unknownMinutes).toBeGreaterThan(0);
   });
 
-  test('is not given without a majority', async () => {
+  test('is null without a majority', async () => {
     const fleet = createSimFleet(32);
     expect(await fleet.start()).toBe(true);
     fleet.kill('controller-2');
     fleet.kill('controller-3');
     await fleet.run(5_000);
-    expect(await reported(fleet)).toBeNull();
+    expect(await fetchReport(fleet)).toBeNull();
   });
 });
--- a/src/operator/latency-targets.ts
+++ b/src/operator/latency-targets.ts
@@ -1,4 +1,4 @@
-/** Gathers the minutes that the controllers counted and judges latency targets on them. */
+/** Collects the counts per minute of all controllers and evaluates latency targets on them. */
 import type { MinuteCounts } from '../coordination/configuration/latency-target-tracker.js';
 import { isTable } from '../base/is-table.js';
 import { addCounts, CHANGES_SUBJECT, noCounts } from '../state/configuration/latency-target-counts.js';
@@ -9,9 +9,9 @@
 import { latencyTargetsRequest } from './requests.js';
 import type { Core } from './core.js';
 
-type MinuteAnswer = { readonly by: string; readonly minutes: readonly Minute[] };
+type MinuteResponse = { readonly by: string; readonly minutes: readonly Minute[] };
 
-function answersIn(body: unknown): MinuteAnswer | null {
+function parseMinutes(body: unknown): MinuteResponse | null {
   if (!isTable(body) || !Array.isArray(body['minutes']) || typeof body['now'] !== 'number') return null;
   const { by, now, minutes } = body as MinuteCounts;
   const relative: Minute[] = [];
@@ -19,55 +19,61 @@
   return { by, minutes: relative };
 }
 
-function changesOf(all: readonly MinuteAnswer[], unresponsive: readonly Address[], window: number): Minute[] {
-  const out: Minute[] = [];
-  for (let minute = -window; minute < 0; minute += 1) {
+function changeMinutes(
+  responses: readonly MinuteResponse[],
+  unresponsive: readonly Address[],
+  windowMinutes: number,
+): Minute[] {
+  const merged: Minute[] = [];
+  for (let minute = -windowMinutes; minute < 0; minute += 1) {
     const counts = { [CHANGES_SUBJECT]: noCounts() };
     const unknown = [...unresponsive];
-    for (const minuteAnswer of all) {
-      const found = minuteAnswer.minutes.find(isIt);
-      if (!found) unknown.push(minuteAnswer.by);
-      else if (found.counts[CHANGES_SUBJECT]) addCounts(counts, CHANGES_SUBJECT, found.counts[CHANGES_SUBJECT]);
+    for (const response of responses) {
+      const matching = response.minutes.find(isSameMinute);
+      if (!matching) unknown.push(response.by);
+      else if (matching.counts[CHANGES_SUBJECT]) addCounts(counts, CHANGES_SUBJECT, matching.counts[CHANGES_SUBJECT]);
     }
-    out.push({ minute, counts, unknown });
-    function isIt(row: Minute): boolean {
+    merged.push({ minute, counts, unknown });
+    function isSameMinute(row: Minute): boolean {
       return row.minute === minute;
     }
   }
-  return out;
+  return merged;
 }
 
-function knownMinutes(minuteAnswer: MinuteAnswer): number {
+function countKnownMinutes(response: MinuteResponse): number {
   let count = 0;
-  for (const minute of minuteAnswer.minutes) if (minute.unknown.length === 0) count += 1;
+  for (const minute of response.minutes) if (minute.unknown.length === 0) count += 1;
   return count;
 }
 
 /**
- * Judges each target on its own window; null if no controller answers. Minutes that a silent controller may have
- * counted stay unknown.
+ * Evaluates each target over its own window; null if no controller responds. Minutes in which an unresponsive
+ * controller may have counted changes stay unknown. Other measures are evaluated on the response with the most known
+ * minutes.
  */
 export async function reportLatencyTargets(
   core: Core,
   addresses: readonly Address[],
   latencyTargets: readonly LatencyTarget[],
 ): Promise<readonly LatencyTargetRow[] | null> {
-  let window = 1;
-  for (const latencyTarget of latencyTargets) window = Math.max(window, latencyTarget.windowMinutes);
-  const answers: MinuteAnswer[] = [];
+  let windowMinutes = 1;
+  for (const latencyTarget of latencyTargets) windowMinutes = Math.max(windowMinutes, latencyTarget.windowMinutes);
+  const responses: MinuteResponse[] = [];
   const unresponsive: Address[] = [];
   for (const address of addresses) {
-    const response = await core.requestAt(address, latencyTargetsRequest(window));
-    const read = response?.status === 200 ? answersIn(response.body) : null;
-    if (read) answers.push(read);
+    const response = await core.requestAt(address, latencyTargetsRequest(windowMinutes));
+    const parsed = response?.status === 200 ? parseMinutes(response.body) : null;
+    if (parsed) responses.push(parsed);
     else unresponsive.push(address);
   }
-  let best: MinuteAnswer | null = null;
-  for (const minuteAnswer of answers) if (!best || knownMinutes(minuteAnswer) > knownMinutes(best)) best = minuteAnswer;
-  if (!best) return null;
-  const changes = changesOf(answers, unresponsive, window);
+  let mostComplete: MinuteResponse | null = null;
+  for (const candidate of responses)
+    if (!mostComplete || countKnownMinutes(candidate) > countKnownMinutes(mostComplete)) mostComplete = candidate;
+  if (!mostComplete) return null;
+  const changeCounts = changeMinutes(responses, unresponsive, windowMinutes);
   const rows: LatencyTargetRow[] = [];
   for (const target of latencyTargets)
-    rows.push(reportLatencyTarget(target, target.measure === 'changeInForce' ? changes : best.minutes, 0));
+    rows.push(reportLatencyTarget(target, target.measure === 'changeInForce' ? changeCounts : mostComplete.minutes, 0));
   return rows;
 }
--- a/src/operator/requests.ts
+++ b/src/operator/requests.ts
@@ -1,4 +1,4 @@
-/** The requests of operators' commands to a controller (docs/http.md). */
+/** The requests that operator commands send to a controller (docs/http.md). */
 import type { Change } from '../state/consensus/entry.js';
 
 /** Method, path and JSON body of a request. */
@@ -12,7 +12,7 @@
 export function readRequest(): CoreRequest {
   return { method: 'GET', path: '/v1/configuration' };
 }
-/** Reads what the controller asked knows of nodes and members. */
+/** Reads what the requested controller knows of nodes and members. */
 export function statusRequest(): CoreRequest {
   return { method: 'GET', path: '/v1/status' };
 }
@@ -20,16 +20,16 @@
 export function ordersRequest(model?: string): CoreRequest {
   return { method: 'GET', path: model === undefined ? '/v1/orders' : `/v1/orders?model=${encodeURIComponent(model)}` };
 }
-/** Reads entries of the log from a slot on. */
+/** Reads entries of the replicated log, starting at a slot. */
 export function ledgerRequest(from: string): CoreRequest {
   return { method: 'GET', path: `/v1/ledger?from=${encodeURIComponent(from)}` };
 }
-/** Reads the counts of the last minutes. */
+/** Reads the counts that latency targets are evaluated on, for the last `minutes` minutes. */
 export function latencyTargetsRequest(minutes: number): CoreRequest {
   return { method: 'GET', path: `/v1/aims?minutes=${minutes}` };
 }
-/** Replaces the configuration of version `base`; `operation` makes a repeat harmless. */
-export function applyRequest(base: number, configuration: unknown, operation: string): CoreRequest {
+/** Replaces the configuration of version `base`; `operation` makes a retry idempotent. */
+export function replaceConfigurationRequest(base: number, configuration: unknown, operation: string): CoreRequest {
   return { method: 'POST', path: '/v1/configuration', body: { base, configuration, operation } };
 }
 /** Changes single values of the configuration of version `base`. */
@@ -44,16 +44,16 @@
 export function forgetRequest(proxy: string): CoreRequest {
   return { method: 'DELETE', path: `/v1/proxies/${encodeURIComponent(proxy)}` };
 }
-/** Reopens run-once requests after the claims were lost. */
+/** Accepts run-once requests again after the claims were lost. */
 export function reopenRequest(): CoreRequest {
   return { method: 'POST', path: '/v1/claims/reopen', body: {} };
 }
-/** Founds a ledger on these blank controllers. */
+/** Bootstraps the replicated log on these blank controllers. */
 export function bootstrapRequest(members: readonly string[]): CoreRequest {
   return { method: 'POST', path: '/v1/bootstrap', body: { members } };
 }
 
-/** The keys of a path like `deployment/lineLimit`. */
+/** Splits a path such as `deployment/lineLimit` into its keys. */
 export function placeOf(path: string): string[] {
   return path.split('/').filter(Boolean);
 }
--- a/src/programs/admin.ts
+++ b/src/programs/admin.ts
@@ -1,4 +1,4 @@
-/** `millfield admin`: the operators' commands that change something. */
+/** Command `millfield admin`: operator commands that read and change the configuration and the deployment. */
 import { defineCommand } from 'citty';
 import type { ArgsDef } from 'citty';
 import { err, ok } from '../base/result.js';
@@ -6,7 +6,7 @@
 import { createOsRng, newId } from '../transport/rng.js';
 import {
   amendRequest,
-  applyRequest,
+  replaceConfigurationRequest,
   bootstrapRequest,
   forgetRequest,
   placeOf,
@@ -15,45 +15,48 @@
   zoneRequest,
 } from '../operator/requests.js';
 import type { CoreRequest } from '../operator/requests.js';
-import { coreOf, CORE_ARGS, report } from './request-core.js';
-import { complain, flagsFit, leaveUsage } from './flags.js';
+import { coreClientOf, CORE_ARGS, printResponse } from './request-core.js';
+import { printError, areFlagsValid, setUsageExitCode } from './flags.js';
 import { readDocument } from './read-document.js';
 
-type Ctx = { readonly rawArgs: string[]; readonly args: Readonly<Record<string, unknown>> };
+type CommandContext = { readonly rawArgs: string[]; readonly args: Readonly<Record<string, unknown>> };
 
-function textOf(ctx: Ctx, key: string): string | undefined {
+function stringArg(ctx: CommandContext, key: string): string | undefined {
   const value = ctx.args[key];
   return typeof value === 'string' ? value : undefined;
 }
 
-function operationOf(ctx: Ctx): string {
-  return textOf(ctx, 'operation') ?? newId(createOsRng(), 'op');
+function operationId(ctx: CommandContext): string {
+  return stringArg(ctx, 'operation') ?? newId(createOsRng(), 'op');
 }
 
-function acknowledged(body: unknown): string {
-  const second = body as {
+function formatAcknowledgement(body: unknown): string {
+  const response = body as {
     readonly acknowledged?: boolean;
     readonly version?: number;
     readonly waiting?: readonly string[];
   };
-  if (second.acknowledged)
-    return second.version === undefined
+  if (response.acknowledged)
+    return response.version === undefined
       ? 'Acknowledged.'
-      : `Acknowledged: slot ${second.version} is in force on every proxy.`;
-  return `Agreed in slot ${second.version ?? '?'}, not yet confirmed by: ${(second.waiting ?? []).join(', ')}.`;
+      : `Acknowledged: slot ${response.version} is in force on every proxy.`;
+  return `Committed in slot ${response.version ?? '?'}, not yet confirmed by: ${(response.waiting ?? []).join(', ')}.`;
 }
 
-function baseOf(ctx: Ctx): number | null | undefined {
-  const text = textOf(ctx, 'base');
+function baseVersion(ctx: CommandContext): number | null | undefined {
+  const text = stringArg(ctx, 'base');
   if (text === undefined) return undefined;
-  const count = Number(text);
-  return Number.isInteger(count) && count >= 0 ? count : null;
+  const version = Number(text);
+  return Number.isInteger(version) && version >= 0 ? version : null;
 }
 
 const CHANGE_ARGS = {
   ...CORE_ARGS,
-  base: { type: 'string', description: 'Version that the change was made on (default: the newest, asked first)' },
-  operation: { type: 'string', description: 'Operation id: the same id twice is the same change' },
+  base: {
+    type: 'string',
+    description: 'Version that the change is based on (default: the latest, which is read first)',
+  },
+  operation: { type: 'string', description: 'Operation id; a repeated id does not apply the change again' },
 } as const satisfies ArgsDef;
 
 const APPLY_ARGS = {
@@ -64,66 +67,74 @@
   ...CHANGE_ARGS,
   path: {
     type: 'positional',
-    description: 'Place in the tree, such as /regions/hungary/settings/nExtra',
+    description: 'Path in the configuration, such as /regions/hungary/settings/nExtra',
     required: true,
   },
-  value: { type: 'positional', description: 'Value as JSON; left out, the place is cleared', required: false },
+  value: {
+    type: 'positional',
+    description: 'Value as JSON; without it, the value at the path is removed',
+    required: false,
+  },
 } as const satisfies ArgsDef;
 
-type MakeRequest = (base: number, operation: string) => CoreRequest;
+type RequestFactory = (base: number, operation: string) => CoreRequest;
 
-async function change(ctx: Ctx, defs: ArgsDef, prepare: () => Result<MakeRequest, string>): Promise<void> {
-  if (!flagsFit(ctx.rawArgs, defs)) return leaveUsage();
-  const made = prepare();
-  if (!made.ok) {
-    complain(made.error);
-    return leaveUsage();
+async function sendChange(
+  ctx: CommandContext,
+  defs: ArgsDef,
+  prepare: () => Result<RequestFactory, string>,
+): Promise<void> {
+  if (!areFlagsValid(ctx.rawArgs, defs)) return setUsageExitCode();
+  const prepared = prepare();
+  if (!prepared.ok) {
+    printError(prepared.error);
+    return setUsageExitCode();
   }
-  const request = baseOf(ctx);
-  if (request === null) {
-    complain(`flag --base: expected a whole number from 0; found ${JSON.stringify(textOf(ctx, 'base'))}`);
-    return leaveUsage();
+  const requestedBase = baseVersion(ctx);
+  if (requestedBase === null) {
+    printError(`flag --base: expected a whole number from 0; found ${JSON.stringify(stringArg(ctx, 'base'))}`);
+    return setUsageExitCode();
   }
-  const core = coreOf(ctx.args);
-  const base = request ?? (await core.version());
-  const answer = base === null ? null : await core.request(made.value(base, operationOf(ctx)));
-  report(answer, ctx.args['json'] === true, acknowledged);
+  const core = coreClientOf(ctx.args);
+  const base = requestedBase ?? (await core.version());
+  const response = base === null ? null : await core.request(prepared.value(base, operationId(ctx)));
+  printResponse(response, ctx.args['json'] === true, formatAcknowledgement);
 }
 
-function runApply(ctx: Ctx): Promise<void> {
-  function prepare(): Result<MakeRequest, string> {
-    const file = textOf(ctx, 'file') ?? '';
-    const doc = readDocument(file);
-    if (!doc.ok) return err(`file: expected YAML or JSON at ${JSON.stringify(file)}; found ${doc.error}`);
-    const configuration = doc.value;
-    function make(base: number, operation: string): CoreRequest {
-      return applyRequest(base, configuration, operation);
+function runApply(ctx: CommandContext): Promise<void> {
+  function prepare(): Result<RequestFactory, string> {
+    const file = stringArg(ctx, 'file') ?? '';
+    const document = readDocument(file);
+    if (!document.ok) return err(`file: expected YAML or JSON at ${JSON.stringify(file)}; found ${document.error}`);
+    const configuration = document.value;
+    function createRequest(base: number, operation: string): CoreRequest {
+      return replaceConfigurationRequest(base, configuration, operation);
     }
-    return ok(make);
+    return ok(createRequest);
   }
-  return change(ctx, APPLY_ARGS, prepare);
+  return sendChange(ctx, APPLY_ARGS, prepare);
 }
 
-function runSet(ctx: Ctx): Promise<void> {
-  function prepare(): Result<MakeRequest, string> {
-    const path = placeOf(textOf(ctx, 'path') ?? '');
-    const raw = textOf(ctx, 'value');
-    if (path.length === 0) return err('path: expected a place below /; found "/"');
-    const value = raw === undefined ? ok(undefined) : parsedJson(raw);
+function runSet(ctx: CommandContext): Promise<void> {
+  function prepare(): Result<RequestFactory, string> {
+    const path = placeOf(stringArg(ctx, 'path') ?? '');
+    const raw = stringArg(ctx, 'value');
+    if (path.length === 0) return err('path: expected a path below /; found "/"');
+    const value = raw === undefined ? ok(undefined) : parseValue(raw);
     if (!value.ok) return value;
-    function make(base: number, operation: string): CoreRequest {
+    function createRequest(base: number, operation: string): CoreRequest {
       return amendRequest(
         base,
         [raw === undefined ? { path } : { path, value: value.ok ? value.value : null }],
         operation,
       );
     }
-    return ok(make);
+    return ok(createRequest);
   }
-  return change(ctx, SET_ARGS, prepare);
+  return sendChange(ctx, SET_ARGS, prepare);
 }
 
-function parsedJson(raw: string): Result<unknown, string> {
+function parseValue(raw: string): Result<unknown, string> {
   try {
     return ok(JSON.parse(raw) as unknown);
   } catch {
@@ -133,28 +144,31 @@
 
 const READ_ARGS = {
   ...CORE_ARGS,
-  resolved: { type: 'boolean', description: 'Show what each model ends up with, and from which level' },
+  resolved: {
+    type: 'boolean',
+    description: 'Show the effective settings of each model, and the level that each comes from',
+  },
 } as const satisfies ArgsDef;
 
-async function runRead(ctx: Ctx): Promise<void> {
-  if (!flagsFit(ctx.rawArgs, READ_ARGS)) return leaveUsage();
-  const answer = await coreOf(ctx.args).request(readRequest());
-  report(answer, ctx.args['json'] === true, shown);
+async function runRead(ctx: CommandContext): Promise<void> {
+  if (!areFlagsValid(ctx.rawArgs, READ_ARGS)) return setUsageExitCode();
+  const response = await coreClientOf(ctx.args).request(readRequest());
+  printResponse(response, ctx.args['json'] === true, format);
 
-  function shown(body: unknown): string {
-    const second = body as {
+  function format(body: unknown): string {
+    const response = body as {
       readonly version: number;
       readonly configuration: unknown;
       readonly evacuated: readonly string[];
       readonly resolved: readonly ResolvedRow[];
     };
-    const head = `version ${second.version}; evacuated: ${second.evacuated.length > 0 ? second.evacuated.join(', ') : 'none'}`;
-    if (ctx.args['resolved'] !== true) return `${head}\n${JSON.stringify(second.configuration, null, 2)}`;
+    const head = `version ${response.version}; evacuated: ${response.evacuated.length > 0 ? response.evacuated.join(', ') : 'none'}`;
+    if (ctx.args['resolved'] !== true) return `${head}\n${JSON.stringify(response.configuration, null, 2)}`;
     const rows: string[] = [head];
-    for (const resolvedRow of second.resolved) {
-      rows.push(`${resolvedRow.region}/${resolvedRow.model}`);
-      for (const key of Object.keys(resolvedRow.values))
-        rows.push(`  ${key} = ${JSON.stringify(resolvedRow.values[key])} (${resolvedRow.levels[key] ?? '?'})`);
+    for (const row of response.resolved) {
+      rows.push(`${row.region}/${row.model}`);
+      for (const key of Object.keys(row.values))
+        rows.push(`  ${key} = ${JSON.stringify(row.values[key])} (${row.levels[key] ?? '?'})`);
     }
     return rows.join('\n');
   }
@@ -172,101 +186,114 @@
   zone: { type: 'positional', description: 'Zone', required: true },
 } as const satisfies ArgsDef;
 
-async function zoneCommand(ctx: Ctx, command: 'evacuate' | 'restore'): Promise<void> {
-  if (!flagsFit(ctx.rawArgs, ZONE_ARGS)) return leaveUsage();
-  report(
-    await coreOf(ctx.args).request(zoneRequest(textOf(ctx, 'zone') ?? '', command, operationOf(ctx))),
+async function sendZoneRequest(ctx: CommandContext, command: 'evacuate' | 'restore'): Promise<void> {
+  if (!areFlagsValid(ctx.rawArgs, ZONE_ARGS)) return setUsageExitCode();
+  printResponse(
+    await coreClientOf(ctx.args).request(zoneRequest(stringArg(ctx, 'zone') ?? '', command, operationId(ctx))),
     ctx.args['json'] === true,
-    acknowledged,
+    formatAcknowledgement,
   );
 }
-function runEvacuate(ctx: Ctx): Promise<void> {
-  return zoneCommand(ctx, 'evacuate');
+function runEvacuate(ctx: CommandContext): Promise<void> {
+  return sendZoneRequest(ctx, 'evacuate');
 }
-function runRestore(ctx: Ctx): Promise<void> {
-  return zoneCommand(ctx, 'restore');
+function runRestore(ctx: CommandContext): Promise<void> {
+  return sendZoneRequest(ctx, 'restore');
 }
 
 const FORGET_ARGS = {
   ...CORE_ARGS,
-  proxy: { type: 'positional', description: 'Name of a proxy that is gone for good', required: true },
+  proxy: { type: 'positional', description: 'Name of a proxy that will not come back', required: true },
 } as const satisfies ArgsDef;
 
-async function runForget(ctx: Ctx): Promise<void> {
-  if (!flagsFit(ctx.rawArgs, FORGET_ARGS)) return leaveUsage();
-  report(
-    await coreOf(ctx.args).request(forgetRequest(textOf(ctx, 'proxy') ?? '')),
+async function runForget(ctx: CommandContext): Promise<void> {
+  if (!areFlagsValid(ctx.rawArgs, FORGET_ARGS)) return setUsageExitCode();
+  printResponse(
+    await coreClientOf(ctx.args).request(forgetRequest(stringArg(ctx, 'proxy') ?? '')),
     ctx.args['json'] === true,
-    acknowledged,
+    formatAcknowledgement,
   );
 }
 
-const FOUND_ARGS = {
+const BOOTSTRAP_ARGS = {
   ...CORE_ARGS,
-  members: { type: 'string', description: 'Node addresses of every controller, joined by commas', required: true },
+  members: { type: 'string', description: 'Node addresses of all controllers, separated by commas', required: true },
 } as const satisfies ArgsDef;
 
-async function runFound(ctx: Ctx): Promise<void> {
-  if (!flagsFit(ctx.rawArgs, FOUND_ARGS)) return leaveUsage();
-  const members = (textOf(ctx, 'members') ?? '').split(',').filter(Boolean);
-  report(await coreOf(ctx.args).request(bootstrapRequest(members)), ctx.args['json'] === true, acknowledged);
+async function runBootstrap(ctx: CommandContext): Promise<void> {
+  if (!areFlagsValid(ctx.rawArgs, BOOTSTRAP_ARGS)) return setUsageExitCode();
+  const members = (stringArg(ctx, 'members') ?? '').split(',').filter(Boolean);
+  printResponse(
+    await coreClientOf(ctx.args).request(bootstrapRequest(members)),
+    ctx.args['json'] === true,
+    formatAcknowledgement,
+  );
 }
 
 const REOPEN_ARGS = {
   ...CORE_ARGS,
-  acceptLoss: { type: 'boolean', description: 'Say that claims on lost disks are given up' },
+  acceptLoss: { type: 'boolean', description: 'Confirm that claims on lost disks are abandoned' },
 } as const satisfies ArgsDef;
 
-async function runReopen(ctx: Ctx): Promise<void> {
-  if (!flagsFit(ctx.rawArgs, REOPEN_ARGS)) return leaveUsage();
+async function runReopen(ctx: CommandContext): Promise<void> {
+  if (!areFlagsValid(ctx.rawArgs, REOPEN_ARGS)) return setUsageExitCode();
   if (ctx.args['acceptLoss'] !== true) {
-    complain('flag --acceptLoss: expected, for a run-once request of the last day may then run again; found nothing');
-    return leaveUsage();
+    printError(
+      'flag --acceptLoss: expected, since run-once requests of the last day may run a second time; found nothing',
+    );
+    return setUsageExitCode();
   }
-  report(await coreOf(ctx.args).request(reopenRequest()), ctx.args['json'] === true, acknowledged);
+  printResponse(
+    await coreClientOf(ctx.args).request(reopenRequest()),
+    ctx.args['json'] === true,
+    formatAcknowledgement,
+  );
 }
 
-/** The command and its verbs. */
+/** The command and its subcommands. */
 export const adminCommand = defineCommand({
-  meta: { name: 'admin', description: "Operator's commands" },
+  meta: { name: 'admin', description: 'Operator commands' },
   subCommands: {
     bootstrap: defineCommand({
-      meta: { name: 'bootstrap', description: 'Bootstrap the ledger on blank controllers, once' },
-      args: FOUND_ARGS,
-      run: runFound,
+      meta: { name: 'bootstrap', description: 'Create the replicated log on blank controllers; done once' },
+      args: BOOTSTRAP_ARGS,
+      run: runBootstrap,
     }),
     apply: defineCommand({
-      meta: { name: 'apply', description: 'Put a whole configuration in force' },
+      meta: { name: 'apply', description: 'Replace the whole configuration' },
       args: APPLY_ARGS,
       run: runApply,
     }),
     set: defineCommand({
-      meta: { name: 'set', description: 'Amend one place of the configuration' },
+      meta: { name: 'set', description: 'Change or remove one value of the configuration' },
       args: SET_ARGS,
       run: runSet,
     }),
     read: defineCommand({
-      meta: { name: 'read', description: 'Read the configuration back' },
+      meta: { name: 'read', description: 'Print the configuration' },
       args: READ_ARGS,
       run: runRead,
     }),
     evacuate: defineCommand({
-      meta: { name: 'evacuate', description: 'Empty a zone' },
+      meta: { name: 'evacuate', description: 'Evacuate a zone' },
       args: ZONE_ARGS,
       run: runEvacuate,
     }),
     restore: defineCommand({
-      meta: { name: 'restore', description: 'Hand a zone back' },
+      meta: { name: 'restore', description: 'Take an evacuated zone into use again' },
       args: ZONE_ARGS,
       run: runRestore,
     }),
     'reopen-claims': defineCommand({
-      meta: { name: 'reopen-claims', description: 'Take run-once requests again after a majority of disks was lost' },
+      meta: { name: 'reopen-claims', description: 'Accept run-once requests again after a majority of disks was lost' },
       args: REOPEN_ARGS,
       run: runReopen,
     }),
     forget: defineCommand({
-      meta: { name: 'forget', description: 'Forget a proxy that is gone for good' },
+      meta: {
+        name: 'forget',
+        description: 'Remove a proxy that will not come back from those that must confirm changes',
+      },
       args: FORGET_ARGS,
       run: runForget,
     }),
--- a/src/programs/composition.ts
+++ b/src/programs/composition.ts
@@ -1,4 +1,4 @@
-/** What a real process is made of, put together by inversify: settings in, node dependencies out. */
+/** Builds the dependencies of a node process from its settings, with an inversify container. */
 import 'reflect-metadata';
 import { Container } from 'inversify';
 import type { NodeDeps, NodeIdentity } from '../coordination/node.js';
@@ -23,12 +23,12 @@
 import type { Wire } from '../transport/wire.js';
 import { switchesAt } from '../transport/switch-file.js';
 import type { Switches } from '../transport/switch-file.js';
-import type { Lab, NodeSettings } from './settings.js';
+import type { LabSettings, NodeSettings } from './settings.js';
 import type { Place } from '../standin/tally.js';
-import { placeAt, tallyInto } from './tally-file.js';
+import { locationOf, createFileTally } from './tally-file.js';
 
-/** Names of what the container holds. */
-export const T = {
+/** Identifiers of the services in the container. */
+export const SERVICE_IDS = {
   settings: Symbol.for('settings'),
   clock: Symbol.for('clock'),
   rng: Symbol.for('rng'),
@@ -36,31 +36,31 @@
   switches: Symbol.for('switches'),
   wire: Symbol.for('wire'),
   httpServer: Symbol.for('httpServer'),
-  httpClient: Symbol.for('caller'),
+  httpClient: Symbol.for('httpClient'),
   disk: Symbol.for('disk'),
   policies: Symbol.for('policies'),
   deps: Symbol.for('deps'),
   identity: Symbol.for('identity'),
 } as const;
 
-const DIAL_MS = 1_000;
-const CONNECT_MS = 1_000;
+const WIRE_CONNECT_TIMEOUT_MS = 1_000;
+const HTTP_CONNECT_TIMEOUT_MS = 1_000;
 
-function nothing(): null {
+function noExtra(): null {
   return null;
 }
-function isSlow(lab: Lab | null): lab is Lab {
+function hasNetworkFaults(lab: LabSettings | null): lab is LabSettings {
   return lab !== null && (lab.switches !== undefined || Object.keys(lab.delayMs).length > 0);
 }
 
-/** A container for these settings; nothing is opened yet. */
-export function compose(settings: NodeSettings): Container {
-  const box = new Container({ defaultScope: 'Singleton' });
+/** Returns a container for these settings. Services are created on first use, so nothing is opened yet. */
+export function createContainer(settings: NodeSettings): Container {
+  const container = new Container({ defaultScope: 'Singleton' });
   const { lab } = settings;
-  const tally = lab?.tally ? tallyInto(lab.tally, nothing) : null;
-  function ownPlace(): Place {
+  const tally = lab?.tally ? createFileTally(lab.tally, noExtra) : null;
+  function ownLocation(): Place {
     return lab?.tally
-      ? placeAt(lab.tally, settings.advertise)
+      ? locationOf(lab.tally, settings.advertise)
       : { role: 'unknown', zone: settings.zone, region: settings.region };
   }
 
@@ -68,53 +68,59 @@
     return createLogRoot(settings.logLevel, settings.logFormat);
   }
   function makeWire(): Wire {
-    const wire = createTcpWire(box.get<LogRoot>(T.logs).component('wire'), DIAL_MS, tally && tally.meterOf(ownPlace()));
-    return isSlow(lab) ? slowWire(wire, box.get<Clock>(T.clock), pathsOf(lab)) : wire;
+    const wire = createTcpWire(
+      container.get<LogRoot>(SERVICE_IDS.logs).component('wire'),
+      WIRE_CONNECT_TIMEOUT_MS,
+      tally && tally.meterOf(ownLocation()),
+    );
+    return hasNetworkFaults(lab) ? slowWire(wire, container.get<Clock>(SERVICE_IDS.clock), networkPaths(lab)) : wire;
   }
   function makeHttpClient(): HttpClient {
-    const response = createGotHttpClient(CONNECT_MS);
-    const httpClient = tally ? tally.countedHttpClient(ownPlace(), response) : response;
-    return isSlow(lab) ? slowHttpClient(httpClient, box.get<Clock>(T.clock), pathsOf(lab)) : httpClient;
+    const plainClient = createGotHttpClient(HTTP_CONNECT_TIMEOUT_MS);
+    const httpClient = tally ? tally.countedHttpClient(ownLocation(), plainClient) : plainClient;
+    return hasNetworkFaults(lab)
+      ? slowHttpClient(httpClient, container.get<Clock>(SERVICE_IDS.clock), networkPaths(lab))
+      : httpClient;
   }
   function makePolicies(): readonly Policy[] {
-    const kept: Policy[] = [];
-    for (const policy of POLICIES) if (policy.name !== lab?.withoutPolicy) kept.push(policy);
-    return kept;
+    const policies: Policy[] = [];
+    for (const policy of POLICIES) if (policy.name !== lab?.withoutPolicy) policies.push(policy);
+    return policies;
   }
   function makeHttpServer(): HttpServer {
-    return createExpressHttpServer(box.get<LogRoot>(T.logs).component('httpServer'));
+    return createExpressHttpServer(container.get<LogRoot>(SERVICE_IDS.logs).component('httpServer'));
   }
   function makeDisk(): Disk | null {
     if (settings.dataFolder === null) return null;
     const disk = createFolderDisk(settings.dataFolder);
-    return lab?.switches === undefined ? disk : fullDisk(disk, isFull);
+    return lab?.switches === undefined ? disk : fullDisk(disk, isDiskFull);
   }
-  function isFull(): boolean {
-    return box.get<Switches>(T.switches).isFull(settings.name);
+  function isDiskFull(): boolean {
+    return container.get<Switches>(SERVICE_IDS.switches).isFull(settings.name);
   }
   function makeSwitches(): Switches {
     return switchesAt(lab?.switches);
   }
-  function pathsOf(lab: Lab): PathTo {
-    return pathTable(settings.zone, lab.zones, lab.delayMs, box.get<Switches>(T.switches));
+  function networkPaths(lab: LabSettings): PathTo {
+    return pathTable(settings.zone, lab.zones, lab.delayMs, container.get<Switches>(SERVICE_IDS.switches));
   }
   function makeDeps(): NodeDeps {
     return {
-      clock: box.get<Clock>(T.clock),
-      rng: box.get<Rng>(T.rng),
-      wire: box.get<Wire>(T.wire),
-      httpServer: box.get<HttpServer>(T.httpServer),
-      httpClient: box.get<HttpClient>(T.httpClient),
-      disk: box.get<Disk | null>(T.disk),
-      logs: box.get<LogRoot>(T.logs),
-      policies: box.get<readonly Policy[]>(T.policies),
+      clock: container.get<Clock>(SERVICE_IDS.clock),
+      rng: container.get<Rng>(SERVICE_IDS.rng),
+      wire: container.get<Wire>(SERVICE_IDS.wire),
+      httpServer: container.get<HttpServer>(SERVICE_IDS.httpServer),
+      httpClient: container.get<HttpClient>(SERVICE_IDS.httpClient),
+      disk: container.get<Disk | null>(SERVICE_IDS.disk),
+      logs: container.get<LogRoot>(SERVICE_IDS.logs),
+      policies: container.get<readonly Policy[]>(SERVICE_IDS.policies),
       meters: createMeters,
     };
   }
   function makeIdentity(): NodeIdentity {
     return {
       name: settings.name,
-      run: newId(box.get<Rng>(T.rng), 'run'),
+      run: newId(container.get<Rng>(SERVICE_IDS.rng), 'run'),
       zone: settings.zone,
       region: settings.region,
       listen: settings.listen,
@@ -127,17 +133,17 @@
     };
   }
 
-  box.bind(T.settings).toConstantValue(settings);
-  box.bind(T.policies).toDynamicValue(makePolicies).inSingletonScope();
-  box.bind(T.clock).toDynamicValue(createClock).inSingletonScope();
-  box.bind(T.rng).toDynamicValue(createOsRng).inSingletonScope();
-  box.bind(T.logs).toDynamicValue(makeLogs).inSingletonScope();
-  box.bind(T.switches).toDynamicValue(makeSwitches).inSingletonScope();
-  box.bind(T.wire).toDynamicValue(makeWire).inSingletonScope();
-  box.bind(T.httpServer).toDynamicValue(makeHttpServer).inSingletonScope();
-  box.bind(T.httpClient).toDynamicValue(makeHttpClient).inSingletonScope();
-  box.bind(T.disk).toDynamicValue(makeDisk).inSingletonScope();
-  box.bind(T.deps).toDynamicValue(makeDeps).inSingletonScope();
-  box.bind(T.identity).toDynamicValue(makeIdentity).inSingletonScope();
-  return box;
+  container.bind(SERVICE_IDS.settings).toConstantValue(settings);
+  container.bind(SERVICE_IDS.policies).toDynamicValue(makePolicies).inSingletonScope();
+  container.bind(SERVICE_IDS.clock).toDynamicValue(createClock).inSingletonScope();
+  container.bind(SERVICE_IDS.rng).toDynamicValue(createOsRng).inSingletonScope();
+  container.bind(SERVICE_IDS.logs).toDynamicValue(makeLogs).inSingletonScope();
+  container.bind(SERVICE_IDS.switches).toDynamicValue(makeSwitches).inSingletonScope();
+  container.bind(SERVICE_IDS.wire).toDynamicValue(makeWire).inSingletonScope();
+  container.bind(SERVICE_IDS.httpServer).toDynamicValue(makeHttpServer).inSingletonScope();
+  container.bind(SERVICE_IDS.httpClient).toDynamicValue(makeHttpClient).inSingletonScope();
+  container.bind(SERVICE_IDS.disk).toDynamicValue(makeDisk).inSingletonScope();
+  container.bind(SERVICE_IDS.deps).toDynamicValue(makeDeps).inSingletonScope();
+  container.bind(SERVICE_IDS.identity).toDynamicValue(makeIdentity).inSingletonScope();
+  return container;
 }
--- a/src/programs/daemons.ts
+++ b/src/programs/daemons.ts
@@ -1,4 +1,4 @@
-/** `millfield proxy` and `millfield controller`. */
+/** Commands `millfield proxy` and `millfield controller`, which run until they are told to stop. */
 import { defineCommand } from 'citty';
 import type { ArgsDef } from 'citty';
 import { CONTROLLER_SHAPES, startController } from '../coordination/controller.js';
@@ -7,25 +7,25 @@
 import type { Result } from '../base/result.js';
 import { awaitStopSignal, endProcess, endStuckStart } from '../transport/stop-signal.js';
 import { surviveUncaughtErrors } from '../transport/uncaught-errors.js';
-import { compose, T } from './composition.js';
+import { createContainer, SERVICE_IDS } from './composition.js';
 import { EXIT } from './exit-codes.js';
 import type { ExitCode } from './exit-codes.js';
-import { complain, flagsFit, leaveUsage } from './flags.js';
+import { printError, areFlagsValid, setUsageExitCode } from './flags.js';
 import { readSettings } from './settings.js';
-import type { NodeSettings, SettingsNeeds } from './settings.js';
+import type { NodeSettings, RequiredSettings } from './settings.js';
 
-/** Flags of both; each overrides the settings file. */
+/** Flags of both commands; each overrides the settings file. */
 export const NODE_ARGS = {
   settings: { type: 'string', description: 'Settings file (JSON); flags override it' },
   name: { type: 'string', description: 'Name of this node, unique in the deployment' },
   zone: { type: 'string', description: 'Zone of this machine' },
   region: { type: 'string', description: 'Region of this machine' },
   listen: { type: 'string', description: 'Address for other nodes, such as 10.0.0.1:7100' },
-  advertise: { type: 'string', description: 'Address that others reach us by (default: listen)' },
-  http: { type: 'string', description: 'Address for callers or operators' },
-  httpAdvertise: { type: 'string', description: 'Address told to callers (default: http)' },
-  seeds: { type: 'string', description: 'Addresses of other nodes, joined by commas' },
-  dataFolder: { type: 'string', description: 'Folder for everything that is kept' },
+  advertise: { type: 'string', description: 'Address at which other nodes reach this node (default: listen)' },
+  http: { type: 'string', description: 'HTTP address for callers (proxy) or operators (controller)' },
+  httpAdvertise: { type: 'string', description: 'HTTP address that is published (default: http)' },
+  seeds: { type: 'string', description: 'Addresses of seed nodes, separated by commas' },
+  dataFolder: { type: 'string', description: 'Folder for persistent data' },
   platform: { type: 'string', description: 'Address of the platform that lists workers' },
   cloud: { type: 'string', description: 'Address of the cloud API' },
   logLevel: { type: 'string', description: 'silent, error, warn or info' },
@@ -34,11 +34,11 @@
 
 type Stoppable = { readonly stop: (withinMs: number) => Promise<void> };
 
-/** Longest orderly end of a daemon; whoever runs it kills it no sooner. */
-const STOP_MS = 10_000;
+/** Upper bound of a graceful shutdown; the supervisor of the process must not kill it earlier. */
+const STOP_TIMEOUT_MS = 10_000;
 const EXIT_SLACK_MS = 500;
 
-function codeOf(tag: string): ExitCode {
+function startErrorExitCode(tag: string): ExitCode {
   if (tag === 'addressInUse' || tag === 'badAddress' || tag === 'unreachable') return EXIT.cannotListen;
   return EXIT.disk;
 }
@@ -46,73 +46,74 @@
 async function runDaemon(
   rawArgs: readonly string[],
   flags: Readonly<Record<string, string | undefined>>,
-  needs: SettingsNeeds,
-  start: (id: NodeIdentity, deps: NodeDeps) => Promise<Result<Stoppable, { readonly tag: string }>>,
+  required: RequiredSettings,
+  start: (identity: NodeIdentity, deps: NodeDeps) => Promise<Result<Stoppable, { readonly tag: string }>>,
 ): Promise<void> {
-  if (!flagsFit(rawArgs, NODE_ARGS)) {
-    leaveUsage();
+  if (!areFlagsValid(rawArgs, NODE_ARGS)) {
+    setUsageExitCode();
     return;
   }
-  const { settings: file, ...rest } = flags;
-  const read = readSettings(file, rest, needs);
-  if (!read.ok) {
-    for (const error of read.error) complain(`setting ${error.key}: expected ${error.expected}; found ${error.found}`);
-    leaveUsage();
+  const { settings: settingsFile, ...overrides } = flags;
+  const parsed = readSettings(settingsFile, overrides, required);
+  if (!parsed.ok) {
+    for (const error of parsed.error)
+      printError(`setting ${error.key}: expected ${error.expected}; found ${error.found}`);
+    setUsageExitCode();
     return;
   }
   const stopSignal = awaitStopSignal();
-  const settings: NodeSettings = read.value;
-  const box = compose(settings);
-  const deps = box.get<NodeDeps>(T.deps);
+  const settings: NodeSettings = parsed.value;
+  const container = createContainer(settings);
+  const deps = container.get<NodeDeps>(SERVICE_IDS.deps);
   const log = deps.logs.component('start');
-  const onStarted = endStuckStart(log, deps.clock, stopSignal, STOP_MS);
-  const started = await start(box.get<NodeIdentity>(T.identity), deps);
+  const onStarted = endStuckStart(log, deps.clock, stopSignal, STOP_TIMEOUT_MS);
+  const started = await start(container.get<NodeIdentity>(SERVICE_IDS.identity), deps);
   if (!started.ok) {
-    complain(`millfield could not start: ${JSON.stringify(started.error)}`);
-    process.exit(codeOf(started.error.tag));
+    printError(`millfield could not start: ${JSON.stringify(started.error)}`);
+    process.exit(startErrorExitCode(started.error.tag));
   }
   onStarted();
   surviveUncaughtErrors(log);
   const signal = await stopSignal;
-  log.info('stopping', { signal, withinMs: STOP_MS });
-  await endProcess(log, deps.clock, STOP_MS + EXIT_SLACK_MS, () => started.value.stop(STOP_MS));
+  log.info('stopping', { signal, withinMs: STOP_TIMEOUT_MS });
+  await endProcess(log, deps.clock, STOP_TIMEOUT_MS + EXIT_SLACK_MS, () => started.value.stop(STOP_TIMEOUT_MS));
 }
 
-function picked(args: Readonly<Record<string, unknown>>): Record<string, string | undefined> {
-  const out: Record<string, string | undefined> = {};
+function nodeFlags(args: Readonly<Record<string, unknown>>): Record<string, string | undefined> {
+  const flags: Record<string, string | undefined> = {};
   for (const key of Object.keys(NODE_ARGS)) {
     const value = args[key];
-    out[key] = typeof value === 'string' ? value : undefined;
+    flags[key] = typeof value === 'string' ? value : undefined;
   }
-  return out;
+  return flags;
 }
 
 function runProxy(ctx: {
   readonly rawArgs: string[];
   readonly args: Readonly<Record<string, unknown>>;
 }): Promise<void> {
-  return runDaemon(ctx.rawArgs, picked(ctx.args), { dataFolder: false, cloud: false }, startProxy);
+  return runDaemon(ctx.rawArgs, nodeFlags(ctx.args), { dataFolder: false, cloud: false }, startProxy);
 }
-function startCore(id: NodeIdentity, deps: NodeDeps): ReturnType<typeof startController> {
-  return startController(id, deps, CONTROLLER_SHAPES);
+function startControllerNode(identity: NodeIdentity, deps: NodeDeps): ReturnType<typeof startController> {
+  return startController(identity, deps, CONTROLLER_SHAPES);
 }
 function runController(ctx: {
   readonly rawArgs: string[];
   readonly args: Readonly<Record<string, unknown>>;
 }): Promise<void> {
-  return runDaemon(ctx.rawArgs, picked(ctx.args), { dataFolder: true, cloud: true }, startCore);
+  return runDaemon(ctx.rawArgs, nodeFlags(ctx.args), { dataFolder: true, cloud: true }, startControllerNode);
 }
 
-/** Runs a proxy until SIGTERM. */
+/** Runs a proxy until SIGTERM or SIGINT. */
 export const proxyCommand = defineCommand({
-  meta: { name: 'proxy', description: 'Edge daemon: places, dispatches and relays requests' },
+  meta: { name: 'proxy', description: 'Edge daemon: selects workers, dispatches requests and relays responses' },
   args: NODE_ARGS,
   run: runProxy,
 });
 
-/** Runs a controller until SIGTERM. */
+/** Runs a controller until SIGTERM or SIGINT. */
 export const controllerCommand = defineCommand({
-  meta: { name: 'controller', description: 'Core node: agrees the ledger, scales workers, serves operators' },
+  meta: { name: 'controller', description: 'Core daemon: replicates the log, scales workers, serves operators' },
   args: NODE_ARGS,
   run: runController,
 });
--- a/src/programs/exit-codes.ts
+++ b/src/programs/exit-codes.ts
@@ -1,6 +1,6 @@
 /** Exit codes of the command line (docs/running.md). */
 
-/** Codes by what they mean. */
+/** Exit codes by meaning. */
 export const EXIT = {
   ok: 0,
   internal: 1,
@@ -11,5 +11,5 @@
   notConfirmed: 6,
   unreachable: 7,
 } as const;
-/** One of these codes. */
+/** Any of the exit codes. */
 export type ExitCode = (typeof EXIT)[keyof typeof EXIT];
--- a/src/programs/flags.ts
+++ b/src/programs/flags.ts
@@ -1,36 +1,39 @@
-/** What all commands share: output, usage errors and signals. */
+/** Helpers that the commands share: output, validation of flags, exit codes and stop signals. */
 import type { ArgsDef } from 'citty';
 import { EXIT } from './exit-codes.js';
 import type { ExitCode } from './exit-codes.js';
 
 /** Writes a line to standard error. */
-export function complain(text: string): void {
+export function printError(text: string): void {
   process.stderr.write(`${text}\n`);
 }
 
 /** Writes a line to standard output. */
-export function say(text: string): void {
+export function printLine(text: string): void {
   process.stdout.write(`${text}\n`);
 }
 
-function known(defs: ArgsDef): Set<string> {
-  const out = new Set<string>(['help', 'h', 'version', 'v']);
+function knownFlags(defs: ArgsDef): Set<string> {
+  const names = new Set<string>(['help', 'h', 'version', 'v']);
   for (const key of Object.keys(defs)) {
-    out.add(key);
-    out.add(key.replace(/[A-Z]/g, dashed));
+    names.add(key);
+    names.add(key.replace(/[A-Z]/g, toDashed));
   }
-  return out;
+  return names;
 }
-function dashed(character: string): string {
+function toDashed(character: string): string {
   return `-${character.toLowerCase()}`;
 }
 
-/** Whether all flags are known; complains of the first that is not. */
-export function flagsFit(rawArgs: readonly string[], defs: ArgsDef): boolean {
-  const names = known(defs);
+/**
+ * Whether all flags are known, those with a value have one, and there are not too many positional arguments. Prints the
+ * first error.
+ */
+export function areFlagsValid(rawArgs: readonly string[], defs: ArgsDef): boolean {
+  const names = knownFlags(defs);
   let positional = 0;
-  let room = 0;
-  for (const def of Object.values(defs)) if (def.type === 'positional') room += 1;
+  let maxPositional = 0;
+  for (const def of Object.values(defs)) if (def.type === 'positional') maxPositional += 1;
   for (let i = 0; i < rawArgs.length; i += 1) {
     const arg = rawArgs[i] as string;
     if (!arg.startsWith('-') || arg === '-') {
@@ -38,53 +41,53 @@
       continue;
     }
     const name = arg.replace(/^--?/, '').split('=')[0] as string;
-    const def = defs[name] ?? defs[camel(name)];
+    const def = defs[name] ?? defs[toCamelCase(name)];
     if (!names.has(name) || def?.type === 'positional') {
-      complain(`flag --${name}: expected one of ${[...Object.keys(defs)].join(', ')}; found ${JSON.stringify(arg)}`);
+      printError(`flag --${name}: expected one of ${[...Object.keys(defs)].join(', ')}; found ${JSON.stringify(arg)}`);
       return false;
     }
     if (def && def.type !== 'boolean' && !arg.includes('=')) {
       i += 1;
       if (i >= rawArgs.length || (rawArgs[i] as string).startsWith('--')) {
-        complain(`flag --${name}: expected a value; found nothing`);
+        printError(`flag --${name}: expected a value; found nothing`);
         return false;
       }
     }
   }
-  if (positional > room) {
-    complain(`arguments: expected ${room} at most; found ${positional}`);
+  if (positional > maxPositional) {
+    printError(`arguments: expected at most ${maxPositional}; found ${positional}`);
     return false;
   }
   return true;
 }
-function camel(name: string): string {
-  return name.replace(/-([a-z])/g, upper);
+function toCamelCase(name: string): string {
+  return name.replace(/-([a-z])/g, upperCaseLetter);
 }
-function upper(_m: string, character: string): string {
+function upperCaseLetter(_match: string, character: string): string {
   return character.toUpperCase();
 }
 
-/** Ends with this code once output is written. */
-export function leave(code: ExitCode): void {
+/** Sets the exit code. The process ends by itself, so that all output is written first. */
+export function setExitCode(code: ExitCode): void {
   process.exitCode = code;
 }
 
-/** Ends with the code for wrong usage. */
-export function leaveUsage(): void {
-  leave(EXIT.usage);
+/** Sets the exit code for wrong usage. */
+export function setUsageExitCode(): void {
+  setExitCode(EXIT.usage);
 }
 
-/** Calls `stop` on SIGTERM or SIGINT, then ends the process. */
-export function onStop(stop: () => Promise<void>): void {
+/** Calls `stop` on the first SIGTERM or SIGINT, then ends the process. */
+export function onStopSignal(stop: () => Promise<void>): void {
   let stopping = false;
-  function signalled(): void {
+  function onSignal(): void {
     if (stopping) return;
     stopping = true;
-    void stop().then(gone);
+    void stop().then(exit);
   }
-  function gone(): void {
+  function exit(): void {
     process.exit(EXIT.ok);
   }
-  process.on('SIGTERM', signalled);
-  process.on('SIGINT', signalled);
+  process.on('SIGTERM', onSignal);
+  process.on('SIGINT', onSignal);
 }
--- a/src/programs/hollow.ts
+++ b/src/programs/hollow.ts
@@ -1,4 +1,4 @@
-/** Runs many proxies without requests in one process, for capacity measurements. */
+/** Command `millfield standin hollow`: runs many idle proxies or workers in one process, for capacity measurements. */
 import { readFileSync } from 'node:fs';
 import { createInterface } from 'node:readline';
 import type { ArgsDef } from 'citty';
@@ -19,14 +19,14 @@
 import { createOsRng } from '../transport/rng.js';
 import { createTcpWire } from '../transport/wire.js';
 import { EXIT } from './exit-codes.js';
-import { complain, flagsFit, leave, leaveUsage } from './flags.js';
-import { tallyInto } from './tally-file.js';
+import { printError, areFlagsValid, setExitCode, setUsageExitCode } from './flags.js';
+import { createFileTally } from './tally-file.js';
 import type { TallySettings } from './tally-file.js';
 
 type HollowWorker = { readonly id: string; readonly zone: string; readonly region: string; readonly http: string };
 type Prices = Readonly<Record<string, { readonly spot: number; readonly onDemand: number }>>;
 
-/** How many proxies, and where. */
+/** The proxies to run, or the platform, cloud and workers (`outside`). */
 export type HollowPlan = {
   readonly tally: TallySettings;
   readonly wholeProbes: boolean;
@@ -44,47 +44,47 @@
   plan: {
     type: 'string',
     required: true,
-    description: 'File that names the proxies and workers of this process (made by tools/capacity.mjs)',
+    description: 'File that lists the proxies and workers of this process (written by tools/capacity.mjs)',
   },
 } as const satisfies ArgsDef;
 
-const DIAL_MS = 1_000;
+const CONNECT_TIMEOUT_MS = 1_000;
 
-/** Runs them until the process is told to stop. */
+/** Runs the proxies and workers of the plan until a stop signal or the end of standard input. */
 export async function runHollow(ctx: {
   readonly rawArgs: string[];
   readonly args: Readonly<Record<string, unknown>>;
 }): Promise<void> {
-  if (!flagsFit(ctx.rawArgs, HOLLOW_ARGS)) return leaveUsage();
+  if (!areFlagsValid(ctx.rawArgs, HOLLOW_ARGS)) return setUsageExitCode();
   const plan = JSON.parse(readFileSync(String(ctx.args['plan']), 'utf8')) as HollowPlan;
   const clock = createClock();
   const logs = createLogRoot('error');
-  let part: HollowPart | null = null;
+  let proxyGroup: HollowPart | null = null;
   function extra(): unknown {
-    return part?.tally() ?? null;
+    return proxyGroup?.tally() ?? null;
   }
-  const tally = tallyInto(plan.tally, extra);
-  const shared = hollowWorkers(createGotHttpClient(DIAL_MS), clock);
+  const tally = createFileTally(plan.tally, extra);
+  const sharedClient = hollowWorkers(createGotHttpClient(CONNECT_TIMEOUT_MS), clock);
 
-  if (plan.outside && !(await startOutside(plan.outside))) return leave(EXIT.cannotListen);
+  if (plan.outside && !(await startExternalServices(plan.outside))) return setExitCode(EXIT.cannotListen);
   if (plan.proxies.length > 0) {
-    const started = await startHollowProxies(plan.proxies, depsOf, clock);
+    const started = await startHollowProxies(plan.proxies, createProxyDeps, clock);
     if (!started.ok) {
-      complain(`hollow proxies could not start: ${JSON.stringify(started.error)}`);
+      printError(`hollow proxies could not start: ${JSON.stringify(started.error)}`);
       process.exit(EXIT.cannotListen);
     }
-    part = started.value;
+    proxyGroup = started.value;
   }
 
-  function depsOf(hollowProxy: HollowProxy): NodeDeps {
-    const own: Place = { role: 'proxy', zone: hollowProxy.zone, region: hollowProxy.region };
-    const counted = tally.countedHttpClient(own, createGotHttpClient(DIAL_MS));
+  function createProxyDeps(hollowProxy: HollowProxy): NodeDeps {
+    const location: Place = { role: 'proxy', zone: hollowProxy.zone, region: hollowProxy.region };
+    const countedClient = tally.countedHttpClient(location, createGotHttpClient(CONNECT_TIMEOUT_MS));
     return {
       clock,
       rng: createOsRng(),
-      wire: createTcpWire(logs.component('wire'), DIAL_MS, tally.meterOf(own)),
+      wire: createTcpWire(logs.component('wire'), CONNECT_TIMEOUT_MS, tally.meterOf(location)),
       httpServer: hollowHttpServer(),
-      httpClient: plan.wholeProbes ? counted : tally.countedHttpClient(own, shared),
+      httpClient: plan.wholeProbes ? countedClient : tally.countedHttpClient(location, sharedClient),
       disk: null,
       logs,
       policies: POLICIES,
@@ -92,18 +92,27 @@
     };
   }
 
-  async function startOutside(options: NonNullable<HollowPlan['outside']>): Promise<boolean> {
-    const local = localHttpServers(createExpressHttpServer(logs.component('standin')), createGotHttpClient(DIAL_MS));
+  async function startExternalServices(options: NonNullable<HollowPlan['outside']>): Promise<boolean> {
+    const localHttp = localHttpServers(
+      createExpressHttpServer(logs.component('standin')),
+      createGotHttpClient(CONNECT_TIMEOUT_MS),
+    );
     const journal = createNoJournal();
-    const deps = { clock, rng: createOsRng(), httpServer: local.httpServer, httpClient: local.httpClient, journal };
-    const platform = await startStandinPlatform(options.platform, clock, local.httpServer, journal);
+    const deps = {
+      clock,
+      rng: createOsRng(),
+      httpServer: localHttp.httpServer,
+      httpClient: localHttp.httpClient,
+      journal,
+    };
+    const platform = await startStandinPlatform(options.platform, clock, localHttp.httpServer, journal);
     const cloud = await startStandinCloud(
       { address: options.cloud, platform: options.platform, prices: options.prices },
       deps,
     );
-    let all = platform.ok && cloud.ok;
+    let allStarted = platform.ok && cloud.ok;
     for (const hollowWorker of options.workers) {
-      const response = await startStandinWorker(
+      const started = await startStandinWorker(
         {
           ...WORKER_DEFAULTS,
           id: hollowWorker.id,
@@ -116,22 +125,22 @@
         },
         deps,
       );
-      all &&= response.ok;
+      allStarted &&= started.ok;
     }
-    return all;
+    return allStarted;
   }
 
-  async function obey(line: string): Promise<void> {
-    const [verb, count] = line.split(' ');
-    if (verb === 'restart') await part?.restart(Number(count ?? 1));
+  async function runCommand(line: string): Promise<void> {
+    const [command, count] = line.split(' ');
+    if (command === 'restart') await proxyGroup?.restart(Number(count ?? 1));
   }
-  function heard(line: string): void {
-    void obey(line);
+  function onLine(line: string): void {
+    void runCommand(line);
   }
-  function gone(): void {
+  function exit(): void {
     process.exit(EXIT.ok);
   }
-  createInterface({ input: process.stdin }).on('line', heard).on('close', gone);
-  process.on('SIGTERM', gone);
-  process.on('SIGINT', gone);
+  createInterface({ input: process.stdin }).on('line', onLine).on('close', exit);
+  process.on('SIGTERM', exit);
+  process.on('SIGINT', exit);
 }
--- a/src/programs/imports.test.ts
+++ b/src/programs/imports.test.ts
@@ -2,7 +2,7 @@
 import { readdirSync, readFileSync } from 'node:fs';
 import { dirname, join, normalize } from 'node:path';
 
-const IMPORTED = /\b(?:from|import)\s*\(?\s*['"](\.[^'"]+)['"]/g;
+const IMPORT_PATTERN = /\b(?:from|import)\s*\(?\s*['"](\.[^'"]+)['"]/g;
 
 function filesIn(folder: string): string[] {
   return readdirSync(folder, { recursive: true, encoding: 'utf8' })
@@ -11,27 +11,27 @@
 }
 
 function importsOf(file: string): string[] {
-  const found = [...readFileSync(file, 'utf8').matchAll(IMPORTED)].map((m) => m[1] as string);
+  const found = [...readFileSync(file, 'utf8').matchAll(IMPORT_PATTERN)].map((m) => m[1] as string);
   return found.map((to) => normalize(join(dirname(file), to)).replace(/\.js$/, '.ts'));
 }
 
-function circlesIn(imports: ReadonlyMap<string, readonly string[]>): string[] {
-  const done = new Set<string>();
+function findCycles(imports: ReadonlyMap<string, readonly string[]>): string[] {
+  const visited = new Set<string>();
   const path: string[] = [];
-  const circles: string[] = [];
+  const cycles: string[] = [];
   function visit(file: string): void {
     if (path.includes(file)) {
-      circles.push([...path.slice(path.indexOf(file)), file].join(' > '));
+      cycles.push([...path.slice(path.indexOf(file)), file].join(' > '));
       return;
     }
-    if (done.has(file)) return;
+    if (visited.has(file)) return;
     path.push(file);
     for (const to of imports.get(file) ?? []) visit(to);
     path.pop();
-    done.add(file);
+    visited.add(file);
   }
   for (const file of imports.keys()) visit(file);
-  return circles;
+  return cycles;
 }
 
 describe('imports', () => {
@@ -39,8 +39,8 @@
     ['src', 'platform', 'standin-platform', 'tools'].flatMap(filesIn).map((f) => [f, importsOf(f)]),
   );
 
-  test('a circle is seen, in however many steps', () => {
-    const circles = circlesIn(
+  test('finds cycles of any length', () => {
+    const cycles = findCycles(
       new Map([
         ['a', ['b', 'd']],
         ['b', ['c']],
@@ -48,19 +48,19 @@
         ['d', ['d']],
       ]),
     );
-    expect(circles).toEqual(['a > b > c > a', 'd > d']);
+    expect(cycles).toEqual(['a > b > c > a', 'd > d']);
   });
 
-  test('all files are read, and what they name is found', () => {
+  test('reads all files and resolves every imported source file', () => {
     expect(imports.size).toBeGreaterThan(200);
     const sources = [...imports].filter(([file]) => !file.startsWith('tools'));
-    const lost = sources.flatMap(([file, to]) =>
+    const unresolved = sources.flatMap(([file, to]) =>
       to.filter((t) => t.endsWith('.ts') && !imports.has(t)).map((t) => `${file}: ${t}`),
     );
-    expect(lost).toEqual([]);
+    expect(unresolved).toEqual([]);
   });
 
-  test('no files import each other in a circle, types included', () => {
-    expect(circlesIn(imports)).toEqual([]);
+  test('has no import cycles, type imports included', () => {
+    expect(findCycles(imports)).toEqual([]);
   });
 });
--- a/src/programs/main.ts
+++ b/src/programs/main.ts
@@ -1,11 +1,11 @@
 #!/usr/bin/env node
-/** Entry of the command line: picks the command and leaves the rest to it. */
+/** Entry point of the command line: dispatches to the command that is named first. */
 
 import { defineCommand, runMain } from 'citty';
 import { standinCommand } from './standin.js';
 import { controllerCommand, proxyCommand } from './daemons.js';
 import { inspectCommand } from './inspect.js';
-import { complain, leaveUsage } from './flags.js';
+import { printError, setUsageExitCode } from './flags.js';
 import { runbookCommand } from './runbook.js';
 import { adminCommand } from './admin.js';
 import { VERSION } from './version.js';
@@ -24,8 +24,8 @@
   subCommands,
 });
 
-const first = process.argv[2];
-if (first !== undefined && !first.startsWith('-') && !Object.hasOwn(subCommands, first)) {
-  complain(`command: expected one of ${Object.keys(subCommands).join(', ')}; found ${JSON.stringify(first)}`);
-  leaveUsage();
+const command = process.argv[2];
+if (command !== undefined && !command.startsWith('-') && !Object.hasOwn(subCommands, command)) {
+  printError(`command: expected one of ${Object.keys(subCommands).join(', ')}; found ${JSON.stringify(command)}`);
+  setUsageExitCode();
 } else void runMain(main);
--- a/src/programs/package.test.ts
+++ b/src/programs/package.test.ts
@@ -10,46 +10,46 @@
   readonly dependencies: Record<string, string>;
   readonly bin: { readonly millfield: string };
 };
-const own = JSON.parse(readFileSync(join(ROOT, 'package.json'), 'utf8')) as Package;
-let folder = '';
+const packageJson = JSON.parse(readFileSync(join(ROOT, 'package.json'), 'utf8')) as Package;
+let tempFolder = '';
 
 beforeAll(() => {
-  folder = mkdtempSync(join(tmpdir(), 'millfield-'));
-  const at = join(folder, 'node_modules', 'millfield');
-  mkdirSync(at, { recursive: true });
-  writeFileSync(join(folder, 'package.json'), JSON.stringify({ name: 'caller', private: true }));
-  const source = join(folder, 'source');
-  for (const part of ['package.json', 'README.md', 'LICENSE', 'docs', 'examples'])
-    cpSync(join(ROOT, part), join(source, part), { recursive: true });
+  tempFolder = mkdtempSync(join(tmpdir(), 'millfield-'));
+  const packageFolder = join(tempFolder, 'node_modules', 'millfield');
+  mkdirSync(packageFolder, { recursive: true });
+  writeFileSync(join(tempFolder, 'package.json'), JSON.stringify({ name: 'caller', private: true }));
+  const source = join(tempFolder, 'source');
+  for (const entry of ['package.json', 'README.md', 'LICENSE', 'docs', 'examples'])
+    cpSync(join(ROOT, entry), join(source, entry), { recursive: true });
   execFileSync(
     process.execPath,
     [join(ROOT, 'node_modules/typescript/bin/tsc'), '-p', 'tsconfig.build.json', '--outDir', join(source, 'dist')],
     { cwd: ROOT },
   );
-  const told = execFileSync('npm', ['pack', '--json', '--ignore-scripts', '--pack-destination', folder], {
+  const packOutput = execFileSync('npm', ['pack', '--json', '--ignore-scripts', '--pack-destination', tempFolder], {
     cwd: source,
     encoding: 'utf8',
     stdio: ['ignore', 'pipe', 'ignore'],
   });
-  const file = /"filename": "([^"]+)"/.exec(told)?.[1] ?? '';
-  execFileSync('tar', ['-xzf', join(folder, file), '-C', at, '--strip-components=1']);
-  for (const name of Object.keys(own.dependencies)) {
-    mkdirSync(dirname(join(folder, 'node_modules', name)), { recursive: true });
-    symlinkSync(join(ROOT, 'node_modules', name), join(folder, 'node_modules', name));
+  const tarball = /"filename": "([^"]+)"/.exec(packOutput)?.[1] ?? '';
+  execFileSync('tar', ['-xzf', join(tempFolder, tarball), '-C', packageFolder, '--strip-components=1']);
+  for (const name of Object.keys(packageJson.dependencies)) {
+    mkdirSync(dirname(join(tempFolder, 'node_modules', name)), { recursive: true });
+    symlinkSync(join(ROOT, 'node_modules', name), join(tempFolder, 'node_modules', name));
   }
 });
-afterAll(() => rmSync(folder, { recursive: true, force: true }));
+afterAll(() => rmSync(tempFolder, { recursive: true, force: true }));
 
 function node(...args: string[]): string {
   return execFileSync(process.execPath, args, {
-    cwd: folder,
+    cwd: tempFolder,
     encoding: 'utf8',
     env: { PATH: process.env['PATH'] ?? '' },
   });
 }
 
-describe('the packed package, in a folder of a caller', () => {
-  test('gives millfield/client to a caller', () => {
+describe('the packed package, installed by a caller', () => {
+  test('exports millfield/client', () => {
     expect(
       node(
         '--input-type=module',
@@ -59,12 +59,12 @@
     ).toBe('function');
   });
 
-  test('runs its program', () => {
-    expect(node(join('node_modules', 'millfield', own.bin.millfield), '--version')).toMatch(/\d+\.\d+\.\d+/);
+  test('has a bin program that runs', () => {
+    expect(node(join('node_modules', 'millfield', packageJson.bin.millfield), '--version')).toMatch(/\d+\.\d+\.\d+/);
   });
 });
 
-test('every npm script that the documents name exists', () => {
+test('every npm script that the documentation mentions exists', () => {
   const pages = [
     'README.md',
     ...readdirSync('docs', { recursive: true })
@@ -75,5 +75,5 @@
     pages.flatMap((p) => [...readFileSync(p, 'utf8').matchAll(/npm\s+run\s+([a-z]+)/g)].map((m) => m[1] as string)),
   );
   expect([...named].sort()).toEqual(expect.arrayContaining(['bench', 'build', 'replay', 'soak']));
-  expect([...named].filter((n) => own.scripts[n] === undefined)).toEqual([]);
+  expect([...named].filter((n) => packageJson.scripts[n] === undefined)).toEqual([]);
 });
--- a/src/programs/request-core.ts
+++ b/src/programs/request-core.ts
@@ -1,50 +1,50 @@
-/** How commands reach controllers: addresses, retries and exit codes. */
+/** Shared by commands that send requests to controllers: flags, client, printed responses and exit codes. */
 import { createCore } from '../operator/core.js';
-import type { Core, CoreAnswer } from '../operator/core.js';
+import type { Core, CoreResponse } from '../operator/core.js';
 import { createGotHttpClient } from '../transport/http-client.js';
 import { EXIT } from './exit-codes.js';
 import type { ExitCode } from './exit-codes.js';
-import { complain, leave, say } from './flags.js';
+import { printError, setExitCode, printLine } from './flags.js';
 
-/** Flags that name controllers. */
+/** Flags of all commands that send requests to controllers. */
 export const CORE_ARGS = {
   core: {
     type: 'string',
-    description: 'Addresses of controllers for operators, joined by commas',
+    description: 'Operator addresses of the controllers, separated by commas',
     default: '127.0.0.1:7200',
   },
-  json: { type: 'boolean', description: 'Print the answer as JSON' },
+  json: { type: 'boolean', description: 'Print the response as JSON' },
 } as const;
 
-/** Addresses in the flags. */
-export function addressesOf(args: Readonly<Record<string, unknown>>): string[] {
+/** Returns the controller addresses of the flags. */
+export function controllerAddresses(args: Readonly<Record<string, unknown>>): string[] {
   const text = typeof args['core'] === 'string' ? args['core'] : '';
   return text.split(',').filter(Boolean);
 }
 
-/** A client of the controllers that the flags name. */
-export function coreOf(args: Readonly<Record<string, unknown>>): Core {
-  return createCore(addressesOf(args), createGotHttpClient(1_000));
+/** Returns a client of the controllers that the flags name. */
+export function coreClientOf(args: Readonly<Record<string, unknown>>): Core {
+  return createCore(controllerAddresses(args), createGotHttpClient(1_000));
 }
 
-/** The exit code for an answer; null stands for none. */
-export function exitCodeOf(answer: CoreAnswer | null): ExitCode {
-  if (!answer || answer.status === 503) return EXIT.unreachable;
-  if (answer.status === 202) return EXIT.notConfirmed;
-  return answer.status >= 400 ? EXIT.refused : EXIT.ok;
+/** Returns the exit code for a response; null if no controller responded. */
+export function exitCodeOf(response: CoreResponse | null): ExitCode {
+  if (!response || response.status === 503) return EXIT.unreachable;
+  if (response.status === 202) return EXIT.notConfirmed;
+  return response.status >= 400 ? EXIT.refused : EXIT.ok;
 }
 
-/** Prints an answer and sets the exit code. */
-export function report(answer: CoreAnswer | null, json: boolean, readable: (body: unknown) => string): void {
-  leave(exitCodeOf(answer));
-  if (!answer) {
-    complain('No controller answered.');
+/** Prints a response, as JSON or by `format`, and sets the exit code. */
+export function printResponse(response: CoreResponse | null, asJson: boolean, format: (body: unknown) => string): void {
+  setExitCode(exitCodeOf(response));
+  if (!response) {
+    printError('No controller responded.');
     return;
   }
-  if (json) {
-    say(JSON.stringify(answer.body, null, 2));
+  if (asJson) {
+    printLine(JSON.stringify(response.body, null, 2));
     return;
   }
-  if (answer.status >= 400) complain(`Refused (${answer.status}): ${JSON.stringify(answer.body)}`);
-  else say(readable(answer.body));
+  if (response.status >= 400) printError(`Rejected (${response.status}): ${JSON.stringify(response.body)}`);
+  else printLine(format(response.body));
 }
--- a/src/programs/runbook.ts
+++ b/src/programs/runbook.ts
@@ -1,4 +1,4 @@
-/** `millfield runbook`: checks and executes runbooks. */
+/** Command `millfield runbook`: validates and executes runbooks. */
 import { defineCommand } from 'citty';
 import type { ArgsDef } from 'citty';
 import { appendFileSync, existsSync, readFileSync } from 'node:fs';
@@ -11,124 +11,127 @@
 import { parsedJson } from '../base/parsed-json.js';
 import { createClock } from '../transport/clock.js';
 import { createOsRng } from '../transport/rng.js';
-import { coreOf, CORE_ARGS } from './request-core.js';
+import { coreClientOf, CORE_ARGS } from './request-core.js';
 import { EXIT } from './exit-codes.js';
-import { complain, flagsFit, leave, leaveUsage, say } from './flags.js';
+import { printError, areFlagsValid, setExitCode, setUsageExitCode, printLine } from './flags.js';
 
-type Ctx = { readonly rawArgs: string[]; readonly args: Readonly<Record<string, unknown>> };
+type CommandContext = { readonly rawArgs: string[]; readonly args: Readonly<Record<string, unknown>> };
 
 const CHECK_ARGS = {
   core: CORE_ARGS.core,
-  input: { type: 'string', description: 'name=value, joined by commas' },
-  live: { type: 'boolean', description: 'Also look whether the preconditions hold now' },
+  input: { type: 'string', description: 'Inputs of the runbook as name=value, separated by commas' },
+  live: { type: 'boolean', description: 'Also check whether the preconditions hold now' },
   file: { type: 'positional', description: 'Runbook (YAML)', required: true },
 } as const satisfies ArgsDef;
 
 const RUN_ARGS = {
   core: CORE_ARGS.core,
   input: CHECK_ARGS.input,
-  dryRun: { type: 'boolean', description: 'Only say what would be done' },
-  yes: { type: 'boolean', description: 'Do not ask before steps that change something' },
-  record: { type: 'string', description: 'File with the outcome of each step; an interrupted run goes on from it' },
+  dryRun: { type: 'boolean', description: 'Only print what would be done' },
+  yes: { type: 'boolean', description: 'Do not ask for confirmation before steps that change something' },
+  record: {
+    type: 'string',
+    description: 'File that records the outcome of each step; an interrupted run resumes from it',
+  },
   file: CHECK_ARGS.file,
 } as const satisfies ArgsDef;
 
-function inputsOf(ctx: Ctx): Record<string, string> {
-  const out: Record<string, string> = {};
+function parseInputs(ctx: CommandContext): Record<string, string> {
+  const inputs: Record<string, string> = {};
   const text = ctx.args['input'];
   for (const item of (typeof text === 'string' ? text : '').split(',').filter(Boolean)) {
-    const at = item.indexOf('=');
-    out[at < 0 ? item : item.slice(0, at)] = at < 0 ? '' : item.slice(at + 1);
+    const separator = item.indexOf('=');
+    inputs[separator < 0 ? item : item.slice(0, separator)] = separator < 0 ? '' : item.slice(separator + 1);
   }
-  return out;
+  return inputs;
 }
 
-function readRunbookFile(ctx: Ctx, inputs: Readonly<Record<string, string>> | null): Runbook | null {
-  const named = ctx.args['file'];
-  const file = typeof named === 'string' ? named : '';
+function readRunbookFile(ctx: CommandContext, inputs: Readonly<Record<string, string>> | null): Runbook | null {
+  const fileArg = ctx.args['file'];
+  const file = typeof fileArg === 'string' ? fileArg : '';
   let text: string;
   try {
     text = readFileSync(file, 'utf8');
   } catch {
-    complain(`file: expected a readable runbook; found ${JSON.stringify(file)}`);
+    printError(`file: expected a readable runbook; found ${JSON.stringify(file)}`);
     return null;
   }
-  const read = readRunbook(text, inputs);
-  if (read.ok) return read.value;
-  for (const error of read.error) complain(`${file}:${error.line}: ${error.reason}`);
+  const parsed = readRunbook(text, inputs);
+  if (parsed.ok) return parsed.value;
+  for (const error of parsed.error) printError(`${file}:${error.line}: ${error.reason}`);
   return null;
 }
 
-async function startsWell(ctx: Ctx, runbook: Runbook): Promise<boolean> {
-  const unmet = await unmetAtStart(runbook, coreOf(ctx.args), createClock());
+async function arePreconditionsMet(ctx: CommandContext, runbook: Runbook): Promise<boolean> {
+  const unmet = await unmetAtStart(runbook, coreClientOf(ctx.args), createClock());
   if (!unmet) return true;
-  complain(`${String(ctx.args['file'])}:${unmet.step.line}: ${unmet.step.name}: ${unmet.seen}. ${unmet.step.ifNot}`);
-  leave(EXIT.refused);
+  printError(`${String(ctx.args['file'])}:${unmet.step.line}: ${unmet.step.name}: ${unmet.seen}. ${unmet.step.ifNot}`);
+  setExitCode(EXIT.refused);
   return false;
 }
 
-async function runCheck(ctx: Ctx): Promise<void> {
-  if (!flagsFit(ctx.rawArgs, CHECK_ARGS)) return leaveUsage();
+async function runCheck(ctx: CommandContext): Promise<void> {
+  if (!areFlagsValid(ctx.rawArgs, CHECK_ARGS)) return setUsageExitCode();
   const live = ctx.args['live'] === true;
-  const runbook = readRunbookFile(ctx, live || ctx.args['input'] !== undefined ? inputsOf(ctx) : null);
-  if (!runbook) return leaveUsage();
-  if (live && !(await startsWell(ctx, runbook))) return;
-  say(`${runbook.runbook}: ${runbook.steps.length} steps, sound.`);
+  const runbook = readRunbookFile(ctx, live || ctx.args['input'] !== undefined ? parseInputs(ctx) : null);
+  if (!runbook) return setUsageExitCode();
+  if (live && !(await arePreconditionsMet(ctx, runbook))) return;
+  printLine(`${runbook.runbook}: ${runbook.steps.length} steps, valid.`);
 }
 
-function recordsIn(path: string): StepRecord[] {
+function readRecords(path: string): StepRecord[] {
   if (!existsSync(path)) return [];
-  const out: StepRecord[] = [];
+  const records: StepRecord[] = [];
   for (const line of readFileSync(path, 'utf8').split('\n')) {
-    const read = parsedJson(line);
-    if (isTable(read)) out.push(read as StepRecord);
+    const parsed = parsedJson(line);
+    if (isTable(parsed)) records.push(parsed as StepRecord);
   }
-  return out;
+  return records;
 }
 
-async function run(ctx: Ctx): Promise<void> {
-  if (!flagsFit(ctx.rawArgs, RUN_ARGS)) return leaveUsage();
-  const runbook = readRunbookFile(ctx, inputsOf(ctx));
-  if (!runbook) return leaveUsage();
-  if (!(await startsWell(ctx, runbook))) return;
+async function run(ctx: CommandContext): Promise<void> {
+  if (!areFlagsValid(ctx.rawArgs, RUN_ARGS)) return setUsageExitCode();
+  const runbook = readRunbookFile(ctx, parseInputs(ctx));
+  if (!runbook) return setUsageExitCode();
+  if (!(await arePreconditionsMet(ctx, runbook))) return;
   const path = typeof ctx.args['record'] === 'string' ? ctx.args['record'] : `${runbook.runbook}.record.jsonl`;
   const dryRun = ctx.args['dryRun'] === true;
 
   async function confirm(step: Step): Promise<boolean> {
     if (ctx.args['yes'] === true) return true;
-    const request = createInterface({ input: process.stdin, output: process.stdout });
-    const answer = await request.question(`${step.name}: ${describe(step)}. Go on? (yes/no) `);
-    request.close();
+    const prompt = createInterface({ input: process.stdin, output: process.stdout });
+    const answer = await prompt.question(`${step.name}: ${describe(step)}. Continue? (yes/no) `);
+    prompt.close();
     return answer.trim() === 'yes';
   }
   async function record(entry: StepRecord): Promise<void> {
-    say(`${entry.step + 1}. ${entry.name}: ${entry.outcome} (${entry.seen})`);
+    printLine(`${entry.step + 1}. ${entry.name}: ${entry.outcome} (${entry.seen})`);
     if (!dryRun) appendFileSync(path, `${JSON.stringify(entry)}\n`);
   }
-  const end = await runRunbook(runbook, {
-    core: coreOf(ctx.args),
+  const result = await runRunbook(runbook, {
+    core: coreClientOf(ctx.args),
     clock: createClock(),
     rng: createOsRng(),
     dryRun,
-    before: recordsIn(path),
+    before: readRecords(path),
     confirm,
     record,
   });
-  if (end.tag !== 'stopped') {
-    say(end.tag === 'done' ? 'Done.' : 'Nothing was changed.');
+  if (result.tag !== 'stopped') {
+    printLine(result.tag === 'done' ? 'Done.' : 'Nothing was changed.');
     return;
   }
-  complain(`Stopped at "${end.step.name}" (${end.outcome}): ${end.seen}. ${end.step.ifNot}`);
-  complain(`Run the same command again to go on from there; the record is ${path}.`);
-  leave(EXIT.refused);
+  printError(`Stopped at "${result.step.name}" (${result.outcome}): ${result.seen}. ${result.step.ifNot}`);
+  printError(`Run the same command again to resume from this step; the record is ${path}.`);
+  setExitCode(EXIT.refused);
 }
 
-/** The command and its verbs. */
+/** The command and its subcommands. */
 export const runbookCommand = defineCommand({
-  meta: { name: 'runbook', description: 'Checks and executes runbooks' },
+  meta: { name: 'runbook', description: 'Validates and executes runbooks' },
   subCommands: {
     check: defineCommand({
-      meta: { name: 'check', description: 'Tell what is wrong with a runbook' },
+      meta: { name: 'check', description: 'Report the errors in a runbook' },
       args: CHECK_ARGS,
       run: runCheck,
     }),
--- a/src/programs/settings.ts
+++ b/src/programs/settings.ts
@@ -1,4 +1,4 @@
-/** Settings of a node, from a file and flags (docs/configuration.md). */
+/** Reads the settings of a node from a file and flags, and validates them (docs/configuration.md). */
 import * as t from 'io-ts';
 import { readFileSync } from 'node:fs';
 import { isTable } from '../base/is-table.js';
@@ -9,7 +9,7 @@
 import type { LogFormat } from '../transport/log-line.js';
 import type { LogLevel } from '../transport/log.js';
 
-/** Checked settings. */
+/** Validated settings, with defaults filled in. */
 export type NodeSettings = {
   readonly name: string;
   readonly zone: string;
@@ -24,11 +24,11 @@
   readonly cloud: string;
   readonly logLevel: LogLevel;
   readonly logFormat: LogFormat;
-  readonly lab: Lab | null;
+  readonly lab: LabSettings | null;
 };
 
-/** Settings for trials only: switches for faults, meters. */
-export type Lab = {
+/** Settings for test runs only: simulated network delays, fault switches and traffic counts. */
+export type LabSettings = {
   readonly zones: Readonly<Record<string, string>>;
   readonly delayMs: Readonly<Record<string, number>>;
   readonly withoutPolicy?: string;
@@ -36,20 +36,20 @@
   readonly tally?: { readonly file: string; readonly places: string };
 };
 
-/** A setting that does not fit, what was expected and what was found. */
+/** An invalid or missing setting, with the expected and the actual value. */
 export type SettingsError = { readonly key: string; readonly expected: string; readonly found: string };
 
-function text(name: string, test: (text: string) => boolean): t.Type<string> {
+function stringCodec(name: string, isValid: (text: string) => boolean): t.Type<string> {
   function is(value: unknown): value is string {
-    return typeof value === 'string' && test(value);
+    return typeof value === 'string' && isValid(value);
   }
   function validate(value: unknown, context: t.Context): t.Validation<string> {
     return is(value) ? t.success(value) : t.failure(value, context);
   }
-  function same(text: string): string {
+  function encode(text: string): string {
     return text;
   }
-  return new t.Type(name, is, validate, same);
+  return new t.Type(name, is, validate, encode);
 }
 function isName(text: string): boolean {
   return /^[a-zA-Z0-9][a-zA-Z0-9._-]{0,62}$/.test(text);
@@ -60,44 +60,44 @@
 function isPath(text: string): boolean {
   return text.length > 0;
 }
-function isFormat(text: string): boolean {
+function isLogFormat(text: string): boolean {
   return (LOG_FORMATS as readonly string[]).includes(text);
 }
-function isLevel(text: string): boolean {
+function isLogLevel(text: string): boolean {
   return ['silent', 'error', 'warn', 'info'].includes(text);
 }
 
-const Name = text('a name of letters, digits, dot, dash or underscore', isName);
-const Address = text('an address such as 10.0.0.1:7100', isAddress);
-const SHAPE: Readonly<Record<string, t.Mixed>> = {
-  name: Name,
-  zone: Name,
-  region: Name,
-  listen: Address,
-  advertise: Address,
-  http: Address,
-  httpAdvertise: Address,
-  seeds: t.array(Address, 'a list of addresses'),
-  dataFolder: text('a folder', isPath),
-  platform: Address,
-  cloud: Address,
-  logLevel: text('one of silent, error, warn, info', isLevel),
-  logFormat: text('one of text, json', isFormat),
+const NameCodec = stringCodec('a name of letters, digits, dot, dash or underscore', isName);
+const AddressCodec = stringCodec('an address such as 10.0.0.1:7100', isAddress);
+const CODECS: Readonly<Record<string, t.Mixed>> = {
+  name: NameCodec,
+  zone: NameCodec,
+  region: NameCodec,
+  listen: AddressCodec,
+  advertise: AddressCodec,
+  http: AddressCodec,
+  httpAdvertise: AddressCodec,
+  seeds: t.array(AddressCodec, 'a list of addresses'),
+  dataFolder: stringCodec('a folder', isPath),
+  platform: AddressCodec,
+  cloud: AddressCodec,
+  logLevel: stringCodec('one of silent, error, warn, info', isLogLevel),
+  logFormat: stringCodec('one of text, json', isLogFormat),
   lab: t.intersection(
     [
       t.type({ zones: t.record(t.string, t.string), delayMs: t.record(t.string, t.number) }),
       t.partial({ withoutPolicy: t.string, switches: t.string, tally: t.type({ file: t.string, places: t.string }) }),
     ],
-    'a table with zones and delayMs',
+    'an object with zones and delayMs',
   ),
 };
 const REQUIRED = ['name', 'zone', 'region', 'listen', 'http', 'seeds', 'platform'] as const;
 
-function shown(value: unknown): string {
+function formatValue(value: unknown): string {
   return value === undefined ? 'nothing' : JSON.stringify(value);
 }
 
-function parsedFile(path: string): Result<Record<string, unknown>, SettingsError> {
+function readSettingsFile(path: string): Result<Record<string, unknown>, SettingsError> {
   let raw: string;
   try {
     raw = readFileSync(path, 'utf8');
@@ -108,44 +108,49 @@
     const value: unknown = JSON.parse(raw);
     if (isTable(value)) return ok(value);
   } catch {
-    return err({ key: '--settings', expected: 'a file of JSON', found: JSON.stringify(path) });
+    return err({ key: '--settings', expected: 'a JSON file', found: JSON.stringify(path) });
   }
-  return err({ key: '--settings', expected: 'a JSON table', found: JSON.stringify(path) });
+  return err({ key: '--settings', expected: 'a JSON object', found: JSON.stringify(path) });
 }
 
-/** Which optional settings this role needs. */
-export type SettingsNeeds = { readonly dataFolder: boolean; readonly cloud: boolean };
+/** Which of the optional settings a role requires. */
+export type RequiredSettings = { readonly dataFolder: boolean; readonly cloud: boolean };
 
-/** The settings, or every error in them. */
+/** Returns the settings, or all errors in them. Flags override the file. */
 export function readSettings(
   file: string | undefined,
   flags: Readonly<Record<string, string | undefined>>,
-  needs: SettingsNeeds,
+  required: RequiredSettings,
 ): Result<NodeSettings, readonly SettingsError[]> {
-  const faults: SettingsError[] = [];
-  let all: Record<string, unknown> = {};
+  const errors: SettingsError[] = [];
+  let merged: Record<string, unknown> = {};
   if (file !== undefined) {
-    const read = parsedFile(file);
-    if (!read.ok) return err([read.error]);
-    all = { ...read.value };
+    const fromFile = readSettingsFile(file);
+    if (!fromFile.ok) return err([fromFile.error]);
+    merged = { ...fromFile.value };
   }
   for (const [key, value] of Object.entries(flags)) {
     if (value === undefined) continue;
-    all[key] = key === 'seeds' ? value.split(',') : value;
+    merged[key] = key === 'seeds' ? value.split(',') : value;
   }
-  for (const key of Object.keys(all)) {
-    const codec = Object.hasOwn(SHAPE, key) ? SHAPE[key] : undefined;
-    if (!codec) faults.push({ key, expected: `one of ${Object.keys(SHAPE).join(', ')}`, found: shown(key) });
-    else if (codec.decode(all[key])._tag === 'Left') faults.push({ key, expected: codec.name, found: shown(all[key]) });
+  for (const key of Object.keys(merged)) {
+    const codec = Object.hasOwn(CODECS, key) ? CODECS[key] : undefined;
+    if (!codec) errors.push({ key, expected: `one of ${Object.keys(CODECS).join(', ')}`, found: formatValue(key) });
+    else if (codec.decode(merged[key])._tag === 'Left')
+      errors.push({ key, expected: codec.name, found: formatValue(merged[key]) });
   }
-  for (const key of [...REQUIRED, ...(needs.dataFolder ? ['dataFolder'] : []), ...(needs.cloud ? ['cloud'] : [])]) {
-    if (all[key] === undefined) faults.push({ key, expected: SHAPE[key]?.name ?? 'a value', found: 'nothing' });
+  for (const key of [
+    ...REQUIRED,
+    ...(required.dataFolder ? ['dataFolder'] : []),
+    ...(required.cloud ? ['cloud'] : []),
+  ]) {
+    if (merged[key] === undefined) errors.push({ key, expected: CODECS[key]?.name ?? 'a value', found: 'nothing' });
   }
-  const seeds = all['seeds'];
+  const seeds = merged['seeds'];
   if (Array.isArray(seeds) && (seeds.length < 1 || seeds.length > 9))
-    faults.push({ key: 'seeds', expected: 'one to nine addresses, commonly three', found: shown(seeds) });
-  if (faults.length > 0) return err(faults);
-  const settings = all as Partial<NodeSettings> & Pick<NodeSettings, (typeof REQUIRED)[number]>;
+    errors.push({ key: 'seeds', expected: '1 to 9 addresses, usually 3', found: formatValue(seeds) });
+  if (errors.length > 0) return err(errors);
+  const settings = merged as Partial<NodeSettings> & Pick<NodeSettings, (typeof REQUIRED)[number]>;
   return ok({
     name: settings.name,
     zone: settings.zone,
--- a/src/programs/standin.ts
+++ b/src/programs/standin.ts
@@ -1,4 +1,4 @@
-/** `millfield standin`: stand-ins for workers, platform, cloud and callers. */
+/** Command `millfield standin`: stand-ins for workers, platform, cloud and callers, and the check of their journals. */
 import { defineCommand } from 'citty';
 import type { ArgsDef } from 'citty';
 import { readdirSync, readFileSync } from 'node:fs';
@@ -20,191 +20,194 @@
 import { createOsRng, createRng } from '../transport/rng.js';
 import { switchesAt } from '../transport/switch-file.js';
 import { EXIT } from './exit-codes.js';
-import { complain, flagsFit, leave, leaveUsage, onStop, say } from './flags.js';
+import { printError, areFlagsValid, setExitCode, setUsageExitCode, onStopSignal, printLine } from './flags.js';
 import { HOLLOW_ARGS, runHollow } from './hollow.js';
-import type { Lab } from './settings.js';
+import type { LabSettings } from './settings.js';
 
-type Ctx = { readonly rawArgs: string[]; readonly args: Readonly<Record<string, unknown>> };
+type CommandContext = { readonly rawArgs: string[]; readonly args: Readonly<Record<string, unknown>> };
 
-function textOf(ctx: Ctx, key: string): string | undefined {
+function stringArg(ctx: CommandContext, key: string): string | undefined {
   const value = ctx.args[key];
   return typeof value === 'string' && value !== '' ? value : undefined;
 }
-function numberOf(ctx: Ctx, key: string, fallback: number): number {
-  const count = Number(textOf(ctx, key) ?? fallback);
-  return Number.isFinite(count) ? count : fallback;
+function numberArg(ctx: CommandContext, key: string, fallback: number): number {
+  const number = Number(stringArg(ctx, key) ?? fallback);
+  return Number.isFinite(number) ? number : fallback;
 }
-function journalOf(ctx: Ctx): Journal {
-  const path = textOf(ctx, 'journal');
+function openJournal(ctx: CommandContext): Journal {
+  const path = stringArg(ctx, 'journal');
   return path === undefined ? createNoJournal() : createFileJournal(path);
 }
-function httpClientOf(ctx: Ctx): HttpClient {
+function createHttpClient(ctx: CommandContext): HttpClient {
   const httpClient = createGotHttpClient(1_000);
-  const file = textOf(ctx, 'lab');
+  const file = stringArg(ctx, 'lab');
   if (file === undefined) return httpClient;
-  const lab = JSON.parse(readFileSync(file, 'utf8')) as Lab;
+  const lab = JSON.parse(readFileSync(file, 'utf8')) as LabSettings;
   const clock = createClock();
   const switches = switchesAt(lab.switches);
-  return slowHttpClient(httpClient, clock, pathTable(textOf(ctx, 'zone') ?? '', lab.zones, lab.delayMs, switches));
+  return slowHttpClient(httpClient, clock, pathTable(stringArg(ctx, 'zone') ?? '', lab.zones, lab.delayMs, switches));
 }
 
-function standinHttpServer(): HttpServer {
+function createHttpServer(): HttpServer {
   return createExpressHttpServer(createLogRoot('warn').component('standin'));
 }
 
-const COMMON = {
-  journal: { type: 'string', description: 'File that what happened is appended to' },
-  lab: { type: 'string', description: 'File with zones and delays of the lab network' },
+const COMMON_ARGS = {
+  journal: { type: 'string', description: 'Journal file that events are appended to' },
+  lab: { type: 'string', description: 'File with the zones and delays of the simulated network' },
 } as const satisfies ArgsDef;
 
 const WORKER_ARGS = {
-  ...COMMON,
+  ...COMMON_ARGS,
   id: { type: 'string', required: true, description: 'Worker id' },
   zone: { type: 'string', required: true, description: 'Zone' },
   region: { type: 'string', required: true, description: 'Region' },
   http: { type: 'string', required: true, description: 'Address to serve at' },
   platform: { type: 'string', required: true, description: 'Address of the platform' },
   cloud: { type: 'string', required: true, description: 'Address of the cloud' },
-  model: { type: 'string', description: 'Fixed model (left out: an idle machine that the cloud boots)' },
-  capacity: { type: 'string', description: 'Requests at once' },
-  loadMs: { type: 'string', description: 'Time to load the model' },
-  decodeMs: { type: 'string', description: 'Time for one piece' },
+  model: {
+    type: 'string',
+    description: 'Model that is always loaded (without it: an idle machine that the cloud boots)',
+  },
+  capacity: { type: 'string', description: 'Maximum number of concurrent requests' },
+  loadMs: { type: 'string', description: 'Time to load the model, in ms' },
+  decodeMs: { type: 'string', description: 'Time to generate one piece, in ms' },
 } as const satisfies ArgsDef;
 
-async function runWorker(ctx: Ctx): Promise<void> {
-  if (!flagsFit(ctx.rawArgs, WORKER_ARGS)) return leaveUsage();
+async function runWorker(ctx: CommandContext): Promise<void> {
+  if (!areFlagsValid(ctx.rawArgs, WORKER_ARGS)) return setUsageExitCode();
   const started = await startStandinWorker(
     {
-      id: textOf(ctx, 'id') ?? '',
-      zone: textOf(ctx, 'zone') ?? '',
-      region: textOf(ctx, 'region') ?? '',
-      address: textOf(ctx, 'http') ?? '',
-      platform: textOf(ctx, 'platform') ?? '',
-      cloud: textOf(ctx, 'cloud') ?? '',
-      fixedModel: textOf(ctx, 'model') ?? null,
+      id: stringArg(ctx, 'id') ?? '',
+      zone: stringArg(ctx, 'zone') ?? '',
+      region: stringArg(ctx, 'region') ?? '',
+      address: stringArg(ctx, 'http') ?? '',
+      platform: stringArg(ctx, 'platform') ?? '',
+      cloud: stringArg(ctx, 'cloud') ?? '',
+      fixedModel: stringArg(ctx, 'model') ?? null,
       ...WORKER_DEFAULTS,
-      capacity: numberOf(ctx, 'capacity', WORKER_DEFAULTS.capacity),
-      loadMs: numberOf(ctx, 'loadMs', WORKER_DEFAULTS.loadMs),
-      decodeMsPerPiece: numberOf(ctx, 'decodeMs', WORKER_DEFAULTS.decodeMsPerPiece),
+      capacity: numberArg(ctx, 'capacity', WORKER_DEFAULTS.capacity),
+      loadMs: numberArg(ctx, 'loadMs', WORKER_DEFAULTS.loadMs),
+      decodeMsPerPiece: numberArg(ctx, 'decodeMs', WORKER_DEFAULTS.decodeMsPerPiece),
     },
     {
       clock: createClock(),
       rng: createOsRng(),
-      httpServer: standinHttpServer(),
-      httpClient: httpClientOf(ctx),
-      journal: journalOf(ctx),
+      httpServer: createHttpServer(),
+      httpClient: createHttpClient(ctx),
+      journal: openJournal(ctx),
     },
   );
-  if (!started.ok) return failedStart(started.error);
-  onStop(started.value.stop);
+  if (!started.ok) return reportStartFailure(started.error);
+  onStopSignal(started.value.stop);
 }
 
-function failedStart(error: { readonly tag: string }): void {
-  complain(`standin could not start: ${JSON.stringify(error)}`);
-  leave(EXIT.cannotListen);
+function reportStartFailure(error: { readonly tag: string }): void {
+  printError(`standin could not start: ${JSON.stringify(error)}`);
+  setExitCode(EXIT.cannotListen);
 }
 
 const PLATFORM_ARGS = {
-  ...COMMON,
+  ...COMMON_ARGS,
   http: { type: 'string', required: true, description: 'Address to serve at' },
 } as const satisfies ArgsDef;
 
-async function runPlatform(ctx: Ctx): Promise<void> {
-  if (!flagsFit(ctx.rawArgs, PLATFORM_ARGS)) return leaveUsage();
+async function runPlatform(ctx: CommandContext): Promise<void> {
+  if (!areFlagsValid(ctx.rawArgs, PLATFORM_ARGS)) return setUsageExitCode();
   const started = await startStandinPlatform(
-    textOf(ctx, 'http') ?? '',
+    stringArg(ctx, 'http') ?? '',
     createClock(),
-    standinHttpServer(),
-    journalOf(ctx),
+    createHttpServer(),
+    openJournal(ctx),
   );
-  if (!started.ok) return failedStart(started.error);
-  onStop(started.value.stop);
+  if (!started.ok) return reportStartFailure(started.error);
+  onStopSignal(started.value.stop);
 }
 
 const CLOUD_ARGS = {
-  ...COMMON,
+  ...COMMON_ARGS,
   http: { type: 'string', required: true, description: 'Address to serve at' },
   platform: { type: 'string', required: true, description: 'Address of the platform' },
-  prices: { type: 'string', required: true, description: 'zone=spot/onDemand, joined by commas' },
+  prices: { type: 'string', required: true, description: 'Prices as zone=spot/onDemand, separated by commas' },
 } as const satisfies ArgsDef;
 
-async function runCloud(ctx: Ctx): Promise<void> {
-  if (!flagsFit(ctx.rawArgs, CLOUD_ARGS)) return leaveUsage();
+async function runCloud(ctx: CommandContext): Promise<void> {
+  if (!areFlagsValid(ctx.rawArgs, CLOUD_ARGS)) return setUsageExitCode();
   const prices: Record<string, { spot: number; onDemand: number }> = {};
-  for (const item of (textOf(ctx, 'prices') ?? '').split(',')) {
-    const m = /^([^=]+)=([\d.]+)\/([\d.]+)$/.exec(item);
-    if (!m) {
-      complain(`flag --prices: expected zone=spot/onDemand; found ${JSON.stringify(item)}`);
-      return leaveUsage();
+  for (const item of (stringArg(ctx, 'prices') ?? '').split(',')) {
+    const match = /^([^=]+)=([\d.]+)\/([\d.]+)$/.exec(item);
+    if (!match) {
+      printError(`flag --prices: expected zone=spot/onDemand; found ${JSON.stringify(item)}`);
+      return setUsageExitCode();
     }
-    prices[m[1] as string] = { spot: Number(m[2]), onDemand: Number(m[3]) };
+    prices[match[1] as string] = { spot: Number(match[2]), onDemand: Number(match[3]) };
   }
   const started = await startStandinCloud(
-    { address: textOf(ctx, 'http') ?? '', platform: textOf(ctx, 'platform') ?? '', prices },
+    { address: stringArg(ctx, 'http') ?? '', platform: stringArg(ctx, 'platform') ?? '', prices },
     {
       clock: createClock(),
       rng: createOsRng(),
-      httpServer: standinHttpServer(),
-      httpClient: httpClientOf(ctx),
-      journal: journalOf(ctx),
+      httpServer: createHttpServer(),
+      httpClient: createHttpClient(ctx),
+      journal: openJournal(ctx),
     },
   );
-  if (!started.ok) return failedStart(started.error);
-  onStop(started.value.stop);
+  if (!started.ok) return reportStartFailure(started.error);
+  onStopSignal(started.value.stop);
 }
 
 const CALLER_ARGS = {
-  ...COMMON,
-  name: { type: 'string', default: 'caller', description: 'Name in the journal' },
-  zone: { type: 'string', required: true, description: 'Zone that the callers sit in' },
-  proxies: { type: 'string', required: true, description: 'Addresses of proxies, joined by commas' },
-  once: { type: 'string', description: 'Model whose requests may not be repeated' },
-  kind: { type: 'string', description: 'Kind of those requests' },
-  models: { type: 'string', description: 'Models to stream from, joined by commas' },
-  rate: { type: 'string', default: '5', description: 'Requests a second' },
-  seconds: { type: 'string', default: '10', description: 'How long' },
-  onceShare: { type: 'string', default: '0.4', description: 'Share that may not be repeated' },
-  prefixes: { type: 'string', default: '20', description: 'How many shared prefixes a model has' },
-  seed: { type: 'string', description: 'Seed of the traffic' },
+  ...COMMON_ARGS,
+  name: { type: 'string', default: 'caller', description: 'Name of the callers in the journal' },
+  zone: { type: 'string', required: true, description: 'Zone of the callers' },
+  proxies: { type: 'string', required: true, description: 'Addresses of proxies, separated by commas' },
+  once: { type: 'string', description: 'Model of the run-once requests' },
+  kind: { type: 'string', description: 'Kind of the run-once requests' },
+  models: { type: 'string', description: 'Models of the streamed requests, separated by commas' },
+  rate: { type: 'string', default: '5', description: 'Requests per second' },
+  seconds: { type: 'string', default: '10', description: 'Duration, in seconds' },
+  onceShare: { type: 'string', default: '0.4', description: 'Share of run-once requests' },
+  prefixes: { type: 'string', default: '20', description: 'Number of shared prompt prefixes per model' },
+  seed: { type: 'string', description: 'Random seed of the traffic' },
 } as const satisfies ArgsDef;
 
-async function runCallerCommand(ctx: Ctx): Promise<void> {
-  if (!flagsFit(ctx.rawArgs, CALLER_ARGS)) return leaveUsage();
-  const seed = textOf(ctx, 'seed');
-  const journal = journalOf(ctx);
+async function runCallerCommand(ctx: CommandContext): Promise<void> {
+  if (!areFlagsValid(ctx.rawArgs, CALLER_ARGS)) return setUsageExitCode();
+  const seed = stringArg(ctx, 'seed');
+  const journal = openJournal(ctx);
   const tally = await runCaller(
     {
-      name: textOf(ctx, 'name') ?? 'caller',
-      proxies: (textOf(ctx, 'proxies') ?? '').split(','),
-      zone: textOf(ctx, 'zone') ?? '',
-      runOnceModel: textOf(ctx, 'once') ?? null,
-      streamModels: (textOf(ctx, 'models') ?? '').split(',').filter(Boolean),
-      kind: textOf(ctx, 'kind') ?? null,
-      perSecond: numberOf(ctx, 'rate', 5),
-      seconds: numberOf(ctx, 'seconds', 10),
-      runOnceShare: numberOf(ctx, 'onceShare', 0.4),
-      prefixes: numberOf(ctx, 'prefixes', 20),
+      name: stringArg(ctx, 'name') ?? 'caller',
+      proxies: (stringArg(ctx, 'proxies') ?? '').split(','),
+      zone: stringArg(ctx, 'zone') ?? '',
+      runOnceModel: stringArg(ctx, 'once') ?? null,
+      streamModels: (stringArg(ctx, 'models') ?? '').split(',').filter(Boolean),
+      kind: stringArg(ctx, 'kind') ?? null,
+      perSecond: numberArg(ctx, 'rate', 5),
+      seconds: numberArg(ctx, 'seconds', 10),
+      runOnceShare: numberArg(ctx, 'onceShare', 0.4),
+      prefixes: numberArg(ctx, 'prefixes', 20),
       patience: 5,
     },
     {
       clock: createClock(),
       rng: seed === undefined ? createOsRng() : createRng(Number(seed)),
-      httpClient: httpClientOf(ctx),
+      httpClient: createHttpClient(ctx),
       journal,
     },
   );
   await journal.close();
-  say(JSON.stringify(tally));
+  printLine(JSON.stringify(tally));
 }
 
 const CHECK_ARGS = {
   folder: { type: 'positional', required: true, description: 'Folder with journals (*.jsonl)' },
-  homes: { type: 'string', description: 'kind=region+region, joined by commas' },
+  homes: { type: 'string', description: 'Home regions as kind=region+region, separated by commas' },
 } as const satisfies ArgsDef;
 
-function runCheck(ctx: Ctx): void {
-  if (!flagsFit(ctx.rawArgs, CHECK_ARGS)) return leaveUsage();
-  const folder = textOf(ctx, 'folder') ?? '';
+function runCheck(ctx: CommandContext): void {
+  if (!areFlagsValid(ctx.rawArgs, CHECK_ARGS)) return setUsageExitCode();
+  const folder = stringArg(ctx, 'folder') ?? '';
   const records: Rec[] = [];
   try {
     for (const file of readdirSync(folder)) {
@@ -213,24 +216,24 @@
         if (line !== '') records.push(JSON.parse(line) as Rec);
     }
   } catch (error) {
-    complain(
+    printError(
       `folder: expected readable journals in ${JSON.stringify(folder)}; found ${error instanceof Error ? error.message : String(error)}`,
     );
-    return leaveUsage();
+    return setUsageExitCode();
   }
   const regionsOfKind: Record<string, string[]> = {};
-  for (const item of (textOf(ctx, 'homes') ?? '').split(',').filter(Boolean)) {
+  for (const item of (stringArg(ctx, 'homes') ?? '').split(',').filter(Boolean)) {
     const [kind, regions] = item.split('=');
     regionsOfKind[kind as string] = (regions ?? '').split('+');
   }
   const report = checkRecords(records, { regionsOfKind, leavingMs: 4_000 });
-  say(JSON.stringify(report, null, 2));
-  const empty = !report.counts['first dispatches'];
-  if (empty) complain('The journals hold no dispatch: nothing was checked.');
-  leave(report.broken.length > 0 || empty ? EXIT.refused : EXIT.ok);
+  printLine(JSON.stringify(report, null, 2));
+  const hasNoDispatches = !report.counts['first dispatches'];
+  if (hasNoDispatches) printError('The journals contain no dispatch: nothing was checked.');
+  setExitCode(report.broken.length > 0 || hasNoDispatches ? EXIT.refused : EXIT.ok);
 }
 
-/** The command and its verbs. */
+/** The command and its subcommands. */
 export const standinCommand = defineCommand({
   meta: { name: 'standin', description: 'Stand-ins for workers, platform, cloud and callers' },
   subCommands: {
@@ -240,13 +243,13 @@
       run: runWorker,
     }),
     platform: defineCommand({
-      meta: { name: 'platform', description: 'The list of workers' },
+      meta: { name: 'platform', description: 'The platform that lists workers' },
       args: PLATFORM_ARGS,
       run: runPlatform,
     }),
     cloud: defineCommand({ meta: { name: 'cloud', description: 'The cloud API' }, args: CLOUD_ARGS, run: runCloud }),
     caller: defineCommand({
-      meta: { name: 'caller', description: 'Callers' },
+      meta: { name: 'caller', description: 'Callers that send requests to proxies' },
       args: CALLER_ARGS,
       run: runCallerCommand,
     }),
@@ -256,7 +259,7 @@
       run: runHollow,
     }),
     check: defineCommand({
-      meta: { name: 'check', description: 'Compares the journals against the rules' },
+      meta: { name: 'check', description: 'Checks the journals for broken rules' },
       args: CHECK_ARGS,
       run: runCheck,
     }),
--- a/src/programs/tally-file.ts
+++ b/src/programs/tally-file.ts
@@ -1,21 +1,21 @@
-/** Counts of messages by node pair, written to a file for capacity measurements. */
+/** Counts messages by pair of roles and distance, and writes the counts to a file for capacity measurements. */
 import { readFileSync, renameSync, writeFileSync } from 'node:fs';
 import { createTally } from '../standin/tally.js';
 import type { Place, Places, Tally } from '../standin/tally.js';
 
-/** Where nodes are, and the file to write. */
+/** The file to write, and the file with the locations of the nodes. */
 export type TallySettings = { readonly file: string; readonly places: string };
 
-const WRITE_MS = 250;
+const WRITE_INTERVAL_MS = 250;
 
-/** Locations of nodes by address, from a file. */
-export function readPlaces(path: string): Places {
+/** Reads the locations of nodes by address from a file. */
+export function readLocations(path: string): Places {
   return JSON.parse(readFileSync(path, 'utf8')) as Places;
 }
 
-/** Counts into a file each second. */
-export function tallyInto(tallySettings: TallySettings, extra: () => unknown): Tally {
-  const tally = createTally(readPlaces(tallySettings.places));
+/** Returns counters that are written to the file every 250 ms, together with `extra` and the use of memory and CPU. */
+export function createFileTally(tallySettings: TallySettings, extra: () => unknown): Tally {
+  const tally = createTally(readLocations(tallySettings.places));
   function write(): void {
     const { rss, heapUsed } = process.memoryUsage();
     writeFileSync(
@@ -33,12 +33,12 @@
     );
     renameSync(`${tallySettings.file}.new`, tallySettings.file);
   }
-  setInterval(write, WRITE_MS).unref();
+  setInterval(write, WRITE_INTERVAL_MS).unref();
   write();
   return tally;
 }
 
-/** The location of an address, or unknown. */
-export function placeAt(tally: TallySettings, address: string): Place {
-  return readPlaces(tally.places)[address] ?? { role: 'unknown', zone: '', region: '' };
+/** Returns the location of an address; role `unknown` if the file does not list it. */
+export function locationOf(tallySettings: TallySettings, address: string): Place {
+  return readLocations(tallySettings.places)[address] ?? { role: 'unknown', zone: '', region: '' };
 }
--- a/src/programs/version.ts
+++ b/src/programs/version.ts
@@ -1,4 +1,4 @@
-/** The version in package.json. */
+/** The version of the program, as package.json has it. */
 import { readFileSync } from 'node:fs';
 
 function readVersion(): string {
@@ -6,5 +6,5 @@
   return (JSON.parse(text) as { readonly version: string }).version;
 }
 
-/** Version of the program. */
+/** Version from package.json, such as 1.2.3. */
 export const VERSION = readVersion();
