--- a/src/runbook/core-runbooks.test.ts
+++ b/src/runbook/core-runbooks.test.ts
@@ -11,16 +11,16 @@
 import { runRunbook, unmetAtStart } from './run.js';
 import type { RunEnd, StepRecord } from './run.js';
 
-type Desk = { readonly fleet: SimFleet; readonly clock: Clock; readonly core: (at: readonly number[]) => Core };
-type Played = {
+type TestFleet = { readonly fleet: SimFleet; readonly clock: Clock; readonly core: (at: readonly number[]) => Core };
+type RunResult = {
   readonly end: RunEnd | null;
   readonly records: readonly StepRecord[];
   readonly asked: readonly string[];
 };
 
-const ALL = [0, 1, 2];
+const ALL_CONTROLLERS = [0, 1, 2];
 
-async function desk(seed: number): Promise<Desk> {
+async function startTestFleet(seed: number): Promise<TestFleet> {
   const fleet = createSimFleet(seed);
   expect(await fleet.start()).toBe(true);
   await fleet.run(4_000);
@@ -35,90 +35,103 @@
       ),
   };
 }
-function book(name: string, inputs: Record<string, string>): Runbook {
+function loadRunbook(name: string, inputs: Record<string, string>): Runbook {
   const read = readRunbook(readFileSync(`runbooks/${name}.yaml`, 'utf8'), inputs);
   if (!read.ok) throw new Error(JSON.stringify(read.error));
   return read.value;
 }
-async function play(
-  d: Desk,
+async function execute(
+  testFleet: TestFleet,
   runbook: Runbook,
   core: Core,
-  work: (step: Step) => void = () => undefined,
-): Promise<Played> {
+  onConfirm: (step: Step) => void = () => undefined,
+): Promise<RunResult> {
   const records: StepRecord[] = [];
-  const asked: string[] = [];
+  const confirmed: string[] = [];
   async function confirm(step: Step): Promise<boolean> {
-    asked.push(step.name);
-    work(step);
+    confirmed.push(step.name);
+    onConfirm(step);
     return true;
   }
-  async function record(r: StepRecord): Promise<void> {
-    records.push(r);
+  async function record(entry: StepRecord): Promise<void> {
+    records.push(entry);
   }
-  const end = await d.fleet.finish(
-    runRunbook(runbook, { core, clock: d.clock, rng: createRng(7), dryRun: false, before: [], confirm, record }),
+  const end = await testFleet.fleet.finish(
+    runRunbook(runbook, {
+      core,
+      clock: testFleet.clock,
+      rng: createRng(7),
+      dryRun: false,
+      before: [],
+      confirm,
+      record,
+    }),
     900_000,
   );
-  return { end, records, asked };
+  return { end, records, asked: confirmed };
 }
-const planned = book('before-core-work', { name: 'controller-2' });
-const FIRST = 'A majority says that the core bears a further loss';
+const beforeCoreWork = loadRunbook('before-core-work', { name: 'controller-2' });
+const FIRST_STEP = 'A majority says that the core bears a further loss';
 
-describe('before planned work on the core', () => {
-  test('all well: the work is asked for, and the core bears a loss again at the end', async () => {
-    const d = await desk(31);
-    const response = await play(d, planned, d.core(ALL), () => {
-      d.fleet.kill('controller-2');
-      d.fleet.world.at(20_000, () => void d.fleet.startNode('controller-2'));
+describe('runbook before-core-work', () => {
+  test('all members healthy: the operator is asked for the work, and the core bears a loss again at the end', async () => {
+    const testFleet = await startTestFleet(31);
+    const result = await execute(testFleet, beforeCoreWork, testFleet.core(ALL_CONTROLLERS), () => {
+      testFleet.fleet.kill('controller-2');
+      testFleet.fleet.world.at(20_000, () => void testFleet.fleet.startNode('controller-2'));
     });
-    expect([response.end, response.asked]).toEqual([{ tag: 'done' }, ['The work']]);
+    expect([result.end, result.asked]).toEqual([{ tag: 'done' }, ['The work']]);
   });
 
-  test('another member is dead: refused before anyone is asked, naming it', async () => {
-    const d = await desk(32);
-    d.fleet.kill('controller-3');
-    await d.fleet.run(3_000);
-    const unmet = await d.fleet.finish(unmetAtStart(planned, d.core(ALL), d.clock), 60_000);
-    expect(unmet?.step.name).toBe(FIRST);
-    const response = await play(d, planned, d.core(ALL));
-    expect(response.end).toMatchObject({
+  test('another member is down: stops before the operator is asked, and names the member', async () => {
+    const testFleet = await startTestFleet(32);
+    testFleet.fleet.kill('controller-3');
+    await testFleet.fleet.run(3_000);
+    const unmet = await testFleet.fleet.finish(
+      unmetAtStart(beforeCoreWork, testFleet.core(ALL_CONTROLLERS), testFleet.clock),
+      60_000,
+    );
+    expect(unmet?.step.name).toBe(FIRST_STEP);
+    const result = await execute(testFleet, beforeCoreWork, testFleet.core(ALL_CONTROLLERS));
+    expect(result.end).toMatchObject({
       tag: 'stopped',
       outcome: 'unmet',
       seen: expect.stringContaining('controller-3 silent'),
     });
-    expect(response.asked).toEqual([]);
+    expect(result.asked).toEqual([]);
   });
 
-  test('two are dead: refused, as no majority knows', async () => {
-    const d = await desk(33);
-    for (const name of ['controller-1', 'controller-3']) d.fleet.kill(name);
-    await d.fleet.run(3_000);
-    const response = await play(d, planned, d.core(ALL));
-    expect(response.end).toMatchObject({
+  test('two members are down: stops before the operator is asked, as no majority reports its health', async () => {
+    const testFleet = await startTestFleet(33);
+    for (const name of ['controller-1', 'controller-3']) testFleet.fleet.kill(name);
+    await testFleet.fleet.run(3_000);
+    const result = await execute(testFleet, beforeCoreWork, testFleet.core(ALL_CONTROLLERS));
+    expect(result.end).toMatchObject({
       tag: 'stopped',
       outcome: 'unmet',
       seen: expect.stringContaining('no majority of the members says'),
     });
-    expect(response.asked).toEqual([]);
+    expect(result.asked).toEqual([]);
   });
 
-  test('the only one that is named is cut off: the others are asked, and their word counts', async () => {
-    const d = await desk(34);
-    d.fleet.cutOff(['controller-1']);
-    await d.fleet.run(3_000);
-    const response = await play(d, planned, d.core([0]));
-    expect(response.end).toMatchObject({
+  test('the only named controller is partitioned: the other members are queried, and their reports count', async () => {
+    const testFleet = await startTestFleet(34);
+    testFleet.fleet.cutOff(['controller-1']);
+    await testFleet.fleet.run(3_000);
+    const result = await execute(testFleet, beforeCoreWork, testFleet.core([0]));
+    expect(result.end).toMatchObject({
       tag: 'stopped',
       outcome: 'unmet',
       seen: expect.stringContaining('ledger bears 0 of at least 1 (controller-1 silent)'),
     });
   });
 
-  test('the controller does not come back: late, and no word of success', async () => {
-    const d = await desk(35);
-    const response = await play(d, planned, d.core(ALL), () => d.fleet.kill('controller-2'));
-    expect(response.end).toMatchObject({
+  test('the controller does not come back: the step that waits for it is late, and no success is reported', async () => {
+    const testFleet = await startTestFleet(35);
+    const result = await execute(testFleet, beforeCoreWork, testFleet.core(ALL_CONTROLLERS), () =>
+      testFleet.fleet.kill('controller-2'),
+    );
+    expect(result.end).toMatchObject({
       tag: 'stopped',
       outcome: 'late',
       step: { name: 'The core bears a further loss again' },
@@ -126,14 +139,14 @@
     });
   });
 
-  test('a disk that takes no writes is a loss already', async () => {
-    const d = await desk(36);
-    const sick = d.fleet.controllers[2];
-    if (sick) sick.platter.failing = true;
-    await d.fleet.operator(0, 'POST', '/v1/zones/at-1/evacuate', {});
-    await d.fleet.run(3_000);
-    const response = await play(d, planned, d.core(ALL));
-    expect(response.end).toMatchObject({
+  test('a member whose disk rejects writes counts as lost already', async () => {
+    const testFleet = await startTestFleet(36);
+    const failing = testFleet.fleet.controllers[2];
+    if (failing) failing.platter.failing = true;
+    await testFleet.fleet.operator(0, 'POST', '/v1/zones/at-1/evacuate', {});
+    await testFleet.fleet.run(3_000);
+    const result = await execute(testFleet, beforeCoreWork, testFleet.core(ALL_CONTROLLERS));
+    expect(result.end).toMatchObject({
       tag: 'stopped',
       outcome: 'unmet',
       seen: expect.stringContaining('controller-3 cannotWrite'),
@@ -141,43 +154,46 @@
   });
 });
 
-describe('replace a controller', () => {
-  const step = 'The core goes on without controller-2';
-  function replace(d: Desk): Runbook {
-    return book('replace-core-machine', { name: 'controller-2', address: d.fleet.controllers[1]?.wire ?? '' });
+describe('runbook replace-core-machine', () => {
+  const stepName = 'The core goes on without controller-2';
+  function replaceRunbook(testFleet: TestFleet): Runbook {
+    return loadRunbook('replace-core-machine', {
+      name: 'controller-2',
+      address: testFleet.fleet.controllers[1]?.wire ?? '',
+    });
   }
 
-  test('a lost one is replaced, and the last step says that the core bears a loss again', async () => {
-    const d = await desk(41);
-    d.fleet.kill('controller-2');
-    d.fleet.wipe('controller-2');
-    await d.fleet.run(6_000);
-    const response = await play(
-      d,
-      replace(d),
-      d.core(ALL),
-      (s) => void (s.name.startsWith('Start') && d.fleet.startNode('controller-2')),
+  test('a lost controller is replaced, and the last step reports that the core bears a loss again', async () => {
+    const testFleet = await startTestFleet(41);
+    testFleet.fleet.kill('controller-2');
+    testFleet.fleet.wipe('controller-2');
+    await testFleet.fleet.run(6_000);
+    const result = await execute(
+      testFleet,
+      replaceRunbook(testFleet),
+      testFleet.core(ALL_CONTROLLERS),
+      (step) => void (step.name.startsWith('Start') && testFleet.fleet.startNode('controller-2')),
     );
-    expect(response.end).toEqual({ tag: 'done' });
-    expect(response.records.find((r) => r.name === 'The core bears a further loss again')).toMatchObject({
+    expect(result.end).toEqual({ tag: 'done' });
+    expect(result.records.find((r) => r.name === 'The core bears a further loss again')).toMatchObject({
       outcome: 'done',
       seen: 'ledger bears 1 of at least 1; claims bears 1 of at least 1',
     });
   });
 
-  test('refused while another one lacks what the core needs: its loss would be the second', async () => {
-    const d = await desk(42);
-    const sick = d.fleet.controllers[2];
-    if (sick) sick.platter.failing = true;
-    await d.fleet.operator(0, 'POST', '/v1/zones/at-1/evacuate', {});
-    await d.fleet.run(3_000);
-    const response = await play(d, replace(d), d.core(ALL));
-    expect(response.end).toMatchObject({
+  test('stops while another member lacks what the core needs: the loss of this one would be the second', async () => {
+    const testFleet = await startTestFleet(42);
+    const failing = testFleet.fleet.controllers[2];
+    if (failing) failing.platter.failing = true;
+    await testFleet.fleet.operator(0, 'POST', '/v1/zones/at-1/evacuate', {});
+    await testFleet.fleet.run(3_000);
+    const result = await execute(testFleet, replaceRunbook(testFleet), testFleet.core(ALL_CONTROLLERS));
+    expect(result.end).toMatchObject({
       tag: 'stopped',
       outcome: 'unmet',
-      step: { name: step },
+      step: { name: stepName },
       seen: expect.stringContaining('ledger would stop without controller-2 (controller-3 cannotWrite)'),
     });
-    expect(response.asked).toEqual([]);
+    expect(result.asked).toEqual([]);
   });
 });
--- a/src/runbook/document.test.ts
+++ b/src/runbook/document.test.ts
@@ -2,7 +2,7 @@
 import { readdirSync, readFileSync } from 'node:fs';
 import { readRunbook } from './document.js';
 
-const good = `runbook: r
+const validRunbook = `runbook: r
 about: a
 inputs:
   zone: the zone
@@ -14,18 +14,18 @@
   - name: third
     wait: { until: { zoneOrders: { zone: "\${zone}", atMost: 0 } }, withinS: 5 }
 `;
-function faults(text: string, inputs: Record<string, string> | null = null): string[] {
+function errorsOf(text: string, inputs: Record<string, string> | null = null): string[] {
   const read = readRunbook(text, inputs);
   return read.ok ? [] : read.error.map((f) => `${f.line}: ${f.reason}`);
 }
 
 describe('runbook documents', () => {
-  test.each(readdirSync('runbooks'))('the shipped %s is sound', (file) => {
-    expect(faults(readFileSync(`runbooks/${file}`, 'utf8'))).toEqual([]);
+  test.each(readdirSync('runbooks'))('the shipped %s is valid', (file) => {
+    expect(errorsOf(readFileSync(`runbooks/${file}`, 'utf8'))).toEqual([]);
   });
 
   test('inputs are filled in', () => {
-    const read = readRunbook(good, { zone: 'z9' });
+    const read = readRunbook(validRunbook, { zone: 'z9' });
     expect(read.ok && read.value.steps[1]).toMatchObject({
       name: 'second z9',
       work: { tag: 'evacuate', zone: 'z9' },
@@ -43,7 +43,7 @@
     ],
     ['an unknown condition', (s) => s.replace('quorate:', 'sunny:'), '7: require: expected one condition'],
     [
-      'a value of the wrong kind',
+      'a value of the wrong type',
       (s) => s.replace('withinS: 5', 'withinS: soon'),
       '11: wait: withinS must be a number',
     ],
@@ -58,25 +58,27 @@
       '9: input region is not declared',
     ],
     [
-      'two things in one step',
+      'two kinds of work in one step',
       (s) => s.replace('    evacuate:', '    restore: { zone: a }\n    evacuate:'),
       '10: a step does one thing',
     ],
-    ['a step that does nothing', (s) => s.replace('    require: { quorate: }\n', ''), '6: step: expected one of'],
+    ['a step without work', (s) => s.replace('    require: { quorate: }\n', ''), '6: step: expected one of'],
     [
       'a step without a name',
       (s) => s.replace('  - name: first\n    require', '  - require'),
       '6: step: name is missing',
     ],
-    ['broken YAML', (s) => `${s}\n  - name: {`, ''],
+    ['invalid YAML', (s) => `${s}\n  - name: {`, ''],
     ['no steps', (s) => s.slice(0, s.indexOf('  - name')), '1: steps: expected a list'],
-  ])('%s is turned down with its line', (_what, spoil, told) => {
-    const response = faults(spoil(good));
-    expect(response.some((f) => f.startsWith(told))).toBe(true);
+  ])('%s is rejected with its line', (_what, edit, expected) => {
+    const errors = errorsOf(edit(validRunbook));
+    expect(errors.some((f) => f.startsWith(expected))).toBe(true);
   });
 
-  test('missing and foreign inputs are turned down', () => {
-    expect(faults(good, {})).toEqual(['1: input zone is missing: the zone']);
-    expect(faults(good, { zone: 'z', planet: 'mars' })).toEqual(['1: input planet is not one of this runbook: zone']);
+  test('missing and undeclared inputs are rejected', () => {
+    expect(errorsOf(validRunbook, {})).toEqual(['1: input zone is missing: the zone']);
+    expect(errorsOf(validRunbook, { zone: 'z', planet: 'mars' })).toEqual([
+      '1: input planet is not one of this runbook: zone',
+    ]);
   });
 });
--- a/src/runbook/document.ts
+++ b/src/runbook/document.ts
@@ -1,10 +1,10 @@
-/** Reads and checks runbooks (docs/runbooks.md): YAML with steps, each with one kind of work. */
+/** Parses and validates runbooks (docs/runbooks.md): YAML documents with steps, each of which does one kind of work. */
 import { isMap, isScalar, isSeq, LineCounter, parseDocument } from 'yaml';
 import type { Node, Pair } from 'yaml';
 import { err, ok } from '../base/result.js';
 import type { Result } from '../base/result.js';
 
-/** What must hold for a step; each is observed by `observe.ts`. */
+/** A condition on the deployment; `observe.ts` evaluates it. */
 export type Condition =
   | { readonly tag: 'quorate' }
   | { readonly tag: 'spareLosses'; readonly atLeast: number }
@@ -36,10 +36,10 @@
   | { readonly tag: 'reopenClaims' }
   | { readonly tag: 'person'; readonly does: string };
 
-/** One step; `line` is where it stands in the file, `ifNot` what to do if it fails. */
+/** One step; `line` is its line in the file, `ifNot` tells the operator what to do if it fails. */
 export type Step = { readonly name: string; readonly line: number; readonly work: Work; readonly ifNot: string };
 
-/** A checked runbook with its inputs filled in. */
+/** A valid runbook: `inputs` describes each declared input, and the steps have the given values filled in. */
 export type Runbook = {
   readonly runbook: string;
   readonly about: string;
@@ -47,112 +47,116 @@
   readonly steps: readonly Step[];
 };
 
-/** What is wrong at a line of the file. */
-export type DocError = { readonly line: number; readonly reason: string };
+/** An error at a line of the file. */
+export type RunbookError = { readonly line: number; readonly reason: string };
 
-type Fields = Readonly<Record<string, 'text' | 'number' | 'flag' | 'any'>>;
-type Form = { readonly needs: Fields; readonly may: Fields };
+type FieldTypes = Readonly<Record<string, 'text' | 'number' | 'flag' | 'any'>>;
+type FieldSpec = { readonly required: FieldTypes; readonly optional: FieldTypes };
 
-const CONDITIONS: Readonly<Record<Condition['tag'], Form>> = {
-  quorate: { needs: {}, may: {} },
-  spareLosses: { needs: { atLeast: 'number' }, may: {} },
-  goesOnWithout: { needs: { name: 'text' }, may: {} },
-  writable: { needs: { name: 'text' }, may: {} },
-  claimsReady: { needs: { name: 'text' }, may: {} },
-  proxiesConfirmed: { needs: {}, may: {} },
-  node: { needs: { name: 'text', status: 'text' }, may: {} },
-  member: { needs: { name: 'text' }, may: { address: 'text' } },
-  evacuated: { needs: { zone: 'text', is: 'flag' }, may: {} },
-  zoneOrders: { needs: { zone: 'text', atMost: 'number' }, may: {} },
-  ready: { needs: { model: 'text' }, may: { kind: 'text', atLeast: 'number', atMost: 'number' } },
-  setting: { needs: { path: 'text', is: 'any' }, may: {} },
+const CONDITION_FIELDS: Readonly<Record<Condition['tag'], FieldSpec>> = {
+  quorate: { required: {}, optional: {} },
+  spareLosses: { required: { atLeast: 'number' }, optional: {} },
+  goesOnWithout: { required: { name: 'text' }, optional: {} },
+  writable: { required: { name: 'text' }, optional: {} },
+  claimsReady: { required: { name: 'text' }, optional: {} },
+  proxiesConfirmed: { required: {}, optional: {} },
+  node: { required: { name: 'text', status: 'text' }, optional: {} },
+  member: { required: { name: 'text' }, optional: { address: 'text' } },
+  evacuated: { required: { zone: 'text', is: 'flag' }, optional: {} },
+  zoneOrders: { required: { zone: 'text', atMost: 'number' }, optional: {} },
+  ready: { required: { model: 'text' }, optional: { kind: 'text', atLeast: 'number', atMost: 'number' } },
+  setting: { required: { path: 'text', is: 'any' }, optional: {} },
 };
 
-const WORKS: Readonly<Record<Work['tag'], Form>> = {
-  require: { needs: {}, may: {} },
-  wait: { needs: { withinS: 'number' }, may: { heldS: 'number' } },
-  evacuate: { needs: { zone: 'text' }, may: {} },
-  restore: { needs: { zone: 'text' }, may: {} },
-  set: { needs: { path: 'text', value: 'any' }, may: {} },
-  forget: { needs: { proxy: 'text' }, may: {} },
-  reopenClaims: { needs: {}, may: {} },
-  person: { needs: { does: 'text' }, may: {} },
+const WORK_FIELDS: Readonly<Record<Work['tag'], FieldSpec>> = {
+  require: { required: {}, optional: {} },
+  wait: { required: { withinS: 'number' }, optional: { heldS: 'number' } },
+  evacuate: { required: { zone: 'text' }, optional: {} },
+  restore: { required: { zone: 'text' }, optional: {} },
+  set: { required: { path: 'text', value: 'any' }, optional: {} },
+  forget: { required: { proxy: 'text' }, optional: {} },
+  reopenClaims: { required: {}, optional: {} },
+  person: { required: { does: 'text' }, optional: {} },
 };
 
-const HOLD = /\$\{([a-zA-Z]+)\}/g;
+const INPUT_PLACEHOLDER = /\$\{([a-zA-Z]+)\}/g;
 
-/** Reads a runbook with the given inputs; all that is wrong comes at once. */
+/** Parses a runbook and fills in the inputs; null validates it without them. Returns all errors at once. */
 export function readRunbook(
   text: string,
   inputs: Readonly<Record<string, string>> | null,
-): Result<Runbook, readonly DocError[]> {
+): Result<Runbook, readonly RunbookError[]> {
   const counter = new LineCounter();
   const doc = parseDocument(text, { lineCounter: counter });
-  const faults: DocError[] = [];
+  const errors: RunbookError[] = [];
   function addError(line: number, reason: string): void {
-    faults.push({ line, reason });
+    errors.push({ line, reason });
   }
   function lineOf(node: unknown): number {
     const range = (node as Node | null)?.range;
     return range ? counter.linePos(range[0]).line : 1;
   }
-  for (const yAMLError of doc.errors)
-    addError(yAMLError.linePos?.[0].line ?? 1, yAMLError.message.split('\n')[0] as string);
-  if (faults.length > 0) return err(faults);
-  const top = doc.contents;
-  if (!isMap(top)) return err([{ line: 1, reason: 'expected a table with runbook, about and steps' }]);
+  for (const yamlError of doc.errors)
+    addError(yamlError.linePos?.[0].line ?? 1, yamlError.message.split('\n')[0] as string);
+  if (errors.length > 0) return err(errors);
+  const root = doc.contents;
+  if (!isMap(root)) return err([{ line: 1, reason: 'expected a mapping with runbook, about and steps' }]);
 
-  const declared: Record<string, string> = {};
-  for (const pair of top.items) {
+  const declaredInputs: Record<string, string> = {};
+  for (const pair of root.items) {
     const key = keyOf(pair);
     if (!['runbook', 'about', 'inputs', 'steps'].includes(key))
       addError(lineOf(pair.key), `unknown key ${key}; expected runbook, about, inputs, steps`);
     if (key !== 'inputs') continue;
-    if (!isMap(pair.value)) addError(lineOf(pair.key), 'inputs: expected a table of names and what they mean');
+    if (!isMap(pair.value)) addError(lineOf(pair.key), 'inputs: expected a mapping of names to descriptions');
     else
-      for (const item of pair.value.items) declared[keyOf(item)] = isScalar(item.value) ? String(item.value.value) : '';
+      for (const item of pair.value.items)
+        declaredInputs[keyOf(item)] = isScalar(item.value) ? String(item.value.value) : '';
   }
   for (const name of Object.keys(inputs ?? {}))
-    if (!Object.hasOwn(declared, name))
-      addError(1, `input ${name} is not one of this runbook: ${Object.keys(declared).join(', ') || 'it takes none'}`);
+    if (!Object.hasOwn(declaredInputs, name))
+      addError(
+        1,
+        `input ${name} is not one of this runbook: ${Object.keys(declaredInputs).join(', ') || 'it takes none'}`,
+      );
   if (inputs)
-    for (const name of Object.keys(declared))
-      if (!Object.hasOwn(inputs, name)) addError(1, `input ${name} is missing: ${declared[name]}`);
+    for (const name of Object.keys(declaredInputs))
+      if (!Object.hasOwn(inputs, name)) addError(1, `input ${name} is missing: ${declaredInputs[name]}`);
 
   function keyOf(pair: Pair): string {
     return isScalar(pair.key) ? String(pair.key.value) : '?';
   }
-  function textAt(key: string): string {
-    const value = top && isMap(top) ? top.get(key) : undefined;
-    if (typeof value !== 'string' || value === '') addError(1, `${key}: expected a text`);
+  function requiredText(key: string): string {
+    const value = root && isMap(root) ? root.get(key) : undefined;
+    if (typeof value !== 'string' || value === '') addError(1, `${key}: expected a non-empty string`);
     return String(value ?? '');
   }
-  function filled(value: unknown, line: number): unknown {
+  function substituteInputs(value: unknown, line: number): unknown {
     if (typeof value !== 'string') return value;
-    const whole = /^\$\{([a-zA-Z]+)\}$/.exec(value);
-    for (const regExpExecArray of value.matchAll(HOLD))
-      if (!Object.hasOwn(declared, regExpExecArray[1] as string))
-        addError(line, `input ${regExpExecArray[1]} is not declared under inputs`);
-    if (whole && inputs) return inputs[whole[1] as string] ?? value;
-    function put(_all: string, name: string): string {
+    const placeholderOnly = /^\$\{([a-zA-Z]+)\}$/.exec(value);
+    for (const match of value.matchAll(INPUT_PLACEHOLDER))
+      if (!Object.hasOwn(declaredInputs, match[1] as string))
+        addError(line, `input ${match[1]} is not declared under inputs`);
+    if (placeholderOnly && inputs) return inputs[placeholderOnly[1] as string] ?? value;
+    function inputValue(_placeholder: string, name: string): string {
       return inputs?.[name] ?? `\${${name}}`;
     }
-    return value.replace(HOLD, put);
+    return value.replace(INPUT_PLACEHOLDER, inputValue);
   }
-  function typeFits(type: Fields[string], value: unknown): boolean {
+  function hasType(type: FieldTypes[string], value: unknown): boolean {
     if (type === 'any') return value !== undefined;
     if (type === 'text') return typeof value === 'string' && value !== '';
     if (type === 'number') return typeof value === 'number' && Number.isFinite(value) && value >= 0;
     return typeof value === 'boolean';
   }
-  function fieldsOf(
+  function readFields(
     node: unknown,
-    form: Form,
-    what: string,
+    spec: FieldSpec,
+    subject: string,
     line: number,
-    inner: string | null,
+    nestedKey: string | null,
   ): Record<string, unknown> {
-    const out: Record<string, unknown> = {};
+    const fields: Record<string, unknown> = {};
     const items = isMap(node) ? node.items : [];
     if (
       node !== null &&
@@ -160,43 +164,44 @@
       !isMap(node) &&
       !(isScalar(node) && (node.value === null || node.value === true))
     ) {
-      addError(line, `${what}: expected a table`);
-      return out;
+      addError(line, `${subject}: expected a mapping`);
+      return fields;
     }
     for (const pair of items) {
       const key = keyOf(pair);
-      const at = lineOf(pair.key);
-      if (key === inner) continue;
-      const type = form.needs[key] ?? form.may[key];
+      const keyLine = lineOf(pair.key);
+      if (key === nestedKey) continue;
+      const type = spec.required[key] ?? spec.optional[key];
       if (!type) {
         addError(
-          at,
-          `${what}: unknown value ${key}; expected ${[...Object.keys(form.needs), ...Object.keys(form.may), ...(inner ? [inner] : [])].join(', ') || 'none'}`,
+          keyLine,
+          `${subject}: unknown value ${key}; expected ${[...Object.keys(spec.required), ...Object.keys(spec.optional), ...(nestedKey ? [nestedKey] : [])].join(', ') || 'none'}`,
         );
         continue;
       }
       const raw: unknown = isScalar(pair.value) ? pair.value.value : (pair.value as Node | null)?.toJS(doc);
-      const value = filled(raw, at);
-      if (!typeFits(type, value)) addError(at, `${what}: ${key} must be a ${type}; found ${JSON.stringify(value)}`);
-      out[key] = value;
+      const value = substituteInputs(raw, keyLine);
+      if (!hasType(type, value))
+        addError(keyLine, `${subject}: ${key} must be a ${type}; found ${JSON.stringify(value)}`);
+      fields[key] = value;
     }
-    for (const key of Object.keys(form.needs))
-      if (!Object.hasOwn(out, key)) addError(line, `${what}: ${key} is missing`);
-    return out;
+    for (const key of Object.keys(spec.required))
+      if (!Object.hasOwn(fields, key)) addError(line, `${subject}: ${key} is missing`);
+    return fields;
   }
-  function conditionOf(node: unknown, line: number, what: string): Condition {
+  function readCondition(node: unknown, line: number, subject: string): Condition {
     const pair = isMap(node) ? node.items[0] : undefined;
     const tag = pair ? keyOf(pair) : isScalar(node) ? String(node.value) : '';
-    if (!Object.hasOwn(CONDITIONS, tag) || (isMap(node) && node.items.length !== 1)) {
+    if (!Object.hasOwn(CONDITION_FIELDS, tag) || (isMap(node) && node.items.length !== 1)) {
       addError(
         line,
-        `${what}: expected one condition of ${Object.keys(CONDITIONS).join(', ')}; found ${tag || 'nothing'}`,
+        `${subject}: expected one condition of ${Object.keys(CONDITION_FIELDS).join(', ')}; found ${tag || 'nothing'}`,
       );
       return { tag: 'quorate' };
     }
-    const fields = fieldsOf(
+    const fields = readFields(
       pair?.value ?? null,
-      CONDITIONS[tag as Condition['tag']],
+      CONDITION_FIELDS[tag as Condition['tag']],
       tag,
       pair ? lineOf(pair.key) : line,
       null,
@@ -205,69 +210,74 @@
       addError(line, 'ready: atLeast or atMost is missing');
     return { kind: null, atLeast: null, atMost: null, address: null, ...fields, tag } as unknown as Condition;
   }
-  function stepOf(node: unknown): Step | null {
+  function readStep(node: unknown): Step | null {
     const line = lineOf(node);
     if (!isMap(node)) {
-      addError(line, 'step: expected a table');
+      addError(line, 'step: expected a mapping');
       return null;
     }
     let work: Work | null = null;
     for (const pair of node.items) {
       const key = keyOf(pair);
-      const at = lineOf(pair.key);
+      const keyLine = lineOf(pair.key);
       if (key === 'name' || key === 'ifNot') continue;
-      if (!Object.hasOwn(WORKS, key)) {
-        addError(at, `unknown step ${key}; expected one of ${Object.keys(WORKS).join(', ')}`);
+      if (!Object.hasOwn(WORK_FIELDS, key)) {
+        addError(keyLine, `unknown step ${key}; expected one of ${Object.keys(WORK_FIELDS).join(', ')}`);
         continue;
       }
-      if (work) addError(at, `a step does one thing; found ${work.tag} and ${key}`);
-      work = workOf(key as Work['tag'], pair.value, at);
+      if (work) addError(keyLine, `a step does one thing; found ${work.tag} and ${key}`);
+      work = readWork(key as Work['tag'], pair.value, keyLine);
     }
     const name = node.get('name');
     if (typeof name !== 'string' || name === '') addError(line, 'step: name is missing');
     if (!work) {
-      if (!node.items.some(unknownWork)) addError(line, `step: expected one of ${Object.keys(WORKS).join(', ')}`);
+      if (!node.items.some(isWorkKey)) addError(line, `step: expected one of ${Object.keys(WORK_FIELDS).join(', ')}`);
       return null;
     }
     const ifNot = node.get('ifNot');
     return {
-      name: String(filled(name, line)),
+      name: String(substituteInputs(name, line)),
       line,
       work,
-      ifNot: typeof ifNot === 'string' ? String(filled(ifNot, line)) : '',
+      ifNot: typeof ifNot === 'string' ? String(substituteInputs(ifNot, line)) : '',
     };
-    function unknownWork(pair: Pair): boolean {
+    function isWorkKey(pair: Pair): boolean {
       return !['name', 'ifNot'].includes(keyOf(pair));
     }
   }
-  function workOf(tag: Work['tag'], value: unknown, line: number): Work {
-    if (tag === 'require') return { tag, condition: conditionOf(value, line, 'require') };
-    if (tag === 'person' && isScalar(value)) return { tag, does: String(filled(value.value, line)) };
-    if (tag !== 'wait') return { ...fieldsOf(value, WORKS[tag], tag, line, null), tag } as Work;
-    const until = isMap(value) ? value.get('until', true) : undefined;
-    const fields = fieldsOf(value, WORKS.wait, 'wait', line, 'until');
-    if (!until) addError(line, 'wait: until is missing');
+  function readWork(tag: Work['tag'], value: unknown, line: number): Work {
+    if (tag === 'require') return { tag, condition: readCondition(value, line, 'require') };
+    if (tag === 'person' && isScalar(value)) return { tag, does: String(substituteInputs(value.value, line)) };
+    if (tag !== 'wait') return { ...readFields(value, WORK_FIELDS[tag], tag, line, null), tag } as Work;
+    const conditionNode = isMap(value) ? value.get('until', true) : undefined;
+    const fields = readFields(value, WORK_FIELDS.wait, 'wait', line, 'until');
+    if (!conditionNode) addError(line, 'wait: until is missing');
     return {
       tag,
-      condition: until ? conditionOf(until, line, 'wait') : { tag: 'quorate' },
+      condition: conditionNode ? readCondition(conditionNode, line, 'wait') : { tag: 'quorate' },
       withinS: Number(fields['withinS']),
       heldS: Number(fields['heldS'] ?? 0),
     };
   }
 
   const steps: Step[] = [];
-  const list = top.get('steps', true);
+  const list = root.get('steps', true);
   if (!isSeq(list) || list.items.length === 0) addError(1, 'steps: expected a list of steps');
   else
     for (const item of list.items) {
-      const step = stepOf(item);
+      const step = readStep(item);
       if (step) steps.push(step);
     }
-  const made: Runbook = { runbook: textAt('runbook'), about: textAt('about'), inputs: declared, steps };
-  return faults.length > 0 ? err(faults) : ok(made);
+  const runbook: Runbook = {
+    runbook: requiredText('runbook'),
+    about: requiredText('about'),
+    inputs: declaredInputs,
+    steps,
+  };
+  return errors.length > 0 ? err(errors) : ok(runbook);
 }
 
-/** Whether the work changes the deployment, so that a person must confirm it. */
-export function harms(work: Work): boolean {
+/** Whether the work changes the deployment, so that the operator must confirm it first. */
+export function changesDeployment(work: Work): boolean {
   return work.tag !== 'require' && work.tag !== 'wait';
 }
--- a/src/runbook/observation.ts
+++ b/src/runbook/observation.ts
@@ -1,4 +1,4 @@
-/** The answer to a look at the deployment. */
+/** The result of evaluating a condition of a runbook. */
 
-/** Whether a condition is met, and what was seen, for the record and the operator. */
+/** Whether the condition is met, and what was observed, for the record and the operator. */
 export type Observation = { readonly met: boolean; readonly text: string };
--- a/src/runbook/observe-core.test.ts
+++ b/src/runbook/observe-core.test.ts
@@ -4,51 +4,54 @@
 import { coreHealth } from '../state/membership/core-health.js';
 import type { CoreHealth, MemberView } from '../state/membership/core-health.js';
 import type { Condition } from './document.js';
-import { coreObserved } from './observe-core.js';
+import { observeCore } from './observe-core.js';
 
-const THREE = ['h1', 'h2', 'h3'];
+const MEMBERS = ['h1', 'h2', 'h3'];
 
 function health(self: string, behind: readonly string[]): CoreHealth {
   const views: MemberView[] = [];
-  for (const name of THREE) views.push(memberView(name, { holdsAll: !behind.includes(name) }));
+  for (const name of MEMBERS) views.push(memberView(name, { holdsAll: !behind.includes(name) }));
   return coreHealth(`${self}#i`, views);
 }
-/** A core whose members all say that these hold not all of the ledger, or not all claims. */
+/** A core whose members all report that the given members lack a part of the ledger, or a part of the claims. */
 function coreOf(ledgerBehind: readonly string[], claimsBehind: readonly string[] | null): Core {
   async function requestAt(address: string): Promise<{ status: number; body: unknown }> {
     const core = { ledger: health(address, ledgerBehind), claims: claimsBehind && health(address, claimsBehind) };
     return { status: 200, body: { name: address, member: `${address}#i`, slot: 9, members: [], nodes: [], core } };
   }
-  return { addresses: THREE, requestAt, request: () => Promise.resolve(null), version: () => Promise.resolve(null) };
+  return { addresses: MEMBERS, requestAt, request: () => Promise.resolve(null), version: () => Promise.resolve(null) };
 }
-const spare = { tag: 'spareLosses', atLeast: 1 } as const satisfies Condition;
-const without = { tag: 'goesOnWithout', name: 'h1' } as const satisfies Condition;
+const bearsOneLoss = { tag: 'spareLosses', atLeast: 1 } as const satisfies Condition;
+const runsWithoutH1 = { tag: 'goesOnWithout', name: 'h1' } as const satisfies Condition;
 
 test.each<[string, Core, boolean, boolean]>([
-  ['all whole', coreOf([], []), true, true],
-  ['all whole, claims not in use', coreOf([], null), true, true],
-  ['one behind in the ledger', coreOf(['h3'], []), false, false],
-  ['one whose claims are not whole', coreOf([], ['h3']), false, false],
-  ['the named one behind in both', coreOf(['h1'], ['h1']), false, true],
-  ['two behind: nothing goes on', coreOf(['h1', 'h2'], []), false, false],
-  ['two whose claims are not whole', coreOf([], ['h1', 'h2']), false, false],
+  ['all members complete', coreOf([], []), true, true],
+  ['all members complete, claims not in use', coreOf([], null), true, true],
+  ['one member behind in the ledger', coreOf(['h3'], []), false, false],
+  ['one member with incomplete claims', coreOf([], ['h3']), false, false],
+  ['the named member behind in both', coreOf(['h1'], ['h1']), false, true],
+  ['two members behind: neither condition is met', coreOf(['h1', 'h2'], []), false, false],
+  ['two members with incomplete claims', coreOf([], ['h1', 'h2']), false, false],
 ])('%s', async (_what, core, bearsOne, goesOn) => {
-  expect([(await coreObserved(core, spare)).met, (await coreObserved(core, without)).met]).toEqual([bearsOne, goesOn]);
+  expect([(await observeCore(core, bearsOneLoss)).met, (await observeCore(core, runsWithoutH1)).met]).toEqual([
+    bearsOne,
+    goesOn,
+  ]);
 });
 
-test('nothing to spare is asked for, and still no whole majority is no', async () => {
-  expect((await coreObserved(coreOf(['h1', 'h2'], null), { tag: 'spareLosses', atLeast: 0 })).met).toBe(false);
-  expect((await coreObserved(coreOf(['h1'], null), { tag: 'spareLosses', atLeast: 0 })).met).toBe(true);
+test('a condition of zero spare losses is not met without a majority of complete members', async () => {
+  expect((await observeCore(coreOf(['h1', 'h2'], null), { tag: 'spareLosses', atLeast: 0 })).met).toBe(false);
+  expect((await observeCore(coreOf(['h1'], null), { tag: 'spareLosses', atLeast: 0 })).met).toBe(true);
 });
 
-test("one controller's word, or none, meets nothing", async () => {
-  const whole = coreOf([], null);
+test('the report of one controller, or of none, meets no condition', async () => {
+  const complete = coreOf([], null);
   for (const addresses of [['h1'], []]) {
-    const few: Core = { ...whole, addresses };
+    const core: Core = { ...complete, addresses };
     expect([
-      (await coreObserved(few, spare)).met,
-      (await coreObserved(few, without)).met,
-      (await coreObserved(few, { tag: 'spareLosses', atLeast: 0 })).met,
+      (await observeCore(core, bearsOneLoss)).met,
+      (await observeCore(core, runsWithoutH1)).met,
+      (await observeCore(core, { tag: 'spareLosses', atLeast: 0 })).met,
     ]).toEqual([false, false, false]);
   }
 });
--- a/src/runbook/observe-core.ts
+++ b/src/runbook/observe-core.ts
@@ -1,6 +1,6 @@
 /**
- * Conditions of runbooks on the core's health. They are met on the word of a majority of the members only, for the
- * members that agree on the ledger and, where claims are in use, for those that hold the claims.
+ * Evaluates the conditions of runbooks on the core's health. A condition is met only if a majority of the members
+ * reports it, both for the members that agree on the ledger and, where claims are in use, for those that hold them.
  */
 import { requestCoreReport } from '../operator/core-report.js';
 import type { CoreGroup, CoreReport, GroupReport } from '../operator/core-report.js';
@@ -10,15 +10,15 @@
 
 type CoreCondition = Extract<Condition, { tag: 'spareLosses' | 'goesOnWithout' }>;
 
-const UNKNOWN = 'no majority of the members says how many losses the core bears';
+const UNKNOWN_TEXT = 'no majority of the members says how many losses the core bears';
 
-/** Observes a condition on the members' health. */
-export async function coreObserved(core: Core, condition: CoreCondition): Promise<Observation> {
+/** Evaluates a condition on the members' health. */
+export async function observeCore(core: Core, condition: CoreCondition): Promise<Observation> {
   const report = await requestCoreReport(core);
   if (!report) return { met: false, text: 'no controller answers' };
   return condition.tag === 'spareLosses'
-    ? spareObserved(report, condition.atLeast)
-    : absenceObserved(report, condition.name);
+    ? observeSpareLosses(report, condition.atLeast)
+    : observeLossOf(report, condition.name);
 }
 
 function groupsOf(report: CoreReport): [CoreGroup, GroupReport][] {
@@ -30,30 +30,30 @@
     : [['ledger', report.ledger]];
 }
 
-function spareObserved(report: CoreReport, atLeast: number): Observation {
-  const figures: string[] = [];
+function observeSpareLosses(report: CoreReport, atLeast: number): Observation {
+  const texts: string[] = [];
   let met = true;
   for (const [name, group] of groupsOf(report)) {
-    if (group.spareLosses === null) return { met: false, text: `${name}: ${UNKNOWN}` };
+    if (group.spareLosses === null) return { met: false, text: `${name}: ${UNKNOWN_TEXT}` };
     if (group.spareLosses < atLeast || group.warning === 'noWholeQuorum') met = false;
-    figures.push(`${name} bears ${group.spareLosses} of at least ${atLeast}${lackingText(group)}`);
+    texts.push(`${name} bears ${group.spareLosses} of at least ${atLeast}${lackText(group)}`);
   }
-  return { met, text: figures.join('; ') };
+  return { met, text: texts.join('; ') };
 }
 
-function absenceObserved(report: CoreReport, name: string): Observation {
-  const stopped: string[] = [];
+function observeLossOf(report: CoreReport, name: string): Observation {
+  const texts: string[] = [];
   for (const [groupName, group] of groupsOf(report)) {
-    if (group.spareLosses === null) return { met: false, text: `${groupName}: ${UNKNOWN}` };
+    if (group.spareLosses === null) return { met: false, text: `${groupName}: ${UNKNOWN_TEXT}` };
     for (const member of group.details)
       if (member.name === name && group.essential.includes(member.id))
-        stopped.push(`${groupName} would stop without ${name}${lackingText(group)}`);
+        texts.push(`${groupName} would stop without ${name}${lackText(group)}`);
   }
-  return { met: stopped.length === 0, text: stopped.join('; ') || `the core goes on without ${name}` };
+  return { met: texts.length === 0, text: texts.join('; ') || `the core goes on without ${name}` };
 }
 
-function lackingText(group: GroupReport): string {
-  const lacking: string[] = [];
-  for (const member of group.details) if (member.lack !== null) lacking.push(`${member.name} ${member.lack}`);
-  return lacking.length > 0 ? ` (${lacking.join(', ')})` : '';
+function lackText(group: GroupReport): string {
+  const lacks: string[] = [];
+  for (const member of group.details) if (member.lack !== null) lacks.push(`${member.name} ${member.lack}`);
+  return lacks.length > 0 ? ` (${lacks.join(', ')})` : '';
 }
--- a/src/runbook/run.test.ts
+++ b/src/runbook/run.test.ts
@@ -10,16 +10,16 @@
 import { runRunbook, unmetAtStart } from './run.js';
 import type { RunEnd, StepRecord } from './run.js';
 
-function book(file: string, inputs: Record<string, string>): Runbook {
+function loadRunbook(file: string, inputs: Record<string, string>): Runbook {
   const read = readRunbook(readFileSync(`runbooks/${file}.yaml`, 'utf8'), inputs);
   if (!read.ok) throw new Error(JSON.stringify(read.error));
   return read.value;
 }
 
-type Played = { readonly end: RunEnd | null; readonly records: StepRecord[] };
-type Hands = (step: Step) => boolean;
+type RunResult = { readonly end: RunEnd | null; readonly records: StepRecord[] };
+type Confirm = (step: Step) => boolean;
 
-async function ready(seed: number): Promise<SimFleet> {
+async function startedFleet(seed: number): Promise<SimFleet> {
   const fleet = createSimFleet(seed);
   expect(await fleet.start()).toBe(true);
   return fleet;
@@ -34,155 +34,177 @@
     ),
   };
 }
-async function play(
+async function execute(
   fleet: SimFleet,
-  b: Runbook,
-  hands: Hands,
+  runbook: Runbook,
+  confirm: Confirm,
   before: StepRecord[] = [],
   dryRun = false,
-): Promise<Played> {
+): Promise<RunResult> {
   const { proc, core } = coreOf(fleet);
   const records: StepRecord[] = [];
-  const run = runRunbook(b, {
+  const run = runRunbook(runbook, {
     core,
     clock: fleet.world.clockOf(proc),
     rng: createRng(fleet.seed + records.length),
     dryRun,
     before,
-    confirm: async (step) => hands(step),
-    record: async (r) => void records.push(r),
+    confirm: async (step) => confirm(step),
+    record: async (entry) => void records.push(entry),
   });
   return { end: await fleet.finish(run, 900_000), records };
 }
-const yes: Hands = () => true;
+const confirmAll: Confirm = () => true;
 
-describe('runbooks, executed against a fleet', () => {
-  test('evacuate and hand back, declined halfway and taken up again', async () => {
-    const fleet = await ready(61);
-    const b = book('evacuate-and-hand-back', { zone: 'hu-1' });
-    const first = await play(fleet, b, (s) => s.work.tag !== 'person');
+describe('runbooks executed against a simulated fleet', () => {
+  test('evacuate and hand back: declined halfway, resumed, and from the start again once it is done', async () => {
+    const fleet = await startedFleet(61);
+    const runbook = loadRunbook('evacuate-and-hand-back', { zone: 'hu-1' });
+    const first = await execute(fleet, runbook, (s) => s.work.tag !== 'person');
     expect(first.end).toMatchObject({ tag: 'stopped', outcome: 'declined' });
     const controlState = () => fleet.controllers[0]?.controller?.ledger.controlState();
     expect(Object.keys(controlState()?.evacuated ?? {})).toEqual(['hu-1']);
     const slot = controlState()?.slot ?? 0;
-    const second = await play(fleet, b, yes, first.records);
+    const second = await execute(fleet, runbook, confirmAll, first.records);
     expect(second.end).toEqual({ tag: 'done' });
     expect(second.records.filter((r) => r.outcome === 'doneBefore').map((r) => r.name)).toEqual(['Empty hu-1']);
     expect(controlState()?.evacuated).toEqual({});
     expect(controlState()?.slot).toBeGreaterThan(slot);
-    const third = await play(fleet, b, yes, [...first.records, ...second.records]);
+    const third = await execute(fleet, runbook, confirmAll, [...first.records, ...second.records]);
     expect(third.records.some((r) => r.outcome === 'doneBefore')).toBe(false);
   });
 
   test('a dry run changes nothing', async () => {
-    const fleet = await ready(62);
+    const fleet = await startedFleet(62);
     const version = fleet.controllers[0]?.controller?.ledger.controlState().version;
-    const response = await play(fleet, book('roll-out-setting', {}), () => false, [], true);
-    expect(response.end).toEqual({ tag: 'wouldDo' });
+    const result = await execute(fleet, loadRunbook('roll-out-setting', {}), () => false, [], true);
+    expect(result.end).toEqual({ tag: 'wouldDo' });
     expect(fleet.controllers[0]?.controller?.ledger.controlState().version).toBe(version);
   });
 
-  test('a setting is rolled out and taken back', async () => {
-    const fleet = await ready(63);
-    const extra = () => fleet.controllers[1]?.controller?.ledger.controlState().configuration.deployment.nExtra;
-    expect((await play(fleet, book('roll-out-setting', {}), yes)).end).toEqual({ tag: 'done' });
-    expect(extra()).toBe(3);
-    expect((await play(fleet, book('take-back-setting', {}), yes)).end).toEqual({ tag: 'done' });
-    expect(extra()).toBe(2);
+  test('a setting is rolled out and reverted', async () => {
+    const fleet = await startedFleet(63);
+    const nExtra = () => fleet.controllers[1]?.controller?.ledger.controlState().configuration.deployment.nExtra;
+    expect((await execute(fleet, loadRunbook('roll-out-setting', {}), confirmAll)).end).toEqual({ tag: 'done' });
+    expect(nExtra()).toBe(3);
+    expect((await execute(fleet, loadRunbook('take-back-setting', {}), confirmAll)).end).toEqual({ tag: 'done' });
+    expect(nExtra()).toBe(2);
   });
 
   test('replace a core machine', async () => {
-    const fleet = await ready(64);
+    const fleet = await startedFleet(64);
     fleet.kill('controller-2');
     fleet.wipe('controller-2');
     await fleet.run(6_000);
-    const h = fleet.controllers[1];
-    const response = await play(
+    const controllerNode = fleet.controllers[1];
+    const result = await execute(
       fleet,
-      book('replace-core-machine', { name: 'controller-2', address: h?.wire ?? '' }),
-      (s) => {
-        if (s.name.startsWith('Start')) void fleet.startNode('controller-2');
+      loadRunbook('replace-core-machine', { name: 'controller-2', address: controllerNode?.wire ?? '' }),
+      (step) => {
+        if (step.name.startsWith('Start')) void fleet.startNode('controller-2');
         return true;
       },
     );
-    expect(response.end).toEqual({ tag: 'done' });
-    expect(h?.controller?.ledger.isMember()).toBe(true);
+    expect(result.end).toEqual({ tag: 'done' });
+    expect(controllerNode?.controller?.ledger.isMember()).toBe(true);
   });
 
-  test('region lost, then back cold', async () => {
-    const fleet = await ready(65);
-    const gone = fleet.world
+  test('a region is lost, then comes back cold', async () => {
+    const fleet = await startedFleet(65);
+    const lostHosts = fleet.world
       .hosts()
       .filter((h) => h.zone === 'ro-1')
       .map((h) => h.name);
-    for (const name of gone) fleet.powerLoss(name);
+    for (const name of lostHosts) fleet.powerLoss(name);
     await fleet.run(4_000);
-    expect((await play(fleet, book('region-lost', { zone: 'ro-1', proxy: 'proxy-ro-1-1' }), yes)).end).toEqual({
+    expect(
+      (await execute(fleet, loadRunbook('region-lost', { zone: 'ro-1', proxy: 'proxy-ro-1-1' }), confirmAll)).end,
+    ).toEqual({
       tag: 'done',
     });
-    for (const name of gone) void fleet.startNode(name);
-    expect((await play(fleet, book('region-back-cold', { zone: 'ro-1', node: 'proxy-ro-1-1' }), yes)).end).toEqual({
+    for (const name of lostHosts) void fleet.startNode(name);
+    expect(
+      (await execute(fleet, loadRunbook('region-back-cold', { zone: 'ro-1', node: 'proxy-ro-1-1' }), confirmAll)).end,
+    ).toEqual({
       tag: 'done',
     });
     expect(fleet.controllers[0]?.controller?.ledger.controlState().evacuated).toEqual({});
   });
 
-  test('spot drought', async () => {
-    const fleet = await ready(66);
+  test('no spot capacity for a while (spot drought)', async () => {
+    const fleet = await startedFleet(66);
     const zones = ['hu-1', 'at-1', 'ro-1'];
     for (const zone of zones)
       await fleet.call({ method: 'POST', address: fleet.cloudAddress, path: '/lab/zone', body: { zone, spot: false } });
-    for (const o of Object.values(fleet.controllers[0]?.controller?.ledger.controlState().orders ?? {})) {
+    for (const order of Object.values(fleet.controllers[0]?.controller?.ledger.controlState().orders ?? {})) {
       await fleet.call({
         method: 'POST',
         address: fleet.cloudAddress,
         path: '/lab/reclaim',
-        body: { machine: o.machine, remainingMs: 200 },
+        body: { machine: order.machine, remainingMs: 200 },
       });
     }
     fleet.world.at(20_000, () => {
       for (const zone of zones)
         void fleet.call({ method: 'POST', address: fleet.cloudAddress, path: '/lab/zone', body: { zone, spot: true } });
     });
-    expect((await play(fleet, book('spot-drought', { model: 'summary' }), yes)).end).toEqual({ tag: 'done' });
+    expect((await execute(fleet, loadRunbook('spot-drought', { model: 'summary' }), confirmAll)).end).toEqual({
+      tag: 'done',
+    });
   });
 
-  test('upgrade a node, and mend a full disk', async () => {
-    const fleet = await ready(67);
-    const bounce: Hands = (s) => {
-      if (s.work.tag !== 'person') return true;
-      const name = s.work.does.includes('proxy') ? 'proxy-at-1-1' : 'controller-3';
+  test('upgrade a node, and repair a full disk', async () => {
+    const fleet = await startedFleet(67);
+    const restartNode: Confirm = (step) => {
+      if (step.work.tag !== 'person') return true;
+      const name = step.work.does.includes('proxy') ? 'proxy-at-1-1' : 'controller-3';
       fleet.kill(name);
       fleet.world.at(1_000, () => void fleet.startNode(name));
       return true;
     };
-    expect((await play(fleet, book('upgrade-node', { name: 'proxy-at-1-1' }), bounce)).end).toEqual({ tag: 'done' });
-    const h = fleet.controllers[2];
-    if (h) h.platter.failing = true;
+    expect((await execute(fleet, loadRunbook('upgrade-node', { name: 'proxy-at-1-1' }), restartNode)).end).toEqual({
+      tag: 'done',
+    });
+    const controllerNode = fleet.controllers[2];
+    if (controllerNode) controllerNode.platter.failing = true;
     await fleet.operator(0, 'POST', '/v1/zones/at-1/evacuate', {});
     await fleet.run(1_000);
-    if (h) h.platter.failing = false;
-    expect((await play(fleet, book('full-disk', { name: 'controller-3' }), bounce)).end).toEqual({ tag: 'done' });
-    expect(h?.controller?.ledger.writable()).toBe(true);
+    if (controllerNode) controllerNode.platter.failing = false;
+    expect((await execute(fleet, loadRunbook('full-disk', { name: 'controller-3' }), restartNode)).end).toEqual({
+      tag: 'done',
+    });
+    expect(controllerNode?.controller?.ledger.writable()).toBe(true);
   });
 
-  test('an unmet precondition stops before anything is changed; a late step says so', async () => {
-    const fleet = await ready(68);
+  test('an unmet precondition stops the run before any change; a condition not met in time ends its step as late', async () => {
+    const fleet = await startedFleet(68);
     fleet.kill('proxy-ro-1-1');
     await fleet.run(5_000);
-    const b = book('evacuate-and-hand-back', { zone: 'hu-1' });
+    const runbook = loadRunbook('evacuate-and-hand-back', { zone: 'hu-1' });
     const unmet = await fleet.finish(
-      unmetAtStart(b, coreOf(fleet).core, fleet.world.clockOf(fleet.world.begin(fleet.world.host('looker', 'lab')))),
+      unmetAtStart(
+        runbook,
+        coreOf(fleet).core,
+        fleet.world.clockOf(fleet.world.begin(fleet.world.host('looker', 'lab'))),
+      ),
       20_000,
     );
     expect(unmet?.step.name).toBe('All proxies are up to date');
-    const response = await play(fleet, b, yes);
-    expect(response.end).toMatchObject({ tag: 'stopped', outcome: 'unmet' });
+    const result = await execute(fleet, runbook, confirmAll);
+    expect(result.end).toMatchObject({ tag: 'stopped', outcome: 'unmet' });
     expect(fleet.controllers[0]?.controller?.ledger.controlState().evacuated).toEqual({});
-    const late = await play(fleet, book('region-back-cold', { zone: 'hu-1', node: 'proxy-ro-1-1' }), yes);
-    expect(late.end).toMatchObject({ tag: 'stopped', outcome: 'unmet' });
+    const unmetAgain = await execute(
+      fleet,
+      loadRunbook('region-back-cold', { zone: 'hu-1', node: 'proxy-ro-1-1' }),
+      confirmAll,
+    );
+    expect(unmetAgain.end).toMatchObject({ tag: 'stopped', outcome: 'unmet' });
     await fleet.operator(0, 'POST', '/v1/zones/hu-1/evacuate', {});
-    const waited = await play(fleet, book('region-back-cold', { zone: 'hu-1', node: 'proxy-ro-1-1' }), yes);
-    expect(waited.end).toMatchObject({ tag: 'stopped', outcome: 'late' });
+    const late = await execute(
+      fleet,
+      loadRunbook('region-back-cold', { zone: 'hu-1', node: 'proxy-ro-1-1' }),
+      confirmAll,
+    );
+    expect(late.end).toMatchObject({ tag: 'stopped', outcome: 'late' });
   });
 });
--- a/src/runbook/run.ts
+++ b/src/runbook/run.ts
@@ -1,4 +1,4 @@
-/** Runs a runbook step by step, and goes on after an interruption from the recorded outcomes. */
+/** Executes a runbook step by step; an interrupted run resumes from the recorded outcomes. */
 import { sha256 } from '../base/digest.js';
 import { amendRequest, forgetRequest, placeOf, reopenRequest, zoneRequest } from '../operator/requests.js';
 import type { CoreRequest } from '../operator/requests.js';
@@ -6,14 +6,18 @@
 import type { Clock } from '../transport/clock.js';
 import { newId } from '../transport/rng.js';
 import type { Rng } from '../transport/rng.js';
-import { harms } from './document.js';
+import { changesDeployment } from './document.js';
 import type { Runbook, Step } from './document.js';
-import { observeFor } from './observe.js';
+import { waitForCondition } from './observe.js';
 
-/** How a step ended. */
+/**
+ * How a step ended: `doneBefore` was done by the interrupted run, `would` is the outcome in a dry run, `unmet` is a
+ * precondition that does not hold, `late` a condition that was not met in time, `declined` a step that the operator
+ * did not confirm, `refused` a request that the controllers rejected or did not answer.
+ */
 export type StepOutcome = 'done' | 'doneBefore' | 'would' | 'unmet' | 'late' | 'declined' | 'refused';
 
-/** One line of the record; `digest` tells which runbook, `wall` is in milliseconds since 1970. */
+/** One line of the record; `digest` identifies the runbook, `wall` is in milliseconds since 1970. */
 export type StepRecord = {
   readonly run: string;
   readonly digest: string;
@@ -29,7 +33,7 @@
   | { readonly tag: 'done' | 'wouldDo' }
   | { readonly tag: 'stopped'; readonly step: Step; readonly outcome: StepOutcome; readonly seen: string };
 
-/** What a run needs; `before` are the records of an interrupted run. */
+/** Dependencies of a run; `before` holds the records of earlier runs, oldest first. */
 export type RunDeps = {
   readonly core: Core;
   readonly clock: Clock;
@@ -40,91 +44,104 @@
   readonly record: (record: StepRecord) => Promise<void>;
 };
 
-const LOOK_MS = 1_000;
+const CHECK_INTERVAL_MS = 1_000;
 
-/** A short digest of name and steps; records of another runbook don't count. */
-export function digestOf(book: Runbook): string {
-  return sha256(JSON.stringify([book.runbook, book.steps])).slice(0, 16);
+/** A short digest of name and steps; records with another digest are not resumed from. */
+export function runbookDigest(runbook: Runbook): string {
+  return sha256(JSON.stringify([runbook.runbook, runbook.steps])).slice(0, 16);
 }
 
-/** The first precondition that does not hold now; null if all hold. */
+/** Returns the first precondition before any change that does not hold now; null if all hold. */
 export async function unmetAtStart(
-  book: Runbook,
+  runbook: Runbook,
   core: Core,
   clock: Clock,
 ): Promise<{ readonly step: Step; readonly seen: string } | null> {
-  for (const step of book.steps) {
-    if (harms(step.work)) return null;
+  for (const step of runbook.steps) {
+    if (changesDeployment(step.work)) return null;
     if (step.work.tag !== 'require') continue;
-    const response = await observeFor(core, step.work.condition, clock);
-    if (!response.met) return { step, seen: response.text };
+    const observation = await waitForCondition(core, step.work.condition, clock);
+    if (!observation.met) return { step, seen: observation.text };
   }
   return null;
 }
 
-/** Runs the steps that are not done yet; stops at the first that fails. */
-export async function runRunbook(book: Runbook, deps: RunDeps): Promise<RunEnd> {
+/** Executes the steps that are not done yet and evaluates all conditions anew; stops at the first step that fails. */
+export async function runRunbook(runbook: Runbook, deps: RunDeps): Promise<RunEnd> {
   const { core, clock } = deps;
-  const digest = digestOf(book);
+  const digest = runbookDigest(runbook);
   const done = new Set<number>();
   let runId = newId(deps.rng, 'run');
-  const last = deps.before[deps.before.length - 1];
-  const goesOn =
-    last !== undefined && last.digest === digest && !(last.step === book.steps.length - 1 && last.outcome === 'done');
-  if (goesOn) {
-    runId = last.run;
-    for (const record of deps.before) if (record.run === runId && record.outcome === 'done') done.add(record.step);
+  const lastRecord = deps.before[deps.before.length - 1];
+  const isResuming =
+    lastRecord !== undefined &&
+    lastRecord.digest === digest &&
+    !(lastRecord.step === runbook.steps.length - 1 && lastRecord.outcome === 'done');
+  if (isResuming) {
+    runId = lastRecord.run;
+    for (const previous of deps.before)
+      if (previous.run === runId && previous.outcome === 'done') done.add(previous.step);
   }
 
-  for (let i = 0; i < book.steps.length; i += 1) {
-    const step = book.steps[i] as Step;
-    if (done.has(i) && harms(step.work)) {
-      await record(i, step, 'doneBefore', 'done in an earlier run');
+  for (let index = 0; index < runbook.steps.length; index += 1) {
+    const step = runbook.steps[index] as Step;
+    if (done.has(index) && changesDeployment(step.work)) {
+      await record(index, step, 'doneBefore', 'done in an earlier run');
       continue;
     }
-    const [outcome, observed] = await take(step, i);
-    await record(i, step, outcome, observed);
-    if (outcome !== 'done' && outcome !== 'would') return { tag: 'stopped', step, outcome, seen: observed };
+    const [outcome, seen] = await executeStep(step, index);
+    await record(index, step, outcome, seen);
+    if (outcome !== 'done' && outcome !== 'would') return { tag: 'stopped', step, outcome, seen };
   }
   return { tag: deps.dryRun ? 'wouldDo' : 'done' };
 
-  function record(i: number, step: Step, outcome: StepOutcome, observed: string): Promise<void> {
-    return deps.record({ run: runId, digest, step: i, name: step.name, outcome, seen: observed, wall: clock.wall() });
+  function record(index: number, step: Step, outcome: StepOutcome, seen: string): Promise<void> {
+    return deps.record({ run: runId, digest, step: index, name: step.name, outcome, seen, wall: clock.wall() });
   }
 
-  async function take(step: Step, i: number): Promise<[StepOutcome, string]> {
+  async function executeStep(step: Step, index: number): Promise<[StepOutcome, string]> {
     const { work } = step;
     if (work.tag === 'require') {
-      const response = await observeFor(core, work.condition, clock);
-      return [response.met ? 'done' : 'unmet', response.text];
+      const observation = await waitForCondition(core, work.condition, clock);
+      return [observation.met ? 'done' : 'unmet', observation.text];
     }
     if (deps.dryRun)
       return ['would', work.tag === 'wait' ? `would wait up to ${work.withinS} s` : `would ${describe(step)}`];
     if (work.tag === 'wait') {
-      const response = await observeFor(core, work.condition, clock, work.withinS * 1_000, LOOK_MS, work.heldS * 1_000);
-      return [response.met ? 'done' : 'late', response.text];
+      const observation = await waitForCondition(
+        core,
+        work.condition,
+        clock,
+        work.withinS * 1_000,
+        CHECK_INTERVAL_MS,
+        work.heldS * 1_000,
+      );
+      return [observation.met ? 'done' : 'late', observation.text];
     }
     if (!(await deps.confirm(step))) return ['declined', 'not confirmed'];
-    if (work.tag === 'person') return ['done', 'a person did it'];
-    const request = await askOf(step, `${runId}:${i}`);
-    const answer = request ? await core.request(request) : null;
-    if (!answer) return ['refused', 'no controller answers'];
-    const unchanged =
-      answer.status === 409 &&
-      (answer.body as { readonly error?: { readonly tag?: string } }).error?.tag === 'unchanged';
-    if (answer.status === 200 || answer.status === 202 || unchanged) return ['done', JSON.stringify(answer.body)];
-    return ['refused', `${answer.status} ${JSON.stringify(answer.body)}`];
+    if (work.tag === 'person') return ['done', 'done by a person'];
+    const request = await requestOf(step, `${runId}:${index}`);
+    const response = request ? await core.request(request) : null;
+    if (!response) return ['refused', 'no controller answers'];
+    const isUnchanged =
+      response.status === 409 &&
+      (response.body as { readonly error?: { readonly tag?: string } }).error?.tag === 'unchanged';
+    if (response.status === 200 || response.status === 202 || isUnchanged)
+      return ['done', JSON.stringify(response.body)];
+    return ['refused', `${response.status} ${JSON.stringify(response.body)}`];
   }
 
-  async function askOf(step: Step, operation: string): Promise<CoreRequest | null> {
+  async function requestOf(step: Step, operation: string): Promise<CoreRequest | null> {
     const { work } = step;
     switch (work.tag) {
       case 'evacuate':
       case 'restore':
         return zoneRequest(work.zone, work.tag, operation);
       case 'set': {
-        const base = await core.version();
-        return base === null ? null : amendRequest(base, [{ path: placeOf(work.path), value: work.value }], operation);
+        const baseVersion = await core.version();
+        return baseVersion === null
+          ? null
+          : amendRequest(baseVersion, [{ path: placeOf(work.path), value: work.value }], operation);
       }
       case 'forget':
         return forgetRequest(work.proxy);
@@ -136,7 +153,7 @@
   }
 }
 
-/** The step in one line, for the operator. */
+/** Describes a step in one line for the operator. */
 export function describe(step: Step): string {
   const { tag, ...rest } = step.work;
   return `${tag} ${JSON.stringify(rest)}`;
--- a/src/standin/caller.ts
+++ b/src/standin/caller.ts
@@ -1,3 +1,4 @@
+/** Stand-in of callers: sends run-once requests and streams at random times, and records each result in the journal. */
 import { createClientOver } from '../client/client.js';
 import type { ClientRequest, ClientError } from '../client/client.js';
 import { sha256 } from '../base/digest.js';
@@ -11,6 +12,7 @@
 import type { Rng } from '../transport/rng.js';
 import type { Address } from '../transport/wire.js';
 
+/** Traffic of a caller; `patience` is how often it retries a run-once request that was not run. */
 export type CallerSettings = {
   readonly name: string;
   readonly proxies: readonly Address[];
@@ -28,10 +30,12 @@
   readonly homes?: readonly string[];
 };
 
-type Given = { readonly text: string; readonly pieces: number };
+type Received = { readonly text: string; readonly pieces: number };
 
+/** Counts of results. */
 export type CallerTally = Record<string, number>;
 
+/** Dependencies of a caller. */
 export type CallerDeps = {
   readonly clock: Clock;
   readonly rng: Rng;
@@ -39,74 +43,70 @@
   readonly journal: Journal;
 };
 
+/** A short name of an error, for counts and journals. */
 export function tagOf(error: ClientError): string {
   if (error.tag !== 'failed') return error.tag;
   return error.failure.tag === 'shed' ? `shed:${error.failure.reason}` : error.failure.tag;
 }
 
+/** Whether the error promises that the request was not run, so that the caller may send it again. */
 export function isNotRun(error: ClientError): boolean {
   return error.tag === 'noProxy' || (error.tag === 'failed' && error.failure.tag === 'shed');
 }
 
-export async function runCaller(callerSettings: CallerSettings, deps: CallerDeps): Promise<CallerTally> {
+/** Sends requests for the given time and waits for all responses; returns the counts. */
+export async function runCaller(settings: CallerSettings, deps: CallerDeps): Promise<CallerTally> {
   const { clock, rng, journal } = deps;
-  const client = createClientOver(
-    { proxies: callerSettings.proxies, zone: callerSettings.zone },
-    deps.httpClient,
-    clock,
-  );
+  const client = createClientOver({ proxies: settings.proxies, zone: settings.zone }, deps.httpClient, clock);
   const tally: CallerTally = {};
-  const open = new Set<Promise<void>>();
-  const until = clock.mono() + callerSettings.seconds * 1_000;
+  const inFlight = new Set<Promise<void>>();
+  const endAt = clock.mono() + settings.seconds * 1_000;
 
-  function count(what: string): void {
-    tally[what] = (tally[what] ?? 0) + 1;
+  function increment(key: string): void {
+    tally[key] = (tally[key] ?? 0) + 1;
   }
 
-  function note(
+  function writeRecord(
     submission: string,
-    ask: ClientRequest,
+    request: ClientRequest,
     startedAt: number,
-    firstAt: number | null,
+    firstPieceAt: number | null,
     result: string,
     requestId: string | null,
-    given: Given | null,
+    received: Received | null,
     attemptId: string | null,
   ): void {
-    count(ask.repeatable ? `stream ${result}` : `once ${result}`);
+    increment(request.repeatable ? `stream ${result}` : `once ${result}`);
     journal.record({
       who: 'caller',
-      caller: callerSettings.name,
-      zone: callerSettings.zone,
+      caller: settings.name,
+      zone: settings.zone,
       at: clock.wall(),
       submission,
       requestId,
       attemptId,
-      key: ask.key ?? null,
-      model: ask.model ?? null,
-      repeatable: ask.repeatable,
-      homes: ask.homes ?? null,
-      kind: ask.kind ?? null,
+      key: request.key ?? null,
+      model: request.model ?? null,
+      repeatable: request.repeatable,
+      homes: request.homes ?? null,
+      kind: request.kind ?? null,
       result,
-      text: given === null ? null : sha256(given.text),
-      pieces: given?.pieces ?? 0,
-      firstMs: firstAt === null ? null : Math.round(firstAt - startedAt),
+      text: received === null ? null : sha256(received.text),
+      pieces: received?.pieces ?? 0,
+      firstMs: firstPieceAt === null ? null : Math.round(firstPieceAt - startedAt),
       wholeMs: Math.round(clock.mono() - startedAt),
     });
   }
 
-  async function card(): Promise<void> {
+  async function sendRunOnce(): Promise<void> {
     const key = runKey(newId(rng, 'key'), clock.wall());
-    const ask: ClientRequest = {
-      model: callerSettings.runOnceModel as string,
-      ...(callerSettings.kind === null ? {} : { kind: callerSettings.kind }),
-      ...(callerSettings.homes ? { homes: callerSettings.homes } : {}),
+    const request: ClientRequest = {
+      model: settings.runOnceModel as string,
+      ...(settings.kind === null ? {} : { kind: settings.kind }),
+      ...(settings.homes ? { homes: settings.homes } : {}),
       parts: [
         {
-          hash: bootstrapDigest(
-            { key, kind: callerSettings.kind, homes: callerSettings.homes ?? null },
-            newId(rng, 'card'),
-          ),
+          hash: bootstrapDigest({ key, kind: settings.kind, homes: settings.homes ?? null }, newId(rng, 'card')),
           tokens: 24,
         },
       ],
@@ -114,88 +114,115 @@
       repeatable: false,
       key,
     };
-    for (let tries = 0; ; tries += 1) {
+    for (let retries = 0; ; retries += 1) {
       const startedAt = clock.mono();
       const submission = newId(rng, 'sub');
-      const got = await client.send(ask);
-      if (got.ok) {
-        note(
+      const result = await client.send(request);
+      if (result.ok) {
+        writeRecord(
           submission,
-          ask,
+          request,
           startedAt,
           clock.mono(),
           'success',
-          got.value.requestId,
-          { text: got.value.text, pieces: got.value.pieces },
-          got.value.attemptId,
+          result.value.requestId,
+          { text: result.value.text, pieces: result.value.pieces },
+          result.value.attemptId,
         );
         return;
       }
-      const { error } = got;
-      note(submission, ask, startedAt, null, tagOf(error), 'requestId' in error ? error.requestId : null, null, null);
-      if (!isNotRun(error) || tries >= callerSettings.patience) return;
+      const { error } = result;
+      writeRecord(
+        submission,
+        request,
+        startedAt,
+        null,
+        tagOf(error),
+        'requestId' in error ? error.requestId : null,
+        null,
+        null,
+      );
+      if (!isNotRun(error) || retries >= settings.patience) return;
       await delay(clock, 1_000 * (error.tag === 'failed' ? Math.max(1, error.retryAfterS) : 1));
     }
   }
 
-  async function summary(): Promise<void> {
-    const model = callerSettings.streamModels[below(rng, callerSettings.streamModels.length)] as string;
-    const prefix = below(rng, callerSettings.prefixes);
-    const ask: ClientRequest = {
+  async function sendStream(): Promise<void> {
+    const model = settings.streamModels[below(rng, settings.streamModels.length)] as string;
+    const prefix = below(rng, settings.prefixes);
+    const request: ClientRequest = {
       model,
       parts: [
         { hash: `${model}-rules`, tokens: 400 },
-        { hash: `${model}-history-${prefix}`, tokens: callerSettings.historyTokens ?? 1_500 },
+        { hash: `${model}-history-${prefix}`, tokens: settings.historyTokens ?? 1_500 },
         {
-          hash: bootstrapDigest({ key: null, kind: null, homes: callerSettings.homes ?? null }, newId(rng, 'case')),
+          hash: bootstrapDigest({ key: null, kind: null, homes: settings.homes ?? null }, newId(rng, 'case')),
           tokens: 60 + below(rng, 200),
         },
       ],
-      outputTokens: callerSettings.outputTokens ?? 40 + below(rng, 120),
+      outputTokens: settings.outputTokens ?? 40 + below(rng, 120),
       repeatable: true,
-      ...(callerSettings.homes ? { homes: callerSettings.homes } : {}),
+      ...(settings.homes ? { homes: settings.homes } : {}),
     };
     const startedAt = clock.mono();
     const submission = newId(rng, 'sub');
-    const got = await client.stream(ask);
-    if (!got.ok) {
-      note(
+    const result = await client.stream(request);
+    if (!result.ok) {
+      writeRecord(
         submission,
-        ask,
+        request,
         startedAt,
         null,
-        tagOf(got.error),
-        'requestId' in got.error ? got.error.requestId : null,
+        tagOf(result.error),
+        'requestId' in result.error ? result.error.requestId : null,
         null,
         null,
       );
       return;
     }
-    const given = { text: '', pieces: 0 };
-    let firstAt: number | null = null;
-    for await (const clientEvent of got.value.events) {
+    const received = { text: '', pieces: 0 };
+    let firstPieceAt: number | null = null;
+    for await (const clientEvent of result.value.events) {
       if (clientEvent.tag === 'piece') {
-        firstAt ??= clock.mono();
-        given.text += clientEvent.text;
-        given.pieces += 1;
+        firstPieceAt ??= clock.mono();
+        received.text += clientEvent.text;
+        received.pieces += 1;
       } else if (clientEvent.tag === 'sealed') {
-        note(submission, ask, startedAt, firstAt, 'success', got.value.requestId, given, clientEvent.attemptId);
-      } else note(submission, ask, startedAt, firstAt, tagOf(clientEvent.error), got.value.requestId, given, null);
+        writeRecord(
+          submission,
+          request,
+          startedAt,
+          firstPieceAt,
+          'success',
+          result.value.requestId,
+          received,
+          clientEvent.attemptId,
+        );
+      } else
+        writeRecord(
+          submission,
+          request,
+          startedAt,
+          firstPieceAt,
+          tagOf(clientEvent.error),
+          result.value.requestId,
+          received,
+          null,
+        );
     }
   }
 
-  while (clock.mono() < until) {
-    const once =
-      callerSettings.runOnceModel !== null &&
-      (callerSettings.streamModels.length === 0 || rng.next() < callerSettings.runOnceShare);
-    const work = once ? card() : summary();
-    open.add(work);
-    void work.then(done);
-    function done(): void {
-      open.delete(work);
+  while (clock.mono() < endAt) {
+    const isRunOnce =
+      settings.runOnceModel !== null && (settings.streamModels.length === 0 || rng.next() < settings.runOnceShare);
+    const request = isRunOnce ? sendRunOnce() : sendStream();
+    inFlight.add(request);
+    void request.then(onDone);
+    function onDone(): void {
+      inFlight.delete(request);
     }
-    await delay(clock, (exponential(rng) * 1_000) / callerSettings.perSecond);
+    await delay(clock, (exponential(rng) * 1_000) / settings.perSecond);
   }
-  await Promise.all([...open]);
+  await Promise.all([...inFlight]);
   return tally;
 }
--- a/src/standin/check.test.ts
+++ b/src/standin/check.test.ts
@@ -7,12 +7,12 @@
 const rules = { regionsOfKind: { card: ['north'] }, leavingMs: 4_000 };
 const MARK = bootstrapDigest({ key: 'k1', kind: 'card', homes: null }, 'u');
 
-function text(requestId: string, attemptId: string, pieces: number): string {
+function piecesText(requestId: string, attemptId: string, pieces: number): string {
   let out = '';
   for (let n = 0; n < pieces; n += 1) out += `${requestId.slice(-6)}/${attemptId.slice(-6)}/${n} `;
   return out;
 }
-function worker(event: string, over: Rec = {}): Rec {
+function workerRecord(event: string, overrides: Rec = {}): Rec {
   return {
     who: 'worker',
     worker: 'w1',
@@ -24,10 +24,10 @@
     requestId: 'req-000001',
     attemptId: 'd-000001',
     mark: MARK,
-    ...over,
+    ...overrides,
   };
 }
-function caller(over: Rec = {}): Rec {
+function callerRecord(overrides: Rec = {}): Rec {
   return {
     who: 'caller',
     at: 20,
@@ -36,90 +36,111 @@
     key: 'k1',
     repeatable: false,
     result: 'success',
-    text: sha256(text('req-000001', 'd-000001', 2)),
+    text: sha256(piecesText('req-000001', 'd-000001', 2)),
     pieces: 2,
-    ...over,
+    ...overrides,
   };
 }
-const good: Rec[] = [
-  worker('arrived'),
-  worker('begin'),
-  worker('end', { pieces: 2, at: 15 }),
+const correctRun: Rec[] = [
+  workerRecord('arrived'),
+  workerRecord('begin'),
+  workerRecord('end', { pieces: 2, at: 15 }),
   { who: 'body', region: 'north', mark: MARK, at: 5 },
-  caller(),
+  callerRecord(),
 ];
-const again = { requestId: 'req-000002', attemptId: 'd-000002', at: 30 };
+const secondRequest = { requestId: 'req-000002', attemptId: 'd-000002', at: 30 };
 
-describe('the checker', () => {
-  test('holds its peace over a good run, and over an honest cut', () => {
-    expect(checkRecords(good, rules).broken).toEqual([]);
-    const cut = caller({ result: 'cut', attemptId: null, pieces: 1, text: sha256(text('req-000001', 'd-000001', 1)) });
-    expect(checkRecords([...good.slice(0, 2), cut], rules).broken).toEqual([]);
+describe('the checker of journals', () => {
+  test('reports nothing for a correct run, nor for a truncated response that is a prefix of its run', () => {
+    expect(checkRecords(correctRun, rules).broken).toEqual([]);
+    const truncated = callerRecord({
+      result: 'cut',
+      attemptId: null,
+      pieces: 1,
+      text: sha256(piecesText('req-000001', 'd-000001', 1)),
+    });
+    expect(checkRecords([...correctRun.slice(0, 2), truncated], rules).broken).toEqual([]);
   });
 
-  const breaks: readonly (readonly [string, string, Rec[]])[] = [
+  const violations: readonly (readonly [string, string, Rec[]])[] = [
     [
       'runOnce',
-      'a key run by two requests',
-      [...good, worker('begin', again), caller({ ...again, result: 'outcomeUnknown', at: 31 })],
+      'a key that two requests ran',
+      [
+        ...correctRun,
+        workerRecord('begin', secondRequest),
+        callerRecord({ ...secondRequest, result: 'outcomeUnknown', at: 31 }),
+      ],
     ],
-    ['runOnce', 'one dispatch run twice', [...good, worker('begin', { at: 12 })]],
-    ['runOnce', 'a second run whose caller left no record', [...good, worker('begin', again)]],
+    ['runOnce', 'one attempt that ran twice', [...correctRun, workerRecord('begin', { at: 12 })]],
+    ['runOnce', 'a second run without a record of its caller', [...correctRun, workerRecord('begin', secondRequest)]],
     [
       'notRun',
-      'shed, yet run',
-      [worker('arrived'), worker('begin'), caller({ result: 'shed:noWorker', attemptId: null })],
+      'a request that was shed and ran',
+      [workerRecord('arrived'), workerRecord('begin'), callerRecord({ result: 'shed:noWorker', attemptId: null })],
     ],
     [
       'notRun',
-      'shed, and run later',
-      [caller({ result: 'shed:noWorker', attemptId: null, at: 1 }), worker('begin', { at: 90_000 })],
+      'a request that was shed and ran later',
+      [callerRecord({ result: 'shed:noWorker', attemptId: null, at: 1 }), workerRecord('begin', { at: 90_000 })],
+    ],
+    ['sealed', 'a success without a finished run', [workerRecord('arrived'), workerRecord('begin'), callerRecord()]],
+    [
+      'sealed',
+      'the success of another request',
+      [...correctRun.slice(0, 3), callerRecord({ requestId: 'req-000009' })],
     ],
-    ['sealed', 'a success without an end', [worker('arrived'), worker('begin'), caller()]],
-    ['sealed', "another's success", [...good.slice(0, 3), caller({ requestId: 'req-000009' })]],
     [
       'spliced',
-      'a success that is not whole',
-      [...good.slice(0, 3), caller({ text: sha256(text('req-000001', 'd-000001', 1)) })],
+      'a success with an incomplete text',
+      [...correctRun.slice(0, 3), callerRecord({ text: sha256(piecesText('req-000001', 'd-000001', 1)) })],
     ],
     [
       'spliced',
-      'a cut stream with a piece of another run',
+      'a truncated stream with a piece of another run',
       [
-        ...good.slice(0, 2),
-        caller({
+        ...correctRun.slice(0, 2),
+        callerRecord({
           result: 'cut',
           attemptId: null,
           pieces: 2,
-          text: sha256(`${text('req-000001', 'd-000001', 1)}000001/000007/1 `),
+          text: sha256(`${piecesText('req-000001', 'd-000001', 1)}000001/000007/1 `),
         }),
       ],
     ],
-    ['homes', 'a run outside', [worker('begin', { region: 'south' }), worker('arrived', { region: 'south' })]],
     [
       'homes',
-      'an arrival outside, though refused',
-      [worker('arrived', { region: 'south' }), worker('refused', { region: 'south' })],
+      'a run outside its homes',
+      [workerRecord('begin', { region: 'south' }), workerRecord('arrived', { region: 'south' })],
+    ],
+    [
+      'homes',
+      'an arrival outside its homes, though rejected',
+      [workerRecord('arrived', { region: 'south' }), workerRecord('refused', { region: 'south' })],
     ],
     [
       'homes',
-      'an arrival outside the homes it asked for',
-      [worker('arrived', { mark: bootstrapDigest({ key: null, kind: null, homes: ['south'] }, 'u') })],
+      'an arrival outside the homes that the request named',
+      [workerRecord('arrived', { mark: bootstrapDigest({ key: null, kind: null, homes: ['south'] }, 'u') })],
+    ],
+    ['homes', 'a body at a proxy outside its homes', [{ who: 'body', region: 'south', mark: MARK, at: 1 }]],
+    [
+      'leaving',
+      'the worker had recorded the notice',
+      [workerRecord('draining', { at: 0 }), workerRecord('arrived', { at: 4_001 })],
     ],
-    ['homes', 'a body at a proxy outside', [{ who: 'body', region: 'south', mark: MARK, at: 1 }]],
-    ['leaving', 'the worker knew', [worker('draining', { at: 0 }), worker('arrived', { at: 4_001 })]],
     [
       'leaving',
-      'the cloud knew',
-      [{ who: 'cloud', event: 'reclaiming', machine: 'm1', at: 0 }, worker('arrived', { at: 4_001 })],
+      'the cloud had recorded the notice',
+      [{ who: 'cloud', event: 'reclaiming', machine: 'm1', at: 0 }, workerRecord('arrived', { at: 4_001 })],
     ],
     [
       'leaving',
       'the platform listed it as draining',
-      [{ who: 'platform', event: 'draining', machine: 'm1', at: 0 }, worker('arrived', { at: 4_001 })],
+      [{ who: 'platform', event: 'draining', machine: 'm1', at: 0 }, workerRecord('arrived', { at: 4_001 })],
     ],
   ];
-  test.each(breaks)('sees a broken rule: %s, %s', (rule, _what, records) => {
+  test.each(violations)('reports a violated rule: %s, %s', (rule, _what, records) => {
     expect(checkRecords(records, rules).broken.map((b) => b.rule)).toContain(rule);
   });
 });
--- a/src/standin/check.ts
+++ b/src/standin/check.ts
@@ -1,152 +1,176 @@
+/**
+ * Checks the journals of the stand-ins: a run-once request runs at most once, a request that was shed does not run, a
+ * success is complete, pieces come from one run, requests stay in their home regions, and a machine that is leaving
+ * receives no more requests.
+ */
 import { sha256 } from '../base/digest.js';
 import { readMark } from './mark.js';
 
+/** One record of a journal. */
 export type Rec = Readonly<Record<string, unknown>>;
 
+/** A rule that was violated, and by what. */
 export type Broken = { readonly rule: string; readonly detail: string };
 
+/** All violations, and counts of what was checked. */
 export type CheckReport = { readonly broken: readonly Broken[]; readonly counts: Readonly<Record<string, number>> };
 
+/** Home regions by kind of request, and how long after its notice a leaving machine may still receive requests. */
 export type CheckRules = {
   readonly regionsOfKind: Readonly<Record<string, readonly string[]>>;
   readonly leavingMs: number;
 };
 
-type Ran = { readonly worker: string; readonly region: string; readonly attemptId: string; readonly at: number };
+type WorkerRun = { readonly worker: string; readonly region: string; readonly attemptId: string; readonly at: number };
 
-function str(rec: Rec, key: string): string {
-  const value = rec[key];
+function textField(record: Rec, key: string): string {
+  const value = record[key];
   return typeof value === 'string' ? value : '';
 }
-function num(rec: Rec, key: string): number {
-  const value = rec[key];
+function numberField(record: Rec, key: string): number {
+  const value = record[key];
   return typeof value === 'number' ? value : 0;
 }
 
+/** Checks the records of all journals together, in order of time. */
 export function checkRecords(records: readonly Rec[], rules: CheckRules): CheckReport {
   const broken: Broken[] = [];
   const counts: Record<string, number> = {};
-  const ran = new Map<string, Ran[]>();
-  const arrived = new Map<string, number>();
-  const ends = new Map<string, Rec>();
-  const leaving = new Map<string, number>();
-  const keysRun = new Map<string, string[]>();
-  const callers: Rec[] = [];
+  const runsByRequest = new Map<string, WorkerRun[]>();
+  const attemptsByRequest = new Map<string, number>();
+  const endByAttempt = new Map<string, Rec>();
+  const leavingSince = new Map<string, number>();
+  const runsByKey = new Map<string, string[]>();
+  const callerRecords: Rec[] = [];
 
-  function count(what: string, total = 1): void {
-    counts[what] = (counts[what] ?? 0) + total;
+  function addCount(key: string, amount = 1): void {
+    counts[key] = (counts[key] ?? 0) + amount;
   }
-  function noteLeaving(rec: Rec): void {
-    const machine = str(rec, 'machine');
-    if (!leaving.has(machine)) leaving.set(machine, num(rec, 'at'));
+  function recordLeaving(record: Rec): void {
+    const machine = textField(record, 'machine');
+    if (!leavingSince.has(machine)) leavingSince.set(machine, numberField(record, 'at'));
   }
-  function fault(rule: string, detail: string): void {
+  function addViolation(rule: string, detail: string): void {
     broken.push({ rule, detail });
-    count(`broken ${rule}`);
+    addCount(`broken ${rule}`);
   }
 
   const sorted = [...records].sort(byTime);
   function byTime(left: Rec, right: Rec): number {
-    return num(left, 'at') - num(right, 'at');
+    return numberField(left, 'at') - numberField(right, 'at');
   }
-  for (const rec of sorted) {
-    if (rec['who'] === 'caller') {
-      callers.push(rec);
-      count(`caller ${str(rec, 'result')}`);
+  for (const record of sorted) {
+    if (record['who'] === 'caller') {
+      callerRecords.push(record);
+      addCount(`caller ${textField(record, 'result')}`);
       continue;
     }
     if (
-      (rec['who'] === 'cloud' && rec['event'] === 'reclaiming') ||
-      (rec['who'] === 'platform' && rec['event'] === 'draining')
+      (record['who'] === 'cloud' && record['event'] === 'reclaiming') ||
+      (record['who'] === 'platform' && record['event'] === 'draining')
     )
-      noteLeaving(rec);
-    if (rec['who'] === 'body') {
-      count('bodies at proxies');
-      checkHomes(rec, 'its body reached');
+      recordLeaving(record);
+    if (record['who'] === 'body') {
+      addCount('bodies at proxies');
+      checkHomes(record, 'its body reached');
     }
-    if (rec['who'] !== 'worker') continue;
-    const event = str(rec, 'event');
-    const requestId = str(rec, 'requestId');
-    if (event === 'draining') noteLeaving(rec);
+    if (record['who'] !== 'worker') continue;
+    const event = textField(record, 'event');
+    const requestId = textField(record, 'requestId');
+    if (event === 'draining') recordLeaving(record);
     if (event === 'arrived') {
-      arrived.set(requestId, (arrived.get(requestId) ?? 0) + 1);
-      count('attempts');
-      checkHomes(rec, 'it reached');
-      const since = leaving.get(str(rec, 'machine'));
-      const came = typeof rec['came'] === 'number' ? rec['came'] : num(rec, 'at');
-      if (since !== undefined && came - since > rules.leavingMs) {
-        fault('leaving', `${requestId} reached ${str(rec, 'worker')} ${came - since} ms after the notice`);
+      attemptsByRequest.set(requestId, (attemptsByRequest.get(requestId) ?? 0) + 1);
+      addCount('attempts');
+      checkHomes(record, 'it reached');
+      const noticeAt = leavingSince.get(textField(record, 'machine'));
+      const arrivedAt = typeof record['came'] === 'number' ? record['came'] : numberField(record, 'at');
+      if (noticeAt !== undefined && arrivedAt - noticeAt > rules.leavingMs) {
+        addViolation(
+          'leaving',
+          `${requestId} reached ${textField(record, 'worker')} ${arrivedAt - noticeAt} ms after the notice`,
+        );
       }
     }
     if (event === 'begin') {
-      const list = ran.get(requestId) ?? [];
-      list.push({
-        worker: str(rec, 'worker'),
-        region: str(rec, 'region'),
-        attemptId: str(rec, 'attemptId'),
-        at: num(rec, 'at'),
+      const runs = runsByRequest.get(requestId) ?? [];
+      runs.push({
+        worker: textField(record, 'worker'),
+        region: textField(record, 'region'),
+        attemptId: textField(record, 'attemptId'),
+        at: numberField(record, 'at'),
       });
-      ran.set(requestId, list);
-      const key = readMark(str(rec, 'mark'))?.key ?? null;
-      if (key !== null) keysRun.set(key, [...(keysRun.get(key) ?? []), `${str(rec, 'worker')} at ${num(rec, 'at')}`]);
+      runsByRequest.set(requestId, runs);
+      const key = readMark(textField(record, 'mark'))?.key ?? null;
+      if (key !== null)
+        runsByKey.set(key, [
+          ...(runsByKey.get(key) ?? []),
+          `${textField(record, 'worker')} at ${numberField(record, 'at')}`,
+        ]);
     }
     if (event === 'prefill') {
-      count('prefill tokens', num(rec, 'tokens'));
-      count('prefill hits', num(rec, 'hit'));
+      addCount('prefill tokens', numberField(record, 'tokens'));
+      addCount('prefill hits', numberField(record, 'hit'));
     }
-    if (event === 'end') ends.set(str(rec, 'attemptId'), rec);
+    if (event === 'end') endByAttempt.set(textField(record, 'attemptId'), record);
   }
-  count('first dispatches', arrived.size);
+  addCount('first dispatches', attemptsByRequest.size);
 
-  for (const rec of callers) {
-    const requestId = str(rec, 'requestId');
-    const runs = ran.get(requestId) ?? [];
-    const result = str(rec, 'result');
+  for (const record of callerRecords) {
+    const requestId = textField(record, 'requestId');
+    const runs = runsByRequest.get(requestId) ?? [];
+    const result = textField(record, 'result');
     if (requestId === '') continue;
     if (result.startsWith('shed') && runs.length > 0)
-      fault('notRun', `${requestId} was shed (${result}) and yet ran on ${runs.map(workerOf).join()}`);
-    if (result === 'success') checkSuccess(rec, requestId, runs);
-    else if (num(rec, 'pieces') > 0 && !isPrefix(rec, requestId, runs))
-      fault('spliced', `${requestId} was given pieces that are no beginning of one run`);
+      addViolation('notRun', `${requestId} was shed (${result}) but ran on ${runs.map(workerOf).join()}`);
+    if (result === 'success') checkSuccess(record, requestId, runs);
+    else if (numberField(record, 'pieces') > 0 && !isPrefixOfOneRun(record, requestId, runs))
+      addViolation('spliced', `${requestId} received pieces that are not a prefix of one run`);
   }
-  for (const [key, seen] of keysRun)
-    if (seen.length > 1) fault('runOnce', `${key} ran ${seen.length} times: ${seen.join(', ')}`);
-  count('run-once keys', keysRun.size);
+  for (const [key, runs] of runsByKey)
+    if (runs.length > 1) addViolation('runOnce', `${key} ran ${runs.length} times: ${runs.join(', ')}`);
+  addCount('run-once keys', runsByKey.size);
   return { broken, counts };
 
-  function checkHomes(rec: Rec, how: string): void {
-    const mark = readMark(str(rec, 'mark'));
+  function checkHomes(record: Rec, event: string): void {
+    const mark = readMark(textField(record, 'mark'));
     const homes = mark?.homes ?? rules.regionsOfKind[mark?.kind ?? ''] ?? null;
-    if (homes && !homes.includes(str(rec, 'region')))
-      fault('homes', `${str(rec, 'mark')}: ${how} ${str(rec, 'region')}, outside ${homes.join()}`);
+    if (homes && !homes.includes(textField(record, 'region')))
+      addViolation(
+        'homes',
+        `${textField(record, 'mark')}: ${event} ${textField(record, 'region')}, outside ${homes.join()}`,
+      );
   }
 
-  function isPrefix(rec: Rec, requestId: string, runs: readonly Ran[]): boolean {
-    for (const ran of runs)
-      if (sha256(textOf(requestId, ran.attemptId, num(rec, 'pieces'))) === str(rec, 'text')) return true;
+  function isPrefixOfOneRun(record: Rec, requestId: string, runs: readonly WorkerRun[]): boolean {
+    for (const run of runs)
+      if (sha256(expectedText(requestId, run.attemptId, numberField(record, 'pieces'))) === textField(record, 'text'))
+        return true;
     return false;
   }
 
-  function checkSuccess(rec: Rec, requestId: string, runs: readonly Ran[]): void {
-    const end = ends.get(str(rec, 'attemptId'));
-    if (!end || str(end, 'requestId') !== requestId) {
-      fault('sealed', `${requestId} was told a success that no worker finished`);
+  function checkSuccess(record: Rec, requestId: string, runs: readonly WorkerRun[]): void {
+    const end = endByAttempt.get(textField(record, 'attemptId'));
+    if (!end || textField(end, 'requestId') !== requestId) {
+      addViolation('sealed', `${requestId} was reported as a success, but no worker finished it`);
       return;
     }
-    let known = false;
-    for (const ran of runs) if (ran.attemptId === str(rec, 'attemptId')) known = true;
-    if (!known) fault('sealed', `${requestId} was told a success of a dispatch that never began`);
-    if (sha256(textOf(requestId, str(rec, 'attemptId'), num(end, 'pieces'))) !== str(rec, 'text'))
-      fault('spliced', `${requestId} was given a text that is not its worker's`);
+    let hasBegun = false;
+    for (const run of runs) if (run.attemptId === textField(record, 'attemptId')) hasBegun = true;
+    if (!hasBegun) addViolation('sealed', `${requestId} was reported as a success, but its attempt never began`);
+    if (
+      sha256(expectedText(requestId, textField(record, 'attemptId'), numberField(end, 'pieces'))) !==
+      textField(record, 'text')
+    )
+      addViolation('spliced', `${requestId} received a text other than its worker produced`);
   }
 }
 
-function textOf(requestId: string, attemptId: string, pieces: number): string {
+function expectedText(requestId: string, attemptId: string, pieces: number): string {
   let text = '';
-  for (let count = 0; count < pieces; count += 1) text += `${requestId.slice(-6)}/${attemptId.slice(-6)}/${count} `;
+  for (let index = 0; index < pieces; index += 1) text += `${requestId.slice(-6)}/${attemptId.slice(-6)}/${index} `;
   return text;
 }
 
-function workerOf(ran: Ran): string {
-  return ran.worker;
+function workerOf(run: WorkerRun): string {
+  return run.worker;
 }
--- a/src/standin/full-disk.ts
+++ b/src/standin/full-disk.ts
@@ -1,29 +1,31 @@
+/** A disk that rejects writes while it is switched to full. */
 import { err } from '../base/result.js';
 import type { Result } from '../base/result.js';
 import type { Disk, DiskError, DiskFile } from '../transport/disk.js';
 
+/** Wraps a disk: writes and replacements fail with `diskFull` while `isFull` holds; all else passes through. */
 export function fullDisk(disk: Disk, isFull: () => boolean): Disk {
-  function unless<T>(file: string, work: () => Promise<Result<T, DiskError>>): Promise<Result<T, DiskError>> {
-    return isFull() ? Promise.resolve(err({ tag: 'diskFull', file })) : work();
+  function unlessFull<T>(file: string, write: () => Promise<Result<T, DiskError>>): Promise<Result<T, DiskError>> {
+    return isFull() ? Promise.resolve(err({ tag: 'diskFull', file })) : write();
   }
-  function wrapped(name: string, file: DiskFile): DiskFile {
-    function write(at: number, data: Buffer): Promise<Result<null, DiskError>> {
-      function go(): Promise<Result<null, DiskError>> {
-        return file.write(at, data);
+  function wrapFile(name: string, file: DiskFile): DiskFile {
+    function write(offset: number, data: Buffer): Promise<Result<null, DiskError>> {
+      function writeFile(): Promise<Result<null, DiskError>> {
+        return file.write(offset, data);
       }
-      return unless(name, go);
+      return unlessFull(name, writeFile);
     }
     return { read: file.read, write, sync: file.sync };
   }
   async function preallocated(name: string, size: number): Promise<Result<DiskFile, DiskError>> {
-    const got = await disk.preallocated(name, size);
-    return got.ok ? { ok: true, value: wrapped(name, got.value) } : got;
+    const result = await disk.preallocated(name, size);
+    return result.ok ? { ok: true, value: wrapFile(name, result.value) } : result;
   }
   function replace(name: string, data: Buffer): Promise<Result<null, DiskError>> {
-    function go(): Promise<Result<null, DiskError>> {
+    function replaceFile(): Promise<Result<null, DiskError>> {
       return disk.replace(name, data);
     }
-    return unless(name, go);
+    return unlessFull(name, replaceFile);
   }
   return { list: () => disk.list(), preallocated, replace, load: (name) => disk.load(name) };
 }
--- a/src/standin/hollow.ts
+++ b/src/standin/hollow.ts
@@ -1,3 +1,7 @@
+/**
+ * Hollow proxies and workers: many of them in one process and without requests, so that capacity measurements can run
+ * the control traffic of a large deployment.
+ */
 import { err, ok } from '../base/result.js';
 import type { Result } from '../base/result.js';
 import { startProxy } from '../coordination/proxy/proxy.js';
@@ -12,6 +16,7 @@
 import { newId } from '../transport/rng.js';
 import type { Address, Listener, WireError } from '../transport/wire.js';
 
+/** The hollow proxies of this process; `tally` is written into the measurements as it is. */
 export type HollowPart = {
   readonly tally: () => {
     readonly proxies: number;
@@ -25,85 +30,89 @@
   readonly stop: () => Promise<void>;
 };
 
+/** Name, location and addresses of a hollow proxy. */
 export type HollowProxy = Pick<
   NodeIdentity,
   'name' | 'zone' | 'region' | 'listen' | 'http' | 'seeds' | 'platform' | 'cloud'
 >;
 
-const LOOK_MS = 20;
-const SHARED_MS = 900;
-const STARTS_EVERY_MS = 20;
-const STOP_MS = 10_000;
+const CHECK_INTERVAL_MS = 20;
+const WORKER_LIST_MAX_AGE_MS = 900;
+const START_INTERVAL_MS = 20;
+const STOP_TIMEOUT_MS = 10_000;
 
-// A server without callers: nothing listens, so all that a proxy does is control.
+/** An HTTP server that does not listen, so that a proxy on it receives no requests and only does control work. */
 export function hollowHttpServer(): HttpServer {
   async function open(address: Address): Promise<Result<Listener, WireError>> {
-    return ok({ address, close: nothing });
+    return ok({ address, close: closeNothing });
   }
   return { open };
 }
-async function nothing(): Promise<void> {
+async function closeNothing(): Promise<void> {
   return undefined;
 }
 
-// The proxies of a process share one reading of the list each second, and workers' health is answered from it, so that hollow workers need no connections.
+/**
+ * An HTTP client that reads the worker list once a second for all proxies of the process, and answers health checks of
+ * the listed workers from it, so that hollow workers need no connections.
+ */
 export function hollowWorkers(httpClient: HttpClient, clock: Clock): HttpClient {
-  const listed = new Map<Address, Listed>();
-  let reading: Promise<Result<HttpAnswer, HttpError>> | null = null;
-  let readAt = 0;
+  const listedWorkers = new Map<Address, Listed>();
+  let listResponse: Promise<Result<HttpAnswer, HttpError>> | null = null;
+  let listReadAt = 0;
   async function call(httpCall: HttpCall): Promise<Result<HttpAnswer, HttpError>> {
-    const known = httpCall.path === HEALTH_PATH ? listed.get(httpCall.address) : undefined;
-    if (known)
+    const worker = httpCall.path === HEALTH_PATH ? listedWorkers.get(httpCall.address) : undefined;
+    if (worker)
       return ok(
-        answer({
-          id: known.id,
-          incarnation: known.machine,
-          model: known.model,
-          state: known.state,
+        jsonResponse({
+          id: worker.id,
+          incarnation: worker.machine,
+          model: worker.model,
+          state: worker.state,
           running: 0,
           readyForMs: 60_000,
         }),
       );
     if (httpCall.path !== WORKERS_PATH) return httpClient.call(httpCall);
-    if (reading === null || clock.mono() - readAt > SHARED_MS) {
-      readAt = clock.mono();
-      reading = read(httpCall);
+    if (listResponse === null || clock.mono() - listReadAt > WORKER_LIST_MAX_AGE_MS) {
+      listReadAt = clock.mono();
+      listResponse = readList(httpCall);
     }
-    return reading;
+    return listResponse;
   }
-  async function read(call: HttpCall): Promise<Result<HttpAnswer, HttpError>> {
-    const got = await httpClient.call(call);
-    if (got.ok) {
-      const list = readWorkerList(got.value.body);
-      if (list.ok) for (const worker of list.value.workers) listed.set(worker.address, worker);
+  async function readList(httpCall: HttpCall): Promise<Result<HttpAnswer, HttpError>> {
+    const response = await httpClient.call(httpCall);
+    if (response.ok) {
+      const list = readWorkerList(response.value.body);
+      if (list.ok) for (const worker of list.value.workers) listedWorkers.set(worker.address, worker);
     }
-    return got;
+    return response;
   }
   return { call };
 }
-function answer(body: unknown): HttpAnswer {
-  return { status: 200, headers: {}, body, lines: noLines(), abandon: idle };
+function jsonResponse(body: unknown): HttpAnswer {
+  return { status: 200, headers: {}, body, lines: noLines(), abandon: abandonNothing };
 }
 async function* noLines(): AsyncGenerator<never> {
   return;
 }
-function idle(): void {
+function abandonNothing(): void {
   return undefined;
 }
 
-// Servers of one process reach each other without a connection; all other calls go out.
+/** Servers of one process that call each other without a connection; all other calls go out. */
 export function localHttpServers(
   httpServer: HttpServer,
   httpClient: HttpClient,
 ): { readonly httpServer: HttpServer; readonly httpClient: HttpClient } {
-  const opened = new Map<Address, readonly Route[]>();
+  const routesAt = new Map<Address, readonly Route[]>();
   async function open(address: Address, routes: readonly Route[]): Promise<Result<Listener, WireError>> {
-    const got = await httpServer.open(address, routes);
-    if (got.ok) opened.set(address, routes);
-    return got;
+    const listener = await httpServer.open(address, routes);
+    if (listener.ok) routesAt.set(address, routes);
+    return listener;
   }
   async function call(httpCall: HttpCall): Promise<Result<HttpAnswer, HttpError>> {
-    const route = opened.get(httpCall.address)?.find(isIt);
+    const route = routesAt.get(httpCall.address)?.find(matchesCall);
     if (!route) return httpClient.call(httpCall);
     const reply: HttpReply = await route.handle({
       method: httpCall.method,
@@ -114,8 +123,8 @@
       body: httpCall.body,
       gone: never,
     });
-    return ok({ ...answer(reply.body ?? null), status: reply.status });
-    function isIt(route: Route): boolean {
+    return ok({ ...jsonResponse(reply.body ?? null), status: reply.status });
+    function matchesCall(route: Route): boolean {
       return route.method === httpCall.method && route.path === httpCall.path;
     }
   }
@@ -125,82 +134,92 @@
   return false;
 }
 
+/** Starts the proxies one after the other and watches the configuration versions that they serve. */
 export async function startHollowProxies(
-  wanted: readonly HollowProxy[],
+  hollowProxies: readonly HollowProxy[],
   depsOf: (hollowProxy: HollowProxy) => NodeDeps,
   clock: Clock,
 ): Promise<Result<HollowPart, WireError>> {
-  type Held = { readonly of: HollowProxy; proxy: Proxy | null };
-  const held: Held[] = [];
+  type RunningProxy = { readonly identity: HollowProxy; proxy: Proxy | null };
+  const runningProxies: RunningProxy[] = [];
   const inForceAt: Record<number, number> = {};
-  let least = 0;
-  let partitionedMost = 0;
+  let minVersion = 0;
+  let maxPartitioned = 0;
 
-  async function start(held: Held): Promise<Result<null, WireError>> {
-    const deps = depsOf(held.of);
+  async function start(entry: RunningProxy): Promise<Result<null, WireError>> {
+    const deps = depsOf(entry.identity);
     const id: NodeIdentity = {
-      ...held.of,
+      ...entry.identity,
       run: newId(deps.rng, 'run'),
-      advertised: held.of.listen,
-      httpListen: held.of.http,
+      advertised: entry.identity.listen,
+      httpListen: entry.identity.http,
     };
-    const got = await startProxy(id, deps);
-    if (!got.ok) return got;
-    held.proxy = got.value;
+    const started = await startProxy(id, deps);
+    if (!started.ok) return started;
+    entry.proxy = started.value;
     return ok(null);
   }
-  for (const hollowProxy of wanted) {
-    const proxy: Held = { of: hollowProxy, proxy: null };
-    held.push(proxy);
-    const got = await start(proxy);
-    if (!got.ok) return err(got.error);
-    await delay(clock, STARTS_EVERY_MS);
+  for (const hollowProxy of hollowProxies) {
+    const entry: RunningProxy = { identity: hollowProxy, proxy: null };
+    runningProxies.push(entry);
+    const started = await start(entry);
+    if (!started.ok) return err(started.error);
+    await delay(clock, START_INTERVAL_MS);
   }
 
-  function look(): void {
-    let now = Infinity;
+  // Records when the lowest version of all proxies rises, and the largest number that were partitioned at once.
+  function checkProxies(): void {
+    let lowestVersion = Infinity;
     let partitioned = 0;
-    for (const proxy of held) {
-      const value = proxy.proxy?.view();
-      if (!value) continue;
-      now = Math.min(now, value.version);
-      if (value.partitioned) partitioned += 1;
+    for (const entry of runningProxies) {
+      const view = entry.proxy?.view();
+      if (!view) continue;
+      lowestVersion = Math.min(lowestVersion, view.version);
+      if (view.partitioned) partitioned += 1;
     }
-    partitionedMost = Math.max(partitionedMost, partitioned);
-    if (now === Infinity || now <= least) return;
-    least = now;
-    inForceAt[now] = clock.mono();
-    for (const old of Object.keys(inForceAt)) if (Object.keys(inForceAt).length > 200) delete inForceAt[Number(old)];
+    maxPartitioned = Math.max(maxPartitioned, partitioned);
+    if (lowestVersion === Infinity || lowestVersion <= minVersion) return;
+    minVersion = lowestVersion;
+    inForceAt[lowestVersion] = clock.mono();
+    for (const version of Object.keys(inForceAt))
+      if (Object.keys(inForceAt).length > 200) delete inForceAt[Number(version)];
   }
-  const looking = every(clock, LOOK_MS, look);
+  const checkTimer = every(clock, CHECK_INTERVAL_MS, checkProxies);
 
   function tally(): ReturnType<HollowPart['tally']> {
     let serving = 0;
     let partitioned = 0;
-    for (const proxy of held) {
-      const value = proxy.proxy?.view();
-      if (value?.serving) serving += 1;
-      if (value?.partitioned) partitioned += 1;
+    for (const entry of runningProxies) {
+      const view = entry.proxy?.view();
+      if (view?.serving) serving += 1;
+      if (view?.partitioned) partitioned += 1;
     }
-    return { proxies: held.length, serving, partitioned, leastVersion: least, inForceAt, partitionedMost };
+    return {
+      proxies: runningProxies.length,
+      serving,
+      partitioned,
+      leastVersion: minVersion,
+      inForceAt,
+      partitionedMost: maxPartitioned,
+    };
   }
 
-  let next = 0;
+  let nextIndex = 0;
   async function restart(count: number): Promise<void> {
-    for (let i = 0; i < count && held.length > 0; i += 1) {
-      const proxy = held[next % held.length] as Held;
-      next += 1;
-      const old = proxy.proxy;
-      proxy.proxy = null;
-      await old?.stop(STOP_MS);
-      await start(proxy);
+    for (let i = 0; i < count && runningProxies.length > 0; i += 1) {
+      const entry = runningProxies[nextIndex % runningProxies.length] as RunningProxy;
+      nextIndex += 1;
+      const stopping = entry.proxy;
+      entry.proxy = null;
+      await stopping?.stop(STOP_TIMEOUT_MS);
+      await start(entry);
     }
   }
   async function stop(): Promise<void> {
-    looking.cancel();
-    const all: Promise<void>[] = [];
-    for (const proxy of held) if (proxy.proxy) all.push(proxy.proxy.stop(STOP_MS));
-    await Promise.all(all);
+    checkTimer.cancel();
+    const stops: Promise<void>[] = [];
+    for (const entry of runningProxies) if (entry.proxy) stops.push(entry.proxy.stop(STOP_TIMEOUT_MS));
+    await Promise.all(stops);
   }
   return ok({ tally, restart, stop });
 }
--- a/src/standin/mark.ts
+++ b/src/standin/mark.ts
@@ -1,22 +1,31 @@
+/**
+ * Marks in the hash of a prompt part, which stand-ins carry through the system, so that the checker knows the run-once
+ * key, the kind and the home regions of a request wherever it arrives.
+ */
+
+/** What a mark states of its request. */
 export type Mark = {
   readonly key: string | null;
   readonly kind: string | null;
   readonly homes: readonly string[] | null;
 };
 
-const LEAD = 'mark';
+const MARK_PREFIX = 'mark';
 
+/** Encodes a mark as the hash of a prompt part; `unique` tells hashes of equal marks apart. */
 export function bootstrapDigest(mark: Mark, unique: string): string {
-  return [LEAD, mark.key ?? '', mark.kind ?? '', (mark.homes ?? []).join('+'), unique].join('|');
+  return [MARK_PREFIX, mark.key ?? '', mark.kind ?? '', (mark.homes ?? []).join('+'), unique].join('|');
 }
 
+/** Decodes a mark; null if the hash is not one. */
 export function readMark(text: string): Mark | null {
-  const [lead, key, kind, homes] = text.split('|');
-  if (lead !== LEAD) return null;
+  const [prefix, key, kind, homes] = text.split('|');
+  if (prefix !== MARK_PREFIX) return null;
   return { key: key || null, kind: kind || null, homes: homes ? homes.split('+') : null };
 }
 
+/** Returns the first hash of the parts that is a mark; null if none is. */
 export function markIn(parts: readonly { readonly hash: string }[]): string | null {
-  for (const p of parts) if (readMark(p.hash)) return p.hash;
+  for (const part of parts) if (readMark(part.hash)) return part.hash;
   return null;
 }
--- a/src/standin/platform.ts
+++ b/src/standin/platform.ts
@@ -1,3 +1,7 @@
+/**
+ * Stand-in of the platform: lists the workers that send heartbeats. `/lab/` paths drain and hide workers and make the
+ * list fail.
+ */
 import { ok } from '../base/result.js';
 import type { Result } from '../base/result.js';
 import { Type } from '@sinclair/typebox';
@@ -10,6 +14,7 @@
 import type { Journal } from '../transport/journal.js';
 import type { Address, WireError } from '../transport/wire.js';
 
+/** A running platform. */
 export type StandinPlatform = { readonly address: Address; readonly stop: () => Promise<void> };
 
 const readListed = readerOf(ListedShape);
@@ -19,72 +24,74 @@
   Type.Object({ mode: Type.Union([Type.Literal('none'), Type.Literal('nonsense'), Type.Literal('down')]) }),
 );
 const readHide = readerOf(Type.Object({ hidden: Type.Boolean() }));
-const FORGET_MS = 5_000;
+// A worker without a heartbeat for so long is removed from the list.
+const ENTRY_EXPIRY_MS = 5_000;
 
-type Held = { readonly listed: Listed; readonly at: number };
-type Drain = { readonly machine: string; readonly by: number };
+type WorkerEntry = { readonly listed: Listed; readonly at: number };
+type Drain = { readonly machine: string; readonly deadline: number };
 
+/** Starts a platform without workers. */
 export async function startStandinPlatform(
   address: Address,
   clock: Clock,
   httpServer: HttpServer,
   journal: Journal,
 ): Promise<Result<StandinPlatform, WireError>> {
-  const held = new Map<string, Held>();
+  const entries = new Map<string, WorkerEntry>();
   const drains = new Map<string, Drain>();
   const hidden = new Set<string>();
-  let mode: 'none' | 'nonsense' | 'down' = 'none';
+  let faultMode: 'none' | 'nonsense' | 'down' = 'none';
 
-  async function heartbeat(req: HttpRequest): Promise<HttpReply> {
+  async function onHeartbeat(req: HttpRequest): Promise<HttpReply> {
     const read = readListed(req.body);
     if (!read.ok) return { status: 400, body: { error: read.error } };
-    held.set(read.value.id, { listed: read.value, at: clock.mono() });
+    entries.set(read.value.id, { listed: read.value, at: clock.mono() });
     return { status: 200, body: {} };
   }
 
-  async function list(): Promise<HttpReply> {
-    if (mode === 'down') return { status: 500, text: 'down' };
-    if (mode === 'nonsense') return { status: 200, body: { workers: 'many' } };
+  async function onList(): Promise<HttpReply> {
+    if (faultMode === 'down') return { status: 500, text: 'down' };
+    if (faultMode === 'nonsense') return { status: 200, body: { workers: 'many' } };
     const now = clock.mono();
     const workers: Listed[] = [];
-    for (const [id, worker] of held) {
-      if (now - worker.at > FORGET_MS) {
-        held.delete(id);
+    for (const [id, entry] of entries) {
+      if (now - entry.at > ENTRY_EXPIRY_MS) {
+        entries.delete(id);
         continue;
       }
       if (hidden.has(id)) continue;
       const drain = drains.get(id);
-      if (drain && drain.machine === worker.listed.machine)
-        workers.push({ ...worker.listed, state: 'draining', remainingMs: Math.max(0, drain.by - now) });
-      else workers.push(worker.listed);
+      if (drain && drain.machine === entry.listed.machine)
+        workers.push({ ...entry.listed, state: 'draining', remainingMs: Math.max(0, drain.deadline - now) });
+      else workers.push(entry.listed);
     }
     return { status: 200, body: { workers } };
   }
 
-  async function drain(req: HttpRequest): Promise<HttpReply> {
+  async function onDrain(req: HttpRequest): Promise<HttpReply> {
     const read = readDrain(req.body);
-    const h = held.get(req.params['id'] ?? '');
-    return read.ok && h ? drained(h, read.value.remainingMs) : { status: 404, body: {} };
+    const entry = entries.get(req.params['id'] ?? '');
+    return read.ok && entry ? startDrain(entry, read.value.remainingMs) : { status: 404, body: {} };
   }
-  async function drainMachine(req: HttpRequest): Promise<HttpReply> {
+  async function onDrainMachine(req: HttpRequest): Promise<HttpReply> {
     const read = readDrainMachine(req.body);
     if (read.ok)
-      for (const worker of held.values())
-        if (worker.listed.machine === read.value.machine) return drained(worker, read.value.remainingMs);
+      for (const entry of entries.values())
+        if (entry.listed.machine === read.value.machine) return startDrain(entry, read.value.remainingMs);
     return { status: 404, body: {} };
   }
-  function drained(held: Held, remainingMs: number): HttpReply {
+  function startDrain(entry: WorkerEntry, remainingMs: number): HttpReply {
     journal.record({
       who: 'platform',
       at: clock.wall(),
       event: 'draining',
-      machine: held.listed.machine,
-      worker: held.listed.id,
+      machine: entry.listed.machine,
+      worker: entry.listed.id,
     });
-    drains.set(held.listed.id, { machine: held.listed.machine, by: clock.mono() + remainingMs });
+    drains.set(entry.listed.id, { machine: entry.listed.machine, deadline: clock.mono() + remainingMs });
     return { status: 200, body: {} };
   }
-  async function hide(req: HttpRequest): Promise<HttpReply> {
+  async function onHide(req: HttpRequest): Promise<HttpReply> {
     const read = readHide(req.body);
     const id = req.params['id'] ?? '';
     if (!read.ok) return { status: 400, body: { error: read.error } };
@@ -92,20 +99,20 @@
     else hidden.delete(id);
     return { status: 200, body: {} };
   }
-  async function fault(req: HttpRequest): Promise<HttpReply> {
+  async function onFault(req: HttpRequest): Promise<HttpReply> {
     const read = readFault(req.body);
     if (!read.ok) return { status: 400, body: { error: read.error } };
-    mode = read.value.mode;
+    faultMode = read.value.mode;
     return { status: 200, body: {} };
   }
 
   const opened = await httpServer.open(address, [
-    { method: 'POST', path: '/lab/workers', handle: heartbeat },
-    { method: 'GET', path: WORKERS_PATH, handle: list },
-    { method: 'POST', path: '/lab/workers/:id/drain', handle: drain },
-    { method: 'POST', path: '/lab/drain', handle: drainMachine },
-    { method: 'POST', path: '/lab/workers/:id/hide', handle: hide },
-    { method: 'POST', path: '/lab/fault', handle: fault },
+    { method: 'POST', path: '/lab/workers', handle: onHeartbeat },
+    { method: 'GET', path: WORKERS_PATH, handle: onList },
+    { method: 'POST', path: '/lab/workers/:id/drain', handle: onDrain },
+    { method: 'POST', path: '/lab/drain', handle: onDrainMachine },
+    { method: 'POST', path: '/lab/workers/:id/hide', handle: onHide },
+    { method: 'POST', path: '/lab/fault', handle: onFault },
   ]);
   if (!opened.ok) return opened;
   return ok({ address: opened.value.address, stop: opened.value.close });
--- a/src/standin/slow-net.ts
+++ b/src/standin/slow-net.ts
@@ -1,3 +1,7 @@
+/**
+ * Network faults between real processes: delays by pair of zones, and partitions that the switch file turns on and off.
+ * A partition holds back frames and responses that are under way, and makes new connections and calls fail.
+ */
 import { err, ok } from '../base/result.js';
 import type { Result } from '../base/result.js';
 import type { Clock } from '../transport/clock.js';
@@ -6,120 +10,134 @@
 import type { Switches } from '../transport/switch-file.js';
 import type { Address, Connection, ConnectionEvents, Wire, WireError } from '../transport/wire.js';
 
-export type Path = { readonly delayMs: number; readonly outCut: () => boolean; readonly inCut: () => boolean };
-export type PathTo = (address: Address) => Path;
+/** Delay in each direction, and whether a direction is partitioned now. */
+export type NetworkPath = {
+  readonly delayMs: number;
+  readonly isOutPartitioned: () => boolean;
+  readonly isInPartitioned: () => boolean;
+};
+/** Looks up the path to an address. */
+export type PathTo = (address: Address) => NetworkPath;
 
-const HELD_LOOK_MS = 50;
-const CONNECT_MS = 1_000;
+const PARTITION_CHECK_INTERVAL_MS = 50;
+const CONNECT_TIMEOUT_MS = 1_000;
 
 function never(): boolean {
   return false;
 }
 
+/** Paths from `zone`; addresses without a known zone have no delay and are never partitioned. */
 export function pathTable(
   zone: string,
   zones: Readonly<Record<string, string>>,
   delayMs: Readonly<Record<string, number>>,
   switches: Switches,
 ): PathTo {
-  function pathTo(address: Address): Path {
-    const to = zones[address];
-    if (to === undefined) return { delayMs: 0, outCut: never, inCut: never };
-    const there = to;
-    function outCut(): boolean {
-      return switches.isPartitioned(zone, there);
+  function pathTo(address: Address): NetworkPath {
+    const knownZone = zones[address];
+    if (knownZone === undefined) return { delayMs: 0, isOutPartitioned: never, isInPartitioned: never };
+    const peerZone = knownZone;
+    function isOutPartitioned(): boolean {
+      return switches.isPartitioned(zone, peerZone);
     }
-    function inCut(): boolean {
-      return switches.isPartitioned(there, zone);
+    function isInPartitioned(): boolean {
+      return switches.isPartitioned(peerZone, zone);
     }
-    return { delayMs: delayMs[`${zone}|${there}`] ?? delayMs[`${there}|${zone}`] ?? 0, outCut, inCut };
+    return {
+      delayMs: delayMs[`${zone}|${peerZone}`] ?? delayMs[`${peerZone}|${zone}`] ?? 0,
+      isOutPartitioned,
+      isInPartitioned,
+    };
   }
   return pathTo;
 }
 
+/** Adds delays and partitions to the connections that it dials. */
 export function slowWire(wire: Wire, clock: Clock, pathTo: PathTo): Wire {
-  function inOrder(ms: number, isCut: () => boolean): (item: () => void) => void {
-    const held: (() => void)[] = [];
-    function pump(): void {
-      if (isCut()) {
-        clock.timer(HELD_LOOK_MS, pump);
+  // Delivers in order after the delay, and holds items back while the direction is partitioned.
+  function createDelayQueue(delayMs: number, isPartitioned: () => boolean): (item: () => void) => void {
+    const ready: (() => void)[] = [];
+    function flush(): void {
+      if (isPartitioned()) {
+        clock.timer(PARTITION_CHECK_INTERVAL_MS, flush);
         return;
       }
-      for (const item of held.splice(0)) item();
+      for (const deliver of ready.splice(0)) deliver();
     }
-    function put(item: () => void): void {
-      function due(): void {
-        held.push(item);
-        if (held.length === 1) pump();
+    function enqueue(deliver: () => void): void {
+      function onDue(): void {
+        ready.push(deliver);
+        if (ready.length === 1) flush();
       }
-      clock.timer(ms, due);
+      clock.timer(delayMs, onDue);
     }
-    return put;
+    return enqueue;
   }
-  function slowConnection(connection: Connection, path: Path): Connection {
-    const out = inOrder(path.delayMs, path.outCut);
-    const back = inOrder(path.delayMs, path.inCut);
+  function slowConnection(connection: Connection, path: NetworkPath): Connection {
+    const enqueueOutbound = createDelayQueue(path.delayMs, path.isOutPartitioned);
+    const enqueueInbound = createDelayQueue(path.delayMs, path.isInPartitioned);
     function send(body: unknown): void {
-      function go(): void {
+      function deliver(): void {
         connection.send(body);
       }
-      out(go);
+      enqueueOutbound(deliver);
     }
     function attach(events: ConnectionEvents): void {
-      function frame(body: unknown): void {
-        function go(): void {
+      function onFrame(body: unknown): void {
+        function deliver(): void {
           events.frame(body);
         }
-        back(go);
+        enqueueInbound(deliver);
       }
-      function closed(): void {
-        back(events.closed);
+      function onClosed(): void {
+        enqueueInbound(events.closed);
       }
-      connection.attach({ frame, closed });
+      connection.attach({ frame: onFrame, closed: onClosed });
     }
     return { peer: connection.peer, send, attach, close: () => connection.close() };
   }
   async function dial(address: Address): Promise<Result<Connection, WireError>> {
     const path = pathTo(address);
-    if (path.outCut() || path.inCut()) {
-      await delay(clock, CONNECT_MS);
+    if (path.isOutPartitioned() || path.isInPartitioned()) {
+      await delay(clock, CONNECT_TIMEOUT_MS);
       return err({ tag: 'unreachable', address });
     }
     if (path.delayMs > 0) await delay(clock, 2 * path.delayMs);
-    const got = await wire.dial(address);
-    return got.ok ? ok(slowConnection(got.value, path)) : got;
+    const dialled = await wire.dial(address);
+    return dialled.ok ? ok(slowConnection(dialled.value, path)) : dialled;
   }
   return { listen: (address, onConnection) => wire.listen(address, onConnection), dial };
 }
 
+/** Adds delays and partitions to outgoing calls. */
 export function slowHttpClient(httpClient: HttpClient, clock: Clock, pathTo: PathTo): HttpClient {
-  async function* slowLines(lines: HttpAnswer['lines'], path: Path): AsyncGenerator<Result<unknown, HttpError>> {
-    let first = true;
+  async function* slowLines(lines: HttpAnswer['lines'], path: NetworkPath): AsyncGenerator<Result<unknown, HttpError>> {
+    let isFirst = true;
     for await (const line of lines) {
-      if (first) await delay(clock, path.delayMs);
-      first = false;
-      while (path.inCut()) await delay(clock, HELD_LOOK_MS);
+      if (isFirst) await delay(clock, path.delayMs);
+      isFirst = false;
+      while (path.isInPartitioned()) await delay(clock, PARTITION_CHECK_INTERVAL_MS);
       yield line;
     }
   }
   async function call(httpCall: HttpCall): Promise<Result<HttpAnswer, HttpError>> {
     const path = pathTo(httpCall.address);
-    const until = clock.mono() + httpCall.timeoutMs;
+    const deadline = clock.mono() + httpCall.timeoutMs;
     if (path.delayMs > 0) await delay(clock, path.delayMs);
-    if (path.outCut()) {
-      await delay(clock, Math.min(CONNECT_MS, httpCall.timeoutMs));
+    if (path.isOutPartitioned()) {
+      await delay(clock, Math.min(CONNECT_TIMEOUT_MS, httpCall.timeoutMs));
       return err({ tag: 'neverSent' });
     }
-    const got = await httpClient.call(httpCall);
-    while (path.inCut() && httpCall.signal?.aborted !== true) {
-      if (clock.mono() >= until) return err({ tag: 'timedOut' });
-      await delay(clock, HELD_LOOK_MS);
+    const response = await httpClient.call(httpCall);
+    while (path.isInPartitioned() && httpCall.signal?.aborted !== true) {
+      if (clock.mono() >= deadline) return err({ tag: 'timedOut' });
+      await delay(clock, PARTITION_CHECK_INTERVAL_MS);
     }
     if (httpCall.signal?.aborted === true) return err({ tag: 'broken' });
-    if (!got.ok) return got;
-    if (httpCall.stream) return ok({ ...got.value, lines: slowLines(got.value.lines, path) });
+    if (!response.ok) return response;
+    if (httpCall.stream) return ok({ ...response.value, lines: slowLines(response.value.lines, path) });
     if (path.delayMs > 0) await delay(clock, path.delayMs);
-    return got;
+    return response;
   }
   return { call };
 }
--- a/src/standin/tally.test.ts
+++ b/src/standin/tally.test.ts
@@ -8,7 +8,7 @@
   '10.0.0.1:4': { role: 'worker', zone: 'b-1', region: 'b' },
 };
 
-test('frames are told apart by peer, distance, way and kind, and counted by the end that dialled only', () => {
+test('frames are counted by peer role, distance, direction and kind, and only at the end that dialled', () => {
   const tally = createTally(places);
   const meter = tally.meterOf(places['10.0.0.1:1']);
   const probe = { t: 'call', id: 1, m: { kind: 'probe' } };
@@ -26,7 +26,7 @@
   });
 });
 
-test('calls are counted with their bodies, and paths with an id as one', async () => {
+test('calls are counted with the sizes of their bodies, and paths that differ only in an id count as one', async () => {
   const tally = createTally(places);
   const call = async () =>
     ({ ok: true, value: { status: 200, headers: {}, body: { a: 1 }, lines: [], abandon: () => {} } }) as never;
--- a/src/standin/tally.ts
+++ b/src/standin/tally.ts
@@ -1,37 +1,45 @@
+/** Counts messages and bytes between nodes by role, distance and kind, for capacity measurements. */
 import { isTable } from '../base/is-table.js';
 import type { HttpClient, HttpAnswer, HttpCall, HttpError } from '../transport/http.js';
 import type { Result } from '../base/result.js';
 import type { Address, WireMeter } from '../transport/wire.js';
 
+/** Role and location of a node. */
 export type Place = { readonly role: string; readonly zone: string; readonly region: string };
+/** Locations by address. */
 export type Places = Readonly<Record<Address, Place>>;
 
-export type TallyRow = { n: number; bytes: number };
-export type TallyTable = Readonly<Record<string, Readonly<TallyRow>>>;
+/** Number of messages and their bytes. */
+export type TrafficCount = { n: number; bytes: number };
+/** Counts by roles, distance, direction and kind of message. */
+export type TrafficCounts = Readonly<Record<string, Readonly<TrafficCount>>>;
 
+/** Meters for the wire and the HTTP client of a node, and the counts so far. */
 export type Tally = {
   readonly meterOf: (own: Place) => WireMeter;
   readonly countedHttpClient: (own: Place, httpClient: HttpClient) => HttpClient;
-  readonly rows: () => TallyTable;
+  readonly rows: () => TrafficCounts;
 };
 
-const HEADERS_BYTES = 300;
-const WEIGHED_EACH = 16;
+const ESTIMATED_HEADER_BYTES = 300;
+// The size of a body is measured once in so many calls of a kind; the calls between count the last size.
+const CALLS_PER_SIZE_SAMPLE = 16;
 
+/** The distance between two nodes. */
 export function distance(left: Place, right: Place): 'inZone' | 'betweenZones' | 'betweenRegions' {
   if (left.region !== right.region) return 'betweenRegions';
   return left.zone === right.zone ? 'inZone' : 'betweenZones';
 }
 
-function kindOf(body: unknown): string {
+function messageKindOf(body: unknown): string {
   if (!isTable(body) || !isTable(body['m'])) return 'unknown';
   return String(body['m']['kind']);
 }
 
-// Frames are counted by the end that dialled, so that each counts once in a fleet.
+/** A tally of no traffic yet. Only the end that dialled counts frames, so that each is counted once in a fleet. */
 export function createTally(places: Places): Tally {
-  const rows: Record<string, TallyRow> = {};
-  const weights = new Map<string, { calls: number; bytes: number }>();
+  const rows: Record<string, TrafficCount> = {};
+  const bodySizes = new Map<string, { calls: number; bytes: number }>();
 
   function add(key: string, count: number, bytes: number): void {
     const row = rows[key];
@@ -41,14 +49,14 @@
     } else rows[key] = { n: count, bytes };
   }
 
-  function keyOf(own: Place, peer: Address, what: string): string {
-    const there = places[peer];
-    return `${own.role} ${there?.role ?? 'unknown'} ${there ? distance(own, there) : 'betweenRegions'} ${what}`;
+  function keyOf(own: Place, peer: Address, traffic: string): string {
+    const peerLocation = places[peer];
+    return `${own.role} ${peerLocation?.role ?? 'unknown'} ${peerLocation ? distance(own, peerLocation) : 'betweenRegions'} ${traffic}`;
   }
 
   function meterOf(own: Place): WireMeter {
-    function frame(way: 'out' | 'in', peer: Address, dialled: boolean, bytes: number, body: unknown): void {
-      if (dialled) add(keyOf(own, peer, `${way} ${kindOf(body)}`), 1, bytes);
+    function frame(direction: 'out' | 'in', peer: Address, dialled: boolean, bytes: number, body: unknown): void {
+      if (dialled) add(keyOf(own, peer, `${direction} ${messageKindOf(body)}`), 1, bytes);
     }
     function connections(peer: Address, dialled: boolean, step: 1 | -1): void {
       if (!dialled) return;
@@ -58,29 +66,30 @@
     return { frame, connections };
   }
 
-  function weigh(key: string, body: unknown): number {
-    const worker = weights.get(key) ?? { calls: 0, bytes: 0 };
-    if (worker.calls % WEIGHED_EACH === 0) worker.bytes = body === undefined ? 0 : JSON.stringify(body).length;
-    worker.calls += 1;
-    weights.set(key, worker);
-    return worker.bytes + HEADERS_BYTES;
+  function estimateBytes(key: string, body: unknown): number {
+    const sample = bodySizes.get(key) ?? { calls: 0, bytes: 0 };
+    if (sample.calls % CALLS_PER_SIZE_SAMPLE === 0) sample.bytes = body === undefined ? 0 : JSON.stringify(body).length;
+    sample.calls += 1;
+    bodySizes.set(key, sample);
+    return sample.bytes + ESTIMATED_HEADER_BYTES;
   }
 
   function countedHttpClient(own: Place, httpClient: HttpClient): HttpClient {
     async function call(httpCall: HttpCall): Promise<Result<HttpAnswer, HttpError>> {
       const path = httpCall.path.replace(/\?.*$/, '').replace(/\/[^/]*\d[^/]*$/, '/:id');
-      const out = keyOf(own, httpCall.address, `out ${httpCall.method}:${path}`);
-      add(out, 1, weigh(out, httpCall.body));
-      const got = await httpClient.call(httpCall);
-      const back = keyOf(own, httpCall.address, `in ${httpCall.method}:${path}`);
-      if (got.ok) add(back, 1, weigh(back, httpCall.stream ? undefined : got.value.body));
-      return got;
+      const requestKey = keyOf(own, httpCall.address, `out ${httpCall.method}:${path}`);
+      add(requestKey, 1, estimateBytes(requestKey, httpCall.body));
+      const response = await httpClient.call(httpCall);
+      const responseKey = keyOf(own, httpCall.address, `in ${httpCall.method}:${path}`);
+      if (response.ok)
+        add(responseKey, 1, estimateBytes(responseKey, httpCall.stream ? undefined : response.value.body));
+      return response;
     }
     return { call };
   }
 
-  function table(): TallyTable {
+  function currentRows(): TrafficCounts {
     return rows;
   }
-  return { meterOf, countedHttpClient, rows: table };
+  return { meterOf, countedHttpClient, rows: currentRows };
 }
--- a/src/standin/worker.ts
+++ b/src/standin/worker.ts
@@ -1,3 +1,7 @@
+/**
+ * Stand-in of a worker: loads a model when the cloud boots it, sends heartbeats to the platform, and runs requests with
+ * the prefill and decode times of its settings. `/lab/` paths boot, halt and drain it and inject faults.
+ */
 import { Type } from '@sinclair/typebox';
 import { LRUMap } from 'mnemonist';
 import { ok } from '../base/result.js';
@@ -15,6 +19,7 @@
 import type { Rng } from '../transport/rng.js';
 import type { Address, Listener, WireError } from '../transport/wire.js';
 
+/** Identity and speed of a worker; without a `fixedModel` it is idle until the cloud boots it. */
 export type WorkerSettings = {
   readonly id: string;
   readonly zone: string;
@@ -30,6 +35,7 @@
   readonly tokensPerPiece: number;
 };
 
+/** Default capacity and speed. */
 export const WORKER_DEFAULTS = {
   capacity: 8,
   loadMs: 2_000,
@@ -38,6 +44,7 @@
   tokensPerPiece: 8,
 } as const;
 
+/** Dependencies of a worker. */
 export type WorkerDeps = {
   readonly clock: Clock;
   readonly rng: Rng;
@@ -67,15 +74,17 @@
 );
 const readDrain = readerOf(Type.Object({ remainingMs: Type.Optional(Type.Number()) }));
 
-type Mode = 'none' | 'silent' | 'truncate' | 'wrongSeal' | 'swapPieces' | 'refuse' | 'stall';
+type FaultMode = 'none' | 'silent' | 'truncate' | 'wrongSeal' | 'swapPieces' | 'refuse' | 'stall';
 type State = 'idle' | 'loading' | 'ready' | 'draining';
 
+/** A running worker. */
 export type StandinWorker = { readonly address: Address; readonly stop: () => Promise<void> };
 
-const CACHE_CHAINS = 4_096;
+const MAX_CACHED_PREFIXES = 4_096;
 
+/** Starts a worker that listens at its address. */
 export async function startStandinWorker(
-  workerSettings: WorkerSettings,
+  settings: WorkerSettings,
   deps: WorkerDeps,
 ): Promise<Result<StandinWorker, WireError>> {
   const { clock, rng, journal, httpClient } = deps;
@@ -85,19 +94,20 @@
   let kind: 'spot' | 'onDemand' | 'fixed' = 'fixed';
   let incarnation = newId(rng, 'w');
   let readyAt = 0;
-  let drainBy: number | null = null;
-  let life = 0;
+  let drainDeadline: number | null = null;
+  // Incremented by boot, halt, cold restart and stop; timers and responses of an older generation end.
+  let generation = 0;
   let running = 0;
-  let mode: Mode = 'none';
-  let cache = new LRUMap<string, boolean>(CACHE_CHAINS);
+  let faultMode: FaultMode = 'none';
+  let cache = new LRUMap<string, boolean>(MAX_CACHED_PREFIXES);
 
-  function note(event: string, run: Run | null, extra: Readonly<Record<string, unknown>> = {}): void {
+  function writeRecord(event: string, run: Run | null, extra: Readonly<Record<string, unknown>> = {}): void {
     journal.record({
       who: 'worker',
-      worker: workerSettings.id,
+      worker: settings.id,
       machine,
-      region: workerSettings.region,
-      zone: workerSettings.zone,
+      region: settings.region,
+      zone: settings.zone,
       at: clock.wall(),
       event,
       ...(run ? { requestId: run.requestId, attemptId: run.attemptId } : {}),
@@ -105,166 +115,175 @@
     });
   }
 
-  function load(): void {
-    const mine = life;
+  function loadModel(): void {
+    const startGeneration = generation;
     state = 'loading';
     incarnation = newId(rng, 'w');
-    cache = new LRUMap<string, boolean>(CACHE_CHAINS);
-    function done(): void {
-      if (mine !== life) return;
+    cache = new LRUMap<string, boolean>(MAX_CACHED_PREFIXES);
+    function onLoaded(): void {
+      if (startGeneration !== generation) return;
       state = 'ready';
       readyAt = clock.mono();
-      note('ready', null);
+      writeRecord('ready', null);
       void heartbeat();
     }
-    clock.timer(workerSettings.loadMs, done);
+    clock.timer(settings.loadMs, onLoaded);
   }
 
   function halt(): void {
-    life += 1;
+    generation += 1;
     state = 'idle';
-    drainBy = null;
-    note('halted', null);
-    if (workerSettings.fixedModel !== null) boot(`${workerSettings.id}-fixed`, workerSettings.fixedModel, 'fixed');
+    drainDeadline = null;
+    writeRecord('halted', null);
+    if (settings.fixedModel !== null) boot(`${settings.id}-fixed`, settings.fixedModel, 'fixed');
   }
 
-  function boot(on: string, what: string, as: 'spot' | 'onDemand' | 'fixed'): void {
-    life += 1;
-    machine = on;
-    model = what;
-    kind = as;
-    drainBy = null;
-    load();
+  function boot(machineId: string, modelName: string, machineKind: 'spot' | 'onDemand' | 'fixed'): void {
+    generation += 1;
+    machine = machineId;
+    model = modelName;
+    kind = machineKind;
+    drainDeadline = null;
+    loadModel();
   }
 
-  function remaining(): number | undefined {
-    return drainBy === null ? undefined : Math.max(0, drainBy - clock.mono());
+  function remainingDrainMs(): number | undefined {
+    return drainDeadline === null ? undefined : Math.max(0, drainDeadline - clock.mono());
   }
 
   async function heartbeat(): Promise<void> {
-    if (mode === 'silent') return;
+    if (faultMode === 'silent') return;
     if (state === 'idle') {
       await httpClient.call({
         method: 'POST',
-        address: workerSettings.cloud,
+        address: settings.cloud,
         path: '/lab/idle',
-        body: { id: workerSettings.id, address: workerSettings.address, zone: workerSettings.zone },
+        body: { id: settings.id, address: settings.address, zone: settings.zone },
         timeoutMs: 900,
       });
       return;
     }
-    const left = remaining();
+    const remaining = remainingDrainMs();
     await httpClient.call({
       method: 'POST',
-      address: workerSettings.platform,
+      address: settings.platform,
       path: '/lab/workers',
       body: {
-        id: workerSettings.id,
+        id: settings.id,
         machine,
-        address: workerSettings.address,
+        address: settings.address,
         model,
-        zone: workerSettings.zone,
-        region: workerSettings.region,
+        zone: settings.zone,
+        region: settings.region,
         kind,
         state,
-        ...(left === undefined ? {} : { remainingMs: left }),
+        ...(remaining === undefined ? {} : { remainingMs: remaining }),
       },
       timeoutMs: 900,
     });
   }
 
-  function cachedTokens(run: Run): number {
-    let chain = run.model;
+  // Returns the tokens of the longest cached prefix, and caches all prefixes of the prompt.
+  function cacheAndCountHits(run: Run): number {
+    let prefix = run.model;
     let tokens = 0;
-    let warm = true;
+    let isPrefixCached = true;
     for (const part of run.parts) {
-      chain = `${chain}>${part.hash}`;
-      if (warm && cache.has(chain)) tokens += part.tokens;
-      else warm = false;
-      cache.set(chain, true);
+      prefix = `${prefix}>${part.hash}`;
+      if (isPrefixCached && cache.has(prefix)) tokens += part.tokens;
+      else isPrefixCached = false;
+      cache.set(prefix, true);
     }
     return tokens;
   }
 
   async function prefill(run: Run): Promise<void> {
-    let all = 0;
-    for (const part of run.parts) all += part.tokens;
-    const hit = cachedTokens(run);
-    note('prefill', run, { tokens: all, hit });
-    await delay(clock, 1 + ((all - hit) * workerSettings.prefillUsPerToken) / 1_000);
+    let totalTokens = 0;
+    for (const part of run.parts) totalTokens += part.tokens;
+    const cachedTokens = cacheAndCountHits(run);
+    writeRecord('prefill', run, { tokens: totalTokens, hit: cachedTokens });
+    await delay(clock, 1 + ((totalTokens - cachedTokens) * settings.prefillUsPerToken) / 1_000);
   }
 
-  function textOf(run: Run, count: number): string {
-    return `${run.requestId.slice(-6)}/${run.attemptId.slice(-6)}/${count} `;
+  function textOf(run: Run, index: number): string {
+    return `${run.requestId.slice(-6)}/${run.attemptId.slice(-6)}/${index} `;
   }
 
   function pieceCount(run: Run): number {
-    return Math.max(1, Math.ceil(run.outputTokens / workerSettings.tokensPerPiece));
+    return Math.max(1, Math.ceil(run.outputTokens / settings.tokensPerPiece));
   }
 
-  async function* produce(run: Run, mine: number): AsyncGenerator<unknown> {
-    const check = startDigest(run.requestId, run.attemptId);
+  async function* produce(run: Run, startGeneration: number): AsyncGenerator<unknown> {
+    const responseDigest = startDigest(run.requestId, run.attemptId);
     try {
       await prefill(run);
       const total = pieceCount(run);
-      for (let count = 0; count < total; count += 1) {
-        await delay(clock, workerSettings.decodeMsPerPiece);
-        if (mine !== life) return;
-        if (mode === 'truncate' && count >= total / 2) return;
-        if (mode === 'stall' && count > 0) await delay(clock, 600_000);
-        const piece = { n: mode === 'swapPieces' && count === 1 ? 2 : count, text: textOf(run, count) };
-        addChunk(check, { n: count, text: piece.text });
+      for (let index = 0; index < total; index += 1) {
+        await delay(clock, settings.decodeMsPerPiece);
+        if (startGeneration !== generation) return;
+        if (faultMode === 'truncate' && index >= total / 2) return;
+        if (faultMode === 'stall' && index > 0) await delay(clock, 600_000);
+        const piece = { n: faultMode === 'swapPieces' && index === 1 ? 2 : index, text: textOf(run, index) };
+        addChunk(responseDigest, { n: index, text: piece.text });
         yield { piece };
       }
-      const digest = closeDigest(check, run.attemptId);
-      note('end', run, { digest: digest.digest, pieces: digest.pieces });
-      yield { seal: mode === 'wrongSeal' ? { ...digest, digest: digest.digest.replace(/^./, flip) } : digest };
+      const digest = closeDigest(responseDigest, run.attemptId);
+      writeRecord('end', run, { digest: digest.digest, pieces: digest.pieces });
+      yield {
+        seal: faultMode === 'wrongSeal' ? { ...digest, digest: digest.digest.replace(/^./, flipDigit) } : digest,
+      };
     } finally {
       running -= 1;
     }
   }
-  function flip(character: string): string {
+  function flipDigit(character: string): string {
     return character === '0' ? '1' : '0';
   }
 
-  async function run(req: HttpRequest): Promise<HttpReply> {
+  async function onRun(req: HttpRequest): Promise<HttpReply> {
     const read = readRun(req.body);
     if (!read.ok) return { status: 400, body: { error: read.error } };
-    const ask = read.value;
-    note('arrived', ask, { model: ask.model, state, running, mark: markIn(ask.parts), came: req.cameAt ?? null });
-    if (mode === 'silent') await delay(clock, 600_000);
-    if (state !== 'ready' || ask.model !== model || running >= workerSettings.capacity || mode === 'refuse') {
-      note('refused', ask);
-      return { status: 503, body: { notRun: true, requestId: ask.requestId, attemptId: ask.attemptId } };
+    const runRequest = read.value;
+    writeRecord('arrived', runRequest, {
+      model: runRequest.model,
+      state,
+      running,
+      mark: markIn(runRequest.parts),
+      came: req.cameAt ?? null,
+    });
+    if (faultMode === 'silent') await delay(clock, 600_000);
+    if (state !== 'ready' || runRequest.model !== model || running >= settings.capacity || faultMode === 'refuse') {
+      writeRecord('refused', runRequest);
+      return { status: 503, body: { notRun: true, requestId: runRequest.requestId, attemptId: runRequest.attemptId } };
     }
     running += 1;
-    note('begin', ask, { tokens: ask.outputTokens, mark: markIn(ask.parts) });
-    const lines = produce(ask, life);
-    if (ask.stream) return { status: 200, lines };
+    writeRecord('begin', runRequest, { tokens: runRequest.outputTokens, mark: markIn(runRequest.parts) });
+    const lines = produce(runRequest, generation);
+    if (runRequest.stream) return { status: 200, lines };
     const pieces: unknown[] = [];
     let digest: unknown = null;
     for await (const line of lines) {
-      const at = line as { readonly piece?: unknown; readonly seal?: unknown };
-      if (at.piece !== undefined) pieces.push(at.piece);
-      else digest = at.seal;
+      const item = line as { readonly piece?: unknown; readonly seal?: unknown };
+      if (item.piece !== undefined) pieces.push(item.piece);
+      else digest = item.seal;
     }
     if (digest === null) return { status: 500, body: { error: 'cut' } };
     return { status: 200, body: { pieces, seal: digest } };
   }
 
-  async function health(): Promise<HttpReply> {
-    if (mode === 'silent') await delay(clock, 600_000);
-    const left = remaining();
+  async function onHealth(): Promise<HttpReply> {
+    if (faultMode === 'silent') await delay(clock, 600_000);
+    const remaining = remainingDrainMs();
     return {
       status: 200,
       body: {
-        id: workerSettings.id,
+        id: settings.id,
         incarnation,
         model,
         state,
         running,
         readyForMs: state === 'ready' ? clock.mono() - readyAt : 0,
-        ...(left === undefined ? {} : { remainingMs: left }),
+        ...(remaining === undefined ? {} : { remainingMs: remaining }),
       },
     };
   }
@@ -283,38 +302,38 @@
     const read = readDrain(req.body);
     if (!read.ok) return { status: 400, body: {} };
     state = 'draining';
-    drainBy = clock.mono() + (read.value.remainingMs ?? 60_000);
-    note('draining', null, { remainingMs: read.value.remainingMs ?? null });
+    drainDeadline = clock.mono() + (read.value.remainingMs ?? 60_000);
+    writeRecord('draining', null, { remainingMs: read.value.remainingMs ?? null });
     void heartbeat();
     return { status: 200, body: {} };
   }
   async function onFault(req: HttpRequest): Promise<HttpReply> {
     const read = readFault(req.body);
     if (!read.ok) return { status: 400, body: { error: read.error } };
-    mode = read.value.mode;
-    note('fault', null, { mode });
+    faultMode = read.value.mode;
+    writeRecord('fault', null, { mode: faultMode });
     return { status: 200, body: {} };
   }
   async function onCold(): Promise<HttpReply> {
-    note('cold', null);
-    life += 1;
-    load();
+    writeRecord('cold', null);
+    generation += 1;
+    loadModel();
     return { status: 200, body: {} };
   }
 
   const routes: Route[] = [
-    { method: 'POST', path: RUN_PATH, maxBytes: 64 * 1_048_576, handle: run },
-    { method: 'GET', path: HEALTH_PATH, handle: health },
+    { method: 'POST', path: RUN_PATH, maxBytes: 64 * 1_048_576, handle: onRun },
+    { method: 'GET', path: HEALTH_PATH, handle: onHealth },
     { method: 'POST', path: '/lab/boot', handle: onBoot },
     { method: 'POST', path: '/lab/halt', handle: onHalt },
     { method: 'POST', path: '/lab/drain', handle: onDrain },
     { method: 'POST', path: '/lab/fault', handle: onFault },
     { method: 'POST', path: '/lab/cold', handle: onCold },
   ];
-  const opened = await deps.httpServer.open(workerSettings.address, routes);
+  const opened = await deps.httpServer.open(settings.address, routes);
   if (!opened.ok) return opened;
-  const httpServer: Listener = opened.value;
-  if (workerSettings.fixedModel !== null) boot(`${workerSettings.id}-fixed`, workerSettings.fixedModel, 'fixed');
+  const listener: Listener = opened.value;
+  if (settings.fixedModel !== null) boot(`${settings.id}-fixed`, settings.fixedModel, 'fixed');
 
   function tick(): void {
     void heartbeat();
@@ -324,8 +343,8 @@
 
   async function stop(): Promise<void> {
     heartbeatTimer.cancel();
-    life += 1;
-    await httpServer.close();
+    generation += 1;
+    await listener.close();
   }
-  return ok({ address: httpServer.address, stop });
+  return ok({ address: listener.address, stop });
 }
