--- a/src/client/client.test.ts
+++ b/src/client/client.test.ts
@@ -23,17 +23,17 @@
 }
 
 describe('a failed call of the client', () => {
-  test('tells its error under the present and the former name', async () => {
+  test('returns its error under the current and the former name', async () => {
     const client = clientOver(async () => Promise.resolve(err({ tag: 'neverSent' })));
     expect(await client.send(REQUEST)).toEqual({ ok: false, error: { tag: 'noProxy' }, fault: { tag: 'noProxy' } });
   });
 
-  test('ends a broken stream with the error under both names', async () => {
+  test('ends a truncated stream with the error under both names', async () => {
     const client = clientOver(async () => Promise.resolve(ok(answer(PLACEMENT))));
-    const opened = await client.stream(REQUEST);
-    if (!opened.ok) throw new Error(JSON.stringify(opened.error));
+    const started = await client.stream(REQUEST);
+    if (!started.ok) throw new Error(JSON.stringify(started.error));
     const events: ClientEvent[] = [];
-    for await (const event of opened.value.events) events.push(event);
+    for await (const event of started.value.events) events.push(event);
     const error = { tag: 'outcomeUnknown', requestId: 'r1' };
     expect(events).toEqual([{ tag: 'fault', error, fault: error }]);
   });
--- a/src/client/client.ts
+++ b/src/client/client.ts
@@ -1,6 +1,6 @@
 /**
- * The callers' library: asks a proxy for a placement, sends the request there with its admission token, checks the
- * response digest, and tries another proxy where that is safe (docs/repeats.md).
+ * The client library. It asks a proxy for a placement, sends the request to the placement's address with the admission
+ * token, verifies the response digest, and retries at another proxy where that is safe (docs/repeats.md).
  */
 import { ok } from '../base/result.js';
 import {
@@ -18,13 +18,13 @@
 import { createGotHttpClient } from '../transport/http-client.js';
 import { createClock } from '../transport/clock.js';
 import type { Clock } from '../transport/clock.js';
-import { createEdgeWatch } from './edge-watch.js';
+import { createProxyWatch } from './edge-watch.js';
 import type { HttpClient, HttpAnswer } from '../transport/http.js';
 import type { Address } from '../transport/wire.js';
 
 export { runKey } from '../state/idempotency/run-key.js';
 
-/** Proxies to ask, the caller's zone, and how long a placement and a request may take, in milliseconds. */
+/** The proxies, the caller's zone, and the timeouts of a placement and of a request, in milliseconds. */
 export type ClientSettings = {
   readonly proxies: readonly Address[];
   readonly zone?: string;
@@ -32,10 +32,10 @@
   readonly requestWaitMs?: number;
 };
 
-/** Former name of `ClientRequest`, kept for callers that import it. */
+/** Former name of `ClientRequest`, kept for callers that still import it. */
 export type ClientAsk = ClientRequest;
 
-/** A request: its model or route, its prompt by prefix blocks, and whether it may run more than once. */
+/** A request: its model or route, its prompt as prefix blocks, and whether it may run more than once. */
 export type ClientRequest = {
   readonly model?: string;
   readonly mapping?: string;
@@ -47,7 +47,7 @@
   readonly key?: string;
 };
 
-/** Why a request has no answer. Only `failed` with `notRun`, and `noProxy`, promise that it did not run. */
+/** Why a request has no response. Only `failed` with `notRun`, and `noProxy`, guarantee that it did not run. */
 export type ClientError =
   | {
       readonly tag: 'failed';
@@ -59,7 +59,7 @@
   | { readonly tag: 'wrongSeal'; readonly requestId: string }
   | { readonly tag: 'outcomeUnknown'; readonly requestId: string };
 
-/** Outcome of a call of the client. The error of a failed one stands under its former name `fault` too. */
+/** Result of a client call. The error of a failed call is also available under its former name `fault`. */
 export type ClientResult<T> =
   | { readonly ok: true; readonly value: T }
   | {
@@ -69,7 +69,7 @@
       readonly fault: ClientError;
     };
 
-/** A complete answer whose digest was checked. */
+/** A complete response whose digest was verified. */
 export type ClientAnswer = {
   readonly requestId: string;
   readonly attemptId: string;
@@ -77,7 +77,7 @@
   readonly pieces: number;
 };
 
-/** One event of a stream; the last one is `sealed` or `fault`. */
+/** One event of a streamed response; the last one is `sealed` (complete and verified) or `fault`. */
 export type ClientEvent =
   | { readonly tag: 'piece'; readonly n: number; readonly text: string }
   | { readonly tag: 'sealed'; readonly attemptId: string }
@@ -87,47 +87,56 @@
       /** The same error. @deprecated Read `error`. */ readonly fault: ClientError;
     };
 
-/** A stream that has begun. */
+/** A streamed response that has started. */
 export type ClientStream = { readonly requestId: string; readonly events: AsyncIterable<ClientEvent> };
 
-/** Sends requests; never rejects. */
+/** Sends requests. Its promises never reject: every error is returned as a value. */
 export type Client = {
   readonly send: (request: ClientRequest) => Promise<ClientResult<ClientAnswer>>;
   readonly stream: (request: ClientRequest) => Promise<ClientResult<ClientStream>>;
 };
 
-type Opened = { readonly placement: Placement; readonly answer: HttpAnswer; readonly leave: () => void };
+type AcceptedRequest = {
+  readonly placement: Placement;
+  readonly answer: HttpAnswer;
+  readonly stopWatching: () => void;
+};
 
-const PLACINGS = 3;
-const SILENT_REST_MS = 5_000;
+/** Placements tried for one request before its error is returned. */
+const MAX_PLACEMENTS = 3;
+/** A proxy that did not respond is tried after the others for this long. */
+const UNRESPONSIVE_MS = 5_000;
 
 function failed(error: ClientError): { readonly ok: false; readonly error: ClientError; readonly fault: ClientError } {
   return { ok: false, error, fault: error };
 }
 
-function faultEvent(error: ClientError): ClientEvent {
+function errorEvent(error: ClientError): ClientEvent {
   return { tag: 'fault', error, fault: error };
 }
 
-/** A client over HTTP. */
+/** Creates a client that uses HTTP and the clock of the runtime. */
 export function createClient(settings: ClientSettings): Client {
   return createClientOver(settings, createGotHttpClient(1_000), createClock());
 }
 
-/** A client over a given HTTP client, clock and source of randomness, for tests. */
+/** Creates a client with a given HTTP client and clock, for tests. */
 export function createClientOver(settings: ClientSettings, httpClient: HttpClient, clock: Clock): Client {
-  const edges = createEdgeWatch(httpClient, clock);
+  const proxyWatch = createProxyWatch(httpClient, clock);
   const unresponsiveAt = new Map<Address, number>();
 
-  function inOrder(): readonly Address[] {
-    const good: Address[] = [];
-    const silent: Address[] = [];
-    for (const text of settings.proxies)
-      (clock.mono() - (unresponsiveAt.get(text) ?? -SILENT_REST_MS) < SILENT_REST_MS ? silent : good).push(text);
-    return [...good, ...silent];
+  function proxiesInOrder(): readonly Address[] {
+    const responsive: Address[] = [];
+    const unresponsive: Address[] = [];
+    for (const proxy of settings.proxies)
+      (clock.mono() - (unresponsiveAt.get(proxy) ?? -UNRESPONSIVE_MS) < UNRESPONSIVE_MS
+        ? unresponsive
+        : responsive
+      ).push(proxy);
+    return [...responsive, ...unresponsive];
   }
 
-  function placementRequest(request: ClientRequest, without: readonly string[]): PlacementRequest {
+  function placementRequest(request: ClientRequest, excludedProxies: readonly string[]): PlacementRequest {
     let inputTokens = 0;
     const parts: string[] = [];
     for (const part of request.parts) {
@@ -144,25 +153,33 @@
       outputTokens: request.outputTokens,
       parts,
       repeatable: request.repeatable,
-      ...(without.length === 0 ? {} : { without: [...without] }),
+      ...(excludedProxies.length === 0 ? {} : { without: [...excludedProxies] }),
     };
   }
 
-  function failureOf(answer: HttpAnswer, requestId: string | null): ClientError | null {
-    const read = readFailure(answer.body);
-    if (!read.ok) return null;
-    const after = Number(answer.headers['retry-after'] ?? 0);
-    return { tag: 'failed', failure: read.value.error, retryAfterS: Number.isFinite(after) ? after : 0, requestId };
+  function parseFailure(answer: HttpAnswer, requestId: string | null): ClientError | null {
+    const parsed = readFailure(answer.body);
+    if (!parsed.ok) return null;
+    const retryAfterS = Number(answer.headers['retry-after'] ?? 0);
+    return {
+      tag: 'failed',
+      failure: parsed.value.error,
+      retryAfterS: Number.isFinite(retryAfterS) ? retryAfterS : 0,
+      requestId,
+    };
   }
 
-  async function place(request: ClientRequest, without: readonly string[]): Promise<ClientResult<Placement>> {
-    let refusal: ClientError = { tag: 'noProxy' };
-    for (const address of inOrder()) {
+  async function requestPlacement(
+    request: ClientRequest,
+    excludedProxies: readonly string[],
+  ): Promise<ClientResult<Placement>> {
+    let lastError: ClientError = { tag: 'noProxy' };
+    for (const address of proxiesInOrder()) {
       const response = await httpClient.call({
         method: 'POST',
         address,
         path: PLACE_PATH,
-        body: placementRequest(request, without),
+        body: placementRequest(request, excludedProxies),
         timeoutMs: settings.placeWaitMs ?? 2_000,
       });
       if (!response.ok) {
@@ -172,34 +189,34 @@
       unresponsiveAt.delete(address);
       const placement = readPlacement(response.value.body);
       if (response.value.status === 200 && placement.ok) return ok(placement.value);
-      const failure = failureOf(response.value, null);
+      const failure = parseFailure(response.value, null);
       if (!failure) continue;
-      refusal = failure;
+      lastError = failure;
       if (failure.tag !== 'failed' || failure.failure.tag !== 'shed' || failure.failure.reason !== 'notReady')
         return failed(failure);
     }
-    return failed(refusal);
+    return failed(lastError);
   }
 
-  function worthAnother(error: ClientError | null): boolean {
+  function isWorthRetrying(error: ClientError | null): boolean {
     if (error === null || error.tag !== 'failed' || error.failure.tag !== 'shed') return false;
     const { reason } = error.failure;
     return reason === 'ticketForeign' || reason === 'ticketExpired' || reason === 'stopping' || reason === 'notReady';
   }
 
-  async function submit(request: ClientRequest, stream: boolean): Promise<ClientResult<Opened>> {
-    const silent: string[] = [];
-    for (let tries = 1; ; tries += 1) {
-      const placement = await place(request, silent);
+  async function submit(request: ClientRequest, stream: boolean): Promise<ClientResult<AcceptedRequest>> {
+    const failedProxies: string[] = [];
+    for (let attempts = 1; ; attempts += 1) {
+      const placement = await requestPlacement(request, failedProxies);
       if (!placement.ok) return placement;
       const { address, ticket: token, requestId } = placement.value;
-      const stop = new AbortController();
-      const leave = edges.follow(address, stop.abort.bind(stop));
+      const abortController = new AbortController();
+      const stopWatching = proxyWatch.follow(address, abortController.abort.bind(abortController));
       const response = await httpClient.call({
         method: 'POST',
         address,
         path: REQUESTS_PATH,
-        signal: stop.signal,
+        signal: abortController.signal,
         headers: { [ADMISSION_TOKEN_HEADER]: token },
         body: {
           requestId,
@@ -211,86 +228,89 @@
         timeoutMs: settings.requestWaitMs ?? 130_000,
         stream,
       });
-      if (!response.ok || !stream || response.value.status !== 200) leave();
+      if (!response.ok || !stream || response.value.status !== 200) stopWatching();
       if (!response.ok) {
-        silent.push(placement.value.proxy);
-        if (response.error.tag === 'neverSent' && tries < PLACINGS) continue;
+        failedProxies.push(placement.value.proxy);
+        if (response.error.tag === 'neverSent' && attempts < MAX_PLACEMENTS) continue;
         return failed(response.error.tag === 'neverSent' ? { tag: 'noProxy' } : { tag: 'outcomeUnknown', requestId });
       }
-      if (response.value.status === 200) return ok({ placement: placement.value, answer: response.value, leave });
-      const failure = failureOf(response.value, requestId);
-      if (worthAnother(failure) && tries < PLACINGS) continue;
+      if (response.value.status === 200)
+        return ok({ placement: placement.value, answer: response.value, stopWatching });
+      const failure = parseFailure(response.value, requestId);
+      if (isWorthRetrying(failure) && attempts < MAX_PLACEMENTS) continue;
       return failed(failure ?? { tag: 'outcomeUnknown', requestId });
     }
   }
 
   async function send(request: ClientRequest): Promise<ClientResult<ClientAnswer>> {
-    const opened = await submit(request, false);
-    if (!opened.ok) return opened;
-    const { requestId } = opened.value.placement;
-    const read = readAnswer(opened.value.answer.body);
-    if (!read.ok) return failed({ tag: 'wrongSeal', requestId });
-    const check = startDigest(requestId, null);
+    const accepted = await submit(request, false);
+    if (!accepted.ok) return accepted;
+    const { requestId } = accepted.value.placement;
+    const parsed = readAnswer(accepted.value.answer.body);
+    if (!parsed.ok) return failed({ tag: 'wrongSeal', requestId });
+    const digest = startDigest(requestId, null);
     let text = '';
-    for (const piece of read.value.pieces) {
-      if (addChunk(check, piece)) return failed({ tag: 'wrongSeal', requestId });
+    for (const piece of parsed.value.pieces) {
+      if (addChunk(digest, piece)) return failed({ tag: 'wrongSeal', requestId });
       text += piece.text;
     }
-    if (checkDigest(check, read.value.seal)) return failed({ tag: 'wrongSeal', requestId });
-    return ok({ requestId, attemptId: read.value.seal.attemptId, text, pieces: read.value.pieces.length });
+    if (checkDigest(digest, parsed.value.seal)) return failed({ tag: 'wrongSeal', requestId });
+    return ok({ requestId, attemptId: parsed.value.seal.attemptId, text, pieces: parsed.value.pieces.length });
   }
 
   async function stream(request: ClientRequest): Promise<ClientResult<ClientStream>> {
-    const opened = await submit(request, true);
-    if (!opened.ok) return opened;
-    const { requestId } = opened.value.placement;
-    return ok({ requestId, events: watched(requestId, opened.value) });
+    const accepted = await submit(request, true);
+    if (!accepted.ok) return accepted;
+    const { requestId } = accepted.value.placement;
+    return ok({ requestId, events: watchedEvents(requestId, accepted.value) });
   }
 
-  async function* watched(requestId: string, opened: Opened): AsyncGenerator<ClientEvent> {
+  async function* watchedEvents(requestId: string, accepted: AcceptedRequest): AsyncGenerator<ClientEvent> {
     try {
-      yield* eventsOf(requestId, opened.answer);
+      yield* readEvents(requestId, accepted.answer);
     } finally {
-      opened.leave();
+      accepted.stopWatching();
     }
   }
 
-  async function* eventsOf(requestId: string, answer: HttpAnswer): AsyncGenerator<ClientEvent> {
-    const check = startDigest(requestId, null);
-    for await (const line of answer.lines) {
-      if (!line.ok) {
-        yield faultEvent({ tag: 'outcomeUnknown', requestId });
+  async function* readEvents(requestId: string, answer: HttpAnswer): AsyncGenerator<ClientEvent> {
+    const digest = startDigest(requestId, null);
+    for await (const received of answer.lines) {
+      if (!received.ok) {
+        yield errorEvent({ tag: 'outcomeUnknown', requestId });
         return;
       }
-      const read = readAnswerLine(line.value);
-      if (!read.ok) {
+      const parsed = readAnswerLine(received.value);
+      if (!parsed.ok) {
         answer.abandon();
-        yield faultEvent({ tag: 'wrongSeal', requestId });
+        yield errorEvent({ tag: 'wrongSeal', requestId });
         return;
       }
-      const at = read.value;
-      if ('error' in at) {
-        yield faultEvent({
+      const line = parsed.value;
+      if ('error' in line) {
+        yield errorEvent({
           tag: 'failed',
-          failure: at.error,
-          retryAfterS: at.error.tag === 'cut' ? at.error.retryAfterS : 1,
+          failure: line.error,
+          retryAfterS: line.error.tag === 'cut' ? line.error.retryAfterS : 1,
           requestId,
         });
         return;
       }
-      if ('seal' in at) {
-        const wrong = checkDigest(check, at.seal);
-        yield wrong ? faultEvent({ tag: 'wrongSeal', requestId }) : { tag: 'sealed', attemptId: at.seal.attemptId };
+      if ('seal' in line) {
+        const mismatch = checkDigest(digest, line.seal);
+        yield mismatch
+          ? errorEvent({ tag: 'wrongSeal', requestId })
+          : { tag: 'sealed', attemptId: line.seal.attemptId };
         return;
       }
-      if (addChunk(check, at.piece)) {
+      if (addChunk(digest, line.piece)) {
         answer.abandon();
-        yield faultEvent({ tag: 'wrongSeal', requestId });
+        yield errorEvent({ tag: 'wrongSeal', requestId });
         return;
       }
-      yield { tag: 'piece', n: at.piece.n, text: at.piece.text };
+      yield { tag: 'piece', n: line.piece.n, text: line.piece.text };
     }
-    yield faultEvent({ tag: 'outcomeUnknown', requestId });
+    yield errorEvent({ tag: 'outcomeUnknown', requestId });
   }
 
   return { send, stream };
--- a/src/client/edge-watch.ts
+++ b/src/client/edge-watch.ts
@@ -1,51 +1,52 @@
-/** Health checks of the proxy that serves a request, so that a dead one is noticed before the request's deadline. */
+/** Probes the proxy that serves a request, so that a proxy failure is detected before the request's deadline. */
 import { EDGE_HEALTH_PATH } from '../protocol/caller-wire.js';
 import { delay } from '../transport/clock.js';
 import type { Clock } from '../transport/clock.js';
 import type { HttpClient } from '../transport/http.js';
 import type { Address } from '../transport/wire.js';
 
-/** A watch of one proxy; `stop` ends it. */
-export type EdgeWatch = { readonly follow: (proxy: Address, onDown: () => void) => () => void };
+/** Probes proxies while requests run there. The function that `follow` returns stops the watch. */
+export type ProxyWatch = { readonly follow: (proxy: Address, onDown: () => void) => () => void };
 
-const LOOK_MS = 1_000;
-const SILENCES_DARK = 3;
+/** Delay before each probe, and also the timeout of one. */
+const PROBE_INTERVAL_MS = 1_000;
+const MAX_MISSED_PROBES = 3;
 
-/** Watches a proxy and calls `onDown` once it has missed several probes. */
-export function createEdgeWatch(httpClient: HttpClient, clock: Clock): EdgeWatch {
-  const followers = new Map<Address, Set<() => void>>();
+/** Creates a watch that calls `onDown` once a proxy has missed several probes in a row. */
+export function createProxyWatch(httpClient: HttpClient, clock: Clock): ProxyWatch {
+  const callbacksByProxy = new Map<Address, Set<() => void>>();
 
-  async function probe(proxy: Address, set: Set<() => void>): Promise<void> {
+  async function probeUntilDown(proxy: Address, callbacks: Set<() => void>): Promise<void> {
     let missedProbes = 0;
     for (;;) {
-      await delay(clock, LOOK_MS);
-      if (set.size === 0) break;
+      await delay(clock, PROBE_INTERVAL_MS);
+      if (callbacks.size === 0) break;
       const response = await httpClient.call({
         method: 'GET',
         address: proxy,
         path: EDGE_HEALTH_PATH,
-        timeoutMs: LOOK_MS,
+        timeoutMs: PROBE_INTERVAL_MS,
       });
       missedProbes = response.ok ? 0 : missedProbes + 1;
-      if (missedProbes < SILENCES_DARK) continue;
-      for (const callback of [...set]) callback();
+      if (missedProbes < MAX_MISSED_PROBES) continue;
+      for (const callback of [...callbacks]) callback();
       break;
     }
-    if (followers.get(proxy) === set) followers.delete(proxy);
+    if (callbacksByProxy.get(proxy) === callbacks) callbacksByProxy.delete(proxy);
   }
 
   function follow(proxy: Address, onDown: () => void): () => void {
-    const have = followers.get(proxy);
-    const set = have ?? new Set<() => void>();
-    set.add(onDown);
-    if (!have) {
-      followers.set(proxy, set);
-      void probe(proxy, set);
+    const existing = callbacksByProxy.get(proxy);
+    const callbacks = existing ?? new Set<() => void>();
+    callbacks.add(onDown);
+    if (!existing) {
+      callbacksByProxy.set(proxy, callbacks);
+      void probeUntilDown(proxy, callbacks);
     }
-    function leave(): void {
-      set.delete(onDown);
+    function stopWatching(): void {
+      callbacks.delete(onDown);
     }
-    return leave;
+    return stopWatching;
   }
   return { follow };
 }
--- a/src/transport/clock.ts
+++ b/src/transport/clock.ts
@@ -1,6 +1,6 @@
 /**
- * Time as an interface, so that tests run on simulated time. Everything that waits, measures
- * or schedules does so by a `Clock`; no other module touches the timers of the runtime.
+ * Interface to time, so that tests can run on simulated time. Everything that waits, measures
+ * or schedules uses a `Clock`; no other module uses the timers of the runtime.
  */
 
 import { performance } from 'node:perf_hooks';
@@ -8,14 +8,14 @@
 /** A scheduled call that can be cancelled. */
 export type Timer = { readonly cancel: () => void };
 
-/** Monotonic time, wall time (both in milliseconds) and timers. Only monotonic time may be used to judge how long something took. */
+/** Monotonic time, wall time (both in milliseconds) and timers. Durations may only be measured with monotonic time. */
 export type Clock = {
   readonly mono: () => number;
   readonly wall: () => number;
   readonly timer: (ms: number, callback: () => void) => Timer;
 };
 
-/** The clock of the runtime. */
+/** Creates a clock that uses the time and timers of the runtime. */
 export function createClock(): Clock {
   function mono(): number {
     return performance.now();
@@ -41,39 +41,39 @@
   return new Promise<void>(start);
 }
 
-/** The value of `work`, or null if it takes longer than `ms`; the work itself goes on. */
+/** Resolves to the value of `work`, or to null if it takes longer than `ms`. The work itself is not cancelled. */
 export function within<T>(clock: Clock, ms: number, work: Promise<T>): Promise<T | null> {
   function start(resolve: (value: T | null) => void): void {
-    function late(): void {
+    function onTimeout(): void {
       resolve(null);
     }
-    const timer = clock.timer(ms, late);
-    function done(value: T): void {
+    const timer = clock.timer(ms, onTimeout);
+    function onDone(value: T): void {
       timer.cancel();
       resolve(value);
     }
-    void work.then(done);
+    void work.then(onDone);
   }
   return new Promise(start);
 }
 
-/** Calls `fn` each `ms` until cancelled; the first time after `ms`. */
+/** Calls `callback` every `ms` until cancelled, for the first time after `ms`. */
 export function every(clock: Clock, ms: number, callback: () => void): Timer {
   let stopped = false;
-  let next: Timer = clock.timer(ms, tick);
+  let nextTimer: Timer = clock.timer(ms, tick);
   function tick(): void {
     if (stopped) return;
-    next = clock.timer(ms, tick);
+    nextTimer = clock.timer(ms, tick);
     callback();
   }
   function cancel(): void {
     stopped = true;
-    next.cancel();
+    nextTimer.cancel();
   }
   return { cancel };
 }
 
-/** Resolves after other pending events had their turn. */
+/** Yields to the event loop: resolves after the events that are already pending have been handled. */
 export function turnOver(): Promise<void> {
   function start(resolve: () => void): void {
     setImmediate(resolve);
--- a/src/transport/close-server.ts
+++ b/src/transport/close-server.ts
@@ -1,21 +1,21 @@
-/** What every listening server needs at its two ends: its port once it listens, and its closing. */
+/** Helpers for listening servers: closing a server and reading its port. */
 
 import type { Server } from 'node:net';
 
-/** Stops listening, drops open connections by `drop`, and resolves when all are gone. */
+/** Stops listening, closes open connections by calling `drop`, and resolves when all are closed. */
 export function closeServer(server: Server, drop: () => void): Promise<void> {
-  function stop(closed: () => void): void {
-    function ended(): void {
-      closed();
+  function start(resolve: () => void): void {
+    function onClosed(): void {
+      resolve();
     }
-    server.close(ended);
+    server.close(onClosed);
     drop();
   }
-  return new Promise<void>(stop);
+  return new Promise<void>(start);
 }
 
-/** The port a server listens on; `asked` where it has none to tell. */
-export function portOf(server: Server, asked: number): number {
-  const at = server.address();
-  return at && typeof at === 'object' ? at.port : asked;
+/** Returns the port a server listens on, or `requestedPort` if the server does not report one. */
+export function portOf(server: Server, requestedPort: number): number {
+  const address = server.address();
+  return address && typeof address === 'object' ? address.port : requestedPort;
 }
--- a/src/transport/connection-pool.test.ts
+++ b/src/transport/connection-pool.test.ts
@@ -6,21 +6,21 @@
 import type { OpaqueRequest, ConnectionPool, SendError } from './opaque-http.js';
 import { createConnectionPool } from './connection-pool.js';
 
-const open: { close: () => void }[] = [];
+const openResources: { close: () => void }[] = [];
 afterEach(() => {
-  for (const o of open.splice(0)) o.close();
+  for (const resource of openResources.splice(0)) resource.close();
 });
 
-function raw(serve: (sock: Socket, text: string) => void): Promise<string> {
-  const socks = new Set<Socket>();
+function rawWorker(serve: (sock: Socket, text: string) => void): Promise<string> {
+  const sockets = new Set<Socket>();
   const server: Server = createServer((sock) => {
-    socks.add(sock);
+    sockets.add(sock);
     sock.on('error', () => undefined);
     sock.on('data', (d) => serve(sock, d.toString('latin1')));
   });
-  open.push({
+  openResources.push({
     close: () => {
-      for (const s of socks) s.destroy();
+      for (const s of sockets) s.destroy();
       server.close();
     },
   });
@@ -29,17 +29,22 @@
   );
 }
 
-function connectionPool(): ConnectionPool {
-  const o = createConnectionPool(createClock());
-  open.push({ close: () => o.stop() });
-  return o;
+function newPool(): ConnectionPool {
+  const pool = createConnectionPool(createClock());
+  openResources.push({ close: () => pool.stop() });
+  return pool;
 }
 
-type Got = { status: number; body: string; error: SendError | null };
-function ask(o: ConnectionPool, address: string, body: string | null = 'x', newConnection = false): Promise<Got> {
+type Outcome = { status: number; body: string; error: SendError | null };
+function sendRequest(
+  pool: ConnectionPool,
+  address: string,
+  body: string | null = 'x',
+  newConnection = false,
+): Promise<Outcome> {
   return new Promise((done) => {
-    const response: Got = { status: 0, body: '', error: null };
-    o.send(
+    const outcome: Outcome = { status: 0, body: '', error: null };
+    pool.send(
       {
         address,
         method: 'POST',
@@ -50,207 +55,213 @@
         connectMs: 500,
       },
       {
-        head: (s) => {
-          response.status = s;
+        head: (status) => {
+          outcome.status = status;
         },
-        data: (c) => {
-          response.body += c.toString();
+        data: (chunk) => {
+          outcome.body += chunk.toString();
         },
-        end: () => done(response),
-        failed: (error) => done({ ...response, error }),
+        end: () => done(outcome),
+        failed: (error) => done({ ...outcome, error }),
       },
     );
   });
 }
-const OK = 'HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi';
+const OK_RESPONSE = 'HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi';
 
-test('one connection serves one request after the other', async () => {
+test('one connection carries several requests, one after the other', async () => {
   let connections = 0;
   const seen = new Set<Socket>();
-  const at = await raw((sock) => {
+  const address = await rawWorker((sock) => {
     if (!seen.has(sock)) connections += 1;
     seen.add(sock);
-    sock.write(OK);
+    sock.write(OK_RESPONSE);
   });
-  const o = connectionPool();
-  for (let i = 0; i < 3; i += 1) expect(await ask(o, at)).toEqual({ status: 200, body: 'hi', error: null });
+  const pool = newPool();
+  for (let i = 0; i < 3; i += 1)
+    expect(await sendRequest(pool, address)).toEqual({ status: 200, body: 'hi', error: null });
   expect(connections).toBe(1);
-  expect(o.made()).toBe(1);
+  expect(pool.made()).toBe(1);
 });
 
-test('bytes behind a whole answer belong to no request', async () => {
-  const at = await raw((sock) => sock.write(OK + 'HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad'));
-  const o = connectionPool();
-  expect(await ask(o, at)).toMatchObject({ body: 'hi', error: null });
-  expect(await ask(o, at)).toMatchObject({ body: 'hi', error: null });
-  expect(o.made()).toBe(2);
+test('bytes after a complete response belong to no request', async () => {
+  const address = await rawWorker((sock) =>
+    sock.write(OK_RESPONSE + 'HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad'),
+  );
+  const pool = newPool();
+  expect(await sendRequest(pool, address)).toMatchObject({ body: 'hi', error: null });
+  expect(await sendRequest(pool, address)).toMatchObject({ body: 'hi', error: null });
+  expect(pool.made()).toBe(2);
 });
 
-test('a late answer on a resting connection ends that connection', async () => {
-  let n = 0;
-  let late: (() => void) | null = null;
-  const at = await raw((sock) => {
-    n += 1;
-    sock.write(OK);
-    if (n === 1) late = () => sock.write('HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad');
+test('a late response on an idle connection closes that connection', async () => {
+  let requestCount = 0;
+  let sendLateResponse: (() => void) | null = null;
+  const address = await rawWorker((sock) => {
+    requestCount += 1;
+    sock.write(OK_RESPONSE);
+    if (requestCount === 1) sendLateResponse = () => sock.write('HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad');
   });
-  const o = connectionPool();
-  await ask(o, at);
-  late!();
-  while (o.idle(at) > 0) await new Promise((r) => setImmediate(r));
-  expect(await ask(o, at)).toMatchObject({ body: 'hi', error: null });
-  expect(o.made()).toBe(2);
+  const pool = newPool();
+  await sendRequest(pool, address);
+  sendLateResponse!();
+  while (pool.idle(address) > 0) await new Promise((r) => setImmediate(r));
+  expect(await sendRequest(pool, address)).toMatchObject({ body: 'hi', error: null });
+  expect(pool.made()).toBe(2);
 });
 
-test('an answer that breaks off is no end', async () => {
-  const at = await raw((sock) => {
+test('a truncated response is an error, not an end', async () => {
+  const address = await rawWorker((sock) => {
     sock.write('HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhi');
     sock.end();
   });
-  expect((await ask(connectionPool(), at)).error).toEqual({ tag: 'reset' });
+  expect((await sendRequest(newPool(), address)).error).toEqual({ tag: 'reset' });
 });
 
-test('bytes that are no answer are a broken one', async () => {
-  const at = await raw((sock) => sock.write('nonsense\r\n\r\n'));
-  expect((await ask(connectionPool(), at)).error).toEqual({ tag: 'garbled' });
+test('bytes that are not an HTTP response are reported as garbled', async () => {
+  const address = await rawWorker((sock) => sock.write('nonsense\r\n\r\n'));
+  expect((await sendRequest(newPool(), address)).error).toEqual({ tag: 'garbled' });
 });
 
-// An answer's head that can't be written to the caller ended the proxy's process.
+// Guards against a crash of the proxy process by a response head that the runtime can't write to the caller.
 test.each([
   ['a status below 100', 'HTTP/1.1 000 OK\r\nContent-Length: 2\r\n\r\nhi'],
   ['an empty header name', 'HTTP/1.1 200 OK\r\n: x\r\nContent-Length: 2\r\n\r\nhi'],
   ['a header name with a space', 'HTTP/1.1 200 OK\r\nX One: x\r\nContent-Length: 2\r\n\r\nhi'],
-])('an answer with %s is a broken one, and its connection serves no other request', async (_what, answer) => {
-  const at = await raw((sock) => sock.write(answer));
-  const pool = connectionPool();
-  expect(await ask(pool, at)).toEqual({ status: 0, body: '', error: { tag: 'garbled' } });
-  expect(pool.idle(at)).toBe(0);
+])('a response with %s is reported as garbled, and its connection is not reused', async (_description, response) => {
+  const address = await rawWorker((sock) => sock.write(response));
+  const pool = newPool();
+  expect(await sendRequest(pool, address)).toEqual({ status: 0, body: '', error: { tag: 'garbled' } });
+  expect(pool.idle(address)).toBe(0);
 });
 
-test('an address without listener was never sent to', async () => {
-  const at = await raw(() => undefined);
-  open.splice(0).forEach((o) => o.close());
+test('a request to an address without a listener is reported as not connected', async () => {
+  const address = await rawWorker(() => undefined);
+  openResources.splice(0).forEach((resource) => resource.close());
   await new Promise((r) => setImmediate(r));
-  expect((await ask(connectionPool(), at)).error).toEqual({ tag: 'notConnected' });
+  expect((await sendRequest(newPool(), address)).error).toEqual({ tag: 'notConnected' });
 });
 
-test('a connection that its worker closes is not used again', async () => {
-  const at = await raw((sock) => {
+test('a connection that its worker closes is not reused', async () => {
+  const address = await rawWorker((sock) => {
     sock.write('HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi');
     sock.end();
   });
-  const o = connectionPool();
-  await ask(o, at);
-  expect(await ask(o, at)).toMatchObject({ body: 'hi', error: null });
-  expect(o.made()).toBe(2);
+  const pool = newPool();
+  await sendRequest(pool, address);
+  expect(await sendRequest(pool, address)).toMatchObject({ body: 'hi', error: null });
+  expect(pool.made()).toBe(2);
 });
 
-test('through the server and out: head, chunks and end as they come, and a cut as a cut', async () => {
+test('through the server and the pool: head, chunks and end arrive unchanged, and a truncated response as an error', async () => {
   const httpServer = createOpaqueHttpServer();
-  let cut = false;
+  let isTruncated = false;
   const opened = await httpServer.open('127.0.0.1:0', (req: OpaqueRequest) => {
     void req.body(100).then((b) => {
       req.answerer.head(200, ['X-Body', b.ok ? b.value.toString() : b.error.tag]);
       req.answerer.write(Buffer.from('one'));
-      if (cut) req.answerer.abort();
+      if (isTruncated) req.answerer.abort();
       else req.answerer.end();
     });
   });
   if (!opened.ok) throw new Error('listen');
-  open.push({ close: () => void opened.value.close() });
-  const o = connectionPool();
-  expect(await ask(o, opened.value.address)).toMatchObject({ status: 200, body: 'one', error: null });
-  cut = true;
-  expect((await ask(o, opened.value.address)).error).toEqual({ tag: 'reset' });
+  openResources.push({ close: () => void opened.value.close() });
+  const pool = newPool();
+  expect(await sendRequest(pool, opened.value.address)).toMatchObject({ status: 200, body: 'one', error: null });
+  isTruncated = true;
+  expect((await sendRequest(pool, opened.value.address)).error).toEqual({ tag: 'reset' });
 });
 
-test('a connection that its worker forgot teaches to let connections rest for less', async () => {
-  let forget = false;
-  const at = await raw((sock) => {
-    if (forget) sock.resetAndDestroy();
-    else sock.write(OK);
+test('a reset of an idle connection by its worker shortens the time that connections stay idle', async () => {
+  let hasForgotten = false;
+  const address = await rawWorker((sock) => {
+    if (hasForgotten) sock.resetAndDestroy();
+    else sock.write(OK_RESPONSE);
   });
   let now = 0;
   const clock = { ...createClock(), mono: () => now };
-  const o = createConnectionPool(clock);
-  open.push({ close: () => o.stop() });
-  await ask(o, at);
+  const pool = createConnectionPool(clock);
+  openResources.push({ close: () => pool.stop() });
+  await sendRequest(pool, address);
   now = 4_000;
-  forget = true;
-  expect((await ask(o, at)).error).toEqual({ tag: 'reset' });
-  forget = false;
-  await ask(o, at);
-  const before = o.made();
+  hasForgotten = true;
+  expect((await sendRequest(pool, address)).error).toEqual({ tag: 'reset' });
+  hasForgotten = false;
+  await sendRequest(pool, address);
+  const dialledBefore = pool.made();
   now += 2_600;
-  await ask(o, at);
-  expect(o.made()).toBe(before + 1);
+  await sendRequest(pool, address);
+  expect(pool.made()).toBe(dialledBefore + 1);
   now += 1_000;
-  await ask(o, at);
-  expect(o.made()).toBe(before + 1);
+  await sendRequest(pool, address);
+  expect(pool.made()).toBe(dialledBefore + 1);
 });
 
-test('garbage in the same packet as a whole answer takes nothing from that answer', async () => {
+test('garbage in the same packet as a complete response does not affect that response', async () => {
   for (const extra of ['\u0001\u0002 no answer\r\n\r\n', 'HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad']) {
-    const at = await raw((sock) => sock.write(OK + extra));
-    const o = connectionPool();
-    expect(await ask(o, at)).toEqual({ status: 200, body: 'hi', error: null });
-    expect(await ask(o, at)).toEqual({ status: 200, body: 'hi', error: null });
-    expect(o.made()).toBe(2);
+    const address = await rawWorker((sock) => sock.write(OK_RESPONSE + extra));
+    const pool = newPool();
+    expect(await sendRequest(pool, address)).toEqual({ status: 200, body: 'hi', error: null });
+    expect(await sendRequest(pool, address)).toEqual({ status: 200, body: 'hi', error: null });
+    expect(pool.made()).toBe(2);
   }
 });
 
-test('an informational answer is not the answer', async () => {
-  const at = await raw((sock) =>
-    sock.write('HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n' + OK),
+test('an informational response is not taken for the final response', async () => {
+  const address = await rawWorker((sock) =>
+    sock.write('HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n' + OK_RESPONSE),
   );
-  const o = connectionPool();
-  expect(await ask(o, at)).toEqual({ status: 200, body: 'hi', error: null });
-  expect(await ask(o, at)).toEqual({ status: 200, body: 'hi', error: null });
-  expect(o.made()).toBe(1);
+  const pool = newPool();
+  expect(await sendRequest(pool, address)).toEqual({ status: 200, body: 'hi', error: null });
+  expect(await sendRequest(pool, address)).toEqual({ status: 200, body: 'hi', error: null });
+  expect(pool.made()).toBe(1);
 });
 
-test('a change of protocol that nobody asked for is a broken answer', async () => {
-  const at = await raw((sock) =>
+test('an unrequested protocol upgrade is reported as a reset', async () => {
+  const address = await rawWorker((sock) =>
     sock.write('HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n'),
   );
-  expect((await ask(connectionPool(), at)).error).toEqual({ tag: 'reset' });
+  expect((await sendRequest(newPool(), address)).error).toEqual({ tag: 'reset' });
 });
 
-test('an answer without a length is whole when its connection ends, and broken when that is reset', async () => {
+test('a response without a length is complete when its connection ends, and an error when that is reset', async () => {
   for (const reset of [false, true]) {
-    const at = await raw((sock) => {
+    const address = await rawWorker((sock) => {
       sock.write('HTTP/1.1 200 OK\r\n\r\nhi');
       setImmediate(() => (reset ? sock.resetAndDestroy() : sock.end()));
     });
-    expect((await ask(connectionPool(), at)).error).toEqual(reset ? { tag: 'reset' } : null);
+    expect((await sendRequest(newPool(), address)).error).toEqual(reset ? { tag: 'reset' } : null);
   }
 });
 
-test('chunks without their end are a broken answer, closed or reset', async () => {
+test('a chunked response without its last chunk is an error, whether the connection is closed or reset', async () => {
   for (const reset of [false, true]) {
-    const at = await raw((sock) => {
+    const address = await rawWorker((sock) => {
       sock.write('HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n');
       setImmediate(() => (reset ? sock.resetAndDestroy() : sock.end()));
     });
-    expect((await ask(connectionPool(), at)).error).toEqual({ tag: 'reset' });
+    expect((await sendRequest(newPool(), address)).error).toEqual({ tag: 'reset' });
   }
 });
 
-test("the rest of a surplus answer that comes after the next request is nobody's answer", async () => {
-  let n = 0;
-  const at = await raw((sock) => {
-    n += 1;
-    sock.write(n === 1 ? `${OK}HTTP/1.1 20` : `0 OK\r\nContent-Length: 3\r\n\r\nbad`);
+test('the rest of an unsolicited response that arrives after the next request is not taken for its response', async () => {
+  let requestCount = 0;
+  const address = await rawWorker((sock) => {
+    requestCount += 1;
+    sock.write(requestCount === 1 ? `${OK_RESPONSE}HTTP/1.1 20` : `0 OK\r\nContent-Length: 3\r\n\r\nbad`);
   });
-  const o = connectionPool();
-  expect(await ask(o, at)).toEqual({ status: 200, body: 'hi', error: null });
-  expect(await ask(o, at)).toEqual({ status: 0, body: '', error: { tag: 'garbled' } });
+  const pool = newPool();
+  expect(await sendRequest(pool, address)).toEqual({ status: 200, body: 'hi', error: null });
+  expect(await sendRequest(pool, address)).toEqual({ status: 0, body: '', error: { tag: 'garbled' } });
 });
 
-const LONG = 'x'.repeat(12_000_000);
+const LARGE_BODY = 'x'.repeat(12_000_000);
 
-/** A worker that answers at the head of a request and reads its body only when told to. */
-function earlyWorker(): { readonly at: Promise<string>; readonly connections: { sock: Socket; bytes: number }[] } {
+/** A worker that responds before it reads the request body; its first connection stays paused until resumed. */
+function earlyRespondingWorker(): {
+  readonly at: Promise<string>;
+  readonly connections: { sock: Socket; bytes: number }[];
+} {
   const connections: { sock: Socket; bytes: number }[] = [];
   const server = createServer((sock) => {
     const connection = { sock, bytes: 0 };
@@ -260,11 +271,11 @@
       connection.bytes += d.length;
     });
     sock.once('data', () => {
-      sock.write(OK);
+      sock.write(OK_RESPONSE);
       if (connections.length === 1) sock.pause();
     });
   });
-  open.push({
+  openResources.push({
     close: () => {
       for (const c of connections) c.sock.destroy();
       server.close();
@@ -278,43 +289,43 @@
   };
 }
 
-test('while the body of an early answered request is due its connection serves nobody else, and then it does', async () => {
-  const worker = earlyWorker();
-  const at = await worker.at;
-  const o = connectionPool();
-  expect(await ask(o, at, LONG)).toEqual({ status: 200, body: 'hi', error: null });
+test('after an early response the connection is reused only once the request body is written', async () => {
+  const worker = earlyRespondingWorker();
+  const address = await worker.at;
+  const pool = newPool();
+  expect(await sendRequest(pool, address, LARGE_BODY)).toEqual({ status: 200, body: 'hi', error: null });
   const first = worker.connections[0]!;
-  expect(first.bytes).toBeLessThan(LONG.length);
-  expect(await ask(o, at)).toEqual({ status: 200, body: 'hi', error: null });
+  expect(first.bytes).toBeLessThan(LARGE_BODY.length);
+  expect(await sendRequest(pool, address)).toEqual({ status: 200, body: 'hi', error: null });
   expect(worker.connections).toHaveLength(2);
   first.sock.resume();
-  while (o.idle(at) < 2) await new Promise((r) => setImmediate(r));
-  expect(o.made()).toBe(2);
+  while (pool.idle(address) < 2) await new Promise((r) => setImmediate(r));
+  expect(pool.made()).toBe(2);
 });
 
-test('bytes that come while the body of an early answered request is due end that connection', async () => {
-  const worker = earlyWorker();
-  const at = await worker.at;
-  const o = connectionPool();
-  await ask(o, at, LONG);
+test('bytes that arrive after an early response, before the request body is written, close the connection', async () => {
+  const worker = earlyRespondingWorker();
+  const address = await worker.at;
+  const pool = newPool();
+  await sendRequest(pool, address, LARGE_BODY);
   const first = worker.connections[0]!;
-  first.sock.write(OK.slice(0, 9));
+  first.sock.write(OK_RESPONSE.slice(0, 9));
   first.sock.resume();
   await new Promise((done) => first.sock.once('close', done));
-  expect([o.open(at), o.idle(at)]).toEqual([0, 0]);
+  expect([pool.open(address), pool.idle(address)]).toEqual([0, 0]);
 });
 
-test('a request that is withheld when its connection is up is not written, and the connection serves the next', async () => {
-  let heard = '';
-  const at = await raw((sock, text) => {
-    heard += text;
-    sock.write(OK);
+test('a request that is withheld once connected is not written, and the connection is reused', async () => {
+  let received = '';
+  const workerAddress = await rawWorker((sock, text) => {
+    received += text;
+    sock.write(OK_RESPONSE);
   });
-  const o = connectionPool();
+  const pool = newPool();
   const error = await new Promise((done) =>
-    o.send(
+    pool.send(
       {
-        address: at,
+        address: workerAddress,
         method: 'POST',
         target: '/held',
         headers: () => null,
@@ -326,24 +337,24 @@
     ),
   );
   expect(error).toEqual({ tag: 'withheld' });
-  expect(await ask(o, at)).toEqual({ status: 200, body: 'hi', error: null });
-  expect([o.made(), heard.includes('/held')]).toEqual([1, false]);
+  expect(await sendRequest(pool, workerAddress)).toEqual({ status: 200, body: 'hi', error: null });
+  expect([pool.made(), received.includes('/held')]).toEqual([1, false]);
 });
 
-test('an answer of unknown length that is cut does not look whole to a caller without chunks', async () => {
+test('a truncated response of unknown length does not look complete to a caller without chunked encoding', async () => {
   const httpServer = createOpaqueHttpServer();
-  let cut = false;
+  let isTruncated = false;
   const opened = await httpServer.open('127.0.0.1:0', (req: OpaqueRequest) => {
     req.answerer.head(200, []);
     req.answerer.write(Buffer.from('one'));
-    const finish = (): void => (cut ? req.answerer.abort() : req.answerer.end());
+    const finish = (): void => (isTruncated ? req.answerer.abort() : req.answerer.end());
     setImmediate(finish);
   });
   if (!opened.ok) throw new Error('listen');
-  open.push({ close: () => void opened.value.close() });
+  openResources.push({ close: () => void opened.value.close() });
   const [host, port] = opened.value.address.split(':') as [string, string];
   const ends: string[] = [];
-  for (cut of [false, true]) {
+  for (isTruncated of [false, true]) {
     const sock = createConnection({ host, port: Number(port) });
     sock.write('GET / HTTP/1.0\r\nHost: h\r\n\r\n');
     sock.on('data', () => undefined);
@@ -357,26 +368,26 @@
   expect(ends).toEqual(['end', 'ECONNRESET']);
 });
 
-test('a request that must not meet an earlier one gets a new connection', async () => {
-  const at = await raw((sock) => sock.write(OK));
-  const o = connectionPool();
-  await ask(o, at);
-  expect(o.idle(at)).toBe(1);
-  expect(await ask(o, at, 'x', true)).toEqual({ status: 200, body: 'hi', error: null });
-  expect(o.made()).toBe(2);
+test('a request that must not share a connection with an earlier one gets a new connection', async () => {
+  const address = await rawWorker((sock) => sock.write(OK_RESPONSE));
+  const pool = newPool();
+  await sendRequest(pool, address);
+  expect(pool.idle(address)).toBe(1);
+  expect(await sendRequest(pool, address, 'x', true)).toEqual({ status: 200, body: 'hi', error: null });
+  expect(pool.made()).toBe(2);
 });
 
-test('an attempt that was given up takes its connection along: what its worker says late reaches nobody', async () => {
-  const socks: Socket[] = [];
-  const at = await raw((sock) => {
-    socks.push(sock);
-    if (socks.length > 1) sock.write(OK);
+test('aborting an attempt closes its connection, so that a late response of the worker is discarded', async () => {
+  const sockets: Socket[] = [];
+  const address = await rawWorker((sock) => {
+    sockets.push(sock);
+    if (sockets.length > 1) sock.write(OK_RESPONSE);
   });
-  const o = connectionPool();
-  const heard: string[] = [];
-  const sent = o.send(
+  const pool = newPool();
+  const events: string[] = [];
+  const attempt = pool.send(
     {
-      address: at,
+      address: address,
       method: 'POST',
       target: '/first',
       headers: () => ['Host', 'h'],
@@ -385,15 +396,15 @@
       connectMs: 500,
     },
     {
-      head: () => heard.push('head'),
-      data: () => heard.push('data'),
-      end: () => heard.push('end'),
-      failed: () => heard.push('failed'),
+      head: () => events.push('head'),
+      data: () => events.push('data'),
+      end: () => events.push('end'),
+      failed: () => events.push('failed'),
     },
   );
-  while (socks.length === 0) await new Promise((r) => setImmediate(r));
-  sent.abort();
-  socks[0]!.write('HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate');
-  expect(await ask(o, at)).toEqual({ status: 200, body: 'hi', error: null });
-  expect([o.made(), heard]).toEqual([2, []]);
+  while (sockets.length === 0) await new Promise((r) => setImmediate(r));
+  attempt.abort();
+  sockets[0]!.write('HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate');
+  expect(await sendRequest(pool, address)).toEqual({ status: 200, body: 'hi', error: null });
+  expect([pool.made(), events]).toEqual([2, []]);
 });
--- a/src/transport/connection-pool.ts
+++ b/src/transport/connection-pool.ts
@@ -1,126 +1,134 @@
 /**
- * Connections to workers that are kept between requests, by address. A connection rests no longer than the worker said it
- * keeps it, and shorter where resets show that workers forget connections sooner.
+ * A keep-alive connection pool to workers, by address. A connection stays idle no longer than the keep-alive timeout
+ * that the worker announced, and for less time if resets show that workers drop idle connections sooner.
  */
 import { createConnection } from 'node:net';
 import type { Socket } from 'node:net';
 import type { Clock, Timer } from './clock.js';
 import type { ConnectionPool, SendEvents, Sending, Sent } from './opaque-http.js';
 import { createPooledSend } from './pooled-send.js';
-import type { Endpoint, Idle, SendingPool } from './pooled-send.js';
+import type { Endpoint, IdleConnection, SendingPool } from './pooled-send.js';
 import { splitAddress } from './wire.js';
 import type { Address } from './wire.js';
 
-const KEEP_MS = 20_000;
-const KEEP_MARGIN_MS = 700;
-const SWEEP_MS = 500;
-const LEARNED_LEAST_MS = 400;
-const RELEARN = 1.02;
+const MAX_IDLE_MS = 20_000;
+/** An idle connection is closed this long before the keep-alive timeout that its worker announced. */
+const KEEP_ALIVE_MARGIN_MS = 700;
+const SWEEP_INTERVAL_MS = 500;
+/** Resets never lower the idle limit below this. */
+const MIN_IDLE_LIMIT_MS = 400;
+/** Factor by which a lowered idle limit recovers at each sweep. */
+const IDLE_LIMIT_GROWTH = 1.02;
 
 class KeepAliveConnectionPool implements ConnectionPool, SendingPool {
   private readonly endpoints = new Map<Address, Endpoint>();
-  private dialled = 0;
-  private learnedMs = KEEP_MS;
-  private sweeping: Timer;
+  private dialledCount = 0;
+  private idleLimitMs = MAX_IDLE_MS;
+  private sweepTimer: Timer;
 
   constructor(private readonly clock: Clock) {
-    this.sweeping = this.clock.timer(SWEEP_MS, () => this.sweep());
+    this.sweepTimer = this.clock.timer(SWEEP_INTERVAL_MS, () => this.sweep());
   }
 
   endpointOf(address: Address): Endpoint {
-    const have = this.endpoints.get(address);
-    if (have) return have;
-    const made: Endpoint = { open: 0, idle: [], keepAliveMs: KEEP_MS };
-    this.endpoints.set(address, made);
-    return made;
+    const existing = this.endpoints.get(address);
+    if (existing) return existing;
+    const created: Endpoint = { open: 0, idle: [], keepAliveMs: MAX_IDLE_MS };
+    this.endpoints.set(address, created);
+    return created;
   }
 
-  keepIdle(at: Endpoint, sock: Socket): void {
+  keepIdle(endpoint: Endpoint, socket: Socket): void {
     function drop(): void {
-      sock.off('data', drop);
-      sock.off('end', drop);
-      sock.off('close', drop);
-      const i = at.idle.indexOf(idle);
-      if (i >= 0) at.idle.splice(i, 1);
-      sock.destroy();
+      socket.off('data', drop);
+      socket.off('end', drop);
+      socket.off('close', drop);
+      const index = endpoint.idle.indexOf(idle);
+      if (index >= 0) endpoint.idle.splice(index, 1);
+      socket.destroy();
     }
     const from = this.clock.mono();
-    const idle: Idle = { sock, from, until: from + Math.min(at.keepAliveMs - KEEP_MARGIN_MS, this.learnedMs), drop };
-    sock.on('data', drop);
-    sock.on('end', drop);
-    sock.on('close', drop);
-    at.idle.push(idle);
+    const idle: IdleConnection = {
+      socket,
+      from,
+      until: from + Math.min(endpoint.keepAliveMs - KEEP_ALIVE_MARGIN_MS, this.idleLimitMs),
+      drop,
+    };
+    socket.on('data', drop);
+    socket.on('end', drop);
+    socket.on('close', drop);
+    endpoint.idle.push(idle);
   }
 
-  forgotten(restedMs: number): void {
-    this.learnedMs = Math.max(LEARNED_LEAST_MS, Math.min(this.learnedMs, restedMs / 2));
-    for (const at of this.endpoints.values())
-      for (const idle of [...at.idle]) if (this.clock.mono() - idle.from > this.learnedMs) idle.drop();
+  forgotten(idleMs: number): void {
+    this.idleLimitMs = Math.max(MIN_IDLE_LIMIT_MS, Math.min(this.idleLimitMs, idleMs / 2));
+    for (const endpoint of this.endpoints.values())
+      for (const idle of [...endpoint.idle]) if (this.clock.mono() - idle.from > this.idleLimitMs) idle.drop();
   }
 
-  takeIdle(at: Endpoint): Idle | null {
+  takeIdle(endpoint: Endpoint): IdleConnection | null {
     const now = this.clock.mono();
     for (;;) {
-      const idle = at.idle.pop();
+      const idle = endpoint.idle.pop();
       if (!idle) return null;
-      idle.sock.off('data', idle.drop);
-      idle.sock.off('end', idle.drop);
-      idle.sock.off('close', idle.drop);
+      idle.socket.off('data', idle.drop);
+      idle.socket.off('end', idle.drop);
+      idle.socket.off('close', idle.drop);
       if (
         idle.until > now &&
-        now - idle.from < this.learnedMs &&
-        !idle.sock.destroyed &&
-        idle.sock.readableLength === 0
+        now - idle.from < this.idleLimitMs &&
+        !idle.socket.destroyed &&
+        idle.socket.readableLength === 0
       )
         return idle;
-      idle.sock.destroy();
+      idle.socket.destroy();
     }
   }
 
-  dial(address: Address, at: Endpoint, waitMs: number, done: (sock: Socket | null) => void): Socket | null {
+  dial(address: Address, endpoint: Endpoint, timeoutMs: number, done: (socket: Socket | null) => void): Socket | null {
     const hostPort = splitAddress(address);
     if (!hostPort) {
       done(null);
       return null;
     }
-    this.dialled += 1;
-    at.open += 1;
+    this.dialledCount += 1;
+    endpoint.open += 1;
     const socket = createConnection({ host: hostPort.host, port: hostPort.port, noDelay: true });
-    let isDone = false;
-    function finish(response: Socket | null): void {
-      if (isDone) return;
-      isDone = true;
+    let isSettled = false;
+    function settle(result: Socket | null): void {
+      if (isSettled) return;
+      isSettled = true;
       timer.cancel();
-      if (!response) socket.destroy();
-      done(response);
+      if (!result) socket.destroy();
+      done(result);
     }
-    function refused(): void {
-      finish(null);
+    function onFailed(): void {
+      settle(null);
     }
-    function connected(): void {
-      finish(socket);
+    function onConnected(): void {
+      settle(socket);
     }
-    const timer = this.clock.timer(waitMs, refused);
-    socket.on('error', refused);
+    const timer = this.clock.timer(timeoutMs, onFailed);
+    socket.on('error', onFailed);
 
-    const closed = (): void => {
-      at.open -= 1;
-      if (at.open === 0 && at.idle.length === 0) this.endpoints.delete(address);
-      finish(null);
+    const onClosed = (): void => {
+      endpoint.open -= 1;
+      if (endpoint.open === 0 && endpoint.idle.length === 0) this.endpoints.delete(address);
+      settle(null);
     };
-    socket.once('close', closed);
-    socket.once('connect', connected);
+    socket.once('close', onClosed);
+    socket.once('connect', onConnected);
     return socket;
   }
 
-  check(address: Address, waitMs: number, done: (reached: boolean) => void): void {
-    const at = this.endpointOf(address);
+  check(address: Address, timeoutMs: number, done: (reached: boolean) => void): void {
+    const endpoint = this.endpointOf(address);
 
-    const dialledTo = (socket: Socket | null): void => {
-      if (socket) this.keepIdle(at, socket);
+    const onDialled = (socket: Socket | null): void => {
+      if (socket) this.keepIdle(endpoint, socket);
       done(socket !== null);
     };
-    this.dial(address, at, waitMs, dialledTo);
+    this.dial(address, endpoint, timeoutMs, onDialled);
   }
 
   send(what: Sending, events: SendEvents): Sent {
@@ -128,10 +136,11 @@
   }
 
   private sweep(): void {
-    this.learnedMs = Math.min(KEEP_MS, this.learnedMs * RELEARN);
+    this.idleLimitMs = Math.min(MAX_IDLE_MS, this.idleLimitMs * IDLE_LIMIT_GROWTH);
     const now = this.clock.mono();
-    for (const at of this.endpoints.values()) for (const idle of [...at.idle]) if (idle.until <= now) idle.drop();
-    this.sweeping = this.clock.timer(SWEEP_MS, () => this.sweep());
+    for (const endpoint of this.endpoints.values())
+      for (const idle of [...endpoint.idle]) if (idle.until <= now) idle.drop();
+    this.sweepTimer = this.clock.timer(SWEEP_INTERVAL_MS, () => this.sweep());
   }
 
   open(address: Address): number {
@@ -147,16 +156,16 @@
   }
 
   made(): number {
-    return this.dialled;
+    return this.dialledCount;
   }
 
   stop(): void {
-    this.sweeping.cancel();
-    for (const at of this.endpoints.values()) for (const idle of [...at.idle]) idle.drop();
+    this.sweepTimer.cancel();
+    for (const endpoint of this.endpoints.values()) for (const idle of [...endpoint.idle]) idle.drop();
   }
 }
 
-/** An empty pool; `stop` closes all resting connections. */
+/** Creates an empty pool. Its `stop` closes all idle connections. */
 export function createConnectionPool(clock: Clock): ConnectionPool {
   return new KeepAliveConnectionPool(clock);
 }
--- a/src/transport/disk.ts
+++ b/src/transport/disk.ts
@@ -1,7 +1,7 @@
 /**
- * Files as an interface, so that tests run on simulated disks that lose power. Used by rings,
- * snapshots and identity files. Every failure is a value; what `sync` or `replace` has
- * acknowledged survives a loss of power.
+ * Interface to files, so that tests can run on simulated disks that lose power. Used by rings,
+ * snapshots and identity files. Every failure is returned as a value. Data that `sync` or `replace`
+ * has acknowledged survives a loss of power.
  */
 
 import { mkdir, open, readFile, readdir, rename } from 'node:fs/promises';
@@ -10,19 +10,21 @@
 import { err, ok } from '../base/result.js';
 import type { Result } from '../base/result.js';
 
-/** Why a file operation failed; `diskFull` is told apart, as making room mends it. */
+/** Why a file operation failed. `diskFull` is a separate error because freeing space resolves it. */
 export type DiskError =
   | { readonly tag: 'diskFailed'; readonly file: string; readonly code: string }
   | { readonly tag: 'diskFull'; readonly file: string };
 
-/** An open file of fixed size: reads and writes at offsets, and a sync that makes written data durable. */
+/** An open file of fixed size: a read from its start, writes at offsets, and a sync that makes written data durable. */
 export type DiskFile = {
   readonly read: (length?: number) => Promise<Result<Buffer, DiskError>>;
   readonly write: (at: number, data: Buffer) => Promise<Result<null, DiskError>>;
   readonly sync: () => Promise<Result<null, DiskError>>;
 };
 
-/** The data folder of one node. `replace` swaps a whole file atomically; `load` gives null for a file that does not exist. */
+/**
+ * The data folder of one node. `replace` swaps a file atomically; `load` returns null for a file that does not exist.
+ */
 export interface Disk {
   list(): Promise<Result<string[], DiskError>>;
   preallocated(name: string, size: number): Promise<Result<DiskFile, DiskError>>;
@@ -37,9 +39,9 @@
   return code === 'ENOSPC' || code === 'EDQUOT' ? { tag: 'diskFull', file } : { tag: 'diskFailed', file, code };
 }
 
-async function guarded<T>(file: string, callback: () => Promise<T>): Promise<Result<T, DiskError>> {
+async function asResult<T>(file: string, operation: () => Promise<T>): Promise<Result<T, DiskError>> {
   try {
-    return ok(await callback());
+    return ok(await operation());
   } catch (error) {
     return err(errorOf(file, error));
   }
@@ -58,44 +60,44 @@
   }
 
   list(): Promise<Result<string[], DiskError>> {
-    const readFolder = async (): Promise<string[]> => {
+    const listFolder = async (): Promise<string[]> => {
       await mkdir(this.folder, { recursive: true });
       return (await readdir(this.folder)).sort();
     };
-    return guarded(this.folder, readFolder);
+    return asResult(this.folder, listFolder);
   }
 
   private fileOf(name: string, handle: FileHandle, size: number): DiskFile {
     function read(length = size): Promise<Result<Buffer, DiskError>> {
-      async function go(): Promise<Buffer> {
-        const buf = Buffer.alloc(Math.min(length, size));
-        let at = 0;
-        while (at < buf.length) {
-          const { bytesRead } = await handle.read(buf, at, buf.length - at, at);
+      async function readFully(): Promise<Buffer> {
+        const buffer = Buffer.alloc(Math.min(length, size));
+        let offset = 0;
+        while (offset < buffer.length) {
+          const { bytesRead } = await handle.read(buffer, offset, buffer.length - offset, offset);
           if (bytesRead === 0) break;
-          at += bytesRead;
+          offset += bytesRead;
         }
-        return buf;
+        return buffer;
       }
-      return guarded(name, go);
+      return asResult(name, readFully);
     }
-    function write(at: number, data: Buffer): Promise<Result<null, DiskError>> {
-      async function go(): Promise<null> {
-        let done = 0;
-        while (done < data.length) {
-          const { bytesWritten } = await handle.write(data, done, data.length - done, at + done);
-          done += bytesWritten;
+    function write(offset: number, data: Buffer): Promise<Result<null, DiskError>> {
+      async function writeFully(): Promise<null> {
+        let written = 0;
+        while (written < data.length) {
+          const { bytesWritten } = await handle.write(data, written, data.length - written, offset + written);
+          written += bytesWritten;
         }
         return null;
       }
-      return guarded(name, go);
+      return asResult(name, writeFully);
     }
     function sync(): Promise<Result<null, DiskError>> {
-      async function go(): Promise<null> {
+      async function syncData(): Promise<null> {
         await handle.datasync();
         return null;
       }
-      return guarded(name, go);
+      return asResult(name, syncData);
     }
     return { read, write, sync };
   }
@@ -104,45 +106,45 @@
     const openFile = async (): Promise<DiskFile> => {
       await mkdir(this.folder, { recursive: true });
       const path = join(this.folder, name);
-      const handle = await open(path, 'a').then(reopened);
-      function reopened(made: FileHandle): Promise<FileHandle> {
-        return made.close().then(again);
+      const handle = await open(path, 'a').then(closeAndReopen);
+      function closeAndReopen(created: FileHandle): Promise<FileHandle> {
+        return created.close().then(reopen);
       }
-      function again(): Promise<FileHandle> {
+      function reopen(): Promise<FileHandle> {
         return open(path, 'r+');
       }
-      const has = (await handle.stat()).size;
-      const block = Buffer.alloc(Math.min(BLOCK_BYTES, Math.max(0, size - has)));
-      for (let at = has; at < size; at += BLOCK_BYTES) {
-        await handle.write(block, 0, Math.min(block.length, size - at), at);
+      const currentSize = (await handle.stat()).size;
+      const zeros = Buffer.alloc(Math.min(BLOCK_BYTES, Math.max(0, size - currentSize)));
+      for (let offset = currentSize; offset < size; offset += BLOCK_BYTES) {
+        await handle.write(zeros, 0, Math.min(zeros.length, size - offset), offset);
       }
       await handle.sync();
       await this.syncFolder();
       return this.fileOf(name, handle, size);
     };
-    return guarded(name, openFile);
+    return asResult(name, openFile);
   }
 
   replace(name: string, data: Buffer): Promise<Result<null, DiskError>> {
     const writeFile = async (): Promise<null> => {
       await mkdir(this.folder, { recursive: true });
-      const tmp = join(this.folder, `${name}.new`);
-      const handle = await open(tmp, 'w');
+      const temporaryPath = join(this.folder, `${name}.new`);
+      const handle = await open(temporaryPath, 'w');
       try {
         await handle.writeFile(data);
         await handle.sync();
       } finally {
         await handle.close();
       }
-      await rename(tmp, join(this.folder, name));
+      await rename(temporaryPath, join(this.folder, name));
       await this.syncFolder();
       return null;
     };
-    return guarded(name, writeFile);
+    return asResult(name, writeFile);
   }
 
   load(name: string): Promise<Result<Buffer | null, DiskError>> {
-    const readWhole = async (): Promise<Buffer | null> => {
+    const readIfExists = async (): Promise<Buffer | null> => {
       try {
         return await readFile(join(this.folder, name));
       } catch (error) {
@@ -150,11 +152,11 @@
         return Promise.reject(error instanceof Error ? error : new Error(String(error)));
       }
     };
-    return guarded(name, readWhole);
+    return asResult(name, readIfExists);
   }
 }
 
-/** A disk over a folder, made when first needed. */
+/** Creates a disk on a folder, which is created when it is first used. */
 export function createFolderDisk(folder: string): Disk {
   return new FolderDisk(folder);
 }
--- a/src/transport/http-client.ts
+++ b/src/transport/http-client.ts
@@ -1,6 +1,6 @@
 /**
- * Outgoing HTTP calls, on `got`. Faults tell whether a request may have reached the other side:
- * only `neverSent` promises that it has not. Nothing is retried here.
+ * Outgoing HTTP calls, implemented with `got`. Errors say whether a request may have reached the server:
+ * only `neverSent` guarantees that it has not. Nothing is retried here.
  */
 
 import got from 'got';
@@ -11,12 +11,12 @@
 import type { Result } from '../base/result.js';
 import type { HttpClient, HttpAnswer, HttpCall, HttpError } from './http.js';
 
-const BEFORE_SENDING = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'ENOTFOUND', 'EADDRNOTAVAIL']);
+const NOT_SENT_CODES = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'ENOTFOUND', 'EADDRNOTAVAIL']);
 
 function errorOf(error: unknown): HttpError {
   const code = typeof error === 'object' && error !== null && 'code' in error ? String(error.code) : '';
   const event = typeof error === 'object' && error !== null && 'event' in error ? String(error.event) : '';
-  if (BEFORE_SENDING.has(code) || event === 'connect' || event === 'lookup') return { tag: 'neverSent' };
+  if (NOT_SENT_CODES.has(code) || event === 'connect' || event === 'lookup') return { tag: 'neverSent' };
   if (code === 'ETIMEDOUT') return { tag: 'timedOut' };
   return { tag: 'broken' };
 }
@@ -27,13 +27,13 @@
   return out;
 }
 
-async function* nothing(): AsyncGenerator<Result<unknown, HttpError>> {}
+async function* noLines(): AsyncGenerator<Result<unknown, HttpError>> {}
 
-/** A client that keeps connections open; dialling takes at most `connectTimeoutMs`. */
+/** Creates a client with keep-alive connections. Connecting takes at most `connectTimeoutMs`. */
 export function createGotHttpClient(connectTimeoutMs: number): HttpClient {
   const agent = { http: new Agent({ keepAlive: true, maxSockets: 512, maxFreeSockets: 64 }) };
 
-  async function requestWhole(call: HttpCall): Promise<Result<HttpAnswer, HttpError>> {
+  async function requestBuffered(call: HttpCall): Promise<Result<HttpAnswer, HttpError>> {
     try {
       const res = await got(`http://${call.address}${call.path}`, {
         method: call.method,
@@ -52,11 +52,11 @@
         try {
           body = JSON.parse(res.body);
         } catch {
-          const plain = !String(res.headers['content-type'] ?? '').includes('json');
-          if (!plain || res.statusCode === 200) return err({ tag: 'notJson' });
+          const isOtherType = !String(res.headers['content-type'] ?? '').includes('json');
+          if (!isOtherType || res.statusCode === 200) return err({ tag: 'notJson' });
         }
       }
-      return ok({ status: res.statusCode, headers: headersOf(res), body, lines: nothing(), abandon: noop });
+      return ok({ status: res.statusCode, headers: headersOf(res), body, lines: noLines(), abandon: noop });
     } catch (error) {
       return err(errorOf(error));
     }
@@ -64,7 +64,7 @@
 
   function noop(): void {}
 
-  function streamed(call: HttpCall): Promise<Result<HttpAnswer, HttpError>> {
+  function requestStreamed(call: HttpCall): Promise<Result<HttpAnswer, HttpError>> {
     function start(resolve: (result: Result<HttpAnswer, HttpError>) => void): void {
       const stream = got.stream(`http://${call.address}${call.path}`, {
         method: call.method,
@@ -77,17 +77,17 @@
         timeout: { request: call.timeoutMs, connect: connectTimeoutMs },
         ...(call.signal ? { signal: call.signal } : {}),
       });
-      let broke: HttpError | null = null;
-      let answered = false;
+      let streamError: HttpError | null = null;
+      let isSettled = false;
       function abandon(): void {
         stream.destroy();
       }
-      function failed(error: unknown): void {
-        broke = errorOf(error);
-        if (!answered) resolve(err(broke));
-        answered = true;
+      function onError(error: unknown): void {
+        streamError = errorOf(error);
+        if (!isSettled) resolve(err(streamError));
+        isSettled = true;
       }
-      async function* linesOf(res: IncomingMessage): AsyncGenerator<Result<unknown, HttpError>> {
+      async function* readLines(res: IncomingMessage): AsyncGenerator<Result<unknown, HttpError>> {
         const reader = createInterface({ input: stream, crlfDelay: Infinity });
         try {
           for await (const text of reader) {
@@ -102,12 +102,12 @@
             yield ok(line);
           }
         } catch (error) {
-          broke = errorOf(error);
+          streamError = errorOf(error);
         } finally {
           reader.close();
           stream.destroy();
         }
-        if (broke) yield err(broke);
+        if (streamError) yield err(streamError);
         else if (!res.complete) yield err({ tag: 'broken' });
       }
       async function readCompleteResponse(res: IncomingMessage): Promise<void> {
@@ -116,29 +116,31 @@
           for await (const chunk of stream) chunks.push(String(chunk));
           const text = chunks.join('');
           const body: unknown = text === '' ? null : JSON.parse(text);
-          resolve(ok({ status: res.statusCode ?? 0, headers: headersOf(res), body, lines: nothing(), abandon }));
+          resolve(ok({ status: res.statusCode ?? 0, headers: headersOf(res), body, lines: noLines(), abandon }));
         } catch (error) {
           resolve(err(error instanceof SyntaxError ? { tag: 'notJson' } : errorOf(error)));
         }
       }
-      function response(res: IncomingMessage): void {
-        if (answered) return;
-        answered = true;
-        const type = res.headers['content-type'] ?? '';
-        if (!type.includes('ndjson')) {
+      function onResponse(res: IncomingMessage): void {
+        if (isSettled) return;
+        isSettled = true;
+        const contentType = res.headers['content-type'] ?? '';
+        if (!contentType.includes('ndjson')) {
           void readCompleteResponse(res);
           return;
         }
-        resolve(ok({ status: res.statusCode ?? 0, headers: headersOf(res), body: null, lines: linesOf(res), abandon }));
+        resolve(
+          ok({ status: res.statusCode ?? 0, headers: headersOf(res), body: null, lines: readLines(res), abandon }),
+        );
       }
-      stream.on('error', failed);
-      stream.once('response', response);
+      stream.on('error', onError);
+      stream.once('response', onResponse);
     }
     return new Promise(start);
   }
 
   function call(httpCall: HttpCall): Promise<Result<HttpAnswer, HttpError>> {
-    return httpCall.stream ? streamed(httpCall) : requestWhole(httpCall);
+    return httpCall.stream ? requestStreamed(httpCall) : requestBuffered(httpCall);
   }
   return { call };
 }
--- a/src/transport/http-connections.test.ts
+++ b/src/transport/http-connections.test.ts
@@ -9,14 +9,14 @@
 
 const LIMITS = { intakeMs: 2_000, longestMs: 7_000 };
 
-type Rig = {
+type TestServer = {
   readonly world: World;
   readonly server: Server;
   readonly connections: HttpConnections;
   readonly port: number;
   readonly requests: { readonly req: IncomingMessage; readonly res: ServerResponse }[];
 };
-/** One connection of a caller: what it was told, and whether it has ended. */
+/** One connection of a caller: the text it received, and whether the connection has closed. */
 type Caller = { readonly socket: Socket; text: string; ended: boolean };
 
 const callers: Caller[] = [];
@@ -24,7 +24,7 @@
   for (const caller of callers.splice(0)) caller.socket.destroy();
 });
 
-async function rig(): Promise<Rig> {
+async function startServer(): Promise<TestServer> {
   const world = createWorld(1);
   const server = createServer();
   const connections = new HttpConnections(server, world.clockOf(world.begin(world.host('server', 'zone'))));
@@ -34,140 +34,141 @@
   return { world, server, connections, port: (server.address() as AddressInfo).port, requests };
 }
 
-/** Until `isSo`, by turns of the event loop. */
-async function until(isSo: () => boolean): Promise<void> {
-  while (!isSo()) await new Promise((done) => setImmediate(done));
+/** Waits until `condition` holds, checking it at each event loop tick. */
+async function until(condition: () => boolean): Promise<void> {
+  while (!condition()) await new Promise((done) => setImmediate(done));
 }
 
-async function connected(at: Rig, bytes: string): Promise<Caller> {
-  const before = await connectionCount(at);
-  const socket = createConnection(at.port, '127.0.0.1');
+async function connectCaller(fixture: TestServer, bytes: string): Promise<Caller> {
+  const before = await connectionCount(fixture);
+  const socket = createConnection(fixture.port, '127.0.0.1');
   const caller: Caller = { socket, text: '', ended: false };
   callers.push(caller);
   socket.on('data', (part) => (caller.text += part.toString()));
   socket.on('error', () => undefined);
   socket.on('close', () => (caller.ended = true));
   if (bytes !== '') socket.write(bytes);
-  while ((await connectionCount(at)) === before) await new Promise((done) => setImmediate(done));
+  while ((await connectionCount(fixture)) === before) await new Promise((done) => setImmediate(done));
   return caller;
 }
-function connectionCount(at: Rig): Promise<number> {
-  return new Promise((done) => at.server.getConnections((_error, count) => done(count)));
+function connectionCount(fixture: TestServer): Promise<number> {
+  return new Promise((done) => fixture.server.getConnections((_error, count) => done(count)));
 }
 
-const HALF_BODY = 'POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\n1234';
+const INCOMPLETE_REQUEST = 'POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\n1234';
 
 describe('a server that stops', () => {
-  // Guards against a stop that a silent caller holds up: the runtime counts it as busy until it has sent a request.
-  test('ends connections without a request at once: silent, half a head, idle', async () => {
-    const at = await rig();
-    const silent = await connected(at, '');
-    const halfHead = await connected(at, 'POST / HTTP/1.1\r\nHo');
-    const idle = await connected(at, 'GET / HTTP/1.1\r\nHost: a\r\n\r\n');
-    await until(() => at.requests.length === 1);
-    at.requests[0]?.res.end('ok');
-    await until(() => idle.text.includes('ok') && at.connections.inFlight() === 0);
-    const stopped = at.connections.stop(LIMITS);
-    await until(() => silent.ended && halfHead.ended && idle.ended);
+  // Guards against a stop that a caller without a request blocks: the runtime counts its connection as busy until it
+  // has sent a request.
+  test('closes connections without a request at once: no bytes, an incomplete head, idle', async () => {
+    const fixture = await startServer();
+    const withoutBytes = await connectCaller(fixture, '');
+    const halfHead = await connectCaller(fixture, 'POST / HTTP/1.1\r\nHo');
+    const idle = await connectCaller(fixture, 'GET / HTTP/1.1\r\nHost: a\r\n\r\n');
+    await until(() => fixture.requests.length === 1);
+    fixture.requests[0]?.res.end('ok');
+    await until(() => idle.text.includes('ok') && fixture.connections.inFlight() === 0);
+    const stopped = fixture.connections.stop(LIMITS);
+    await until(() => withoutBytes.ended && halfHead.ended && idle.ended);
     await stopped;
   });
 
-  test('answers what it has read, and says that the connection ends', async () => {
-    const at = await rig();
-    const busy = await connected(at, 'GET / HTTP/1.1\r\nHost: a\r\n\r\n');
-    await until(() => at.requests.length === 1);
-    const stopped = at.connections.stop(LIMITS);
-    await at.world.advance(6_000);
-    expect([at.connections.inFlight(), busy.ended]).toEqual([1, false]);
-    at.requests[0]?.res.end('in the end');
+  test('responds to what it has read, and closes the connection afterwards', async () => {
+    const fixture = await startServer();
+    const busy = await connectCaller(fixture, 'GET / HTTP/1.1\r\nHost: a\r\n\r\n');
+    await until(() => fixture.requests.length === 1);
+    const stopped = fixture.connections.stop(LIMITS);
+    await fixture.world.advance(6_000);
+    expect([fixture.connections.inFlight(), busy.ended]).toEqual([1, false]);
+    fixture.requests[0]?.res.end('in the end');
     await stopped;
     await until(() => busy.ended);
     expect(busy.text).toMatch(/^HTTP\/1.1 200 [^]*in the end/);
   });
 
-  test('ends a connection whose answer was begun before the stop, as kept open, once that is complete', async () => {
-    const at = await rig();
-    const busy = await connected(at, 'GET / HTTP/1.1\r\nHost: a\r\n\r\n');
-    await until(() => at.requests.length === 1);
-    at.requests[0]?.res.writeHead(200, { 'Content-Length': 4 });
-    at.requests[0]?.res.write('ab');
+  test('closes a connection whose response began before the stop, as keep-alive, once the response is complete', async () => {
+    const fixture = await startServer();
+    const busy = await connectCaller(fixture, 'GET / HTTP/1.1\r\nHost: a\r\n\r\n');
+    await until(() => fixture.requests.length === 1);
+    fixture.requests[0]?.res.writeHead(200, { 'Content-Length': 4 });
+    fixture.requests[0]?.res.write('ab');
     await until(() => busy.text.includes('ab'));
-    const stopped = at.connections.stop(LIMITS);
-    at.requests[0]?.res.end('cd');
+    const stopped = fixture.connections.stop(LIMITS);
+    fixture.requests[0]?.res.end('cd');
     await stopped;
     await until(() => busy.ended);
     expect(busy.text).toMatch(/abcd/);
   });
 
-  test('waits for a body until the intake is over, then refuses it with 503 and lets the caller read that', async () => {
-    const at = await rig();
-    const caller = await connected(at, HALF_BODY);
-    await until(() => at.requests.length === 1);
-    const stopped = at.connections.stop(LIMITS);
-    await at.world.advance(1_900);
+  test('waits for a body until the receive timeout, then rejects it with 503 and lets the caller read that', async () => {
+    const fixture = await startServer();
+    const caller = await connectCaller(fixture, INCOMPLETE_REQUEST);
+    await until(() => fixture.requests.length === 1);
+    const stopped = fixture.connections.stop(LIMITS);
+    await fixture.world.advance(1_900);
     expect(caller.text).toBe('');
-    await at.world.advance(200);
+    await fixture.world.advance(200);
     await until(() => caller.text.includes('stopping'));
     expect(caller.text).toMatch(/^HTTP\/1.1 503 [^]*Connection: close/);
-    expect([caller.ended, at.requests[0]?.res.headersSent]).toEqual([false, true]);
+    expect([caller.ended, fixture.requests[0]?.res.headersSent]).toEqual([false, true]);
     caller.socket.write('56789');
     await until(() => caller.ended);
     await stopped;
   });
 
-  test('does not wait for a refused caller that goes on sending for longer than a second', async () => {
-    const at = await rig();
-    const caller = await connected(at, HALF_BODY);
-    await until(() => at.requests.length === 1);
-    const stopped = at.connections.stop(LIMITS);
-    await at.world.advance(2_100);
+  test('does not wait longer than a second for a rejected caller that continues to send', async () => {
+    const fixture = await startServer();
+    const caller = await connectCaller(fixture, INCOMPLETE_REQUEST);
+    await until(() => fixture.requests.length === 1);
+    const stopped = fixture.connections.stop(LIMITS);
+    await fixture.world.advance(2_100);
     await until(() => caller.text.includes('stopping'));
-    await at.world.advance(1_000);
+    await fixture.world.advance(1_000);
     await stopped;
   });
 
-  test('takes a body that arrives within the intake', async () => {
-    const at = await rig();
-    const caller = await connected(at, HALF_BODY);
-    await until(() => at.requests.length === 1);
-    const stopped = at.connections.stop(LIMITS);
+  test('accepts a body that arrives within the receive timeout', async () => {
+    const fixture = await startServer();
+    const caller = await connectCaller(fixture, INCOMPLETE_REQUEST);
+    await until(() => fixture.requests.length === 1);
+    const stopped = fixture.connections.stop(LIMITS);
     caller.socket.write('56789');
-    at.requests[0]?.req.resume();
-    await until(() => at.requests[0]?.req.complete === true);
-    await at.world.advance(2_100);
-    at.requests[0]?.res.end('taken');
+    fixture.requests[0]?.req.resume();
+    await until(() => fixture.requests[0]?.req.complete === true);
+    await fixture.world.advance(2_100);
+    fixture.requests[0]?.res.end('taken');
     await stopped;
     await until(() => caller.ended);
     expect(caller.text).toMatch(/^HTTP\/1.1 200 [^]*taken/);
   });
 
-  test('breaks off what is not answered when its time is over', async () => {
-    const at = await rig();
-    const busy = await connected(at, 'GET / HTTP/1.1\r\nHost: a\r\n\r\n');
-    await until(() => at.requests.length === 1);
-    const stopped = at.connections.stop(LIMITS);
-    await at.world.advance(LIMITS.longestMs + 100);
+  test('closes connections without a response when the stop times out', async () => {
+    const fixture = await startServer();
+    const busy = await connectCaller(fixture, 'GET / HTTP/1.1\r\nHost: a\r\n\r\n');
+    await until(() => fixture.requests.length === 1);
+    const stopped = fixture.connections.stop(LIMITS);
+    await fixture.world.advance(LIMITS.longestMs + 100);
     await stopped;
     await until(() => busy.ended);
     expect(busy.text).toBe('');
   });
 });
 
-// Guards against a process that ends while an answer still lies in its memory, because its caller reads slowly.
-test('an answer is in flight until its caller has taken what the operating system does not hold', async () => {
-  const at = await rig();
+// Guards against a process that exits while part of a response is still in its memory, because the caller reads slowly.
+test('a response is in flight until the operating system holds all of it that its caller has not read', async () => {
+  const fixture = await startServer();
   const size = 64 * 1_048_576;
-  let read = 0;
+  let receivedBytes = 0;
   const response = await new Promise<IncomingMessage>((done) => {
-    const sent = request({ host: '127.0.0.1', port: at.port, agent: false }, done);
+    const sent = request({ host: '127.0.0.1', port: fixture.port, agent: false }, done);
     sent.end();
-    void until(() => at.requests.length === 1).then(() => at.requests[0]?.res.end(Buffer.alloc(size)));
+    void until(() => fixture.requests.length === 1).then(() => fixture.requests[0]?.res.end(Buffer.alloc(size)));
   });
   for (let turns = 0; turns < 1_000; turns += 1) await new Promise((done) => setImmediate(done));
-  expect(at.connections.inFlight()).toBe(1);
-  const stopped = at.connections.stop(LIMITS);
-  response.on('data', (part: Buffer) => (read += part.length));
+  expect(fixture.connections.inFlight()).toBe(1);
+  const stopped = fixture.connections.stop(LIMITS);
+  response.on('data', (part: Buffer) => (receivedBytes += part.length));
   await stopped;
-  await until(() => read === size);
-  expect(at.connections.inFlight()).toBe(0);
+  await until(() => receivedBytes === size);
+  expect(fixture.connections.inFlight()).toBe(0);
 });
--- a/src/transport/http-connections.ts
+++ b/src/transport/http-connections.ts
@@ -1,8 +1,8 @@
 /**
- * The connections of a `node:http` server, closed in order when the server stops: those that carry no request end at once,
- * requests that are still being read get a while to arrive, and those that were read get their answer. The runtime's own
- * `closeIdleConnections` spares connections that have not begun a request, for any length of time, and ends those whose
- * answer is still being written.
+ * Tracks the connections of a `node:http` server and closes them gracefully when the server stops. Connections
+ * without a request are closed at once, incomplete requests get some time to arrive, and complete requests get their
+ * response. The runtime's own `closeIdleConnections` is no replacement: it keeps connections that have not begun a
+ * request, for any length of time, and closes connections whose response is still being written.
  */
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import { Server as NetServer } from 'node:net';
@@ -10,33 +10,36 @@
 import { createClock } from './clock.js';
 import type { Clock, Timer } from './clock.js';
 
-/** How a stopping server treats what it has not answered; both times count from the stop, in milliseconds. */
+/** Deadlines of a graceful stop, in milliseconds from its start. */
 export type StopLimits = {
-  /** A request that has not arrived whole by then is refused with 503. */
+  /** A request that is still incomplete by then is rejected with 503. */
   readonly intakeMs: number;
-  /** What has not been answered by then is broken off. */
+  /** Connections whose request has no complete response by then are closed. */
   readonly longestMs: number;
 };
 
-/** Ends everything at once. */
-export const AT_ONCE: StopLimits = { intakeMs: 0, longestMs: 0 };
+/** Closes all connections at once. */
+export const STOP_IMMEDIATELY: StopLimits = { intakeMs: 0, longestMs: 0 };
 
-/** A call that has not arrived whole so long after the stop is refused, in milliseconds. */
-const INTAKE_MS = 2_000;
+/** A request that is still incomplete this long after the stop is rejected, in milliseconds. */
+const RECEIVE_TIMEOUT_MS = 2_000;
 
-/** What a server is given that has `longestMs` to stop. */
+/** Returns the limits for a server that must have stopped within `longestMs`. */
 export function stopLimits(longestMs: number): StopLimits {
-  return { intakeMs: Math.min(INTAKE_MS, longestMs), longestMs };
+  return { intakeMs: Math.min(RECEIVE_TIMEOUT_MS, longestMs), longestMs };
 }
 
-type Exchange = { readonly req: IncomingMessage; readonly res: ServerResponse; readonly cameAt: number };
+type Exchange = { readonly req: IncomingMessage; readonly res: ServerResponse; readonly arrivedAt: number };
 
 const SERVICE_UNAVAILABLE = 503;
-const REFUSAL = JSON.stringify({ error: { tag: 'stopping' } });
-/** A caller who is refused while it sends gets so long to read that: a connection closed with unread bytes is reset. */
+const STOPPING_BODY = JSON.stringify({ error: { tag: 'stopping' } });
+/**
+ * A caller that is rejected while it still sends its body has this long to read the response. Closing a connection with
+ * unread bytes resets it, and the caller could lose the response.
+ */
 const LINGER_MS = 1_000;
 
-/** Follows the connections of one server from its start. */
+/** Tracks the connections of one server; created before the server listens. */
 export class HttpConnections {
   private readonly connections = new Map<Socket, Set<Exchange>>();
   private readonly timers = new Set<Timer>();
@@ -50,50 +53,54 @@
     server.on('request', (req: IncomingMessage, res: ServerResponse) => this.onRequest(req, res));
   }
 
-  /** Requests whose answer has not been handed to the operating system in full. */
+  /** Returns the number of requests whose response has not been handed to the operating system completely. */
   inFlight(): number {
     let count = 0;
     for (const exchanges of this.connections.values()) count += exchanges.size;
     return count;
   }
 
-  /** Takes no new connection; those that are open go on. The runtime's `close` of an HTTP server would end some. */
+  /** Stops accepting connections and keeps the open ones. The runtime's `close` of an HTTP server would close some. */
   stopListening(onClosed?: () => void): void {
     NetServer.prototype.close.call(this.server, onClosed);
   }
 
-  /** Ends connections that carry no request, now and from now on. */
-  endIdle(): void {
+  /** Closes connections without a request, now and whenever another one becomes idle. */
+  closeIdle(): void {
     this.isStopping = true;
     for (const [socket, exchanges] of this.connections) if (exchanges.size === 0) socket.destroy();
   }
 
-  /** Takes no new connection, ends all in order, and resolves when none is left. */
+  /** Stops accepting connections, closes all within `limits`, and resolves when none is left. */
   stop(limits: StopLimits): Promise<void> {
     const closed = this.closed();
-    this.endIdle();
+    this.closeIdle();
     if (limits.longestMs <= 0) this.destroyAll();
     else {
-      this.after(limits.intakeMs, () => this.refusePartial());
+      this.after(limits.intakeMs, () => this.rejectIncomplete());
       this.after(limits.longestMs, () => this.destroyAll());
     }
     return closed;
   }
 
-  /** Refuses requests that began `afterMs` ago and have not arrived whole. Their handlers find that a head has been sent. */
-  refusePartial(afterMs = 0): void {
+  /**
+   * Rejects requests that arrived at least `afterMs` ago and are still incomplete. Their handlers can tell from
+   * `headersSent` that a response has been sent.
+   */
+  rejectIncomplete(afterMs = 0): void {
     const latest = this.clock.mono() - afterMs;
     for (const exchanges of this.connections.values())
-      for (const exchange of exchanges) if (exchange.cameAt <= latest && isPartial(exchange)) this.refuse(exchange);
+      for (const exchange of exchanges)
+        if (exchange.arrivedAt <= latest && isIncomplete(exchange)) this.refuse(exchange);
   }
 
   private refuse({ req, res }: Exchange): void {
     res.writeHead(SERVICE_UNAVAILABLE, {
       'Content-Type': 'application/json',
-      'Content-Length': Buffer.byteLength(REFUSAL),
+      'Content-Length': Buffer.byteLength(STOPPING_BODY),
       Connection: 'close',
     });
-    res.write(REFUSAL);
+    res.write(STOPPING_BODY);
     const finish = (): void => {
       timer.cancel();
       this.timers.delete(timer);
@@ -108,7 +115,7 @@
     return new Promise((resolve) => {
       const onClosed = (): void => {
         for (const timer of this.timers) timer.cancel();
-        this.server.close(); // ends the runtime's own checks of connections
+        this.server.close(); // stops the runtime's own connection checks
         resolve();
       };
       this.stopListening(onClosed);
@@ -132,19 +139,19 @@
 
   private onRequest(req: IncomingMessage, res: ServerResponse): void {
     const { socket } = req;
-    const exchange: Exchange = { req, res, cameAt: this.clock.mono() };
+    const exchange: Exchange = { req, res, arrivedAt: this.clock.mono() };
     this.connections.get(socket)?.add(exchange);
-    res.on('close', () => this.onAnswered(socket, exchange));
+    res.on('close', () => this.onResponseClosed(socket, exchange));
   }
 
-  /** An answer whose head went out before the stop did not tell that its connection ends with it. */
-  private onAnswered(socket: Socket, exchange: Exchange): void {
+  /** During a stop, closes the connection: a head that was sent before did not announce `Connection: close`. */
+  private onResponseClosed(socket: Socket, exchange: Exchange): void {
     const exchanges = this.connections.get(socket);
     exchanges?.delete(exchange);
     if (this.isStopping && exchanges?.size === 0) socket.destroySoon();
   }
 }
 
-function isPartial({ req, res }: Exchange): boolean {
+function isIncomplete({ req, res }: Exchange): boolean {
   return !req.complete && !res.headersSent;
 }
--- a/src/transport/http-server.test.ts
+++ b/src/transport/http-server.test.ts
@@ -9,12 +9,12 @@
 import type { Result } from '../base/result.js';
 
 let httpServer: Listener;
-let hasty: Listener;
-let read = 0;
+let shortTimeoutServer: Listener;
+let echoCalls = 0;
 const httpClient = createGotHttpClient(1_000);
 
 async function echo(req: HttpRequest): Promise<HttpReply> {
-  read += 1;
+  echoCalls += 1;
   return { status: 200, body: { got: req.body, id: req.params['id'], q: req.query['q'] } };
 }
 function gate(req: HttpRequest): HttpReply | null {
@@ -22,31 +22,31 @@
     ? null
     : { status: 503, headers: { 'retry-after': '1' }, body: { error: { tag: 'shed' } } };
 }
-async function* three(): AsyncGenerator<unknown> {
+async function* threeLines(): AsyncGenerator<unknown> {
   yield { n: 1 };
   yield { n: 2 };
   yield { n: 3 };
 }
-async function* endless(): AsyncGenerator<unknown> {
+async function* endlessLines(): AsyncGenerator<unknown> {
   yield { n: 1 };
   await new Promise(() => {});
 }
-async function* cut(): AsyncGenerator<unknown> {
+async function* failingLines(): AsyncGenerator<unknown> {
   yield { n: 1 };
   await Promise.reject(new Error('lost'));
 }
 const routes: Route[] = [
   { method: 'POST', path: '/echo/:id', maxBytes: 1_000, handle: echo },
   { method: 'POST', path: '/gated', gate, handle: echo },
-  { method: 'GET', path: '/three', handle: () => Promise.resolve({ status: 200, lines: three() }) },
-  { method: 'GET', path: '/cut', handle: () => Promise.resolve({ status: 200, lines: cut() }) },
-  { method: 'GET', path: '/endless', handle: () => Promise.resolve({ status: 200, lines: endless() }) },
+  { method: 'GET', path: '/three', handle: () => Promise.resolve({ status: 200, lines: threeLines() }) },
+  { method: 'GET', path: '/cut', handle: () => Promise.resolve({ status: 200, lines: failingLines() }) },
+  { method: 'GET', path: '/endless', handle: () => Promise.resolve({ status: 200, lines: endlessLines() }) },
   { method: 'GET', path: '/boom', handle: () => Promise.reject(new Error('boom')) },
   { method: 'GET', path: '/text', handle: () => Promise.resolve({ status: 200, text: 'plain' }) },
 ];
 
-async function opened(bodyWaitMs?: number): Promise<Listener> {
-  const response = await createExpressHttpServer(createQuietLog().component('httpServer'), bodyWaitMs).open(
+async function openServer(requestTimeoutMs?: number): Promise<Listener> {
+  const response = await createExpressHttpServer(createQuietLog().component('httpServer'), requestTimeoutMs).open(
     '127.0.0.1:0',
     routes,
   );
@@ -54,15 +54,15 @@
   return response.value;
 }
 beforeAll(async () => {
-  httpServer = await opened();
-  hasty = await opened(300);
+  httpServer = await openServer();
+  shortTimeoutServer = await openServer(300);
 });
-afterAll(() => Promise.all([httpServer.close(), hasty.close()]));
+afterAll(() => Promise.all([httpServer.close(), shortTimeoutServer.close()]));
 
 function post(path: string, body: unknown, headers = {}): Promise<Result<HttpAnswer, HttpError>> {
   return httpClient.call({ method: 'POST', address: httpServer.address, path, body, headers, timeoutMs: 3_000 });
 }
-async function lines(path: string): Promise<unknown[]> {
+async function readLines(path: string): Promise<unknown[]> {
   const response = await httpClient.call({
     method: 'GET',
     address: httpServer.address,
@@ -70,17 +70,17 @@
     timeoutMs: 3_000,
     stream: true,
   });
-  const out: unknown[] = [];
-  if (response.ok) for await (const line of response.value.lines) out.push(line.ok ? line.value : line.error.tag);
-  return out;
+  const received: unknown[] = [];
+  if (response.ok) for await (const line of response.value.lines) received.push(line.ok ? line.value : line.error.tag);
+  return received;
 }
 
-describe('the HTTP server and caller', () => {
+describe('the HTTP server and client', () => {
   test('carry JSON, parameters and queries', async () => {
     const response = await post('/echo/7?q=x', { a: 1 });
     expect(response.ok && response.value.body).toEqual({ got: { a: 1 }, id: '7', q: 'x' });
   });
-  test('turn away what is too large or not JSON, typed', async () => {
+  test('reject requests that are too large or not JSON, with typed errors', async () => {
     const large = await post('/echo/7', { a: 'x'.repeat(2_000) });
     expect(large.ok && [large.value.status, large.value.body]).toEqual([413, { error: { tag: 'bodyTooLarge' } }]);
     const res = await fetch(`http://${httpServer.address}/echo/7`, {
@@ -89,32 +89,33 @@
       body: '{"a":',
     });
     expect([res.status, ((await res.json()) as { error: { tag: string } }).error.tag]).toEqual([400, 'malformed']);
-    const lost = await post('/nowhere', {});
-    expect(lost.ok && lost.value.status).toBe(404);
+    const unknown = await post('/nowhere', {});
+    expect(unknown.ok && unknown.value.status).toBe(404);
   });
-  function raw(text: string, hangUp: boolean): Promise<string> {
+  function sendRaw(text: string, hangUp: boolean): Promise<string> {
     return new Promise((done) => {
-      const at = splitAddress(hasty.address);
+      const at = splitAddress(shortTimeoutServer.address);
       const sock = createConnection({ host: at?.host ?? '', port: at?.port ?? 0 });
-      let told = '';
-      sock.on('data', (chunk) => (told += String(chunk)));
-      sock.on('close', () => done(told));
+      let received = '';
+      sock.on('data', (chunk) => (received += String(chunk)));
+      sock.on('close', () => done(received));
       sock.write(text, () => hangUp && sock.destroy());
     });
   }
-  const half = 'POST /echo/7 HTTP/1.1\r\nhost: x\r\ncontent-type: application/json\r\ncontent-length: 40\r\n\r\n{"a":1';
+  const incompleteRequest =
+    'POST /echo/7 HTTP/1.1\r\nhost: x\r\ncontent-type: application/json\r\ncontent-length: 40\r\n\r\n{"a":1';
 
-  test('a body that comes too slowly, or only by half, reaches no handler', async () => {
-    read = 0;
-    expect(await raw(half, false)).toMatch(/^HTTP\/1.1 408 /);
-    expect(await raw('POST /echo/7 HTTP/1.1\r\nhost: x\r\n', false)).toMatch(/^HTTP\/1.1 408 /);
-    await raw(half, true);
+  test('a body that arrives too slowly or only in part reaches no handler', async () => {
+    echoCalls = 0;
+    expect(await sendRaw(incompleteRequest, false)).toMatch(/^HTTP\/1.1 408 /);
+    expect(await sendRaw('POST /echo/7 HTTP/1.1\r\nhost: x\r\n', false)).toMatch(/^HTTP\/1.1 408 /);
+    await sendRaw(incompleteRequest, true);
     const after = await post('/echo/7', { a: 1 });
-    expect([after.ok, read]).toEqual([true, 1]);
-    expect(await (await fetch(`http://${hasty.address}/text`)).text()).toBe('plain');
+    expect([after.ok, echoCalls]).toEqual([true, 1]);
+    expect(await (await fetch(`http://${shortTimeoutServer.address}/text`)).text()).toBe('plain');
   });
 
-  test('a body nested beyond measure, another method and another type are turned away', async () => {
+  test('a body that is nested too deeply and another method are rejected, and a body of another type is not parsed', async () => {
     const deep = await fetch(`http://${httpServer.address}/echo/7`, {
       method: 'POST',
       headers: { 'content-type': 'application/json' },
@@ -140,7 +141,7 @@
     expect(await twice.json()).toEqual({ got: { a: 2 }, id: '7' });
   });
 
-  test('a call that is given up ends at once, and so does the reading of its lines', async () => {
+  test('an aborted call ends at once, and so does the iteration over its lines', async () => {
     const stop = new AbortController();
     const response = await httpClient.call({
       method: 'GET',
@@ -158,39 +159,44 @@
       }
     }
     expect(seen).toEqual([{ n: 1 }, 'broken']);
-    const whole = new AbortController();
+    const bufferedStop = new AbortController();
     const pending = httpClient.call({
       method: 'GET',
       address: httpServer.address,
       path: '/endless',
       timeoutMs: 60_000,
-      signal: whole.signal,
+      signal: bufferedStop.signal,
     });
-    whole.abort();
+    bufferedStop.abort();
     expect(await pending).toEqual({ ok: false, error: { tag: 'broken' } });
   });
 
-  test('a gate judges headers before the body is read', async () => {
-    read = 0;
-    const shut = await post('/gated', { a: 1 });
-    expect(shut.ok && [shut.value.status, shut.value.headers['retry-after']]).toEqual([503, '1']);
-    expect(read).toBe(0);
-    const open = await post('/gated', { a: 1 }, { 'x-pass': 'yes' });
-    expect(open.ok && open.value.status).toBe(200);
+  test('a gate rejects by the headers before the body is read', async () => {
+    echoCalls = 0;
+    const rejected = await post('/gated', { a: 1 });
+    expect(rejected.ok && [rejected.value.status, rejected.value.headers['retry-after']]).toEqual([503, '1']);
+    expect(echoCalls).toBe(0);
+    const admitted = await post('/gated', { a: 1 }, { 'x-pass': 'yes' });
+    expect(admitted.ok && admitted.value.status).toBe(200);
   });
-  test('a stream comes line by line; one that breaks never looks whole', async () => {
-    expect(await lines('/three')).toEqual([{ n: 1 }, { n: 2 }, { n: 3 }]);
-    const torn = await lines('/cut');
-    expect(torn[torn.length - 1]).toBe('broken');
-    expect([[], [{ n: 1 }]]).toContainEqual(torn.slice(0, -1));
+  test('a stream arrives line by line; a truncated one never looks complete', async () => {
+    expect(await readLines('/three')).toEqual([{ n: 1 }, { n: 2 }, { n: 3 }]);
+    const truncated = await readLines('/cut');
+    expect(truncated[truncated.length - 1]).toBe('broken');
+    expect([[], [{ n: 1 }]]).toContainEqual(truncated.slice(0, -1));
   });
-  test('faults are typed', async () => {
-    const boom = await httpClient.call({ method: 'GET', address: httpServer.address, path: '/boom', timeoutMs: 3_000 });
-    expect(boom.ok && boom.value.status).toBe(500);
+  test('errors are typed', async () => {
+    const failing = await httpClient.call({
+      method: 'GET',
+      address: httpServer.address,
+      path: '/boom',
+      timeoutMs: 3_000,
+    });
+    expect(failing.ok && failing.value.status).toBe(500);
     const text = await httpClient.call({ method: 'GET', address: httpServer.address, path: '/text', timeoutMs: 3_000 });
     expect(text).toEqual({ ok: false, error: { tag: 'notJson' } });
-    const gone = await httpClient.call({ method: 'GET', address: '127.0.0.1:1', path: '/', timeoutMs: 3_000 });
-    expect(gone).toEqual({ ok: false, error: { tag: 'neverSent' } });
+    const unreachable = await httpClient.call({ method: 'GET', address: '127.0.0.1:1', path: '/', timeoutMs: 3_000 });
+    expect(unreachable).toEqual({ ok: false, error: { tag: 'neverSent' } });
     const twice = await createExpressHttpServer(createQuietLog().component('httpServer')).open(httpServer.address, []);
     expect(twice).toEqual({ ok: false, error: { tag: 'addressInUse', address: httpServer.address } });
   });
--- a/src/transport/http-server.ts
+++ b/src/transport/http-server.ts
@@ -1,7 +1,7 @@
 /**
- * The HTTP server for callers with tickets and for operators, on `express`. Bounds the size,
- * depth and arrival time of bodies before a handler sees them; a handler that fails answers
- * 500 and the server goes on.
+ * The HTTP server for callers with admission tokens and for operators, implemented with `express`. It limits the size,
+ * depth and arrival time of bodies before a handler sees them. If a handler fails, the response is 500 and the server
+ * continues to serve.
  */
 
 import express from 'express';
@@ -11,7 +11,7 @@
 import { deeperThan } from '../base/depth.js';
 import { describeError } from '../base/describe-error.js';
 import { portOf } from './close-server.js';
-import { AT_ONCE, HttpConnections } from './http-connections.js';
+import { STOP_IMMEDIATELY, HttpConnections } from './http-connections.js';
 import { err, ok } from '../base/result.js';
 import type { Result } from '../base/result.js';
 import type { HttpListener, HttpServer, HttpReply, HttpRequest, Route } from './http.js';
@@ -19,11 +19,12 @@
 import { splitAddress } from './wire.js';
 import type { Address, WireError } from './wire.js';
 
-const DEFAULT_MAX_BYTES = 1024 * 1024;
-const BODY_WAIT_MS = 30_000;
-const MOST_DEPTH = 64;
+const DEFAULT_MAX_BODY_BYTES = 1024 * 1024;
+/** Time within which a request must have arrived completely. */
+const REQUEST_TIMEOUT_MS = 30_000;
+const MAX_BODY_DEPTH = 64;
 
-function flat(from: Record<string, unknown>): Record<string, string> {
+function firstValues(from: Record<string, unknown>): Record<string, string> {
   const out: Record<string, string> = {};
   for (const [key, value] of Object.entries(from)) {
     if (typeof value === 'string') out[key] = value;
@@ -32,16 +33,16 @@
   return out;
 }
 
-function shaped(req: Request, res: Response): HttpRequest {
+function toHttpRequest(req: Request, res: Response): HttpRequest {
   function gone(): boolean {
     return res.destroyed || res.closed;
   }
   return {
     method: req.method,
     path: req.path,
-    params: flat(req.params),
-    query: flat(req.query),
-    headers: flat(req.headers),
+    params: firstValues(req.params),
+    query: firstValues(req.query),
+    headers: firstValues(req.headers),
     body: req.body as unknown,
     gone,
   };
@@ -71,34 +72,34 @@
 class ExpressHttpServer implements HttpServer {
   constructor(
     private readonly log: Log,
-    private readonly bodyWaitMs = BODY_WAIT_MS,
+    private readonly requestTimeoutMs = REQUEST_TIMEOUT_MS,
   ) {}
 
   private mount(app: Express, route: Route): void {
-    function gate(req: Request, res: Response, next: NextFunction): void {
-      const early = route.gate?.(shaped(req, res));
-      if (!early) {
+    function replyEarly(req: Request, res: Response, next: NextFunction): void {
+      const earlyReply = route.gate?.(toHttpRequest(req, res));
+      if (!earlyReply) {
         next();
         return;
       }
       res.setHeader('connection', 'close');
-      void sendReply(res, early);
+      void sendReply(res, earlyReply);
     }
     async function handle(req: Request, res: Response): Promise<void> {
       if (res.headersSent) return;
-      if (deeperThan(req.body, MOST_DEPTH)) {
+      if (deeperThan(req.body, MAX_BODY_DEPTH)) {
         await sendReply(res, {
           status: 400,
-          body: { error: { tag: 'malformed', detail: `/: expected at most ${MOST_DEPTH} levels` } },
+          body: { error: { tag: 'malformed', detail: `/: expected at most ${MAX_BODY_DEPTH} levels` } },
         });
         return;
       }
-      const reply = await route.handle(shaped(req, res));
+      const reply = await route.handle(toHttpRequest(req, res));
       await sendReply(res, reply);
     }
-    const parse = express.json({ limit: route.maxBytes ?? DEFAULT_MAX_BYTES, strict: false });
+    const parse = express.json({ limit: route.maxBytes ?? DEFAULT_MAX_BODY_BYTES, strict: false });
     const verb = route.method === 'GET' ? 'get' : route.method === 'POST' ? 'post' : 'delete';
-    app[verb](route.path, gate, parse, handle);
+    app[verb](route.path, replyEarly, parse, handle);
   }
 
   private unknownPath(_req: Request, res: Response): void {
@@ -143,31 +144,31 @@
     const start = (resolve: (result: Result<HttpListener, WireError>) => void): void => {
       const server = createServer(
         {
-          requestTimeout: this.bodyWaitMs,
-          headersTimeout: this.bodyWaitMs,
-          connectionsCheckingInterval: Math.min(1_000, this.bodyWaitMs / 4),
+          requestTimeout: this.requestTimeoutMs,
+          headersTimeout: this.requestTimeoutMs,
+          connectionsCheckingInterval: Math.min(1_000, this.requestTimeoutMs / 4),
         },
         app,
       );
       server.keepAliveTimeout = 65_000;
-      function bad(): void {
+      function onListenError(): void {
         resolve(err({ tag: 'addressInUse', address }));
       }
       const connections = new HttpConnections(server);
-      function close(limits = AT_ONCE): Promise<void> {
+      function close(limits = STOP_IMMEDIATELY): Promise<void> {
         return connections.stop(limits);
       }
-      function ready(): void {
+      function onListening(): void {
         resolve(ok({ address: `${target.host}:${portOf(server, target.port)}`, close }));
       }
-      server.once('error', bad);
-      server.listen(target.port, target.host, ready);
+      server.once('error', onListenError);
+      server.listen(target.port, target.host, onListening);
     };
     return new Promise(start);
   }
 }
 
-/** A server that logs to `log` and waits at most `bodyWaitMs` for a whole request. */
-export function createExpressHttpServer(log: Log, bodyWaitMs = BODY_WAIT_MS): HttpServer {
-  return new ExpressHttpServer(log, bodyWaitMs);
+/** Creates a server that logs to `log` and waits at most `requestTimeoutMs` for a complete request. */
+export function createExpressHttpServer(log: Log, requestTimeoutMs = REQUEST_TIMEOUT_MS): HttpServer {
+  return new ExpressHttpServer(log, requestTimeoutMs);
 }
--- a/src/transport/http.ts
+++ b/src/transport/http.ts
@@ -1,6 +1,6 @@
 /**
- * HTTP as an interface, both ways, so that tests run on a simulated network. Servers take
- * routes, clients make calls; `http-server.ts` and `http-client.ts` implement it.
+ * Interfaces of HTTP servers and clients, so that tests can run on a simulated network. Servers serve
+ * routes, clients make calls; `http-server.ts` and `http-client.ts` implement them.
  */
 
 import type { Result } from '../base/result.js';
@@ -10,7 +10,7 @@
 /** Header fields by lower-case name. */
 export type Headers = Readonly<Record<string, string>>;
 
-/** A request as a handler sees it; `gone` tells whether its caller has left. */
+/** A request as a handler sees it. `gone` returns whether its caller has disconnected. */
 export type HttpRequest = {
   readonly method: string;
   readonly path: string;
@@ -22,7 +22,7 @@
   readonly cameAt?: number;
 };
 
-/** A reply: one JSON body, one text, or JSON lines that are streamed. */
+/** A response: one JSON body, one text, or a stream of JSON lines. */
 export type HttpReply = {
   readonly status: number;
   readonly headers?: Headers;
@@ -31,7 +31,7 @@
   readonly lines?: AsyncIterable<unknown>;
 };
 
-/** A handler of one method and path; `gate` may refuse by the headers, before the body is read. */
+/** A handler of one method and path. `gate` may reject a request by its headers, before the body is read. */
 export type Route = {
   readonly method: 'GET' | 'POST' | 'DELETE';
   readonly path: string;
@@ -40,7 +40,7 @@
   readonly handle: (req: HttpRequest) => Promise<HttpReply>;
 };
 
-/** A listener that answers what it has read before it is closed; without limits its kind decides how long. */
+/** A listener that responds to the requests it has read before it closes; the default limits depend on its kind. */
 export type HttpListener = Listener & { readonly close: (limits?: StopLimits) => Promise<void> };
 
 /** Opens listeners that serve routes. */
@@ -48,7 +48,7 @@
   open(address: Address, routes: readonly Route[]): Promise<Result<HttpListener, WireError>>;
 }
 
-/** An outgoing call. `timeoutMs` covers all of it; `stream` asks for lines as they come. */
+/** An outgoing call. `timeoutMs` covers the entire call; `stream` requests the response's lines as they arrive. */
 export type HttpCall = {
   readonly method: 'GET' | 'POST' | 'DELETE';
   readonly address: Address;
@@ -60,14 +60,14 @@
   readonly signal?: AbortSignal;
 };
 
-/** Why a call has no answer; only `neverSent` promises that the request did not leave. */
+/** Why a call has no response. Only `neverSent` guarantees that the request was not sent. */
 export type HttpError =
   | { readonly tag: 'neverSent' }
   | { readonly tag: 'broken' }
   | { readonly tag: 'timedOut' }
   | { readonly tag: 'notJson' };
 
-/** An answer; `lines` are those of a stream, and `abandon` ends it early. */
+/** A response. `lines` are those of a streamed response, and `abandon` ends the stream early. */
 export type HttpAnswer = {
   readonly status: number;
   readonly headers: Headers;
--- a/src/transport/journal.ts
+++ b/src/transport/journal.ts
@@ -1,32 +1,32 @@
 /**
- * Journals of the stand-ins: one JSON record a line, read by the checkers after a run. The
- * product itself writes none.
+ * Journals of the stand-in programs: one JSON record per line, read by the checkers after a run.
+ * The product itself writes no journal.
  */
 
 import { createWriteStream } from 'node:fs';
 
-/** Takes records; `close` resolves when all are written. */
+/** Writes records; `close` resolves when all are written. */
 export type Journal = {
   readonly record: (record: Readonly<Record<string, unknown>>) => void;
   readonly close: () => Promise<void>;
 };
 
-/** A journal that appends to a file. */
+/** Creates a journal that appends to a file. */
 export function createFileJournal(path: string): Journal {
-  const out = createWriteStream(path, { flags: 'a' });
+  const file = createWriteStream(path, { flags: 'a' });
   function append(record: Readonly<Record<string, unknown>>): void {
-    out.write(`${JSON.stringify(record)}\n`);
+    file.write(`${JSON.stringify(record)}\n`);
   }
   function close(): Promise<void> {
     function start(resolve: () => void): void {
-      out.end(resolve);
+      file.end(resolve);
     }
     return new Promise(start);
   }
   return { record: append, close };
 }
 
-/** A journal that drops everything. */
+/** Creates a journal that discards all records. */
 export function createNoJournal(): Journal {
   function record(): void {}
   function close(): Promise<void> {
--- a/src/transport/line-log.ts
+++ b/src/transport/line-log.ts
@@ -1,17 +1,17 @@
 /**
- * A log without a library: plain lines on standard error. The platform's roles use it, as
- * they start from a snapshot of the process and hold little else.
+ * A log without a logging library: plain lines on standard error. The platform's roles use it because
+ * they start from a snapshot of the process and have to stay small.
  */
 
-import { textLine } from './log-line.js';
+import { formatTextLine } from './log-line.js';
 import type { LogFields } from './log-line.js';
 import type { Log, LogRoot } from './log.js';
 
 function write(level: string, component: string, event: string, fields: LogFields = {}): void {
-  process.stderr.write(textLine({ time: new Date(), level, component, event, fields }));
+  process.stderr.write(formatTextLine({ time: new Date(), level, component, event, fields }));
 }
 
-/** A log that writes each line at once. */
+/** Creates a log that writes each line immediately. */
 export function createLineLog(): LogRoot {
   function component(name: string): Log {
     return {
--- a/src/transport/log-line.test.ts
+++ b/src/transport/log-line.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, test } from '@jest/globals';
-import { jsonLine, textLine } from './log-line.js';
+import { formatJsonLine, formatTextLine } from './log-line.js';
 import type { LogLine } from './log-line.js';
 
 const LINE: LogLine = {
@@ -11,18 +11,18 @@
 };
 
 describe('a log line', () => {
-  test('as text quotes the values that have a blank or a quote, and empty ones', () => {
-    expect(textLine(LINE)).toBe(
+  test('as text quotes empty values and those that contain a space or a quote', () => {
+    expect(formatTextLine(LINE)).toBe(
       '1970-01-01T00:00:00.000Z warn  [list] worker list invalid error="no \\"id\\" given" ageMs=12 from="" again=true cause=null\n',
     );
   });
 
   test('without fields ends after its event', () => {
-    expect(textLine({ ...LINE, fields: {} })).toBe('1970-01-01T00:00:00.000Z warn  [list] worker list invalid\n');
+    expect(formatTextLine({ ...LINE, fields: {} })).toBe('1970-01-01T00:00:00.000Z warn  [list] worker list invalid\n');
   });
 
-  test('as JSON is one object with the fields beside the event', () => {
-    const written = jsonLine(LINE);
+  test('as JSON is one object with the fields at the same level as the event', () => {
+    const written = formatJsonLine(LINE);
     expect(written.endsWith('\n')).toBe(true);
     expect(JSON.parse(written)).toEqual({
       time: '1970-01-01T00:00:00.000Z',
--- a/src/transport/log-line.ts
+++ b/src/transport/log-line.ts
@@ -1,14 +1,14 @@
-/** How one line of a log is written, as text or as JSON. Without a library, as both logs use it. */
+/** Formats log lines as text or as JSON. Depends on no logging library, because both log implementations use it. */
 
-/** Fields of a log line. Times end in `Ms` and are milliseconds. */
+/** Fields of a log line. Names of times end in `Ms`, and their values are in milliseconds. */
 export type LogFields = Readonly<Record<string, string | number | boolean | null>>;
 
-/** Forms of a line: for people, or one JSON object. */
+/** Formats of a line: text for people, or one JSON object. */
 export const LOG_FORMATS = ['text', 'json'] as const;
-/** One of these forms. */
+/** One of the log formats. */
 export type LogFormat = (typeof LOG_FORMATS)[number];
 
-/** One line, before it has a form. */
+/** One log line before it is formatted. */
 export type LogLine = {
   readonly time: Date;
   readonly level: string;
@@ -17,25 +17,27 @@
   readonly fields: LogFields;
 };
 
-function shownValue(value: LogFields[string]): string {
+function formatValue(value: LogFields[string]): string {
   const text = String(value);
   return text === '' || /[\s="]/.test(text) ? JSON.stringify(text) : text;
 }
 
-/** The fields as `key=value`, apart by blanks; a value with a blank or a quote stands in quotes. */
+/**
+ * Formats the fields as `key=value`, separated by spaces. Empty values and those with spaces, `"` or `=` are quoted.
+ */
 export function fieldsText(fields: LogFields): string {
-  const shown: string[] = [];
-  for (const [key, value] of Object.entries(fields)) shown.push(`${key}=${shownValue(value)}`);
-  return shown.join(' ');
+  const formatted: string[] = [];
+  for (const [key, value] of Object.entries(fields)) formatted.push(`${key}=${formatValue(value)}`);
+  return formatted.join(' ');
 }
 
-/** The line as text: time, level, component, event, fields. */
-export function textLine({ time, level, component, event, fields }: LogLine): string {
-  const shown = fieldsText(fields);
-  return `${time.toISOString()} ${level.padEnd(5)} [${component}] ${event}${shown === '' ? '' : ` ${shown}`}\n`;
+/** Formats the line as text: time, level, component, event, fields. */
+export function formatTextLine({ time, level, component, event, fields }: LogLine): string {
+  const formatted = fieldsText(fields);
+  return `${time.toISOString()} ${level.padEnd(5)} [${component}] ${event}${formatted === '' ? '' : ` ${formatted}`}\n`;
 }
 
-/** The line as one JSON object: `time`, `level`, `component`, `event`, and the fields beside them. */
-export function jsonLine({ time, level, component, event, fields }: LogLine): string {
+/** Formats the line as one JSON object: `time`, `level`, `component`, `event`, and the fields at the same level. */
+export function formatJsonLine({ time, level, component, event, fields }: LogLine): string {
   return `${JSON.stringify({ time: time.toISOString(), level, component, event, ...fields })}\n`;
 }
--- a/src/transport/log.ts
+++ b/src/transport/log.ts
@@ -1,27 +1,27 @@
 /**
- * Logging as an interface, and its implementation on `consola`. A line is an event, in fixed words, with its fields, so that
- * it can be filtered by either; docs/operations.md lists all events, what they mean and what to do.
+ * The logging interface and its implementation with `consola`. A line consists of a fixed event text and fields, so
+ * that lines can be filtered by either. docs/operations.md lists all events, what they mean and what to do.
  */
 
 import { createConsola } from 'consola';
 import type { LogObject } from 'consola';
-import { jsonLine, textLine } from './log-line.js';
+import { formatJsonLine, formatTextLine } from './log-line.js';
 import type { LogFields, LogFormat, LogLine } from './log-line.js';
 
 export type { LogFields } from './log-line.js';
 
-/** Logs events at a level; an event's words never hold values. */
+/** Logs events at a level. The event text is constant; values belong in the fields. */
 export type Log = {
   readonly info: (event: string, fields?: LogFields) => void;
   readonly warn: (event: string, fields?: LogFields) => void;
   readonly error: (event: string, fields?: LogFields) => void;
 };
 
-/** Gives each component of a node its own log. */
+/** Creates a separate log for each component of a node. */
 export type LogRoot = { readonly component: (name: string) => Log };
 
 const LEVELS = { silent: -999, error: 0, warn: 1, info: 3 } as const;
-/** Lowest level that is written. */
+/** The least severe level that is written. */
 export type LogLevel = keyof typeof LEVELS;
 
 function lineOf(entry: LogObject): LogLine {
@@ -29,13 +29,13 @@
   return { time: entry.date, level: entry.type, component: entry.tag, event, fields };
 }
 
-/** A log on standard error. */
+/** Creates a log that writes to standard error. */
 export function createLogRoot(level: LogLevel, format: LogFormat = 'text'): LogRoot {
-  const shown = format === 'json' ? jsonLine : textLine;
-  function print(entry: LogObject): void {
-    process.stderr.write(shown(lineOf(entry)));
+  const formatLine = format === 'json' ? formatJsonLine : formatTextLine;
+  function write(entry: LogObject): void {
+    process.stderr.write(formatLine(lineOf(entry)));
   }
-  const sink = createConsola({ level: LEVELS[level], reporters: [{ log: print }] });
+  const sink = createConsola({ level: LEVELS[level], reporters: [{ log: write }] });
   function component(name: string): Log {
     const tagged = sink.withTag(name);
     return {
@@ -47,7 +47,7 @@
   return { component };
 }
 
-/** A log that drops everything. */
+/** Creates a log that discards all lines. */
 export function createQuietLog(): LogRoot {
   function drop(): void {}
   function component(): Log {
--- a/src/transport/meters.ts
+++ b/src/transport/meters.ts
@@ -1,11 +1,14 @@
 /**
- * Metrics in Prometheus' text format, on `prom-client`. Values are set when the metrics are
- * read, from counters that their owners keep.
+ * Metrics in the Prometheus text format, implemented with `prom-client`. Values are set when the metrics are
+ * read, from counters that the measured components keep.
  */
 
 import { Counter, Gauge, Registry } from 'prom-client';
 
-/** `set` gives a gauge its value and `count` a counter its total; `text` renders all, and forgets gauges not set again. */
+/**
+ * `set` sets the value of a gauge and `count` the total of a counter. `text` renders all metrics and resets the gauges,
+ * so that label values that are not set again are no longer reported.
+ */
 export interface Meters {
   set(name: string, help: string, value: number, labels?: Readonly<Record<string, string>>): void;
   count(name: string, help: string, total: number, labels?: Readonly<Record<string, string>>): void;
@@ -39,13 +42,13 @@
   }
 
   async text(): Promise<string> {
-    const out = await this.registry.metrics();
+    const rendered = await this.registry.metrics();
     for (const gauge of this.gauges.values()) gauge.reset();
-    return out;
+    return rendered;
   }
 }
 
-/** An empty registry. */
+/** Creates an empty registry. */
 export function createMeters(): Meters {
   return new PrometheusMeters();
 }
--- a/src/transport/opaque-http-server.test.ts
+++ b/src/transport/opaque-http-server.test.ts
@@ -20,24 +20,24 @@
   });
 }
 
-function answerWith(taken: OpaqueRequest, body: string): void {
-  taken.answerer.head(200, ['Content-Length', String(body.length)]);
-  taken.answerer.write(Buffer.from(body));
-  taken.answerer.end();
+function respondWith(req: OpaqueRequest, body: string): void {
+  req.answerer.head(200, ['Content-Length', String(body.length)]);
+  req.answerer.write(Buffer.from(body));
+  req.answerer.end();
 }
 
-test('a server that stops listening ends what is under way, refuses new connections and closes idle ones', async () => {
+test('a server that stops listening completes requests in flight, refuses new connections and closes idle ones', async () => {
   const held: OpaqueRequest[] = [];
-  const opened = await createOpaqueHttpServer().open('127.0.0.1:0', (taken) => {
-    if (taken.target === '/held') held.push(taken);
-    else answerWith(taken, 'at once');
+  const opened = await createOpaqueHttpServer().open('127.0.0.1:0', (req) => {
+    if (req.target === '/held') held.push(req);
+    else respondWith(req, 'at once');
   });
   if (!opened.ok) throw new Error(opened.error.tag);
   const server = opened.value;
   const idle = new Agent({ keepAlive: true, maxSockets: 1 });
   const busy = new Agent({ keepAlive: true, maxSockets: 1 });
   expect(await get(server.address, '/', idle)).toEqual({ status: 200, body: 'at once' });
-  const underWay = get(server.address, '/held', busy);
+  const inFlight = get(server.address, '/held', busy);
   while (held.length === 0) await get(server.address, '/', idle);
 
   server.stopListening();
@@ -45,21 +45,22 @@
 
   expect(await get(server.address, '/', new Agent())).toEqual({ failed: 'ECONNREFUSED' });
   expect(await get(server.address, '/', idle)).toHaveProperty('failed');
-  answerWith(held[0] as OpaqueRequest, 'in the end');
-  expect(await underWay).toEqual({ status: 200, body: 'in the end' });
+  respondWith(held[0] as OpaqueRequest, 'in the end');
+  expect(await inFlight).toEqual({ status: 200, body: 'in the end' });
   expect(await get(server.address, '/', busy)).toHaveProperty('failed');
   await server.close();
   idle.destroy();
   busy.destroy();
 });
 
-// Guards against an answer that is cut off when the server stops listening: the runtime takes its connection for idle.
-test('a server that stops listening lets a caller who reads slowly take its answer to the end', async () => {
+// Guards against a response that is truncated when the server stops listening: the runtime takes its connection for
+// idle.
+test('a server that stops listening lets a slow caller read its response completely', async () => {
   const size = 48 * 1_048_576;
-  const opened = await createOpaqueHttpServer().open('127.0.0.1:0', (taken) => {
-    taken.answerer.head(200, ['Content-Length', String(size)]);
-    taken.answerer.write(Buffer.alloc(size));
-    taken.answerer.end();
+  const opened = await createOpaqueHttpServer().open('127.0.0.1:0', (req) => {
+    req.answerer.head(200, ['Content-Length', String(size)]);
+    req.answerer.write(Buffer.alloc(size));
+    req.answerer.end();
   });
   if (!opened.ok) throw new Error(opened.error.tag);
   const server = opened.value;
@@ -69,15 +70,15 @@
   });
   server.stopListening();
   expect(server.inFlight()).toBe(1);
-  let read = 0;
-  response.on('data', (part: Buffer) => (read += part.length));
+  let receivedBytes = 0;
+  response.on('data', (part: Buffer) => (receivedBytes += part.length));
   await new Promise((resolve) => response.on('close', resolve));
-  expect(read).toBe(size);
+  expect(receivedBytes).toBe(size);
   await server.close();
 });
 
-/** What a server says to these bytes until it ends the connection. */
-function answerTo(address: string, bytes: string): Promise<string> {
+/** Sends these bytes and returns what the server responds until it closes the connection. */
+function responseTo(address: string, bytes: string): Promise<string> {
   return new Promise((resolve) => {
     const [host, port] = address.split(':');
     let text = '';
@@ -89,20 +90,20 @@
   });
 }
 
-// Sending such a request on threw in the connection's callback and ended the proxy's process.
+// Guards against a crash of the proxy process: forwarding such a request threw in a callback of the connection.
 test.each([
   ['a tab in its target', 'POST /a\tb HTTP/1.1\r\nHost: h\r\n'],
   ['a form feed in its target', 'POST /a\fb HTTP/1.1\r\nHost: h\r\n'],
   ['a space in a header name', 'POST /ab HTTP/1.1\r\nHost: h\r\nX One: 1\r\n'],
-])('a request with %s is refused with 400 and not handed on', async (_what, head) => {
-  const handed: string[] = [];
-  const opened = await createOpaqueHttpServer().open('127.0.0.1:0', (taken) => {
-    handed.push(taken.target);
-    answerWith(taken, 'taken');
+])('a request with %s is rejected with 400 and not passed to the handler', async (_description, head) => {
+  const forwardedTargets: string[] = [];
+  const opened = await createOpaqueHttpServer().open('127.0.0.1:0', (req) => {
+    forwardedTargets.push(req.target);
+    respondWith(req, 'taken');
   });
   if (!opened.ok) throw new Error(opened.error.tag);
-  const answer = await answerTo(opened.value.address, `${head}Connection: close\r\nContent-Length: 0\r\n\r\n`);
+  const response = await responseTo(opened.value.address, `${head}Connection: close\r\nContent-Length: 0\r\n\r\n`);
   await opened.value.close();
-  expect(answer).toMatch(/^HTTP\/1\.1 400 .*malformed/s);
-  expect(handed).toEqual([]);
+  expect(response).toMatch(/^HTTP\/1\.1 400 .*malformed/s);
+  expect(forwardedTargets).toEqual([]);
 });
--- a/src/transport/opaque-http-server.ts
+++ b/src/transport/opaque-http-server.ts
@@ -1,14 +1,14 @@
-/** The HTTP server for opaque requests, on `node:http`: headers and bodies pass as they are. */
+/** The HTTP server for opaque requests, implemented with `node:http`: headers and bodies are passed on unchanged. */
 import { createServer } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
 import { err, ok } from '../base/result.js';
 import type { Result } from '../base/result.js';
 import { portOf } from './close-server.js';
-import { AT_ONCE, HttpConnections } from './http-connections.js';
+import { STOP_IMMEDIATELY, HttpConnections } from './http-connections.js';
 import { hasTokenNames, isRequestTarget } from './http-syntax.js';
 import type {
-  Answerer,
+  ResponseWriter,
   BodyError,
   OpaqueHttpServer,
   OpaqueLimits,
@@ -19,50 +19,55 @@
 import { splitAddress } from './wire.js';
 import type { Address, WireError } from './wire.js';
 
-const MOST_HEADER = 65_536;
-const CHECK_MS = 1_000;
+const MAX_HEADER_BYTES = 65_536;
+const TIMEOUT_CHECK_INTERVAL_MS = 1_000;
 const BAD_REQUEST = 400;
-const MALFORMED = JSON.stringify({ error: { tag: 'malformed' } });
+const MALFORMED_BODY = JSON.stringify({ error: { tag: 'malformed' } });
 
-function answererOf(res: ServerResponse): Answerer {
-  const watchers: (() => void)[] = [];
-  let over = false;
-  function closed(): void {
-    if (over || res.writableFinished) return;
-    over = true;
-    for (const callback of watchers) callback();
+function createResponseWriter(res: ServerResponse): ResponseWriter {
+  const goneCallbacks: (() => void)[] = [];
+  let isClosedEarly = false;
+  function onClose(): void {
+    if (isClosedEarly || res.writableFinished) return;
+    isClosedEarly = true;
+    for (const callback of goneCallbacks) callback();
   }
-  res.on('close', closed);
-  function nothing(): void {}
-  res.on('error', nothing);
+  res.on('close', onClose);
+  function ignoreError(): void {}
+  res.on('error', ignoreError);
 
-  let hasBegun = false;
-  /** A request that had not arrived whole when the server stopped has been refused (`refusePartial`). */
-  function isRefused(): boolean {
-    return res.headersSent && !hasBegun;
+  let hasSentHead = false;
+  /**
+   * Whether the server rejected this request because it was incomplete when the server stopped (`rejectIncomplete`).
+   */
+  function isRejected(): boolean {
+    return res.headersSent && !hasSentHead;
   }
   function head(status: number, headers: RawHeaders): void {
     if (res.headersSent || res.destroyed) return;
-    hasBegun = true;
+    hasSentHead = true;
     res.sendDate = false;
     res.writeHead(status, headers as unknown as string[]);
   }
   function write(data: Buffer): void {
-    if (!res.destroyed && !isRefused()) res.write(data);
+    if (!res.destroyed && !isRejected()) res.write(data);
   }
   function end(): void {
-    if (!res.destroyed && !isRefused()) res.end();
+    if (!res.destroyed && !isRejected()) res.end();
   }
-  /** Ends an answer so that it can't look whole: without chunks only a reset tells that more was due. */
+  /**
+   * Ends a response so that the caller can't take it for a complete one: without chunked encoding only a connection
+   * reset shows that it was truncated.
+   */
   function abort(): void {
     if (res.headersSent && !res.chunkedEncoding) res.socket?.resetAndDestroy();
     res.destroy();
   }
   function gone(): boolean {
-    return over || res.destroyed || isRefused();
+    return isClosedEarly || res.destroyed || isRejected();
   }
   function onGone(callback: () => void): void {
-    watchers.push(callback);
+    goneCallbacks.push(callback);
   }
   function begun(): boolean {
     return res.headersSent;
@@ -70,37 +75,37 @@
   return { head, write, end, abort, gone, begun, onGone };
 }
 
-function requestOf(req: IncomingMessage, res: ServerResponse): OpaqueRequest {
+function createRequest(req: IncomingMessage, res: ServerResponse): OpaqueRequest {
   function get(name: string): string | null {
     const value = req.headers[name];
     return typeof value === 'string' ? value : null;
   }
-  function body(most: number): Promise<Result<Buffer, BodyError>> {
+  function body(maxBytes: number): Promise<Result<Buffer, BodyError>> {
     function start(resolve: (result: Result<Buffer, BodyError>) => void): void {
       const chunks: Buffer[] = [];
       let size = 0;
-      let done = false;
-      function finish(result: Result<Buffer, BodyError>): void {
-        if (done) return;
-        done = true;
+      let isSettled = false;
+      function settle(result: Result<Buffer, BodyError>): void {
+        if (isSettled) return;
+        isSettled = true;
         resolve(result);
       }
-      function data(chunk: Buffer): void {
+      function onData(chunk: Buffer): void {
         size += chunk.length;
-        if (size > most) finish(err({ tag: 'bodyTooLarge' }));
+        if (size > maxBytes) settle(err({ tag: 'bodyTooLarge' }));
         else chunks.push(chunk);
       }
-      function end(): void {
-        if (res.headersSent) finish(err({ tag: 'callerGone' }));
-        else finish(ok(chunks.length === 1 ? (chunks[0] as Buffer) : Buffer.concat(chunks)));
+      function onEnd(): void {
+        if (res.headersSent) settle(err({ tag: 'callerGone' }));
+        else settle(ok(chunks.length === 1 ? (chunks[0] as Buffer) : Buffer.concat(chunks)));
       }
-      function gone(): void {
-        finish(err({ tag: 'callerGone' }));
+      function onClosed(): void {
+        settle(err({ tag: 'callerGone' }));
       }
-      req.on('data', data);
-      req.on('end', end);
-      req.on('close', gone);
-      req.on('error', gone);
+      req.on('data', onData);
+      req.on('end', onEnd);
+      req.on('close', onClosed);
+      req.on('error', onClosed);
     }
     return new Promise(start);
   }
@@ -110,7 +115,7 @@
     headers: req.rawHeaders,
     get,
     body,
-    answerer: answererOf(res),
+    answerer: createResponseWriter(res),
   };
 }
 
@@ -118,52 +123,57 @@
   return isRequestTarget(req.url ?? '') && hasTokenNames(req.rawHeaders);
 }
 
-function refuseMalformed(res: ServerResponse): void {
+function rejectMalformed(res: ServerResponse): void {
   res.writeHead(BAD_REQUEST, {
     'Content-Type': 'application/json',
-    'Content-Length': MALFORMED.length,
+    'Content-Length': MALFORMED_BODY.length,
     Connection: 'close',
   });
-  res.end(MALFORMED);
+  res.end(MALFORMED_BODY);
 }
 
-/** A server; it listens once `open` is called. */
+/** Creates a server, which listens once `open` is called. */
 export function createOpaqueHttpServer(): OpaqueHttpServer {
   function open(address: Address, handle: (req: OpaqueRequest) => void): Promise<Result<OpaqueListener, WireError>> {
     const hostPort = splitAddress(address);
     if (!hostPort) return Promise.resolve(err({ tag: 'badAddress', address }));
     const target = hostPort;
     function onRequest(req: IncomingMessage, res: ServerResponse): void {
-      if (isForwardable(req)) handle(requestOf(req, res));
-      else refuseMalformed(res);
+      if (isForwardable(req)) handle(createRequest(req, res));
+      else rejectMalformed(res);
     }
     const server: Server = createServer(
-      { maxHeaderSize: MOST_HEADER, connectionsCheckingInterval: CHECK_MS, noDelay: true, requestTimeout: 0 },
+      {
+        maxHeaderSize: MAX_HEADER_BYTES,
+        connectionsCheckingInterval: TIMEOUT_CHECK_INTERVAL_MS,
+        noDelay: true,
+        requestTimeout: 0,
+      },
       onRequest,
     );
     const connections = new HttpConnections(server);
     server.keepAliveTimeout = 15_000;
-    function onConnection(sock: Socket): void {
-      function nothing(): void {}
-      sock.on('error', nothing);
+    function onConnection(socket: Socket): void {
+      function ignoreError(): void {}
+      socket.on('error', ignoreError);
     }
     server.on('connection', onConnection);
     function start(resolve: (result: Result<OpaqueListener, WireError>) => void): void {
-      function bad(): void {
+      function onListenError(): void {
         resolve(err({ tag: 'addressInUse', address }));
       }
       function close(): Promise<void> {
-        return connections.stop(AT_ONCE);
+        return connections.stop(STOP_IMMEDIATELY);
       }
       function stopListening(): void {
         if (server.listening) connections.stopListening();
-        connections.endIdle();
+        connections.closeIdle();
       }
       function limit(limits: OpaqueLimits): void {
         server.headersTimeout = limits.headerMs;
         server.keepAliveTimeout = limits.idleMs;
       }
-      function ready(): void {
+      function onListening(): void {
         resolve(
           ok({
             address: `${target.host}:${portOf(server, target.port)}`,
@@ -171,12 +181,12 @@
             stopListening,
             limit,
             inFlight: () => connections.inFlight(),
-            refusePartial: (afterMs) => connections.refusePartial(afterMs),
+            refusePartial: (afterMs) => connections.rejectIncomplete(afterMs),
           }),
         );
       }
-      server.once('error', bad);
-      server.listen({ port: target.port, host: target.host, backlog: 511 }, ready);
+      server.once('error', onListenError);
+      server.listen({ port: target.port, host: target.host, backlog: 511 }, onListening);
     }
     return new Promise(start);
   }
--- a/src/transport/opaque-http.ts
+++ b/src/transport/opaque-http.ts
@@ -1,45 +1,51 @@
-/** Opaque HTTP as an interface, both ways, so that tests run on a simulated network. */
+/**
+ * Interfaces of servers and connection pools for opaque HTTP messages, which are passed on unchanged.
+ * They allow tests to run on a simulated network.
+ */
 import type { Result } from '../base/result.js';
 import type { Address, Listener, WireError } from './wire.js';
 
-/** Names and values in turn, as they came. */
+/** Header names and values in alternation, as they were received. */
 export type RawHeaders = readonly string[];
 
 /** Why a body was not read. */
 export type BodyError = { readonly tag: 'bodyTooLarge' } | { readonly tag: 'callerGone' };
 
-/** Writes one response; after `abort` the caller sees that it is not complete. */
-export type Answerer = {
+/** Writes one response. After `abort` the caller can tell that the response is truncated. */
+export type ResponseWriter = {
   readonly head: (status: number, headers: RawHeaders) => void;
   readonly write: (data: Buffer) => void;
   readonly end: () => void;
   readonly abort: () => void;
   readonly gone: () => boolean;
-  /** Whether the head has gone out. */
+  /** Whether the head has been sent. */
   readonly begun: () => boolean;
   readonly onGone: (callback: () => void) => void;
 };
 
-/** A request whose body has not been read; `body` reads at most `most` bytes. */
+/** A request whose body has not been read yet; `body` reads at most `maxBytes` bytes. */
 export type OpaqueRequest = {
   readonly method: string;
   readonly target: string;
   readonly headers: RawHeaders;
   readonly get: (name: string) => string | null;
-  readonly body: (most: number) => Promise<Result<Buffer, BodyError>>;
-  readonly answerer: Answerer;
+  readonly body: (maxBytes: number) => Promise<Result<Buffer, BodyError>>;
+  readonly answerer: ResponseWriter;
 };
 
-/** How long headers may take and a connection may rest, in milliseconds. */
+/** Timeouts of headers and of idle connections, in milliseconds. */
 export type OpaqueLimits = { readonly headerMs: number; readonly idleMs: number };
 
-/** A listener whose limits may change while it serves. */
+/** A listener whose limits can be changed while it serves. */
 export type OpaqueListener = Listener & {
-  /** Requests whose answer has not been handed to the operating system in full, those still being read among them. */
+  /**
+   * Returns the number of requests whose response has not been handed to the operating system completely, including
+   * requests that are still being read.
+   */
   readonly inFlight: () => number;
-  /** Refuses requests that began `afterMs` ago and have not arrived whole with 503. */
+  /** Rejects requests with 503 that arrived at least `afterMs` ago and are still incomplete. */
   readonly refusePartial: (afterMs: number) => void;
-  /** Takes no new connection and closes the idle ones; what is under way goes on. Calling it again changes nothing. */
+  /** Stops accepting connections and closes idle ones; requests in flight continue. Idempotent. */
   readonly stopListening: () => void;
   readonly limit: (limits: OpaqueLimits) => void;
 };
@@ -49,7 +55,7 @@
   readonly open: (address: Address, handle: (req: OpaqueRequest) => void) => Promise<Result<OpaqueListener, WireError>>;
 };
 
-/** How a sending failed; the outcomes of state/attempt-outcome.ts say what each means. */
+/** Why a send failed; the outcomes in state/attempt-outcome.ts define what each error means. */
 export type SendError =
   | { readonly tag: 'notConnected' }
   | { readonly tag: 'withheld' }
@@ -58,7 +64,7 @@
   | { readonly tag: 'reset' }
   | { readonly tag: 'garbled' };
 
-/** What a send tells: the head, data and the end, or one error. */
+/** Events of a send: the head, data and the end of the response, or one error. */
 export type SendEvents = {
   readonly connected?: (ms: number) => void;
   readonly head: (status: number, headers: RawHeaders, get: (name: string) => string | null) => void;
@@ -67,25 +73,25 @@
   readonly failed: (error: SendError) => void;
 };
 
-/** A request to send, and how long connecting may take, in milliseconds. */
+/** A request to send, and the connect timeout in milliseconds. */
 export type Sending = {
   readonly address: Address;
   readonly method: string;
   readonly target: string;
-  /** Asked at the moment of writing, when the connection is up; null withholds the request. */
+  /** Called when the connection is established and the request is about to be written; null withholds the request. */
   readonly headers: () => RawHeaders | null;
   readonly body: Buffer | null;
-  /** Not to be sent on a connection that has carried a request before. */
+  /** Whether the request must not be sent on a connection that has carried a request before. */
   readonly newConnection: boolean;
   readonly connectMs: number;
 };
 
-/** A send under way; `abort` ends it and its connection. */
+/** A send in flight; `abort` ends it and closes its connection. */
 export interface Sent {
   abort(): void;
 }
 
-/** Connections to workers, kept between requests. */
+/** A pool of connections to workers, which are kept open between requests. */
 export interface ConnectionPool {
   send(what: Sending, events: SendEvents): Sent;
   check(address: Address, waitMs: number, done: (reached: boolean) => void): void;
--- a/src/transport/pooled-send.ts
+++ b/src/transport/pooled-send.ts
@@ -1,6 +1,7 @@
 /**
- * One request on its way to a worker over a pooled connection: what was written, what came back, and what became of the
- * connection. `connection-pool.ts` makes one for each send; docs/repeats.md tells what each outcome means.
+ * Sends one request to a worker over a pooled connection. It tracks what was written and what was received, and
+ * decides whether the connection can be reused. `connection-pool.ts` creates one object for each send;
+ * docs/repeats.md describes what each outcome means.
  */
 import { request } from 'node:http';
 import type { ClientRequest, IncomingMessage } from 'node:http';
@@ -10,71 +11,78 @@
 import type { SendEvents, SendError, Sending, Sent } from './opaque-http.js';
 import type { Address } from './wire.js';
 
-/** A connection that rests between two requests. Times are of the monotonic clock, in milliseconds. */
-export type Idle = { readonly sock: Socket; readonly from: number; readonly until: number; readonly drop: () => void };
-/** What is known of one worker's address: connections open and resting, and how long the worker keeps them. */
-export type Endpoint = { open: number; readonly idle: Idle[]; keepAliveMs: number };
-
-/** What a send needs of the pool. */
+/** A connection that is idle between two requests, with the monotonic times of its idle period in milliseconds. */
+export type IdleConnection = {
+  readonly socket: Socket;
+  readonly from: number;
+  readonly until: number;
+  readonly drop: () => void;
+};
+/** State of one worker address: open and idle connections, and the keep-alive timeout of the worker. */
+export type Endpoint = { open: number; readonly idle: IdleConnection[]; keepAliveMs: number };
+
+/** Functions of the pool that a send uses. */
 export interface SendingPool {
   endpointOf(address: Address): Endpoint;
-  takeIdle(at: Endpoint): Idle | null;
-  keepIdle(at: Endpoint, socket: Socket): void;
-  dial(address: Address, at: Endpoint, waitMs: number, done: (socket: Socket | null) => void): Socket | null;
-  /** The worker reset a connection that had rested this long. */
-  forgotten(restedMs: number): void;
+  takeIdle(endpoint: Endpoint): IdleConnection | null;
+  keepIdle(endpoint: Endpoint, socket: Socket): void;
+  dial(address: Address, endpoint: Endpoint, timeoutMs: number, done: (socket: Socket | null) => void): Socket | null;
+  /** Called when a worker reset a connection that had been idle for this long. */
+  forgotten(idleMs: number): void;
 }
 
-const LEARNED_FROM_MS = 100;
-/** Codes of the runtime's HTTP parser. */
-const PARSE_ERROR = 'HPE_';
-const REST_OF_BODY_MS = 5_000;
+/** A reset after a shorter idle time says nothing about how long the worker keeps idle connections. */
+const MIN_IDLE_RESET_MS = 100;
+/** Prefix of the error codes of the runtime's HTTP parser. */
+const PARSE_ERROR_PREFIX = 'HPE_';
+/** After an early response, time to write the rest of the request body before the connection is closed. */
+const BODY_TIMEOUT_MS = 5_000;
 
 class PooledSend implements Sent {
-  private readonly at: Endpoint;
-  private over = false;
-  private readonly restedMs: number;
-  private readonly reused: boolean;
-  private sock: Socket | null;
+  private readonly endpoint: Endpoint;
+  private isSettled = false;
+  private readonly idleMs: number;
+  private readonly isReused: boolean;
+  private socket: Socket | null;
   private req: ClientRequest | null = null;
   private res: IncomingMessage | null = null;
 
   constructor(
     private readonly pool: SendingPool,
     private readonly clock: Clock,
-    private readonly what: Sending,
+    private readonly outgoing: Sending,
     private readonly events: SendEvents,
   ) {
-    this.at = this.pool.endpointOf(this.what.address);
+    this.endpoint = this.pool.endpointOf(this.outgoing.address);
 
-    const idle = this.what.newConnection ? null : this.pool.takeIdle(this.at);
-    this.restedMs = idle ? this.clock.mono() - idle.from : 0;
-    this.reused = idle !== null;
-    this.sock = idle?.sock ?? null;
+    const idle = this.outgoing.newConnection ? null : this.pool.takeIdle(this.endpoint);
+    this.idleMs = idle ? this.clock.mono() - idle.from : 0;
+    this.isReused = idle !== null;
+    this.socket = idle?.socket ?? null;
 
-    if (this.sock) this.sendOn(this.sock);
-    else this.dialSending();
+    if (this.socket) this.sendOver(this.socket);
+    else this.dialAndSend();
   }
 
   private fail(error: SendError): void {
-    if (this.over) return;
-    this.over = true;
-    this.sock?.destroy();
+    if (this.isSettled) return;
+    this.isSettled = true;
+    this.socket?.destroy();
     this.events.failed(error);
   }
 
-  // What goes wrong behind a whole answer belongs to no request: its end is still to be told.
-  private broke(event?: NodeJS.ErrnoException): void {
-    if (this.over || this.res?.complete === true) return;
-    if (this.reused && this.res === null && this.restedMs > LEARNED_FROM_MS && event?.code === 'ECONNRESET')
-      this.pool.forgotten(this.restedMs);
-    if (event?.code?.startsWith(PARSE_ERROR) === true) this.fail({ tag: 'garbled' });
+  // An error after a complete response is ignored: it belongs to no request, and the `end` event is still to come.
+  private onConnectionLost(error?: NodeJS.ErrnoException): void {
+    if (this.isSettled || this.res?.complete === true) return;
+    if (this.isReused && this.res === null && this.idleMs > MIN_IDLE_RESET_MS && error?.code === 'ECONNRESET')
+      this.pool.forgotten(this.idleMs);
+    if (error?.code?.startsWith(PARSE_ERROR_PREFIX) === true) this.fail({ tag: 'garbled' });
     else if (this.res === null && this.req?.writableFinished === false) this.fail({ tag: 'resetPartlyWritten' });
     else this.fail({ tag: 'reset' });
   }
 
   private onResponse(response: IncomingMessage): void {
-    if (this.over) {
+    if (this.isSettled) {
       response.resume();
       return;
     }
@@ -85,135 +93,135 @@
     }
     const keepAliveHeader = response.headers['keep-alive'];
     const timeout = typeof keepAliveHeader === 'string' ? /timeout=(\d+)/.exec(keepAliveHeader) : null;
-    if (timeout) this.at.keepAliveMs = Number(timeout[1]) * 1_000;
+    if (timeout) this.endpoint.keepAliveMs = Number(timeout[1]) * 1_000;
     function get(name: string): string | null {
       const value = response.headers[name];
       return typeof value === 'string' ? value : null;
     }
 
-    const data = (chunk: Buffer): void => {
-      if (!this.over) this.events.data(chunk);
+    const onData = (chunk: Buffer): void => {
+      if (!this.isSettled) this.events.data(chunk);
     };
-    response.on('data', data);
+    response.on('data', onData);
 
-    const end = (): void => {
-      if (this.over) return;
+    const onEnd = (): void => {
+      if (this.isSettled) return;
       if (!response.complete) {
-        this.broke();
+        this.onConnectionLost();
         return;
       }
-      this.over = true;
-      this.awaitRestOfBody();
+      this.isSettled = true;
+      this.awaitBodyWritten();
       process.nextTick(this.events.end);
     };
-    response.on('end', end);
-    response.on('aborted', () => this.broke());
-    response.on('error', (event) => this.broke(event));
+    response.on('end', onEnd);
+    response.on('aborted', () => this.onConnectionLost());
+    response.on('error', (error) => this.onConnectionLost(error));
     this.events.head(response.statusCode ?? 0, response.rawHeaders, get);
   }
 
-  // An early answer leaves the rest of the request's body due. Until it is written the connection
-  // serves nobody else, and whatever the worker says meanwhile belongs to no request.
-  private awaitRestOfBody(): void {
-    const socket = this.sock;
+  // After an early response the rest of the request body is still to be written. Until then the connection is not
+  // reused, and data that the worker sends meanwhile belongs to no request, so the connection is closed.
+  private awaitBodyWritten(): void {
+    const socket = this.socket;
     if (!socket || this.req?.writableFinished !== false) return;
-    const still = socket;
-    function drop(): void {
-      written();
-      still.destroy();
+    const pendingSocket = socket;
+    function destroyConnection(): void {
+      stopWaiting();
+      pendingSocket.destroy();
     }
-    function written(): void {
+    function stopWaiting(): void {
       timer.cancel();
-      still.off('data', drop);
-      still.off('free', written);
+      pendingSocket.off('data', destroyConnection);
+      pendingSocket.off('free', stopWaiting);
     }
-    const timer = this.clock.timer(REST_OF_BODY_MS, drop);
-    still.on('data', drop);
-    still.once('free', written);
+    const timer = this.clock.timer(BODY_TIMEOUT_MS, destroyConnection);
+    pendingSocket.on('data', destroyConnection);
+    pendingSocket.once('free', stopWaiting);
   }
 
-  private sendOn(ownSocket: Socket): void {
-    // An answer without a length ends with its connection. When the last bytes and a reset arrive
-    // together the runtime reports a plain end; only a reset connection has lost its peer by then.
-    const ended = (): void => {
-      if (ownSocket.remoteAddress === undefined) this.broke();
+  private sendOver(socket: Socket): void {
+    // A response without a length ends when its connection closes. If the last bytes and a reset arrive together, the
+    // runtime reports a normal end; a connection that was reset has no remote address any more by then.
+    const onSocketEnd = (): void => {
+      if (socket.remoteAddress === undefined) this.onConnectionLost();
     };
-    if (this.over) {
-      ownSocket.destroy();
+    if (this.isSettled) {
+      socket.destroy();
       return;
     }
-    this.sock = ownSocket;
-    if (ownSocket.destroyed) {
+    this.socket = socket;
+    if (socket.destroyed) {
       this.fail({ tag: 'resetUnwritten' });
       return;
     }
-    function own(): Socket {
-      return ownSocket;
+    function useSocket(): Socket {
+      return socket;
     }
-    const head = this.what.headers();
+    const head = this.outgoing.headers();
     if (head === null) {
-      this.over = true;
-      this.pool.keepIdle(this.at, ownSocket);
+      this.isSettled = true;
+      this.pool.keepIdle(this.endpoint, socket);
       this.events.failed({ tag: 'withheld' });
       return;
     }
     const headers = [...head, 'Connection', 'keep-alive'];
-    if (this.what.body !== null) headers.push('Content-Length', String(this.what.body.length));
+    if (this.outgoing.body !== null) headers.push('Content-Length', String(this.outgoing.body.length));
     this.req = request({
-      method: this.what.method,
-      path: this.what.target,
+      method: this.outgoing.method,
+      path: this.outgoing.target,
       headers: headers as unknown as Record<string, string>,
-      createConnection: own,
+      createConnection: useSocket,
       setHost: false,
     });
     this.req.shouldKeepAlive = true;
-    ownSocket.once('end', ended);
+    socket.once('end', onSocketEnd);
     this.req.on('response', (response) => this.onResponse(response));
 
-    const upgraded = (_answer: IncomingMessage, socket: Socket): void => {
-      this.broke();
-      socket.destroy();
+    const onUpgrade = (_answer: IncomingMessage, upgradedSocket: Socket): void => {
+      this.onConnectionLost();
+      upgradedSocket.destroy();
     };
-    this.req.on('upgrade', upgraded);
+    this.req.on('upgrade', onUpgrade);
 
-    const closed = (): void => {
-      ownSocket.off('end', ended);
-      this.broke();
+    const onRequestClose = (): void => {
+      socket.off('end', onSocketEnd);
+      this.onConnectionLost();
     };
-    this.req.on('close', closed);
-    this.req.on('error', (event) => this.broke(event));
+    this.req.on('close', onRequestClose);
+    this.req.on('error', (error) => this.onConnectionLost(error));
 
-    const free = (): void => {
-      if (ownSocket.destroyed || !this.over) ownSocket.destroy();
-      else this.pool.keepIdle(this.at, ownSocket);
+    const onSocketFree = (): void => {
+      if (socket.destroyed || !this.isSettled) socket.destroy();
+      else this.pool.keepIdle(this.endpoint, socket);
     };
-    ownSocket.once('free', free);
-    this.req.end(this.what.body ?? undefined);
+    socket.once('free', onSocketFree);
+    this.req.end(this.outgoing.body ?? undefined);
   }
 
-  private dialSending(): void {
-    const from = this.clock.mono();
+  private dialAndSend(): void {
+    const startedAt = this.clock.mono();
 
-    const done = (socket: Socket | null): void => {
+    const onDialled = (socket: Socket | null): void => {
       if (!socket) {
         this.fail({ tag: 'notConnected' });
         return;
       }
-      this.events.connected?.(this.clock.mono() - from);
-      this.sendOn(socket);
+      this.events.connected?.(this.clock.mono() - startedAt);
+      this.sendOver(socket);
     };
-    this.sock = this.pool.dial(this.what.address, this.at, this.what.connectMs, done);
+    this.socket = this.pool.dial(this.outgoing.address, this.endpoint, this.outgoing.connectMs, onDialled);
   }
 
   abort(): void {
-    if (this.over) return;
-    this.over = true;
+    if (this.isSettled) return;
+    this.isSettled = true;
     this.req?.destroy();
-    this.sock?.destroy();
+    this.socket?.destroy();
   }
 }
 
-/** Sends one request on a kept or a new connection; `pool` lends and takes back the connection. */
-export function createPooledSend(pool: SendingPool, clock: Clock, what: Sending, events: SendEvents): Sent {
-  return new PooledSend(pool, clock, what, events);
+/** Sends one request on an idle or a new connection of `pool`, and returns the connection to the pool if reusable. */
+export function createPooledSend(pool: SendingPool, clock: Clock, outgoing: Sending, events: SendEvents): Sent {
+  return new PooledSend(pool, clock, outgoing, events);
 }
--- a/src/transport/ring.ts
+++ b/src/transport/ring.ts
@@ -1,10 +1,10 @@
-/** A log on preallocated files, with snapshots. */
+/** A durable log in a ring of preallocated files, with snapshots. */
 import { crc32 } from 'node:zlib';
 import { err, ok } from '../base/result.js';
 import type { Result } from '../base/result.js';
 import type { Disk, DiskError, DiskFile } from './disk.js';
 
-/** Name, number and size of a ring's files, in bytes. */
+/** Name and number of a ring's files, and their sizes in bytes. */
 export type RingShape = {
   readonly name: string;
   readonly files: number;
@@ -12,7 +12,7 @@
   readonly snapshotBytes: number;
 };
 
-/** Why a ring can't be opened or written. */
+/** Why a ring could not be opened or written. */
 export type RingError =
   | DiskError
   | { readonly tag: 'ringDamaged'; readonly file: string; readonly at: number }
@@ -23,18 +23,18 @@
 
 /**
  * A fixed number of preallocated files with checksummed records, and two preallocated areas for
- * snapshots, which are written in turn. Nothing that was answered with success is lost with the
- * power, and nothing is read back that was not written. What holds at any moment:
+ * snapshots, which are written alternately. No acknowledged write is lost on a loss of power,
+ * and nothing is read back that was not written. Invariants:
  *
- * - Records and snapshots share one sequence of numbers without gaps. A snapshot takes a number of its
- *   own, so records written after it can't follow on records before it if the snapshot is unreadable.
- * - Each time a file is begun it gets the next file number (`gen`). A snapshot covers all of them up to its
- *   own; a file is begun again only once a synced snapshot covers what it holds.
- * - While a snapshot is written the other area holds the last one, and all files since are untouched: one
- *   that is torn costs nothing.
- * - Only the newest batch can be torn. It is cut on opening; a gap anywhere else is damage (`ringDamaged`).
- * - After a write or a sync that failed it is unknown what the files hold, so no record is taken until a whole
- *   snapshot was written and synced, which covers them, or the ring is opened again.
+ * - Records and snapshots share one sequence of numbers without gaps. A snapshot has a sequence number of its
+ *   own, so if it is unreadable, the records after it can't be mistaken for successors of the records before it.
+ * - Each time writing moves on to a file, the file gets the next generation number. A snapshot covers all generations
+ *   up to its own; a file is overwritten only once a synced snapshot covers its contents.
+ * - While a snapshot is written, the other area holds the previous one, and all files written since are untouched,
+ *   so a torn snapshot loses nothing.
+ * - Only the newest batch can be torn. It is truncated on opening; a gap anywhere else is damage (`ringDamaged`).
+ * - After a write or a sync that failed, the contents of the files are unknown. No record is accepted until a complete
+ *   snapshot, which covers them, has been written and synced, or the ring is opened again.
  */
 export interface Ring {
   append(records: readonly Buffer[]): Promise<Result<null, RingError>>;
@@ -43,82 +43,82 @@
   usedFiles(): number;
 }
 
-/** A ring and what it held. */
+/** An opened ring and its contents. */
 export type Opened = { readonly ring: Ring; readonly snapshot: Buffer | null; readonly records: readonly Buffer[] };
 
-/** Opens each record: "MIL2". The digit is the version of what records and snapshots hold. */
+/** First bytes of each record: "MIL2". The digit is the version of the contents of records and snapshots. */
 const MAGIC = 0x4d494c32;
-/** Opened the records of version 1 ("MILL"), whose fields had other names. */
+/** First bytes of the records of version 1 ("MILL"), whose fields had other names. */
 const OLDER_MAGIC = 0x4d494c4c;
-const HEAD = 28;
-const MARK = Buffer.from('MIL2');
+const HEADER_BYTES = 28;
+const MAGIC_BYTES = Buffer.from('MIL2');
 
-type Found = {
+type StoredRecord = {
   readonly file: number;
-  readonly at: number;
+  readonly offset: number;
   readonly next: number;
-  readonly gen: number;
+  readonly generation: number;
   readonly seq: number;
   readonly batchStart: number;
   readonly payload: Buffer;
 };
 
-function packed(gen: number, seq: number, inBatch: number, payload: Buffer): Buffer {
-  const buf = Buffer.alloc(HEAD + payload.length);
+function encodeRecord(generation: number, seq: number, indexInBatch: number, payload: Buffer): Buffer {
+  const buf = Buffer.alloc(HEADER_BYTES + payload.length);
   buf.writeUInt32BE(MAGIC, 0);
   buf.writeUInt32BE(payload.length, 4);
-  buf.writeUIntBE(gen, 8, 6);
+  buf.writeUIntBE(generation, 8, 6);
   buf.writeUIntBE(seq, 14, 6);
-  buf.writeUInt32BE(inBatch, 20);
-  payload.copy(buf, HEAD);
+  buf.writeUInt32BE(indexInBatch, 20);
+  payload.copy(buf, HEADER_BYTES);
   buf.writeUInt32BE(crc32(payload, crc32(buf.subarray(4, 24))), 24);
   return buf;
 }
 
-function unpacked(buf: Buffer, file: number, at: number): Found | null {
-  if (at + HEAD > buf.length || buf.readUInt32BE(at) !== MAGIC) return null;
-  const next = at + HEAD + buf.readUInt32BE(at + 4);
+function decodeRecord(buf: Buffer, file: number, offset: number): StoredRecord | null {
+  if (offset + HEADER_BYTES > buf.length || buf.readUInt32BE(offset) !== MAGIC) return null;
+  const next = offset + HEADER_BYTES + buf.readUInt32BE(offset + 4);
   if (next > buf.length) return null;
-  const payload = buf.subarray(at + HEAD, next);
-  if (crc32(payload, crc32(buf.subarray(at + 4, at + 24))) !== buf.readUInt32BE(at + 24)) return null;
-  const seq = buf.readUIntBE(at + 14, 6);
+  const payload = buf.subarray(offset + HEADER_BYTES, next);
+  if (crc32(payload, crc32(buf.subarray(offset + 4, offset + 24))) !== buf.readUInt32BE(offset + 24)) return null;
+  const seq = buf.readUIntBE(offset + 14, 6);
   return {
     file,
-    at,
+    offset,
     next,
-    gen: buf.readUIntBE(at + 8, 6),
+    generation: buf.readUIntBE(offset + 8, 6),
     seq,
-    batchStart: seq - buf.readUInt32BE(at + 20),
+    batchStart: seq - buf.readUInt32BE(offset + 20),
     payload: Buffer.from(payload),
   };
 }
 
-function recordsIn(buf: Buffer, file: number, covers: number): Found[] {
-  const out: Found[] = [];
-  let at = 0;
+function scanRecords(buf: Buffer, file: number, coveredGeneration: number): StoredRecord[] {
+  const records: StoredRecord[] = [];
+  let offset = 0;
   for (;;) {
-    const found = unpacked(buf, file, at);
-    if (found) {
-      if (found.gen > covers) out.push(found);
-      at = found.next;
+    const record = decodeRecord(buf, file, offset);
+    if (record) {
+      if (record.generation > coveredGeneration) records.push(record);
+      offset = record.next;
       continue;
     }
-    at = buf.indexOf(MARK, at + 1);
-    if (at < 0) return out;
+    offset = buf.indexOf(MAGIC_BYTES, offset + 1);
+    if (offset < 0) return records;
   }
 }
 
-async function snapshotIn(file: DiskFile, area: number): Promise<Result<Found | null, DiskError>> {
-  const head = await file.read(HEAD);
+async function readSnapshot(file: DiskFile, area: number): Promise<Result<StoredRecord | null, DiskError>> {
+  const head = await file.read(HEADER_BYTES);
   if (!head.ok) return head;
-  if (head.value.length < HEAD || head.value.readUInt32BE(0) !== MAGIC) return ok(null);
-  const snapshot = await file.read(HEAD + head.value.readUInt32BE(4));
-  return snapshot.ok ? ok(unpacked(snapshot.value, area, 0)) : snapshot;
+  if (head.value.length < HEADER_BYTES || head.value.readUInt32BE(0) !== MAGIC) return ok(null);
+  const snapshot = await file.read(HEADER_BYTES + head.value.readUInt32BE(4));
+  return snapshot.ok ? ok(decodeRecord(snapshot.value, area, 0)) : snapshot;
 }
 
 const ZEROS = Buffer.alloc(4_096);
 
-function endOf(buf: Buffer): number {
+function endOfData(buf: Buffer): number {
   let end = buf.length;
   for (;;) {
     const from = Math.max(0, end - ZEROS.length);
@@ -129,14 +129,14 @@
   return end;
 }
 
-function bySeq(left: Found, right: Found): number {
+function bySeq(left: StoredRecord, right: StoredRecord): number {
   return left.seq - right.seq;
 }
 
 /**
  * Makes durable what was read. A process that was killed leaves writes that it
- * had not synced; they read back whole, but a loss of power would still take
- * them, while records written after them stay: a gap in the sequence.
+ * had not synced. They read back completely, but a loss of power would still lose
+ * them and keep records that are written after them: a gap in the sequence.
  */
 async function syncAll(files: readonly DiskFile[]): Promise<boolean> {
   const syncs: Promise<Result<null, DiskError>>[] = [];
@@ -145,34 +145,35 @@
   return true;
 }
 
-function isOlder(buf: Buffer): boolean {
+function isOlderFormat(buf: Buffer): boolean {
   return buf.length >= 4 && buf.readUInt32BE(0) === OLDER_MAGIC;
 }
 
-async function olderFileIn(files: readonly DiskFile[]): Promise<Result<number, DiskError>> {
+async function findOlderFile(files: readonly DiskFile[]): Promise<Result<number, DiskError>> {
   for (const [i, file] of files.entries()) {
     const head = await file.read(4);
     if (!head.ok) return head;
-    if (isOlder(head.value)) return ok(i);
+    if (isOlderFormat(head.value)) return ok(i);
   }
   return ok(-1);
 }
 
-const CLEARED_AT_ONCE = 1_048_576;
+const CLEAR_CHUNK_BYTES = 1_048_576;
 
 async function clearFile(disk: Disk, name: string, bytes: number): Promise<Result<null, DiskError>> {
   const opened = await disk.preallocated(name, bytes);
   if (!opened.ok) return opened;
-  for (let at = 0; at < bytes; at += CLEARED_AT_ONCE) {
-    const wrote = await opened.value.write(at, Buffer.alloc(Math.min(CLEARED_AT_ONCE, bytes - at)));
-    if (!wrote.ok) return wrote;
+  for (let offset = 0; offset < bytes; offset += CLEAR_CHUNK_BYTES) {
+    const written = await opened.value.write(offset, Buffer.alloc(Math.min(CLEAR_CHUNK_BYTES, bytes - offset)));
+    if (!written.ok) return written;
   }
   return opened.value.sync();
 }
 
 /**
- * Empties a ring that is not open, so that the next opening finds it blank. Whoever calls it gives up all that the ring
- * has answered for. The files before the snapshots: what is left of a ring cleared in part is damaged or a former state.
+ * Clears a ring that is not open, so that it is empty when it is opened next. The caller discards all records and
+ * snapshots that the ring has acknowledged. Files are cleared before snapshots: a ring that is cleared only in part is
+ * damaged or in an earlier state.
  */
 export async function clearRing(disk: Disk, shape: RingShape): Promise<Result<null, DiskError>> {
   for (let i = 0; i < shape.files; i += 1) {
@@ -186,26 +187,26 @@
   return ok(null);
 }
 
-/** Where the next record goes, and what the files hold. */
-type RingEnd = {
-  /** Number of the newest record. */
+/** The position of the next record, and the state of the files. */
+type RingPosition = {
+  /** Sequence number of the newest record. */
   readonly seq: number;
-  /** Number of the file that is written. */
-  readonly gen: number;
-  /** Index of the file that is written; -1 before the first. */
+  /** Generation of the file that is written. */
+  readonly generation: number;
+  /** Index of the file that is written; -1 if none has been written. */
   readonly file: number;
-  /** Offset of the next record in it. */
-  readonly at: number;
-  /** Number of the oldest file that no snapshot covers. */
-  readonly oldest: number;
-  /** Area of the newest snapshot. */
+  /** Offset of the next record in that file. */
+  readonly offset: number;
+  /** Generation of the oldest file that no snapshot covers. */
+  readonly oldestGeneration: number;
+  /** Index of the area with the newest snapshot. */
   readonly area: number;
-  /** A disk that can't be synced is read, and takes no record. */
-  readonly broken: boolean;
+  /** Whether records are rejected: if the files can't be synced on opening, the ring can only be read. */
+  readonly isBroken: boolean;
 };
 
-type Areas = { readonly areas: readonly DiskFile[]; readonly best: Found | null };
-type Replayed = { readonly records: readonly Buffer[]; readonly seq: number; readonly last: Found | null };
+type SnapshotAreas = { readonly areas: readonly DiskFile[]; readonly newest: StoredRecord | null };
+type Replayed = { readonly records: readonly Buffer[]; readonly seq: number; readonly last: StoredRecord | null };
 
 async function openFiles(disk: Disk, shape: RingShape): Promise<Result<DiskFile[], RingError>> {
   const files: DiskFile[] = [];
@@ -214,61 +215,65 @@
     if (!file.ok) return file;
     files.push(file.value);
   }
-  const older = await olderFileIn(files);
+  const older = await findOlderFile(files);
   if (!older.ok) return older;
   return older.value >= 0
     ? err({ tag: 'olderFormat', file: `${shape.name}-${older.value}`, needed: 'MIL2' })
     : ok(files);
 }
 
-function isNewer(found: Found, than: Found | null): boolean {
-  return !than || found.seq > than.seq || (found.seq === than.seq && found.gen > than.gen);
+function isNewer(found: StoredRecord, other: StoredRecord | null): boolean {
+  return !other || found.seq > other.seq || (found.seq === other.seq && found.generation > other.generation);
 }
 
-/** Opens both areas; the newest snapshot that reads back whole is the one that counts. */
-async function openAreas(disk: Disk, shape: RingShape): Promise<Result<Areas, RingError>> {
+/** Opens both areas and reads the newest snapshot that is complete. */
+async function openAreas(disk: Disk, shape: RingShape): Promise<Result<SnapshotAreas, RingError>> {
   const areas: DiskFile[] = [];
-  let best: Found | null = null;
+  let newest: StoredRecord | null = null;
   for (let i = 0; i < 2; i += 1) {
     const file = await disk.preallocated(`${shape.name}-snapshot-${i}`, shape.snapshotBytes);
     if (!file.ok) return file;
     areas.push(file.value);
-    const found = await snapshotIn(file.value, i);
+    const found = await readSnapshot(file.value, i);
     if (!found.ok) return found;
-    if (found.value && isNewer(found.value, best)) best = found.value;
+    if (found.value && isNewer(found.value, newest)) newest = found.value;
   }
-  return ok({ areas, best });
+  return ok({ areas, newest });
 }
 
-/** The records that follow on the snapshot without a gap; a gap before the newest batch is damage. */
-function replayed(all: readonly Found[], best: Found | null, shape: RingShape): Result<Replayed, RingError> {
+/** Returns the records that follow the snapshot without a gap; a gap before the newest batch is damage. */
+function replay(
+  all: readonly StoredRecord[],
+  snapshot: StoredRecord | null,
+  shape: RingShape,
+): Result<Replayed, RingError> {
   const records: Buffer[] = [];
-  let seq = best ? best.seq : 0;
-  let last: Found | null = null;
+  let seq = snapshot ? snapshot.seq : 0;
+  let last: StoredRecord | null = null;
   for (const found of all) {
     if (found.seq === seq + 1) {
       records.push(found.payload);
       seq = found.seq;
       last = found;
     } else if (found.batchStart > seq + 1 || found.seq <= seq) {
-      return err({ tag: 'ringDamaged', file: `${shape.name}-${found.file}`, at: found.at });
+      return err({ tag: 'ringDamaged', file: `${shape.name}-${found.file}`, at: found.offset });
     }
   }
   return ok({ records, seq, last });
 }
 
-/** Cuts what a loss of power left of the newest batch, so that no later record is read behind it. */
-async function cutTorn(
+/** Erases what a loss of power left of the newest batch, so that it is never read together with later records. */
+async function truncateTornBatch(
   files: readonly DiskFile[],
-  ends: readonly number[],
-  all: readonly Found[],
+  dataEnds: readonly number[],
+  all: readonly StoredRecord[],
   { seq, last }: Replayed,
 ): Promise<Result<null, DiskError>> {
   for (const [i, file] of files.entries()) {
     const from = last && last.file === i ? last.next : 0;
-    const torn = all.some((found) => found.file === i && found.seq > seq);
-    const end = ends[i] as number;
-    if ((!torn && last?.file !== i) || end <= from) continue;
+    const isTorn = all.some((found) => found.file === i && found.seq > seq);
+    const end = dataEnds[i] as number;
+    if ((!isTorn && last?.file !== i) || end <= from) continue;
     const wiped = await file.write(from, Buffer.alloc(end - from));
     if (!wiped.ok) return wiped;
     const synced = await file.sync();
@@ -277,129 +282,129 @@
   return ok(null);
 }
 
-/** Opens a ring and gives what it holds: the newest snapshot and all records since. */
+/** Opens a ring and returns its contents: the newest snapshot and all records since. */
 export async function openRing(disk: Disk, shape: RingShape): Promise<Result<Opened, RingError>> {
   const opened = await openFiles(disk, shape);
   if (!opened.ok) return opened;
   const files = opened.value;
   const snapshots = await openAreas(disk, shape);
   if (!snapshots.ok) return snapshots;
-  const { areas, best } = snapshots.value;
-  const covers = best ? best.gen : 0;
-  const ends: number[] = [];
-  const all: Found[] = [];
+  const { areas, newest } = snapshots.value;
+  const coveredGeneration = newest ? newest.generation : 0;
+  const dataEnds: number[] = [];
+  const all: StoredRecord[] = [];
   for (const [i, file] of files.entries()) {
     const content = await file.read();
     if (!content.ok) return content;
-    all.push(...recordsIn(content.value, i, covers));
-    ends.push(endOf(content.value));
+    all.push(...scanRecords(content.value, i, coveredGeneration));
+    dataEnds.push(endOfData(content.value));
   }
   all.sort(bySeq);
-  const found = replayed(all, best, shape);
-  if (!found.ok) return found;
-  const { records, seq, last } = found.value;
-  const cut = await cutTorn(files, ends, all, found.value);
-  if (!cut.ok) return cut;
-  const broken = !(await syncAll([...files, ...areas]));
+  const replayed = replay(all, newest, shape);
+  if (!replayed.ok) return replayed;
+  const { records, seq, last } = replayed.value;
+  const truncated = await truncateTornBatch(files, dataEnds, all, replayed.value);
+  if (!truncated.ok) return truncated;
+  const isBroken = !(await syncAll([...files, ...areas]));
   const ring = new FileRing(files, areas, shape, {
     seq,
-    gen: last ? last.gen : covers,
+    generation: last ? last.generation : coveredGeneration,
     file: last ? last.file : -1,
-    at: last ? last.next : shape.fileBytes,
-    oldest: covers + 1,
-    area: best ? best.file : 1,
-    broken,
+    offset: last ? last.next : shape.fileBytes,
+    oldestGeneration: coveredGeneration + 1,
+    area: newest ? newest.file : 1,
+    isBroken,
   });
-  return ok({ ring, snapshot: best ? best.payload : null, records });
+  return ok({ ring, snapshot: newest ? newest.payload : null, records });
 }
 
 class FileRing implements Ring {
   private seq: number;
-  private gen: number;
-  private current: number;
-  private at: number;
-  private oldest: number;
+  private generation: number;
+  private currentFile: number;
+  private offset: number;
+  private oldestGeneration: number;
   private area: number;
-  private broken: boolean;
+  private isBroken: boolean;
 
   constructor(
     private readonly files: readonly DiskFile[],
     private readonly areas: readonly DiskFile[],
     private readonly shape: RingShape,
-    end: RingEnd,
+    position: RingPosition,
   ) {
-    this.seq = end.seq;
-    this.gen = end.gen;
-    this.current = end.file;
-    this.at = end.at;
-    this.oldest = end.oldest;
-    this.area = end.area;
-    this.broken = end.broken;
+    this.seq = position.seq;
+    this.generation = position.generation;
+    this.currentFile = position.file;
+    this.offset = position.offset;
+    this.oldestGeneration = position.oldestGeneration;
+    this.area = position.area;
+    this.isBroken = position.isBroken;
   }
 
-  private advance(): Result<null, RingError> {
-    if (this.gen + 1 - this.oldest >= this.shape.files) return err({ tag: 'ringFull' });
-    this.gen += 1;
-    this.current = (this.current + 1) % this.shape.files;
-    this.at = 0;
+  private beginNextFile(): Result<null, RingError> {
+    if (this.generation + 1 - this.oldestGeneration >= this.shape.files) return err({ tag: 'ringFull' });
+    this.generation += 1;
+    this.currentFile = (this.currentFile + 1) % this.shape.files;
+    this.offset = 0;
     return ok(null);
   }
 
   async append(payloads: readonly Buffer[]): Promise<Result<null, RingError>> {
-    if (this.broken) return err({ tag: 'ringBroken' });
-    const touched = new Set<DiskFile>();
-    let inBatch = 0;
+    if (this.isBroken) return err({ tag: 'ringBroken' });
+    const writtenFiles = new Set<DiskFile>();
+    let indexInBatch = 0;
     for (const payload of payloads) {
-      const size = HEAD + payload.length;
+      const size = HEADER_BYTES + payload.length;
       if (size > this.shape.fileBytes) return err({ tag: 'recordTooLarge', bytes: payload.length });
-      if (this.at + size > this.shape.fileBytes) {
-        const moved = this.advance();
-        if (!moved.ok) return moved;
+      if (this.offset + size > this.shape.fileBytes) {
+        const begun = this.beginNextFile();
+        if (!begun.ok) return begun;
       }
-      const file = this.files[this.current] as DiskFile;
-      const wrote = await file.write(this.at, packed(this.gen, this.seq + 1, inBatch, payload));
-      if (!wrote.ok) {
-        this.broken = true;
-        return wrote;
+      const file = this.files[this.currentFile] as DiskFile;
+      const written = await file.write(this.offset, encodeRecord(this.generation, this.seq + 1, indexInBatch, payload));
+      if (!written.ok) {
+        this.isBroken = true;
+        return written;
       }
-      this.at += size;
+      this.offset += size;
       this.seq += 1;
-      inBatch += 1;
-      touched.add(file);
+      indexInBatch += 1;
+      writtenFiles.add(file);
     }
-    for (const file of touched) {
+    for (const file of writtenFiles) {
       const synced = await file.sync();
       if (!synced.ok) {
-        this.broken = true;
+        this.isBroken = true;
         return synced;
       }
     }
     return ok(null);
   }
 
-  // A snapshot that failed may stand on the disk all the same, so its number is never used again. One that succeeds
-  // covers whatever earlier failures left in the files: the ring takes records again after it.
+  // A snapshot whose write failed may still be on the disk, so its sequence number is never reused. A snapshot that
+  // succeeds covers whatever earlier failures left in the files, so the ring accepts records again after it.
   async compact(snapshot: Buffer): Promise<Result<null, RingError>> {
-    if (HEAD + snapshot.length > this.shape.snapshotBytes)
+    if (HEADER_BYTES + snapshot.length > this.shape.snapshotBytes)
       return err({ tag: 'recordTooLarge', bytes: snapshot.length });
-    const to = 1 - this.area;
-    const file = this.areas[to] as DiskFile;
+    const targetArea = 1 - this.area;
+    const file = this.areas[targetArea] as DiskFile;
     this.seq += 1;
-    const wrote = await file.write(0, packed(this.gen, this.seq, 0, snapshot));
-    const synced = wrote.ok ? await file.sync() : wrote;
+    const written = await file.write(0, encodeRecord(this.generation, this.seq, 0, snapshot));
+    const synced = written.ok ? await file.sync() : written;
     if (!synced.ok) {
-      this.broken = true;
+      this.isBroken = true;
       return synced;
     }
-    this.broken = false;
-    this.area = to;
-    this.oldest = this.gen + 1;
-    this.at = this.shape.fileBytes;
+    this.isBroken = false;
+    this.area = targetArea;
+    this.oldestGeneration = this.generation + 1;
+    this.offset = this.shape.fileBytes;
     return ok(null);
   }
 
   usedFiles(): number {
-    return this.gen + 1 - this.oldest;
+    return this.generation + 1 - this.oldestGeneration;
   }
 
   crowded(): boolean {
--- a/src/transport/rng.ts
+++ b/src/transport/rng.ts
@@ -1,73 +1,73 @@
 /**
- * Randomness as an interface, so that a seeded run repeats exactly. Every random choice is made
- * by an `Rng`; no other module asks the runtime for random numbers.
+ * Interface to random numbers, so that a run with a given seed is reproducible. Every random choice uses
+ * an `Rng`; no other module gets random numbers from the runtime.
  */
 
 import { randomBytes } from 'node:crypto';
 
-/** Uniform random numbers, 0 included and 1 excluded. */
+/** Uniform random numbers in [0, 1). */
 export type Rng = { readonly next: () => number };
 
-/** A seeded generator (mulberry32) for tests and stand-ins. Predictable: not for secrets. */
+/** Creates a seeded generator (mulberry32) for tests and stand-ins. It is predictable, so not suitable for secrets. */
 export function createRng(seed: number): Rng {
-  let seconds = seed >>> 0;
+  let state = seed >>> 0;
   function next(): number {
-    seconds = (seconds + 0x6d2b79f5) >>> 0;
-    let time = Math.imul(seconds ^ (seconds >>> 15), 1 | seconds);
-    time = (time + Math.imul(time ^ (time >>> 7), 61 | time)) ^ time;
-    return ((time ^ (time >>> 14)) >>> 0) / 4294967296;
+    state = (state + 0x6d2b79f5) >>> 0;
+    let mixed = Math.imul(state ^ (state >>> 15), 1 | state);
+    mixed = (mixed + Math.imul(mixed ^ (mixed >>> 7), 61 | mixed)) ^ mixed;
+    return ((mixed ^ (mixed >>> 14)) >>> 0) / 4294967296;
   }
   return { next };
 }
 
-/** A generator fed by the operating system, fit for secrets and ids. */
+/** Creates a generator that uses random bytes of the operating system, suitable for secrets and ids. */
 export function createOsRng(): Rng {
-  let pool = randomBytes(0);
-  let at = 0;
+  let buffer = randomBytes(0);
+  let offset = 0;
   function next(): number {
-    if (at + 6 > pool.length) {
-      pool = randomBytes(1536);
-      at = 0;
+    if (offset + 6 > buffer.length) {
+      buffer = randomBytes(1536);
+      offset = 0;
     }
-    const count = pool.readUIntBE(at, 6);
-    at += 6;
-    return count / 281474976710656;
+    const bits = buffer.readUIntBE(offset, 6);
+    offset += 6;
+    return bits / 281474976710656;
   }
   return { next };
 }
 
-/** A whole number from 0 to below `n`. */
+/** Returns a random integer in [0, `count`). */
 export function below(rng: Rng, count: number): number {
   return Math.floor(rng.next() * count);
 }
 
-/** One of the items, each as likely. */
+/** Returns one of the items, each with the same probability. */
 export function pick<T>(rng: Rng, items: readonly T[]): T {
   return items[below(rng, items.length)] as T;
 }
 
-/** A wait to the next of events that come independently of each other, in units of their mean distance. */
+/** Returns an exponentially distributed interval between independent events, in units of the mean interval. */
 export function exponential(rng: Rng): number {
   return -Math.log(1 - rng.next());
 }
 
 const HEX = '0123456789abcdef';
 
-/** An id of 80 random bits behind a prefix. */
+/** Returns an id: a prefix and 80 random bits. */
 export function newId(rng: Rng, prefix: string): string {
   let text = '';
   for (let i = 0; i < 20; i += 1) text += HEX[below(rng, 16)];
   return `${prefix}-${text}`;
 }
 
-/** A copy in random order (Fisher-Yates). */
+/** Returns a copy in random order (Fisher-Yates). */
 export function shuffled<T>(rng: Rng, items: readonly T[]): T[] {
-  const out = [...items];
-  for (let i = out.length - 1; i > 0; i -= 1) {
+  const copy = [...items];
+  for (let i = copy.length - 1; i > 0; i -= 1) {
     const j = below(rng, i + 1);
-    const mixed = out[i] as T;
-    out[i] = out[j] as T;
-    out[j] = mixed;
+    const swapped = copy[i] as T;
+    copy[i] = copy[j] as T;
+    copy[j] = swapped;
   }
-  return out;
+  return copy;
 }
--- a/src/transport/standstill-detector.test.ts
+++ b/src/transport/standstill-detector.test.ts
@@ -7,8 +7,8 @@
   return time;
 }
 
-describe('a standstill', () => {
-  test('is a gap longer than the bound, told once with its length', () => {
+describe('a process pause', () => {
+  test('is a gap longer than the limit, reported once with its length', () => {
     const time = settableClock();
     const detector = new StandstillDetector(time.clock);
     time.now = STANDSTILL_MS + 1;
@@ -18,7 +18,7 @@
     expect(detector.tick()).toBeNull();
   });
 
-  test('is not a gap of the bound itself', () => {
+  test('is not a gap of exactly the limit', () => {
     const time = settableClock();
     const detector = new StandstillDetector(time.clock);
     time.now = STANDSTILL_MS;
--- a/src/transport/standstill-detector.ts
+++ b/src/transport/standstill-detector.ts
@@ -1,10 +1,13 @@
-/** Detects that the process did not run for a while: frozen, or starved of processor time. */
+/** Detects process pauses: times in which the process was frozen or starved of processor time. */
 import type { Clock } from './clock.js';
 
-/** A longer gap on the monotonic clock is a standstill, in milliseconds; what runs here runs at least each 500 ms. */
+/**
+ * A longer gap between two ticks on the monotonic clock is a process pause, in milliseconds. Periodic work in the
+ * process runs at least every 500 ms.
+ */
 export const STANDSTILL_MS = 1_500;
 
-/** Measures the gap since it was last called. */
+/** Measures the time since its last tick. */
 export class StandstillDetector {
   private lastTickAt: number;
 
@@ -12,12 +15,12 @@
     this.lastTickAt = clock.mono();
   }
 
-  /** Whether the gap so far is a standstill; the gap goes on. */
+  /** Whether the time since the last tick is a process pause already; does not end it. */
   isOpen(): boolean {
     return this.gapMs() > STANDSTILL_MS;
   }
 
-  /** Ends the gap. Its length in milliseconds if it was a standstill, else null. */
+  /** Ends the gap since the last tick. Returns its length in milliseconds if it was a process pause, otherwise null. */
   tick(): number | null {
     const gap = this.gapMs();
     this.lastTickAt = this.clock.mono();
--- a/src/transport/stop-signal.test.ts
+++ b/src/transport/stop-signal.test.ts
@@ -20,14 +20,14 @@
   for (const signal of ['SIGTERM', 'SIGINT']) process.removeAllListeners(signal);
 });
 
-test('the first signal counts, and none after it ends the process', async () => {
+test('the first signal counts, and later ones do not end the process', async () => {
   const signal = awaitStopSignal();
   process.emit('SIGINT', 'SIGINT');
   process.emit('SIGTERM', 'SIGTERM');
   expect(await signal).toBe('SIGINT');
 });
 
-test('a process ends once it has stopped', async () => {
+test('a process exits once its stop is complete', async () => {
   const world = createWorld(1);
   const clock = world.clockOf(world.begin(world.host('node', 'zone')));
   const exit = mockedExit();
@@ -36,8 +36,8 @@
   expect(lines).toEqual(['exiting {"outcome":"done","afterMs":0}']);
 });
 
-// Guards against a process that stays until it is killed, as something that it waited for in its stop was rejected.
-test('a process ends also where its stop fails', async () => {
+// Guards against a process that runs until it is killed because a promise that its stop awaits was rejected.
+test('a process exits also if its stop fails', async () => {
   const world = createWorld(1);
   const clock = world.clockOf(world.begin(world.host('node', 'zone')));
   const exit = mockedExit();
@@ -46,24 +46,24 @@
   expect(lines[0]).toMatch(/^stop failed .*no disk/);
 });
 
-test('a process ends in time also where its stop never ends', async () => {
+test('a process exits in time also if its stop never completes', async () => {
   const world = createWorld(1);
   const clock = world.clockOf(world.begin(world.host('node', 'zone')));
   const exit = mockedExit();
-  const ending = endProcess(log, clock, WITHIN_MS, () => new Promise(() => undefined));
+  const ended = endProcess(log, clock, WITHIN_MS, () => new Promise(() => undefined));
   await world.advance(WITHIN_MS - 10);
   expect(exit).not.toHaveBeenCalled();
   await world.advance(20);
-  await ending;
+  await ended;
   expect(exit).toHaveBeenCalledWith(0);
   expect(lines).toEqual([`exiting {"outcome":"timedOut","afterMs":${WITHIN_MS}}`]);
 });
 
-// Guards against a process that hangs in its start, on its disk say, and that only a kill ends.
+// Guards against a process that hangs while it starts, for example on its disk, and exits only when it is killed.
 test.each([
-  ['hangs in its start', false],
+  ['hangs while it starts', false],
   ['has started', true],
-])('a process that was told to stop and %s', async (_what, hasStarted) => {
+])('a process that received a stop signal and %s', async (_what, hasStarted) => {
   const world = createWorld(1);
   const clock = world.clockOf(world.begin(world.host('node', 'zone')));
   const exit = mockedExit();
--- a/src/transport/stop-signal.ts
+++ b/src/transport/stop-signal.ts
@@ -1,17 +1,17 @@
-/** The signals that tell a process to stop, and the orderly end that follows. */
+/** Handles stop signals and ends the process in an orderly way. */
 import { describeError } from '../base/describe-error.js';
 import { within } from './clock.js';
 import type { Clock } from './clock.js';
 import type { Log } from './log.js';
 
-/** The signals on which a process stops. */
+/** The signals that stop a process. */
 export type StopSignal = 'SIGTERM' | 'SIGINT';
 
 const EXIT_OK = 0;
 
 /**
- * The first signal to stop, from this call on; later ones change nothing. To be called before anything is opened: until then
- * the runtime ends the process at once.
+ * Resolves on the first stop signal after this call; later signals are ignored. Must be called before anything is
+ * opened, because until then a signal ends the process at once.
  */
 export function awaitStopSignal(): Promise<StopSignal> {
   return new Promise((resolve) => {
@@ -21,26 +21,26 @@
 }
 
 /**
- * Ends the process `withinMs` after the signal where it still starts then: nothing else would. What is returned is to be called
- * once it has started.
+ * Ends the process `withinMs` after the signal if it is still starting then; nothing else would end it. The caller
+ * calls the returned function once the process has started.
  */
 export function endStuckStart(log: Log, clock: Clock, signal: Promise<StopSignal>, withinMs: number): () => void {
   let isStarting = true;
-  function end(): void {
+  function exitIfStarting(): void {
     if (!isStarting) return;
     log.warn('exiting before the start was over', { afterMs: withinMs });
     process.exit(EXIT_OK);
   }
-  void signal.then(() => clock.timer(withinMs, end));
+  void signal.then(() => clock.timer(withinMs, exitIfStarting));
   return () => {
     isStarting = false;
   };
 }
 
-/** Carries out `stop` and ends the process, after `withinMs` at the latest and whatever comes of it. */
+/** Runs `stop` and then ends the process, after `withinMs` at the latest, also if `stop` fails. */
 export async function endProcess(log: Log, clock: Clock, withinMs: number, stop: () => Promise<void>): Promise<void> {
-  const from = clock.mono();
-  async function attempt(): Promise<'done' | 'failed'> {
+  const startedAt = clock.mono();
+  async function tryStop(): Promise<'done' | 'failed'> {
     try {
       await stop();
       return 'done';
@@ -49,7 +49,7 @@
       return 'failed';
     }
   }
-  const outcome = (await within(clock, withinMs, attempt())) ?? 'timedOut';
-  log.info('exiting', { outcome, afterMs: Math.round(clock.mono() - from) });
+  const outcome = (await within(clock, withinMs, tryStop())) ?? 'timedOut';
+  log.info('exiting', { outcome, afterMs: Math.round(clock.mono() - startedAt) });
   process.exit(EXIT_OK);
 }
