--- a/src/transport/switch-file.ts
+++ b/src/transport/switch-file.ts
@@ -1,34 +1,34 @@
 /**
- * Faults for trials on real processes: a file, looked at ten times a second, names cut links
- * and full disks. Without a file, as in production, every switch is off.
+ * Fault injection for tests on real processes. A file, which is read ten times a second, lists partitioned links
+ * and full disks. Without a file, as in production, no fault is injected.
  */
 
 import { readFileSync } from 'node:fs';
 import { isTable } from '../base/is-table.js';
 import { parsedJson } from '../base/parsed-json.js';
 
-/** Whether the link from one end to another is cut, and whether a node's disk is to act full. */
+/** Whether the link from one end to another is partitioned, and whether a node's disk behaves as full. */
 export type Switches = {
   readonly isPartitioned: (from: string, to: string) => boolean;
   readonly isFull: (node: string) => boolean;
 };
 
-const LOOK_MS = 100;
+const READ_INTERVAL_MS = 100;
 
-function textsIn(value: unknown): ReadonlySet<string> {
+function stringsIn(value: unknown): ReadonlySet<string> {
   const out = new Set<string>();
   if (Array.isArray(value)) for (const item of value) if (typeof item === 'string') out.add(item);
   return out;
 }
 
-/** The switches of a file; all off if none is named. */
+/** Returns the switches in the file at `path`; without a path all are off. */
 export function switchesAt(path: string | undefined): Switches {
   return path === undefined ? noSwitches() : watchSwitchFile(path);
 }
 
 function watchSwitchFile(path: string): Switches {
   let partitions: ReadonlySet<string> = new Set();
-  let full: ReadonlySet<string> = new Set();
+  let fullDisks: ReadonlySet<string> = new Set();
 
   function readSwitches(): void {
     let text: string;
@@ -37,19 +37,19 @@
     } catch {
       return;
     }
-    const read = parsedJson(text);
-    if (!isTable(read)) return;
-    partitions = textsIn(read['cuts']);
-    full = textsIn(read['fullDisks']);
+    const parsed = parsedJson(text);
+    if (!isTable(parsed)) return;
+    partitions = stringsIn(parsed['cuts']);
+    fullDisks = stringsIn(parsed['fullDisks']);
   }
-  setInterval(readSwitches, LOOK_MS).unref();
+  setInterval(readSwitches, READ_INTERVAL_MS).unref();
   readSwitches();
 
   function isPartitioned(from: string, to: string): boolean {
     return partitions.has(`${from}>${to}`);
   }
   function isFull(node: string): boolean {
-    return full.has(node);
+    return fullDisks.has(node);
   }
   return { isPartitioned, isFull };
 }
--- a/src/transport/uncaught-errors.ts
+++ b/src/transport/uncaught-errors.ts
@@ -1,10 +1,10 @@
-/** Keeps one fault in a callback from ending a process that serves many requests. */
+/** Prevents an error in one callback from ending a process that serves many requests. */
 import { describeError } from '../base/describe-error.js';
 import type { Log } from './log.js';
 
 /**
- * From now on, errors that nobody caught are logged and the process goes on: whatever they belonged to ends by its own
- * deadline. To be called once the process serves; what fails before that should end it.
+ * Logs uncaught errors from now on and lets the process continue: the request or task that failed ends by its own
+ * deadline. Call it once the process serves, because an earlier error should end the process.
  */
 export function surviveUncaughtErrors(log: Log): void {
   function onUncaught(error: unknown): void {
--- a/src/transport/wire.ts
+++ b/src/transport/wire.ts
@@ -1,7 +1,8 @@
 /**
- * Connections between nodes: JSON frames, one a line, over TCP, as an interface that tests
- * replace by a simulated network. Frames arrive in order or the connection ends; it may end
- * at any moment, with frames on the way lost. Size bounds end connections rather than memory.
+ * Connections between nodes: JSON frames, one per line, over TCP, behind an interface that tests
+ * implement with a simulated network. Frames arrive in order or the connection closes; it may close
+ * at any time, and frames in flight are lost then. A connection that exceeds a size limit is closed,
+ * so that it can't exhaust memory.
  */
 
 import { createConnection, createServer } from 'node:net';
@@ -11,23 +12,23 @@
 import type { Result } from '../base/result.js';
 import type { Log } from './log.js';
 
-/** A host and port, as "host:port". */
+/** A host and a port in the form "host:port". */
 export type Address = string;
 
-/** Why no connection or listener was made. */
+/** Why a connection or listener could not be opened. */
 export type WireError =
   | { readonly tag: 'unreachable'; readonly address: Address }
   | { readonly tag: 'addressInUse'; readonly address: Address }
   | { readonly tag: 'badAddress'; readonly address: Address };
 
-/** What a connection tells its user; `heard` comes with any bytes, also those of an unfinished frame. */
+/** Events of a connection. `heard` is called for any bytes received, also those of an incomplete frame. */
 export type ConnectionEvents = {
   readonly frame: (body: unknown) => void;
   readonly closed: () => void;
   readonly heard?: () => void;
 };
 
-/** An open connection. `send` neither waits nor fails: what a dead peer does not take is lost. */
+/** An open connection. `send` neither waits nor fails: frames that a failed peer does not receive are lost. */
 export interface Connection {
   readonly peer: Address;
   send(body: unknown): void;
@@ -35,25 +36,25 @@
   attach(events: ConnectionEvents): void;
 }
 
-/** Something that listens at an address until closed. */
+/** Listens at an address until it is closed. */
 export type Listener = { readonly address: Address; readonly close: () => Promise<void> };
 
-/** Dials and listens. */
+/** Opens connections and listeners. */
 export interface Wire {
   listen(address: Address, onConnection: (connection: Connection) => void): Promise<Result<Listener, WireError>>;
   dial(address: Address): Promise<Result<Connection, WireError>>;
 }
 
-/** Counts frames and connections, for measurements. */
+/** Callbacks that count frames and connections, for measurements. */
 export type WireMeter = {
   readonly frame: (direction: 'out' | 'in', peer: Address, dialled: boolean, bytes: number, body: unknown) => void;
   readonly connections: (peer: Address, dialled: boolean, step: 1 | -1) => void;
 };
 
-/** The two halves of an address. */
+/** The host and the port of an address. */
 export type HostPort = { readonly host: string; readonly port: number };
 
-/** The halves of an address, or null if it is none. */
+/** Splits an address into host and port; returns null if it is not a valid address. */
 export function splitAddress(address: Address): HostPort | null {
   const at = address.lastIndexOf(':');
   if (at <= 0) return null;
@@ -62,14 +63,16 @@
   return { host: address.slice(0, at), port };
 }
 
-const MAX_FRAME = 64 * 1024 * 1024;
-const MAX_UNSENT = 64 * 1024 * 1024;
+/** In UTF-16 code units. */
+const MAX_FRAME_LENGTH = 64 * 1024 * 1024;
+/** A peer with more unread data than this is disconnected. */
+const MAX_UNSENT_BYTES = 64 * 1024 * 1024;
 
 class TcpConnection implements Connection {
   private events: ConnectionEvents | null = null;
   private chunks: string[] = [];
-  private size = 0;
-  private done = false;
+  private frameLength = 0;
+  private isClosed = false;
 
   constructor(
     private readonly sock: Socket,
@@ -86,7 +89,7 @@
 
     this.sock.pause();
 
-    this.sock.on('data', (chunk) => this.data(chunk));
+    this.sock.on('data', (chunk) => this.onData(chunk));
 
     this.sock.on('error', () => this.close());
 
@@ -94,63 +97,63 @@
   }
 
   close(): void {
-    if (this.done) return;
-    this.done = true;
+    if (this.isClosed) return;
+    this.isClosed = true;
     this.sock.destroy();
     this.meter?.connections(this.peer, this.dialled, -1);
     this.events?.closed();
   }
 
-  private closeInvalid(why: string): void {
-    this.log.warn('connection closed', { peer: this.peer, reason: why });
+  private closeWithWarning(cause: string): void {
+    this.log.warn('connection closed', { peer: this.peer, reason: cause });
     this.close();
   }
 
   private onLine(text: string): void {
-    if (this.done) return;
+    if (this.isClosed) return;
     let body: unknown;
     try {
       body = JSON.parse(text);
     } catch {
-      this.closeInvalid('a frame was not JSON');
+      this.closeWithWarning('a frame was not JSON');
       return;
     }
     this.meter?.frame('in', this.peer, this.dialled, text.length + 1, body);
     this.events?.frame(body);
   }
 
-  private data(chunk: string | Buffer): void {
+  private onData(chunk: string | Buffer): void {
     this.events?.heard?.();
     const lines = chunk.toString().split('\n');
     for (let i = 0; i < lines.length; i += 1) {
       const line = lines[i] as string;
       this.chunks.push(line);
-      this.size += line.length;
-      if (this.size > MAX_FRAME) {
-        this.closeInvalid('a frame was over the size limit');
+      this.frameLength += line.length;
+      if (this.frameLength > MAX_FRAME_LENGTH) {
+        this.closeWithWarning('a frame was over the size limit');
         return;
       }
       if (i < lines.length - 1) {
         const frame = this.chunks.join('');
         this.chunks = [];
-        this.size = 0;
+        this.frameLength = 0;
         this.onLine(frame);
-        if (this.done) return;
+        if (this.isClosed) return;
       }
     }
   }
 
   send(body: unknown): void {
-    if (this.done) return;
+    if (this.isClosed) return;
     const text = `${JSON.stringify(body)}\n`;
     this.meter?.frame('out', this.peer, this.dialled, text.length, body);
     this.sock.write(text);
-    if (this.sock.writableLength > MAX_UNSENT) this.closeInvalid('the peer reads too slowly');
+    if (this.sock.writableLength > MAX_UNSENT_BYTES) this.closeWithWarning('the peer reads too slowly');
   }
 
-  attach(to: ConnectionEvents): void {
-    this.events = to;
-    if (this.done) to.closed();
+  attach(events: ConnectionEvents): void {
+    this.events = events;
+    if (this.isClosed) events.closed();
     else this.sock.resume();
   }
 }
@@ -168,34 +171,34 @@
     const target = hostPort;
 
     const start = (resolve: (result: Result<Listener, WireError>) => void): void => {
-      const open = new Set<Socket>();
+      const openSockets = new Set<Socket>();
 
-      const accept = (sock: Socket): void => {
-        open.add(sock);
-        function gone(): void {
-          open.delete(sock);
+      const onSocket = (sock: Socket): void => {
+        openSockets.add(sock);
+        function onClose(): void {
+          openSockets.delete(sock);
         }
-        sock.on('close', gone);
+        sock.on('close', onClose);
         onConnection(
           new TcpConnection(sock, `${sock.remoteAddress ?? '?'}:${sock.remotePort ?? 0}`, false, this.log, this.meter),
         );
       };
-      const server: Server = createServer(accept);
-      function failed(): void {
+      const server: Server = createServer(onSocket);
+      function onListenError(): void {
         resolve(err({ tag: 'addressInUse', address }));
       }
-      function drop(): void {
-        for (const sock of open) sock.destroy();
+      function destroyAll(): void {
+        for (const sock of openSockets) sock.destroy();
       }
       function close(): Promise<void> {
-        return closeServer(server, drop);
+        return closeServer(server, destroyAll);
       }
-      function ready(): void {
-        server.off('error', failed);
+      function onListening(): void {
+        server.off('error', onListenError);
         resolve(ok({ address: `${target.host}:${portOf(server, target.port)}`, close }));
       }
-      server.once('error', failed);
-      server.listen(target.port, target.host, ready);
+      server.once('error', onListenError);
+      server.listen(target.port, target.host, onListening);
     };
     return new Promise(start);
   }
@@ -207,27 +210,27 @@
 
     const start = (resolve: (result: Result<Connection, WireError>) => void): void => {
       const sock = createConnection({ host: target.host, port: target.port });
-      function failed(): void {
+      function onFailed(): void {
         sock.destroy();
         resolve(err({ tag: 'unreachable', address }));
       }
       sock.setTimeout(this.dialTimeoutMs);
-      sock.once('timeout', failed);
-      sock.once('error', failed);
+      sock.once('timeout', onFailed);
+      sock.once('error', onFailed);
 
-      const connected = (): void => {
+      const onConnected = (): void => {
         sock.setTimeout(0);
-        sock.off('error', failed);
-        sock.off('timeout', failed);
+        sock.off('error', onFailed);
+        sock.off('timeout', onFailed);
         resolve(ok(new TcpConnection(sock, address, true, this.log, this.meter)));
       };
-      sock.once('connect', connected);
+      sock.once('connect', onConnected);
     };
     return new Promise(start);
   }
 }
 
-/** Connections over TCP; dialling takes at most `dialTimeoutMs`. */
+/** Creates connections over TCP. Connecting takes at most `dialTimeoutMs`. */
 export function createTcpWire(log: Log, dialTimeoutMs: number, meter: WireMeter | null = null): Wire {
   return new TcpWire(log, dialTimeoutMs, meter);
 }
