--- a/src/coordination/messaging/peer-link.ts
+++ b/src/coordination/messaging/peer-link.ts
@@ -32,7 +32,7 @@
 /** Minimum interval between two idle checks, in milliseconds. */
 const MIN_IDLE_CHECK_INTERVAL_MS = 1_000;
 
-/** A link over one connection. It closes itself after `idleTimeoutMs` without use, unless `keepOpen` was called. */
+/** A link over one connection. It closes itself after `idleLimitMs` without use, unless `keepOpen` was called. */
 export class PeerLink {
   readonly peer: Peer;
   private readonly closeCallbacks: (() => void)[] = [];
@@ -46,13 +46,13 @@
 
   constructor(
     private readonly connection: Connection,
-    private readonly idleTimeoutMs: number,
+    private readonly idleLimitMs: number,
     private readonly clock: Clock,
     private readonly log: Log,
     private readonly events: PeerLinkEvents,
   ) {
     this.lastUsedAt = clock.mono();
-    this.idleTimer = clock.timer(idleTimeoutMs, () => this.checkIdle());
+    this.idleTimer = clock.timer(idleLimitMs, () => this.checkIdle());
     this.peer = {
       send: (message) => this.send(message),
       onClosed: (callback) => this.onClosed(callback),
@@ -133,7 +133,7 @@
 
   private checkIdle(): void {
     if (this.closed) return;
-    const remainingMs = this.lastUsedAt + this.idleTimeoutMs - this.clock.mono();
+    const remainingMs = this.lastUsedAt + this.idleLimitMs - this.clock.mono();
     if (remainingMs <= 0 && !this.isKeptOpen) this.connection.close();
     else this.idleTimer = this.clock.timer(Math.max(MIN_IDLE_CHECK_INTERVAL_MS, remainingMs), () => this.checkIdle());
   }
--- a/src/coordination/messaging/peers.ts
+++ b/src/coordination/messaging/peers.ts
@@ -60,8 +60,8 @@
     private readonly log: Log,
   ) {}
 
-  private createLink(connection: Connection, idleTimeoutMs: number, onLinkClosed: () => void): PeerLink {
-    return new PeerLink(connection, idleTimeoutMs, this.clock, this.log, {
+  private createLink(connection: Connection, idleLimitMs: number, onLinkClosed: () => void): PeerLink {
+    return new PeerLink(connection, idleLimitMs, this.clock, this.log, {
       onMessage: (message, peer) => this.handlers.get(message.kind)?.(message, peer) ?? null,
       onLinkClosed,
     });
--- a/src/coordination/scaling/cloud-client.ts
+++ b/src/coordination/scaling/cloud-client.ts
@@ -22,7 +22,7 @@
   | { readonly tag: 'cloudSilent' }
   | { readonly tag: 'cloudNonsense'; readonly detail: string };
 
-/** Orders, lists and releases machines. Orders are idempotent by key: an order may be sent again. */
+/** Orders, lists and releases machines. The key makes an order safe to retry. */
 export interface CloudClient {
   orderMachine(order: CloudOrder): Promise<Result<Machine, CloudError>>;
   machines(owner: string): Promise<Result<Machine[], CloudError>>;
--- a/src/operator/requests.ts
+++ b/src/operator/requests.ts
@@ -28,7 +28,7 @@
 export function latencyTargetsRequest(minutes: number): CoreRequest {
   return { method: 'GET', path: `/v1/aims?minutes=${minutes}` };
 }
-/** Replaces the configuration of version `base`; `operation` makes a retry idempotent. */
+/** Replaces the configuration of version `base`; `operation` makes a retry safe. */
 export function replaceConfigurationRequest(base: number, configuration: unknown, operation: string): CoreRequest {
   return { method: 'POST', path: '/v1/configuration', body: { base, configuration, operation } };
 }
--- a/src/protocol/cloud-wire.ts
+++ b/src/protocol/cloud-wire.ts
@@ -1,6 +1,6 @@
 /**
  * The HTTP interface of the cloud that rents out machines: orders, machines and prices. Used by the scaler's client and
- * by the cloud's stand-in. The key of an order makes it idempotent: the same key never rents a second machine.
+ * by the cloud's stand-in. The key of an order makes it safe to retry: the same key never rents a second machine.
  */
 
 import { Type } from '@sinclair/typebox';
--- a/src/protocol/configuration.ts
+++ b/src/protocol/configuration.ts
@@ -74,10 +74,10 @@
       for (const zone of values['zones'])
         if (!zoneNames.has(String(zone))) addError([...path, 'zones'], 'zones named under /zones', zone);
     const homes = isTable(values['homes']) ? values['homes'] : {};
-    for (const [kind, homeRegions] of Object.entries(homes)) {
-      if (!Array.isArray(homeRegions)) continue;
-      if (homeRegions.length === 0) addError([...path, 'homes', kind], 'at least one region', homeRegions);
-      for (const region of homeRegions)
+    for (const [kind, allowedRegions] of Object.entries(homes)) {
+      if (!Array.isArray(allowedRegions)) continue;
+      if (allowedRegions.length === 0) addError([...path, 'homes', kind], 'at least one region', allowedRegions);
+      for (const region of allowedRegions)
         if (!regionNames.has(String(region))) addError([...path, 'homes', kind], 'regions that hold a zone', region);
     }
     const minTarget = values['minTarget'];
--- a/src/standin/worker.ts
+++ b/src/standin/worker.ts
@@ -95,8 +95,8 @@
   let incarnation = newId(rng, 'w');
   let readyAt = 0;
   let drainDeadline: number | null = null;
-  // Incremented by boot, halt, cold restart and stop; timers and responses of an older generation end.
-  let generation = 0;
+  // Incremented by boot, halt, cold restart and stop; timers and responses of an older epoch end.
+  let epoch = 0;
   let running = 0;
   let faultMode: FaultMode = 'none';
   let cache = new LRUMap<string, boolean>(MAX_CACHED_PREFIXES);
@@ -116,12 +116,12 @@
   }
 
   function loadModel(): void {
-    const startGeneration = generation;
+    const startEpoch = epoch;
     state = 'loading';
     incarnation = newId(rng, 'w');
     cache = new LRUMap<string, boolean>(MAX_CACHED_PREFIXES);
     function onLoaded(): void {
-      if (startGeneration !== generation) return;
+      if (startEpoch !== epoch) return;
       state = 'ready';
       readyAt = clock.mono();
       writeRecord('ready', null);
@@ -131,7 +131,7 @@
   }
 
   function halt(): void {
-    generation += 1;
+    epoch += 1;
     state = 'idle';
     drainDeadline = null;
     writeRecord('halted', null);
@@ -139,7 +139,7 @@
   }
 
   function boot(machineId: string, modelName: string, machineKind: 'spot' | 'onDemand' | 'fixed'): void {
-    generation += 1;
+    epoch += 1;
     machine = machineId;
     model = modelName;
     kind = machineKind;
@@ -213,14 +213,14 @@
     return Math.max(1, Math.ceil(run.outputTokens / settings.tokensPerPiece));
   }
 
-  async function* produce(run: Run, startGeneration: number): AsyncGenerator<unknown> {
+  async function* produce(run: Run, startEpoch: number): AsyncGenerator<unknown> {
     const responseDigest = startDigest(run.requestId, run.attemptId);
     try {
       await prefill(run);
       const total = pieceCount(run);
       for (let index = 0; index < total; index += 1) {
         await delay(clock, settings.decodeMsPerPiece);
-        if (startGeneration !== generation) return;
+        if (startEpoch !== epoch) return;
         if (faultMode === 'truncate' && index >= total / 2) return;
         if (faultMode === 'stall' && index > 0) await delay(clock, 600_000);
         const piece = { n: faultMode === 'swapPieces' && index === 1 ? 2 : index, text: textOf(run, index) };
@@ -258,7 +258,7 @@
     }
     running += 1;
     writeRecord('begin', runRequest, { tokens: runRequest.outputTokens, mark: markIn(runRequest.parts) });
-    const lines = produce(runRequest, generation);
+    const lines = produce(runRequest, epoch);
     if (runRequest.stream) return { status: 200, lines };
     const pieces: unknown[] = [];
     let digest: unknown = null;
@@ -316,7 +316,7 @@
   }
   async function onCold(): Promise<HttpReply> {
     writeRecord('cold', null);
-    generation += 1;
+    epoch += 1;
     loadModel();
     return { status: 200, body: {} };
   }
@@ -343,7 +343,7 @@
 
   async function stop(): Promise<void> {
     heartbeatTimer.cancel();
-    generation += 1;
+    epoch += 1;
     await listener.close();
   }
   return ok({ address: listener.address, stop });
--- a/src/state/discovery/prefix-table.ts
+++ b/src/state/discovery/prefix-table.ts
@@ -33,7 +33,7 @@
     return keys;
   }
 
-  /** Combines the index of a worker with its generation, so that `forget` invalidates all earlier records at once. */
+  /** Combines the index of a worker with its number of resets, so that `forget` invalidates its earlier records. */
   private withGeneration(worker: number): number {
     return worker * 65_536 + ((this.generations.get(worker) ?? 0) % 65_536);
   }
--- a/src/transport/ring.ts
+++ b/src/transport/ring.ts
@@ -28,7 +28,7 @@
  *
  * - Records and snapshots share one sequence of numbers without gaps. A snapshot has a sequence number of its
  *   own, so if it is unreadable, the records after it can't be mistaken for successors of the records before it.
- * - Each time writing moves on to a file, the file gets the next generation number. A snapshot covers all generations
+ * - Each time writing moves on to a file, the file gets the next epoch number. A snapshot covers all epochs
  *   up to its own; a file is overwritten only once a synced snapshot covers its contents.
  * - While a snapshot is written, the other area holds the previous one, and all files written since are untouched,
  *   so a torn snapshot loses nothing.
@@ -57,17 +57,17 @@
   readonly file: number;
   readonly offset: number;
   readonly next: number;
-  readonly generation: number;
+  readonly epoch: number;
   readonly seq: number;
   readonly batchStart: number;
   readonly payload: Buffer;
 };
 
-function encodeRecord(generation: number, seq: number, indexInBatch: number, payload: Buffer): Buffer {
+function encodeRecord(epoch: number, seq: number, indexInBatch: number, payload: Buffer): Buffer {
   const buf = Buffer.alloc(HEADER_BYTES + payload.length);
   buf.writeUInt32BE(MAGIC, 0);
   buf.writeUInt32BE(payload.length, 4);
-  buf.writeUIntBE(generation, 8, 6);
+  buf.writeUIntBE(epoch, 8, 6);
   buf.writeUIntBE(seq, 14, 6);
   buf.writeUInt32BE(indexInBatch, 20);
   payload.copy(buf, HEADER_BYTES);
@@ -86,20 +86,20 @@
     file,
     offset,
     next,
-    generation: buf.readUIntBE(offset + 8, 6),
+    epoch: buf.readUIntBE(offset + 8, 6),
     seq,
     batchStart: seq - buf.readUInt32BE(offset + 20),
     payload: Buffer.from(payload),
   };
 }
 
-function scanRecords(buf: Buffer, file: number, coveredGeneration: number): StoredRecord[] {
+function scanRecords(buf: Buffer, file: number, coveredEpoch: number): StoredRecord[] {
   const records: StoredRecord[] = [];
   let offset = 0;
   for (;;) {
     const record = decodeRecord(buf, file, offset);
     if (record) {
-      if (record.generation > coveredGeneration) records.push(record);
+      if (record.epoch > coveredEpoch) records.push(record);
       offset = record.next;
       continue;
     }
@@ -191,14 +191,14 @@
 type RingPosition = {
   /** Sequence number of the newest record. */
   readonly seq: number;
-  /** Generation of the file that is written. */
-  readonly generation: number;
+  /** Epoch of the file that is written. */
+  readonly epoch: number;
   /** Index of the file that is written; -1 if none has been written. */
   readonly file: number;
   /** Offset of the next record in that file. */
   readonly offset: number;
-  /** Generation of the oldest file that no snapshot covers. */
-  readonly oldestGeneration: number;
+  /** Epoch of the oldest file that no snapshot covers. */
+  readonly oldestEpoch: number;
   /** Index of the area with the newest snapshot. */
   readonly area: number;
   /** Whether records are rejected: if the files can't be synced on opening, the ring can only be read. */
@@ -223,7 +223,7 @@
 }
 
 function isNewer(found: StoredRecord, other: StoredRecord | null): boolean {
-  return !other || found.seq > other.seq || (found.seq === other.seq && found.generation > other.generation);
+  return !other || found.seq > other.seq || (found.seq === other.seq && found.epoch > other.epoch);
 }
 
 /** Opens both areas and reads the newest snapshot that is complete. */
@@ -290,13 +290,13 @@
   const snapshots = await openAreas(disk, shape);
   if (!snapshots.ok) return snapshots;
   const { areas, newest } = snapshots.value;
-  const coveredGeneration = newest ? newest.generation : 0;
+  const coveredEpoch = newest ? newest.epoch : 0;
   const dataEnds: number[] = [];
   const all: StoredRecord[] = [];
   for (const [i, file] of files.entries()) {
     const content = await file.read();
     if (!content.ok) return content;
-    all.push(...scanRecords(content.value, i, coveredGeneration));
+    all.push(...scanRecords(content.value, i, coveredEpoch));
     dataEnds.push(endOfData(content.value));
   }
   all.sort(bySeq);
@@ -308,10 +308,10 @@
   const isBroken = !(await syncAll([...files, ...areas]));
   const ring = new FileRing(files, areas, shape, {
     seq,
-    generation: last ? last.generation : coveredGeneration,
+    epoch: last ? last.epoch : coveredEpoch,
     file: last ? last.file : -1,
     offset: last ? last.next : shape.fileBytes,
-    oldestGeneration: coveredGeneration + 1,
+    oldestEpoch: coveredEpoch + 1,
     area: newest ? newest.file : 1,
     isBroken,
   });
@@ -320,10 +320,10 @@
 
 class FileRing implements Ring {
   private seq: number;
-  private generation: number;
+  private epoch: number;
   private currentFile: number;
   private offset: number;
-  private oldestGeneration: number;
+  private oldestEpoch: number;
   private area: number;
   private isBroken: boolean;
 
@@ -334,17 +334,17 @@
     position: RingPosition,
   ) {
     this.seq = position.seq;
-    this.generation = position.generation;
+    this.epoch = position.epoch;
     this.currentFile = position.file;
     this.offset = position.offset;
-    this.oldestGeneration = position.oldestGeneration;
+    this.oldestEpoch = position.oldestEpoch;
     this.area = position.area;
     this.isBroken = position.isBroken;
   }
 
   private beginNextFile(): Result<null, RingError> {
-    if (this.generation + 1 - this.oldestGeneration >= this.shape.files) return err({ tag: 'ringFull' });
-    this.generation += 1;
+    if (this.epoch + 1 - this.oldestEpoch >= this.shape.files) return err({ tag: 'ringFull' });
+    this.epoch += 1;
     this.currentFile = (this.currentFile + 1) % this.shape.files;
     this.offset = 0;
     return ok(null);
@@ -362,7 +362,7 @@
         if (!begun.ok) return begun;
       }
       const file = this.files[this.currentFile] as DiskFile;
-      const written = await file.write(this.offset, encodeRecord(this.generation, this.seq + 1, indexInBatch, payload));
+      const written = await file.write(this.offset, encodeRecord(this.epoch, this.seq + 1, indexInBatch, payload));
       if (!written.ok) {
         this.isBroken = true;
         return written;
@@ -390,7 +390,7 @@
     const targetArea = 1 - this.area;
     const file = this.areas[targetArea] as DiskFile;
     this.seq += 1;
-    const written = await file.write(0, encodeRecord(this.generation, this.seq, 0, snapshot));
+    const written = await file.write(0, encodeRecord(this.epoch, this.seq, 0, snapshot));
     const synced = written.ok ? await file.sync() : written;
     if (!synced.ok) {
       this.isBroken = true;
@@ -398,13 +398,13 @@
     }
     this.isBroken = false;
     this.area = targetArea;
-    this.oldestGeneration = this.generation + 1;
+    this.oldestEpoch = this.epoch + 1;
     this.offset = this.shape.fileBytes;
     return ok(null);
   }
 
   usedFiles(): number {
-    return this.generation + 1 - this.oldestGeneration;
+    return this.epoch + 1 - this.oldestEpoch;
   }
 
   crowded(): boolean {
