--- a/standin-platform/caller.ts
+++ b/standin-platform/caller.ts
@@ -1,3 +1,5 @@
+/** A stand-in caller: sends requests to the edges, retries them as the platform allows and records each attempt. */
+
 import { delay } from '../src/transport/clock.js';
 import type { Clock } from '../src/transport/clock.js';
 import { below, shuffled } from '../src/transport/rng.js';
@@ -5,11 +7,12 @@
 import { CALL, HEADER, QUERY, RESOLVED } from '../platform/words.js';
 import { ask } from './ask.js';
 import { openConnection } from './client.js';
-import type { Answer, Connection } from './client.js';
+import type { ExchangeResult, Connection } from './client.js';
 import { createEventReader } from './events.js';
 import type { Ended, EventSeen, Kind, Records } from './records.js';
-import { sha } from './incoming.js';
+import { sha256Hex } from './incoming.js';
 
+/** A request that a caller is to send, and how it retries it. */
 export type Wish = {
   readonly host: string;
   readonly path: string;
@@ -37,18 +40,20 @@
   chunked: false,
 } as const;
 
+/** Where a caller is, which directories it asks and how it treats connections and TTLs. */
 export type CallerSpec = {
   readonly name: string;
   readonly zone: string;
   readonly region: string;
   readonly directories: readonly string[];
   readonly keepConnections: boolean;
-  /** Goes on using a kept connection until its other side ends it, whatever the directory says. */
+  /** Reuses a connection until the edge closes it, even if the directory no longer lists its address. */
   readonly ignoresRemoval?: boolean;
   readonly ttlFactor: number;
   readonly ttlMaxS: number;
 };
 
+/** The outcome of a call over all its attempts; times in milliseconds since the call began. */
 export type Told = {
   readonly served: boolean;
   readonly tries: number;
@@ -57,9 +62,13 @@
   readonly wholeMs: number;
 };
 
+/** A client of the edges that follows the caller rules of the platform. */
 export type Caller = {
-  readonly call: (wish: Wish) => Promise<Told>;
-  readonly direct: (edge: string, wish: Wish) => Promise<Told>;
+  /** Sends a request through an edge from the directory, with retries. */
+  readonly call: (request: Wish) => Promise<Told>;
+  /** Sends a request once, to the given edge. */
+  readonly direct: (edge: string, request: Wish) => Promise<Told>;
+  /** Returns the edge addresses; asks the directory again once the TTL is over. */
   readonly resolved: () => Promise<readonly string[]>;
   readonly inFlight: () => number;
   readonly close: () => void;
@@ -67,244 +76,268 @@
 
 export type CallerDeps = { readonly clock: Clock; readonly rng: Rng; readonly records: Records };
 
-const PROMISES: readonly number[] = [429, 503, 408, 421];
-const FINAL: readonly number[] = [400, 401, 404, 413, 431];
-const ASK_MS = 1_000;
-const FAILED_MS = 2_000;
+/** Responses with one of these statuses promise that the request was not executed. */
+const NOT_EXECUTED_STATUSES: readonly number[] = [429, 503, 408, 421];
+/** Responses with one of these statuses are never retried. */
+const FINAL_STATUSES: readonly number[] = [400, 401, 404, 413, 431];
+const DIRECTORY_TIMEOUT_MS = 1_000;
+/** An address that failed is avoided for this long while others are available. */
+const AVOID_FAILED_ADDRESS_MS = 2_000;
 
-type Try = {
+/**
+ * The outcome of one attempt: `firstMs` is the time from its first byte to its end; `lastEvent` is the id of the last
+ * event received, after which a resumable stream continues.
+ */
+type AttemptResult = {
   readonly end: Ended;
   readonly status: number;
   readonly retryAfterMs: number;
   readonly lastEvent: number;
   readonly firstMs: number | null;
-  readonly more: boolean;
+  readonly mayRetry: boolean;
 };
 
+/** Creates a caller that resolves no address before its first call. */
 export function createCaller(spec: CallerSpec, deps: CallerDeps): Caller {
   const { clock, rng, records } = deps;
   let addresses: readonly string[] = [];
-  let freshUntil = -1;
-  let asking: Promise<void> | null = null;
-  let calls = 0;
-  let flying = 0;
-  const failed = new Map<string, number>();
-  const idle: Connection[] = [];
+  let addressesFreshUntil = -1;
+  let pendingRefresh: Promise<void> | null = null;
+  let callCount = 0;
+  let inFlightCount = 0;
+  const avoidUntil = new Map<string, number>();
+  const idleConnections: Connection[] = [];
 
-  async function refresh(): Promise<void> {
-    const query = `${CALL.resolve}?${QUERY.name}=caller.example&${QUERY.region}=${spec.region}&${QUERY.zone}=${spec.zone}`;
+  async function refreshAddresses(): Promise<void> {
+    const path = `${CALL.resolve}?${QUERY.name}=caller.example&${QUERY.region}=${spec.region}&${QUERY.zone}=${spec.zone}`;
     for (const directory of spec.directories.slice(0, 3)) {
-      const reply = await ask(directory, clock, 'GET', query, ASK_MS);
+      const reply = await ask(directory, clock, 'GET', path, DIRECTORY_TIMEOUT_MS);
       const body =
         reply?.status === 200 && typeof reply.body === 'object' && reply.body !== null
           ? (reply.body as Readonly<Record<string, unknown>>)
           : {};
-      const list = body[RESOLVED.addresses];
-      const ttl = body[RESOLVED.ttlS];
-      if (!Array.isArray(list) || list.length === 0 || typeof ttl !== 'number') continue;
-      addresses = list.filter(isText).slice(0, 64);
-      freshUntil = clock.mono() + Math.min(ttl, spec.ttlMaxS) * 1_000 * spec.ttlFactor;
-      leaveOthers();
+      const listedAddresses = body[RESOLVED.addresses];
+      const ttlS = body[RESOLVED.ttlS];
+      if (!Array.isArray(listedAddresses) || listedAddresses.length === 0 || typeof ttlS !== 'number') continue;
+      addresses = listedAddresses.filter(isString).slice(0, 64);
+      addressesFreshUntil = clock.mono() + Math.min(ttlS, spec.ttlMaxS) * 1_000 * spec.ttlFactor;
+      closeRemovedConnections();
       return;
     }
   }
-  function isText(item: unknown): item is string {
+  function isString(item: unknown): item is string {
     return typeof item === 'string';
   }
-  function leaveOthers(): void {
-    for (const connection of idle.splice(0)) {
-      if (mayKeep(connection)) idle.push(connection);
+  function closeRemovedConnections(): void {
+    for (const connection of idleConnections.splice(0)) {
+      if (mayKeep(connection)) idleConnections.push(connection);
       else connection.close();
     }
   }
   function mayKeep(connection: Connection): boolean {
-    return connection.usable() && (spec.ignoresRemoval === true || addresses.includes(connection.address));
+    return connection.isUsable() && (spec.ignoresRemoval === true || addresses.includes(connection.address));
   }
-  async function resolved(): Promise<readonly string[]> {
-    if (clock.mono() < freshUntil && addresses.length > 0) return addresses;
-    asking ??= refresh();
-    await asking;
-    asking = null;
+  async function resolveAddresses(): Promise<readonly string[]> {
+    if (clock.mono() < addressesFreshUntil && addresses.length > 0) return addresses;
+    pendingRefresh ??= refreshAddresses();
+    await pendingRefresh;
+    pendingRefresh = null;
     return addresses;
   }
 
-  async function connectionFor(fresh: boolean): Promise<Connection | null> {
-    const all = await resolved();
-    while (!fresh && idle.length > 0) {
-      const connection = idle.pop();
-      if (connection?.usable()) return connection;
+  async function acquireConnection(mustBeNew: boolean): Promise<Connection | null> {
+    const known = await resolveAddresses();
+    while (!mustBeNew && idleConnections.length > 0) {
+      const connection = idleConnections.pop();
+      if (connection?.isUsable()) return connection;
       connection?.close();
     }
     const now = clock.mono();
-    function trusted(address: string): boolean {
-      return (failed.get(address) ?? 0) <= now;
+    function isNotAvoided(address: string): boolean {
+      return (avoidUntil.get(address) ?? 0) <= now;
     }
-    const good = all.filter(trusted);
-    const edge = shuffled(rng, good.length > 0 ? good : all)[0];
-    return edge === undefined ? null : dial(edge);
+    const preferred = known.filter(isNotAvoided);
+    const edge = shuffled(rng, preferred.length > 0 ? preferred : known)[0];
+    return edge === undefined ? null : connectTo(edge);
   }
-  async function dial(edge: string): Promise<Connection | null> {
-    const connection = await openConnection(edge, clock, { stray });
-    if (!connection) failed.set(edge, clock.mono() + FAILED_MS);
+  async function connectTo(edge: string): Promise<Connection | null> {
+    const connection = await openConnection(edge, clock, { onStrayBytes });
+    if (!connection) avoidUntil.set(edge, clock.mono() + AVOID_FAILED_ADDRESS_MS);
     return connection;
-    function stray(text: string, waiting: boolean): void {
-      records.note({ what: 'stray', edge, attempt: waiting ? 'waiting' : null, text });
+    function onStrayBytes(text: string, isRequestPending: boolean): void {
+      records.note({ what: 'stray', edge, attempt: isRequestPending ? 'waiting' : null, text });
     }
   }
 
-  function newAttempt(): string {
+  function newAttemptId(): string {
     let out = '';
     for (let i = 0; i < 16; i += 1) out += below(rng, 16).toString(16);
     return out;
   }
 
-  async function call(wish: Wish): Promise<Told> {
-    const started = clock.mono();
-    const name = `${spec.name}/${(calls += 1)}`;
-    const until = started + wish.deadlineMs;
+  async function call(request: Wish): Promise<Told> {
+    const startedAt = clock.mono();
+    const callName = `${spec.name}/${(callCount += 1)}`;
+    const deadlineAt = startedAt + request.deadlineMs;
     let lastEvent = 0;
     let firstMs: number | null = null;
-    let last: Try | null = null;
-    let tries = 0;
-    flying += 1;
-    for (let count = 1; count <= wish.tries + 1; count += 1) {
-      const left = until - clock.mono();
-      if (left <= 0) break;
-      const connection = await connectionFor(count > 1);
+    let lastResult: AttemptResult | null = null;
+    let attempts = 0;
+    inFlightCount += 1;
+    for (let attemptNumber = 1; attemptNumber <= request.tries + 1; attemptNumber += 1) {
+      const remainingMs = deadlineAt - clock.mono();
+      if (remainingMs <= 0) break;
+      const connection = await acquireConnection(attemptNumber > 1);
       if (!connection) {
-        last = { end: 'noConnection', status: 0, retryAfterMs: 0, lastEvent, firstMs: null, more: true };
-        await delay(clock, Math.min(100, left));
+        lastResult = { end: 'noConnection', status: 0, retryAfterMs: 0, lastEvent, firstMs: null, mayRetry: true };
+        await delay(clock, Math.min(100, remainingMs));
         continue;
       }
-      tries += 1;
-      last = await sendAttempt(connection, wish, name, left, lastEvent, false);
-      if (last.firstMs !== null && firstMs === null) firstMs = clock.mono() - started - last.firstMs;
-      lastEvent = last.lastEvent;
-      if (!last.more) break;
-      await delay(clock, Math.min(last.retryAfterMs, (until - clock.mono()) / 3));
+      attempts += 1;
+      lastResult = await sendAttempt(connection, request, callName, remainingMs, lastEvent, false);
+      if (lastResult.firstMs !== null && firstMs === null) firstMs = clock.mono() - startedAt - lastResult.firstMs;
+      lastEvent = lastResult.lastEvent;
+      if (!lastResult.mayRetry) break;
+      await delay(clock, Math.min(lastResult.retryAfterMs, (deadlineAt - clock.mono()) / 3));
     }
-    flying -= 1;
-    const served = last !== null && last.end === 'whole' && last.status >= 200 && last.status < 300;
-    return { served, tries, status: last?.status ?? 0, firstMs, wholeMs: clock.mono() - started };
+    inFlightCount -= 1;
+    const served =
+      lastResult !== null && lastResult.end === 'whole' && lastResult.status >= 200 && lastResult.status < 300;
+    return { served, tries: attempts, status: lastResult?.status ?? 0, firstMs, wholeMs: clock.mono() - startedAt };
   }
 
-  async function direct(edge: string, wish: Wish): Promise<Told> {
-    const started = clock.mono();
-    const connection = await dial(edge);
+  async function callEdge(edge: string, request: Wish): Promise<Told> {
+    const startedAt = clock.mono();
+    const connection = await connectTo(edge);
     if (!connection) return { served: false, tries: 1, status: 0, firstMs: null, wholeMs: 0 };
-    const one = await sendAttempt(connection, wish, `${spec.name}/${(calls += 1)}`, wish.deadlineMs, 0, true);
+    const result = await sendAttempt(
+      connection,
+      request,
+      `${spec.name}/${(callCount += 1)}`,
+      request.deadlineMs,
+      0,
+      true,
+    );
     connection.close();
     return {
-      served: one.end === 'whole' && one.status >= 200 && one.status < 300,
+      served: result.end === 'whole' && result.status >= 200 && result.status < 300,
       tries: 1,
-      status: one.status,
+      status: result.status,
       firstMs: null,
-      wholeMs: clock.mono() - started,
+      wholeMs: clock.mono() - startedAt,
     };
   }
 
   async function sendAttempt(
     connection: Connection,
-    wish: Wish,
-    name: string,
-    leftMs: number,
+    request: Wish,
+    callName: string,
+    remainingMs: number,
     lastEvent: number,
     isDirect: boolean,
-  ): Promise<Try> {
-    const attempt = newAttempt();
-    const body = Buffer.from(`${attempt} `.repeat(Math.ceil(wish.bytes / 17)).slice(0, wish.bytes));
+  ): Promise<AttemptResult> {
+    const attemptId = newAttemptId();
+    const body = Buffer.from(`${attemptId} `.repeat(Math.ceil(request.bytes / 17)).slice(0, request.bytes));
     records.note({
       what: 'asked',
-      attempt,
-      call: name,
+      attempt: attemptId,
+      call: callName,
       edge: connection.address,
       zone: spec.zone,
       region: spec.region,
       method: 'POST',
-      host: wish.host,
-      path: wish.path,
-      digest: sha(body),
-      deadlineMs: leftMs,
+      host: request.host,
+      path: request.path,
+      digest: sha256Hex(body),
+      deadlineMs: remainingMs,
       lastEvent,
       direct: isDirect,
     });
-    const started = clock.mono();
-    let firstAt: number | null = null;
+    const startedAt = clock.mono();
+    let firstByteAt: number | null = null;
     const events = createEventReader();
     function onBody(part: Buffer): void {
-      if (firstAt === null) firstAt = clock.mono();
-      if (wish.kind === 'stream') events.push(part);
+      if (firstByteAt === null) firstByteAt = clock.mono();
+      if (request.kind === 'stream') events.push(part);
     }
     function onSent(): void {
-      records.note({ what: 'sent', attempt });
+      records.note({ what: 'sent', attempt: attemptId });
     }
-    const silenceMs = wish.kind === 'stream' ? Math.max(2_000, 4 * wish.aimMs, 8 * wish.pauseMs) : null;
-    const answer = await connection.exchange(
-      bytesOf(wish, attempt, body, leftMs, lastEvent),
-      { deadlineMs: leftMs, silenceMs },
+    const inactivityTimeoutMs =
+      request.kind === 'stream' ? Math.max(2_000, 4 * request.aimMs, 8 * request.pauseMs) : null;
+    const result = await connection.exchange(
+      serializeRequest(request, attemptId, body, remainingMs, lastEvent),
+      { deadlineMs: remainingMs, inactivityTimeoutMs },
       onBody,
       onSent,
     );
-    note(attempt, answer, events.seen());
-    if (spec.keepConnections && !isDirect && mayKeep(connection)) idle.push(connection);
+    recordAnswered(attemptId, result, events.seen());
+    if (spec.keepConnections && !isDirect && mayKeep(connection)) idleConnections.push(connection);
     else connection.close();
-    if (answer.end !== 'whole') failed.set(connection.address, clock.mono() + FAILED_MS);
-    const seen = events.seen();
-    const status = answer.head?.status ?? 0;
+    if (result.end !== 'whole') avoidUntil.set(connection.address, clock.mono() + AVOID_FAILED_ADDRESS_MS);
+    const eventsSeen = events.seen();
+    const status = result.head?.status ?? 0;
     return {
-      end: answer.end,
+      end: result.end,
       status,
-      retryAfterMs: Number(answer.head?.headers.get(HEADER.retryAfter) ?? 0) * 1_000,
-      lastEvent: seen[seen.length - 1]?.id ?? lastEvent,
-      firstMs: firstAt === null ? null : clock.mono() - firstAt,
-      more: clock.mono() - started < leftMs && mayTryAgain(wish, answer, seen.length > 0),
+      retryAfterMs: Number(result.head?.headers.get(HEADER.retryAfter) ?? 0) * 1_000,
+      lastEvent: eventsSeen[eventsSeen.length - 1]?.id ?? lastEvent,
+      firstMs: firstByteAt === null ? null : clock.mono() - firstByteAt,
+      mayRetry: clock.mono() - startedAt < remainingMs && mayRetry(request, result, eventsSeen.length > 0),
     };
   }
 
-  function note(attempt: string, answer: Answer, events: readonly EventSeen[]): void {
-    const headers = answer.head?.headers;
+  function recordAnswered(attemptId: string, result: ExchangeResult, events: readonly EventSeen[]): void {
+    const headers = result.head?.headers;
     records.note({
       what: 'answered',
-      attempt,
-      end: answer.end,
-      status: answer.head?.status ?? 0,
+      attempt: attemptId,
+      end: result.end,
+      status: result.head?.status ?? 0,
       seal: headers?.get(HEADER.seal) ?? null,
       echo: headers?.get(HEADER.attemptId) ?? null,
-      digest: sha(answer.body),
+      digest: sha256Hex(result.body),
       events,
     });
   }
 
   function close(): void {
-    for (const connection of idle.splice(0)) connection.close();
+    for (const connection of idleConnections.splice(0)) connection.close();
   }
-  function inFlight(): number {
-    return flying;
+  function getInFlightCount(): number {
+    return inFlightCount;
   }
-  return { call, direct, resolved, inFlight, close };
+  return { call, direct: callEdge, resolved: resolveAddresses, inFlight: getInFlightCount, close };
 }
 
-function mayTryAgain(wish: Wish, answer: Answer, hasEvents: boolean): boolean {
-  const status = answer.head?.status ?? 0;
-  if (answer.end === 'whole' && (status < 300 || FINAL.includes(status))) return false;
-  if (answer.end === 'whole' && PROMISES.includes(status)) return true;
-  if (wish.kind === 'repeatable') return true;
-  return wish.resumable && hasEvents;
+/** Tells whether the platform allows another attempt after this result. */
+function mayRetry(request: Wish, result: ExchangeResult, hasEvents: boolean): boolean {
+  const status = result.head?.status ?? 0;
+  if (result.end === 'whole' && (status < 300 || FINAL_STATUSES.includes(status))) return false;
+  if (result.end === 'whole' && NOT_EXECUTED_STATUSES.includes(status)) return true;
+  if (request.kind === 'repeatable') return true;
+  return request.resumable && hasEvents;
 }
 
-function bytesOf(wish: Wish, attempt: string, body: Buffer, leftMs: number, lastEvent: number): readonly Buffer[] {
-  const lines = [`POST ${wish.path} HTTP/1.1`, `Host: ${wish.host}`, `X-Millfield-Attempt-Id: ${attempt}`];
-  if (wish.tokens !== null) lines.push(`X-Millfield-Model: m`, `X-Millfield-Token-Counts: ${wish.tokens}`);
-  if (wish.prefix !== null) lines.push(`X-Millfield-Prompt-Prefix: ${wish.prefix}`);
-  lines.push(`X-Millfield-Deadline-Ms: ${Math.round(leftMs)}`);
+function serializeRequest(
+  request: Wish,
+  attemptId: string,
+  body: Buffer,
+  remainingMs: number,
+  lastEvent: number,
+): readonly Buffer[] {
+  const lines = [`POST ${request.path} HTTP/1.1`, `Host: ${request.host}`, `X-Millfield-Attempt-Id: ${attemptId}`];
+  if (request.tokens !== null) lines.push(`X-Millfield-Model: m`, `X-Millfield-Token-Counts: ${request.tokens}`);
+  if (request.prefix !== null) lines.push(`X-Millfield-Prompt-Prefix: ${request.prefix}`);
+  lines.push(`X-Millfield-Deadline-Ms: ${Math.round(remainingMs)}`);
   if (lastEvent > 0) lines.push(`Last-Event-Id: ${lastEvent}`);
-  lines.push(wish.chunked ? 'Transfer-Encoding: chunked' : `Content-Length: ${body.length}`);
+  lines.push(request.chunked ? 'Transfer-Encoding: chunked' : `Content-Length: ${body.length}`);
   const head = Buffer.from(`${lines.join('\r\n')}\r\n\r\n`);
-  if (!wish.chunked) return [head, body];
+  if (!request.chunked) return [head, body];
   const half = Math.ceil(body.length / 2);
-  return [head, chunk(body.subarray(0, half)), chunk(body.subarray(half)), Buffer.from('0\r\n\r\n')];
+  return [head, encodeChunk(body.subarray(0, half)), encodeChunk(body.subarray(half)), Buffer.from('0\r\n\r\n')];
 }
-function chunk(part: Buffer): Buffer {
+function encodeChunk(part: Buffer): Buffer {
   return part.length === 0
     ? Buffer.alloc(0)
     : Buffer.concat([Buffer.from(`${part.length.toString(16)}\r\n`), part, Buffer.from('\r\n')]);
--- a/standin-platform/client.ts
+++ b/standin-platform/client.ts
@@ -1,178 +1,189 @@
+/** An HTTP/1.1 client over a plain socket that also reports bytes which belong to no response. */
+
 import { connect } from 'node:net';
 import type { Socket } from 'node:net';
 import type { Clock, Timer } from '../src/transport/clock.js';
 import { createResponseReader } from './reader.js';
-import type { Head } from './reader.js';
+import type { ResponseHead } from './reader.js';
 
-export type Answer = {
+/** How a response ended, and what was received of it; `head` is null if it ended before its head was complete. */
+export type ExchangeResult = {
   readonly end: 'whole' | 'cut' | 'garbage' | 'deadline' | 'silence';
-  readonly head: Head | null;
+  readonly head: ResponseHead | null;
   readonly body: Buffer;
 };
 
-export type Waits = { readonly deadlineMs: number; readonly silenceMs: number | null };
+/** Limits for a whole exchange and for the time without received data; null means no such limit. */
+export type ExchangeTimeouts = { readonly deadlineMs: number; readonly inactivityTimeoutMs: number | null };
 
+/** An HTTP/1.1 connection that carries one exchange at a time. */
 export type Connection = {
   readonly address: string;
-  readonly usable: () => boolean;
+  readonly isUsable: () => boolean;
   readonly exchange: (
     bytes: readonly Buffer[],
-    waits: Waits,
+    timeouts: ExchangeTimeouts,
     onBody: (part: Buffer) => void,
     onSent: () => void,
-  ) => Promise<Answer>;
+  ) => Promise<ExchangeResult>;
   readonly close: () => void;
 };
 
-export type ConnectionSink = { readonly stray: (text: string, waiting: boolean) => void };
+/** Receives bytes that belong to no response; the flag tells whether a request was pending. */
+export type ConnectionListener = { readonly onStrayBytes: (text: string, waiting: boolean) => void };
 
-const DIAL_MS = 1_000;
-const MOST_BODY = 8_388_608;
+const CONNECT_TIMEOUT_MS = 1_000;
+const MAX_BODY_BYTES = 8_388_608;
 
-export function openConnection(address: string, clock: Clock, sink: ConnectionSink): Promise<Connection | null> {
+/** Opens a connection; resolves to null on failure or timeout. */
+export function openConnection(
+  address: string,
+  clock: Clock,
+  listener: ConnectionListener,
+): Promise<Connection | null> {
   const [host = '', port = '0'] = address.split(':');
-  function dial(resolve: (connection: Connection | null) => void): void {
+  function openSocket(resolve: (connection: Connection | null) => void): void {
     const socket = connect({ host, port: Number(port), noDelay: true });
-    function late(): void {
+    function onConnectTimeout(): void {
       socket.destroy();
       resolve(null);
     }
-    const timer = clock.timer(DIAL_MS, late);
-    function failed(): void {
+    const timer = clock.timer(CONNECT_TIMEOUT_MS, onConnectTimeout);
+    function onConnectError(): void {
       timer.cancel();
       resolve(null);
     }
-    function up(): void {
+    function onConnect(): void {
       timer.cancel();
-      socket.off('error', failed);
-      resolve(createPeerConnection(address, socket, clock, sink));
+      socket.off('error', onConnectError);
+      resolve(createConnection(address, socket, clock, listener));
     }
-    socket.once('error', failed);
-    socket.once('connect', up);
+    socket.once('error', onConnectError);
+    socket.once('connect', onConnect);
   }
-  return new Promise<Connection | null>(dial);
+  return new Promise<Connection | null>(openSocket);
 }
 
-type Waiting = {
-  readonly resolve: (answer: Answer) => void;
+type PendingExchange = {
+  readonly resolve: (answer: ExchangeResult) => void;
   readonly parts: Buffer[];
   readonly onBody: (part: Buffer) => void;
-  readonly silenceMs: number | null;
-  readonly deadline: Timer;
-  silence: Timer | null;
-  head: Head | null;
+  readonly inactivityTimeoutMs: number | null;
+  readonly deadlineTimer: Timer;
+  inactivityTimer: Timer | null;
+  head: ResponseHead | null;
 };
 
-function createPeerConnection(address: string, socket: Socket, clock: Clock, sink: ConnectionSink): Connection {
-  let waiting: Waiting | null = null;
-  let open = true;
-  let spent = false;
-  let idle: Timer | null = null;
-  let size = 0;
+function createConnection(address: string, socket: Socket, clock: Clock, listener: ConnectionListener): Connection {
+  let pending: PendingExchange | null = null;
+  let isOpen = true;
+  let isClosedLocally = false;
+  let keepAliveTimer: Timer | null = null;
+  let receivedBytes = 0;
 
   const reader = createResponseReader({
-    head: onHead,
-    body: onBody,
-    whole: onWhole,
-    garbage: onGarbage,
-    stray: onStray,
+    onHead,
+    onBody,
+    onComplete,
+    onInvalidBytes,
+    onStrayBytes,
   });
 
-  function linearizableRead(end: Answer['end']): void {
-    const worker = waiting;
-    if (!worker) return;
-    waiting = null;
-    worker.deadline.cancel();
-    worker.silence?.cancel();
-    const hints = worker.head?.headers;
-    if (end !== 'whole' || (hints?.get('connection') ?? '').toLowerCase() === 'close') close();
-    const keep = /timeout=(\d+)/.exec(hints?.get('keep-alive') ?? '');
-    if (keep) idle = clock.timer(Math.max(0, Number(keep[1]) * 1_000 - 500), close);
-    worker.resolve({ end, head: worker.head, body: Buffer.concat(worker.parts) });
+  function settle(end: ExchangeResult['end']): void {
+    const settled = pending;
+    if (!settled) return;
+    pending = null;
+    settled.deadlineTimer.cancel();
+    settled.inactivityTimer?.cancel();
+    const headers = settled.head?.headers;
+    if (end !== 'whole' || (headers?.get('connection') ?? '').toLowerCase() === 'close') close();
+    const keepAlive = /timeout=(\d+)/.exec(headers?.get('keep-alive') ?? '');
+    if (keepAlive) keepAliveTimer = clock.timer(Math.max(0, Number(keepAlive[1]) * 1_000 - 500), close);
+    settled.resolve({ end, head: settled.head, body: Buffer.concat(settled.parts) });
   }
-  function onHead(head: Head): void {
-    if (waiting) waiting.head = head;
-    heard();
+  function onHead(head: ResponseHead): void {
+    if (pending) pending.head = head;
+    restartInactivityTimer();
   }
   function onBody(part: Buffer): void {
-    if (!waiting) return;
-    size += part.length;
-    if (size <= MOST_BODY) waiting.parts.push(part);
-    waiting.onBody(part);
-    heard();
+    if (!pending) return;
+    receivedBytes += part.length;
+    if (receivedBytes <= MAX_BODY_BYTES) pending.parts.push(part);
+    pending.onBody(part);
+    restartInactivityTimer();
   }
-  function heard(): void {
-    const worker = waiting;
-    if (!worker || worker.silenceMs === null) return;
-    worker.silence?.cancel();
-    worker.silence = clock.timer(worker.silenceMs, silent);
+  function restartInactivityTimer(): void {
+    const current = pending;
+    if (!current || current.inactivityTimeoutMs === null) return;
+    current.inactivityTimer?.cancel();
+    current.inactivityTimer = clock.timer(current.inactivityTimeoutMs, onInactive);
   }
-  function silent(): void {
-    linearizableRead('silence');
+  function onInactive(): void {
+    settle('silence');
   }
-  function onWhole(): void {
-    linearizableRead('whole');
+  function onComplete(): void {
+    settle('whole');
   }
-  function onGarbage(text: string): void {
-    sink.stray(text, true);
-    linearizableRead('garbage');
+  function onInvalidBytes(text: string): void {
+    listener.onStrayBytes(text, true);
+    settle('garbage');
     close();
   }
-  function onStray(text: string): void {
-    if (open) sink.stray(text, false);
+  function onStrayBytes(text: string): void {
+    if (isOpen) listener.onStrayBytes(text, false);
     close();
   }
   function onClose(): void {
-    open = false;
-    idle?.cancel();
-    reader.closed();
-    linearizableRead('cut');
+    isOpen = false;
+    keepAliveTimer?.cancel();
+    reader.onClose();
+    settle('cut');
   }
-  function ignore(): void {}
+  function noop(): void {}
   socket.on('data', reader.push);
-  socket.on('error', ignore);
+  socket.on('error', noop);
   socket.on('end', onClose);
   socket.on('close', onClose);
 
-  function usable(): boolean {
-    return open && !spent && waiting === null && !reader.busy();
+  function isUsable(): boolean {
+    return isOpen && !isClosedLocally && pending === null && !reader.isBusy();
   }
   function close(): void {
-    open = false;
-    spent = true;
-    idle?.cancel();
+    isOpen = false;
+    isClosedLocally = true;
+    keepAliveTimer?.cancel();
     socket.destroy();
   }
   function exchange(
     bytes: readonly Buffer[],
-    waits: Waits,
-    part: (bytes: Buffer) => void,
+    timeouts: ExchangeTimeouts,
+    onBodyPart: (part: Buffer) => void,
     onSent: () => void,
-  ): Promise<Answer> {
-    function begin(resolve: (answer: Answer) => void): void {
-      idle?.cancel();
-      size = 0;
-      if (!open) {
+  ): Promise<ExchangeResult> {
+    function start(resolve: (answer: ExchangeResult) => void): void {
+      keepAliveTimer?.cancel();
+      receivedBytes = 0;
+      if (!isOpen) {
         resolve({ end: 'cut', head: null, body: Buffer.alloc(0) });
         return;
       }
-      function late(): void {
-        linearizableRead('deadline');
+      function onDeadline(): void {
+        settle('deadline');
       }
-      waiting = {
+      pending = {
         resolve,
         parts: [],
-        onBody: part,
-        silenceMs: waits.silenceMs,
-        deadline: clock.timer(waits.deadlineMs, late),
-        silence: null,
+        onBody: onBodyPart,
+        inactivityTimeoutMs: timeouts.inactivityTimeoutMs,
+        deadlineTimer: clock.timer(timeouts.deadlineMs, onDeadline),
+        inactivityTimer: null,
         head: null,
       };
-      reader.expect();
-      heard();
+      reader.expectResponse();
+      restartInactivityTimer();
       socket.write(Buffer.concat(bytes), onSent);
     }
-    return new Promise<Answer>(begin);
+    return new Promise<ExchangeResult>(start);
   }
-  return { address, usable, exchange, close };
+  return { address, isUsable, exchange, close };
 }
--- a/standin-platform/contact.test.ts
+++ b/standin-platform/contact.test.ts
@@ -5,43 +5,43 @@
 const CONTACT_MS = 4_000;
 const EDGE = 'e1';
 
-function on(edge: string, core: boolean): (at: number, fault: Planned['fault']) => Planned {
+function eventsOf(edge: string, core: boolean): (at: number, fault: Planned['fault']) => Planned {
   return (at, fault) => ({ what: 'planned', at, edge, core, fault });
 }
-const edge = on(EDGE, false);
-const [first, second, third] = ['c1', 'c2', 'c3'].map((name) => on(name, true)) as [
+const edge = eventsOf(EDGE, false);
+const [first, second, third] = ['c1', 'c2', 'c3'].map((name) => eventsOf(name, true)) as [
   typeof edge,
   typeof edge,
   typeof edge,
 ];
 const STARTED = [first, second, third, edge].map((event) => event(0, 'start'));
 
-function contact(...events: Planned[]): ReturnType<typeof contactOf> {
+function contactAfter(...events: Planned[]): ReturnType<typeof contactOf> {
   return contactOf([...STARTED, ...events], { contactMs: CONTACT_MS });
 }
 
-describe('a proxy in touch', () => {
-  test('is so once the contact time has passed since the last event on the core', () => {
-    const { inTouch } = contact(first(20_000, 'freeze'), first(22_000, 'thaw'));
+describe('a proxy in contact', () => {
+  test('is in contact once the contact time has passed since the last event on the core', () => {
+    const { inTouch } = contactAfter(first(20_000, 'freeze'), first(22_000, 'thaw'));
     expect([19_999, 20_000, 26_000, 26_001].map((at) => inTouch(EDGE, at))).toEqual([true, false, false, true]);
   });
 
-  test('is not so while it stands still itself, however long', () => {
-    const { inTouch, inOuterTouch } = contact(edge(20_000, 'freeze'), edge(40_000, 'thaw'));
+  test('is not in contact while it is paused itself, however long', () => {
+    const { inTouch, inOuterTouch } = contactAfter(edge(20_000, 'freeze'), edge(40_000, 'thaw'));
     expect([39_000, 44_000, 44_001].map((at) => inTouch(EDGE, at))).toEqual([false, false, true]);
     expect(inOuterTouch(EDGE, 39_000, 39_000)).toBe(false);
     expect(inTouch('e2', 39_000)).toBe(true);
   });
 
-  test('is not so while half of the core or more is down, and is so with one of three away for long', () => {
-    const one = contact(first(20_000, 'kill'));
+  test('is not in contact while half of the core or more is down, but is with one of three down for long', () => {
+    const one = contactAfter(first(20_000, 'kill'));
     expect(one.inTouch(EDGE, 30_000)).toBe(true);
-    const two = contact(first(20_000, 'kill'), second(20_500, 'freeze'), second(40_000, 'thaw'));
+    const two = contactAfter(first(20_000, 'kill'), second(20_500, 'freeze'), second(40_000, 'thaw'));
     expect([30_000, 44_000, 44_001].map((at) => two.inTouch(EDGE, at))).toEqual([false, false, true]);
   });
 
-  test('is so in the outer sense with a core that is unsettled, unless a majority was away meanwhile', () => {
-    const { inTouch, inOuterTouch } = contact(
+  test('is in contact with the majority of an unsettled core, unless the majority was lost meanwhile', () => {
+    const { inTouch, inOuterTouch } = contactAfter(
       first(20_000, 'freeze'),
       first(22_000, 'thaw'),
       second(30_000, 'kill'),
--- a/standin-platform/contact.ts
+++ b/standin-platform/contact.ts
@@ -1,94 +1,94 @@
-/** Which proxies are in touch with a settled core, and when: rules with a time bound hold for these alone. */
+/** Tells which proxies are in contact with a settled core, and when; rules with a time bound hold only for these. */
 import { onlyOf } from './records.js';
 import type { Planned, Rec } from './records.js';
 
-/** A stretch of time, both ends included. */
-type Span = { readonly from: number; readonly until: number };
+/** A time interval, both ends included. */
+type Interval = { readonly from: number; readonly until: number };
 
-/** Answers by the journal of what was done to the machines. */
+/** Answers from the journal of events on the machines. */
 export type Contact = {
-  /** The proxy ran, and the core was settled, for the whole contact time before. */
+  /** Tells whether the proxy ran, and the core was settled, for the whole contact time before. */
   readonly inTouch: (edge: string, at: number) => boolean;
-  /** The same with a core that was unsettled, of which more than half has run all the while from `from` on. */
+  /** The same, but the core may be unsettled if more than half of it ran all the time since `from`. */
   readonly inOuterTouch: (edge: string, from: number, at: number) => boolean;
 };
 
-function isWithin(spans: readonly Span[], at: number): boolean {
-  return spans.some((span) => at >= span.from && at <= span.until);
+function isWithinAny(intervals: readonly Interval[], at: number): boolean {
+  return intervals.some((interval) => at >= interval.from && at <= interval.until);
 }
 
-function overlaps(spans: readonly Span[], from: number, until: number): boolean {
-  return spans.some((span) => span.from <= until && span.until >= from);
+function overlapsAny(intervals: readonly Interval[], from: number, until: number): boolean {
+  return intervals.some((interval) => interval.from <= until && interval.until >= from);
 }
 
-/** Each event on a machine, with the contact time behind. */
-function events(planned: readonly Planned[], contactMs: number): readonly Span[] {
+/** Returns an interval from each event on a machine to the end of the contact time after it. */
+function settlingIntervals(planned: readonly Planned[], contactMs: number): readonly Interval[] {
   return planned.map(({ at }) => ({ from: at, until: at + contactMs }));
 }
 
-/** The times in which a machine stood still. One that was killed answers nobody and needs no span. */
-function standstills(planned: readonly Planned[]): readonly Span[] {
-  const spans: Span[] = [];
-  let since: number | null = null;
+/** Returns the process pauses of a machine. A killed machine answers no request and needs no interval. */
+function pauseIntervals(planned: readonly Planned[]): readonly Interval[] {
+  const intervals: Interval[] = [];
+  let pausedSince: number | null = null;
   for (const { fault, at } of planned) {
-    if (fault === 'freeze') since ??= at;
-    else if (since !== null) {
-      spans.push({ from: since, until: at });
-      since = null;
+    if (fault === 'freeze') pausedSince ??= at;
+    else if (pausedSince !== null) {
+      intervals.push({ from: pausedSince, until: at });
+      pausedSince = null;
     }
   }
-  if (since !== null) spans.push({ from: since, until: Infinity });
-  return spans;
+  if (pausedSince !== null) intervals.push({ from: pausedSince, until: Infinity });
+  return intervals;
 }
 
-/** Times in which half of the core or more was down, with the contact time behind. */
-function minorities(planned: readonly Planned[], contactMs: number): readonly Span[] {
+/** Returns the times in which half of the core or more was down, each with the contact time after it. */
+function majorityLossIntervals(planned: readonly Planned[], contactMs: number): readonly Interval[] {
   const machines = new Set<string>();
   const down = new Set<string>();
-  const spans: Span[] = [];
-  let since: number | null = null;
-  for (const plan of planned) {
-    machines.add(plan.edge);
-    if (plan.fault === 'start' || plan.fault === 'thaw') down.delete(plan.edge);
-    else down.add(plan.edge);
+  const intervals: Interval[] = [];
+  let lostSince: number | null = null;
+  for (const event of planned) {
+    machines.add(event.edge);
+    if (event.fault === 'start' || event.fault === 'thaw') down.delete(event.edge);
+    else down.add(event.edge);
     const isMajority = 2 * (machines.size - down.size) > machines.size;
-    if (!isMajority) since ??= plan.at;
-    else if (since !== null) {
-      spans.push({ from: since, until: plan.at + contactMs });
-      since = null;
+    if (!isMajority) lostSince ??= event.at;
+    else if (lostSince !== null) {
+      intervals.push({ from: lostSince, until: event.at + contactMs });
+      lostSince = null;
     }
   }
-  if (since !== null) spans.push({ from: since, until: Infinity });
-  return spans;
+  if (lostSince !== null) intervals.push({ from: lostSince, until: Infinity });
+  return intervals;
 }
 
-/** Reads the journal once. */
+/** Computes the intervals from the journal, which is read once. */
 export function contactOf(records: readonly Rec[], { contactMs }: { readonly contactMs: number }): Contact {
-  const onMachines = onlyOf(records, 'planned');
-  const onCore = onMachines.filter((plan) => plan.core);
-  const withoutMajority = minorities(
-    onCore.filter(({ fault }) => fault !== 'closing' && fault !== 'back'),
+  const machineEvents = onlyOf(records, 'planned');
+  const coreEvents = machineEvents.filter((event) => event.core);
+  const majorityLost = majorityLossIntervals(
+    coreEvents.filter(({ fault }) => fault !== 'closing' && fault !== 'back'),
     contactMs,
   );
-  const unsettled = [...events(onCore, contactMs), ...withoutMajority];
-  const byEdge = new Map<string, readonly Span[]>();
+  const unsettled = [...settlingIntervals(coreEvents, contactMs), ...majorityLost];
+  const intervalsByEdge = new Map<string, readonly Interval[]>();
 
-  function troubleAt(edge: string): readonly Span[] {
-    const known = byEdge.get(edge);
+  function outOfContactIntervals(edge: string): readonly Interval[] {
+    const known = intervalsByEdge.get(edge);
     if (known) return known;
-    const own = onMachines.filter((plan) => plan.edge === edge && !plan.core);
-    const spans = [...events(own, contactMs), ...standstills(own)];
-    byEdge.set(edge, spans);
-    return spans;
+    const ownEvents = machineEvents.filter((event) => event.edge === edge && !event.core);
+    const intervals = [...settlingIntervals(ownEvents, contactMs), ...pauseIntervals(ownEvents)];
+    intervalsByEdge.set(edge, intervals);
+    return intervals;
   }
-  function runs(edge: string, at: number): boolean {
-    return !isWithin(troubleAt(edge), at);
+  function isStable(edge: string, at: number): boolean {
+    return !isWithinAny(outOfContactIntervals(edge), at);
   }
   function inTouch(edge: string, at: number): boolean {
-    return runs(edge, at) && !isWithin(unsettled, at);
+    return isStable(edge, at) && !isWithinAny(unsettled, at);
   }
-  function inOuterTouch(edge: string, from: number, at: number): boolean {
-    return runs(edge, at) && !overlaps(withoutMajority, from, at);
+  function inTouchWithMajority(edge: string, from: number, at: number): boolean {
+    return isStable(edge, at) && !overlapsAny(majorityLost, from, at);
   }
-  return { inTouch, inOuterTouch };
+  return { inTouch, inOuterTouch: inTouchWithMajority };
 }
--- a/standin-platform/document.ts
+++ b/standin-platform/document.ts
@@ -1,8 +1,12 @@
+/** Configuration documents of the platform: conversion to and from the wire form, lookup and amendment. */
+
 import { DOCUMENT, KIND, LIMITS, MAPPING, MODEL } from '../platform/words.js';
 import type { Kind } from './records.js';
 
+/** A model and its share of the requests of a route. */
 export type Share = { readonly model: string; readonly share: number };
 
+/** A route of the configuration: which requests it matches and how they are served. */
 export type ModelRoute = {
   readonly name: string;
   readonly host: string;
@@ -19,8 +23,10 @@
   readonly homes: readonly string[];
 };
 
+/** Batch size and memory of a language model engine. */
 export type Engine = { readonly batch: number; readonly kvTokens: number };
 
+/** A model that routes may name. */
 export type Model = {
   readonly name: string;
   readonly probePath: string;
@@ -30,6 +36,7 @@
   readonly engine: Engine | null;
 };
 
+/** A configuration before it is put into wire form. */
 export type Document = {
   readonly number: number;
   readonly mappings: readonly ModelRoute[];
@@ -48,6 +55,7 @@
 } as const;
 export const MODEL_DEFAULTS = { probePath: '/health', maxConns: 96, coldS: 0, coldRateS: 0, engine: null } as const;
 
+/** The bounds that the platform sets on callers. */
 const LIMIT_VALUES = {
   [LIMITS.headerBytes]: 16_384,
   [LIMITS.bodyBytes]: 4_194_304,
@@ -55,8 +63,9 @@
   [LIMITS.idleMs]: 15_000,
 };
 
+/** Converts a route to its wire form; a route with one share names its model directly. */
 export function mappingToWire(modelRoute: ModelRoute): Record<string, unknown> {
-  const one = modelRoute.shares.length === 1 ? modelRoute.shares[0] : undefined;
+  const onlyShare = modelRoute.shares.length === 1 ? modelRoute.shares[0] : undefined;
   return {
     [MAPPING.name]: modelRoute.name,
     [MAPPING.host]: modelRoute.host,
@@ -65,7 +74,7 @@
     [MAPPING.deadlineMs]: modelRoute.deadlineMs,
     [MAPPING.aimMs]: modelRoute.aimMs,
     [MAPPING.rank]: modelRoute.rank,
-    ...(one ? { [MAPPING.model]: one.model } : { [MAPPING.shares]: modelRoute.shares.map(shareToWire) }),
+    ...(onlyShare ? { [MAPPING.model]: onlyShare.model } : { [MAPPING.shares]: modelRoute.shares.map(shareToWire) }),
     [MAPPING.attempts]: modelRoute.attempts,
     [MAPPING.pinned]: modelRoute.pinned,
     [MAPPING.resumable]: modelRoute.resumable,
@@ -74,8 +83,8 @@
   };
 }
 
-function shareToWire(branch: Share): Record<string, unknown> {
-  return { [MAPPING.model]: branch.model, [MAPPING.share]: branch.share };
+function shareToWire(share: Share): Record<string, unknown> {
+  return { [MAPPING.model]: share.model, [MAPPING.share]: share.share };
 }
 
 export function modelToWire(model: Model): Record<string, unknown> {
@@ -108,59 +117,62 @@
   };
 }
 
-type Table = Readonly<Record<string, unknown>>;
+type JsonObject = Readonly<Record<string, unknown>>;
 
-function table(item: unknown): Table {
-  return typeof item === 'object' && item !== null && !Array.isArray(item) ? (item as Table) : {};
+function asObject(value: unknown): JsonObject {
+  return typeof value === 'object' && value !== null && !Array.isArray(value) ? (value as JsonObject) : {};
 }
-function list(item: unknown): readonly unknown[] {
-  return Array.isArray(item) ? (item as readonly unknown[]) : [];
+function asArray(value: unknown): readonly unknown[] {
+  return Array.isArray(value) ? (value as readonly unknown[]) : [];
 }
-function text(item: unknown): string {
-  return typeof item === 'string' ? item : '';
+function asString(value: unknown): string {
+  return typeof value === 'string' ? value : '';
 }
-function count(item: unknown): number {
-  return typeof item === 'number' ? item : 0;
+function asNumber(value: unknown): number {
+  return typeof value === 'number' ? value : 0;
 }
 
-function shareFromWire(item: unknown): Share {
-  const t = table(item);
-  return { model: text(t[MAPPING.model]), share: count(t[MAPPING.share]) };
+function shareFromWire(wire: unknown): Share {
+  const object = asObject(wire);
+  return { model: asString(object[MAPPING.model]), share: asNumber(object[MAPPING.share]) };
 }
 
-function kindFromWire(item: unknown): Kind {
-  if (item === KIND.repeatable) return 'repeatable';
-  return item === KIND.stream ? 'stream' : 'once';
+function kindFromWire(wire: unknown): Kind {
+  if (wire === KIND.repeatable) return 'repeatable';
+  return wire === KIND.stream ? 'stream' : 'once';
 }
 
-function mappingFromWire(item: unknown): ModelRoute {
-  const t = table(item);
-  const shares = list(t[MAPPING.shares]).map(shareFromWire);
+function mappingFromWire(wire: unknown): ModelRoute {
+  const object = asObject(wire);
+  const shares = asArray(object[MAPPING.shares]).map(shareFromWire);
   return {
-    name: text(t[MAPPING.name]),
-    host: text(t[MAPPING.host]),
-    prefix: text(t[MAPPING.prefix]),
-    kind: kindFromWire(t[MAPPING.kind]),
-    deadlineMs: count(t[MAPPING.deadlineMs]),
-    aimMs: count(t[MAPPING.aimMs]),
-    rank: count(t[MAPPING.rank]),
-    shares: shares.length > 0 ? shares : [{ model: text(t[MAPPING.model]), share: 1 }],
-    attempts: count(t[MAPPING.attempts]),
-    pinned: t[MAPPING.pinned] === true,
-    resumable: t[MAPPING.resumable] === true,
-    pauseMs: count(t[MAPPING.pauseMs]),
-    homes: list(t[MAPPING.homes]).map(text),
+    name: asString(object[MAPPING.name]),
+    host: asString(object[MAPPING.host]),
+    prefix: asString(object[MAPPING.prefix]),
+    kind: kindFromWire(object[MAPPING.kind]),
+    deadlineMs: asNumber(object[MAPPING.deadlineMs]),
+    aimMs: asNumber(object[MAPPING.aimMs]),
+    rank: asNumber(object[MAPPING.rank]),
+    shares: shares.length > 0 ? shares : [{ model: asString(object[MAPPING.model]), share: 1 }],
+    attempts: asNumber(object[MAPPING.attempts]),
+    pinned: object[MAPPING.pinned] === true,
+    resumable: object[MAPPING.resumable] === true,
+    pauseMs: asNumber(object[MAPPING.pauseMs]),
+    homes: asArray(object[MAPPING.homes]).map(asString),
   };
 }
 
+/** Returns the routes of a document in wire form. */
 export function mappingsOf(document: unknown): readonly ModelRoute[] {
-  return list(table(document)[DOCUMENT.mappings]).map(mappingFromWire);
+  return asArray(asObject(document)[DOCUMENT.mappings]).map(mappingFromWire);
 }
 
+/** Returns the version number of a document in wire form, or 0 if it has none. */
 export function numberOf(document: unknown): number {
-  return count(table(document)[DOCUMENT.number]);
+  return asNumber(asObject(document)[DOCUMENT.number]);
 }
 
+/** Returns the route with the longest matching prefix, or null. */
 export function mappingFor(document: unknown, host: string, path: string): ModelRoute | null {
   let best: ModelRoute | null = null;
   for (const modelRoute of mappingsOf(document)) {
@@ -170,39 +182,44 @@
   return best;
 }
 
-export function amended(document: unknown, amendment: unknown): Record<string, unknown> {
-  const first = table(amendment);
-  const out: Record<string, unknown> = { ...table(document), [DOCUMENT.number]: first[DOCUMENT.number] };
+/** Returns the document after an amendment, in which items of the same name replace the present ones. */
+export function applyAmendment(document: unknown, amendment: unknown): Record<string, unknown> {
+  const change = asObject(amendment);
+  const out: Record<string, unknown> = { ...asObject(document), [DOCUMENT.number]: change[DOCUMENT.number] };
   for (const key of [DOCUMENT.mappings, DOCUMENT.models]) {
-    const fresh = list(table(first[DOCUMENT.upsert])[key]);
-    const names = new Set([...list(table(first[DOCUMENT.remove])[key]).map(text), ...fresh.map(nameOf)]);
-    out[key] = [...list(out[key]).filter(keeps), ...fresh];
-    function keeps(item: unknown): boolean {
-      return !names.has(nameOf(item));
+    const upserted = asArray(asObject(change[DOCUMENT.upsert])[key]);
+    const replacedNames = new Set([
+      ...asArray(asObject(change[DOCUMENT.remove])[key]).map(asString),
+      ...upserted.map(nameOf),
+    ]);
+    out[key] = [...asArray(out[key]).filter(isKept), ...upserted];
+    function isKept(item: unknown): boolean {
+      return !replacedNames.has(nameOf(item));
     }
   }
   return out;
 }
 
 function nameOf(item: unknown): string {
-  return text(table(item)['name']);
+  return asString(asObject(item)['name']);
 }
 
-export function canonical(item: unknown): string {
-  return JSON.stringify(ordered(item));
+/** Returns JSON in which the order of keys and of named items makes no difference. */
+export function canonical(value: unknown): string {
+  return JSON.stringify(canonicalValue(value));
 }
 
-function ordered(item: unknown): unknown {
-  if (Array.isArray(item)) {
-    const items = item.map(ordered);
-    return items.every(isNamed) ? items.sort(byName) : items;
+function canonicalValue(value: unknown): unknown {
+  if (Array.isArray(value)) {
+    const items = value.map(canonicalValue);
+    return items.every(hasName) ? items.sort(byName) : items;
   }
-  if (typeof item !== 'object' || item === null) return item;
+  if (typeof value !== 'object' || value === null) return value;
   const out: Record<string, unknown> = {};
-  for (const key of Object.keys(item).sort()) out[key] = ordered((item as Table)[key]);
+  for (const key of Object.keys(value).sort()) out[key] = canonicalValue((value as JsonObject)[key]);
   return out;
 }
-function isNamed(item: unknown): boolean {
+function hasName(item: unknown): boolean {
   return nameOf(item) !== '';
 }
 function byName(left: unknown, right: unknown): number {
--- a/standin-platform/list.test.ts
+++ b/standin-platform/list.test.ts
@@ -5,13 +5,13 @@
 import type { ListSpec, StandinList } from './list.js';
 import { createRecords } from './records.js';
 import type { Records } from './records.js';
-import type { Seen } from './worker-spec.js';
+import type { ListedWorker } from './worker-spec.js';
 
 const clock = createClock();
 let records: Records;
 let list: StandinList;
 
-async function started(over: Partial<ListSpec> = {}): Promise<void> {
+async function startList(over: Partial<ListSpec> = {}): Promise<void> {
   list = await startStandinList({ ...LIST_DEFAULTS, ip: '127.0.0.1', port: 0, maxLagMs: 5, ...over }, clock, records);
 }
 beforeEach(() => {
@@ -19,7 +19,7 @@
 });
 afterEach(() => list.stop());
 
-function worker(n: number, over: Partial<Seen> = {}): Seen {
+function listedWorker(n: number, over: Partial<ListedWorker> = {}): ListedWorker {
   return {
     id: `i-${n}`,
     address: `127.0.0.1:${n}`,
@@ -33,21 +33,21 @@
     ...over,
   };
 }
-async function show(w: Seen): Promise<void> {
+async function publishAndWait(w: ListedWorker): Promise<void> {
   list.show(w);
   await records.until((r) => r.what === 'listed' && r.worker === w.id && r.phase === w.phase);
 }
 type Page = { members: Record<string, unknown>[]; nextToken: string | null };
-async function get(query = ''): Promise<{ status: number; body: Page }> {
+async function getWorkers(query = ''): Promise<{ status: number; body: Page }> {
   const reply = await ask(list.address(), clock, 'GET', `/workers${query}`, 1_000);
   return { status: reply?.status ?? 0, body: (reply?.body ?? {}) as Page };
 }
 
 describe('the stand-in list of workers', () => {
-  test('lists what the page names, nothing else', async () => {
-    await started();
-    await show(worker(1));
-    const { body } = await get();
+  test('lists the fields that the page names and no others', async () => {
+    await startList();
+    await publishAndWait(listedWorker(1));
+    const { body } = await getWorkers();
     expect(body.nextToken).toBeNull();
     expect(body.members).toEqual([
       {
@@ -65,53 +65,53 @@
     ]);
   });
 
-  test('goes by pages, and by zone', async () => {
-    await started({ pageSize: 2 });
-    for (const n of [1, 2, 3, 4, 5]) await show(worker(n));
+  test('returns pages, and filters by zone', async () => {
+    await startList({ pageSize: 2 });
+    for (const n of [1, 2, 3, 4, 5]) await publishAndWait(listedWorker(n));
     const ids: unknown[] = [];
     let token: string | null = 'p-0';
     for (let page = 0; token !== null && page < 9; page += 1) {
-      const { body }: { body: Page } = await get(page === 0 ? '' : `?pageToken=${token}`);
+      const { body }: { body: Page } = await getWorkers(page === 0 ? '' : `?pageToken=${token}`);
       ids.push(...body.members.map((m) => m['id']));
       token = body.nextToken;
     }
     expect(ids).toEqual(['i-1', 'i-2', 'i-3', 'i-4', 'i-5']);
-    expect((await get('?zone=even')).body.members.map((m) => m['id'])).toEqual(['i-2', 'i-4']);
+    expect((await getWorkers('?zone=even')).body.members.map((m) => m['id'])).toEqual(['i-2', 'i-4']);
   });
 
-  test('lags, tells what drains with the time left, and forgets who is gone', async () => {
-    await started({ maxLagMs: 30 });
-    list.show(worker(1));
-    expect((await get()).body.members).toEqual([]);
-    await show(worker(1, { phase: 'draining', remainingMs: 2_000 }));
-    const [m] = (await get()).body.members;
+  test('lags, lists a draining worker with its remaining time, and drops a worker that is gone', async () => {
+    await startList({ maxLagMs: 30 });
+    list.show(listedWorker(1));
+    expect((await getWorkers()).body.members).toEqual([]);
+    await publishAndWait(listedWorker(1, { phase: 'draining', remainingMs: 2_000 }));
+    const [m] = (await getWorkers()).body.members;
     expect(m?.['phase']).toBe('draining');
     expect(m?.['remainingMs']).toBeLessThanOrEqual(1_970);
     list.drop('i-1');
     await records.until((r) => r.what === 'listed' && r.phase === 'gone');
-    expect((await get()).body.members).toEqual([]);
+    expect((await getWorkers()).body.members).toEqual([]);
   });
 
-  test('answers 429 above its rate', async () => {
-    await started({ ratePerS: 3 });
+  test('responds with 429 above its rate limit', async () => {
+    await startList({ ratePerS: 3 });
     const statuses: number[] = [];
-    for (let i = 0; i < 5; i += 1) statuses.push((await get()).status);
+    for (let i = 0; i < 5; i += 1) statuses.push((await getWorkers()).status);
     expect(statuses).toEqual([200, 200, 200, 429, 429]);
   });
 
-  test('is down, slow, or talks nonsense by switch', async () => {
-    await started();
+  test('is down, slow, or responds with an error or an invalid body when such a fault is set', async () => {
+    await startList();
     list.trouble({ mode: 'down' });
-    expect((await get()).status).toBe(0);
+    expect((await getWorkers()).status).toBe(0);
     list.trouble({ mode: 'error' });
-    expect((await get()).status).toBe(500);
+    expect((await getWorkers()).status).toBe(500);
     list.trouble({ mode: 'nonsense' });
-    expect((await get()).body).toEqual({ members: 'many' });
+    expect((await getWorkers()).body).toEqual({ members: 'many' });
     list.trouble({ mode: 'slow', ms: 40 });
-    const from = clock.mono();
-    expect((await get()).status).toBe(200);
-    expect(clock.mono() - from).toBeGreaterThan(38);
+    const startedAt = clock.mono();
+    expect((await getWorkers()).status).toBe(200);
+    expect(clock.mono() - startedAt).toBeGreaterThan(38);
     list.trouble({ mode: 'none' });
-    expect((await get()).status).toBe(200);
+    expect((await getWorkers()).status).toBe(200);
   });
 });
--- a/standin-platform/list.ts
+++ b/standin-platform/list.ts
@@ -1,11 +1,14 @@
+/** The stand-in of the platform API that lists workers, with lag, a rate limit, pages and faults. */
+
 import { createServer } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import { delay } from '../src/transport/clock.js';
 import type { Clock } from '../src/transport/clock.js';
 import { CALL, LISTED, QUERY, USAGE } from '../platform/words.js';
 import type { Records } from './records.js';
-import type { Seen } from './worker-spec.js';
+import type { ListedWorker } from './worker-spec.js';
 
+/** Address and limits of the list; changes become visible after `maxLagMs`. */
 export type ListSpec = {
   readonly ip: string;
   readonly port: number;
@@ -16,80 +19,83 @@
 
 export const LIST_DEFAULTS = { pageSize: 50, ratePerS: 40, maxLagMs: 800 } as const;
 
-export type ListTrouble =
+/** A fault of the list; `nonsense` answers 200 with an invalid body. */
+export type ListFault =
   { readonly mode: 'none' | 'down' | 'error' | 'nonsense' } | { readonly mode: 'slow'; readonly ms: number };
 
+/** A running list and its controls. */
 export type StandinList = {
   readonly address: () => string;
-  readonly show: (worker: Seen) => void;
+  readonly show: (worker: ListedWorker) => void;
   readonly drop: (id: string) => void;
-  readonly trouble: (listTrouble: ListTrouble) => void;
+  readonly trouble: (listTrouble: ListFault) => void;
   readonly calls: () => number;
   readonly stop: () => Promise<void>;
 };
 
-type Held = { readonly worker: Seen; readonly at: number };
+type PublishedWorker = { readonly worker: ListedWorker; readonly at: number };
 
+/** Starts the server and resolves once it listens. */
 export async function startStandinList(spec: ListSpec, clock: Clock, records: Records): Promise<StandinList> {
-  const shown = new Map<string, Held>();
-  let mode: ListTrouble = { mode: 'none' };
-  let calls = 0;
-  let recent: number[] = [];
+  const published = new Map<string, PublishedWorker>();
+  let fault: ListFault = { mode: 'none' };
+  let requestCount = 0;
+  let recentRequests: number[] = [];
   const server: Server = createServer(onRequest);
 
-  function later(callback: () => void): void {
+  function afterLag(callback: () => void): void {
     clock.timer(spec.maxLagMs, callback);
   }
-  function show(worker: Seen): void {
+  function publish(worker: ListedWorker): void {
     const at = clock.mono();
-    function visible(): void {
-      const was = shown.get(worker.id);
-      if (was && was.worker.phase === 'draining' && worker.phase === 'serving') return;
-      shown.set(worker.id, { worker, at });
+    function appear(): void {
+      const previous = published.get(worker.id);
+      if (previous && previous.worker.phase === 'draining' && worker.phase === 'serving') return;
+      published.set(worker.id, { worker, at });
       records.note({ what: 'listed', worker: worker.id, phase: worker.phase });
     }
-    later(visible);
+    afterLag(appear);
   }
-  function drop(id: string): void {
-    function unseen(): void {
-      shown.delete(id);
+  function remove(id: string): void {
+    function disappear(): void {
+      published.delete(id);
       records.note({ what: 'listed', worker: id, phase: 'gone' });
     }
-    later(unseen);
+    afterLag(disappear);
   }
-  function trouble(listTrouble: ListTrouble): void {
-    if (mode.mode !== listTrouble.mode) records.note({ what: 'listTrouble', on: listTrouble.mode !== 'none' });
-    mode = listTrouble;
-    if (listTrouble.mode === 'down') server.closeAllConnections();
+  function setFault(newFault: ListFault): void {
+    if (fault.mode !== newFault.mode) records.note({ what: 'listTrouble', on: newFault.mode !== 'none' });
+    fault = newFault;
+    if (newFault.mode === 'down') server.closeAllConnections();
   }
 
   function onRequest(req: IncomingMessage, res: ServerResponse): void {
-    void answer(req, res);
+    void respond(req, res);
   }
-  async function answer(req: IncomingMessage, res: ServerResponse): Promise<void> {
-    calls += 1;
-    if (mode.mode === 'down') return void req.socket.resetAndDestroy();
-    if (mode.mode === 'slow') await delay(clock, mode.ms);
+  async function respond(req: IncomingMessage, res: ServerResponse): Promise<void> {
+    requestCount += 1;
+    if (fault.mode === 'down') return void req.socket.resetAndDestroy();
+    if (fault.mode === 'slow') await delay(clock, fault.ms);
     const now = clock.mono();
-    recent = recent.filter(fresh);
-    function fresh(at: number): boolean {
+    recentRequests = recentRequests.filter(isWithinLastSecond);
+    function isWithinLastSecond(at: number): boolean {
       return now - at < 1_000;
     }
-    if (recent.length >= spec.ratePerS) return send(res, 429, {});
-    recent.push(now);
+    if (recentRequests.length >= spec.ratePerS) return send(res, 429, {});
+    recentRequests.push(now);
     const url = new URL(req.url ?? '/', 'http://list');
     if (req.method !== 'GET' || url.pathname !== CALL.workers) return send(res, 404, {});
-    if (mode.mode === 'error') return send(res, 500, {});
-    if (mode.mode === 'nonsense') return send(res, 200, { [LISTED.members]: 'many' });
+    if (fault.mode === 'error') return send(res, 500, {});
+    if (fault.mode === 'nonsense') return send(res, 200, { [LISTED.members]: 'many' });
     const zone = url.searchParams.get(QUERY.zone);
-    const from = Number((url.searchParams.get(QUERY.pageToken) ?? 'p-0').slice(2));
-    const all = [...shown.values()].filter(inZone);
-    function inZone(held: Held): boolean {
-      return zone === null || held.worker.zone === zone;
+    const offset = Number((url.searchParams.get(QUERY.pageToken) ?? 'p-0').slice(2));
+    const inRequestedZone = [...published.values()].filter(isInRequestedZone);
+    function isInRequestedZone(entry: PublishedWorker): boolean {
+      return zone === null || entry.worker.zone === zone;
     }
-    const page = all.slice(from, from + spec.pageSize);
-    const next = from + spec.pageSize < all.length ? `p-${from + spec.pageSize}` : null;
-    send(res, 200, { [LISTED.members]: page.map(entry), [LISTED.nextToken]: next });
+    const page = inRequestedZone.slice(offset, offset + spec.pageSize);
+    const nextToken = offset + spec.pageSize < inRequestedZone.length ? `p-${offset + spec.pageSize}` : null;
+    send(res, 200, { [LISTED.members]: page.map(toWire), [LISTED.nextToken]: nextToken });
   }
   function send(res: ServerResponse, status: number, body: unknown): void {
     records.note({ what: 'listCall', status });
@@ -97,55 +103,57 @@
     res.writeHead(status, { 'content-type': 'application/json', 'content-length': String(Buffer.byteLength(text)) });
     res.end(text);
   }
-  function entry(held: Held): Record<string, unknown> {
-    const seen = held.worker;
-    const gone = clock.mono() - held.at;
+  function toWire(entry: PublishedWorker): Record<string, unknown> {
+    const worker = entry.worker;
+    const elapsedMs = clock.mono() - entry.at;
     return {
-      [LISTED.model]: seen.model,
-      [LISTED.address]: seen.address,
-      [LISTED.zone]: seen.zone,
+      [LISTED.model]: worker.model,
+      [LISTED.address]: worker.address,
+      [LISTED.zone]: worker.zone,
       [LISTED.software]: 'v1',
-      [LISTED.batch]: seen.capacity,
-      [LISTED.phase]: seen.phase === 'serving' ? LISTED.serving : LISTED.draining,
-      [LISTED.coldMs]: Math.max(0, Math.round(seen.coldLeftMs - gone)),
-      ...(seen.remainingMs === null ? {} : { [LISTED.remainingMs]: Math.max(0, Math.round(seen.remainingMs - gone)) }),
-      ...(seen.weights === null
+      [LISTED.batch]: worker.capacity,
+      [LISTED.phase]: worker.phase === 'serving' ? LISTED.serving : LISTED.draining,
+      [LISTED.coldMs]: Math.max(0, Math.round(worker.coldLeftMs - elapsedMs)),
+      ...(worker.remainingMs === null
+        ? {}
+        : { [LISTED.remainingMs]: Math.max(0, Math.round(worker.remainingMs - elapsedMs)) }),
+      ...(worker.weights === null
         ? {}
         : {
             [LISTED.stage]: 'colocated',
-            [LISTED.models]: [{ [USAGE.name]: 'm', [USAGE.weights]: seen.weights, adapters: [] }],
+            [LISTED.models]: [{ [USAGE.name]: 'm', [USAGE.weights]: worker.weights, adapters: [] }],
           }),
-      [LISTED.id]: seen.id,
+      [LISTED.id]: worker.id,
     };
   }
 
   let port = spec.port;
   function listen(resolve: () => void, reject: (error: Error) => void): void {
     server.once('error', reject);
-    function up(): void {
-      const at = server.address();
-      if (at && typeof at === 'object') port = at.port;
+    function onListening(): void {
+      const bound = server.address();
+      if (bound && typeof bound === 'object') port = bound.port;
       resolve();
     }
-    server.listen(port, spec.ip, up);
+    server.listen(port, spec.ip, onListening);
   }
   await new Promise<void>(listen);
 
   function stop(): Promise<void> {
-    function begin(resolve: () => void): void {
-      function done(): void {
+    function closeServer(resolve: () => void): void {
+      function onClosed(): void {
         resolve();
       }
-      server.close(done);
+      server.close(onClosed);
       server.closeAllConnections();
     }
-    return new Promise<void>(begin);
+    return new Promise<void>(closeServer);
   }
   function address(): string {
     return `${spec.ip}:${port}`;
   }
-  function count(): number {
-    return calls;
+  function getRequestCount(): number {
+    return requestCount;
   }
-  return { address, show, drop, trouble, calls: count, stop };
+  return { address, show: publish, drop: remove, trouble: setFault, calls: getRequestCount, stop };
 }
--- a/standin-platform/operator.test.ts
+++ b/standin-platform/operator.test.ts
@@ -5,7 +5,7 @@
 import { createClock } from '../src/transport/clock.js';
 import { createRng } from '../src/transport/rng.js';
 import { judge } from './check.js';
-import { amended, documentToWire, MAPPING_DEFAULTS, MODEL_DEFAULTS } from './document.js';
+import { applyAmendment, documentToWire, MAPPING_DEFAULTS, MODEL_DEFAULTS } from './document.js';
 import { createOperator } from './operator.js';
 import type { Operator } from './operator.js';
 import { createRecords, onlyOf } from './records.js';
@@ -14,12 +14,12 @@
 const clock = createClock();
 let records: Records;
 let servers: Server[];
-let seen: string[];
+let requestsSeen: string[];
 
 beforeEach(() => {
   records = createRecords(clock.mono);
   servers = [];
-  seen = [];
+  requestsSeen = [];
 });
 afterEach(async () => {
   for (const s of servers) {
@@ -30,14 +30,14 @@
   }
 });
 
-type Answer = (path: string, base: string, body: string, res: ServerResponse) => void;
+type RequestHandler = (path: string, base: string, body: string, res: ServerResponse) => void;
 
-function node(answer: Answer): Promise<string> {
+function startNode(answer: RequestHandler): Promise<string> {
   const server = createServer((req: IncomingMessage, res: ServerResponse) => {
     let body = '';
     req.on('data', (b: Buffer) => (body += b.toString()));
     req.on('end', () => {
-      seen.push(`${req.method} ${req.url} ${String(req.headers['x-millfield-base-version'] ?? '')}`.trim());
+      requestsSeen.push(`${req.method} ${req.url} ${String(req.headers['x-millfield-base-version'] ?? '')}`.trim());
       answer(req.url ?? '', String(req.headers['x-millfield-base-version'] ?? ''), body, res);
     });
   });
@@ -46,16 +46,16 @@
     server.listen(0, '127.0.0.1', () => done(`127.0.0.1:${(server.address() as AddressInfo).port}`)),
   );
 }
-function status(code: number, headers: Record<string, string> = {}): Answer {
+function respondWith(code: number, headers: Record<string, string> = {}): RequestHandler {
   return (_path, _base, _body, res) => {
     res.writeHead(code, headers);
     res.end();
   };
 }
-function operator(nodes: readonly string[], withinMs = 2_000): Operator {
+function createTestOperator(nodes: readonly string[], withinMs = 2_000): Operator {
   return createOperator({ clock, rng: createRng(5), records, nodes: () => nodes, withinMs });
 }
-function document(number: number): Record<string, unknown> {
+function configDocument(number: number): Record<string, unknown> {
   const mapping = {
     ...MAPPING_DEFAULTS,
     name: 'r1',
@@ -68,84 +68,84 @@
 }
 
 describe('the stand-in operator', () => {
-  test('sends a whole configuration on its base, and an evacuation without a body', async () => {
-    const o = operator([await node(status(200))]);
-    expect(await o.replace(document(7), 5)).toEqual({ outcome: 'acknowledged', status: 200 });
+  test('sends a complete configuration with its base version, and an evacuation without a body', async () => {
+    const o = createTestOperator([await startNode(respondWith(200))]);
+    expect(await o.replace(configDocument(7), 5)).toEqual({ outcome: 'acknowledged', status: 200 });
     expect(await o.evacuate('sala-bog', true)).toEqual({ outcome: 'acknowledged', status: 200 });
     expect(await o.evacuate('sala-bog', false)).toEqual({ outcome: 'acknowledged', status: 200 });
-    expect(seen).toEqual([
+    expect(requestsSeen).toEqual([
       'POST /millfield/config/replace 5',
       'POST /millfield/evacuation/sala-bog/begin',
       'POST /millfield/evacuation/sala-bog/finish',
     ]);
   });
 
-  test('follows 307 twice, and no third time', async () => {
-    const end = await node(status(200));
-    const second = await node(status(307, { Location: `http://${end}/millfield/config/replace` }));
-    const first = await node(status(307, { Location: `http://${second}/millfield/config/replace` }));
-    expect((await operator([first]).replace(document(7), 5)).outcome).toBe('acknowledged');
-    expect(seen).toHaveLength(3);
-    const zeroth = await node(status(307, { Location: `http://${first}/millfield/config/replace` }));
-    expect((await operator([zeroth], 50).replace(document(7), 5)).outcome).toBe('unclear');
+  test('follows two 307 redirects, but not a third', async () => {
+    const end = await startNode(respondWith(200));
+    const second = await startNode(respondWith(307, { Location: `http://${end}/millfield/config/replace` }));
+    const first = await startNode(respondWith(307, { Location: `http://${second}/millfield/config/replace` }));
+    expect((await createTestOperator([first]).replace(configDocument(7), 5)).outcome).toBe('acknowledged');
+    expect(requestsSeen).toHaveLength(3);
+    const zeroth = await startNode(respondWith(307, { Location: `http://${first}/millfield/config/replace` }));
+    expect((await createTestOperator([zeroth], 50).replace(configDocument(7), 5)).outcome).toBe('unclear');
   });
 
-  test('goes on to another node after a failure, a 5xx, a 429 and a second of silence', async () => {
-    let times = 0;
-    const bad = await node((path, base, body, res) => {
-      times += 1;
-      if (times === 1) status(503)(path, base, body, res);
-      if (times === 2) status(429)(path, base, body, res);
-      if (times === 4) status(200)(path, base, body, res);
+  test('tries another node after a failure, a 5xx, a 429 and a second without a response', async () => {
+    let requestCount = 0;
+    const faulty = await startNode((path, base, body, res) => {
+      requestCount += 1;
+      if (requestCount === 1) respondWith(503)(path, base, body, res);
+      if (requestCount === 2) respondWith(429)(path, base, body, res);
+      if (requestCount === 4) respondWith(200)(path, base, body, res);
     });
-    expect(await operator([bad, '127.0.0.1:1'], 8_000).replace(document(7), 5)).toEqual({
+    expect(await createTestOperator([faulty, '127.0.0.1:1'], 8_000).replace(configDocument(7), 5)).toEqual({
       outcome: 'acknowledged',
       status: 200,
     });
-    expect(times).toBe(4);
+    expect(requestCount).toBe(4);
   });
 
-  test.each([[400], [409], [412], [413], [422]])('ends at once on %i', async (code) => {
-    expect(await operator([await node(status(code))]).replace(document(7), 5)).toEqual({
+  test.each([[400], [409], [412], [413], [422]])('ends at once on status %i', async (code) => {
+    expect(await createTestOperator([await startNode(respondWith(code))]).replace(configDocument(7), 5)).toEqual({
       outcome: 'refused',
       status: code,
     });
-    expect(seen).toHaveLength(1);
+    expect(requestsSeen).toHaveLength(1);
   });
 
-  test('ends at the third try on another 4xx', async () => {
-    expect(await operator([await node(status(404))]).replace(document(7), 5)).toEqual({
+  test('ends at the third attempt on any other 4xx', async () => {
+    expect(await createTestOperator([await startNode(respondWith(404))]).replace(configDocument(7), 5)).toEqual({
       outcome: 'refused',
       status: 404,
     });
-    expect(seen).toHaveLength(3);
+    expect(requestsSeen).toHaveLength(3);
   });
 
-  test('amends named items, reads back, and the judge compares', async () => {
-    let held: unknown = null;
-    const at = await node((path, _base, body, res) => {
-      if (path === '/millfield/config/replace') held = JSON.parse(body);
-      if (path === '/millfield/config/amend') held = amended(held, JSON.parse(body));
-      res.end(path === '/millfield/config/read' ? JSON.stringify(held) : undefined);
+  test('amends named items and reads the configuration back, which the judge compares', async () => {
+    let stored: unknown = null;
+    const at = await startNode((path, _base, body, res) => {
+      if (path === '/millfield/config/replace') stored = JSON.parse(body);
+      if (path === '/millfield/config/amend') stored = applyAmendment(stored, JSON.parse(body));
+      res.end(path === '/millfield/config/read' ? JSON.stringify(stored) : undefined);
     });
-    const o = operator([at]);
-    await o.replace(document(7), 0);
-    const change = {
+    const o = createTestOperator([at]);
+    await o.replace(configDocument(7), 0);
+    const amendment = {
       generation: 9,
       upsert: { routeSet: [{ name: 'r2', authority: 'h', pathPrefix: '/b/', variant: 'effectful', target: 'm' }] },
       remove: { routeSet: ['r1'] },
     };
-    await o.amend(document(7), change, 7);
+    await o.amend(configDocument(7), amendment, 7);
     expect(await o.read(1_000)).toMatchObject({ generation: 9, routeSet: [{ name: 'r2' }] });
     expect(judge(records.all())).toEqual([]);
-    held = document(7);
+    stored = configDocument(7);
     await o.read(1_000);
     expect(judge(records.all()).map((v) => v.rule)).toEqual(['CONFIG']);
   });
 
-  test('journals an order without a clear answer as such', async () => {
-    const o = operator(['127.0.0.1:1'], 60);
-    expect((await o.replace(document(7), 5)).outcome).toBe('unclear');
+  test('records an order without a conclusive response as unclear', async () => {
+    const o = createTestOperator(['127.0.0.1:1'], 60);
+    expect((await o.replace(configDocument(7), 5)).outcome).toBe('unclear');
     expect(onlyOf(records.all(), 'settled').map((s) => s.outcome)).toEqual(['unclear']);
     expect(await o.read(30)).toBeNull();
   });
--- a/standin-platform/operator.ts
+++ b/standin-platform/operator.ts
@@ -1,3 +1,5 @@
+/** A stand-in operator: sends orders to the controllers, retries them and records their outcomes. */
+
 import { delay } from '../src/transport/clock.js';
 import type { Clock } from '../src/transport/clock.js';
 import { shuffled } from '../src/transport/rng.js';
@@ -5,22 +7,27 @@
 import { CALL, DOCUMENT, HEADER } from '../platform/words.js';
 import { ask } from './ask.js';
 import type { Reply } from './ask.js';
-import { amended, numberOf } from './document.js';
+import { applyAmendment, numberOf } from './document.js';
 import type { Records } from './records.js';
 
+/** The result of an order; `unclear` means that it may or may not have been applied. */
 export type Outcome = { readonly outcome: 'acknowledged' | 'refused' | 'unclear'; readonly status: number };
 
+/** Sends configuration and evacuation orders to the controllers. */
 export type Operator = {
   readonly replace: (document: unknown, base: number, valid?: boolean) => Promise<Outcome>;
   readonly amend: (before: unknown, amendment: unknown, base: number, valid?: boolean) => Promise<Outcome>;
+  /** Sends a text that is not a valid configuration, which must be refused. */
   readonly spoiled: (text: string, base: number) => Promise<Outcome>;
-  readonly evacuate: (zone: string, begin: boolean, sending?: Sending) => Promise<Outcome>;
+  readonly evacuate: (zone: string, begin: boolean, sending?: SendOptions) => Promise<Outcome>;
+  /** Reads the configuration back, with retries for this long; null if there was no answer. */
   readonly read: (forMs: number) => Promise<unknown>;
 };
 
-/** How one order is sent: to which node first, and how long it is sent again, if not as long as all orders. */
-export type Sending = { readonly first?: string | undefined; readonly withinMs?: number };
+/** Options of one order: the node to try first, and a retry period other than that of all orders. */
+export type SendOptions = { readonly first?: string | undefined; readonly withinMs?: number };
 
+/** `nodes` returns the controllers to try; `withinMs` is how long an order is retried. */
 export type OperatorDeps = {
   readonly clock: Clock;
   readonly rng: Rng;
@@ -29,98 +36,101 @@
   readonly withinMs: number;
 };
 
-const ENDS: readonly number[] = [400, 409, 412, 413, 422];
-const AGAIN: readonly number[] = [408, 429];
-const SILENCE_MS = 1_000;
-const FIRST_PAUSE_MS = 100;
-const MOST_PAUSE_MS = 1_600;
+/** An order that is answered with one of these statuses is refused at once. */
+const FINAL_STATUSES: readonly number[] = [400, 409, 412, 413, 422];
+/** Client errors after which an order is retried; it is refused at the third of any other. */
+const RETRYABLE_STATUSES: readonly number[] = [408, 429];
+const RESPONSE_TIMEOUT_MS = 1_000;
+const INITIAL_BACKOFF_MS = 100;
+const MAX_BACKOFF_MS = 1_600;
 
+/** Creates an operator that follows up to two redirects per attempt and retries with exponential backoff. */
 export function createOperator(deps: OperatorDeps): Operator {
   const { clock, rng, records } = deps;
-  let orders = 0;
+  let orderCount = 0;
 
-  async function follow(
+  async function sendFollowingRedirects(
     node: string,
     method: string,
     path: string,
     headers: Readonly<Record<string, string>>,
     body: string,
   ): Promise<Reply | null> {
-    let at = node;
-    let to = path;
-    const responseTimer = SILENCE_MS + body.length / 1_000;
-    for (let hop = 0; hop <= 2; hop += 1) {
-      const reply = await ask(at, clock, method, to, responseTimer, headers, body);
+    let address = node;
+    let target = path;
+    const timeoutMs = RESPONSE_TIMEOUT_MS + body.length / 1_000;
+    for (let redirects = 0; redirects <= 2; redirects += 1) {
+      const reply = await ask(address, clock, method, target, timeoutMs, headers, body);
       if (reply?.status !== 307) return reply;
-      const target = /^http:\/\/([^/]+)(\/.*)$/.exec(reply.headers.get('location') ?? '');
-      if (!target) return null;
-      at = target[1] ?? '';
-      to = target[2] ?? '';
+      const location = /^http:\/\/([^/]+)(\/.*)$/.exec(reply.headers.get('location') ?? '');
+      if (!location) return null;
+      address = location[1] ?? '';
+      target = location[2] ?? '';
     }
     return null;
   }
 
-  async function order(
+  async function sendWithRetries(
     method: string,
     path: string,
     headers: Readonly<Record<string, string>>,
     body: string,
     withinMs: number,
-    first?: string,
+    firstNode?: string,
   ): Promise<{ readonly outcome: Outcome; readonly reply: Reply | null }> {
-    const until = clock.mono() + withinMs;
-    let wait = FIRST_PAUSE_MS;
-    let others = 0;
-    let line: string[] = first === undefined ? [] : [first];
+    const deadlineAt = clock.mono() + withinMs;
+    let backoffMs = INITIAL_BACKOFF_MS;
+    let otherClientErrors = 0;
+    let untriedNodes: string[] = firstNode === undefined ? [] : [firstNode];
     let status = 0;
-    while (clock.mono() < until) {
-      if (line.length === 0) line = shuffled(rng, deps.nodes());
-      const reply = await follow(line.pop() ?? '', method, path, headers, body);
+    while (clock.mono() < deadlineAt) {
+      if (untriedNodes.length === 0) untriedNodes = shuffled(rng, deps.nodes());
+      const reply = await sendFollowingRedirects(untriedNodes.pop() ?? '', method, path, headers, body);
       status = reply?.status ?? 0;
       if (reply && status >= 200 && status < 300) return { outcome: { outcome: 'acknowledged', status }, reply };
-      if (ENDS.includes(status)) return { outcome: { outcome: 'refused', status }, reply };
-      if (status >= 400 && status < 500 && !AGAIN.includes(status)) others += 1;
-      if (others >= 3) return { outcome: { outcome: 'refused', status }, reply };
-      await delay(clock, Math.max(0, Math.min(wait, until - clock.mono())));
-      wait = Math.min(MOST_PAUSE_MS, wait * 2);
+      if (FINAL_STATUSES.includes(status)) return { outcome: { outcome: 'refused', status }, reply };
+      if (status >= 400 && status < 500 && !RETRYABLE_STATUSES.includes(status)) otherClientErrors += 1;
+      if (otherClientErrors >= 3) return { outcome: { outcome: 'refused', status }, reply };
+      await delay(clock, Math.max(0, Math.min(backoffMs, deadlineAt - clock.mono())));
+      backoffMs = Math.min(MAX_BACKOFF_MS, backoffMs * 2);
     }
     return { outcome: { outcome: 'unclear', status }, reply: null };
   }
 
   async function submit(path: string, body: string, base: number, document: unknown, valid: boolean): Promise<Outcome> {
-    const name = `o-${(orders += 1)}`;
-    records.note({ what: 'submitted', order: name, number: numberOf(document), base, document, valid });
-    const { outcome } = await order('POST', path, { [HEADER.base]: String(base) }, body, deps.withinMs);
-    records.note({ what: 'settled', order: name, outcome: outcome.outcome, status: outcome.status });
+    const orderName = `o-${(orderCount += 1)}`;
+    records.note({ what: 'submitted', order: orderName, number: numberOf(document), base, document, valid });
+    const { outcome } = await sendWithRetries('POST', path, { [HEADER.base]: String(base) }, body, deps.withinMs);
+    records.note({ what: 'settled', order: orderName, outcome: outcome.outcome, status: outcome.status });
     return outcome;
   }
   function replace(document: unknown, base: number, valid = true): Promise<Outcome> {
     return submit(CALL.replace, JSON.stringify(document), base, document, valid);
   }
   function amend(before: unknown, amendment: unknown, base: number, valid = true): Promise<Outcome> {
-    return submit(CALL.amend, JSON.stringify(amendment), base, amended(before, amendment), valid);
+    return submit(CALL.amend, JSON.stringify(amendment), base, applyAmendment(before, amendment), valid);
   }
-  function spoiled(text: string, base: number): Promise<Outcome> {
+  function replaceRaw(text: string, base: number): Promise<Outcome> {
     return submit(CALL.replace, text, base, { [DOCUMENT.number]: -1 }, false);
   }
-  async function evacuate(zone: string, begin: boolean, sending: Sending = {}): Promise<Outcome> {
-    const name = `o-${(orders += 1)}`;
-    records.note({ what: 'evacuated', order: name, zone, begin });
-    const { outcome } = await order(
+  async function evacuate(zone: string, begin: boolean, options: SendOptions = {}): Promise<Outcome> {
+    const orderName = `o-${(orderCount += 1)}`;
+    records.note({ what: 'evacuated', order: orderName, zone, begin });
+    const { outcome } = await sendWithRetries(
       'POST',
       `${CALL.evacuation}${zone}${begin ? CALL.begin : CALL.finish}`,
       {},
       '',
-      sending.withinMs ?? deps.withinMs,
-      sending.first,
+      options.withinMs ?? deps.withinMs,
+      options.first,
     );
-    records.note({ what: 'settled', order: name, outcome: outcome.outcome, status: outcome.status });
+    records.note({ what: 'settled', order: orderName, outcome: outcome.outcome, status: outcome.status });
     return outcome;
   }
   async function read(forMs: number): Promise<unknown> {
-    const { reply } = await order('GET', CALL.read, {}, '', forMs);
+    const { reply } = await sendWithRetries('GET', CALL.read, {}, '', forMs);
     records.note({ what: 'readBack', document: reply?.body ?? null });
     return reply?.body ?? null;
   }
-  return { replace, amend, spoiled, evacuate, read };
+  return { replace, amend, spoiled: replaceRaw, evacuate, read };
 }
--- a/standin-platform/prefix-memory.ts
+++ b/standin-platform/prefix-memory.ts
@@ -1,52 +1,52 @@
 /**
- * What a stand-in worker's engine keeps of prompts in its memory: chains of parts, the least
- * lately used giving way. No running request is ever put back for it.
+ * The prompt prefix cache of a stand-in worker's engine: chains of prompt parts with LRU eviction. A running request is
+ * never preempted to free memory.
  */
 
-/** Reads prompts and tells how much of each was not in memory. */
+/** Caches the parts of prompts and tells how much of each prompt was not cached. */
 export type PrefixMemory = {
-  /** Tokens to be read of a prompt; `prefix` is the header that names its parts. */
+  /** Returns the tokens of a prompt that must be read; `prefix` is the header that names its parts. */
   readonly read: (prompt: number, prefix: string) => number;
-  readonly inUse: () => number;
+  readonly tokensInUse: () => number;
   readonly clear: () => void;
 };
 
-/** An empty memory of so many tokens. */
+/** Creates an empty cache with a capacity in tokens. */
 export function createPrefixMemory(kvTokens: number): PrefixMemory {
-  const kept = new Map<string, number>();
+  const chains = new Map<string, number>();
 
-  function inUse(): number {
+  function tokensInUse(): number {
     let sum = 0;
-    for (const tokens of kept.values()) sum += tokens;
+    for (const tokens of chains.values()) sum += tokens;
     return sum;
   }
-  function giveWay(): void {
-    let sum = inUse();
-    for (const [oldest, tokens] of kept) {
+  function evict(): void {
+    let sum = tokensInUse();
+    for (const [oldest, tokens] of chains) {
       if (sum <= kvTokens) break;
-      kept.delete(oldest);
+      chains.delete(oldest);
       sum -= tokens;
     }
   }
-  function read(prompt: number, prefix: string): number {
+  function readPrompt(prompt: number, prefix: string): number {
     let chain = '';
-    let warm = true;
-    let hits = 0;
+    let isCached = true;
+    let cachedTokens = 0;
     for (const part of prefix.split(',')) {
       const [hash = '', tokens = '0'] = part.split(':');
       if (hash === '') continue;
       chain += `>${hash}`;
-      const was = kept.get(chain);
-      kept.delete(chain);
-      kept.set(chain, Number(tokens));
-      if (warm && was !== undefined) hits += was;
-      else warm = false;
+      const known = chains.get(chain);
+      chains.delete(chain);
+      chains.set(chain, Number(tokens));
+      if (isCached && known !== undefined) cachedTokens += known;
+      else isCached = false;
     }
-    giveWay();
-    return Math.max(0, prompt - hits);
+    evict();
+    return Math.max(0, prompt - cachedTokens);
   }
   function clear(): void {
-    kept.clear();
+    chains.clear();
   }
-  return { read, inUse, clear };
+  return { read: readPrompt, tokensInUse, clear };
 }
--- a/standin-platform/reader.ts
+++ b/standin-platform/reader.ts
@@ -1,109 +1,115 @@
-export type Head = { readonly status: number; readonly headers: ReadonlyMap<string, string> };
-
-export type ReaderSink = {
-  readonly head: (head: Head) => void;
-  readonly body: (bytes: Buffer) => void;
-  readonly whole: () => void;
-  readonly garbage: (text: string) => void;
-  readonly stray: (text: string) => void;
+/** An incremental parser of HTTP/1.1 responses that also reports bytes which belong to no response. */
+
+/** Status and headers of a response; header names are in lower case. */
+export type ResponseHead = { readonly status: number; readonly headers: ReadonlyMap<string, string> };
+
+/** Called with the parts of a response, with invalid bytes, and with bytes outside of any response. */
+export type ReaderListener = {
+  readonly onHead: (head: ResponseHead) => void;
+  readonly onBody: (bytes: Buffer) => void;
+  readonly onComplete: () => void;
+  readonly onInvalidBytes: (text: string) => void;
+  readonly onStrayBytes: (text: string) => void;
 };
 
+/** A parser for the responses on one connection. */
 export type ResponseReader = {
-  readonly expect: () => void;
+  readonly expectResponse: () => void;
   readonly push: (bytes: Buffer) => void;
-  readonly closed: () => void;
-  readonly busy: () => boolean;
+  readonly onClose: () => void;
+  readonly isBusy: () => boolean;
 };
 
 type State = 'idle' | 'head' | 'sized' | 'chunkSize' | 'chunk' | 'chunkEnd' | 'trailer' | 'toClose' | 'broken';
 
 const HEAD_END = Buffer.from('\r\n\r\n');
-const MOST_HEAD = 65_536;
+const MAX_HEAD_BYTES = 65_536;
 
-export function createResponseReader(sink: ReaderSink): ResponseReader {
+/** Creates a parser that treats all bytes as stray until a response is expected. */
+export function createResponseReader(listener: ReaderListener): ResponseReader {
   let state: State = 'idle';
-  let held: Buffer = Buffer.alloc(0);
-  let left = 0;
+  let buffered: Buffer = Buffer.alloc(0);
+  let remainingBytes = 0;
 
-  function expect(): void {
+  function expectResponse(): void {
     state = 'head';
-    if (held.length > 0) step();
+    if (buffered.length > 0) parseBuffered();
   }
-  function busy(): boolean {
+  function isBusy(): boolean {
     return state !== 'idle' && state !== 'broken';
   }
-  function broken(): void {
+  function rejectBuffered(): void {
     state = 'broken';
-    sink.garbage(held.subarray(0, 80).toString('latin1'));
-    held = Buffer.alloc(0);
+    listener.onInvalidBytes(buffered.subarray(0, 80).toString('latin1'));
+    buffered = Buffer.alloc(0);
   }
-  function whole(): void {
+  function complete(): void {
     state = 'idle';
-    sink.whole();
+    listener.onComplete();
   }
 
-  function distribution(bytes: Buffer): void {
+  function push(bytes: Buffer): void {
     if (state === 'broken') return;
     if (state === 'idle') {
-      sink.stray(bytes.subarray(0, 80).toString('latin1'));
+      listener.onStrayBytes(bytes.subarray(0, 80).toString('latin1'));
       return;
     }
-    held = held.length === 0 ? bytes : Buffer.concat([held, bytes]);
-    step();
+    buffered = buffered.length === 0 ? bytes : Buffer.concat([buffered, bytes]);
+    parseBuffered();
   }
 
-  function closed(): void {
-    if (state === 'toClose') whole();
+  function onClose(): void {
+    if (state === 'toClose') complete();
   }
 
-  function step(): void {
-    let on = true;
-    while (on) on = once();
-    if (state === 'idle' && held.length > 0) {
-      const rest = held;
-      held = Buffer.alloc(0);
-      sink.stray(rest.subarray(0, 80).toString('latin1'));
+  function parseBuffered(): void {
+    let mayContinue = true;
+    while (mayContinue) mayContinue = parseNext();
+    if (state === 'idle' && buffered.length > 0) {
+      const rest = buffered;
+      buffered = Buffer.alloc(0);
+      listener.onStrayBytes(rest.subarray(0, 80).toString('latin1'));
     }
   }
 
-  function once(): boolean {
+  function parseNext(): boolean {
     if (state === 'head') return readHead();
     if (state === 'sized') return readSized();
     if (state === 'chunkSize') return readChunkSize();
     if (state === 'chunk') return readChunk();
     if (state === 'chunkEnd') return readChunkEnd();
     if (state === 'trailer') return readTrailer();
-    if (state === 'toClose' && held.length > 0) return give(held.length);
+    if (state === 'toClose' && buffered.length > 0) return emitBody(buffered.length);
     return false;
   }
 
-  function give(count: number): boolean {
-    const part = held.subarray(0, count);
-    held = held.subarray(count);
-    sink.body(part);
+  function emitBody(count: number): boolean {
+    const part = buffered.subarray(0, count);
+    buffered = buffered.subarray(count);
+    listener.onBody(part);
     return true;
   }
-  function lineEnd(): string | null {
-    const end = held.indexOf('\r\n');
+  function readLine(): string | null {
+    const end = buffered.indexOf('\r\n');
     if (end < 0) {
-      if (held.length > 1_024) broken();
+      if (buffered.length > 1_024) rejectBuffered();
       return null;
     }
-    const line = held.subarray(0, end).toString('latin1');
-    held = held.subarray(end + 2);
+    const line = buffered.subarray(0, end).toString('latin1');
+    buffered = buffered.subarray(end + 2);
     return line;
   }
 
   function readHead(): boolean {
-    const starts = Buffer.from('HTTP/1.');
-    const count = Math.min(held.length, starts.length);
-    if (!held.subarray(0, count).equals(starts.subarray(0, count)) || held.length > MOST_HEAD) {
-      broken();
+    const expectedStart = Buffer.from('HTTP/1.');
+    const count = Math.min(buffered.length, expectedStart.length);
+    if (!buffered.subarray(0, count).equals(expectedStart.subarray(0, count)) || buffered.length > MAX_HEAD_BYTES) {
+      rejectBuffered();
       return false;
     }
-    const end = held.indexOf(HEAD_END);
+    const end = buffered.indexOf(HEAD_END);
     if (end < 0) return false;
-    const lines = held.subarray(0, end).toString('latin1').split('\r\n');
+    const lines = buffered.subarray(0, end).toString('latin1').split('\r\n');
     const status = Number(/^HTTP\/1\.[01] (\d{3})/.exec(lines[0] ?? '')?.[1] ?? 0);
     const headers = new Map<string, string>();
     for (const line of lines.slice(1)) {
@@ -111,73 +117,73 @@
       if (colon > 0) headers.set(line.slice(0, colon).toLowerCase(), line.slice(colon + 1).trim());
     }
     if (status < 100) {
-      broken();
+      rejectBuffered();
       return false;
     }
-    held = held.subarray(end + 4);
+    buffered = buffered.subarray(end + 4);
     if (status < 200) return true;
-    begin({ status, headers });
+    beginBody({ status, headers });
     return true;
   }
 
-  function begin(head: Head): void {
+  function beginBody(head: ResponseHead): void {
     const length = head.headers.get('content-length');
     const chunked = (head.headers.get('transfer-encoding') ?? '').toLowerCase() === 'chunked';
-    sink.head(head);
-    if (head.status === 204 || head.status === 304) whole();
+    listener.onHead(head);
+    if (head.status === 204 || head.status === 304) complete();
     else if (chunked) state = 'chunkSize';
     else if (length !== undefined) {
-      left = Number(length);
+      remainingBytes = Number(length);
       state = 'sized';
-      if (!/^\d+$/.test(length)) broken();
-      else if (left === 0) whole();
+      if (!/^\d+$/.test(length)) rejectBuffered();
+      else if (remainingBytes === 0) complete();
     } else state = 'toClose';
   }
 
   function readSized(): boolean {
-    if (held.length === 0) return false;
-    const count = Math.min(left, held.length);
-    left -= count;
-    give(count);
-    if (left === 0) whole();
+    if (buffered.length === 0) return false;
+    const count = Math.min(remainingBytes, buffered.length);
+    remainingBytes -= count;
+    emitBody(count);
+    if (remainingBytes === 0) complete();
     return true;
   }
   function readChunkSize(): boolean {
-    const line = lineEnd();
+    const line = readLine();
     if (line === null) return false;
     const size = /^([0-9a-fA-F]+)(;.*)?$/.exec(line);
     if (!size) {
-      broken();
+      rejectBuffered();
       return false;
     }
-    left = parseInt(size[1] ?? '0', 16);
-    state = left === 0 ? 'trailer' : 'chunk';
+    remainingBytes = parseInt(size[1] ?? '0', 16);
+    state = remainingBytes === 0 ? 'trailer' : 'chunk';
     return true;
   }
   function readChunk(): boolean {
-    if (held.length === 0) return false;
-    const count = Math.min(left, held.length);
-    left -= count;
-    give(count);
-    if (left === 0) state = 'chunkEnd';
+    if (buffered.length === 0) return false;
+    const count = Math.min(remainingBytes, buffered.length);
+    remainingBytes -= count;
+    emitBody(count);
+    if (remainingBytes === 0) state = 'chunkEnd';
     return true;
   }
   function readChunkEnd(): boolean {
-    if (held.length < 2) return false;
-    if (held[0] !== 13 || held[1] !== 10) {
-      broken();
+    if (buffered.length < 2) return false;
+    if (buffered[0] !== 13 || buffered[1] !== 10) {
+      rejectBuffered();
       return false;
     }
-    held = held.subarray(2);
+    buffered = buffered.subarray(2);
     state = 'chunkSize';
     return true;
   }
   function readTrailer(): boolean {
-    const line = lineEnd();
+    const line = readLine();
     if (line === null) return false;
-    if (line === '') whole();
+    if (line === '') complete();
     return true;
   }
 
-  return { expect, push: distribution, closed, busy };
+  return { expectResponse, push, onClose, isBusy };
 }
--- a/standin-platform/records.ts
+++ b/standin-platform/records.ts
@@ -1,9 +1,15 @@
+/** The journal of a run: what callers, workers, the list and the operator did. `check.ts` judges the product by it. */
+
+/** How a request may be retried: at any time, only if it was not executed, or as a stream. */
 export type Kind = 'repeatable' | 'once' | 'stream';
 
+/** An event of a stream: event `n` of `of`, with the seal of its run. */
 export type EventSeen = { readonly id: number; readonly run: string; readonly n: number; readonly of: number };
 
+/** How an attempt ended for its caller. */
 export type Ended = 'whole' | 'cut' | 'garbage' | 'deadline' | 'silence' | 'noConnection';
 
+/** A caller starts an attempt. */
 export type Asked = {
   readonly what: 'asked';
   readonly at: number;
@@ -21,8 +27,10 @@
   readonly direct: boolean;
 };
 
+/** The attempt was written to the socket in full. */
 export type Sent = { readonly what: 'sent'; readonly at: number; readonly attempt: string };
 
+/** What the caller received for an attempt. */
 export type Answered = {
   readonly what: 'answered';
   readonly at: number;
@@ -35,6 +43,7 @@
   readonly events: readonly EventSeen[];
 };
 
+/** A caller received bytes that belong to no response, or that are no valid response. */
 export type Stray = {
   readonly what: 'stray';
   readonly at: number;
@@ -43,6 +52,7 @@
   readonly text: string;
 };
 
+/** A request arrived at a worker; `visit` identifies this arrival in later records. */
 export type Arrived = {
   readonly what: 'arrived';
   readonly at: number;
@@ -62,6 +72,7 @@
   readonly headers: Readonly<Record<string, string>>;
 };
 
+/** The worker rejected the request without running it. */
 export type Refused = {
   readonly what: 'refused';
   readonly at: number;
@@ -69,6 +80,7 @@
   readonly status: number;
 };
 
+/** The worker began to run the request; `seal` is unique to this run. */
 export type Ran = {
   readonly what: 'ran';
   readonly at: number;
@@ -78,6 +90,7 @@
   readonly seal: string;
 };
 
+/** The run ended, with what the worker sent. */
 export type Finished = {
   readonly what: 'finished';
   readonly at: number;
@@ -88,6 +101,7 @@
   readonly end: 'whole' | 'brokenOff' | 'dropped' | 'spoiled' | 'crashed';
 };
 
+/** A worker started, stopped or changed its state. */
 export type Life = {
   readonly what: 'life';
   readonly at: number;
@@ -98,6 +112,7 @@
   readonly coldMs: number;
 };
 
+/** The list shows a worker in a new phase. */
 export type Listed = {
   readonly what: 'listed';
   readonly at: number;
@@ -105,10 +120,13 @@
   readonly phase: 'serving' | 'draining' | 'gone';
 };
 
+/** The list answered a request. */
 export type ListCall = { readonly what: 'listCall'; readonly at: number; readonly status: number };
 
+/** A fault of the list began, changed or ended. */
 export type ListTrouble = { readonly what: 'listTrouble'; readonly at: number; readonly on: boolean };
 
+/** The operator sends a configuration; `document` is the state after it. */
 export type Submitted = {
   readonly what: 'submitted';
   readonly at: number;
@@ -119,6 +137,7 @@
   readonly valid: boolean;
 };
 
+/** The operator begins or ends the evacuation of a zone. */
 export type Evacuated = {
   readonly what: 'evacuated';
   readonly at: number;
@@ -127,6 +146,7 @@
   readonly begin: boolean;
 };
 
+/** An order got its outcome. */
 export type Settled = {
   readonly what: 'settled';
   readonly at: number;
@@ -135,8 +155,10 @@
   readonly status: number;
 };
 
+/** The configuration that the operator read; null if there was no answer. */
 export type ReadBack = { readonly what: 'readBack'; readonly at: number; readonly document: unknown };
 
+/** The run starts, stops, pauses or resumes a machine; `core` tells whether it is a controller. */
 export type Planned = {
   readonly what: 'planned';
   readonly at: number;
@@ -145,6 +167,7 @@
   readonly fault: 'term' | 'kill' | 'start' | 'freeze' | 'thaw' | 'closing' | 'back';
 };
 
+/** Any record of the journal. */
 export type Rec =
   | Asked
   | Sent
@@ -164,51 +187,56 @@
   | ReadBack
   | Planned;
 
-export type Told<W extends Rec['what']> = Extract<Rec, { readonly what: W }>;
+/** The record type with this value of `what`. */
+export type RecordOf<W extends Rec['what']> = Extract<Rec, { readonly what: W }>;
 
-type Without<T> = T extends unknown ? Omit<T, 'at'> : never;
+type WithoutTime<T> = T extends unknown ? Omit<T, 'at'> : never;
 
+/** The journal of one run, in order of time. */
 export type Records = {
-  readonly note: (rec: Without<Rec>) => void;
+  readonly note: (rec: WithoutTime<Rec>) => void;
   readonly all: () => readonly Rec[];
-  readonly of: <W extends Rec['what']>(what: W) => readonly Told<W>[];
+  readonly of: <W extends Rec['what']>(what: W) => readonly RecordOf<W>[];
+  /** Resolves with the first record that matches, past or future. */
   readonly until: (fits: (rec: Rec) => boolean) => Promise<Rec>;
 };
 
-type Waiting = { readonly fits: (rec: Rec) => boolean; readonly resolve: (rec: Rec) => void };
+type Waiter = { readonly matches: (rec: Rec) => boolean; readonly resolve: (rec: Rec) => void };
 
+/** Creates an empty journal that stamps each record with the time. */
 export function createRecords(now: () => number): Records {
-  const kept: Rec[] = [];
-  let waiting: Waiting[] = [];
-
-  function note(rec: Without<Rec>): void {
-    const full = { ...rec, at: now() } as Rec;
-    kept.push(full);
-    const still: Waiting[] = [];
-    for (const waiter of waiting) {
-      if (waiter.fits(full)) waiter.resolve(full);
-      else still.push(waiter);
+  const entries: Rec[] = [];
+  let waiters: Waiter[] = [];
+
+  function add(rec: WithoutTime<Rec>): void {
+    const stamped = { ...rec, at: now() } as Rec;
+    entries.push(stamped);
+    const remaining: Waiter[] = [];
+    for (const waiter of waiters) {
+      if (waiter.matches(stamped)) waiter.resolve(stamped);
+      else remaining.push(waiter);
     }
-    waiting = still;
+    waiters = remaining;
   }
   function all(): readonly Rec[] {
-    return kept;
+    return entries;
   }
-  function indexOf<W extends Rec['what']>(what: W): readonly Told<W>[] {
-    return onlyOf(kept, what);
+  function ofType<W extends Rec['what']>(what: W): readonly RecordOf<W>[] {
+    return onlyOf(entries, what);
   }
-  function until(fits: (rec: Rec) => boolean): Promise<Rec> {
-    for (const rec of kept) if (fits(rec)) return Promise.resolve(rec);
-    function wait(resolve: (rec: Rec) => void): void {
-      waiting.push({ fits, resolve });
+  function waitFor(matches: (rec: Rec) => boolean): Promise<Rec> {
+    for (const rec of entries) if (matches(rec)) return Promise.resolve(rec);
+    function register(resolve: (rec: Rec) => void): void {
+      waiters.push({ matches: matches, resolve });
     }
-    return new Promise<Rec>(wait);
+    return new Promise<Rec>(register);
   }
-  return { note, all, of: indexOf, until };
+  return { note: add, all, of: ofType, until: waitFor };
 }
 
-export function onlyOf<W extends Rec['what']>(records: readonly Rec[], what: W): readonly Told<W>[] {
-  const out: Told<W>[] = [];
-  for (const rec of records) if (rec.what === what) out.push(rec as Told<W>);
+/** Returns the records with this value of `what`. */
+export function onlyOf<W extends Rec['what']>(records: readonly Rec[], what: W): readonly RecordOf<W>[] {
+  const out: RecordOf<W>[] = [];
+  for (const rec of records) if (rec.what === what) out.push(rec as RecordOf<W>);
   return out;
 }
--- a/standin-platform/worker-spec.ts
+++ b/standin-platform/worker-spec.ts
@@ -1,10 +1,10 @@
-/** What a stand-in worker is made of and how scenarios steer it; `worker.ts` plays it. */
+/** Configuration and controls of a stand-in worker, which `worker.ts` implements. */
 
 import type { Clock } from '../src/transport/clock.js';
 import type { Rng } from '../src/transport/rng.js';
 import type { Records } from './records.js';
 
-/** How a model's engine reads and writes tokens; times in milliseconds. */
+/** Speed and memory of a model's engine; times in milliseconds. */
 export type EngineSpec = {
   readonly tokensPerMs: number;
   readonly stepMs: number;
@@ -13,7 +13,7 @@
   readonly weights: number;
 };
 
-/** What a worker is told when it is made; all of it outlives its restarts. */
+/** Configuration of a worker, kept over its restarts. */
 export type WorkerSpec = {
   readonly ip: string;
   readonly port: number;
@@ -46,7 +46,7 @@
   engine: null,
 } as const;
 
-/** An engine for language models, about as fast as those of the sites. */
+/** An engine for language models, about as fast as the engines of the sites. */
 export const ENGINE_DEFAULTS = {
   tokensPerMs: 42,
   stepMs: 5.5,
@@ -55,14 +55,14 @@
   weights: 1,
 } as const;
 
-/** Ways in which a worker may misbehave. */
+/** Faults that a worker can show. */
 export type FaultMode =
   'breakOff' | 'behind' | 'surplus' | 'garbage' | 'badStatus' | 'badName' | 'lostAnswer' | 'fail' | 'refuse';
-/** A fault and the share of requests that it strikes. */
+/** A fault and the share of requests that it affects. */
 export type Fault = { readonly mode: FaultMode; readonly share: number };
 
-/** What the platform's list tells of a worker. */
-export type Seen = {
+/** A worker as the platform's list shows it. */
+export type ListedWorker = {
   readonly id: string;
   readonly address: string;
   readonly model: string;
@@ -74,21 +74,25 @@
   readonly weights: number | null;
 };
 
-/** A worker and its switches; `start` begins a new life under a new id. */
+/** A worker and its controls; `start` begins a new incarnation with a new id. */
 export type StandinWorker = {
   readonly start: (over?: { readonly model?: string; readonly coldMs?: number }) => Promise<void>;
-  readonly seen: () => Seen;
+  readonly seen: () => ListedWorker;
+  /** Shows the worker as draining, while it still serves; it ends after `remainingMs`, or never if that is null. */
   readonly drain: (remainingMs: number | null) => void;
   readonly crash: () => Promise<void>;
   readonly end: () => Promise<void>;
+  /** Makes the worker accept requests without answering any until it is switched off. */
   readonly dark: (on: boolean) => void;
-  readonly goCold: (ms: number) => void;
+  /** Makes the worker slow, and prone to crash under load, for this long. */
+  readonly startColdPeriod: (ms: number) => void;
   readonly fault: (f: Fault | null) => void;
-  readonly lie: (on: boolean) => void;
+  /** Makes health checks succeed even while the worker drains. */
+  readonly setAlwaysHealthy: (on: boolean) => void;
   readonly loadWeights: (version: number) => void;
   readonly resetIdle: () => void;
   readonly running: () => number;
 };
 
-/** Time, randomness and the journal. */
+/** The clock, the random numbers and the journal of a worker. */
 export type WorkerDeps = { readonly clock: Clock; readonly rng: Rng; readonly records: Records };
--- a/standin-platform/worker.ts
+++ b/standin-platform/worker.ts
@@ -1,7 +1,7 @@
 /**
- * A worker of the users' platform as a stand-in: one HTTP server that lives, queues, batches,
- * streams, warms up, drains and dies as the pages tell, with faults by switch. Each step is
- * noted in the journal, by which `check.ts` judges the callers.
+ * A stand-in for a worker of the users' platform: an HTTP server that starts, queues, batches, streams, warms up,
+ * drains and stops as the platform's pages describe, with faults that tests switch on. It records each step in the
+ * journal, from which `check.ts` judges the callers.
  */
 
 import { createHash } from 'node:crypto';
@@ -12,14 +12,22 @@
 import { below } from '../src/transport/rng.js';
 import { CALL, HEADER, USAGE } from '../platform/words.js';
 import { eventText } from './events.js';
-import { digestOf, header, sha, tokensOf } from './incoming.js';
+import { digestBody, header, sha256Hex, tokenCounts } from './incoming.js';
 import { createPrefixMemory } from './prefix-memory.js';
 import type { EventSeen, Finished } from './records.js';
-import type { EngineSpec, Fault, FaultMode, Seen, StandinWorker, WorkerDeps, WorkerSpec } from './worker-spec.js';
+import type {
+  EngineSpec,
+  Fault,
+  FaultMode,
+  ListedWorker,
+  StandinWorker,
+  WorkerDeps,
+  WorkerSpec,
+} from './worker-spec.js';
 
-type Visit = {
+type QueuedRequest = {
   readonly id: string;
-  readonly life: number;
+  readonly incarnation: number;
   readonly req: IncomingMessage;
   readonly res: ServerResponse;
   readonly attempt: string;
@@ -27,12 +35,13 @@
   readonly lastEvent: number;
   readonly deadlineAt: number;
   readonly digest: string;
-  readonly go: () => void;
+  readonly admit: () => void;
 };
 
-const FALL_FACTOR = 2;
-const COLD_SPARE = 10;
-const KEPT_HEADERS: readonly string[] = [
+/** A cold worker crashes on more requests in a second than `coldRateS` times this factor plus the margin below. */
+const COLD_OVERLOAD_FACTOR = 2;
+const COLD_OVERLOAD_MARGIN = 10;
+const RECORDED_HEADERS: readonly string[] = [
   HEADER.urgency,
   HEADER.expectWorker,
   HEADER.deadline,
@@ -43,137 +52,137 @@
   'connection',
 ];
 
-/** A worker that has not started yet. */
+/** Creates a worker that is not started yet. */
 export function createStandinWorker(spec: WorkerSpec, deps: WorkerDeps): StandinWorker {
   const { clock, rng, records } = deps;
   let id = '';
-  let life = 0;
-  let lives = 0;
+  let incarnation = 0;
+  let incarnationCount = 0;
   let model = spec.model;
   let server: Server | null = null;
   let port = spec.port;
   let phase: 'serving' | 'draining' | 'gone' = 'gone';
-  let goneAt: number | null = null;
+  let endsAt: number | null = null;
   let coldUntil = 0;
-  let isDark = false;
-  let lying = false;
-  let error: Fault | null = null;
+  let isUnresponsive = false;
+  let isAlwaysHealthy = false;
+  let fault: Fault | null = null;
   let weights = spec.engine?.weights ?? 1;
-  let running = 0;
-  let visits = 0;
-  let answers = 0;
-  let relight: (() => void)[] = [];
-  let recent: number[] = [];
+  let activeCount = 0;
+  let visitCount = 0;
+  let responseCount = 0;
+  let resumeCallbacks: (() => void)[] = [];
+  let recentArrivals: number[] = [];
   const sockets = new Set<Socket>();
-  const atWork = new Map<Socket, number>();
-  const surplus = new Map<Socket, string>();
-  const queue: Visit[] = [];
-  const memory = createPrefixMemory(spec.engine?.kvTokens ?? 0);
+  const activeBySocket = new Map<Socket, number>();
+  const surplusBySocket = new Map<Socket, string>();
+  const queue: QueuedRequest[] = [];
+  const prefixMemory = createPrefixMemory(spec.engine?.kvTokens ?? 0);
 
-  function note(
+  function recordLife(
     event: 'started' | 'draining' | 'ended' | 'crashed' | 'dark' | 'lit' | 'cold' | 'fellOver',
     coldMs = 0,
   ): void {
     records.note({ what: 'life', worker: id, model, zone: spec.zone, event, coldMs });
   }
-  function coldLeft(): number {
+  function coldLeftMs(): number {
     return Math.max(0, Math.round(coldUntil - clock.mono()));
   }
-  function lit(): Promise<void> {
-    if (!isDark) return Promise.resolve();
-    function wait(resolve: () => void): void {
-      relight.push(resolve);
+  function whenResponsive(): Promise<void> {
+    if (!isUnresponsive) return Promise.resolve();
+    function register(resolve: () => void): void {
+      resumeCallbacks.push(resolve);
     }
-    return new Promise<void>(wait);
+    return new Promise<void>(register);
   }
 
-  async function start(over: { readonly model?: string; readonly coldMs?: number } = {}): Promise<void> {
-    lives += 1;
-    life = lives;
-    id = `i-${hex(8)}`;
-    model = over.model ?? model;
+  async function start(overrides: { readonly model?: string; readonly coldMs?: number } = {}): Promise<void> {
+    incarnationCount += 1;
+    incarnation = incarnationCount;
+    id = `i-${randomHex(8)}`;
+    model = overrides.model ?? model;
     phase = 'serving';
-    goneAt = null;
-    isDark = false;
-    lying = false;
-    error = null;
-    recent = [];
-    memory.clear();
-    coldUntil = clock.mono() + (over.coldMs ?? 0);
-    const mine = createServer(
+    endsAt = null;
+    isUnresponsive = false;
+    isAlwaysHealthy = false;
+    fault = null;
+    recentArrivals = [];
+    prefixMemory.clear();
+    coldUntil = clock.mono() + (overrides.coldMs ?? 0);
+    const newServer = createServer(
       { keepAliveTimeout: spec.idleMs, maxHeaderSize: 65_536, requestTimeout: 0, headersTimeout: 0 },
       onRequest,
     );
-    mine.on('connection', onConnection);
-    server = mine;
-    await listening(mine);
-    note('started', over.coldMs ?? 0);
-  }
-  function listening(mine: Server): Promise<void> {
-    function begin(resolve: () => void, reject: (error: Error) => void): void {
-      mine.once('error', reject);
-      function up(): void {
-        const at = mine.address();
-        if (at && typeof at === 'object') port = at.port;
+    newServer.on('connection', onConnection);
+    server = newServer;
+    await listen(newServer);
+    recordLife('started', overrides.coldMs ?? 0);
+  }
+  function listen(newServer: Server): Promise<void> {
+    function bind(resolve: () => void, reject: (error: Error) => void): void {
+      newServer.once('error', reject);
+      function onListening(): void {
+        const bound = newServer.address();
+        if (bound && typeof bound === 'object') port = bound.port;
         resolve();
       }
-      mine.listen(port, spec.ip, up);
+      newServer.listen(port, spec.ip, onListening);
     }
-    return new Promise<void>(begin);
+    return new Promise<void>(bind);
   }
-  function hex(count: number): string {
+  function randomHex(count: number): string {
     let out = '';
     for (let i = 0; i < count; i += 1) out += below(rng, 16).toString(16);
     return out;
   }
 
   function onConnection(socket: Socket): void {
-    const most = Math.max(1, spec.maxConns - queue.length);
-    if (sockets.size >= most) {
-      socket.on('error', ignore);
+    const maxSockets = Math.max(1, spec.maxConns - queue.length);
+    if (sockets.size >= maxSockets) {
+      socket.on('error', noop);
       socket.resetAndDestroy();
       return;
     }
     sockets.add(socket);
-    function gone(): void {
+    function onClose(): void {
       sockets.delete(socket);
-      atWork.delete(socket);
-      surplus.delete(socket);
+      activeBySocket.delete(socket);
+      surplusBySocket.delete(socket);
     }
-    socket.on('error', ignore);
-    socket.on('close', gone);
+    socket.on('error', noop);
+    socket.on('close', onClose);
   }
 
   function onRequest(req: IncomingMessage, res: ServerResponse): void {
-    void visit(req, res);
+    void handleRequest(req, res);
   }
 
-  async function visit(req: IncomingMessage, res: ServerResponse): Promise<void> {
-    const mine = life;
-    req.on('error', ignore);
-    res.on('error', ignore);
-    if (isDark) await lit();
-    if (mine !== life || res.destroyed) return;
-    atWork.set(req.socket, (atWork.get(req.socket) ?? 0) + 1);
-    function over(): void {
-      atWork.set(req.socket, Math.max(0, (atWork.get(req.socket) ?? 1) - 1));
+  async function handleRequest(req: IncomingMessage, res: ServerResponse): Promise<void> {
+    const ownIncarnation = incarnation;
+    req.on('error', noop);
+    res.on('error', noop);
+    if (isUnresponsive) await whenResponsive();
+    if (ownIncarnation !== incarnation || res.destroyed) return;
+    activeBySocket.set(req.socket, (activeBySocket.get(req.socket) ?? 0) + 1);
+    function onResponseClose(): void {
+      activeBySocket.set(req.socket, Math.max(0, (activeBySocket.get(req.socket) ?? 1) - 1));
     }
-    res.on('close', over);
-    const late = surplus.get(req.socket);
-    if (late !== undefined) {
-      surplus.delete(req.socket);
-      req.socket.write(late);
+    res.on('close', onResponseClose);
+    const lateBytes = surplusBySocket.get(req.socket);
+    if (lateBytes !== undefined) {
+      surplusBySocket.delete(req.socket);
+      req.socket.write(lateBytes);
     }
     const path = req.url ?? '';
-    if (req.method === 'GET' && path === CALL.usage) return report(res);
-    const probe = req.method === 'GET' && path === spec.healthPath;
-    const visitId = `${id}#${(visits += 1)}`;
+    if (req.method === 'GET' && path === CALL.usage) return sendUsage(res);
+    const isHealthCheck = req.method === 'GET' && path === spec.healthPath;
+    const visitId = `${id}#${(visitCount += 1)}`;
     const attempt = header(req, HEADER.attemptId);
-    const expect = header(req, HEADER.expectWorker);
+    const expectedWorker = header(req, HEADER.expectWorker);
     const deadlineMs = Number(header(req, HEADER.deadline) ?? 60_000);
     const lastEvent = Number(header(req, HEADER.lastEvent) ?? 0);
     const headers: Record<string, string> = {};
-    for (const name of KEPT_HEADERS) {
+    for (const name of RECORDED_HEADERS) {
       const value = header(req, name);
       if (value !== null) headers[name] = value;
     }
@@ -188,27 +197,28 @@
       method: req.method ?? '',
       host: req.headers.host ?? '',
       path,
-      expect,
+      expect: expectedWorker,
       deadlineMs,
       lastEvent,
-      probe,
+      probe: isHealthCheck,
       headers,
     });
     if (attempt !== null) res.setHeader(HEADER.attemptId, attempt);
-    if (!probe) {
-      if (attempt === null) return refuse(visitId, res, 400);
-      if (expect !== null && expect !== id) return refuse(visitId, res, 421);
-      const wanted = header(req, HEADER.expectWeights);
-      if (wanted !== null && Number(wanted) !== weights) return refuse(visitId, res, 421);
-      if (!bearsCold()) return void fallOver();
-      if (error?.mode === 'refuse' && rng.next() < error.share) return refuse(visitId, res, 503);
+    if (!isHealthCheck) {
+      if (attempt === null) return reject(visitId, res, 400);
+      if (expectedWorker !== null && expectedWorker !== id) return reject(visitId, res, 421);
+      const expectedWeights = header(req, HEADER.expectWeights);
+      if (expectedWeights !== null && Number(expectedWeights) !== weights) return reject(visitId, res, 421);
+      if (!withstandsColdLoad()) return void crashFromOverload();
+      if (fault?.mode === 'refuse' && rng.next() < fault.share) return reject(visitId, res, 503);
     }
-    if (tooLarge(req) || (running >= spec.capacity && queue.length >= spec.queue)) return refuse(visitId, res, 503);
-    const digest = await digestOf(req);
-    if (digest === null || mine !== life) return;
+    if (exceedsMemory(req) || (activeCount >= spec.capacity && queue.length >= spec.queue))
+      return reject(visitId, res, 503);
+    const digest = await digestBody(req);
+    if (digest === null || ownIncarnation !== incarnation) return;
     const job = {
       id: visitId,
-      life: mine,
+      incarnation: ownIncarnation,
       req,
       res,
       attempt: attempt ?? '',
@@ -217,225 +227,238 @@
       deadlineAt: clock.mono() + deadlineMs,
       digest,
     };
-    while (running >= spec.capacity) if (!(await queued(job))) return;
-    if (mine === life) await work(job, probe);
+    while (activeCount >= spec.capacity) if (!(await waitForSlot(job))) return;
+    if (ownIncarnation === incarnation) await run(job, isHealthCheck);
   }
 
-  function bearsCold(): boolean {
-    if (spec.coldRateS <= 0 || coldLeft() === 0) return true;
+  function withstandsColdLoad(): boolean {
+    if (spec.coldRateS <= 0 || coldLeftMs() === 0) return true;
     const now = clock.mono();
-    recent.push(now);
-    while (recent.length > 0 && now - (recent[0] ?? now) > 1_000) recent.shift();
-    return recent.length <= spec.coldRateS * FALL_FACTOR + COLD_SPARE;
+    recentArrivals.push(now);
+    while (recentArrivals.length > 0 && now - (recentArrivals[0] ?? now) > 1_000) recentArrivals.shift();
+    return recentArrivals.length <= spec.coldRateS * COLD_OVERLOAD_FACTOR + COLD_OVERLOAD_MARGIN;
   }
-  function fallOver(): Promise<void> {
-    note('fellOver');
+  function crashFromOverload(): Promise<void> {
+    recordLife('fellOver');
     return crash();
   }
 
-  function tooLarge(req: IncomingMessage): boolean {
+  function exceedsMemory(req: IncomingMessage): boolean {
     if (!spec.engine) return false;
-    const { prompt, answer } = tokensOf(req);
+    const { prompt, answer } = tokenCounts(req);
     return prompt + answer > spec.engine.kvTokens;
   }
 
-  function refuse(visitId: string, res: ServerResponse, status: number): void {
+  function reject(visitId: string, res: ServerResponse, status: number): void {
     records.note({ what: 'refused', visit: visitId, status });
     if (status === 421) res.setHeader(HEADER.workerId, id);
-    if (status !== 421 || visits % 2 === 0) res.setHeader(HEADER.notRun, '1');
-    finishing(res);
+    if (status !== 421 || visitCount % 2 === 0) res.setHeader(HEADER.notRun, '1');
+    setConnectionHeader(res);
     res.writeHead(status);
     res.end();
   }
-  function finishing(res: ServerResponse): void {
-    answers += 1;
-    if (phase === 'draining' || answers % spec.closeEvery === 0) res.setHeader('connection', 'close');
+  function setConnectionHeader(res: ServerResponse): void {
+    responseCount += 1;
+    if (phase === 'draining' || responseCount % spec.closeEvery === 0) res.setHeader('connection', 'close');
   }
 
-  function queued(job: Omit<Visit, 'go'>): Promise<boolean> {
-    function wait(resolve: (mayRun: boolean) => void): void {
-      let settled = false;
-      function linearizableRead(mayRun: boolean): void {
-        if (settled) return;
-        settled = true;
+  function waitForSlot(job: Omit<QueuedRequest, 'admit'>): Promise<boolean> {
+    function enqueue(resolve: (mayRun: boolean) => void): void {
+      let isSettled = false;
+      function settle(mayRun: boolean): void {
+        if (isSettled) return;
+        isSettled = true;
         expiry.cancel();
-        const at = queue.indexOf(entry);
-        if (at >= 0) queue.splice(at, 1);
+        const index = queue.indexOf(entry);
+        if (index >= 0) queue.splice(index, 1);
         resolve(mayRun);
       }
-      function go(): void {
-        linearizableRead(true);
+      function admit(): void {
+        settle(true);
       }
-      function expired(): void {
-        if (job.life === life && !job.res.destroyed) refuse(job.id, job.res, 503);
-        linearizableRead(false);
+      function onDeadline(): void {
+        if (job.incarnation === incarnation && !job.res.destroyed) reject(job.id, job.res, 503);
+        settle(false);
       }
-      function left(): void {
-        linearizableRead(false);
+      function onClose(): void {
+        settle(false);
       }
-      const entry: Visit = { ...job, go };
-      const expiry = clock.timer(Math.max(0, job.deadlineAt - clock.mono()), expired);
-      job.res.on('close', left);
-      let at = queue.length;
-      while (at > 0 && (queue[at - 1]?.urgency ?? 0) > job.urgency) at -= 1;
-      queue.splice(at, 0, entry);
+      const entry: QueuedRequest = { ...job, admit };
+      const expiry = clock.timer(Math.max(0, job.deadlineAt - clock.mono()), onDeadline);
+      job.res.on('close', onClose);
+      let index = queue.length;
+      while (index > 0 && (queue[index - 1]?.urgency ?? 0) > job.urgency) index -= 1;
+      queue.splice(index, 0, entry);
     }
-    return new Promise<boolean>(wait);
+    return new Promise<boolean>(enqueue);
   }
 
-  async function work(job: Omit<Visit, 'go'>, probe: boolean): Promise<void> {
-    running += 1;
+  async function run(job: Omit<QueuedRequest, 'admit'>, isHealthCheck: boolean): Promise<void> {
+    activeCount += 1;
     try {
-      if (probe) answerHealth(job.res);
-      else if (spec.engine && (header(job.req, HEADER.tokens) ?? '') !== '') await generate(job, spec.engine);
-      else await serve(job);
+      if (isHealthCheck) answerHealth(job.res);
+      else if (spec.engine && (header(job.req, HEADER.tokens) ?? '') !== '') await streamEvents(job, spec.engine);
+      else await answerRequest(job);
     } finally {
-      if (job.life === life) {
-        running -= 1;
-        queue[0]?.go();
+      if (job.incarnation === incarnation) {
+        activeCount -= 1;
+        queue[0]?.admit();
       }
     }
   }
 
   function answerHealth(res: ServerResponse): void {
     res.setHeader(HEADER.workerId, id);
-    if (coldLeft() > 0) res.setHeader(HEADER.coldMs, String(coldLeft()));
-    finishing(res);
-    res.writeHead(phase === 'serving' || lying ? 200 : 503);
+    if (coldLeftMs() > 0) res.setHeader(HEADER.coldMs, String(coldLeftMs()));
+    setConnectionHeader(res);
+    res.writeHead(phase === 'serving' || isAlwaysHealthy ? 200 : 503);
     res.end();
   }
 
-  function sealOf(job: Omit<Visit, 'go'>): string {
-    return `${id.slice(2)}.${job.id.split('#')[1] ?? '0'}.${job.digest.slice(0, 8)}.${hex(6)}`;
+  function sealOf(job: Omit<QueuedRequest, 'admit'>): string {
+    return `${id.slice(2)}.${job.id.split('#')[1] ?? '0'}.${job.digest.slice(0, 8)}.${randomHex(6)}`;
   }
-  function hit(mode: FaultMode): boolean {
-    return error?.mode === mode && rng.next() < error.share;
+  function shouldInject(mode: FaultMode): boolean {
+    return fault?.mode === mode && rng.next() < fault.share;
   }
-  function dropped(job: Omit<Visit, 'go'>): boolean {
-    return job.life !== life || job.res.destroyed;
+  function isDropped(job: Omit<QueuedRequest, 'admit'>): boolean {
+    return job.incarnation !== incarnation || job.res.destroyed;
   }
 
-  function begin(job: Omit<Visit, 'go'>): string {
-    const digest = sealOf(job);
-    records.note({ what: 'ran', visit: job.id, attempt: job.attempt, digest: job.digest, seal: digest });
-    return digest;
-  }
-  function finish(job: Omit<Visit, 'go'>, seal: string, status: number, digest: string, end: Finished['end']): void {
+  function recordRan(job: Omit<QueuedRequest, 'admit'>): string {
+    const seal = sealOf(job);
+    records.note({ what: 'ran', visit: job.id, attempt: job.attempt, digest: job.digest, seal: seal });
+    return seal;
+  }
+  function recordFinished(
+    job: Omit<QueuedRequest, 'admit'>,
+    seal: string,
+    status: number,
+    digest: string,
+    end: Finished['end'],
+  ): void {
     records.note({
       what: 'finished',
       visit: job.id,
       seal: seal,
       status,
       digest,
-      end: end === 'dropped' && job.life !== life ? 'crashed' : end,
+      end: end === 'dropped' && job.incarnation !== incarnation ? 'crashed' : end,
     });
   }
 
-  async function serve(job: Omit<Visit, 'go'>): Promise<void> {
-    const seal = begin(job);
-    const fill = Math.max(1, Math.ceil(spec.bytes / (seal.length + 1)));
-    const body = Buffer.from(`${seal}|`.repeat(fill));
-    const digest = sha(body);
-    const slow = coldLeft() > 0 ? 2 : 1;
+  async function answerRequest(job: Omit<QueuedRequest, 'admit'>): Promise<void> {
+    const seal = recordRan(job);
+    const repeats = Math.max(1, Math.ceil(spec.bytes / (seal.length + 1)));
+    const body = Buffer.from(`${seal}|`.repeat(repeats));
+    const digest = sha256Hex(body);
+    const slowdown = coldLeftMs() > 0 ? 2 : 1;
     await delay(
       clock,
-      Math.min(spec.workMs * slow * (0.75 + rng.next() / 2), Math.max(0, job.deadlineAt - clock.mono())),
+      Math.min(spec.workMs * slowdown * (0.75 + rng.next() / 2), Math.max(0, job.deadlineAt - clock.mono())),
     );
-    await lit();
-    if (dropped(job)) return finish(job, seal, 0, digest, 'dropped');
-    if (clock.mono() >= job.deadlineAt) return failed(job, seal, 504);
-    if (hit('fail')) return failed(job, seal, 500);
-    if (hit('lostAnswer')) return broken(job, seal, digest);
-    if (hit('garbage')) return spoiled(job, seal, digest, '\u0001\u0002 no answer at all\r\n\r\n');
-    const plain = plainAnswer(job.attempt, seal, body);
-    if (hit('badStatus')) return spoiled(job, seal, digest, plain.replace(' 200 ', ' 000 '));
-    if (hit('badName')) return spoiled(job, seal, digest, plain.replace('\r\n', '\r\nno name: x\r\n'));
+    await whenResponsive();
+    if (isDropped(job)) return recordFinished(job, seal, 0, digest, 'dropped');
+    if (clock.mono() >= job.deadlineAt) return sendError(job, seal, 504);
+    if (shouldInject('fail')) return sendError(job, seal, 500);
+    if (shouldInject('lostAnswer')) return truncateResponse(job, seal, digest);
+    if (shouldInject('garbage')) return sendInvalidResponse(job, seal, digest, '\u0001\u0002 no answer at all\r\n\r\n');
+    const rawResponse = rawResponseText(job.attempt, seal, body);
+    if (shouldInject('badStatus')) return sendInvalidResponse(job, seal, digest, rawResponse.replace(' 200 ', ' 000 '));
+    if (shouldInject('badName'))
+      return sendInvalidResponse(job, seal, digest, rawResponse.replace('\r\n', '\r\nno name: x\r\n'));
     job.res.setHeader(HEADER.seal, seal);
-    finishing(job.res);
-    if (hit('breakOff')) {
+    setConnectionHeader(job.res);
+    if (shouldInject('breakOff')) {
       job.res.writeHead(200, { 'content-length': String(body.length) });
       job.res.write(body.subarray(0, Math.floor(body.length / 2)));
-      return broken(job, seal, digest);
+      return truncateResponse(job, seal, digest);
     }
-    finish(job, seal, 200, digest, 'whole');
+    recordFinished(job, seal, 200, digest, 'whole');
     const socket = job.res.socket;
-    if (hit('surplus') && socket) surplus.set(socket, plain);
-    const behind = hit('behind');
-    if (visits % 2 === 0) job.res.writeHead(200, { 'content-length': String(body.length) });
+    if (shouldInject('surplus') && socket) surplusBySocket.set(socket, rawResponse);
+    const hasTrailingBytes = shouldInject('behind');
+    if (visitCount % 2 === 0) job.res.writeHead(200, { 'content-length': String(body.length) });
     else job.res.writeHead(200);
     job.res.end(body);
-    if (behind) socket?.write(plain);
+    if (hasTrailingBytes) socket?.write(rawResponse);
   }
 
-  function plainAnswer(attempt: string, digest: string, body: Buffer): string {
-    return `HTTP/1.1 200 OK\r\n${HEADER.attemptId}: ${attempt}\r\n${HEADER.seal}: ${digest}\r\nContent-Length: ${body.length}\r\n\r\n${body.toString('latin1')}`;
-  }
-  function failed(job: Omit<Visit, 'go'>, digest: string, status: number): void {
-    const body = Buffer.from(`failed ${digest}`);
-    finish(job, digest, status, sha(body), 'whole');
-    job.res.setHeader(HEADER.seal, digest);
-    finishing(job.res);
+  /** Returns a complete response as raw text, to be written around the HTTP server. */
+  function rawResponseText(attempt: string, seal: string, body: Buffer): string {
+    return `HTTP/1.1 200 OK\r\n${HEADER.attemptId}: ${attempt}\r\n${HEADER.seal}: ${seal}\r\nContent-Length: ${body.length}\r\n\r\n${body.toString('latin1')}`;
+  }
+  function sendError(job: Omit<QueuedRequest, 'admit'>, seal: string, status: number): void {
+    const body = Buffer.from(`failed ${seal}`);
+    recordFinished(job, seal, status, sha256Hex(body), 'whole');
+    job.res.setHeader(HEADER.seal, seal);
+    setConnectionHeader(job.res);
     job.res.writeHead(status, { 'content-length': String(body.length) });
     job.res.end(body);
   }
-  function broken(job: Omit<Visit, 'go'>, seal: string, digest: string): void {
-    finish(job, seal, 200, digest, 'brokenOff');
+  /** Closes the connection before the response is complete. */
+  function truncateResponse(job: Omit<QueuedRequest, 'admit'>, seal: string, digest: string): void {
+    recordFinished(job, seal, 200, digest, 'brokenOff');
     job.res.socket?.destroySoon();
   }
 
-  /** Bytes that are no answer in the protocol. */
-  function spoiled(job: Omit<Visit, 'go'>, seal: string, digest: string, text: string): void {
-    finish(job, seal, 200, digest, 'spoiled');
+  /** Sends bytes that are no valid response of the protocol. */
+  function sendInvalidResponse(job: Omit<QueuedRequest, 'admit'>, seal: string, digest: string, text: string): void {
+    recordFinished(job, seal, 200, digest, 'spoiled');
     job.res.socket?.end(text);
   }
 
-  async function generate(job: Omit<Visit, 'go'>, engine: EngineSpec): Promise<void> {
-    const { prompt, answer } = tokensOf(job.req);
-    const total = Math.max(1, Math.ceil(answer / engine.tokensPerEvent));
-    const slow = coldLeft() > 0 ? 2 : 1;
-    await delay(clock, (memory.read(prompt, header(job.req, HEADER.prefix) ?? '') / engine.tokensPerMs) * slow);
-    await lit();
-    if (dropped(job)) return;
-    if (clock.mono() >= job.deadlineAt) return refuse(job.id, job.res, 503);
-    const digest = begin(job);
+  async function streamEvents(job: Omit<QueuedRequest, 'admit'>, engine: EngineSpec): Promise<void> {
+    const { prompt, answer } = tokenCounts(job.req);
+    const eventCount = Math.max(1, Math.ceil(answer / engine.tokensPerEvent));
+    const slowdown = coldLeftMs() > 0 ? 2 : 1;
+    await delay(
+      clock,
+      (prefixMemory.read(prompt, header(job.req, HEADER.prefix) ?? '') / engine.tokensPerMs) * slowdown,
+    );
+    await whenResponsive();
+    if (isDropped(job)) return;
+    if (clock.mono() >= job.deadlineAt) return reject(job.id, job.res, 503);
+    const seal = recordRan(job);
     const hash = createHash('sha256');
-    if (hit('fail')) return failed(job, digest, 500);
-    job.res.setHeader(HEADER.seal, digest);
+    if (shouldInject('fail')) return sendError(job, seal, 500);
+    job.res.setHeader(HEADER.seal, seal);
     job.res.setHeader(HEADER.weights, String(weights));
-    finishing(job.res);
+    setConnectionHeader(job.res);
     job.res.writeHead(200, { 'content-type': 'text/event-stream' });
-    const breakAt = hit('breakOff') || hit('lostAnswer') ? Math.ceil(total / 2) : 0;
-    let told = weights;
-    const first = Math.floor(job.lastEvent / engine.tokensPerEvent) + 1;
-    for (let count = first; count <= total; count += 1) {
-      if (count > first)
-        await delay(clock, engine.stepMs * engine.tokensPerEvent * (1 + running / spec.capacity / 4) * slow);
-      await lit();
-      if (dropped(job)) return finish(job, digest, 200, '', 'dropped');
-      if (clock.mono() >= job.deadlineAt || count === breakAt) return broken(job, digest, '');
-      const event: EventSeen = { id: count * engine.tokensPerEvent, run: digest, n: count, of: total };
-      const text = weights === told ? eventText(event) : `${HEADER.weights}: ${weights}\n${eventText(event)}`;
-      told = weights;
+    const truncateAt = shouldInject('breakOff') || shouldInject('lostAnswer') ? Math.ceil(eventCount / 2) : 0;
+    let announcedWeights = weights;
+    const firstEvent = Math.floor(job.lastEvent / engine.tokensPerEvent) + 1;
+    for (let eventNumber = firstEvent; eventNumber <= eventCount; eventNumber += 1) {
+      if (eventNumber > firstEvent)
+        await delay(clock, engine.stepMs * engine.tokensPerEvent * (1 + activeCount / spec.capacity / 4) * slowdown);
+      await whenResponsive();
+      if (isDropped(job)) return recordFinished(job, seal, 200, '', 'dropped');
+      if (clock.mono() >= job.deadlineAt || eventNumber === truncateAt) return truncateResponse(job, seal, '');
+      const event: EventSeen = { id: eventNumber * engine.tokensPerEvent, run: seal, n: eventNumber, of: eventCount };
+      const text =
+        weights === announcedWeights ? eventText(event) : `${HEADER.weights}: ${weights}\n${eventText(event)}`;
+      announcedWeights = weights;
       hash.update(text);
       job.res.write(text);
     }
-    if (dropped(job)) return finish(job, digest, 200, '', 'dropped');
-    finish(job, digest, 200, hash.digest('hex'), 'whole');
+    if (isDropped(job)) return recordFinished(job, seal, 200, '', 'dropped');
+    recordFinished(job, seal, 200, hash.digest('hex'), 'whole');
     const socket = job.res.socket;
-    const behind = hit('behind');
+    const hasTrailingBytes = shouldInject('behind');
     job.res.end();
-    if (behind) socket?.write(plainAnswer(job.attempt, digest, Buffer.from('behind')));
+    if (hasTrailingBytes) socket?.write(rawResponseText(job.attempt, seal, Buffer.from('behind')));
   }
 
-  function report(res: ServerResponse): void {
+  function sendUsage(res: ServerResponse): void {
     const body = JSON.stringify({
       [USAGE.stage]: 'colocated',
       [USAGE.models]: [{ [USAGE.name]: 'm', [USAGE.weights]: weights, adapters: [] }],
       [USAGE.ordered]: false,
       [USAGE.orders]: 0,
       [USAGE.queued]: queue.length,
-      [USAGE.active]: running,
-      [USAGE.kvInUse]: Math.min(memory.inUse(), spec.engine?.kvTokens ?? 0),
+      [USAGE.active]: activeCount,
+      [USAGE.kvInUse]: Math.min(prefixMemory.tokensInUse(), spec.engine?.kvTokens ?? 0),
       [USAGE.kvTotal]: spec.engine?.kvTokens ?? 0,
       [USAGE.sessions]: 0,
     });
@@ -445,74 +468,74 @@
 
   function drain(remainingMs: number | null): void {
     phase = 'draining';
-    goneAt = remainingMs === null ? null : clock.mono() + remainingMs;
-    note('draining');
-    const mine = life;
-    function left(): void {
-      if (mine === life && phase === 'draining') void end();
+    endsAt = remainingMs === null ? null : clock.mono() + remainingMs;
+    recordLife('draining');
+    const ownIncarnation = incarnation;
+    function onDrainTimeout(): void {
+      if (ownIncarnation === incarnation && phase === 'draining') void end();
     }
-    if (remainingMs !== null) clock.timer(remainingMs, left);
+    if (remainingMs !== null) clock.timer(remainingMs, onDrainTimeout);
   }
-  async function stopLife(): Promise<void> {
-    life = 0;
+  async function endIncarnation(): Promise<void> {
+    incarnation = 0;
     phase = 'gone';
-    running = 0;
-    const was = server;
+    activeCount = 0;
+    const oldServer = server;
     server = null;
-    isDark = false;
-    for (const wake of relight) wake();
-    relight = [];
-    for (const entry of [...queue]) entry.go();
+    isUnresponsive = false;
+    for (const resume of resumeCallbacks) resume();
+    resumeCallbacks = [];
+    for (const entry of [...queue]) entry.admit();
     queue.length = 0;
     for (const socket of sockets) socket.resetAndDestroy();
     sockets.clear();
-    if (was) await closed(was);
+    if (oldServer) await closeServer(oldServer);
   }
-  function closed(was: Server): Promise<void> {
-    function begin(resolve: () => void): void {
-      function done(): void {
+  function closeServer(oldServer: Server): Promise<void> {
+    function close(resolve: () => void): void {
+      function onClosed(): void {
         resolve();
       }
-      was.close(done);
+      oldServer.close(onClosed);
     }
-    return new Promise<void>(begin);
+    return new Promise<void>(close);
   }
   async function crash(): Promise<void> {
-    if (life === 0) return;
-    note('crashed');
-    await stopLife();
+    if (incarnation === 0) return;
+    recordLife('crashed');
+    await endIncarnation();
   }
   async function end(): Promise<void> {
-    if (life === 0) return;
-    note('ended');
-    await stopLife();
+    if (incarnation === 0) return;
+    recordLife('ended');
+    await endIncarnation();
   }
-  function dark(on: boolean): void {
-    isDark = on;
-    note(on ? 'dark' : 'lit');
+  function setUnresponsive(on: boolean): void {
+    isUnresponsive = on;
+    recordLife(on ? 'dark' : 'lit');
     if (on) return;
-    for (const wake of relight) wake();
-    relight = [];
+    for (const resume of resumeCallbacks) resume();
+    resumeCallbacks = [];
   }
-  function goCold(ms: number): void {
-    coldUntil = clock.mono() + ms;
-    recent = [];
-    note('cold', ms);
+  function startColdPeriod(durationMs: number): void {
+    coldUntil = clock.mono() + durationMs;
+    recentArrivals = [];
+    recordLife('cold', durationMs);
   }
-  function setFault(f: Fault | null): void {
-    error = f;
+  function setFault(newFault: Fault | null): void {
+    fault = newFault;
   }
-  function lie(on: boolean): void {
-    lying = on;
+  function setAlwaysHealthy(on: boolean): void {
+    isAlwaysHealthy = on;
   }
   function loadWeights(version: number): void {
     weights = version;
   }
-  function resetIdle(): void {
-    for (const socket of sockets) if ((atWork.get(socket) ?? 0) === 0) socket.resetAndDestroy();
+  function resetIdleConnections(): void {
+    for (const socket of sockets) if ((activeBySocket.get(socket) ?? 0) === 0) socket.resetAndDestroy();
   }
-  function seen(): Seen {
-    const remainingMs = goneAt === null ? null : Math.max(0, Math.round(goneAt - clock.mono()));
+  function listed(): ListedWorker {
+    const remainingMs = endsAt === null ? null : Math.max(0, Math.round(endsAt - clock.mono()));
     return {
       id,
       address: `${spec.ip}:${port}`,
@@ -520,15 +543,28 @@
       zone: spec.zone,
       capacity: spec.capacity,
       phase,
-      coldLeftMs: coldLeft(),
+      coldLeftMs: coldLeftMs(),
       remainingMs,
       weights: spec.engine ? weights : null,
     };
   }
-  function now(): number {
-    return running;
-  }
-  return { start, seen, drain, crash, end, dark, goCold, fault: setFault, lie, loadWeights, resetIdle, running: now };
+  function getActiveCount(): number {
+    return activeCount;
+  }
+  return {
+    start,
+    seen: listed,
+    drain,
+    crash,
+    end,
+    dark: setUnresponsive,
+    startColdPeriod,
+    fault: setFault,
+    setAlwaysHealthy,
+    loadWeights,
+    resetIdle: resetIdleConnections,
+    running: getActiveCount,
+  };
 }
 
-function ignore(): void {}
+function noop(): void {}
