--- a/standin-platform/caller.test.ts
+++ b/standin-platform/caller.test.ts
@@ -56,7 +56,7 @@
   return listen(server);
 }
 async function startWorker(over: Partial<WorkerSpec> = {}): Promise<StandinWorker> {
-  const w = createStandinWorker(
+  const worker = createStandinWorker(
     {
       ...WORKER_DEFAULTS,
       ip: '127.0.0.1',
@@ -69,10 +69,10 @@
     },
     { clock, rng: createRng(7), records },
   );
-  await w.start();
-  cleanups.push(w.end);
-  edgeAddresses.push(w.seen().address);
-  return w;
+  await worker.start();
+  cleanups.push(worker.end);
+  edgeAddresses.push(worker.seen().address);
+  return worker;
 }
 async function createTestCaller(over: Partial<CallerSpec> = {}): Promise<Caller> {
   const created = createCaller(
@@ -114,10 +114,10 @@
   test('gets responses to all three kinds, sent with a content length or chunked, and the judge finds no broken rule', async () => {
     await startWorker({ capacity: 64 });
     recordConfiguration();
-    const o = await createTestCaller();
+    const caller = await createTestCaller();
     const kinds: readonly Kind[] = ['repeatable', 'once', 'stream'];
     const results = await Promise.all(
-      Array.from({ length: 30 }, (_, i) => o.call(requestSpec(kinds[i % 3] ?? 'once', { chunked: i % 2 === 0 }))),
+      Array.from({ length: 30 }, (_, i) => caller.call(requestSpec(kinds[i % 3] ?? 'once', { chunked: i % 2 === 0 }))),
     );
     expect(results.every((t) => t.served && t.tries === 1)).toBe(true);
     expect(judge(records.all())).toEqual([]);
@@ -128,31 +128,31 @@
   test('reuses a connection for many requests, obeys Connection: close, and asks the directory again after the TTL', async () => {
     await startWorker({ closeEvery: 3 });
     ttlS = 0.05;
-    const o = await createTestCaller();
-    for (let i = 0; i < 5; i += 1) expect((await o.call(requestSpec('once'))).served).toBe(true);
+    const caller = await createTestCaller();
+    for (let i = 0; i < 5; i += 1) expect((await caller.call(requestSpec('once'))).served).toBe(true);
     expect(onlyOf(records.all(), 'arrived').map((a) => a.headers['connection'] ?? '')).toEqual(['', '', '', '', '']);
     expect(directoryRequests.length).toBeGreaterThan(1);
   });
 
   test('retries a repeatable request after any failure, with a new attempt id', async () => {
-    const w = await startWorker();
-    w.fault({ mode: 'lostAnswer', share: 1 });
-    const o = await createTestCaller();
-    const result = o.call(requestSpec('repeatable'));
+    const worker = await startWorker();
+    worker.fault({ mode: 'lostAnswer', share: 1 });
+    const caller = await createTestCaller();
+    const result = caller.call(requestSpec('repeatable'));
     await records.until((r) => r.what === 'finished');
-    w.fault(null);
+    worker.fault(null);
     expect(await result).toMatchObject({ served: true, tries: 2 });
     const ids = onlyOf(records.all(), 'asked').map((a) => a.attempt);
     expect(new Set(ids).size).toBe(2);
   });
 
   test('retries a run-once request only after a promise that it was not executed', async () => {
-    const w = await startWorker();
-    w.fault({ mode: 'fail', share: 1 });
-    const o = await createTestCaller();
-    expect(await o.call(requestSpec('once'))).toMatchObject({ served: false, tries: 1, status: 500 });
-    w.fault({ mode: 'refuse', share: 1 });
-    expect(await o.call(requestSpec('once'))).toMatchObject({ served: false, tries: 3, status: 503 });
+    const worker = await startWorker();
+    worker.fault({ mode: 'fail', share: 1 });
+    const caller = await createTestCaller();
+    expect(await caller.call(requestSpec('once'))).toMatchObject({ served: false, tries: 1, status: 500 });
+    worker.fault({ mode: 'refuse', share: 1 });
+    expect(await caller.call(requestSpec('once'))).toMatchObject({ served: false, tries: 3, status: 503 });
   });
 
   test('obeys Retry-After up to a third of the remaining time', async () => {
@@ -164,41 +164,41 @@
       res.end();
     });
     edgeAddresses.push(await listen(server));
-    const o = await createTestCaller();
-    expect(await o.call(requestSpec('once'))).toMatchObject({ status: 404, tries: 2 });
+    const caller = await createTestCaller();
+    expect(await caller.call(requestSpec('once'))).toMatchObject({ status: 404, tries: 2 });
     const [first, second] = onlyOf(records.all(), 'asked');
     expect((second?.at ?? 0) - (first?.at ?? 0)).toBeGreaterThan(145);
     requestCount = 0;
-    await o.call(requestSpec('once', { deadlineMs: 150 }));
+    await caller.call(requestSpec('once', { deadlineMs: 150 }));
     const [, , third, fourth] = onlyOf(records.all(), 'asked');
     expect((fourth?.at ?? 0) - (third?.at ?? 0)).toBeLessThan(140);
   });
 
   test('resumes a truncated resumable stream after the last event received', async () => {
-    const w = await startWorker();
-    w.fault({ mode: 'breakOff', share: 1 });
-    const o = await createTestCaller();
-    const result = o.call(requestSpec('stream', { resumable: true }));
+    const worker = await startWorker();
+    worker.fault({ mode: 'breakOff', share: 1 });
+    const caller = await createTestCaller();
+    const result = caller.call(requestSpec('stream', { resumable: true }));
     await records.until((r) => r.what === 'finished');
-    w.fault(null);
+    worker.fault(null);
     expect(await result).toMatchObject({ served: true, tries: 2 });
     const [, second] = onlyOf(records.all(), 'asked');
     expect(second?.lastEvent).toBeGreaterThan(0);
   });
 
   test('aborts a stream that sends nothing', async () => {
-    const w = await startWorker();
-    w.dark(true);
-    const o = await createTestCaller();
-    expect(await o.call(requestSpec('stream', { aimMs: 10, pauseMs: 10 }))).toMatchObject({ served: false });
+    const worker = await startWorker();
+    worker.dark(true);
+    const caller = await createTestCaller();
+    expect(await caller.call(requestSpec('stream', { aimMs: 10, pauseMs: 10 }))).toMatchObject({ served: false });
     expect(onlyOf(records.all(), 'answered').map((a) => a.end)).toEqual(['silence']);
   });
 
   test('avoids addresses that failed', async () => {
     edgeAddresses.push('127.0.0.1:1');
     await startWorker();
-    const o = await createTestCaller({ keepConnections: false });
-    for (let i = 0; i < 8; i += 1) expect((await o.call(requestSpec('once'))).served).toBe(true);
+    const caller = await createTestCaller({ keepConnections: false });
+    for (let i = 0; i < 8; i += 1) expect((await caller.call(requestSpec('once'))).served).toBe(true);
     expect(new Set(onlyOf(records.all(), 'asked').map((a) => a.edge)).size).toBe(1);
   });
 
@@ -206,19 +206,19 @@
     const response = 'HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na';
     const server = createTcp((socket: Socket) => socket.on('data', () => socket.write(response + response)));
     edgeAddresses.push(await listen(server));
-    const o = await createTestCaller({ keepConnections: false });
-    await o.call(requestSpec('once'));
+    const caller = await createTestCaller({ keepConnections: false });
+    await caller.call(requestSpec('once'));
     const texts = judge(records.all()).map((v) => v.text);
     expect(texts.some((t) => t.endsWith('sent a success where no request is waiting'))).toBe(true);
     expect(texts.some((t) => t.endsWith('got a success without a seal'))).toBe(true);
   });
 
   test('the judge reports surplus bytes of a worker that no proxy held back', async () => {
-    const w = await startWorker({ closeEvery: 1_000 });
+    const worker = await startWorker({ closeEvery: 1_000 });
     recordConfiguration();
-    w.fault({ mode: 'surplus', share: 1 });
-    const o = await createTestCaller();
-    for (let i = 0; i < 3; i += 1) await o.call(requestSpec('once'));
+    worker.fault({ mode: 'surplus', share: 1 });
+    const caller = await createTestCaller();
+    for (let i = 0; i < 3; i += 1) await caller.call(requestSpec('once'));
     expect(judge(records.all()).map((v) => v.rule)).toContain('MIXED');
   });
 });
--- a/standin-platform/client.ts
+++ b/standin-platform/client.ts
@@ -30,7 +30,7 @@
 };
 
 /** Receives bytes that belong to no response; the flag tells whether a request was pending. */
-export type ConnectionListener = { readonly onStrayBytes: (text: string, waiting: boolean) => void };
+export type ConnectionListener = { readonly onStrayBytes: (text: string, isRequestPending: boolean) => void };
 
 const CONNECT_TIMEOUT_MS = 1_000;
 const MAX_BODY_BYTES = 8_388_608;
@@ -65,7 +65,7 @@
 }
 
 type PendingExchange = {
-  readonly resolve: (answer: ExchangeResult) => void;
+  readonly resolve: (result: ExchangeResult) => void;
   readonly parts: Buffer[];
   readonly onBody: (part: Buffer) => void;
   readonly inactivityTimeoutMs: number | null;
@@ -160,7 +160,7 @@
     onBodyPart: (part: Buffer) => void,
     onSent: () => void,
   ): Promise<ExchangeResult> {
-    function start(resolve: (answer: ExchangeResult) => void): void {
+    function start(resolve: (result: ExchangeResult) => void): void {
       keepAliveTimer?.cancel();
       receivedBytes = 0;
       if (!isOpen) {
--- a/standin-platform/list.ts
+++ b/standin-platform/list.ts
@@ -28,7 +28,7 @@
   readonly address: () => string;
   readonly show: (worker: ListedWorker) => void;
   readonly drop: (id: string) => void;
-  readonly trouble: (listTrouble: ListFault) => void;
+  readonly trouble: (newFault: ListFault) => void;
   readonly calls: () => number;
   readonly stop: () => Promise<void>;
 };
--- a/standin-platform/operator.test.ts
+++ b/standin-platform/operator.test.ts
@@ -69,10 +69,10 @@
 
 describe('the stand-in operator', () => {
   test('sends a complete configuration with its base version, and an evacuation without a body', async () => {
-    const o = createTestOperator([await startNode(respondWith(200))]);
-    expect(await o.replace(configDocument(7), 5)).toEqual({ outcome: 'acknowledged', status: 200 });
-    expect(await o.evacuate('sala-bog', true)).toEqual({ outcome: 'acknowledged', status: 200 });
-    expect(await o.evacuate('sala-bog', false)).toEqual({ outcome: 'acknowledged', status: 200 });
+    const operator = createTestOperator([await startNode(respondWith(200))]);
+    expect(await operator.replace(configDocument(7), 5)).toEqual({ outcome: 'acknowledged', status: 200 });
+    expect(await operator.evacuate('sala-bog', true)).toEqual({ outcome: 'acknowledged', status: 200 });
+    expect(await operator.evacuate('sala-bog', false)).toEqual({ outcome: 'acknowledged', status: 200 });
     expect(requestsSeen).toEqual([
       'POST /millfield/config/replace 5',
       'POST /millfield/evacuation/sala-bog/begin',
@@ -128,25 +128,25 @@
       if (path === '/millfield/config/amend') stored = applyAmendment(stored, JSON.parse(body));
       res.end(path === '/millfield/config/read' ? JSON.stringify(stored) : undefined);
     });
-    const o = createTestOperator([at]);
-    await o.replace(configDocument(7), 0);
+    const operator = createTestOperator([at]);
+    await operator.replace(configDocument(7), 0);
     const amendment = {
       generation: 9,
       upsert: { routeSet: [{ name: 'r2', authority: 'h', pathPrefix: '/b/', variant: 'effectful', target: 'm' }] },
       remove: { routeSet: ['r1'] },
     };
-    await o.amend(configDocument(7), amendment, 7);
-    expect(await o.read(1_000)).toMatchObject({ generation: 9, routeSet: [{ name: 'r2' }] });
+    await operator.amend(configDocument(7), amendment, 7);
+    expect(await operator.read(1_000)).toMatchObject({ generation: 9, routeSet: [{ name: 'r2' }] });
     expect(judge(records.all())).toEqual([]);
     stored = configDocument(7);
-    await o.read(1_000);
+    await operator.read(1_000);
     expect(judge(records.all()).map((v) => v.rule)).toEqual(['CONFIG']);
   });
 
   test('records an order without a conclusive response as unclear', async () => {
-    const o = createTestOperator(['127.0.0.1:1'], 60);
-    expect((await o.replace(configDocument(7), 5)).outcome).toBe('unclear');
+    const operator = createTestOperator(['127.0.0.1:1'], 60);
+    expect((await operator.replace(configDocument(7), 5)).outcome).toBe('unclear');
     expect(onlyOf(records.all(), 'settled').map((s) => s.outcome)).toEqual(['unclear']);
-    expect(await o.read(30)).toBeNull();
+    expect(await operator.read(30)).toBeNull();
   });
 });
--- a/standin-platform/operator.ts
+++ b/standin-platform/operator.ts
@@ -19,7 +19,7 @@
   readonly amend: (before: unknown, amendment: unknown, base: number, valid?: boolean) => Promise<Outcome>;
   /** Sends a text that is not a valid configuration, which must be refused. */
   readonly spoiled: (text: string, base: number) => Promise<Outcome>;
-  readonly evacuate: (zone: string, begin: boolean, sending?: SendOptions) => Promise<Outcome>;
+  readonly evacuate: (zone: string, begin: boolean, options?: SendOptions) => Promise<Outcome>;
   /** Reads the configuration back, with retries for this long; null if there was no answer. */
   readonly read: (forMs: number) => Promise<unknown>;
 };
--- a/standin-platform/reader.test.ts
+++ b/standin-platform/reader.test.ts
@@ -31,7 +31,7 @@
     );
     expect(calls).toEqual(['head 200', 'body abc', 'body d', 'whole']);
   });
-  test('tells an early end from a complete response', () => {
+  test('distinguishes an early end from a complete response', () => {
     const { calls, reader } = createTestReader();
     reader.expectResponse();
     reader.push(Buffer.from('HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n'));
--- a/standin-platform/records.ts
+++ b/standin-platform/records.ts
@@ -198,7 +198,7 @@
   readonly all: () => readonly Rec[];
   readonly of: <W extends Rec['what']>(what: W) => readonly RecordOf<W>[];
   /** Resolves with the first record that matches, past or future. */
-  readonly until: (fits: (rec: Rec) => boolean) => Promise<Rec>;
+  readonly until: (matches: (rec: Rec) => boolean) => Promise<Rec>;
 };
 
 type Waiter = { readonly matches: (rec: Rec) => boolean; readonly resolve: (rec: Rec) => void };
@@ -227,7 +227,7 @@
   function waitFor(matches: (rec: Rec) => boolean): Promise<Rec> {
     for (const rec of entries) if (matches(rec)) return Promise.resolve(rec);
     function register(resolve: (rec: Rec) => void): void {
-      waiters.push({ matches: matches, resolve });
+      waiters.push({ matches, resolve });
     }
     return new Promise<Rec>(register);
   }
--- a/standin-platform/worker-spec.ts
+++ b/standin-platform/worker-spec.ts
@@ -76,7 +76,7 @@
 
 /** A worker and its controls; `start` begins a new incarnation with a new id. */
 export type StandinWorker = {
-  readonly start: (over?: { readonly model?: string; readonly coldMs?: number }) => Promise<void>;
+  readonly start: (overrides?: { readonly model?: string; readonly coldMs?: number }) => Promise<void>;
   readonly seen: () => ListedWorker;
   /** Shows the worker as draining, while it still serves; it ends after `remainingMs`, or never if that is null. */
   readonly drain: (remainingMs: number | null) => void;
@@ -85,8 +85,8 @@
   /** Makes the worker accept requests without answering any until it is switched off. */
   readonly dark: (on: boolean) => void;
   /** Makes the worker slow, and prone to crash under load, for this long. */
-  readonly startColdPeriod: (ms: number) => void;
-  readonly fault: (f: Fault | null) => void;
+  readonly startColdPeriod: (durationMs: number) => void;
+  readonly fault: (newFault: Fault | null) => void;
   /** Makes health checks succeed even while the worker drains. */
   readonly setAlwaysHealthy: (on: boolean) => void;
   readonly loadWeights: (version: number) => void;
--- a/standin-platform/worker.test.ts
+++ b/standin-platform/worker.test.ts
@@ -26,44 +26,44 @@
   workers = [];
 });
 afterEach(async () => {
-  for (const c of connections) c.close();
-  for (const w of workers) await w.end();
+  for (const connection of connections) connection.close();
+  for (const worker of workers) await worker.end();
 });
 
 async function startWorker(over: Partial<WorkerSpec> = {}): Promise<StandinWorker> {
-  const w = createStandinWorker(
+  const worker = createStandinWorker(
     { ...WORKER_DEFAULTS, ip: '127.0.0.1', port: 0, model: 'm1', zone: 'z', region: 'r', ...over },
     { clock, rng: createRng(7), records },
   );
-  workers.push(w);
-  await w.start();
-  return w;
+  workers.push(worker);
+  await worker.start();
+  return worker;
 }
-async function connect(w: StandinWorker): Promise<Connection> {
-  const c = await openConnection(w.seen().address, clock, { onStrayBytes: (text) => strays.push(text) });
-  if (!c) throw new Error('no connection');
-  connections.push(c);
-  return c;
+async function connect(worker: StandinWorker): Promise<Connection> {
+  const connection = await openConnection(worker.seen().address, clock, { onStrayBytes: (text) => strays.push(text) });
+  if (!connection) throw new Error('no connection');
+  connections.push(connection);
+  return connection;
 }
 function send(
-  c: Connection,
+  connection: Connection,
   head: string,
   body = 'hello',
   onBody: (b: Buffer) => void = () => undefined,
 ): Promise<ExchangeResult> {
-  return c.exchange(
+  return connection.exchange(
     [Buffer.from(`${head}Content-Length: ${body.length}\r\n\r\n${body}`)],
     { deadlineMs: 5_000, inactivityTimeoutMs: null },
     onBody,
     () => undefined,
   );
 }
-async function sendOnNewConnection(w: StandinWorker, head: string): Promise<ExchangeResult> {
-  return send(await connect(w), head);
+async function sendOnNewConnection(worker: StandinWorker, head: string): Promise<ExchangeResult> {
+  return send(await connect(worker), head);
 }
-async function get(w: StandinWorker, path: string): Promise<ExchangeResult> {
-  const c = await connect(w);
-  return c.exchange(
+async function get(worker: StandinWorker, path: string): Promise<ExchangeResult> {
+  const connection = await connect(worker);
+  return connection.exchange(
     [Buffer.from(`GET ${path} HTTP/1.1\r\nHost: w\r\n\r\n`)],
     { deadlineMs: 5_000, inactivityTimeoutMs: null },
     () => undefined,
@@ -76,8 +76,8 @@
 
 describe('the stand-in worker, as the page describes it', () => {
   test('responds with a seal and the attempt id, and records the visit', async () => {
-    const w = await startWorker();
-    const a = await sendOnNewConnection(w, PLAIN);
+    const worker = await startWorker();
+    const a = await sendOnNewConnection(worker, PLAIN);
     expect(a.end).toBe('whole');
     expect(a.head?.status).toBe(200);
     expect(a.head?.headers.get('x-millfield-attempt-id')).toBe(ID);
@@ -94,36 +94,36 @@
   });
 
   test('responds with 421 if another worker is expected and with 400 without an attempt id, and runs neither', async () => {
-    const w = await startWorker();
-    const other = await sendOnNewConnection(w, `${PLAIN}X-Millfield-Expect-Worker: i-02d9e6b4\r\n`);
+    const worker = await startWorker();
+    const other = await sendOnNewConnection(worker, `${PLAIN}X-Millfield-Expect-Worker: i-02d9e6b4\r\n`);
     expect(other.head?.status).toBe(421);
-    expect(other.head?.headers.get('x-millfield-worker-id')).toBe(w.seen().id);
-    const own = await sendOnNewConnection(w, `${PLAIN}X-Millfield-Expect-Worker: ${w.seen().id}\r\n`);
+    expect(other.head?.headers.get('x-millfield-worker-id')).toBe(worker.seen().id);
+    const own = await sendOnNewConnection(worker, `${PLAIN}X-Millfield-Expect-Worker: ${worker.seen().id}\r\n`);
     expect(own.head?.status).toBe(200);
-    const none = await sendOnNewConnection(w, 'POST /x HTTP/1.1\r\nHost: h\r\n');
+    const none = await sendOnNewConnection(worker, 'POST /x HTTP/1.1\r\nHost: h\r\n');
     expect(none.head?.status).toBe(400);
     expect(onlyOf(records.all(), 'ran')).toHaveLength(1);
   });
 
   test('gets a new id when it starts again after a crash', async () => {
-    const w = await startWorker();
-    const before = w.seen().id;
-    await w.crash();
-    expect(w.seen().phase).toBe('gone');
-    await w.start({ model: 'other' });
-    expect(w.seen().id).not.toBe(before);
-    expect(w.seen().model).toBe('other');
-    const a = await sendOnNewConnection(w, `${PLAIN}X-Millfield-Expect-Worker: ${before}\r\n`);
+    const worker = await startWorker();
+    const before = worker.seen().id;
+    await worker.crash();
+    expect(worker.seen().phase).toBe('gone');
+    await worker.start({ model: 'other' });
+    expect(worker.seen().id).not.toBe(before);
+    expect(worker.seen().model).toBe('other');
+    const a = await sendOnNewConnection(worker, `${PLAIN}X-Millfield-Expect-Worker: ${before}\r\n`);
     expect(a.head?.status).toBe(421);
   });
 
   test('rejects with 503 and not executed when it is full, and when the deadline passes in the queue', async () => {
-    const w = await startWorker({ capacity: 1, queue: 1, workMs: 200 });
-    const first = sendOnNewConnection(w, PLAIN);
+    const worker = await startWorker({ capacity: 1, queue: 1, workMs: 200 });
+    const first = sendOnNewConnection(worker, PLAIN);
     await records.until((r) => r.what === 'ran');
-    const queued = sendOnNewConnection(w, PLAIN.replace('4000', '30'));
+    const queued = sendOnNewConnection(worker, PLAIN.replace('4000', '30'));
     await records.until((r) => r.what === 'arrived' && r.deadlineMs === 30);
-    const full = await sendOnNewConnection(w, PLAIN);
+    const full = await sendOnNewConnection(worker, PLAIN);
     expect(full.head?.status).toBe(503);
     expect(full.head?.headers.get('x-millfield-not-executed')).toBe('1');
     expect((await queued).head?.status).toBe(503);
@@ -132,11 +132,11 @@
   });
 
   test('runs the more urgent queued requests first', async () => {
-    const w = await startWorker({ capacity: 1, queue: 4, workMs: 60 });
-    const all = [sendOnNewConnection(w, PLAIN)];
+    const worker = await startWorker({ capacity: 1, queue: 4, workMs: 60 });
+    const all = [sendOnNewConnection(worker, PLAIN)];
     await records.until((r) => r.what === 'ran');
     for (const urgency of [7, 1, 4]) {
-      all.push(sendOnNewConnection(w, `${PLAIN}X-Millfield-Urgency-Class: ${urgency}\r\n`));
+      all.push(sendOnNewConnection(worker, `${PLAIN}X-Millfield-Urgency-Class: ${urgency}\r\n`));
       await records.until((r) => r.what === 'arrived' && r.headers['x-millfield-urgency-class'] === String(urgency));
     }
     await Promise.all(all);
@@ -147,33 +147,33 @@
   });
 
   test('streams events with increasing ids, and continues after Last-Event-Id', async () => {
-    const w = await startWorker({ engine: ENGINE_DEFAULTS });
-    const complete = await sendOnNewConnection(w, STREAM);
+    const worker = await startWorker({ engine: ENGINE_DEFAULTS });
+    const complete = await sendOnNewConnection(worker, STREAM);
     expect(complete.head?.headers.get('content-type')).toBe('text/event-stream');
     expect([...complete.body.toString().matchAll(/^id: (\d+)$/gm)].map((m) => m[1])).toEqual(['5', '10', '15', '20']);
-    const rest = await sendOnNewConnection(w, `${STREAM}Last-Event-Id: 10\r\n`);
+    const rest = await sendOnNewConnection(worker, `${STREAM}Last-Event-Id: 10\r\n`);
     expect([...rest.body.toString().matchAll(/^id: (\d+)$/gm)].map((m) => m[1])).toEqual(['15', '20']);
   });
 
   test('announces a change of its weights inside the stream, and rejects a request that expects other weights', async () => {
-    const w = await startWorker({ engine: ENGINE_DEFAULTS });
-    const c = await connect(w);
+    const worker = await startWorker({ engine: ENGINE_DEFAULTS });
+    const connection = await connect(worker);
     let loaded = false;
-    const a = await send(c, STREAM, 'x', () => {
-      if (!loaded) w.loadWeights(2);
+    const a = await send(connection, STREAM, 'x', () => {
+      if (!loaded) worker.loadWeights(2);
       loaded = true;
     });
     expect(a.head?.headers.get('x-millfield-weight-versions')).toBe('1');
     expect(a.body.toString()).toMatch(/\n\nx-millfield-weight-versions: 2\nid: \d+\n/);
-    expect((await sendOnNewConnection(w, `${STREAM}X-Millfield-Expect-Version: 1\r\n`)).head?.status).toBe(421);
+    expect((await sendOnNewConnection(worker, `${STREAM}X-Millfield-Expect-Version: 1\r\n`)).head?.status).toBe(421);
   });
 
   test('does not read cached parts of a prompt a second time', async () => {
-    const w = await startWorker({ engine: { ...ENGINE_DEFAULTS, tokensPerMs: 5 } });
+    const worker = await startWorker({ engine: { ...ENGINE_DEFAULTS, tokensPerMs: 5 } });
     const times: number[] = [];
     for (let i = 0; i < 2; i += 1) {
       const startedAt = clock.mono();
-      await sendOnNewConnection(w, STREAM.replace(',20', ',1'));
+      await sendOnNewConnection(worker, STREAM.replace(',20', ',1'));
       times.push(clock.mono() - startedAt);
     }
     expect(times[0]).toBeGreaterThan(1_460 / 5);
@@ -181,12 +181,12 @@
   });
 
   test('reports its health, its remaining cold period and its load', async () => {
-    const w = await startWorker();
-    w.startColdPeriod(5_000);
-    const cold = await get(w, '/health');
-    expect([cold.head?.status, cold.head?.headers.get('x-millfield-worker-id')]).toEqual([200, w.seen().id]);
+    const worker = await startWorker();
+    worker.startColdPeriod(5_000);
+    const cold = await get(worker, '/health');
+    expect([cold.head?.status, cold.head?.headers.get('x-millfield-worker-id')]).toEqual([200, worker.seen().id]);
     expect(Number(cold.head?.headers.get('x-millfield-cold-ms'))).toBeGreaterThan(3_000);
-    const report = JSON.parse((await get(w, '/millfield/report')).body.toString()) as Record<string, unknown>;
+    const report = JSON.parse((await get(worker, '/millfield/report')).body.toString()) as Record<string, unknown>;
     expect(Object.keys(report).sort()).toEqual([
       'active',
       'callCount',
@@ -198,101 +198,101 @@
       'stage',
       'utilisation',
     ]);
-    w.drain(null);
-    const leaving = await get(w, '/health');
+    worker.drain(null);
+    const leaving = await get(worker, '/health');
     expect([leaving.head?.status, leaving.head?.headers.get('connection')]).toEqual([503, 'close']);
-    w.setAlwaysHealthy(true);
-    expect((await get(w, '/health')).head?.status).toBe(200);
+    worker.setAlwaysHealthy(true);
+    expect((await get(worker, '/health')).head?.status).toBe(200);
   });
 
   test('still serves while it drains, and ends when its remaining time is over', async () => {
-    const w = await startWorker({ workMs: 2_000 });
-    w.drain(40);
-    const a = sendOnNewConnection(w, PLAIN);
+    const worker = await startWorker({ workMs: 2_000 });
+    worker.drain(40);
+    const a = sendOnNewConnection(worker, PLAIN);
     await records.until((r) => r.what === 'life' && r.event === 'ended');
     expect((await a).end).toBe('cut');
-    expect(await openConnection(w.seen().address, clock, { onStrayBytes: () => undefined })).toBeNull();
+    expect(await openConnection(worker.seen().address, clock, { onStrayBytes: () => undefined })).toBeNull();
   });
 
   test('resets connections above its maximum, and idle ones on demand', async () => {
-    const w = await startWorker({ maxConns: 2 });
-    const c = await connect(w);
-    await connect(w);
-    const third = await openConnection(w.seen().address, clock, { onStrayBytes: () => undefined });
+    const worker = await startWorker({ maxConns: 2 });
+    const connection = await connect(worker);
+    await connect(worker);
+    const third = await openConnection(worker.seen().address, clock, { onStrayBytes: () => undefined });
     expect(third === null ? 'cut' : (await send(third, PLAIN)).end).toBe('cut');
-    expect((await send(c, PLAIN)).end).toBe('whole');
-    w.resetIdle();
-    expect((await send(c, PLAIN)).end).toBe('cut');
+    expect((await send(connection, PLAIN)).end).toBe('whole');
+    worker.resetIdle();
+    expect((await send(connection, PLAIN)).end).toBe('cut');
   });
 
   test('crashes when it is overloaded while cold', async () => {
-    const w = await startWorker({ coldRateS: 1, capacity: 64, queue: 64 });
-    w.startColdPeriod(5_000);
-    await Promise.all(Array.from({ length: 16 }, () => sendOnNewConnection(w, PLAIN)));
+    const worker = await startWorker({ coldRateS: 1, capacity: 64, queue: 64 });
+    worker.startColdPeriod(5_000);
+    await Promise.all(Array.from({ length: 16 }, () => sendOnNewConnection(worker, PLAIN)));
     expect(onlyOf(records.all(), 'life').map((l) => l.event)).toEqual(['started', 'cold', 'fellOver', 'crashed']);
   });
 
   test('sends nothing while it is unresponsive, and responds afterwards', async () => {
-    const w = await startWorker();
-    w.dark(true);
+    const worker = await startWorker();
+    worker.dark(true);
     let answered = false;
-    const a = sendOnNewConnection(w, PLAIN).then((x) => {
+    const a = sendOnNewConnection(worker, PLAIN).then((x) => {
       answered = true;
       return x;
     });
-    const c = await connect(w);
-    const silent = await c.exchange(
+    const connection = await connect(worker);
+    const silent = await connection.exchange(
       [Buffer.from(`${PLAIN}\r\n`)],
       { deadlineMs: 100, inactivityTimeoutMs: null },
       () => undefined,
       () => undefined,
     );
     expect([silent.end, answered]).toEqual(['deadline', false]);
-    w.dark(false);
+    worker.dark(false);
     expect((await a).head?.status).toBe(200);
   });
 
   test('drops a request whose connection closes', async () => {
-    const w = await startWorker({ workMs: 60 });
-    const c = await connect(w);
-    void send(c, PLAIN);
+    const worker = await startWorker({ workMs: 60 });
+    const connection = await connect(worker);
+    void send(connection, PLAIN);
     await records.until((r) => r.what === 'ran');
-    c.close();
+    connection.close();
     const finished = await records.until((r) => r.what === 'finished');
     expect(finished).toMatchObject({ end: 'dropped' });
   });
 
   test('truncates, corrupts or loses a response, fails and rejects when such a fault is set', async () => {
-    const w = await startWorker();
-    w.fault({ mode: 'breakOff', share: 1 });
-    const half = await sendOnNewConnection(w, PLAIN);
+    const worker = await startWorker();
+    worker.fault({ mode: 'breakOff', share: 1 });
+    const half = await sendOnNewConnection(worker, PLAIN);
     expect([half.end, half.head?.status, half.body.length > 0]).toEqual(['cut', 200, true]);
-    w.fault({ mode: 'garbage', share: 1 });
-    expect((await sendOnNewConnection(w, PLAIN)).end).toBe('garbage');
-    w.fault({ mode: 'lostAnswer', share: 1 });
-    const lost = await sendOnNewConnection(w, PLAIN);
+    worker.fault({ mode: 'garbage', share: 1 });
+    expect((await sendOnNewConnection(worker, PLAIN)).end).toBe('garbage');
+    worker.fault({ mode: 'lostAnswer', share: 1 });
+    const lost = await sendOnNewConnection(worker, PLAIN);
     expect([lost.end, lost.head]).toEqual(['cut', null]);
-    w.fault({ mode: 'fail', share: 1 });
-    const failed = await sendOnNewConnection(w, PLAIN);
+    worker.fault({ mode: 'fail', share: 1 });
+    const failed = await sendOnNewConnection(worker, PLAIN);
     expect([failed.head?.status, failed.head?.headers.has('x-millfield-not-executed')]).toEqual([500, false]);
-    w.fault({ mode: 'refuse', share: 1 });
-    expect((await sendOnNewConnection(w, PLAIN)).head?.status).toBe(503);
-    w.fault(null);
-    expect((await sendOnNewConnection(w, PLAIN)).head?.status).toBe(200);
+    worker.fault({ mode: 'refuse', share: 1 });
+    expect((await sendOnNewConnection(worker, PLAIN)).head?.status).toBe(503);
+    worker.fault(null);
+    expect((await sendOnNewConnection(worker, PLAIN)).head?.status).toBe(200);
     expect(onlyOf(records.all(), 'ran')).toHaveLength(5);
   });
 
   test('sends bytes after a complete response, or a surplus response late, in place of the next one', async () => {
-    const w = await startWorker();
-    w.fault({ mode: 'behind', share: 1 });
-    expect((await sendOnNewConnection(w, PLAIN)).end).toBe('whole');
+    const worker = await startWorker();
+    worker.fault({ mode: 'behind', share: 1 });
+    expect((await sendOnNewConnection(worker, PLAIN)).end).toBe('whole');
     await records.until((r) => r.what === 'finished');
     expect(strays[0]).toMatch(/^HTTP\/1.1 200/);
-    w.fault({ mode: 'surplus', share: 1 });
-    const c = await connect(w);
-    const first = await send(c, PLAIN);
-    w.fault(null);
-    const second = await send(c, PLAIN.replace(ID, 'aaaaaaaaaaaaaaaa'));
+    worker.fault({ mode: 'surplus', share: 1 });
+    const connection = await connect(worker);
+    const first = await send(connection, PLAIN);
+    worker.fault(null);
+    const second = await send(connection, PLAIN.replace(ID, 'aaaaaaaaaaaaaaaa'));
     expect(second.head?.headers.get('x-millfield-attempt-id')).toBe(ID);
     expect(second.body).toEqual(first.body);
   });
