--- a/src/coordination/proxy/proxy-http-server.ts
+++ b/src/coordination/proxy/proxy-http-server.ts
@@ -16,7 +16,7 @@
 import type { AdmissionToken } from '../../state/forwarding/admission-token.js';
 import type { Clock } from '../../transport/clock.js';
 import type { HttpReply, HttpRequest, Route } from '../../transport/http.js';
-import type { ResponseLine, Dispatcher } from '../forwarding/dispatcher.js';
+import type { Dispatcher, ResponseLine } from '../forwarding/dispatcher.js';
 import type { Follower } from '../distribution/follower.js';
 import { rejection, proxyId, TOKEN_LIFETIME_MS } from '../forwarding/placement-service.js';
 import type { PlacementService, ProxySelf } from '../forwarding/placement-service.js';
