--- a/eslint.config.js
+++ b/eslint.config.js
@@ -13,7 +13,7 @@
 
 const noCatch = {
   selector: 'TryStatement[handler!=null]',
-  message: 'Exceptions are caught at library edges: in transport, programs, or base/parsed-json.',
+  message: 'Exceptions are caught at library edges: in transport, programs, or base/parse-json.',
 };
 
 const outsideOnly = ['node:fs', 'node:fs/promises', 'node:net', 'node:http', 'express', 'got'];
--- a/src/base/depth.ts
+++ b/src/base/depth.ts
@@ -4,7 +4,7 @@
  */
 
 /** Returns whether objects or arrays are nested more than `maxDepth` levels deep. Iterative, so any depth is safe. */
-export function deeperThan(value: unknown, maxDepth: number): boolean {
+export function isDeeperThan(value: unknown, maxDepth: number): boolean {
   let level: unknown[] = [value];
   for (let depth = 0; level.length > 0; depth += 1) {
     if (depth > maxDepth) return true;
--- a/src/base/digest.ts
+++ b/src/base/digest.ts
@@ -16,7 +16,7 @@
 }
 
 /** Compares two texts; the time taken does not reveal where they differ, as needed for signatures. */
-export function sameText(left: string, right: string): boolean {
+export function timingSafeEqualText(left: string, right: string): boolean {
   const leftBytes = Buffer.from(left);
   const rightBytes = Buffer.from(right);
   return leftBytes.length === rightBytes.length && timingSafeEqual(leftBytes, rightBytes);
--- a/src/base/parsed-json.ts
+++ b/src/base/parse-json.ts
@@ -3,7 +3,7 @@
  */
 
 /** Returns the value of a JSON text, or undefined if the text is not valid JSON. */
-export function parsedJson(text: string): unknown {
+export function parseJson(text: string): unknown {
   try {
     return JSON.parse(text) as unknown;
   } catch {
--- a/src/client/client.ts
+++ b/src/client/client.ts
@@ -4,9 +4,9 @@
  */
 import { ok } from '../base/result.js';
 import {
-  PLACE_PATH,
-  readAnswer,
-  readAnswerLine,
+  PLACEMENT_PATH,
+  readResponse,
+  readResponseLine,
   readFailure,
   readPlacement,
   REQUESTS_PATH,
@@ -178,7 +178,7 @@
       const response = await httpClient.call({
         method: 'POST',
         address,
-        path: PLACE_PATH,
+        path: PLACEMENT_PATH,
         body: placementRequest(request, excludedProxies),
         timeoutMs: settings.placeWaitMs ?? 2_000,
       });
@@ -246,7 +246,7 @@
     const accepted = await submit(request, false);
     if (!accepted.ok) return accepted;
     const { requestId } = accepted.value.placement;
-    const parsed = readAnswer(accepted.value.answer.body);
+    const parsed = readResponse(accepted.value.answer.body);
     if (!parsed.ok) return failed({ tag: 'wrongSeal', requestId });
     const digest = startDigest(requestId, null);
     let text = '';
@@ -280,7 +280,7 @@
         yield errorEvent({ tag: 'outcomeUnknown', requestId });
         return;
       }
-      const parsed = readAnswerLine(received.value);
+      const parsed = readResponseLine(received.value);
       if (!parsed.ok) {
         answer.abandon();
         yield errorEvent({ tag: 'wrongSeal', requestId });
--- a/src/client/edge-watch.ts
+++ b/src/client/edge-watch.ts
@@ -1,5 +1,5 @@
 /** Probes the proxy that serves a request, so that a proxy failure is detected before the request's deadline. */
-import { EDGE_HEALTH_PATH } from '../protocol/caller-wire.js';
+import { PROXY_HEALTH_PATH } from '../protocol/caller-wire.js';
 import { delay } from '../transport/clock.js';
 import type { Clock } from '../transport/clock.js';
 import type { HttpClient } from '../transport/http.js';
@@ -24,7 +24,7 @@
       const response = await httpClient.call({
         method: 'GET',
         address: proxy,
-        path: EDGE_HEALTH_PATH,
+        path: PROXY_HEALTH_PATH,
         timeoutMs: PROBE_INTERVAL_MS,
       });
       missedProbes = response.ok ? 0 : missedProbes + 1;
--- a/src/coordination/configuration/configuration-service.test.ts
+++ b/src/coordination/configuration/configuration-service.test.ts
@@ -8,8 +8,8 @@
 import { routeSettings } from '../../sim/builders.js';
 import type { SimLedger } from '../../sim/sim-ledger.js';
 import { delay } from '../../transport/clock.js';
-import { CALLER_PATIENCE_MS, createConfigurationService } from './configuration-service.js';
-import { watchStandstills } from './recent-standstill.js';
+import { CALLER_TIMEOUT_MS, createConfigurationService } from './configuration-service.js';
+import { watchProcessPauses } from './recent-process-pause.js';
 import type { Caller, ConfigurationService } from './configuration-service.js';
 import { createQuietLog } from '../../transport/log.js';
 
@@ -416,7 +416,7 @@
     const sim = createSharedLedger();
     const frozen = sim.world.host('frozen', 'a');
     const clock = sim.world.clockOf(sim.world.begin(frozen));
-    const standstill = watchStandstills(clock, CALLER_PATIENCE_MS);
+    const standstill = watchProcessPauses(clock, CALLER_TIMEOUT_MS);
     const resumedService = createConfigurationService({
       ledger: sim.ledgerAfter(5),
       clock,
@@ -429,7 +429,7 @@
     sim.world.thaw(frozen);
     expect(await sim.run(resumedService.evacuate('z', false, WAITING_CALLER))).toEqual(err({ tag: 'mayBeAbandoned' }));
     expect(Object.keys(sim.controlState.evacuated)).toEqual(['z']);
-    await sim.world.advance(CALLER_PATIENCE_MS);
+    await sim.world.advance(CALLER_TIMEOUT_MS);
     expect(await sim.run(resumedService.evacuate('z', false, WAITING_CALLER))).toEqual(ok({ tag: 'taken' }));
     standstill.stop();
   });
--- a/src/coordination/configuration/configuration-service.ts
+++ b/src/coordination/configuration/configuration-service.ts
@@ -10,12 +10,12 @@
 import type { ConfigError } from '../../protocol/codecs.js';
 import { readServing } from '../../protocol/serving.js';
 import type { ControlState } from '../../state/consensus/control-state.js';
-import type { Change } from '../../state/consensus/entry.js';
+import type { ConfigurationChange } from '../../state/consensus/entry.js';
 import {
-  appliedChange,
-  mayBeForgotten,
-  newestNumbered,
-  operatorRequest,
+  findAppliedChange,
+  numberMayBeForgotten,
+  newestNumberedChange,
+  operatorRequestId,
   zoneVersion,
 } from '../../state/consensus/operator-history.js';
 import { EMPTY_SERVING } from '../../state/configuration/serving.js';
@@ -28,13 +28,13 @@
 import type { Log } from '../../transport/log.js';
 import type { Ledger } from '../consensus/ledger.js';
 import type { EntryDraft } from '../consensus/proposal.js';
-import type { RecentStandstill } from './recent-standstill.js';
+import type { RecentProcessPause } from './recent-process-pause.js';
 
 /**
  * Why an operator's call was not confirmed. Only `stale`, `invalid` and `tooLarge` mean that it was not and will not be
  * applied.
  */
-export type NumberedError =
+export type OperatorCallError =
   | { readonly tag: 'stale'; readonly number: number }
   | { readonly tag: 'invalid'; readonly faults: readonly ConfigError[] }
   /** Larger than the maximum that can be stored (`most`), in bytes of JSON. Nothing was changed. */
@@ -61,10 +61,10 @@
  * whichever controller.
  */
 export interface ConfigurationService {
-  replace(base: number, draft: unknown, digest: string): Promise<Result<ConfirmedChange, NumberedError>>;
-  amend(base: number, edit: Edit, digest: string): Promise<Result<ConfirmedChange, NumberedError>>;
-  read(): Promise<Result<Serving, NumberedError>>;
-  evacuate(zone: string, begun: boolean, caller: Caller): Promise<Result<{ readonly tag: 'taken' }, NumberedError>>;
+  replace(base: number, draft: unknown, digest: string): Promise<Result<ConfirmedChange, OperatorCallError>>;
+  amend(base: number, edit: Edit, digest: string): Promise<Result<ConfirmedChange, OperatorCallError>>;
+  read(): Promise<Result<Serving, OperatorCallError>>;
+  evacuate(zone: string, begun: boolean, caller: Caller): Promise<Result<{ readonly tag: 'taken' }, OperatorCallError>>;
 }
 
 /** Dependencies of the service, with the replicated log that it reads and proposes on. Timeouts are in milliseconds. */
@@ -72,7 +72,7 @@
   readonly ledger: Pick<Ledger, 'controlState' | 'linearizableRead' | 'propose'>;
   readonly clock: Clock;
   readonly log: Log;
-  readonly standstill: Pick<RecentStandstill, 'isRecent'>;
+  readonly standstill: Pick<RecentProcessPause, 'isRecent'>;
   readonly readTimeoutMs?: number;
   readonly agreementTimeoutMs?: number;
   /** The maximum that can be stored; no limit if omitted. */
@@ -88,33 +88,33 @@
 /** Timeout of a read from a majority; below the one second without a response after which callers try another node. */
 const READ_TIMEOUT_MS = 900;
 /** A caller that has had no response for this long has switched to another controller. */
-export const CALLER_PATIENCE_MS = 1_000;
+export const CALLER_TIMEOUT_MS = 1_000;
 /** Timeout for agreement on an entry. */
 const AGREEMENT_TIMEOUT_MS = 3_000;
 
-const NO_MAJORITY: NumberedError = { tag: 'noMajority' };
+const NO_MAJORITY: OperatorCallError = { tag: 'noMajority' };
 
 function servingOf(state: ControlState): Serving {
   return state.configuration.serving ?? EMPTY_SERVING;
 }
 
-function changesTo(state: ControlState, next: Serving): Change[] {
+function changesTo(state: ControlState, next: Serving): ConfigurationChange[] {
   const before = state.configuration.serving;
   if (!before) return [{ path: ['serving'], value: next }];
-  const changes: Change[] = [];
+  const changes: ConfigurationChange[] = [];
   for (const change of differences(before, next)) changes.push({ ...change, path: ['serving', ...change.path] });
   return changes;
 }
 
 type Decision =
-  | { readonly tag: 'answer'; readonly answer: Result<ConfirmedChange, NumberedError> }
+  | { readonly tag: 'answer'; readonly answer: Result<ConfirmedChange, OperatorCallError> }
   | { readonly tag: 'apply'; readonly number: number; readonly next: Serving }
   | { readonly tag: 'repeat'; readonly number: number };
 
 /** Decides how to handle a change request, from a state that is no older than the request. */
 function decide(state: ControlState, request: string, base: number, edit: Edit): Decision {
   const current = servingOf(state);
-  const applied = appliedChange(state.history, request);
+  const applied = findAppliedChange(state.history, request);
   if (applied) return finalAnswer(ok({ tag: 'taken', number: applied.revision?.number ?? current.number }));
   if (current.number !== base) return decideOnOtherBase(state, base, edit);
   const next = applyEdit(current, edit);
@@ -125,11 +125,11 @@
 function decideOnOtherBase(state: ControlState, base: number, edit: Edit): Decision {
   const { number } = servingOf(state);
   if (isInForce(state, base, edit)) return { tag: 'repeat', number };
-  if (mayBeForgotten(state.history, base)) return finalAnswer(err({ tag: 'outcomeUnknown' }));
+  if (numberMayBeForgotten(state.history, base)) return finalAnswer(err({ tag: 'outcomeUnknown' }));
   return finalAnswer(err({ tag: 'stale', number }));
 }
 
-function finalAnswer(answer: Result<ConfirmedChange, NumberedError>): Decision {
+function finalAnswer(answer: Result<ConfirmedChange, OperatorCallError>): Decision {
   return { tag: 'answer', answer };
 }
 
@@ -163,7 +163,7 @@
 }
 
 /** Returns the configuration that an edit makes of the one it is based on, or why it is invalid. */
-function applyEdit(before: Serving, edit: Edit): Result<Serving, NumberedError> {
+function applyEdit(before: Serving, edit: Edit): Result<Serving, OperatorCallError> {
   const edited = edit(before);
   if (!edited.ok) return err({ tag: 'invalid', faults: edited.error });
   const read = readServing(edited.value);
@@ -178,7 +178,7 @@
  * Returns whether the configuration in force is exactly what this edit makes of its base: then it is the same change.
  */
 function isInForce(state: ControlState, base: number, edit: Edit): boolean {
-  const newest = newestNumbered(state.history)?.revision;
+  const newest = newestNumberedChange(state.history)?.revision;
   const { undo } = state.history;
   if (undo === null || newest?.base !== base) return false;
   const before = withChanges(state.configuration, undo) as Configuration;
@@ -201,7 +201,7 @@
     state: ControlState,
     decision: Exclude<Decision, { tag: 'answer' }>,
     draft: EntryDraft,
-  ): NumberedError | null {
+  ): OperatorCallError | null {
     if (decision.tag !== 'apply') return null;
     const undo = differences(decision.next, servingOf(state));
     const stored: StoredBytes = { configuration: jsonBytes(decision.next) + jsonBytes(undo), change: jsonBytes(draft) };
@@ -231,8 +231,8 @@
     return Promise.race([this.deps.ledger.linearizableRead(this.readTimeoutMs), this.readTimeout()]);
   }
 
-  async amend(base: number, edit: Edit, digest: string): Promise<Result<ConfirmedChange, NumberedError>> {
-    const request = operatorRequest(digest);
+  async amend(base: number, edit: Edit, digest: string): Promise<Result<ConfirmedChange, OperatorCallError>> {
+    const request = operatorRequestId(digest);
     const deadline = this.deps.clock.mono() + this.agreementTimeoutMs;
     while (this.deps.clock.mono() < deadline) {
       if (!(await this.readCurrent())) return err(NO_MAJORITY);
@@ -249,14 +249,14 @@
     return err(NO_MAJORITY);
   }
 
-  replace(base: number, draft: unknown, digest: string): Promise<Result<ConfirmedChange, NumberedError>> {
+  replace(base: number, draft: unknown, digest: string): Promise<Result<ConfirmedChange, OperatorCallError>> {
     function replacement(): Result<unknown, never> {
       return ok(draft);
     }
     return this.amend(base, replacement, digest);
   }
 
-  async read(): Promise<Result<Serving, NumberedError>> {
+  async read(): Promise<Result<Serving, OperatorCallError>> {
     return (await this.readCurrent()) ? ok(servingOf(this.deps.ledger.controlState())) : err(NO_MAJORITY);
   }
 
@@ -271,7 +271,7 @@
     zone: string,
     begun: boolean,
     caller: Caller,
-  ): Promise<Result<{ readonly tag: 'taken' }, NumberedError>> {
+  ): Promise<Result<{ readonly tag: 'taken' }, OperatorCallError>> {
     const arrivedAt = this.deps.clock.mono();
     if (!(await this.readCurrent()) || this.deps.clock.mono() - arrivedAt > this.readTimeoutMs) return err(NO_MAJORITY);
     if (this.mayBeAbandoned(caller)) {
--- a/src/coordination/configuration/latency-target-tracker.ts
+++ b/src/coordination/configuration/latency-target-tracker.ts
@@ -5,7 +5,7 @@
 import type { MessageOf } from '../../protocol/messages.js';
 import { createLatencyTargetTable } from '../../state/configuration/latency-target-table.js';
 import type { Minute } from '../../state/configuration/latency-target-table.js';
-import { CHANGES_SUBJECT, recordIn } from '../../state/configuration/latency-target-counts.js';
+import { CHANGES_SUBJECT, countOutcome } from '../../state/configuration/latency-target-counts.js';
 import type { CountTable } from '../../state/configuration/latency-target-counts.js';
 import { every } from '../../transport/clock.js';
 import type { Clock, Timer } from '../../transport/clock.js';
@@ -63,7 +63,7 @@
   recordChange(durationMs: number): void {
     this.closePastMinutes();
     const table: CountTable = {};
-    recordIn(table, CHANGES_SUBJECT, { outcome: 'good', firstMs: null, wholeMs: durationMs });
+    countOutcome(table, CHANGES_SUBJECT, { outcome: 'good', firstMs: null, wholeMs: durationMs });
     for (const [subject, counts] of Object.entries(table))
       this.minuteTable.recordOwn(subject, counts, this.currentMinute());
   }
--- a/src/coordination/configuration/operator-http-server.ts
+++ b/src/coordination/configuration/operator-http-server.ts
@@ -6,16 +6,16 @@
 import { Type } from '@sinclair/typebox';
 import { readConfiguration } from '../../protocol/configuration.js';
 import { readerOf } from '../../protocol/read-shape.js';
-import type { Command, Change } from '../../state/consensus/entry.js';
+import type { Command, ConfigurationChange } from '../../state/consensus/entry.js';
 import { ChangeShape } from '../../state/consensus/entry.js';
-import { memberId, operationOf } from '../../state/consensus/control-state.js';
+import { memberId, findOperation } from '../../state/consensus/control-state.js';
 import type { ControlState } from '../../state/consensus/control-state.js';
-import { operatorRequest, versionMayBeForgotten } from '../../state/consensus/operator-history.js';
+import { operatorRequestId, versionMayBeForgotten } from '../../state/consensus/operator-history.js';
 import { differences, resolveAll, withChanges } from '../../state/configuration/settings-tree.js';
 import type { HttpReply, HttpRequest, Route } from '../../transport/http.js';
 import type { Clock } from '../../transport/clock.js';
 import type { LatencyTargetTracker } from './latency-target-tracker.js';
-import type { RecentStandstill } from './recent-standstill.js';
+import type { RecentProcessPause } from './recent-process-pause.js';
 import type { Ledger } from '../consensus/ledger.js';
 import type { ChangeDistribution } from '../distribution/change-distribution.js';
 
@@ -53,7 +53,7 @@
   readonly distribution: ChangeDistribution;
   readonly latencyTargets: LatencyTargetTracker;
   readonly clock: Clock;
-  readonly standstill: Pick<RecentStandstill, 'isRecent'>;
+  readonly standstill: Pick<RecentProcessPause, 'isRecent'>;
   readonly status: () => unknown;
 };
 
@@ -64,7 +64,7 @@
   private async proposeAndConfirm(command: Command, cause: string, operation: string | undefined): Promise<HttpReply> {
     const startedAt = this.deps.clock.mono();
     const response = await this.deps.ledger.propose(
-      { ...(operation === undefined ? {} : { id: operatorRequest(operation) }), cause, act: command },
+      { ...(operation === undefined ? {} : { id: operatorRequestId(operation) }), cause, act: command },
       AGREEMENT_TIMEOUT_MS,
     );
     if (!response.ok)
@@ -90,7 +90,7 @@
   ): Promise<HttpReply> {
     if (!(await this.deps.ledger.linearizableRead(AGREEMENT_TIMEOUT_MS))) return errorReply(503, { tag: 'noMajority' });
     const controlState = this.deps.ledger.controlState();
-    const appliedOperation = operation === undefined ? null : operationOf(controlState, operatorRequest(operation));
+    const appliedOperation = operation === undefined ? null : findOperation(controlState, operatorRequestId(operation));
     const mayBeForgotten = operation !== undefined && versionMayBeForgotten(controlState.history, base);
     if (!appliedOperation && controlState.version !== base && mayBeForgotten)
       return errorReply(503, { tag: 'outcomeUnknown' });
@@ -98,7 +98,7 @@
       return errorReply(409, { tag: 'staleVersion', winner: controlState.version });
     const next = readConfiguration(edit(controlState));
     if (!appliedOperation && !next.ok) return errorReply(422, { tag: 'invalidConfiguration', faults: next.error });
-    const changes: Change[] = next.ok ? differences(controlState.configuration, next.value) : [];
+    const changes: ConfigurationChange[] = next.ok ? differences(controlState.configuration, next.value) : [];
     if (JSON.stringify(changes).length > MAX_CHANGES_LENGTH)
       return errorReply(413, { tag: 'changesTooLarge', most: MAX_CHANGES_LENGTH });
     return this.proposeAndConfirm(
--- a/src/coordination/configuration/recent-standstill.ts
+++ b/src/coordination/configuration/recent-process-pause.ts
@@ -4,7 +4,7 @@
 import type { Clock } from '../../transport/clock.js';
 
 /** Tells whether this process was paused recently. */
-export interface RecentStandstill {
+export interface RecentProcessPause {
   isRecent(): boolean;
   stop(): void;
 }
@@ -13,7 +13,7 @@
 const CHECK_INTERVAL_MS = 250;
 
 /** Starts to watch the clock; a process pause counts as recent for `recentMs` after its end. */
-export function watchStandstills(clock: Clock, recentMs: number): RecentStandstill {
+export function watchProcessPauses(clock: Clock, recentMs: number): RecentProcessPause {
   const detector = createStandstill(recentMs);
   function isRecent(): boolean {
     return detector.observe(clock.mono()) !== null;
--- a/src/coordination/consensus/core-chaos.test.ts
+++ b/src/coordination/consensus/core-chaos.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, test } from '@jest/globals';
 import { createSimCore } from '../../sim/sim-core.js';
 import type { SimCore } from '../../sim/sim-core.js';
-import { below } from '../../transport/rng.js';
+import { randomInt } from '../../transport/rng.js';
 
 const RECOVERY_TIMEOUT_MS = 4_000;
 
@@ -11,7 +11,7 @@
   const { core } = run;
   const startedAt = core.world.now();
   for (let attempts = 0; core.world.now() - startedAt < timeoutMs; attempts += 1) {
-    const name = run.running[below(core.world.rng, run.running.length)] as string;
+    const name = run.running[randomInt(core.world.rng, run.running.length)] as string;
     const zone = `z${run.serial}`;
     const response = await core.order(name, zone);
     if (response.result?.ok && response.result.value.outcome.tag === 'applied') {
@@ -27,11 +27,11 @@
 async function injectFault(run: ChaosRun): Promise<void> {
   const { core } = run;
   const { rng } = core.world;
-  const index = below(rng, run.running.length);
+  const index = randomInt(rng, run.running.length);
   const name = run.running[index] as string;
   const host = core.node(name).host;
-  const durationMs = 200 + below(rng, 7_000);
-  const faultKind = below(rng, 7);
+  const durationMs = 200 + randomInt(rng, 7_000);
+  const faultKind = randomInt(rng, 7);
   if (faultKind === 0) core.kill(name);
   else if (faultKind === 1) core.powerLoss(name);
   else if (faultKind === 2) core.world.freeze(host);
@@ -48,13 +48,13 @@
     const startsFirst = rng.next() < 0.5;
     if (startsFirst) {
       core.start(newName);
-      await core.world.advance(1_500 + below(rng, 3_000));
+      await core.world.advance(1_500 + randomInt(rng, 3_000));
     }
     if (rng.next() < 0.5) await core.end(name);
     else core.powerLoss(name);
     run.running.splice(index, 1);
     if (!startsFirst) {
-      await core.world.advance(below(rng, 3_000));
+      await core.world.advance(randomInt(rng, 3_000));
       core.start(newName);
     }
     run.running.push(newName);
--- a/src/coordination/consensus/cut-off.test.ts
+++ b/src/coordination/consensus/cut-off.test.ts
@@ -3,7 +3,7 @@
 import type { BeatWatch } from '../../sim/beat-watch.js';
 import { createSimCore } from '../../sim/sim-core.js';
 import type { SimCore } from '../../sim/sim-core.js';
-import { below } from '../../transport/rng.js';
+import { randomInt } from '../../transport/rng.js';
 
 const SEEDS = [...Array(16).keys()];
 const CONFIRM_TIMEOUT_MS = 5_000;
@@ -72,7 +72,7 @@
 
 async function runTraffic(scenario: Scenario, at: readonly string[], ms: number): Promise<void> {
   for (const end = scenario.core.world.now() + ms; scenario.core.world.now() < end;) {
-    await confirmOrder(scenario, at[below(scenario.core.world.rng, at.length)] as string, 1_500);
+    await confirmOrder(scenario, at[randomInt(scenario.core.world.rng, at.length)] as string, 1_500);
     for (const name of scenario.names) if (scenario.core.node(name).controller) await readZones(scenario, name);
     await scenario.core.world.advance(300 * scenario.core.world.rng.next());
   }
--- a/src/coordination/consensus/damaged-ring.test.ts
+++ b/src/coordination/consensus/damaged-ring.test.ts
@@ -4,7 +4,7 @@
 import { createPlatter, losePowerWith, simDisk, stoppingDisk } from '../../sim/sim-disk.js';
 import type { Platter } from '../../sim/sim-disk.js';
 import { createWorld } from '../../sim/world.js';
-import { fieldsText } from '../../transport/log-line.js';
+import { formatFields } from '../../transport/log-line.js';
 import type { Log, LogRoot } from '../../transport/log.js';
 import { createQuietLog } from '../../transport/log.js';
 import { openRing } from '../../transport/ring.js';
@@ -16,7 +16,7 @@
 
 function createRecordingLog(): { readonly logs: LogRoot; readonly lines: string[] } {
   const lines: string[] = [];
-  const record: Log['info'] = (event, fields) => void lines.push(`${event} ${fieldsText(fields ?? {})}`);
+  const record: Log['info'] = (event, fields) => void lines.push(`${event} ${formatFields(fields ?? {})}`);
   return { logs: { component: () => ({ info: record, warn: record, error: record }) }, lines };
 }
 
--- a/src/coordination/consensus/ledger.ts
+++ b/src/coordination/consensus/ledger.ts
@@ -24,7 +24,7 @@
 import { createClosedOrdersFetch } from './closed-orders-fetch.js';
 import type { ClosedOrdersFetch } from './closed-orders-fetch.js';
 import { createCatchUp } from './catch-up.js';
-import { createMemberStatuses, MEMBER_STATUS_MS } from '../membership/member-statuses.js';
+import { createMemberStatuses, MEMBER_STATUS_INTERVAL_MS } from '../membership/member-statuses.js';
 import type { ReceivedMemberStatus, MemberStatuses } from '../membership/member-statuses.js';
 import { createMembershipChanges } from '../membership/membership-changes.js';
 import type { LeaveOutcome } from '../membership/group-leave.js';
@@ -219,10 +219,10 @@
     });
     this.memberStatuses = this.makeMemberStatuses();
 
-    this.deps.peers.on('memberStatusAsk', () => this.memberStatuses.own());
+    this.deps.peers.on('memberStatusAsk', () => this.memberStatuses.ownStatus());
     this.membershipChanges = this.makeMembershipChanges();
     this.selfBootstrap = this.makeSelfBootstrap();
-    this.heartbeatTimer = every(this.deps.clock, MEMBER_STATUS_MS, () => this.heartbeat());
+    this.heartbeatTimer = every(this.deps.clock, MEMBER_STATUS_INTERVAL_MS, () => this.heartbeat());
 
     this.heartbeat();
     this.closedOrders = this.store.closed;
@@ -259,10 +259,10 @@
       propose: (draft, timeoutMs) => this.proposer.propose(draft, timeoutMs),
       linearizableRead: this.linearizableRead,
       catchUp: (address) => this.catchUp.from(address),
-      renew: this.deps.renewIncarnation,
+      renewIncarnation: this.deps.renewIncarnation,
       wasMember: this.deps.wasMember,
-      recordMember: this.deps.recordMembership,
-      mayShrinkOdd: !this.deps.keepsClaims,
+      recordMembership: this.deps.recordMembership,
+      mayShrinkOddGroup: !this.deps.keepsClaims,
     });
   }
 
@@ -276,8 +276,8 @@
       bootstrapMembers: this.deps.bootstrapMembers,
       ledgerName: () => this.ledgerName(),
       requestVote: this.requesterUntil(Infinity),
-      learnZero: (batch) => this.learnSlotZero(batch),
-      seek: () => this.heartbeat(),
+      learnSlotZero: (batch) => this.learnSlotZero(batch),
+      onLedgerFound: () => this.heartbeat(),
     });
   }
 
@@ -306,7 +306,7 @@
   }
 
   private bootstrapLedgerName(): string | null {
-    return this.selfBootstrap.ballotOf;
+    return this.selfBootstrap.bootstrapLedgerName;
   }
 
   /**
@@ -331,7 +331,7 @@
   private respondLocally(message: Message): Promise<Message> | Message {
     return message.kind === 'prepare' || message.kind === 'accept'
       ? this.voter.onVoteRequest(message)
-      : this.memberStatuses.own();
+      : this.memberStatuses.ownStatus();
   }
 
   private areAllSlotsApplied(): boolean {
@@ -341,7 +341,7 @@
   /** Retries failed writes, proposes due membership changes, and completes a slot that stays undecided for too long. */
   private async maintain(): Promise<void> {
     await this.replica.repair();
-    await this.membershipChanges.turn();
+    await this.membershipChanges.tick();
     const now = this.deps.clock.mono();
     if (!this.replica.isMember() || this.areAllSlotsApplied()) this.slotOpenSince = null;
     else this.slotOpenSince ??= now;
@@ -360,7 +360,7 @@
 
   private heartbeat(): void {
     if (this.stopped) return;
-    this.memberStatuses.ask();
+    this.memberStatuses.requestAll();
     void this.maintainOnce();
   }
 
@@ -402,7 +402,7 @@
   }
 
   requestMemberStatuses(): void {
-    this.memberStatuses.ask();
+    this.memberStatuses.requestAll();
   }
 
   leave(withinMs: number): Promise<LeaveOutcome> {
--- a/src/coordination/consensus/proposer.ts
+++ b/src/coordination/consensus/proposer.ts
@@ -11,9 +11,9 @@
 import type { BatchQueue } from '../../base/batch-queue.js';
 import { err, ok } from '../../base/result.js';
 import type { Result } from '../../base/result.js';
-import { majorityOf, operationOf } from '../../state/consensus/control-state.js';
+import { majorityOf, findOperation } from '../../state/consensus/control-state.js';
 import type { Batch, Entry, Member } from '../../state/consensus/entry.js';
-import { delay, within } from '../../transport/clock.js';
+import { delay, withTimeout } from '../../transport/clock.js';
 import type { Clock } from '../../transport/clock.js';
 import { newId } from '../../transport/rng.js';
 import type { Rng } from '../../transport/rng.js';
@@ -134,7 +134,7 @@
     for (const proposal of proposals) {
       if (
         proposal.deadline <= now ||
-        operationOf(this.deps.replica.controlState(), proposal.entry.id) ||
+        findOperation(this.deps.replica.controlState(), proposal.entry.id) ||
         totalBytes + proposal.bytes > this.deps.maxBatchBytes
       )
         continue;
@@ -145,7 +145,7 @@
     let batchError: ProposeError = { tag: 'noMajority' };
 
     const allApplied = (): boolean => {
-      for (const entry of entries) if (!operationOf(this.deps.replica.controlState(), entry.id)) return false;
+      for (const entry of entries) if (!findOperation(this.deps.replica.controlState(), entry.id)) return false;
       return true;
     };
     if (entries.length > 0) {
@@ -154,7 +154,7 @@
     }
     const results: Result<CommittedEntry, ProposeError>[] = [];
     for (const proposal of proposals) {
-      const operation = operationOf(this.deps.replica.controlState(), proposal.entry.id);
+      const operation = findOperation(this.deps.replica.controlState(), proposal.entry.id);
       results.push(operation ? ok({ slot: operation.slot, outcome: operation.outcome }) : err(batchError));
     }
     return results;
@@ -184,7 +184,7 @@
     for (;;) {
       const queued = this.queue.put({ entry, bytes, deadline });
       const result =
-        (await within(this.deps.clock, deadline - this.deps.clock.mono(), queued)) ?? err({ tag: 'noMajority' });
+        (await withTimeout(this.deps.clock, deadline - this.deps.clock.mono(), queued)) ?? err({ tag: 'noMajority' });
       if (result.ok || result.error.tag !== 'noMajority' || this.deps.clock.mono() >= deadline) return result;
     }
   }
--- a/src/coordination/consensus/snapshot-receiver.ts
+++ b/src/coordination/consensus/snapshot-receiver.ts
@@ -1,8 +1,14 @@
 /** Receives a snapshot in chunks, and resumes an interrupted transfer. */
-import { parsedJson } from '../../base/parsed-json.js';
+import { parseJson } from '../../base/parse-json.js';
 import { isControlState } from '../../state/consensus/control-state.js';
 import type { ControlState } from '../../state/consensus/control-state.js';
-import { addChunk, assembled, createAssembly, isBounded, nextChunk } from '../../state/consensus/snapshot-chunks.js';
+import {
+  addChunk,
+  assembleText,
+  createAssembly,
+  isWithinSizeLimit,
+  nextChunk,
+} from '../../state/consensus/snapshot-chunks.js';
 import type { Assembly, SnapshotOffer } from '../../state/consensus/snapshot-chunks.js';
 import type { Clock } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
@@ -72,7 +78,7 @@
   }
 
   private async fetchFrom(from: Address, offer: SnapshotOffer, fetchId: number): Promise<SnapshotReceipt> {
-    if (!isBounded(offer)) {
+    if (!isWithinSizeLimit(offer)) {
       this.log.error('snapshot too large, not fetched', { from, length: offer.length });
       return REFUSED;
     }
@@ -98,8 +104,8 @@
   }
 
   private stateFrom(from: Address, assembly: Assembly): SnapshotReceipt {
-    const text = assembled(assembly);
-    const state = text.ok ? parsedJson(text.value) : null;
+    const text = assembleText(assembly);
+    const state = text.ok ? parseJson(text.value) : null;
     if (text.ok && isControlState(state) && state.slot === assembly.offer.slot) return { tag: 'whole', state };
     this.log.warn('snapshot digest mismatch', { from, slot: assembly.offer.slot });
     return REFUSED;
--- a/src/coordination/consensus/snapshot-sender.ts
+++ b/src/coordination/consensus/snapshot-sender.ts
@@ -2,7 +2,7 @@
 import type { Message, MessageOf } from '../../protocol/messages.js';
 import type { ControlState } from '../../state/consensus/control-state.js';
 import { proxyState } from '../../state/consensus/proxy-state.js';
-import { isBounded, chunkOf, snapshotOf } from '../../state/consensus/snapshot-chunks.js';
+import { isWithinSizeLimit, chunkAt, snapshotOf } from '../../state/consensus/snapshot-chunks.js';
 import type { Snapshot, SnapshotOffer } from '../../state/consensus/snapshot-chunks.js';
 import type { Clock } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
@@ -65,7 +65,7 @@
   private pinCurrentState(view: SnapshotView): PinnedSnapshot | null {
     const state = this.deps.controlState();
     const snapshot = snapshotOf(state.slot, JSON.stringify(view === 'proxy' ? proxyState(state) : state));
-    if (!isBounded(snapshot.offer)) {
+    if (!isWithinSizeLimit(snapshot.offer)) {
       this.deps.log.error('state too large for a snapshot', { length: snapshot.offer.length });
       return null;
     }
@@ -96,7 +96,7 @@
   private onRequest(message: MessageOf<'snapshotAsk'>): Message {
     for (const pin of this.pinnedSnapshots) {
       if (pin.snapshot.offer.digest !== message.digest) continue;
-      const chunk = chunkOf(pin.snapshot, message.part);
+      const chunk = chunkAt(pin.snapshot, message.part);
       if (chunk === null) break;
       pin.requestedAt = this.deps.clock.mono();
       return { kind: 'snapshotPart', digest: message.digest, part: message.part, text: chunk };
--- a/src/coordination/consensus/store.ts
+++ b/src/coordination/consensus/store.ts
@@ -11,7 +11,7 @@
   prepare,
   raiseFloor,
   restoreSlot,
-  slotOf,
+  slotStateOf,
 } from '../../state/consensus/acceptor.js';
 import type { Acceptor, SlotState, Vote } from '../../state/consensus/acceptor.js';
 import type { Ballot } from '../../state/consensus/ballot.js';
@@ -24,7 +24,7 @@
 import type { RecentSlot } from '../../state/consensus/recent-slots.js';
 import type { Disk } from '../../transport/disk.js';
 import { openRing } from '../../transport/ring.js';
-import type { Opened, Ring, RingError, RingShape } from '../../transport/ring.js';
+import type { OpenedRing, Ring, RingError, RingShape } from '../../transport/ring.js';
 
 /** A change to the store. Commands that are queued together share one write and one sync. */
 export type StoreCommand =
@@ -118,7 +118,7 @@
   private readonly queue: BatchQueue<StoreCommand, StoreResult>;
 
   constructor(
-    { ring, snapshot, records }: Opened,
+    { ring, snapshot, records }: OpenedRing,
     shape: RingShape,
     private readonly onFold: (slot: number, batch: Batch, outcomes: readonly Outcome[]) => void,
     private readonly onAdopt: () => void,
@@ -142,7 +142,7 @@
         foldBatch(this.currentControlState, record.slot, record.batch);
         this.addClosedOrders();
         raiseFloor(this.acceptor, record.slot + 1);
-        this.recentSlots.remember(record.slot, record.batch, recordBuffer.length);
+        this.recentSlots.add(record.slot, record.batch, recordBuffer.length);
       }
     }
     this.queue = createBatchQueue((commands) => this.executeAll(commands));
@@ -157,13 +157,13 @@
       case 'prepare': {
         const vote = prepare(this.acceptor, command.slot, command.ballot);
         if (vote.tag === 'promised')
-          appendRecord({ t: 'slot', slot: command.slot, state: slotOf(this.acceptor, command.slot) });
+          appendRecord({ t: 'slot', slot: command.slot, state: slotStateOf(this.acceptor, command.slot) });
         return { tag: 'vote', vote };
       }
       case 'accept': {
         const vote = accept(this.acceptor, command.slot, command.ballot, command.batch);
         if (vote.tag === 'accepted')
-          appendRecord({ t: 'slot', slot: command.slot, state: slotOf(this.acceptor, command.slot) });
+          appendRecord({ t: 'slot', slot: command.slot, state: slotStateOf(this.acceptor, command.slot) });
         return { tag: 'vote', vote };
       }
       case 'chosen': {
@@ -171,7 +171,7 @@
         const outcomes = foldBatch(this.currentControlState, command.slot, command.batch);
         this.addClosedOrders();
         raiseFloor(this.acceptor, command.slot + 1);
-        this.recentSlots.remember(
+        this.recentSlots.add(
           command.slot,
           command.batch,
           appendRecord({ t: 'chosen', slot: command.slot, batch: command.batch }),
@@ -181,7 +181,7 @@
       }
       case 'adopt': {
         if (command.controlState.slot <= this.currentControlState.slot) return { tag: 'outOfOrder' };
-        this.closed.skip({ from: this.currentControlState.slot + 1, to: command.controlState.slot });
+        this.closed.markMissing({ from: this.currentControlState.slot + 1, to: command.controlState.slot });
         this.currentControlState = structuredClone(command.controlState);
         this.addClosedOrders();
         raiseFloor(this.acceptor, this.currentControlState.slot + 1);
@@ -190,7 +190,7 @@
         return { tag: 'folded', outcomes: [] };
       }
       case 'fillClosed': {
-        this.closed.fill(command.orders, command.whole);
+        this.closed.addMissing(command.orders, command.whole);
         return { tag: 'folded', outcomes: [] };
       }
       case 'rewrite':
@@ -220,7 +220,7 @@
     let written: Result<null, RingError> = ok(null);
     if (needsRewrite) written = await this.compact();
     else if (records.length > 0) {
-      if (this.ring.crowded()) written = await this.compact();
+      if (this.ring.isNearlyFull()) written = await this.compact();
       if (written.ok) written = await this.ring.append(records);
       if (!written.ok && (written.error.tag === 'ringFull' || written.error.tag === 'ringBroken'))
         written = await this.compact();
--- a/src/coordination/consensus/voter.ts
+++ b/src/coordination/consensus/voter.ts
@@ -9,7 +9,7 @@
 import type { Vote } from '../../state/consensus/acceptor.js';
 import type { Ballot } from '../../state/consensus/ballot.js';
 import { memberId } from '../../state/consensus/control-state.js';
-import { within } from '../../transport/clock.js';
+import { withTimeout } from '../../transport/clock.js';
 import type { Clock } from '../../transport/clock.js';
 import type { Address } from '../../transport/wire.js';
 import type { Peers } from '../messaging/peers.js';
@@ -49,9 +49,9 @@
     for (const member of this.deps.replica.controlState().members) {
       const id = memberId(member);
       if (id === this.deps.replica.id() || !ballot.by.startsWith(`${id}/`)) continue;
-      await within(this.deps.clock, CATCH_UP_TIMEOUT_MS, this.deps.catchUp(member.address));
+      await withTimeout(this.deps.clock, CATCH_UP_TIMEOUT_MS, this.deps.catchUp(member.address));
       if (this.deps.replica.controlState().slot < slot)
-        await within(this.deps.clock, CATCH_UP_TIMEOUT_MS, this.deps.catchUp(member.address));
+        await withTimeout(this.deps.clock, CATCH_UP_TIMEOUT_MS, this.deps.catchUp(member.address));
     }
   }
 
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -5,20 +5,20 @@
 import { err, ok } from '../base/result.js';
 import type { Result } from '../base/result.js';
 import type { NodeInfo } from '../state/membership/node-info.js';
-import { memberId, SCALER_DUTY } from '../state/consensus/control-state.js';
+import { memberId, SCALER_ROLE } from '../state/consensus/control-state.js';
 import type { Disk } from '../transport/disk.js';
 import type { RingError, RingShape } from '../transport/ring.js';
 import { newId } from '../transport/rng.js';
 import { stopLimits } from '../transport/http-connections.js';
 import type { HttpListener, Route } from '../transport/http.js';
 import type { Address, WireError } from '../transport/wire.js';
-import { CALLER_PATIENCE_MS } from './configuration/configuration-service.js';
+import { CALLER_TIMEOUT_MS } from './configuration/configuration-service.js';
 import { createLatencyTargetTracker } from './configuration/latency-target-tracker.js';
 import { createClaims, noClaims } from './idempotency/claims.js';
 import type { Claims } from './idempotency/claims.js';
 import { openOrRejoinBlank } from './consensus/damaged-ring.js';
 import { createCloudClient, createPlatformClient } from './scaling/cloud-client.js';
-import { openIdentity, saveIdentity } from './membership/identity.js';
+import { loadOrCreateIdentity, saveIdentity } from './membership/identity.js';
 import type { Identity, IdentityError } from './membership/identity.js';
 import { createLease } from './leases/lease.js';
 import type { Lease } from './leases/lease.js';
@@ -28,12 +28,12 @@
 import { createMembership } from './membership/failure-detector.js';
 import type { Membership } from './membership/failure-detector.js';
 import { isUp } from '../state/membership/members.js';
-import { metricsRoute } from './metrics-http-server.js';
+import { metricsRoute } from './metrics-route.js';
 import type { NodeDeps, NodeIdentity } from './node.js';
 import { followRelocatedControllers } from './membership/relocated-controllers.js';
 import { operatorRoutes } from './configuration/operator-http-server.js';
-import { watchStandstills } from './configuration/recent-standstill.js';
-import type { RecentStandstill } from './configuration/recent-standstill.js';
+import { watchProcessPauses } from './configuration/recent-process-pause.js';
+import type { RecentProcessPause } from './configuration/recent-process-pause.js';
 import { createPeers } from './messaging/peers.js';
 import { createFleetLoadRelay } from './distribution/fleet-load-relay.js';
 import { createQuorumAttestation } from './distribution/quorum-attestation.js';
@@ -42,7 +42,7 @@
 import { createChangeDistribution } from './distribution/change-distribution.js';
 import type { ChangeDistribution } from './distribution/change-distribution.js';
 import { createWorkerListRole } from './scaling/worker-list-role.js';
-import { createObserver } from './scaling/observer.js';
+import { createListScaler } from './scaling/list-scaler.js';
 import { createScaler } from './scaling/scaler.js';
 import type { Scaler } from './scaling/scaler.js';
 
@@ -54,9 +54,9 @@
   readonly ledger: Ledger;
   readonly claimsReady: () => boolean;
   readonly holdsScaler: () => boolean;
-  readonly reads: readonly Route[];
+  readonly readRoutes: readonly Route[];
   /** For operator orders that are accepted outside the controller's own HTTP interface. */
-  readonly standstill: Pick<RecentStandstill, 'isRecent'>;
+  readonly standstill: Pick<RecentProcessPause, 'isRecent'>;
   /**
    * Leaves the group and responds to the requests that were already read, also those at the given `listeners`, for at
    * most `withinMs`. Then stops everything.
@@ -68,18 +68,18 @@
 export type ControllerError = WireError | RingError | { readonly tag: 'noDisk' } | IdentityError;
 
 /** Sizes of the two rings on a controller's disk. */
-export type ControllerShapes = { readonly ledger: RingShape; readonly claims: RingShape };
+export type ControllerRingShapes = { readonly ledger: RingShape; readonly claims: RingShape };
 
 const MB = 1_048_576;
 
 /** Ring sizes of a controller whose disk is large enough: 96 MB for the ledger and 164 MB for the claims. */
-export const CONTROLLER_SHAPES: ControllerShapes = {
+export const CONTROLLER_SHAPES: ControllerRingShapes = {
   ledger: { name: 'ledger', files: 6, fileBytes: 8 * MB, snapshotBytes: 48 * MB },
   claims: { name: 'claims', files: 6, fileBytes: 4 * MB, snapshotBytes: 70 * MB },
 };
 
 /** Returns ring sizes that fit on a disk of `diskBytes` bytes. */
-export function shapesFor(diskBytes: number): ControllerShapes {
+export function ringShapesFor(diskBytes: number): ControllerRingShapes {
   const unit = Math.max(MB / 4, Math.min(8 * MB, Math.floor(diskBytes / 64)));
   return {
     ledger: { name: 'ledger', files: 4, fileBytes: unit, snapshotBytes: 3 * unit },
@@ -91,15 +91,15 @@
 export async function startController(
   nodeIdentity: NodeIdentity,
   deps: NodeDeps,
-  shapeOverride?: ControllerShapes,
+  shapeOverride?: ControllerRingShapes,
 ): Promise<Result<Controller, ControllerError>> {
   const { clock, rng, logs, httpClient, disk } = deps;
   const log = logs.component('controller');
   if (!disk) return err({ tag: 'noDisk' });
   const shapes =
-    shapeOverride ?? (nodeIdentity.diskBytes === undefined ? CONTROLLER_SHAPES : shapesFor(nodeIdentity.diskBytes));
+    shapeOverride ?? (nodeIdentity.diskBytes === undefined ? CONTROLLER_SHAPES : ringShapesFor(nodeIdentity.diskBytes));
   const isBootstrapping = nodeIdentity.bootstrap === true && nodeIdentity.seeds.includes(nodeIdentity.advertised);
-  const openedIdentity = await openIdentity(disk, rng, isBootstrapping ? nodeIdentity.seeds : null);
+  const openedIdentity = await loadOrCreateIdentity(disk, rng, isBootstrapping ? nodeIdentity.seeds : null);
   if (!openedIdentity.ok) return openedIdentity;
   const { incarnation } = openedIdentity.value;
   const self: { name: string; incarnation: string; address: Address } = {
@@ -200,11 +200,11 @@
   const distribution = createChangeDistribution(ledger, quorumAttestation, peers, clock, logs.component('push'));
   const fleetLoad = createFleetLoadRelay(ledger, peers, clock, rng);
   const latencyTargets = createLatencyTargetTracker(ledger, peers, clock);
-  const standstill = watchStandstills(clock, CALLER_PATIENCE_MS);
+  const standstill = watchProcessPauses(clock, CALLER_TIMEOUT_MS);
   const lease =
-    nodeIdentity.cloud === null && !deps.listReader
+    nodeIdentity.cloud === null && !deps.workerListReader
       ? null
-      : createLease(SCALER_DUTY, ledger, peers, clock, rng, logs.component('lease'));
+      : createLease(SCALER_ROLE, ledger, peers, clock, rng, logs.component('lease'));
   const openedPeers = await peers.open(nodeIdentity.listen);
   if (!openedPeers.ok) return openedPeers;
   function peerAddresses(): Set<Address> {
@@ -220,10 +220,10 @@
     for (const member of ledger.controlState().members) addresses.add(member.address);
     return addresses;
   }
-  const workerListRole = deps.listReader
+  const workerListRole = deps.workerListReader
     ? createWorkerListRole({
         self: nodeIdentity.advertised,
-        reader: deps.listReader,
+        reader: deps.workerListReader,
         controllers: controllerAddresses,
         peers,
         clock,
@@ -234,7 +234,7 @@
   const scaler = lease && nodeIdentity.cloud !== null ? startScaler(lease, nodeIdentity.cloud) : null;
   const observer =
     lease && workerListRole && nodeIdentity.cloud === null
-      ? createObserver({
+      ? createListScaler({
           ledger,
           lease,
           distribution,
@@ -336,7 +336,7 @@
     ledger,
     claimsReady: () => claims.value.ready(),
     holdsScaler,
-    reads: routes.filter(isReadRoute),
+    readRoutes: routes.filter(isReadRoute),
     standstill,
     stop,
   });
--- a/src/coordination/discovery/pushed-list-feed.ts
+++ b/src/coordination/discovery/pushed-list-feed.ts
@@ -4,11 +4,11 @@
  */
 import { createEvents } from '../../base/events.js';
 import type { WorkerEntry } from '../../state/discovery/worker-entry.js';
-import { within } from '../../transport/clock.js';
+import { withTimeout } from '../../transport/clock.js';
 import type { Clock, Timer } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
 import type { Rng } from '../../transport/rng.js';
-import { STANDSTILL_MS } from '../../transport/standstill-detector.js';
+import { PROCESS_PAUSE_MS } from '../../transport/process-pause-detector.js';
 import type { Address } from '../../transport/wire.js';
 import type { Peers } from '../messaging/peers.js';
 import type { WorkerListFeed, WorkerListFeedEvents, WorkerListReader } from './worker-list-feed.js';
@@ -173,10 +173,10 @@
     this.readDueAt = startedAt + this.timing.readTimeoutMs + MIN_READ_BACKOFF_MS;
     if (!this.isReadingPlatform) this.deps.log.warn('no controller pushes the worker list, reading the platform');
     this.isReadingPlatform = true;
-    const response = await within(this.deps.clock, this.timing.readTimeoutMs, this.deps.reader.read());
+    const response = await withTimeout(this.deps.clock, this.timing.readTimeoutMs, this.deps.reader.read());
     this.updates.detectStandstill();
     if (this.stopped) return;
-    const isUsable = response?.ok === true && this.deps.clock.mono() - startedAt <= STANDSTILL_MS;
+    const isUsable = response?.ok === true && this.deps.clock.mono() - startedAt <= PROCESS_PAUSE_MS;
     this.readBackoffMs = isUsable ? MIN_READ_BACKOFF_MS : Math.min(MAX_READ_BACKOFF_MS, this.readBackoffMs * 2);
     if (!this.updates.isFresh()) this.readDueAt = startedAt + this.readBackoffMs * (1 + 0.3 * this.deps.rng.next());
     if (isUsable && response.ok) this.onOwnReading(response.value, startedAt);
--- a/src/coordination/discovery/worker-list-updates.ts
+++ b/src/coordination/discovery/worker-list-updates.ts
@@ -8,7 +8,7 @@
 import type { WorkerListTable, WorkerListVersion, ApplyResult } from '../../state/discovery/worker-list-table.js';
 import { every } from '../../transport/clock.js';
 import type { Clock, Timer } from '../../transport/clock.js';
-import { STANDSTILL_MS, StandstillDetector } from '../../transport/standstill-detector.js';
+import { PROCESS_PAUSE_MS, ProcessPauseDetector } from '../../transport/process-pause-detector.js';
 import type { Address } from '../../transport/wire.js';
 import type { Peer, Peers } from '../messaging/peers.js';
 
@@ -92,7 +92,7 @@
   private isInSync = false;
   private lastContactAt: number | null = null;
   private unresponsiveReportedAt: number | null = null;
-  private readonly standstillDetector: StandstillDetector;
+  private readonly standstillDetector: ProcessPauseDetector;
   private readonly standstillTimer: Timer;
 
   constructor(
@@ -100,7 +100,7 @@
     private readonly clock: Clock,
     private readonly timing: WorkerListTiming,
   ) {
-    this.standstillDetector = new StandstillDetector(this.clock);
+    this.standstillDetector = new ProcessPauseDetector(this.clock);
     this.standstillTimer = every(this.clock, STANDSTILL_CHECK_INTERVAL_MS, () => this.detectStandstill());
 
     this.peers.on('listWhole', (message, peer) => this.onUpdate(message, peer));
@@ -198,7 +198,7 @@
       this.timing.queryTimeoutMs,
     );
     this.detectStandstill();
-    if (!response.ok || !isUpdate(response.value) || this.clock.mono() - startedAt > STANDSTILL_MS) return 'silent';
+    if (!response.ok || !isUpdate(response.value) || this.clock.mono() - startedAt > PROCESS_PAUSE_MS) return 'silent';
     if (this.applyUpdate(response.value, startedAt) === 'taken') this.isInSync = true;
     return this.isFresh() ? 'fresh' : 'stale';
   }
--- a/src/coordination/distribution/follower.test.ts
+++ b/src/coordination/distribution/follower.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from '@jest/globals';
 import type { Message, MessageKind } from '../../protocol/messages.js';
 import { emptyControlState } from '../../state/consensus/control-state.js';
-import { chunkOf, snapshotOf } from '../../state/consensus/snapshot-chunks.js';
+import { chunkAt, snapshotOf } from '../../state/consensus/snapshot-chunks.js';
 import type { Snapshot } from '../../state/consensus/snapshot-chunks.js';
 import { createWorld } from '../../sim/world.js';
 import { createQuietLog } from '../../transport/log.js';
@@ -34,7 +34,7 @@
         m.kind === 'snapshotAsk' && offered?.offer.digest === m.digest
           ? {
               ok: true,
-              value: { kind: 'snapshotPart', digest: m.digest, part: m.part, text: chunkOf(offered, m.part) ?? '' },
+              value: { kind: 'snapshotPart', digest: m.digest, part: m.part, text: chunkAt(offered, m.part) ?? '' },
             }
           : { ok: false, error: { tag: 'peerSilent', address: to } },
       ),
--- a/src/coordination/distribution/following-start.test.ts
+++ b/src/coordination/distribution/following-start.test.ts
@@ -3,7 +3,7 @@
 import { createSimCore } from '../../sim/sim-core.js';
 import type { SimCore } from '../../sim/sim-core.js';
 import { createQuietLog } from '../../transport/log.js';
-import { below } from '../../transport/rng.js';
+import { randomInt } from '../../transport/rng.js';
 import { createPeers } from '../messaging/peers.js';
 import { createFollower } from '../distribution/follower.js';
 import type { Follower } from '../distribution/follower.js';
@@ -52,13 +52,13 @@
       for (const name of CONTROLLERS)
         for (let i = 0; i < 4; i += 1)
           proxies.push(await startProxy(core, `p-${name}-${i}`, core.node(name).host.zone));
-      await core.world.advance(10 + below(rng, 276));
+      await core.world.advance(10 + randomInt(rng, 276));
       const [first, second, third] = [...CONTROLLERS].sort(() => rng.next() - 0.5) as [string, string, string];
       core.start(first);
-      await core.world.advance(10 + below(rng, 56));
+      await core.world.advance(10 + randomInt(rng, 56));
       core.start(second);
       const from = core.world.now();
-      core.world.at(500 + below(rng, 1_000), () => core.start(third));
+      core.world.at(500 + randomInt(rng, 1_000), () => core.start(third));
       expect(await core.until(4_000, () => proxies.every((p) => p.fresh() && !p.partitioned()))).toBe(true);
       expect(core.world.now() - from).toBeLessThanOrEqual(MAX_START_MS);
     },
@@ -71,7 +71,7 @@
       core.node('h3').host.powered = false;
       const proxies: Follower[] = [];
       for (let i = 0; i < 4; i += 1) proxies.push(await startProxy(core, `p-h3-${i}`, core.node('h3').host.zone));
-      await core.world.advance(below(core.world.rng, 200));
+      await core.world.advance(randomInt(core.world.rng, 200));
       core.start('h1');
       core.start('h2');
       expect(await core.until(4_000, () => proxies.every((p) => p.fresh()))).toBe(true);
--- a/src/coordination/distribution/majority-contact.ts
+++ b/src/coordination/distribution/majority-contact.ts
@@ -1,6 +1,6 @@
 /** Tracks when a proxy last had contact with a majority of the controllers. */
 import type { Clock } from '../../transport/clock.js';
-import { StandstillDetector } from '../../transport/standstill-detector.js';
+import { ProcessPauseDetector } from '../../transport/process-pause-detector.js';
 
 /**
  * The last contact of a proxy with a majority of the controllers. The proxy sends nonces to controllers, and a nonce
@@ -31,14 +31,14 @@
   private nonce = 0;
   private firstValidNonce = 1;
   private contactAt: number | null = null;
-  private readonly pauseDetector: StandstillDetector;
+  private readonly pauseDetector: ProcessPauseDetector;
   private currentResumedAt: number;
 
   constructor(
     private readonly clock: Clock,
     private readonly onPause: (gapMs: number) => void,
   ) {
-    this.pauseDetector = new StandstillDetector(clock);
+    this.pauseDetector = new ProcessPauseDetector(clock);
     this.currentResumedAt = clock.mono();
   }
 
--- a/src/coordination/distribution/stored-control-state.ts
+++ b/src/coordination/distribution/stored-control-state.ts
@@ -1,6 +1,6 @@
 /** The control state that a proxy stores on its disk. */
-import { isTable } from '../../base/is-table.js';
-import { parsedJson } from '../../base/parsed-json.js';
+import { isJsonObject } from '../../base/is-json-object.js';
+import { parseJson } from '../../base/parse-json.js';
 import { emptyControlState, isControlState } from '../../state/consensus/control-state.js';
 import type { ControlState } from '../../state/consensus/control-state.js';
 import { every } from '../../transport/clock.js';
@@ -30,8 +30,8 @@
 const STATE_SAVE_INTERVAL_MS = 5_000;
 
 function parseFloor(text: string, ledger: string): number {
-  const parsed = parsedJson(text);
-  if (!isTable(parsed) || typeof parsed['slot'] !== 'number') return -1;
+  const parsed = parseJson(text);
+  if (!isJsonObject(parsed) || typeof parsed['slot'] !== 'number') return -1;
   return ledger === '' || parsed['ledger'] === ledger ? parsed['slot'] : -1;
 }
 
@@ -41,7 +41,7 @@
   if (!disk) return { state: emptyState, floor: -1 };
   const stateFile = await disk.load(STATE_FILE);
   const text = stateFile.ok ? stateFile.value : null;
-  const parsed = text ? parsedJson(text.toString()) : null;
+  const parsed = text ? parseJson(text.toString()) : null;
   const state = isControlState(parsed) ? parsed : emptyState;
   if (text && state === emptyState) log.warn('stored control state unreadable, fetching it');
   const floorFile = await disk.load(FLOOR_FILE);
--- a/src/coordination/forwarding/attempt.ts
+++ b/src/coordination/forwarding/attempt.ts
@@ -9,7 +9,14 @@
 import type { RegistryRow, WorkerRegistry } from '../../state/discovery/worker-registry.js';
 import type { Clock, Timer } from '../../transport/clock.js';
 import type { Log, LogFields } from '../../transport/log.js';
-import type { ConnectionPool, RawHeaders, SendEvents, SendError, Sending, Sent } from '../../transport/opaque-http.js';
+import type {
+  ConnectionPool,
+  RawHeaders,
+  SendEvents,
+  SendError,
+  OutgoingRequest,
+  PendingSend,
+} from '../../transport/opaque-http.js';
 import { createResponseReader } from './response-reader.js';
 import type { ResponseReader } from './response-reader.js';
 import type { CallerResponses, BufferedResponse } from './caller-responses.js';
@@ -51,7 +58,7 @@
   private readonly reader: ResponseReader;
   private readonly watchedAttempt: WatchedAttempt;
   private readonly remainingMs: number;
-  private pendingSend: Sent | null = null;
+  private pendingSend: PendingSend | null = null;
   private isWritten = false;
   private isNewConnection = false;
   private isFinished = false;
@@ -207,15 +214,15 @@
   }
 
   start(): void {
-    this.request.incoming.answerer.onGone(() => this.onCallerGone());
-    const sending: Sending = {
+    this.request.incoming.responseWriter.onCallerGone(() => this.onCallerGone());
+    const sending: OutgoingRequest = {
       address: this.reserved.row.entry.address,
       method: this.request.incoming.method,
       target: this.request.incoming.target,
       headers: () => this.prepareHeaders(),
       body: this.request.body.length > 0 || hasBody(this.request.incoming) ? this.request.body : null,
-      newConnection: this.request.writtenTo.has(this.reserved.row.entry.id),
-      connectMs: Math.min(this.remainingMs, this.deps.registry.connectTimeoutMs(this.reserved.row)),
+      requiresNewConnection: this.request.writtenTo.has(this.reserved.row.entry.id),
+      connectTimeoutMs: Math.min(this.remainingMs, this.deps.registry.connectTimeoutMs(this.reserved.row)),
     };
     const events: SendEvents = {
       connected: (ms) => this.onConnected(ms),
--- a/src/coordination/forwarding/caller-responses.ts
+++ b/src/coordination/forwarding/caller-responses.ts
@@ -33,9 +33,9 @@
     const head = ['Content-Type', 'application/json', 'Content-Length', String(body.length)];
     if (retryAfterS !== null) head.push('Retry-After', retryAfterS.toFixed(2));
     if (this.isClosing() || status === CONTENT_TOO_LARGE) head.push('Connection', 'close');
-    incoming.answerer.head(status, head);
-    incoming.answerer.write(body);
-    incoming.answerer.end();
+    incoming.responseWriter.head(status, head);
+    incoming.responseWriter.write(body);
+    incoming.responseWriter.end();
   }
 
   private closeHeaders(): string[] {
@@ -47,23 +47,23 @@
    * it stands for the worker's original response.
    */
   forward(request: RelayedRequest, response: BufferedResponse): void {
-    const { answerer } = request.incoming;
+    const { responseWriter } = request.incoming;
     const promisesNotExecuted = NOT_EXECUTED_STATUSES.has(response.status);
     const headers = responseHeaders(response.headers);
-    answerer.head(promisesNotExecuted ? BAD_GATEWAY : response.status, [
+    responseWriter.head(promisesNotExecuted ? BAD_GATEWAY : response.status, [
       ...(promisesNotExecuted ? withoutHeader(headers, this.headerNames.seal) : headers),
       'Content-Length',
       String(response.body.length),
       ...this.closeHeaders(),
     ]);
-    answerer.write(response.body);
-    answerer.end();
+    responseWriter.write(response.body);
+    responseWriter.end();
   }
 
   startStream(request: RelayedRequest, status: number, headers: RawHeaders): void {
     if (request.isResponseStarted) return;
     request.isResponseStarted = true;
-    request.incoming.answerer.head(status, [...responseHeaders(headers), ...this.closeHeaders()]);
+    request.incoming.responseWriter.head(status, [...responseHeaders(headers), ...this.closeHeaders()]);
   }
 }
 
--- a/src/coordination/forwarding/dispatcher.test.ts
+++ b/src/coordination/forwarding/dispatcher.test.ts
@@ -62,7 +62,7 @@
         claims.push('claim');
         return new Promise<ClaimOutcome>((resolve) => clock.timer(claimMs, () => resolve({ tag: 'claimed' })));
       },
-      end: (_key, _by, outcome) => claims.push(outcome),
+      reportEnd: (_key, _by, outcome) => claims.push(outcome),
     },
     httpClient: {
       call: (call) => {
--- a/src/coordination/forwarding/dispatcher.ts
+++ b/src/coordination/forwarding/dispatcher.ts
@@ -3,12 +3,12 @@
  * run-once request, sends the request, and retries at another worker if `decide` allows it (docs/repeats.md).
  * A run-once request is sent only under a claim, and its claim is released only if no attempt may have run.
  */
-import type { Failure, Submit } from '../../protocol/caller-wire.js';
+import type { Failure, SubmittedRequest } from '../../protocol/caller-wire.js';
 import type { Run, CompleteResponse } from '../../protocol/worker-wire.js';
 import { decideAfterAttempt, mayHaveRun } from '../../state/forwarding/attempt-outcome.js';
 import type { RunKey } from '../../state/idempotency/run-key.js';
 import { createRetryBudget } from '../../state/forwarding/retry-budget.js';
-import type { Resolved } from '../../state/configuration/settings-tree.js';
+import type { ResolvedSettings } from '../../state/configuration/settings-tree.js';
 import type { AdmissionToken } from '../../state/forwarding/admission-token.js';
 import type { WorkerRow } from '../../state/discovery/worker-row.js';
 import type { WorkerTable } from '../../state/discovery/worker-table.js';
@@ -50,7 +50,12 @@
 /** Serves requests whose admission token was verified. */
 export interface Dispatcher {
   /** Serves a request whose admission token was verified; `key` is set for a run-once request. */
-  submit(token: AdmissionToken, body: Submit, key: RunKey | null, isCallerGone: () => boolean): Promise<Submission>;
+  submit(
+    token: AdmissionToken,
+    body: SubmittedRequest,
+    key: RunKey | null,
+    isCallerGone: () => boolean,
+  ): Promise<Submission>;
   countRequest(model: string): void;
   countRejected(): void;
   wake(): void;
@@ -75,9 +80,9 @@
 /** One submission from its arrival to its end. Times are in milliseconds of the monotonic clock. */
 type Job = {
   readonly token: AdmissionToken;
-  readonly body: Submit;
+  readonly body: SubmittedRequest;
   readonly key: RunKey | null;
-  readonly values: Resolved;
+  readonly values: ResolvedSettings;
   readonly parts: readonly string[];
   readonly deadlineAt: number;
   readonly waitUntil: number;
@@ -143,7 +148,7 @@
 
   async submit(
     token: AdmissionToken,
-    body: Submit,
+    body: SubmittedRequest,
     key: RunKey | null,
     isCallerGone: () => boolean,
   ): Promise<Submission> {
@@ -284,12 +289,12 @@
    */
   private endWithoutResponse(job: Job, failure: Failure, retryAfterS: number): Submission {
     if (job.mayHaveRunFailure) return this.failedSubmission(job.mayHaveRunFailure);
-    if (job.claimed && job.key !== null) this.deps.claims.end(job.key, job.token.id, 'released');
+    if (job.claimed && job.key !== null) this.deps.claims.reportEnd(job.key, job.token.id, 'released');
     return this.failedSubmission(failure, retryAfterS);
   }
 
   private recordAnswered(job: Job): void {
-    if (job.key !== null) this.deps.claims.end(job.key, job.token.id, 'answered');
+    if (job.key !== null) this.deps.claims.reportEnd(job.key, job.token.id, 'answered');
   }
 
   countRequest(model: string): void {
--- a/src/coordination/forwarding/final-responses.ts
+++ b/src/coordination/forwarding/final-responses.ts
@@ -47,7 +47,7 @@
         return;
       case 'passOn':
         if (end.response) this.deps.callerResponses.forward(request, end.response);
-        else request.incoming.answerer.end();
+        else request.incoming.responseWriter.end();
         return;
       case 'refuse':
         this.reject(
@@ -98,7 +98,7 @@
   }
 
   failInternally(incoming: OpaqueRequest): void {
-    if (incoming.answerer.begun()) incoming.answerer.abort();
+    if (incoming.responseWriter.begun()) incoming.responseWriter.abort();
     else this.deps.callerResponses.sendError(incoming, 500, 'internal', null);
   }
 
@@ -110,7 +110,7 @@
   private truncateOrFail(request: RelayedRequest): void {
     if (request.isResponseStarted) {
       this.deps.onTruncated();
-      request.incoming.answerer.abort();
+      request.incoming.responseWriter.abort();
     } else this.deps.callerResponses.sendError(request.incoming, 502, 'unknown', null);
   }
 
--- a/src/coordination/forwarding/relay.test.ts
+++ b/src/coordination/forwarding/relay.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from '@jest/globals';
-import { OPEN_WORDS as HEADERS } from '../../protocol/header-names.js';
+import { DEFAULT_HEADER_NAMES as HEADERS } from '../../protocol/header-names.js';
 import { createAttemptBudget } from '../../state/forwarding/attempt-budget.js';
 import type { BudgetBounds } from '../../state/forwarding/attempt-budget.js';
 import { createRouteTable } from '../../state/configuration/route-table.js';
@@ -9,9 +9,15 @@
 import { createWorkerRegistry } from '../../state/discovery/worker-registry.js';
 import type { WorkerEntry } from '../../state/discovery/worker-entry.js';
 import { createWorld } from '../../sim/world.js';
-import { every, turnOver } from '../../transport/clock.js';
+import { every, yieldToEventLoop } from '../../transport/clock.js';
 import { createQuietLog } from '../../transport/log.js';
-import type { OpaqueRequest, ConnectionPool, RawHeaders, SendEvents, Sending } from '../../transport/opaque-http.js';
+import type {
+  OpaqueRequest,
+  ConnectionPool,
+  RawHeaders,
+  SendEvents,
+  OutgoingRequest,
+} from '../../transport/opaque-http.js';
 import { createRng } from '../../transport/rng.js';
 import { createRelay } from './relay.js';
 import type { DrainDeadlines } from './drain-admission.js';
@@ -34,7 +40,7 @@
 };
 
 type RecordedSend = {
-  readonly sending: Sending;
+  readonly sending: OutgoingRequest;
   readonly events: SendEvents;
   isAborted: boolean;
   headers: RawHeaders | null;
@@ -96,7 +102,7 @@
     open: () => 0,
     idle: () => 0,
     forget: () => undefined,
-    made: () => 0,
+    totalDialled: () => 0,
     stop: () => undefined,
   };
   const serving: Serving = {
@@ -138,7 +144,7 @@
       headers: Object.entries(requestHeaders).flat(),
       get: (n) => requestHeaders[n] ?? null,
       body: () => Promise.resolve({ ok: true, value: Buffer.from('hi') }),
-      answerer: {
+      responseWriter: {
         head: (status, head) => {
           const { error } = response;
           delete response.error;
@@ -157,7 +163,7 @@
         },
         gone: () => isGone,
         begun: () => response.status !== 0,
-        onGone: (fn) => {
+        onCallerGone: (fn) => {
           goneCallbacks.push(fn);
         },
       },
@@ -177,7 +183,7 @@
     proc.host.frozen = false;
     for (const fn of proc.host.parked.splice(0)) {
       fn();
-      await turnOver();
+      await yieldToEventLoop();
     }
   }
   function deliver(fn: () => void): void {
@@ -780,7 +786,7 @@
   await fixture.world.advance(1);
   rejectFor(fixture.sent[0]!, 503, 'q1');
   await fixture.world.advance(400);
-  expect(fixture.sent.map((s) => [s.sending.address, s.sending.newConnection])).toEqual([
+  expect(fixture.sent.map((s) => [s.sending.address, s.sending.requiresNewConnection])).toEqual([
     ['10.0.0.1:1', false],
     ['10.0.0.1:1', true],
   ]);
--- a/src/coordination/forwarding/relay.ts
+++ b/src/coordination/forwarding/relay.ts
@@ -195,7 +195,7 @@
 
   private async waitForRoutes(incoming: OpaqueRequest): Promise<RouteTable | null> {
     const until = this.deps.clock.mono() + this.deps.tuning.openingMs;
-    while (this.deps.clock.mono() < until && !incoming.answerer.gone()) {
+    while (this.deps.clock.mono() < until && !incoming.responseWriter.gone()) {
       await delay(this.deps.clock, ROUTES_CHECK_INTERVAL_MS);
       const table = this.deps.routeTable();
       if (table) return table;
--- a/src/coordination/forwarding/relayed-request.test.ts
+++ b/src/coordination/forwarding/relayed-request.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from '@jest/globals';
-import { OPEN_WORDS } from '../../protocol/header-names.js';
+import { DEFAULT_HEADER_NAMES } from '../../protocol/header-names.js';
 import type { MatchedRoute } from '../../state/configuration/route-table.js';
 import type { Share } from '../../state/configuration/serving.js';
 import type { OpaqueRequest } from '../../transport/opaque-http.js';
@@ -17,7 +17,7 @@
   } as unknown as MatchedRoute;
   const counts = new Map<string, number>();
   for (let i = 0; i < REQUEST_COUNT; i += 1) {
-    const { model } = createRelayedRequest(OPEN_WORDS, rng, incoming, route, `id-${i}`, Buffer.alloc(0), 0);
+    const { model } = createRelayedRequest(DEFAULT_HEADER_NAMES, rng, incoming, route, `id-${i}`, Buffer.alloc(0), 0);
     counts.set(model, (counts.get(model) ?? 0) + 1);
   }
   return counts;
--- a/src/coordination/forwarding/relayed-request.ts
+++ b/src/coordination/forwarding/relayed-request.ts
@@ -87,7 +87,7 @@
 
 /** Returns whether the request was aborted or its caller has disconnected, so that nobody waits for a response. */
 export function isCancelled(request: RelayedRequest): boolean {
-  return request.isAborted || request.incoming.answerer.gone();
+  return request.isAborted || request.incoming.responseWriter.gone();
 }
 
 /** Returns the urgency class; class 0 is served first. */
--- a/src/coordination/forwarding/response-reader.ts
+++ b/src/coordination/forwarding/response-reader.ts
@@ -99,7 +99,7 @@
         this.request.hasUnnumberedEvent = this.request.hasUnnumberedEvent || !isCommentOnly(event.bytes);
       else if (this.request.lastEvent !== null && event.id <= this.request.lastEvent) return { tag: 'garbled' };
       else this.request.lastEvent = event.id;
-      this.request.incoming.answerer.write(event.bytes);
+      this.request.incoming.responseWriter.write(event.bytes);
     }
     return null;
   }
--- a/src/coordination/forwarding/worker-queue.ts
+++ b/src/coordination/forwarding/worker-queue.ts
@@ -115,7 +115,7 @@
     }
     this.waiters.splice(this.positionOf(request), 0, waiter);
     this.scheduleRecheck();
-    request.incoming.answerer.onGone(abandon);
+    request.incoming.responseWriter.onCallerGone(abandon);
     this.wake();
   }
 
--- a/src/coordination/forwarding/worker-slot-queue.ts
+++ b/src/coordination/forwarding/worker-slot-queue.ts
@@ -7,7 +7,7 @@
 import type { Candidate } from '../../state/forwarding/candidate.js';
 import { createQueueWaitEstimator } from '../../state/forwarding/queue-wait-estimator.js';
 import type { QueueWaitEstimator } from '../../state/forwarding/queue-wait-estimator.js';
-import type { Resolved } from '../../state/configuration/settings-tree.js';
+import type { ResolvedSettings } from '../../state/configuration/settings-tree.js';
 import type { AdmissionToken } from '../../state/forwarding/admission-token.js';
 import type { WorkerRow } from '../../state/discovery/worker-row.js';
 import type { WorkerTable } from '../../state/discovery/worker-table.js';
@@ -23,7 +23,7 @@
 export type SlotRequest = {
   readonly token: AdmissionToken;
   readonly parts: readonly string[];
-  readonly values: Resolved;
+  readonly values: ResolvedSettings;
   /** Workers that were tried before. */
   readonly avoid: ReadonlySet<number>;
   readonly waitUntil: number;
--- a/src/coordination/idempotency/claim-client.ts
+++ b/src/coordination/idempotency/claim-client.ts
@@ -24,7 +24,7 @@
 /** Claims keys for attempts, and reports to the controllers how those attempts ended. */
 export interface ClaimClient {
   claim(key: RunKey, by: string): Promise<ClaimOutcome>;
-  end(key: RunKey, by: string, outcome: 'released' | 'answered'): void;
+  reportEnd(key: RunKey, by: string, outcome: 'released' | 'answered'): void;
 }
 
 const REQUEST_TIMEOUT_MS = 1_500;
@@ -156,7 +156,7 @@
   async claim(key: RunKey, by: string): Promise<ClaimOutcome> {
     const pending = this.claimQueue.put({ key: key.text, by, born: key.born });
     const outcome = await pending.then((inner) => this.unwrap(inner));
-    if (outcome.tag !== 'claimed') this.end(key, by, 'released');
+    if (outcome.tag !== 'claimed') this.reportEnd(key, by, 'released');
     return outcome;
   }
 
@@ -186,7 +186,7 @@
     return null;
   }
 
-  end(key: RunKey, by: string, outcome: 'released' | 'answered'): void {
+  reportEnd(key: RunKey, by: string, outcome: 'released' | 'answered'): void {
     void this.endQueue.put({ key: key.text, by, born: key.born, outcome });
   }
 }
--- a/src/coordination/idempotency/claims.ts
+++ b/src/coordination/idempotency/claims.ts
@@ -6,8 +6,8 @@
  */
 import { createBatchQueue } from '../../base/batch-queue.js';
 import type { BatchQueue } from '../../base/batch-queue.js';
-import { parsedJson } from '../../base/parsed-json.js';
-import { isTable } from '../../base/is-table.js';
+import { parseJson } from '../../base/parse-json.js';
+import { isJsonObject } from '../../base/is-json-object.js';
 import { err, ok } from '../../base/result.js';
 import type { Result } from '../../base/result.js';
 import type { Message, MessageOf } from '../../protocol/messages.js';
@@ -23,7 +23,7 @@
 import type { Disk } from '../../transport/disk.js';
 import type { Log } from '../../transport/log.js';
 import { openRing } from '../../transport/ring.js';
-import type { Opened, Ring, RingError, RingShape } from '../../transport/ring.js';
+import type { OpenedRing, Ring, RingError, RingShape } from '../../transport/ring.js';
 import type { Ledger } from '../consensus/ledger.js';
 import type { Peers } from '../messaging/peers.js';
 import { otherMembers } from '../../state/consensus/fold-members.js';
@@ -128,7 +128,7 @@
   private readonly forgetTimer: Timer;
 
   constructor(
-    { ring, snapshot, records }: Opened,
+    { ring, snapshot, records }: OpenedRing,
     private readonly ledger: Ledger,
     private readonly peers: Peers,
     shape: RingShape,
@@ -166,8 +166,8 @@
   }
 
   private applyHeader(text: string): void {
-    const header = parsedJson(text);
-    if (!isTable(header)) return;
+    const header = parseJson(text);
+    if (!isJsonObject(header)) return;
     if (typeof header['readyFor'] === 'string') this.readyFor = header['readyFor'];
     if (typeof header['uptime'] === 'number') this.previousUptime = Math.max(this.previousUptime, header['uptime']);
     if (isHourRanges(header['forgotten'])) this.table.addForgotten(header['forgotten']);
@@ -220,7 +220,7 @@
     }
     if (writes.length === 0 && !isRebuilt) return answers;
     this.hasUnsyncedChanges = true;
-    if (isRebuilt || this.ring.crowded()) return (await this.compact()) ? answers : commands.map(noAnswer);
+    if (isRebuilt || this.ring.isNearlyFull()) return (await this.compact()) ? answers : commands.map(noAnswer);
     const written = await this.ring.append(writes);
     if (!written.ok && written.error.tag === 'ringFull')
       return (await this.compact()) ? answers : commands.map(noAnswer);
--- a/src/coordination/leases/lease.test.ts
+++ b/src/coordination/leases/lease.test.ts
@@ -73,7 +73,7 @@
     let minRemainingMs = Infinity;
     for (let ms = 0; ms < 20_000; ms += 50) {
       expect(holders()).toEqual([holder]);
-      minRemainingMs = Math.min(minRemainingMs, leases.get(holder)?.leftMs() ?? 0);
+      minRemainingMs = Math.min(minRemainingMs, leases.get(holder)?.remainingMs() ?? 0);
       await world.advance(50);
     }
     expect(minRemainingMs).toBeGreaterThan(3_700);
--- a/src/coordination/leases/lease.ts
+++ b/src/coordination/leases/lease.ts
@@ -5,7 +5,7 @@
  * Uses monotonic clocks only.
  */
 import { majorityOf, memberId, membersDigest } from '../../state/consensus/control-state.js';
-import { requestGrant, createLeaseTable, dropGrant } from '../../state/idempotency/lease-table.js';
+import { requestGrant, createLeaseTable, releaseGrant } from '../../state/idempotency/lease-table.js';
 import type { LeaseTable } from '../../state/idempotency/lease-table.js';
 import type { Message, MessageOf } from '../../protocol/messages.js';
 import type { Member } from '../../state/consensus/entry.js';
@@ -23,7 +23,7 @@
   /** The fencing token while this node holds the lease, else null. */
   fence(): number | null;
   /** Time until the holder stops, in milliseconds; negative once the lease has expired. */
-  leftMs(): number;
+  remainingMs(): number;
   stop(): void;
 }
 
@@ -118,16 +118,16 @@
 
   private onDrop(message: MessageOf<'leaseDrop'>): null {
     if (message.ledger === this.ledger.controlState().ledger)
-      dropGrant(this.grants, message.duty, message.holder, message.round);
+      releaseGrant(this.grants, message.duty, message.holder, message.round);
     return null;
   }
 
-  leftMs(): number {
+  remainingMs(): number {
     return this.grantedUntil - EXPIRY_MARGIN_MS - this.clock.mono();
   }
 
   fence(): number | null {
-    if (this.stopped || this.ownFencingToken === null || this.leftMs() <= 0) return null;
+    if (this.stopped || this.ownFencingToken === null || this.remainingMs() <= 0) return null;
     const record = this.ledger.controlState().leases[this.role];
     return record && record.fence === this.ownFencingToken ? this.ownFencingToken : null;
   }
@@ -193,11 +193,11 @@
       return;
     }
     const requestedAt = this.clock.mono();
-    const wasExpired = this.leftMs() <= 0;
+    const wasExpired = this.remainingMs() <= 0;
     const outcome = await this.requestMajority();
     if (outcome !== 'granted') {
       if (outcome === 'refused' && this.clock.mono() > this.grantedUntil) this.dropAllGrants();
-      if (this.ownFencingToken !== null && this.leftMs() <= 0) {
+      if (this.ownFencingToken !== null && this.remainingMs() <= 0) {
         this.log.warn('lease lost', { role: this.role });
         this.ownFencingToken = null;
       }
--- a/src/coordination/membership/core-health-watch.test.ts
+++ b/src/coordination/membership/core-health-watch.test.ts
@@ -14,7 +14,7 @@
 import type { LedgerEvents } from '../consensus/ledger.js';
 import { createSimFleet } from '../../sim/sim-fleet.js';
 import type { SimFleet } from '../../sim/sim-fleet.js';
-import { fieldsText } from '../../transport/log-line.js';
+import { formatFields } from '../../transport/log-line.js';
 import type { Log, LogRoot } from '../../transport/log.js';
 import type { HttpClient } from '../../transport/http.js';
 
@@ -31,7 +31,7 @@
     const collect =
       (level: string): Log['info'] =>
       (event, fields) =>
-        void (name === 'core' && lines.push(`${level} ${event} ${fieldsText(fields ?? {})}`));
+        void (name === 'core' && lines.push(`${level} ${event} ${formatFields(fields ?? {})}`));
     return { info: collect('info'), warn: collect('warn'), error: collect('error') };
   }
   return { component: createComponentLog };
--- a/src/coordination/membership/core-health-watch.ts
+++ b/src/coordination/membership/core-health-watch.ts
@@ -14,7 +14,7 @@
 import type { Member } from '../../state/consensus/entry.js';
 import { every } from '../../transport/clock.js';
 import type { Clock, Timer } from '../../transport/clock.js';
-import { StandstillDetector } from '../../transport/standstill-detector.js';
+import { ProcessPauseDetector } from '../../transport/process-pause-detector.js';
 import type { Log } from '../../transport/log.js';
 import type { Peers } from '../messaging/peers.js';
 import type { Claims } from '../idempotency/claims.js';
@@ -70,13 +70,13 @@
   private readonly claimsLog: CoreHealthLog;
   private slotSamples: SlotSample[] = [];
   /** Earlier slot samples are discarded after a process pause, and without contact to a majority. */
-  private readonly pauseDetector: StandstillDetector;
+  private readonly pauseDetector: ProcessPauseDetector;
   private readonly checkTimer: Timer;
 
   constructor(private readonly deps: CoreHealthWatchDeps) {
     this.ledgerLog = createCoreHealthLog('ledger', this.deps.clock, this.deps.log);
     this.claimsLog = createCoreHealthLog('claims', this.deps.clock, this.deps.log);
-    this.pauseDetector = new StandstillDetector(this.deps.clock);
+    this.pauseDetector = new ProcessPauseDetector(this.deps.clock);
 
     this.deps.ledger.events.on('heard', ({ member, requestedAt, memberStatus }) =>
       this.onMemberStatus({ member, requestedAt, memberStatus }),
@@ -127,7 +127,7 @@
         learned,
         top: this.deps.ledger.top(),
         writable: this.deps.ledger.writable(),
-        holdsAll: learned >= requiredSlot,
+        isComplete: learned >= requiredSlot,
         unheard: [],
       };
     }
@@ -140,7 +140,7 @@
       learned,
       top: contact?.memberStatus.top ?? -1,
       writable: contact?.memberStatus.cannotWrite !== true,
-      holdsAll: learned >= requiredSlot,
+      isComplete: learned >= requiredSlot,
       unheard: contact?.memberStatus.unheard ?? [],
     };
   }
@@ -157,7 +157,7 @@
     for (const member of this.deps.ledger.controlState().members) {
       const view = this.viewOf(member, requiredSlot);
       views.push(view);
-      claimViews.push({ ...view, holdsAll: this.holdsAllClaims(view) });
+      claimViews.push({ ...view, isComplete: this.holdsAllClaims(view) });
     }
     return {
       ledger: coreHealth(this.ownId(), views),
--- a/src/coordination/membership/identity.ts
+++ b/src/coordination/membership/identity.ts
@@ -3,8 +3,8 @@
  * disk lasts. The exception is a former member that was removed from the group: it creates a new identity before it
  * joins again.
  */
-import { isTable } from '../../base/is-table.js';
-import { parsedJson } from '../../base/parsed-json.js';
+import { isJsonObject } from '../../base/is-json-object.js';
+import { parseJson } from '../../base/parse-json.js';
 import { err, ok } from '../../base/result.js';
 import type { Result } from '../../base/result.js';
 import type { Disk, DiskError } from '../../transport/disk.js';
@@ -30,7 +30,7 @@
 const IDENTITY_FILE = 'identity.json';
 
 /** Reads the identity from the disk, or creates and stores a new one with the given bootstrap members. */
-export async function openIdentity(
+export async function loadOrCreateIdentity(
   disk: Disk,
   rng: Rng,
   bootstrapMembers: readonly Address[] | null,
@@ -52,8 +52,8 @@
 }
 
 function parseIdentity(text: string): Identity | null {
-  const parsed = parsedJson(text);
-  if (!isTable(parsed) || typeof parsed['incarnation'] !== 'string' || parsed['incarnation'] === '') return null;
+  const parsed = parseJson(text);
+  if (!isJsonObject(parsed) || typeof parsed['incarnation'] !== 'string' || parsed['incarnation'] === '') return null;
   const { incarnation, bootstrapMembers, wasMember } = parsed;
   return {
     incarnation,
--- a/src/coordination/membership/member-statuses.ts
+++ b/src/coordination/membership/member-statuses.ts
@@ -8,16 +8,16 @@
 import type { ControlState } from '../../state/consensus/control-state.js';
 import type { Member } from '../../state/consensus/entry.js';
 import type { Clock } from '../../transport/clock.js';
-import { StandstillDetector } from '../../transport/standstill-detector.js';
+import { ProcessPauseDetector } from '../../transport/process-pause-detector.js';
 import type { Peers } from '../messaging/peers.js';
 import { otherMembers } from '../../state/consensus/fold-members.js';
 
 /** The contact to each member, and which members have lost contact with which others. */
 export interface MemberStatuses {
   /** Returns the status of this member. */
-  own(): MessageOf<'memberStatus'>;
+  ownStatus(): MessageOf<'memberStatus'>;
   /** Requests the status of all other members; to be called every half second. */
-  ask(): void;
+  requestAll(): void;
   lastContactAt(id: string): number | null;
   isReachable(id: string): boolean;
   sinceContactMs(id: string): number;
@@ -49,20 +49,20 @@
 type Contact = { readonly at: number; readonly unheard: readonly string[] };
 
 /** Interval at which the status of the members is requested, in milliseconds. */
-export const MEMBER_STATUS_MS = 500;
+export const MEMBER_STATUS_INTERVAL_MS = 500;
 const REQUEST_TIMEOUT_MS = 1_000;
 const LOST_CONTACT_TIMEOUT_MS = 2_500;
 const REACHABLE_TIMEOUT_MS = 1_600;
 
 class PolledMemberStatuses implements MemberStatuses {
   private readonly contacts = new Map<string, Contact>();
-  private readonly pauseDetector: StandstillDetector;
+  private readonly pauseDetector: ProcessPauseDetector;
   private readonly leavingIds = new Set<string>();
   private isSelfLeaving = false;
   private observedSince: number;
 
   constructor(private readonly deps: MemberStatusesDeps) {
-    this.pauseDetector = new StandstillDetector(this.deps.clock);
+    this.pauseDetector = new ProcessPauseDetector(this.deps.clock);
     this.observedSince = this.deps.clock.mono();
     this.deps.peers.on('memberStatus', (status) => this.onStatusAnnounced(status));
   }
@@ -91,7 +91,7 @@
     return at !== null && this.deps.clock.mono() - at < REACHABLE_TIMEOUT_MS;
   }
 
-  own(): MessageOf<'memberStatus'> {
+  ownStatus(): MessageOf<'memberStatus'> {
     const state = this.deps.controlState();
     const unheard: string[] = [];
     for (const member of this.others())
@@ -126,7 +126,7 @@
 
   announceLeaving(): void {
     this.isSelfLeaving = true;
-    for (const member of this.others()) void this.deps.peers.send(member.address, this.own());
+    for (const member of this.others()) void this.deps.peers.send(member.address, this.ownStatus());
   }
 
   private onStatusAnnounced(status: MessageOf<'memberStatus'>): null {
@@ -150,7 +150,7 @@
       this.deps.onMemberStatus({ member, requestedAt, memberStatus: response.value });
   }
 
-  ask(): void {
+  requestAll(): void {
     this.resetAfterPause();
     const requestedIds = new Set<string>();
     for (const member of this.others()) {
--- a/src/coordination/membership/membership-changes.ts
+++ b/src/coordination/membership/membership-changes.ts
@@ -8,10 +8,10 @@
  */
 import type { Result } from '../../base/result.js';
 import type { Message, MessageOf } from '../../protocol/messages.js';
-import { memberId, MOST_MEMBERS } from '../../state/consensus/control-state.js';
+import { memberId, MAX_MEMBERS } from '../../state/consensus/control-state.js';
 import type { ControlState } from '../../state/consensus/control-state.js';
 import type { Command, Member } from '../../state/consensus/entry.js';
-import { within } from '../../transport/clock.js';
+import { withTimeout } from '../../transport/clock.js';
 import type { Clock } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
 import { shuffled } from '../../transport/rng.js';
@@ -26,7 +26,7 @@
 /** Maintains the membership of the group, as seen by one controller. */
 export interface MembershipChanges {
   /** Runs one step; to be called every half second. */
-  turn(): Promise<void>;
+  tick(): Promise<void>;
   /** Leaves the group within the given time; to be called once, before this controller shuts down. */
   leave(withinMs: number): Promise<LeaveOutcome>;
 }
@@ -46,12 +46,12 @@
   readonly linearizableRead: (waitMs: number) => Promise<boolean>;
   readonly catchUp: (from: Address) => Promise<void>;
   /** Creates a new identity and stores it on the disk. */
-  readonly renew: () => Promise<boolean>;
-  readonly mayShrinkOdd: boolean;
+  readonly renewIncarnation: () => Promise<boolean>;
+  readonly mayShrinkOddGroup: boolean;
   /** Whether this identity has been a member according to the disk; null if the disk does not say. */
   readonly wasMember: boolean | null;
   /** Stores on the disk that this identity is a member. */
-  readonly recordMember: () => Promise<boolean>;
+  readonly recordMembership: () => Promise<boolean>;
 };
 
 const REQUEST_TIMEOUT_MS = 600;
@@ -114,7 +114,7 @@
       if (old.address === joiner.address) return { tag: 'memberReplaced', old: memberId(old), member: joiner };
     const unresponsive = await this.unresponsiveMembers();
     if (unresponsive.length === 0)
-      return this.deps.controlState().members.length < MOST_MEMBERS ? { tag: 'memberAdded', member: joiner } : null;
+      return this.deps.controlState().members.length < MAX_MEMBERS ? { tag: 'memberAdded', member: joiner } : null;
     for (const old of unresponsive)
       if (
         this.deps.memberStatuses.isLeaving(memberId(old)) ||
@@ -181,7 +181,7 @@
     if (mostAdvanced.learned > this.deps.controlState().slot) await this.deps.catchUp(mostAdvanced.address);
     if (this.ownMember()?.address === this.deps.self.address) return;
     if (this.wasMember && !this.ownMember()) {
-      if (!(await this.deps.renew())) return;
+      if (!(await this.deps.renewIncarnation())) return;
       this.wasMember = false;
       this.isMembershipStored = false;
       this.deps.log.info('removed from the group, rejoining', { member: memberId(this.deps.self) });
@@ -252,7 +252,7 @@
     const dead = members.filter((member) => this.isDead(member) || (isEven && this.hasShutDown(member)));
     const minDead = isEven ? 1 : 2;
     const [first] = dead;
-    if (!first || dead.length < minDead || !(isEven || this.deps.mayShrinkOdd)) return;
+    if (!first || dead.length < minDead || !(isEven || this.deps.mayShrinkOddGroup)) return;
     const cause = `${first.name} has been dead, and ${members.length} members bear no more than without ${minDead === 1 ? 'it' : 'the two that are'}.`;
     if (await this.proposeChange(cause, { tag: 'memberRemoved', old: memberId(first) }))
       this.deps.log.info('member removed', { member: memberId(first) });
@@ -266,11 +266,11 @@
     return 2 * reachableCount > this.deps.controlState().members.length;
   }
 
-  async turn(): Promise<void> {
+  async tick(): Promise<void> {
     if (this.isLeaving) return;
     const ownMember = this.ownMember();
     if (ownMember) this.wasMember = true;
-    if (ownMember && !this.isMembershipStored) this.isMembershipStored = await this.deps.recordMember();
+    if (ownMember && !this.isMembershipStored) this.isMembershipStored = await this.deps.recordMembership();
     if (
       ownMember &&
       ownMember.address !== this.deps.self.address &&
@@ -293,7 +293,7 @@
   /** Waits for a pending admission: it may have been agreed before this controller learns of it. */
   private async awaitPendingJoin(deadline: number): Promise<void> {
     if (!this.pendingJoin) return;
-    await within(this.deps.clock, deadline - this.deps.clock.mono(), this.pendingJoin);
+    await withTimeout(this.deps.clock, deadline - this.deps.clock.mono(), this.pendingJoin);
     if (!this.ownMember())
       await this.deps.linearizableRead(Math.min(AGREEMENT_TIMEOUT_MS, deadline - this.deps.clock.mono()));
   }
--- a/src/coordination/membership/relocated-controllers.ts
+++ b/src/coordination/membership/relocated-controllers.ts
@@ -21,7 +21,7 @@
 }
 
 /** Returns a function that looks up the location of a node in the failure detector. */
-export function locationsOf(membership: Membership): (name: string) => ControllerLocation | null {
+export function createLocationLookup(membership: Membership): (name: string) => ControllerLocation | null {
   function locationOf(name: string): ControllerLocation | null {
     const node = membership.get(name);
     return node && { zone: node.zone, region: node.region, up: node.status === 'alive' };
--- a/src/coordination/membership/self-bootstrap.ts
+++ b/src/coordination/membership/self-bootstrap.ts
@@ -20,7 +20,7 @@
 /** The running bootstrap of one controller. */
 export interface SelfBootstrap {
   /** The ledger name used in the ballot for slot zero; null on a disk without a vote. */
-  readonly ballotOf: string | null;
+  readonly bootstrapLedgerName: string | null;
   stop(): void;
 }
 
@@ -34,9 +34,9 @@
   readonly bootstrapMembers: readonly Address[] | null;
   readonly ledgerName: () => string;
   readonly requestVote: RequestMember;
-  readonly learnZero: (batch: Batch) => Promise<void>;
+  readonly learnSlotZero: (batch: Batch) => Promise<void>;
   /** Called when another controller already knows a ledger. */
-  readonly seek: () => void;
+  readonly onLedgerFound: () => void;
 };
 
 const TICK_INTERVAL_MS = 150;
@@ -73,7 +73,7 @@
 
 class SeedBallotBootstrap implements SelfBootstrap {
   private readonly bootstrapMembers: string[];
-  readonly ballotOf: string | null;
+  readonly bootstrapLedgerName: string | null;
   private readonly quorumSize: number;
   private readonly startedAt: number;
   private readySince: number | null = null;
@@ -83,13 +83,13 @@
 
   constructor(private readonly deps: SelfBootstrapDeps) {
     this.bootstrapMembers = this.deps.bootstrapMembers ? [...this.deps.bootstrapMembers].sort() : [];
-    this.ballotOf = this.deps.bootstrapMembers ? bootstrapBallotName(this.bootstrapMembers) : null;
+    this.bootstrapLedgerName = this.deps.bootstrapMembers ? bootstrapBallotName(this.bootstrapMembers) : null;
     this.quorumSize = Math.floor(this.bootstrapMembers.length / 2) + 1;
     this.startedAt = this.deps.clock.mono();
 
     this.deps.peers.on('bootstrapVoteAsk', (message) => this.onVoteRequest(message));
     this.attemptTimer =
-      this.ballotOf && this.deps.ledgerName() === ''
+      this.bootstrapLedgerName && this.deps.ledgerName() === ''
         ? every(this.deps.clock, TICK_INTERVAL_MS, () => this.tick())
         : null;
   }
@@ -99,7 +99,7 @@
       kind: 'bootstrapVoteAnswer',
       member: this.deps.self,
       ledger: this.deps.ledgerName(),
-      votes: message.bootstrapMembers === this.ballotOf,
+      votes: message.bootstrapMembers === this.bootstrapLedgerName,
     };
   }
 
@@ -122,7 +122,7 @@
     for (const response of await Promise.all(requests)) {
       if (response?.kind !== 'bootstrapVoteAnswer') continue;
       if (response.ledger !== '') {
-        this.deps.seek();
+        this.deps.onLedgerFound();
         return;
       }
       blankMembers.push(response.member);
@@ -157,7 +157,7 @@
       this.readySince = this.deps.clock.mono() + this.deps.rng.next() * STAGGER_MS;
     }
     if (result.tag !== 'chosen') return;
-    await this.deps.learnZero(result.batch);
+    await this.deps.learnSlotZero(result.batch);
     for (const member of blankMembers)
       if (!this.isSelf(member))
         void this.deps.peers.send(member.address, {
@@ -181,12 +181,12 @@
   }
 
   private tick(): void {
-    if (!this.ballotOf) return;
+    if (!this.bootstrapLedgerName) return;
     if (this.deps.ledgerName() !== '') {
       this.attemptTimer?.cancel();
       return;
     }
-    if (!this.isAttempting) void this.runAttempt(this.ballotOf);
+    if (!this.isAttempting) void this.runAttempt(this.bootstrapLedgerName);
   }
 
   stop(): void {
--- a/src/coordination/messaging/peer-link.ts
+++ b/src/coordination/messaging/peer-link.ts
@@ -26,7 +26,7 @@
 type PendingCall = { readonly done: (response: Message | null) => void; readonly timer: Timer };
 
 /** Maximum time without any byte received after a call was sent, in milliseconds. */
-export const SILENT_MS = 1_200;
+export const UNRESPONSIVE_TIMEOUT_MS = 1_200;
 /** A timer that fires this late, in milliseconds, indicates a pause of this process and not an unresponsive peer. */
 const PROCESS_PAUSE_MS = 600;
 /** Minimum interval between two idle checks, in milliseconds. */
@@ -61,7 +61,7 @@
     connection.attach({
       frame: (body) => this.onFrame(body),
       closed: () => this.onConnectionClosed(),
-      heard: () => this.onBytes(),
+      bytesReceived: () => this.onBytes(),
     });
   }
 
@@ -112,7 +112,7 @@
     this.lastUsedAt = this.clock.mono();
     if (this.awaitingBytesSince !== null) return;
     this.awaitingBytesSince = this.lastUsedAt;
-    this.unresponsiveTimer = this.clock.timer(SILENT_MS, () => this.checkUnresponsive());
+    this.unresponsiveTimer = this.clock.timer(UNRESPONSIVE_TIMEOUT_MS, () => this.checkUnresponsive());
   }
 
   private onBytes(): void {
@@ -123,7 +123,7 @@
 
   private checkUnresponsive(): void {
     if (this.awaitingBytesSince === null || this.closed) return;
-    if (this.clock.mono() - this.awaitingBytesSince < SILENT_MS + PROCESS_PAUSE_MS) {
+    if (this.clock.mono() - this.awaitingBytesSince < UNRESPONSIVE_TIMEOUT_MS + PROCESS_PAUSE_MS) {
       this.connection.close();
       return;
     }
--- a/src/coordination/messaging/peers.ts
+++ b/src/coordination/messaging/peers.ts
@@ -6,7 +6,7 @@
 import { err, ok } from '../../base/result.js';
 import type { Result } from '../../base/result.js';
 import type { Message, MessageKind, MessageOf } from '../../protocol/messages.js';
-import { within } from '../../transport/clock.js';
+import { withTimeout } from '../../transport/clock.js';
 import type { Clock } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
 import type { Address, Connection, Listener, Wire, WireError } from '../../transport/wire.js';
@@ -94,7 +94,7 @@
 
   private getOrDialWithin(to: Address, timeoutMs: number): Promise<PeerLink | null> {
     const openLink = this.live.get(to);
-    return openLink ? Promise.resolve(openLink) : within(this.clock, timeoutMs, this.getOrDial(to));
+    return openLink ? Promise.resolve(openLink) : withTimeout(this.clock, timeoutMs, this.getOrDial(to));
   }
 
   async call(to: Address, message: Message, timeoutMs: number): Promise<Result<Message, PeerError>> {
--- a/src/coordination/node.ts
+++ b/src/coordination/node.ts
@@ -20,7 +20,7 @@
   readonly logs: LogRoot;
   readonly policies: readonly Policy[];
   readonly meters: () => Meters;
-  readonly listReader?: WorkerListReader | null;
+  readonly workerListReader?: WorkerListReader | null;
 };
 
 /** Name, location and addresses of a node, and the settings that differ between nodes. */
--- a/src/coordination/opened-memory.test.ts
+++ b/src/coordination/opened-memory.test.ts
@@ -5,7 +5,7 @@
 import { createPlatter, simDisk } from '../sim/sim-disk.js';
 import { createWorld } from '../sim/world.js';
 import { emptyControlState } from '../state/consensus/control-state.js';
-import { turnOver } from '../transport/clock.js';
+import { yieldToEventLoop } from '../transport/clock.js';
 import type { Disk } from '../transport/disk.js';
 import { createQuietLog } from '../transport/log.js';
 import { openRing } from '../transport/ring.js';
@@ -27,7 +27,7 @@
 async function bufferBytes(): Promise<number> {
   for (let i = 0; i < 4; i += 1) {
     collectGarbage();
-    await turnOver();
+    await yieldToEventLoop();
   }
   return process.memoryUsage().arrayBuffers;
 }
--- a/src/coordination/proxy/opaque-proxy.test.ts
+++ b/src/coordination/proxy/opaque-proxy.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from '@jest/globals';
-import { OPEN_WORDS as HEADERS } from '../../protocol/header-names.js';
+import { DEFAULT_HEADER_NAMES as HEADERS } from '../../protocol/header-names.js';
 import { createSimCore } from '../../sim/sim-core.js';
 import { routeSettings } from '../../sim/builders.js';
 import { EDGE_TUNING } from '../../state/forwarding/edge-tuning.js';
@@ -37,7 +37,7 @@
     open: () => 0,
     idle: () => 0,
     forget: () => undefined,
-    made: () => 0,
+    totalDialled: () => 0,
     stop: () => undefined,
   };
   const httpServers: ((req: OpaqueRequest) => void)[] = [];
@@ -73,11 +73,11 @@
               address,
               close: () => Promise.resolve(),
               inFlight: () => unsentCount,
-              refusePartial: (afterMs) => void refusals.push({ at: clock.mono(), afterMs }),
+              rejectIncomplete: (afterMs) => void refusals.push({ at: clock.mono(), afterMs }),
               stopListening: () => {
                 stoppedListening.push(clock.mono());
               },
-              limit: () => undefined,
+              setLimits: () => undefined,
             },
           });
         },
@@ -122,7 +122,7 @@
       headers: Object.entries(headers).flat(),
       get: (name) => headers[name] ?? null,
       body: () => Promise.resolve({ ok: true, value: Buffer.from('hi') }),
-      answerer: {
+      responseWriter: {
         head: (status, rawHeaders) => {
           response.status = status;
           response.headers = [...rawHeaders];
@@ -134,7 +134,7 @@
         abort: () => undefined,
         gone: () => false,
         begun: () => response.status !== 0,
-        onGone: () => undefined,
+        onCallerGone: () => undefined,
       },
     });
   }
--- a/src/coordination/proxy/opaque-proxy.ts
+++ b/src/coordination/proxy/opaque-proxy.ts
@@ -175,7 +175,7 @@
   const listener = httpServer.value;
   function applyLimits(): void {
     const limits = routeTable?.serving.limits;
-    if (limits) listener.limit({ headerMs: limits.headerMs, idleMs: limits.idleMs });
+    if (limits) listener.setLimits({ headerMs: limits.headerMs, idleMs: limits.idleMs });
   }
   applyLimits();
 
@@ -265,7 +265,7 @@
         listener.stopListening();
         return;
       }
-      if (elapsedMs >= FULL_INTAKE_MS) listener.refusePartial(MAX_PARTIAL_REQUEST_AGE_MS);
+      if (elapsedMs >= FULL_INTAKE_MS) listener.rejectIncomplete(MAX_PARTIAL_REQUEST_AGE_MS);
       if (elapsedMs >= ADVERTISED_MS && mayBeAdvertised) {
         mayBeAdvertised = false;
         report();
--- a/src/coordination/proxy/proxy-http-server.ts
+++ b/src/coordination/proxy/proxy-http-server.ts
@@ -1,16 +1,16 @@
 /** HTTP API of a proxy for callers: placements, and requests with an admission token (docs/http.md). */
-import type { Failure, PlacementRequest, Submit } from '../../protocol/caller-wire.js';
+import type { Failure, PlacementRequest, SubmittedRequest } from '../../protocol/caller-wire.js';
 import {
-  EDGE_HEALTH_PATH,
-  PLACE_PATH,
+  PROXY_HEALTH_PATH,
+  PLACEMENT_PATH,
   readPlacementRequest,
-  readSubmit,
+  readSubmittedRequest,
   REQUESTS_PATH,
   ADMISSION_TOKEN_HEADER,
 } from '../../protocol/caller-wire.js';
-import { routeSubject, recordIn } from '../../state/configuration/latency-target-counts.js';
-import type { CountTable, Ended } from '../../state/configuration/latency-target-counts.js';
-import { readRunKey, runKey } from '../../state/idempotency/run-key.js';
+import { routeSubject, countOutcome } from '../../state/configuration/latency-target-counts.js';
+import type { CountTable, RequestOutcome } from '../../state/configuration/latency-target-counts.js';
+import { parseRunKey, runKey } from '../../state/idempotency/run-key.js';
 import type { RunKey } from '../../state/idempotency/run-key.js';
 import { createUsedTokens, readAdmissionToken } from '../../state/forwarding/admission-token.js';
 import type { AdmissionToken } from '../../state/forwarding/admission-token.js';
@@ -108,10 +108,10 @@
       : null;
   }
 
-  private runKeyOf(token: AdmissionToken, body: Submit): RunKey | Failure | null {
+  private runKeyOf(token: AdmissionToken, body: SubmittedRequest): RunKey | Failure | null {
     if (token.repeatable) return null;
     const issuedAt = token.expiresAt - TOKEN_LIFETIME_MS;
-    const result = readRunKey(body.key ?? runKey(token.requestId, issuedAt), this.deps.follower.sharedNow());
+    const result = parseRunKey(body.key ?? runKey(token.requestId, issuedAt), this.deps.follower.sharedNow());
     if (result === 'tooOld') return { tag: 'keyTooOld' };
     if (result === 'withoutBirth')
       return { tag: 'malformed', detail: "/key: expected an id, '@' and the creation time in Unix milliseconds" };
@@ -124,7 +124,7 @@
     const token = this.readToken(req);
     if ('tag' in token) return failureReply(token, 1);
     if (!this.usedTokens.use(token, this.deps.clock.mono())) return failureReply(rejection('ticketUsed'), 1);
-    const body = readSubmit(req.body);
+    const body = readSubmittedRequest(req.body);
     if (!body.ok) return failureReply(body.error, 1);
     if (body.value.requestId !== token.requestId) return failureReply(rejection('ticketForeign'), 1);
     const lacksContentLength = req.headers['content-length'] === undefined;
@@ -137,7 +137,7 @@
     const submission = await this.deps.dispatcher.submit(token, body.value, key, req.gone);
     const { model, bound } = token;
 
-    const recordOutcome = (outcome: Ended['outcome'], firstMs: number | null): void => {
+    const recordOutcome = (outcome: RequestOutcome['outcome'], firstMs: number | null): void => {
       this.recordEnded(model, bound.mapping, {
         outcome,
         firstMs,
@@ -158,7 +158,7 @@
   private async *recordWhenEnded(
     lines: AsyncIterable<ResponseLine>,
     startedAt: number,
-    recordOutcome: (outcome: Ended['outcome'], firstMs: number | null) => void,
+    recordOutcome: (outcome: RequestOutcome['outcome'], firstMs: number | null) => void,
   ): AsyncGenerator<ResponseLine> {
     let firstMs: number | null = null;
     for await (const line of lines) {
@@ -176,9 +176,9 @@
     return mapped ?? request.model ?? '';
   }
 
-  private recordEnded(model: string, mapping: string | null, ended: Ended): void {
-    recordIn(this.deps.counts, model, ended);
-    if (mapping !== null) recordIn(this.deps.counts, routeSubject(mapping), ended);
+  private recordEnded(model: string, mapping: string | null, ended: RequestOutcome): void {
+    countOutcome(this.deps.counts, model, ended);
+    if (mapping !== null) countOutcome(this.deps.counts, routeSubject(mapping), ended);
   }
 
   private async health(): Promise<HttpReply> {
@@ -191,15 +191,15 @@
 
   routes(): Route[] {
     return [
-      { method: 'POST', path: PLACE_PATH, handle: (req) => this.place(req) },
+      { method: 'POST', path: PLACEMENT_PATH, handle: (req) => this.place(req) },
       {
         method: 'POST',
         path: REQUESTS_PATH,
         maxBytes: 64 * 1_048_576,
-        gate: (req) => this.checkBeforeBody(req),
+        earlyReply: (req) => this.checkBeforeBody(req),
         handle: (req) => this.submit(req),
       },
-      { method: 'GET', path: EDGE_HEALTH_PATH, handle: () => this.health() },
+      { method: 'GET', path: PROXY_HEALTH_PATH, handle: () => this.health() },
       { method: 'GET', path: '/v1/status', handle: () => this.readStatus() },
     ];
   }
--- a/src/coordination/proxy/proxy.ts
+++ b/src/coordination/proxy/proxy.ts
@@ -16,10 +16,10 @@
 import { createDispatcher } from '../forwarding/dispatcher.js';
 import type { DispatcherTally } from '../forwarding/dispatcher.js';
 import type { Meters } from '../../transport/meters.js';
-import { metricsRoute } from '../metrics-http-server.js';
+import { metricsRoute } from '../metrics-route.js';
 import type { NodeDeps, NodeIdentity } from '../node.js';
 import { createWorkerListSource } from '../discovery/worker-list-source.js';
-import { locationsOf } from '../membership/relocated-controllers.js';
+import { createLocationLookup } from '../membership/relocated-controllers.js';
 import { createPlacementService } from '../forwarding/placement-service.js';
 import type { PlacementService, ProxySelf } from '../forwarding/placement-service.js';
 import { commonReport, openProxyNode } from './proxy-node.js';
@@ -60,7 +60,7 @@
   const { peers, follower, membership } = node;
   const workerTable = createWorkerTable();
   const self: ProxySelf = { name: id.name, run: id.run, zone: id.zone, region: id.region, http: id.http };
-  follower.setTopology(locationsOf(membership));
+  follower.setTopology(createLocationLookup(membership));
   const placement = createPlacementService({
     self,
     ready,
--- a/src/coordination/scaling/observer.test.ts
+++ b/src/coordination/scaling/list-scaler.test.ts
@@ -2,12 +2,12 @@
 import { workerEntry } from '../../sim/builders.js';
 import { err, ok } from '../../base/result.js';
 import { ledgerRequest, ordersRequest } from '../../operator/requests.js';
-import { createCore } from '../../operator/core.js';
+import { createCoreClient } from '../../operator/core.js';
 import { ledgerText, ordersText } from '../../programs/inspect-text.js';
 import { createSimCore } from '../../sim/sim-core.js';
 import type { SimCore } from '../../sim/sim-core.js';
 import type { ControlState } from '../../state/consensus/control-state.js';
-import type { Entry, Step } from '../../state/consensus/entry.js';
+import type { Entry, ScalerStep } from '../../state/consensus/entry.js';
 import type { Report } from '../../state/distribution/report.js';
 import { DEFAULT_LIMITS } from '../../state/configuration/serving.js';
 import type { Settings } from '../../state/configuration/settings-tree.js';
@@ -75,8 +75,8 @@
   expect(await core.until(20_000, () => scalerHolders(core).length === 1)).toBe(true);
   return scalerHolders(core)[0] as string;
 }
-function decisions(core: SimCore, from = 0): { slot: number; entry: Entry; steps: readonly Step[] }[] {
-  const out: { slot: number; entry: Entry; steps: readonly Step[] }[] = [];
+function decisions(core: SimCore, from = 0): { slot: number; entry: Entry; steps: readonly ScalerStep[] }[] {
+  const out: { slot: number; entry: Entry; steps: readonly ScalerStep[] }[] = [];
   const newest = core.nodes
     .map((n) => n.controller?.ledger)
     .reduce((a, b) => ((b?.controlState().slot ?? -1) > (a?.controlState().slot ?? -1) ? b : a));
@@ -139,7 +139,7 @@
     await d.core.world.advance(500);
     const at = await waitForHolder(d.core);
     const fence = controlState(d.core).leases['scaler']?.fence;
-    const inspect = createCore(
+    const inspect = createCoreClient(
       ['h1', 'h2', 'h3'].map((n) => `${d.core.node(n).wire}0`),
       d.core.lab('inspect').httpClient,
     );
@@ -201,7 +201,7 @@
     d.core.world.freeze(d.core.node(previousHolder).host);
     expect(await d.core.until(25_000, () => scalerHolders(d.core).some((n) => n !== previousHolder))).toBe(true);
     d.core.world.thaw(d.core.node(previousHolder).host);
-    const steps: Step[] = [{ cause: 'late', act: { tag: 'targetChanged', model: 'm', target: 50 } }];
+    const steps: ScalerStep[] = [{ cause: 'late', act: { tag: 'targetChanged', model: 'm', target: 50 } }];
     const response = await d.core.finish(
       previousLedger?.propose({ cause: 'late', act: { tag: 'decided', steps }, fence }, 3_000) ?? Promise.resolve(null),
       10_000,
--- a/src/coordination/scaling/observer.ts
+++ b/src/coordination/scaling/list-scaler.ts
@@ -1,7 +1,7 @@
 /**
  * The scaler for a platform that starts workers itself. It decides orders and finds their outcome in the worker list.
  */
-import type { Step } from '../../state/consensus/entry.js';
+import type { ScalerStep } from '../../state/consensus/entry.js';
 import {
   decideOrdersFromList,
   decideRetiredModels,
@@ -65,7 +65,7 @@
   }
 
   private holdsLease(fence: number): boolean {
-    return this.deps.lease.fence() === fence && this.deps.lease.leftMs() > 0;
+    return this.deps.lease.fence() === fence && this.deps.lease.remainingMs() > 0;
   }
 
   private nextOrderId(): string {
@@ -126,7 +126,7 @@
     return isStale ? null : this.deps.feed.entries();
   }
 
-  private decide(list: readonly WorkerEntry[]): Step[] {
+  private decide(list: readonly WorkerEntry[]): ScalerStep[] {
     const controlState = this.deps.ledger.controlState();
     const dead = this.deadWorkers(list);
     const models = scaledModels(controlState.configuration, this.deps.zones);
@@ -189,6 +189,6 @@
 }
 
 /** Creates the scaler and starts it. */
-export function createObserver(deps: ListScalerDeps): ListScaler {
+export function createListScaler(deps: ListScalerDeps): ListScaler {
   return new LeasedListScaler(deps);
 }
--- a/src/coordination/scaling/scaler.ts
+++ b/src/coordination/scaling/scaler.ts
@@ -6,7 +6,7 @@
 import type { Order } from '../../state/scaling/order.js';
 import { isOpen } from '../../state/scaling/order.js';
 import { resolveAll } from '../../state/configuration/settings-tree.js';
-import type { Resolved } from '../../state/configuration/settings-tree.js';
+import type { ResolvedSettings } from '../../state/configuration/settings-tree.js';
 import { decideModel } from '../../state/scaling/scaler-decide.js';
 import type { Decision } from '../../state/scaling/scaler-decide.js';
 import { recordLaunchFailed } from '../../state/scaling/scaler-memory.js';
@@ -94,7 +94,7 @@
   }
 
   private holdsLease(fence: number): boolean {
-    return this.deps.lease.fence() === fence && this.deps.lease.leftMs() > 0;
+    return this.deps.lease.fence() === fence && this.deps.lease.remainingMs() > 0;
   }
 
   private async pollPrices(): Promise<void> {
@@ -165,7 +165,7 @@
         return;
       }
       for (const accelerator of this.acceleratorsOf(order)) {
-        if (!this.holdsLease(fence) || this.deps.lease.leftMs() < MIN_LEASE_LEFT_MS) return;
+        if (!this.holdsLease(fence) || this.deps.lease.remainingMs() < MIN_LEASE_LEFT_MS) return;
         const response = await this.deps.cloud.orderMachine({
           key: order.id,
           owner: this.deps.ledger.controlState().ledger,
@@ -226,7 +226,7 @@
         const health = response.ok ? readHealth(response.value.body) : null;
         if (health?.ok && health.value.running > 0) return;
       }
-      if (!this.holdsLease(fence) || this.deps.lease.leftMs() < MIN_LEASE_LEFT_MS) return;
+      if (!this.holdsLease(fence) || this.deps.lease.remainingMs() < MIN_LEASE_LEFT_MS) return;
       const released = order.machine === null ? null : await this.deps.cloud.release(order.machine);
       if (released && !released.ok) return;
       await this.proposeCommand(fence, 'Drained; the machine is given back.', {
@@ -243,7 +243,7 @@
     await Promise.all(releases);
   }
 
-  private valuesOf(model: string): Resolved | null {
+  private valuesOf(model: string): ResolvedSettings | null {
     for (const resolved of resolveAll(this.deps.ledger.controlState().configuration))
       if (resolved.model === model) return resolved.values;
     return null;
@@ -272,7 +272,7 @@
       }
       const since = this.orphanSince.get(machine.id) ?? now;
       this.orphanSince.set(machine.id, since);
-      if (now - since < ORPHAN_GRACE_MS || !this.holdsLease(fence) || this.deps.lease.leftMs() < MIN_LEASE_LEFT_MS)
+      if (now - since < ORPHAN_GRACE_MS || !this.holdsLease(fence) || this.deps.lease.remainingMs() < MIN_LEASE_LEFT_MS)
         continue;
       const released = await this.deps.cloud.release(machine.id);
       if (!released.ok) continue;
@@ -323,8 +323,8 @@
         prices: this.prices,
         rates: { [resolved.model]: rate },
         deadMachines: dead,
-        failedIn,
-        asOf,
+        failedSpotZones: failedIn,
+        asOfSlot: asOf,
         knownMachines: this.knownMachines,
       };
       for (const decision of decideModel(resolved, this.deps.ledger.controlState(), observation, this.memory, () =>
--- a/src/coordination/scaling/worker-list-role.ts
+++ b/src/coordination/scaling/worker-list-role.ts
@@ -7,12 +7,12 @@
 import { compareVersions, isEmptyChange } from '../../state/discovery/worker-list-table.js';
 import type { WorkerListVersion } from '../../state/discovery/worker-list-table.js';
 import type { WorkerEntry } from '../../state/discovery/worker-entry.js';
-import { within } from '../../transport/clock.js';
+import { withTimeout } from '../../transport/clock.js';
 import type { Clock, Timer } from '../../transport/clock.js';
 import type { Log } from '../../transport/log.js';
 import { newId } from '../../transport/rng.js';
 import type { Rng } from '../../transport/rng.js';
-import { STANDSTILL_MS } from '../../transport/standstill-detector.js';
+import { PROCESS_PAUSE_MS } from '../../transport/process-pause-detector.js';
 import type { Address } from '../../transport/wire.js';
 import type { WorkerListFeed, WorkerListFeedEvents, WorkerListReader } from '../discovery/worker-list-feed.js';
 import { createWorkerListUpdates, WORKER_LIST_TIMING } from '../discovery/worker-list-updates.js';
@@ -246,12 +246,12 @@
     const slowReadTimer = this.deps.clock.timer(this.pace.readTimeoutMs * SLOW_READ_FRACTION, () =>
       this.announcePlatformUnresponsive(),
     );
-    const response = await within(this.deps.clock, this.pace.readTimeoutMs, this.deps.reader.read());
+    const response = await withTimeout(this.deps.clock, this.pace.readTimeoutMs, this.deps.reader.read());
     slowReadTimer.cancel();
     this.updates.detectStandstill();
     if (this.stopped) return;
     if (
-      this.deps.clock.mono() - startedAt > STANDSTILL_MS ||
+      this.deps.clock.mono() - startedAt > PROCESS_PAUSE_MS ||
       this.isReader !== wasReader ||
       (!wasReader && this.updates.isFresh())
     )
--- a/src/operator/core-report.test.ts
+++ b/src/operator/core-report.test.ts
@@ -5,8 +5,8 @@
 import { coreHealth } from '../state/membership/core-health.js';
 import type { CoreHealth } from '../state/membership/core-health.js';
 import { coreText } from '../programs/core-text.js';
-import { createCore } from './core.js';
-import type { Core } from './core.js';
+import { createCoreClient } from './core.js';
+import type { CoreClient } from './core.js';
 import { requestCoreReport, groupReport } from './core-report.js';
 import type { ControllerStatus } from './core-report.js';
 
@@ -91,7 +91,7 @@
 describe('the report of a simulated core', () => {
   async function bootstrapCore(
     seed: number,
-  ): Promise<{ readonly sim: SimCore; readonly createClient: (names: readonly string[]) => Core }> {
+  ): Promise<{ readonly sim: SimCore; readonly createClient: (names: readonly string[]) => CoreClient }> {
     const sim = createSimCore(seed, { controllers: 3, seeds: 3, regionMs: 35, operatorHttpServer: true });
     sim.startAll();
     expect(await sim.until(8_000, () => sim.whole(MEMBERS))).toBe(true);
@@ -100,7 +100,7 @@
     return {
       sim,
       createClient: (names) =>
-        createCore(
+        createCoreClient(
           names.map((n) => `${sim.node(n).wire}0`),
           httpClient,
         ),
--- a/src/operator/core-report.ts
+++ b/src/operator/core-report.ts
@@ -6,11 +6,11 @@
  * of the members state one for the same set of members; where they differ, the smallest is used. With fewer statements
  * the number is unknown, whatever a single controller states.
  */
-import { isTable } from '../base/is-table.js';
+import { isJsonObject } from '../base/is-json-object.js';
 import type { CoreHealth, CoreWarning, MemberHealth } from '../state/membership/core-health.js';
 import type { Address } from '../transport/wire.js';
 import { statusRequest } from './requests.js';
-import type { Core } from './core.js';
+import type { CoreClient } from './core.js';
 
 /** Which membership is reported: the members as acceptors of the replicated log, or as holders of run-once claims. */
 export type CoreGroup = 'ledger' | 'claims';
@@ -53,7 +53,7 @@
 const STATUS_TIMEOUT_MS = 3_000;
 
 function parseCoreHealth(value: unknown): CoreHealth | null {
-  if (!isTable(value) || !Array.isArray(value['details']) || typeof value['quorumSize'] !== 'number') return null;
+  if (!isJsonObject(value) || !Array.isArray(value['details']) || typeof value['quorumSize'] !== 'number') return null;
   const spareLosses = value['spareLosses'];
   return spareLosses === null || typeof spareLosses === 'number' ? (value as CoreHealth) : null;
 }
@@ -62,10 +62,10 @@
 function memberAddressesIn(body: Readonly<Record<string, unknown>>): Address[] {
   const names = new Set<unknown>();
   for (const member of Array.isArray(body['members']) ? body['members'] : [])
-    if (isTable(member)) names.add(member['name']);
+    if (isJsonObject(member)) names.add(member['name']);
   const addresses: Address[] = [];
   for (const node of Array.isArray(body['nodes']) ? body['nodes'] : []) {
-    if (isTable(node) && names.has(node['name']) && typeof node['http'] === 'string' && node['http'] !== '')
+    if (isJsonObject(node) && names.has(node['name']) && typeof node['http'] === 'string' && node['http'] !== '')
       addresses.push(node['http']);
   }
   return addresses;
@@ -73,7 +73,7 @@
 
 function parseStatus(address: Address, body: unknown): StatusResponse {
   const unresponsive: ControllerStatus = { address, member: null, name: null, slot: -1, ledger: null, claims: null };
-  if (!isTable(body) || !isTable(body['core'])) return { status: unresponsive, memberAddresses: [] };
+  if (!isJsonObject(body) || !isJsonObject(body['core'])) return { status: unresponsive, memberAddresses: [] };
   const status: ControllerStatus = {
     address,
     member: typeof body['member'] === 'string' ? body['member'] : null,
@@ -85,7 +85,7 @@
   return { status, memberAddresses: memberAddressesIn(body) };
 }
 
-async function requestAll(core: Core, addresses: readonly Address[]): Promise<StatusResponse[]> {
+async function requestAll(core: CoreClient, addresses: readonly Address[]): Promise<StatusResponse[]> {
   async function requestStatus(address: Address): Promise<StatusResponse> {
     const response = await core.requestAt(address, statusRequest(), STATUS_TIMEOUT_MS);
     return parseStatus(address, response?.status === 200 ? response.body : null);
@@ -145,7 +145,7 @@
 }
 
 /** Requests the status of the configured controllers and of the members that these list; null if none responds. */
-export async function requestCoreReport(core: Core): Promise<CoreReport | null> {
+export async function requestCoreReport(core: CoreClient): Promise<CoreReport | null> {
   const firstResponses = await requestAll(core, core.addresses);
   const requested = new Set<Address>(core.addresses);
   const additional = new Set<Address>();
--- a/src/operator/core.ts
+++ b/src/operator/core.ts
@@ -2,7 +2,7 @@
 import type { HttpClient } from '../transport/http.js';
 import type { Address } from '../transport/wire.js';
 import type { CoreRequest } from './requests.js';
-import { readRequest } from './requests.js';
+import { readConfigurationRequest } from './requests.js';
 
 /** Status and parsed body of an HTTP response. */
 export type CoreResponse = { readonly status: number; readonly body: unknown };
@@ -11,7 +11,7 @@
  * Requests to the controllers. Each returns null if no controller responds, and the last response if all responses have
  * status 503.
  */
-export type Core = {
+export type CoreClient = {
   readonly addresses: readonly Address[];
   readonly request: (message: CoreRequest) => Promise<CoreResponse | null>;
   readonly requestAt: (address: Address, message: CoreRequest, timeoutMs?: number) => Promise<CoreResponse | null>;
@@ -21,7 +21,7 @@
 const REQUEST_TIMEOUT_MS = 12_000;
 
 /** Returns a client that tries these addresses in order; the timeout of each request is 12 s. */
-export function createCore(addresses: readonly Address[], httpClient: HttpClient): Core {
+export function createCoreClient(addresses: readonly Address[], httpClient: HttpClient): CoreClient {
   async function request(message: CoreRequest): Promise<CoreResponse | null> {
     let lastResponse: CoreResponse | null = null;
     for (const address of addresses) {
@@ -41,7 +41,7 @@
     return response.ok ? { status: response.value.status, body: response.value.body } : null;
   }
   async function version(): Promise<number | null> {
-    const response = await request(readRequest());
+    const response = await request(readConfigurationRequest());
     const version = response?.status === 200 ? (response.body as { readonly version?: unknown }).version : null;
     return typeof version === 'number' ? version : null;
   }
--- a/src/operator/latency-targets.test.ts
+++ b/src/operator/latency-targets.test.ts
@@ -5,7 +5,7 @@
 import type { Configuration } from '../state/configuration/settings-tree.js';
 import type { LatencyTargetRow } from '../state/configuration/latency-target-report.js';
 import { reportLatencyTargets } from './latency-targets.js';
-import type { Core } from './core.js';
+import type { CoreClient } from './core.js';
 
 const configuration: Configuration = {
   zones: {},
@@ -68,7 +68,7 @@
 });
 
 describe('a report on latency targets', () => {
-  function coreClientOf(fleet: SimFleet): Core {
+  function coreClientOf(fleet: SimFleet): CoreClient {
     const controllerIndex = (address: string): number => fleet.controllers.findIndex((h) => h.http === address);
     async function requestAt(
       address: string,
--- a/src/operator/latency-targets.ts
+++ b/src/operator/latency-targets.ts
@@ -1,18 +1,18 @@
 /** Collects the counts per minute of all controllers and evaluates latency targets on them. */
 import type { MinuteCounts } from '../coordination/configuration/latency-target-tracker.js';
-import { isTable } from '../base/is-table.js';
-import { addCounts, CHANGES_SUBJECT, noCounts } from '../state/configuration/latency-target-counts.js';
+import { isJsonObject } from '../base/is-json-object.js';
+import { addCounts, CHANGES_SUBJECT, emptyCounts } from '../state/configuration/latency-target-counts.js';
 import { reportLatencyTarget } from '../state/configuration/latency-target-report.js';
 import type { LatencyTarget, LatencyTargetRow } from '../state/configuration/latency-target-report.js';
 import type { Minute } from '../state/configuration/latency-target-table.js';
 import type { Address } from '../transport/wire.js';
 import { latencyTargetsRequest } from './requests.js';
-import type { Core } from './core.js';
+import type { CoreClient } from './core.js';
 
 type MinuteResponse = { readonly by: string; readonly minutes: readonly Minute[] };
 
 function parseMinutes(body: unknown): MinuteResponse | null {
-  if (!isTable(body) || !Array.isArray(body['minutes']) || typeof body['now'] !== 'number') return null;
+  if (!isJsonObject(body) || !Array.isArray(body['minutes']) || typeof body['now'] !== 'number') return null;
   const { by, now, minutes } = body as MinuteCounts;
   const relative: Minute[] = [];
   for (const minute of minutes) relative.push({ ...minute, minute: minute.minute - now });
@@ -26,7 +26,7 @@
 ): Minute[] {
   const merged: Minute[] = [];
   for (let minute = -windowMinutes; minute < 0; minute += 1) {
-    const counts = { [CHANGES_SUBJECT]: noCounts() };
+    const counts = { [CHANGES_SUBJECT]: emptyCounts() };
     const unknown = [...unresponsive];
     for (const response of responses) {
       const matching = response.minutes.find(isSameMinute);
@@ -53,7 +53,7 @@
  * minutes.
  */
 export async function reportLatencyTargets(
-  core: Core,
+  core: CoreClient,
   addresses: readonly Address[],
   latencyTargets: readonly LatencyTarget[],
 ): Promise<readonly LatencyTargetRow[] | null> {
--- a/src/operator/requests.ts
+++ b/src/operator/requests.ts
@@ -1,5 +1,5 @@
 /** The requests that operator commands send to a controller (docs/http.md). */
-import type { Change } from '../state/consensus/entry.js';
+import type { ConfigurationChange } from '../state/consensus/entry.js';
 
 /** Method, path and JSON body of a request. */
 export type CoreRequest = {
@@ -9,7 +9,7 @@
 };
 
 /** Reads the configuration linearizably. */
-export function readRequest(): CoreRequest {
+export function readConfigurationRequest(): CoreRequest {
   return { method: 'GET', path: '/v1/configuration' };
 }
 /** Reads what the requested controller knows of nodes and members. */
@@ -33,7 +33,11 @@
   return { method: 'POST', path: '/v1/configuration', body: { base, configuration, operation } };
 }
 /** Changes single values of the configuration of version `base`. */
-export function amendRequest(base: number, changes: readonly Change[], operation: string): CoreRequest {
+export function amendConfigurationRequest(
+  base: number,
+  changes: readonly ConfigurationChange[],
+  operation: string,
+): CoreRequest {
   return { method: 'POST', path: '/v1/configuration/amend', body: { base, changes, operation } };
 }
 /** Evacuates a zone or takes it into use again. */
@@ -41,11 +45,11 @@
   return { method: 'POST', path: `/v1/zones/${encodeURIComponent(zone)}/${command}`, body: { operation } };
 }
 /** Removes a proxy that will not come back from those that must confirm changes. */
-export function forgetRequest(proxy: string): CoreRequest {
+export function removeProxyRequest(proxy: string): CoreRequest {
   return { method: 'DELETE', path: `/v1/proxies/${encodeURIComponent(proxy)}` };
 }
 /** Accepts run-once requests again after the claims were lost. */
-export function reopenRequest(): CoreRequest {
+export function reopenClaimsRequest(): CoreRequest {
   return { method: 'POST', path: '/v1/claims/reopen', body: {} };
 }
 /** Bootstraps the replicated log on these blank controllers. */
@@ -54,6 +58,6 @@
 }
 
 /** Splits a path such as `deployment/lineLimit` into its keys. */
-export function placeOf(path: string): string[] {
+export function splitPath(path: string): string[] {
   return path.split('/').filter(Boolean);
 }
--- a/src/programs/admin.ts
+++ b/src/programs/admin.ts
@@ -5,13 +5,13 @@
 import type { Result } from '../base/result.js';
 import { createOsRng, newId } from '../transport/rng.js';
 import {
-  amendRequest,
+  amendConfigurationRequest,
   replaceConfigurationRequest,
   bootstrapRequest,
-  forgetRequest,
-  placeOf,
-  readRequest,
-  reopenRequest,
+  removeProxyRequest,
+  splitPath,
+  readConfigurationRequest,
+  reopenClaimsRequest,
   zoneRequest,
 } from '../operator/requests.js';
 import type { CoreRequest } from '../operator/requests.js';
@@ -117,13 +117,13 @@
 
 function runSet(ctx: CommandContext): Promise<void> {
   function prepare(): Result<RequestFactory, string> {
-    const path = placeOf(stringArg(ctx, 'path') ?? '');
+    const path = splitPath(stringArg(ctx, 'path') ?? '');
     const raw = stringArg(ctx, 'value');
     if (path.length === 0) return err('path: expected a path below /; found "/"');
     const value = raw === undefined ? ok(undefined) : parseValue(raw);
     if (!value.ok) return value;
     function createRequest(base: number, operation: string): CoreRequest {
-      return amendRequest(
+      return amendConfigurationRequest(
         base,
         [raw === undefined ? { path } : { path, value: value.ok ? value.value : null }],
         operation,
@@ -152,7 +152,7 @@
 
 async function runRead(ctx: CommandContext): Promise<void> {
   if (!areFlagsValid(ctx.rawArgs, READ_ARGS)) return setUsageExitCode();
-  const response = await coreClientOf(ctx.args).request(readRequest());
+  const response = await coreClientOf(ctx.args).request(readConfigurationRequest());
   printResponse(response, ctx.args['json'] === true, format);
 
   function format(body: unknown): string {
@@ -209,7 +209,7 @@
 async function runForget(ctx: CommandContext): Promise<void> {
   if (!areFlagsValid(ctx.rawArgs, FORGET_ARGS)) return setUsageExitCode();
   printResponse(
-    await coreClientOf(ctx.args).request(forgetRequest(stringArg(ctx, 'proxy') ?? '')),
+    await coreClientOf(ctx.args).request(removeProxyRequest(stringArg(ctx, 'proxy') ?? '')),
     ctx.args['json'] === true,
     formatAcknowledgement,
   );
@@ -244,7 +244,7 @@
     return setUsageExitCode();
   }
   printResponse(
-    await coreClientOf(ctx.args).request(reopenRequest()),
+    await coreClientOf(ctx.args).request(reopenClaimsRequest()),
     ctx.args['json'] === true,
     formatAcknowledgement,
   );
--- a/src/programs/composition.ts
+++ b/src/programs/composition.ts
@@ -2,9 +2,9 @@
 import 'reflect-metadata';
 import { Container } from 'inversify';
 import type { NodeDeps, NodeIdentity } from '../coordination/node.js';
-import { fullDisk } from '../standin/full-disk.js';
-import { pathTable, slowHttpClient, slowWire } from '../standin/slow-net.js';
-import type { PathTo } from '../standin/slow-net.js';
+import { createFullDisk } from '../standin/full-disk.js';
+import { createPathLookup, createSlowHttpClient, createSlowWire } from '../standin/slow-net.js';
+import type { PathLookup } from '../standin/slow-net.js';
 import { POLICIES } from '../state/forwarding/policies.js';
 import type { Policy } from '../state/forwarding/policies.js';
 import { createGotHttpClient } from '../transport/http-client.js';
@@ -21,10 +21,10 @@
 import type { Rng } from '../transport/rng.js';
 import { createTcpWire } from '../transport/wire.js';
 import type { Wire } from '../transport/wire.js';
-import { switchesAt } from '../transport/switch-file.js';
-import type { Switches } from '../transport/switch-file.js';
+import { createFaultSwitches } from '../transport/switch-file.js';
+import type { FaultSwitches } from '../transport/switch-file.js';
 import type { LabSettings, NodeSettings } from './settings.js';
-import type { Place } from '../standin/tally.js';
+import type { NodeLocation } from '../standin/tally.js';
 import { locationOf, createFileTally } from './tally-file.js';
 
 /** Identifiers of the services in the container. */
@@ -58,7 +58,7 @@
   const container = new Container({ defaultScope: 'Singleton' });
   const { lab } = settings;
   const tally = lab?.tally ? createFileTally(lab.tally, noExtra) : null;
-  function ownLocation(): Place {
+  function ownLocation(): NodeLocation {
     return lab?.tally
       ? locationOf(lab.tally, settings.advertise)
       : { role: 'unknown', zone: settings.zone, region: settings.region };
@@ -73,13 +73,15 @@
       WIRE_CONNECT_TIMEOUT_MS,
       tally && tally.meterOf(ownLocation()),
     );
-    return hasNetworkFaults(lab) ? slowWire(wire, container.get<Clock>(SERVICE_IDS.clock), networkPaths(lab)) : wire;
+    return hasNetworkFaults(lab)
+      ? createSlowWire(wire, container.get<Clock>(SERVICE_IDS.clock), networkPaths(lab))
+      : wire;
   }
   function makeHttpClient(): HttpClient {
     const plainClient = createGotHttpClient(HTTP_CONNECT_TIMEOUT_MS);
-    const httpClient = tally ? tally.countedHttpClient(ownLocation(), plainClient) : plainClient;
+    const httpClient = tally ? tally.meteredHttpClient(ownLocation(), plainClient) : plainClient;
     return hasNetworkFaults(lab)
-      ? slowHttpClient(httpClient, container.get<Clock>(SERVICE_IDS.clock), networkPaths(lab))
+      ? createSlowHttpClient(httpClient, container.get<Clock>(SERVICE_IDS.clock), networkPaths(lab))
       : httpClient;
   }
   function makePolicies(): readonly Policy[] {
@@ -93,16 +95,16 @@
   function makeDisk(): Disk | null {
     if (settings.dataFolder === null) return null;
     const disk = createFolderDisk(settings.dataFolder);
-    return lab?.switches === undefined ? disk : fullDisk(disk, isDiskFull);
+    return lab?.switches === undefined ? disk : createFullDisk(disk, isDiskFull);
   }
   function isDiskFull(): boolean {
-    return container.get<Switches>(SERVICE_IDS.switches).isFull(settings.name);
+    return container.get<FaultSwitches>(SERVICE_IDS.switches).isFull(settings.name);
   }
-  function makeSwitches(): Switches {
-    return switchesAt(lab?.switches);
+  function makeSwitches(): FaultSwitches {
+    return createFaultSwitches(lab?.switches);
   }
-  function networkPaths(lab: LabSettings): PathTo {
-    return pathTable(settings.zone, lab.zones, lab.delayMs, container.get<Switches>(SERVICE_IDS.switches));
+  function networkPaths(lab: LabSettings): PathLookup {
+    return createPathLookup(settings.zone, lab.zones, lab.delayMs, container.get<FaultSwitches>(SERVICE_IDS.switches));
   }
   function makeDeps(): NodeDeps {
     return {
--- a/src/programs/daemons.ts
+++ b/src/programs/daemons.ts
@@ -5,7 +5,7 @@
 import type { NodeDeps, NodeIdentity } from '../coordination/node.js';
 import { startProxy } from '../coordination/proxy/proxy.js';
 import type { Result } from '../base/result.js';
-import { awaitStopSignal, endProcess, endStuckStart } from '../transport/stop-signal.js';
+import { awaitStopSignal, stopAndExit, exitIfStartHangs } from '../transport/stop-signal.js';
 import { surviveUncaughtErrors } from '../transport/uncaught-errors.js';
 import { createContainer, SERVICE_IDS } from './composition.js';
 import { EXIT } from './exit-codes.js';
@@ -66,7 +66,7 @@
   const container = createContainer(settings);
   const deps = container.get<NodeDeps>(SERVICE_IDS.deps);
   const log = deps.logs.component('start');
-  const onStarted = endStuckStart(log, deps.clock, stopSignal, STOP_TIMEOUT_MS);
+  const onStarted = exitIfStartHangs(log, deps.clock, stopSignal, STOP_TIMEOUT_MS);
   const started = await start(container.get<NodeIdentity>(SERVICE_IDS.identity), deps);
   if (!started.ok) {
     printError(`millfield could not start: ${JSON.stringify(started.error)}`);
@@ -76,7 +76,7 @@
   surviveUncaughtErrors(log);
   const signal = await stopSignal;
   log.info('stopping', { signal, withinMs: STOP_TIMEOUT_MS });
-  await endProcess(log, deps.clock, STOP_TIMEOUT_MS + EXIT_SLACK_MS, () => started.value.stop(STOP_TIMEOUT_MS));
+  await stopAndExit(log, deps.clock, STOP_TIMEOUT_MS + EXIT_SLACK_MS, () => started.value.stop(STOP_TIMEOUT_MS));
 }
 
 function nodeFlags(args: Readonly<Record<string, unknown>>): Record<string, string | undefined> {
--- a/src/programs/hollow.ts
+++ b/src/programs/hollow.ts
@@ -3,10 +3,15 @@
 import { createInterface } from 'node:readline';
 import type { ArgsDef } from 'citty';
 import { startStandinCloud } from '../standin/cloud.js';
-import { hollowHttpServer, hollowWorkers, localHttpServers, startHollowProxies } from '../standin/hollow.js';
-import type { HollowPart, HollowProxy } from '../standin/hollow.js';
+import {
+  createHollowHttpServer,
+  createSharedListHttpClient,
+  createLocalHttp,
+  startHollowProxies,
+} from '../standin/hollow.js';
+import type { HollowProxyGroup, HollowProxy } from '../standin/hollow.js';
 import { startStandinPlatform } from '../standin/platform.js';
-import type { Place } from '../standin/tally.js';
+import type { NodeLocation } from '../standin/tally.js';
 import { startStandinWorker, WORKER_DEFAULTS } from '../standin/worker.js';
 import type { NodeDeps } from '../coordination/node.js';
 import { POLICIES } from '../state/forwarding/policies.js';
@@ -59,12 +64,12 @@
   const plan = JSON.parse(readFileSync(String(ctx.args['plan']), 'utf8')) as HollowPlan;
   const clock = createClock();
   const logs = createLogRoot('error');
-  let proxyGroup: HollowPart | null = null;
+  let proxyGroup: HollowProxyGroup | null = null;
   function extra(): unknown {
     return proxyGroup?.tally() ?? null;
   }
   const tally = createFileTally(plan.tally, extra);
-  const sharedClient = hollowWorkers(createGotHttpClient(CONNECT_TIMEOUT_MS), clock);
+  const sharedClient = createSharedListHttpClient(createGotHttpClient(CONNECT_TIMEOUT_MS), clock);
 
   if (plan.outside && !(await startExternalServices(plan.outside))) return setExitCode(EXIT.cannotListen);
   if (plan.proxies.length > 0) {
@@ -77,14 +82,14 @@
   }
 
   function createProxyDeps(hollowProxy: HollowProxy): NodeDeps {
-    const location: Place = { role: 'proxy', zone: hollowProxy.zone, region: hollowProxy.region };
-    const countedClient = tally.countedHttpClient(location, createGotHttpClient(CONNECT_TIMEOUT_MS));
+    const location: NodeLocation = { role: 'proxy', zone: hollowProxy.zone, region: hollowProxy.region };
+    const countedClient = tally.meteredHttpClient(location, createGotHttpClient(CONNECT_TIMEOUT_MS));
     return {
       clock,
       rng: createOsRng(),
       wire: createTcpWire(logs.component('wire'), CONNECT_TIMEOUT_MS, tally.meterOf(location)),
-      httpServer: hollowHttpServer(),
-      httpClient: plan.wholeProbes ? countedClient : tally.countedHttpClient(location, sharedClient),
+      httpServer: createHollowHttpServer(),
+      httpClient: plan.wholeProbes ? countedClient : tally.meteredHttpClient(location, sharedClient),
       disk: null,
       logs,
       policies: POLICIES,
@@ -93,7 +98,7 @@
   }
 
   async function startExternalServices(options: NonNullable<HollowPlan['outside']>): Promise<boolean> {
-    const localHttp = localHttpServers(
+    const localHttp = createLocalHttp(
       createExpressHttpServer(logs.component('standin')),
       createGotHttpClient(CONNECT_TIMEOUT_MS),
     );
--- a/src/programs/inspect.ts
+++ b/src/programs/inspect.ts
@@ -5,7 +5,7 @@
 import type { Configuration } from '../state/configuration/settings-tree.js';
 import { requestCoreReport } from '../operator/core-report.js';
 import { reportLatencyTargets } from '../operator/latency-targets.js';
-import { ledgerRequest, ordersRequest, readRequest, statusRequest } from '../operator/requests.js';
+import { ledgerRequest, ordersRequest, readConfigurationRequest, statusRequest } from '../operator/requests.js';
 import type { CoreRequest } from '../operator/requests.js';
 import { controllerAddresses, coreClientOf, CORE_ARGS, printResponse } from './request-core.js';
 import { EXIT } from './exit-codes.js';
@@ -64,7 +64,7 @@
     return setUsageExitCode();
   }
   const core = coreClientOf(ctx.args);
-  const response = await core.request(readRequest());
+  const response = await core.request(readConfigurationRequest());
   if (response?.status !== 200) return reportNoMajority();
   const latencyTargets = readLatencyTargets(
     document.value,
--- a/src/programs/request-core.ts
+++ b/src/programs/request-core.ts
@@ -1,6 +1,6 @@
 /** Shared by commands that send requests to controllers: flags, client, printed responses and exit codes. */
-import { createCore } from '../operator/core.js';
-import type { Core, CoreResponse } from '../operator/core.js';
+import { createCoreClient } from '../operator/core.js';
+import type { CoreClient, CoreResponse } from '../operator/core.js';
 import { createGotHttpClient } from '../transport/http-client.js';
 import { EXIT } from './exit-codes.js';
 import type { ExitCode } from './exit-codes.js';
@@ -23,8 +23,8 @@
 }
 
 /** Returns a client of the controllers that the flags name. */
-export function coreClientOf(args: Readonly<Record<string, unknown>>): Core {
-  return createCore(controllerAddresses(args), createGotHttpClient(1_000));
+export function coreClientOf(args: Readonly<Record<string, unknown>>): CoreClient {
+  return createCoreClient(controllerAddresses(args), createGotHttpClient(1_000));
 }
 
 /** Returns the exit code for a response; null if no controller responded. */
--- a/src/programs/runbook.ts
+++ b/src/programs/runbook.ts
@@ -3,12 +3,12 @@
 import type { ArgsDef } from 'citty';
 import { appendFileSync, existsSync, readFileSync } from 'node:fs';
 import { createInterface } from 'node:readline/promises';
-import { describe, runRunbook, unmetAtStart } from '../runbook/run.js';
+import { describeStep, runRunbook, findUnmetPrecondition } from '../runbook/run.js';
 import type { StepRecord } from '../runbook/run.js';
 import { readRunbook } from '../runbook/document.js';
 import type { Runbook, Step } from '../runbook/document.js';
-import { isTable } from '../base/is-table.js';
-import { parsedJson } from '../base/parsed-json.js';
+import { isJsonObject } from '../base/is-json-object.js';
+import { parseJson } from '../base/parse-json.js';
 import { createClock } from '../transport/clock.js';
 import { createOsRng } from '../transport/rng.js';
 import { coreClientOf, CORE_ARGS } from './request-core.js';
@@ -63,7 +63,7 @@
 }
 
 async function arePreconditionsMet(ctx: CommandContext, runbook: Runbook): Promise<boolean> {
-  const unmet = await unmetAtStart(runbook, coreClientOf(ctx.args), createClock());
+  const unmet = await findUnmetPrecondition(runbook, coreClientOf(ctx.args), createClock());
   if (!unmet) return true;
   printError(`${String(ctx.args['file'])}:${unmet.step.line}: ${unmet.step.name}: ${unmet.seen}. ${unmet.step.ifNot}`);
   setExitCode(EXIT.refused);
@@ -83,8 +83,8 @@
   if (!existsSync(path)) return [];
   const records: StepRecord[] = [];
   for (const line of readFileSync(path, 'utf8').split('\n')) {
-    const parsed = parsedJson(line);
-    if (isTable(parsed)) records.push(parsed as StepRecord);
+    const parsed = parseJson(line);
+    if (isJsonObject(parsed)) records.push(parsed as StepRecord);
   }
   return records;
 }
@@ -100,7 +100,7 @@
   async function confirm(step: Step): Promise<boolean> {
     if (ctx.args['yes'] === true) return true;
     const prompt = createInterface({ input: process.stdin, output: process.stdout });
-    const answer = await prompt.question(`${step.name}: ${describe(step)}. Continue? (yes/no) `);
+    const answer = await prompt.question(`${step.name}: ${describeStep(step)}. Continue? (yes/no) `);
     prompt.close();
     return answer.trim() === 'yes';
   }
@@ -113,7 +113,7 @@
     clock: createClock(),
     rng: createOsRng(),
     dryRun,
-    before: readRecords(path),
+    previousRecords: readRecords(path),
     confirm,
     record,
   });
--- a/src/programs/settings.ts
+++ b/src/programs/settings.ts
@@ -1,7 +1,7 @@
 /** Reads the settings of a node from a file and flags, and validates them (docs/configuration.md). */
 import * as t from 'io-ts';
 import { readFileSync } from 'node:fs';
-import { isTable } from '../base/is-table.js';
+import { isJsonObject } from '../base/is-json-object.js';
 import { err, ok } from '../base/result.js';
 import type { Result } from '../base/result.js';
 import { splitAddress } from '../transport/wire.js';
@@ -106,7 +106,7 @@
   }
   try {
     const value: unknown = JSON.parse(raw);
-    if (isTable(value)) return ok(value);
+    if (isJsonObject(value)) return ok(value);
   } catch {
     return err({ key: '--settings', expected: 'a JSON file', found: JSON.stringify(path) });
   }
--- a/src/programs/standin.ts
+++ b/src/programs/standin.ts
@@ -5,11 +5,11 @@
 import { join } from 'node:path';
 import { startStandinCloud } from '../standin/cloud.js';
 import { checkRecords } from '../standin/check.js';
-import type { Rec } from '../standin/check.js';
+import type { JournalRecord } from '../standin/check.js';
 import { runCaller } from '../standin/caller.js';
 import { startStandinPlatform } from '../standin/platform.js';
 import { startStandinWorker, WORKER_DEFAULTS } from '../standin/worker.js';
-import { pathTable, slowHttpClient } from '../standin/slow-net.js';
+import { createPathLookup, createSlowHttpClient } from '../standin/slow-net.js';
 import { createGotHttpClient } from '../transport/http-client.js';
 import { createClock } from '../transport/clock.js';
 import { createExpressHttpServer } from '../transport/http-server.js';
@@ -18,7 +18,7 @@
 import type { Journal } from '../transport/journal.js';
 import { createLogRoot } from '../transport/log.js';
 import { createOsRng, createRng } from '../transport/rng.js';
-import { switchesAt } from '../transport/switch-file.js';
+import { createFaultSwitches } from '../transport/switch-file.js';
 import { EXIT } from './exit-codes.js';
 import { printError, areFlagsValid, setExitCode, setUsageExitCode, onStopSignal, printLine } from './flags.js';
 import { HOLLOW_ARGS, runHollow } from './hollow.js';
@@ -44,8 +44,12 @@
   if (file === undefined) return httpClient;
   const lab = JSON.parse(readFileSync(file, 'utf8')) as LabSettings;
   const clock = createClock();
-  const switches = switchesAt(lab.switches);
-  return slowHttpClient(httpClient, clock, pathTable(stringArg(ctx, 'zone') ?? '', lab.zones, lab.delayMs, switches));
+  const switches = createFaultSwitches(lab.switches);
+  return createSlowHttpClient(
+    httpClient,
+    clock,
+    createPathLookup(stringArg(ctx, 'zone') ?? '', lab.zones, lab.delayMs, switches),
+  );
 }
 
 function createHttpServer(): HttpServer {
@@ -187,7 +191,7 @@
       seconds: numberArg(ctx, 'seconds', 10),
       runOnceShare: numberArg(ctx, 'onceShare', 0.4),
       prefixes: numberArg(ctx, 'prefixes', 20),
-      patience: 5,
+      maxRetries: 5,
     },
     {
       clock: createClock(),
@@ -208,12 +212,12 @@
 function runCheck(ctx: CommandContext): void {
   if (!areFlagsValid(ctx.rawArgs, CHECK_ARGS)) return setUsageExitCode();
   const folder = stringArg(ctx, 'folder') ?? '';
-  const records: Rec[] = [];
+  const records: JournalRecord[] = [];
   try {
     for (const file of readdirSync(folder)) {
       if (!file.endsWith('.jsonl')) continue;
       for (const line of readFileSync(join(folder, file), 'utf8').split('\n'))
-        if (line !== '') records.push(JSON.parse(line) as Rec);
+        if (line !== '') records.push(JSON.parse(line) as JournalRecord);
     }
   } catch (error) {
     printError(
@@ -226,7 +230,7 @@
     const [kind, regions] = item.split('=');
     regionsOfKind[kind as string] = (regions ?? '').split('+');
   }
-  const report = checkRecords(records, { regionsOfKind, leavingMs: 4_000 });
+  const report = checkRecords(records, { regionsOfKind, drainNoticeGraceMs: 4_000 });
   printLine(JSON.stringify(report, null, 2));
   const hasNoDispatches = !report.counts['first dispatches'];
   if (hasNoDispatches) printError('The journals contain no dispatch: nothing was checked.');
--- a/src/protocol/caller-wire.ts
+++ b/src/protocol/caller-wire.ts
@@ -57,7 +57,7 @@
   { additionalProperties: false },
 );
 /** A validated request. */
-export type Submit = Static<typeof SubmittedRequestShape>;
+export type SubmittedRequest = Static<typeof SubmittedRequestShape>;
 
 /** Why a request was rejected before any worker ran it. */
 export const RejectReasonShape = Type.Union([
@@ -107,18 +107,18 @@
 /** Validates a placement. */
 export const readPlacement = readerOf(PlacementShape);
 /** Validates a submitted request. */
-export const readSubmit = readerOf(SubmittedRequestShape);
+export const readSubmittedRequest = readerOf(SubmittedRequestShape);
 /** Validates the body of an error response. */
 export const readFailure = readerOf(Type.Object({ error: FailureShape }));
 /** Validates a complete response. */
-export const readAnswer = readerOf(ResponseShape);
+export const readResponse = readerOf(ResponseShape);
 /** Validates one line of a streamed response. */
-export const readAnswerLine = readerOf(ResponseLineShape);
+export const readResponseLine = readerOf(ResponseLineShape);
 
 /** Path of placement requests. */
-export const PLACE_PATH = '/v1/place';
+export const PLACEMENT_PATH = '/v1/place';
 /** Path at which a proxy reports whether it serves. */
-export const EDGE_HEALTH_PATH = '/v1/health';
+export const PROXY_HEALTH_PATH = '/v1/health';
 /** Path to which requests are submitted. */
 export const REQUESTS_PATH = '/v1/requests';
 /** Header that carries the admission ticket. */
--- a/src/protocol/codecs.ts
+++ b/src/protocol/codecs.ts
@@ -19,7 +19,7 @@
 }
 
 /** Creates a codec of whole numbers from `min` to `max`, both included. */
-export function whole(min: number, max: number): t.Type<number> {
+export function integerBetween(min: number, max: number): t.Type<number> {
   return rangeCodec('a whole number', min, max, true);
 }
 /** Creates a codec of numbers from `min` to `max`, both included. */
@@ -28,7 +28,7 @@
 }
 
 /** Creates a codec of texts that satisfy `isValid`; `name` tells operators what is expected. */
-export function text(name: string, isValid: (text: string) => boolean): t.Type<string> {
+export function textMatching(name: string, isValid: (text: string) => boolean): t.Type<string> {
   function is(value: unknown): value is string {
     return typeof value === 'string' && isValid(value);
   }
@@ -44,7 +44,7 @@
   return typeof value === 'string' && NAME_PATTERN.test(value);
 }
 /** The codec of a name. */
-export const Name = text('a name of letters, digits, dot, dash or underscore', isName);
+export const Name = textMatching('a name of letters, digits, dot, dash or underscore', isName);
 /** The codec of a list of names. */
 export const Names = t.readonlyArray(Name, 'a list of names');
 
@@ -60,7 +60,7 @@
 }
 
 /** Returns every error that a codec finds in a value; empty if the value is valid. */
-export function errorsIn(path: readonly string[], codec: t.Mixed, value: unknown): ConfigError[] {
+export function validationErrors(path: readonly string[], codec: t.Mixed, value: unknown): ConfigError[] {
   const decoded = codec.decode(value);
   const errors: ConfigError[] = [];
   if (decoded._tag === 'Right') return errors;
--- a/src/protocol/configuration.ts
+++ b/src/protocol/configuration.ts
@@ -5,35 +5,35 @@
  */
 
 import * as t from 'io-ts';
-import { isTable } from '../base/is-table.js';
+import { isJsonObject } from '../base/is-json-object.js';
 import { err, ok } from '../base/result.js';
 import type { Result } from '../base/result.js';
 import type { Configuration, Settings } from '../state/configuration/settings-tree.js';
-import { errorAt, errorsIn, isName, Name, Names, numberBetween, whole } from './codecs.js';
+import { errorAt, validationErrors, isName, Name, Names, numberBetween, integerBetween } from './codecs.js';
 import type { ConfigError } from './codecs.js';
 import { readServing } from './serving.js';
 
 const SETTING_CODECS = {
   zones: Names,
   homes: t.record(t.string, Names, 'a table of lists of regions'),
-  nExtra: whole(0, 1_000),
+  nExtra: integerBetween(0, 1_000),
   qTar: numberBetween(0.001, 1_000_000),
-  windowS: whole(5, 3_600),
-  holdS: whole(0, 86_400),
-  minTarget: whole(0, 10_000),
-  maxTarget: whole(0, 10_000),
+  windowS: integerBetween(5, 3_600),
+  holdS: integerBetween(0, 86_400),
+  minTarget: integerBetween(0, 10_000),
+  maxTarget: integerBetween(0, 10_000),
   accelerators: t.readonlyArray(t.string, 'a list of accelerators'),
-  workerUsageLimit: whole(1, 10_000),
-  lineLimit: whole(0, 100_000),
-  lineWaitMs: whole(0, 600_000),
-  requestDeadlineMs: whole(100, 3_600_000),
-  pieceWaitMs: whole(100, 3_600_000),
-  rampS: whole(0, 3_600),
+  workerUsageLimit: integerBetween(1, 10_000),
+  lineLimit: integerBetween(0, 100_000),
+  lineWaitMs: integerBetween(0, 600_000),
+  requestDeadlineMs: integerBetween(100, 3_600_000),
+  pieceWaitMs: integerBetween(100, 3_600_000),
+  rampS: integerBetween(0, 3_600),
   retryShare: numberBetween(0, 1),
-  maxBodyBytes: whole(1_024, 64 * 1_048_576),
+  maxBodyBytes: integerBetween(1_024, 64 * 1_048_576),
   scaled: t.boolean,
-  launchTimeoutS: whole(1, 86_400),
-  drainS: whole(0, 3_600),
+  launchTimeoutS: integerBetween(1, 86_400),
+  drainS: integerBetween(0, 3_600),
 } as const satisfies Record<keyof Settings, t.Mixed>;
 
 const REGION_KEYS = { settings: true, models: true };
@@ -46,7 +46,7 @@
     errors.push(errorAt(path, expected, found));
   }
   function check(path: readonly string[], codec: t.Mixed, value: unknown): void {
-    errors.push(...errorsIn(path, codec, value));
+    errors.push(...validationErrors(path, codec, value));
   }
   function readTable(
     path: readonly string[],
@@ -54,7 +54,7 @@
     knownKeys: Readonly<Record<string, unknown>> | null,
   ): Record<string, unknown> {
     if (value === undefined) return {};
-    if (!isTable(value)) {
+    if (!isJsonObject(value)) {
       addError(path, 'a table', value);
       return {};
     }
@@ -73,7 +73,7 @@
     if (Array.isArray(values['zones']))
       for (const zone of values['zones'])
         if (!zoneNames.has(String(zone))) addError([...path, 'zones'], 'zones named under /zones', zone);
-    const homes = isTable(values['homes']) ? values['homes'] : {};
+    const homes = isJsonObject(values['homes']) ? values['homes'] : {};
     for (const [kind, allowedRegions] of Object.entries(homes)) {
       if (!Array.isArray(allowedRegions)) continue;
       if (allowedRegions.length === 0) addError([...path, 'homes', kind], 'at least one region', allowedRegions);
@@ -87,7 +87,7 @@
   }
 
   const top = readTable([], doc, TOP_LEVEL_KEYS);
-  if (!isTable(doc)) return err(errors);
+  if (!isJsonObject(doc)) return err(errors);
   const zones = readTable(['zones'], top['zones'], null);
   const zoneNames = new Set(Object.keys(zones));
   const regionNames = new Set<string>();
--- a/src/protocol/header-names.ts
+++ b/src/protocol/header-names.ts
@@ -18,7 +18,7 @@
 };
 
 /** The default header names, used where no platform supplies its own. */
-export const OPEN_WORDS: HeaderNames = {
+export const DEFAULT_HEADER_NAMES: HeaderNames = {
   attemptId: 'millfield-attempt',
   deadline: 'millfield-deadline-ms',
   prefix: 'millfield-prefix',
--- a/src/protocol/latency-targets.ts
+++ b/src/protocol/latency-targets.ts
@@ -4,7 +4,7 @@
  */
 
 import * as t from 'io-ts';
-import { isTable } from '../base/is-table.js';
+import { isJsonObject } from '../base/is-json-object.js';
 import { err, ok } from '../base/result.js';
 import type { Result } from '../base/result.js';
 import type { LatencyTarget, Measure } from '../state/configuration/latency-target-report.js';
@@ -49,7 +49,7 @@
   for (const region of Object.values(cfg.regions))
     for (const model of Object.keys(region.models ?? {})) models.add(model);
   const routes = new Set(Object.keys(cfg.mappings ?? {}));
-  const top = isTable(doc) ? doc : {};
+  const top = isJsonObject(doc) ? doc : {};
   for (const key of Object.keys(top)) if (key !== 'aims') addError(`/${key}`, 'aims', key);
   const documents = top['aims'];
   if (!Array.isArray(documents) || documents.length === 0) {
@@ -60,7 +60,7 @@
   for (let i = 0; i < documents.length; i += 1) {
     const targetPath = `/aims/${i}`;
     const target: unknown = documents[i];
-    if (!isTable(target)) {
+    if (!isJsonObject(target)) {
       addError(targetPath, 'an aim', target);
       continue;
     }
--- a/src/protocol/messages.ts
+++ b/src/protocol/messages.ts
@@ -6,7 +6,7 @@
 import type { Static, TSchema } from '@sinclair/typebox';
 import { TypeCompiler } from '@sinclair/typebox/compiler';
 import type { TypeCheck } from '@sinclair/typebox/compiler';
-import { isTable } from '../base/is-table.js';
+import { isJsonObject } from '../base/is-json-object.js';
 import { CountsShape } from '../state/configuration/latency-target-counts.js';
 import { ClaimAnswerShape, ClaimEndShape, ClaimShape } from '../state/idempotency/claim.js';
 import { ReportedLoadShape } from '../state/distribution/fleet-load.js';
@@ -247,7 +247,7 @@
 const checkersByKind = new Map<unknown, TypeCheck<TSchema>>();
 
 function isMessage(value: unknown): boolean {
-  if (!isTable(value)) return false;
+  if (!isJsonObject(value)) return false;
   const { kind } = value;
   let checker = checkersByKind.get(kind);
   if (!checker) {
@@ -262,7 +262,7 @@
 // The check of each kind is compiled when its first message arrives: compiling all takes a third of the startup time.
 /** Returns the frame in a parsed value, or null if it matches no known frame or message. */
 export function readFrame(body: unknown): Frame | null {
-  if (!isTable(body) || !isMessage(body['m'])) return null;
+  if (!isJsonObject(body) || !isMessage(body['m'])) return null;
   const { t, id } = body;
   return t === 'tell' || ((t === 'call' || t === 'answer') && Number.isInteger(id)) ? (body as Frame) : null;
 }
--- a/src/protocol/serving.ts
+++ b/src/protocol/serving.ts
@@ -6,7 +6,7 @@
  */
 
 import * as t from 'io-ts';
-import { isTable } from '../base/is-table.js';
+import { isJsonObject } from '../base/is-json-object.js';
 import { err, ok } from '../base/result.js';
 import type { Result } from '../base/result.js';
 import type {
@@ -17,7 +17,7 @@
   Serving,
   Share,
 } from '../state/configuration/serving.js';
-import { errorAt, errorsIn, numberBetween, text, whole } from './codecs.js';
+import { errorAt, validationErrors, numberBetween, textMatching, integerBetween } from './codecs.js';
 import type { ConfigError } from './codecs.js';
 
 const MAX_NUMBER = Number.MAX_SAFE_INTEGER;
@@ -42,14 +42,14 @@
   return isPositive(value) ? t.success(value) : t.failure(value, context);
 }
 
-const NonEmptyText = text(`a text of up to ${MAX_NAME_LENGTH} letters`, isNonEmptyText);
+const NonEmptyText = textMatching(`a text of up to ${MAX_NAME_LENGTH} letters`, isNonEmptyText);
 const PositiveNumber = new t.Type<number>('a number above 0', isPositive, validatePositive, t.identity);
 const NonNegativeNumber = numberBetween(0, MAX_NUMBER);
-const NonNegativeInteger = whole(0, MAX_NUMBER);
+const NonNegativeInteger = integerBetween(0, MAX_NUMBER);
 const BooleanCodec = new t.Type<boolean>('true or false', t.boolean.is, t.boolean.validate, t.identity);
-const TableCodec = new t.Type<Record<string, unknown>>('a table', isTable, validateTable, t.identity);
+const TableCodec = new t.Type<Record<string, unknown>>('a table', isJsonObject, validateTable, t.identity);
 function validateTable(value: unknown, context: t.Context): t.Validation<Record<string, unknown>> {
-  return isTable(value) ? t.success(value) : t.failure(value, context);
+  return isJsonObject(value) ? t.success(value) : t.failure(value, context);
 }
 function nullable<A>(codec: t.Type<A>): t.Type<A | null> {
   function is(value: unknown): value is A | null {
@@ -66,8 +66,8 @@
 const SHARE_CODECS: FieldCodecs<Share> = { model: NonEmptyText, share: NonNegativeNumber };
 const ROUTE_CODECS: FieldCodecs<RouteSettings> = {
   at: NonNegativeInteger,
-  host: text('a host', isHost),
-  prefix: text('a path that begins and ends with a slash', isPrefix),
+  host: textMatching('a host', isHost),
+  prefix: textMatching('a path that begins and ends with a slash', isPrefix),
   kind: t.keyof({ repeatable: null, once: null, stream: null }, 'one of repeatable, once, stream'),
   resumable: BooleanCodec,
   pinned: BooleanCodec,
@@ -75,16 +75,16 @@
   deadlineMs: PositiveNumber,
   aimMs: nullable(PositiveNumber),
   pauseMs: nullable(PositiveNumber),
-  attempts: whole(1, 1_000),
+  attempts: integerBetween(1, 1_000),
   shares: t.readonlyArray(t.type(SHARE_CODECS, 'a share'), 'a list of shares'),
   split: BooleanCodec,
   homes: t.readonlyArray(NonEmptyText, 'a list of regions'),
 };
-const ENGINE_CODECS: FieldCodecs<EngineTraits> = { batch: whole(1, MAX_NUMBER), kvTokens: NonNegativeNumber };
+const ENGINE_CODECS: FieldCodecs<EngineTraits> = { batch: integerBetween(1, MAX_NUMBER), kvTokens: NonNegativeNumber };
 const MODEL_CODECS: FieldCodecs<ModelTraits> = {
   at: NonNegativeInteger,
-  probePath: text('a path', isPath),
-  maxConns: whole(1, MAX_NUMBER),
+  probePath: textMatching('a path', isPath),
+  maxConns: integerBetween(1, MAX_NUMBER),
   coldS: NonNegativeNumber,
   coldRateS: NonNegativeNumber,
   engine: nullable(t.type(ENGINE_CODECS, 'a table of batch and kvTokens')),
@@ -98,7 +98,7 @@
 const RouteCodec = t.type(ROUTE_CODECS, 'a mapping');
 const ModelCodec = t.type(MODEL_CODECS, 'a model');
 const LimitsCodec = t.type(LIMITS_CODECS, 'a table of limits');
-const ConfigurationNumber = whole(1, MAX_NUMBER);
+const ConfigurationNumber = integerBetween(1, MAX_NUMBER);
 
 /** Returns the served configuration in a value, or every error in it, with paths below `path`. */
 export function readServing(document: unknown, path: readonly string[] = []): Result<Serving, readonly ConfigError[]> {
@@ -107,7 +107,7 @@
     errors.push(errorAt([...path, ...at], expected, found));
   }
   function check(at: readonly string[], codec: t.Mixed, value: unknown): boolean {
-    const valueErrors = errorsIn([...path, ...at], codec, value);
+    const valueErrors = validationErrors([...path, ...at], codec, value);
     errors.push(...valueErrors);
     return valueErrors.length === 0;
   }
@@ -126,7 +126,7 @@
   check(['number'], ConfigurationNumber, top['number']);
   check(['limits'], LimitsCodec, top['limits']);
   validItems<ModelTraits>('models', top['models'], ModelCodec);
-  const models = isTable(top['models']) ? top['models'] : {};
+  const models = isJsonObject(top['models']) ? top['models'] : {};
   const routeAtLocation = new Map<string, string>();
   for (const [name, route] of validItems<RouteSettings>('mappings', top['mappings'], RouteCodec)) {
     const location = `${route.host.toLowerCase()} ${route.prefix}`;
--- a/src/runbook/core-runbooks.test.ts
+++ b/src/runbook/core-runbooks.test.ts
@@ -1,17 +1,21 @@
 import { describe, expect, test } from '@jest/globals';
 import { readFileSync } from 'node:fs';
-import { createCore } from '../operator/core.js';
-import type { Core } from '../operator/core.js';
+import { createCoreClient } from '../operator/core.js';
+import type { CoreClient } from '../operator/core.js';
 import { createSimFleet } from '../sim/sim-fleet.js';
 import type { SimFleet } from '../sim/sim-fleet.js';
 import type { Clock } from '../transport/clock.js';
 import { createRng } from '../transport/rng.js';
 import { readRunbook } from './document.js';
 import type { Runbook, Step } from './document.js';
-import { runRunbook, unmetAtStart } from './run.js';
+import { runRunbook, findUnmetPrecondition } from './run.js';
 import type { RunEnd, StepRecord } from './run.js';
 
-type TestFleet = { readonly fleet: SimFleet; readonly clock: Clock; readonly core: (at: readonly number[]) => Core };
+type TestFleet = {
+  readonly fleet: SimFleet;
+  readonly clock: Clock;
+  readonly core: (at: readonly number[]) => CoreClient;
+};
 type RunResult = {
   readonly end: RunEnd | null;
   readonly records: readonly StepRecord[];
@@ -29,7 +33,7 @@
     fleet,
     clock: fleet.world.clockOf(proc),
     core: (at) =>
-      createCore(
+      createCoreClient(
         at.map((i) => fleet.controllers[i]?.http ?? ''),
         fleet.httpClientOf(proc),
       ),
@@ -43,7 +47,7 @@
 async function execute(
   testFleet: TestFleet,
   runbook: Runbook,
-  core: Core,
+  core: CoreClient,
   onConfirm: (step: Step) => void = () => undefined,
 ): Promise<RunResult> {
   const records: StepRecord[] = [];
@@ -62,7 +66,7 @@
       clock: testFleet.clock,
       rng: createRng(7),
       dryRun: false,
-      before: [],
+      previousRecords: [],
       confirm,
       record,
     }),
@@ -88,7 +92,7 @@
     testFleet.fleet.kill('controller-3');
     await testFleet.fleet.run(3_000);
     const unmet = await testFleet.fleet.finish(
-      unmetAtStart(beforeCoreWork, testFleet.core(ALL_CONTROLLERS), testFleet.clock),
+      findUnmetPrecondition(beforeCoreWork, testFleet.core(ALL_CONTROLLERS), testFleet.clock),
       60_000,
     );
     expect(unmet?.step.name).toBe(FIRST_STEP);
--- a/src/runbook/observe-core.test.ts
+++ b/src/runbook/observe-core.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from '@jest/globals';
-import type { Core } from '../operator/core.js';
+import type { CoreClient } from '../operator/core.js';
 import { memberView } from '../sim/builders.js';
 import { coreHealth } from '../state/membership/core-health.js';
 import type { CoreHealth, MemberView } from '../state/membership/core-health.js';
@@ -10,11 +10,11 @@
 
 function health(self: string, behind: readonly string[]): CoreHealth {
   const views: MemberView[] = [];
-  for (const name of MEMBERS) views.push(memberView(name, { holdsAll: !behind.includes(name) }));
+  for (const name of MEMBERS) views.push(memberView(name, { isComplete: !behind.includes(name) }));
   return coreHealth(`${self}#i`, views);
 }
 /** A core whose members all report that the given members lack a part of the ledger, or a part of the claims. */
-function coreOf(ledgerBehind: readonly string[], claimsBehind: readonly string[] | null): Core {
+function coreOf(ledgerBehind: readonly string[], claimsBehind: readonly string[] | null): CoreClient {
   async function requestAt(address: string): Promise<{ status: number; body: unknown }> {
     const core = { ledger: health(address, ledgerBehind), claims: claimsBehind && health(address, claimsBehind) };
     return { status: 200, body: { name: address, member: `${address}#i`, slot: 9, members: [], nodes: [], core } };
@@ -24,7 +24,7 @@
 const bearsOneLoss = { tag: 'spareLosses', atLeast: 1 } as const satisfies Condition;
 const runsWithoutH1 = { tag: 'goesOnWithout', name: 'h1' } as const satisfies Condition;
 
-test.each<[string, Core, boolean, boolean]>([
+test.each<[string, CoreClient, boolean, boolean]>([
   ['all members complete', coreOf([], []), true, true],
   ['all members complete, claims not in use', coreOf([], null), true, true],
   ['one member behind in the ledger', coreOf(['h3'], []), false, false],
@@ -47,7 +47,7 @@
 test('the report of one controller, or of none, meets no condition', async () => {
   const complete = coreOf([], null);
   for (const addresses of [['h1'], []]) {
-    const core: Core = { ...complete, addresses };
+    const core: CoreClient = { ...complete, addresses };
     expect([
       (await observeCore(core, bearsOneLoss)).met,
       (await observeCore(core, runsWithoutH1)).met,
--- a/src/runbook/observe-core.ts
+++ b/src/runbook/observe-core.ts
@@ -4,7 +4,7 @@
  */
 import { requestCoreReport } from '../operator/core-report.js';
 import type { CoreGroup, CoreReport, GroupReport } from '../operator/core-report.js';
-import type { Core } from '../operator/core.js';
+import type { CoreClient } from '../operator/core.js';
 import type { Condition } from './document.js';
 import type { Observation } from './observation.js';
 
@@ -13,7 +13,7 @@
 const UNKNOWN_TEXT = 'no majority of the members says how many losses the core bears';
 
 /** Evaluates a condition on the members' health. */
-export async function observeCore(core: Core, condition: CoreCondition): Promise<Observation> {
+export async function observeCore(core: CoreClient, condition: CoreCondition): Promise<Observation> {
   const report = await requestCoreReport(core);
   if (!report) return { met: false, text: 'no controller answers' };
   return condition.tag === 'spareLosses'
--- a/src/runbook/observe.ts
+++ b/src/runbook/observe.ts
@@ -1,9 +1,9 @@
 /** Evaluates the conditions of runbooks on a deployment through its controllers. */
-import type { Core } from '../operator/core.js';
+import type { CoreClient } from '../operator/core.js';
 import { observeCore } from './observe-core.js';
-import { ordersRequest, placeOf, readRequest, statusRequest } from '../operator/requests.js';
+import { ordersRequest, splitPath, readConfigurationRequest, statusRequest } from '../operator/requests.js';
 import type { Order } from '../state/scaling/order.js';
-import { counts } from '../state/scaling/order.js';
+import { countsTowardsTarget } from '../state/scaling/order.js';
 import { delay } from '../transport/clock.js';
 import type { Clock } from '../transport/clock.js';
 import type { Condition } from './document.js';
@@ -31,7 +31,7 @@
  * check for that long, because the state that controllers report may be slightly stale.
  */
 export async function waitForCondition(
-  core: Core,
+  core: CoreClient,
   condition: Condition,
   clock: Clock,
   timeoutMs = DEFAULT_TIMEOUT_MS,
@@ -53,7 +53,7 @@
   }
 }
 
-async function observe(core: Core, condition: Condition): Promise<Observation> {
+async function observe(core: CoreClient, condition: Condition): Promise<Observation> {
   if (condition.tag === 'setting') return observeSetting(core, condition.path, condition.is);
   if (condition.tag === 'ready' || condition.tag === 'zoneOrders') return observeOrders(core, condition);
   if (condition.tag === 'spareLosses' || condition.tag === 'goesOnWithout') return observeCore(core, condition);
@@ -106,7 +106,7 @@
   }
 }
 
-async function requestNodeStatus(core: Core, status: StatusReport, name: string): Promise<StatusReport | null> {
+async function requestNodeStatus(core: CoreClient, status: StatusReport, name: string): Promise<StatusReport | null> {
   for (const node of status.nodes) {
     if (node.name !== name) continue;
     const response = await core.requestAt(node.http, statusRequest());
@@ -116,7 +116,7 @@
 }
 
 async function observeOrders(
-  core: Core,
+  core: CoreClient,
   condition: Extract<Condition, { tag: 'ready' | 'zoneOrders' }>,
 ): Promise<Observation> {
   const response = await core.request(ordersRequest());
@@ -125,7 +125,7 @@
   let count = 0;
   for (const order of orders) {
     if (condition.tag === 'zoneOrders')
-      count += order.zone === condition.zone && (counts(order) || order.status === 'draining') ? 1 : 0;
+      count += order.zone === condition.zone && (countsTowardsTarget(order) || order.status === 'draining') ? 1 : 0;
     else
       count +=
         order.model === condition.model &&
@@ -142,11 +142,11 @@
   return { met, text: `${count} ${condition.kind ?? ''} workers of ${condition.model} ready`.replace('  ', ' ') };
 }
 
-async function observeSetting(core: Core, path: string, expected: unknown): Promise<Observation> {
-  const response = await core.request(readRequest());
+async function observeSetting(core: CoreClient, path: string, expected: unknown): Promise<Observation> {
+  const response = await core.request(readConfigurationRequest());
   if (!response || response.status !== 200) return { met: false, text: 'no controller with a majority answers' };
   let value: unknown = (response.body as { readonly configuration: unknown }).configuration;
-  for (const key of placeOf(path))
+  for (const key of splitPath(path))
     value =
       typeof value === 'object' && value !== null && Object.hasOwn(value, key)
         ? (value as Record<string, unknown>)[key]
--- a/src/runbook/run.test.ts
+++ b/src/runbook/run.test.ts
@@ -1,13 +1,13 @@
 import { describe, expect, test } from '@jest/globals';
 import { readFileSync } from 'node:fs';
-import { createCore } from '../operator/core.js';
-import type { Core } from '../operator/core.js';
+import { createCoreClient } from '../operator/core.js';
+import type { CoreClient } from '../operator/core.js';
 import { createSimFleet } from '../sim/sim-fleet.js';
 import type { SimFleet } from '../sim/sim-fleet.js';
 import { createRng } from '../transport/rng.js';
 import { readRunbook } from './document.js';
 import type { Runbook, Step } from './document.js';
-import { runRunbook, unmetAtStart } from './run.js';
+import { runRunbook, findUnmetPrecondition } from './run.js';
 import type { RunEnd, StepRecord } from './run.js';
 
 function loadRunbook(file: string, inputs: Record<string, string>): Runbook {
@@ -24,11 +24,11 @@
   expect(await fleet.start()).toBe(true);
   return fleet;
 }
-function coreOf(fleet: SimFleet): { readonly core: Core; readonly proc: ReturnType<SimFleet['world']['begin']> } {
+function coreOf(fleet: SimFleet): { readonly core: CoreClient; readonly proc: ReturnType<SimFleet['world']['begin']> } {
   const proc = fleet.world.begin(fleet.world.host('operator', 'lab'));
   return {
     proc,
-    core: createCore(
+    core: createCoreClient(
       fleet.controllers.map((h) => h.http),
       fleet.httpClientOf(proc),
     ),
@@ -48,7 +48,7 @@
     clock: fleet.world.clockOf(proc),
     rng: createRng(fleet.seed + records.length),
     dryRun,
-    before,
+    previousRecords: before,
     confirm: async (step) => confirm(step),
     record: async (entry) => void records.push(entry),
   });
@@ -182,7 +182,7 @@
     await fleet.run(5_000);
     const runbook = loadRunbook('evacuate-and-hand-back', { zone: 'hu-1' });
     const unmet = await fleet.finish(
-      unmetAtStart(
+      findUnmetPrecondition(
         runbook,
         coreOf(fleet).core,
         fleet.world.clockOf(fleet.world.begin(fleet.world.host('looker', 'lab'))),
--- a/src/runbook/run.ts
+++ b/src/runbook/run.ts
@@ -1,8 +1,14 @@
 /** Executes a runbook step by step; an interrupted run resumes from the recorded outcomes. */
 import { sha256 } from '../base/digest.js';
-import { amendRequest, forgetRequest, placeOf, reopenRequest, zoneRequest } from '../operator/requests.js';
+import {
+  amendConfigurationRequest,
+  removeProxyRequest,
+  splitPath,
+  reopenClaimsRequest,
+  zoneRequest,
+} from '../operator/requests.js';
 import type { CoreRequest } from '../operator/requests.js';
-import type { Core } from '../operator/core.js';
+import type { CoreClient } from '../operator/core.js';
 import type { Clock } from '../transport/clock.js';
 import { newId } from '../transport/rng.js';
 import type { Rng } from '../transport/rng.js';
@@ -35,11 +41,11 @@
 
 /** Dependencies of a run; `before` holds the records of earlier runs, oldest first. */
 export type RunDeps = {
-  readonly core: Core;
+  readonly core: CoreClient;
   readonly clock: Clock;
   readonly rng: Rng;
   readonly dryRun: boolean;
-  readonly before: readonly StepRecord[];
+  readonly previousRecords: readonly StepRecord[];
   readonly confirm: (step: Step) => Promise<boolean>;
   readonly record: (record: StepRecord) => Promise<void>;
 };
@@ -52,9 +58,9 @@
 }
 
 /** Returns the first precondition before any change that does not hold now; null if all hold. */
-export async function unmetAtStart(
+export async function findUnmetPrecondition(
   runbook: Runbook,
-  core: Core,
+  core: CoreClient,
   clock: Clock,
 ): Promise<{ readonly step: Step; readonly seen: string } | null> {
   for (const step of runbook.steps) {
@@ -72,14 +78,14 @@
   const digest = runbookDigest(runbook);
   const done = new Set<number>();
   let runId = newId(deps.rng, 'run');
-  const lastRecord = deps.before[deps.before.length - 1];
+  const lastRecord = deps.previousRecords[deps.previousRecords.length - 1];
   const isResuming =
     lastRecord !== undefined &&
     lastRecord.digest === digest &&
     !(lastRecord.step === runbook.steps.length - 1 && lastRecord.outcome === 'done');
   if (isResuming) {
     runId = lastRecord.run;
-    for (const previous of deps.before)
+    for (const previous of deps.previousRecords)
       if (previous.run === runId && previous.outcome === 'done') done.add(previous.step);
   }
 
@@ -106,7 +112,7 @@
       return [observation.met ? 'done' : 'unmet', observation.text];
     }
     if (deps.dryRun)
-      return ['would', work.tag === 'wait' ? `would wait up to ${work.withinS} s` : `would ${describe(step)}`];
+      return ['would', work.tag === 'wait' ? `would wait up to ${work.withinS} s` : `would ${describeStep(step)}`];
     if (work.tag === 'wait') {
       const observation = await waitForCondition(
         core,
@@ -141,12 +147,12 @@
         const baseVersion = await core.version();
         return baseVersion === null
           ? null
-          : amendRequest(baseVersion, [{ path: placeOf(work.path), value: work.value }], operation);
+          : amendConfigurationRequest(baseVersion, [{ path: splitPath(work.path), value: work.value }], operation);
       }
       case 'forget':
-        return forgetRequest(work.proxy);
+        return removeProxyRequest(work.proxy);
       case 'reopenClaims':
-        return reopenRequest();
+        return reopenClaimsRequest();
       default:
         return null;
     }
@@ -154,7 +160,7 @@
 }
 
 /** Describes a step in one line for the operator. */
-export function describe(step: Step): string {
+export function describeStep(step: Step): string {
   const { tag, ...rest } = step.work;
   return `${tag} ${JSON.stringify(rest)}`;
 }
--- a/src/sim/builders.ts
+++ b/src/sim/builders.ts
@@ -12,7 +12,7 @@
     learned: 9,
     top: 9,
     writable: true,
-    holdsAll: true,
+    isComplete: true,
     unheard: [],
     ...more,
   };
--- a/src/sim/chaos-operators.ts
+++ b/src/sim/chaos-operators.ts
@@ -5,7 +5,7 @@
  */
 import type { HttpAnswer, HttpError } from '../transport/http.js';
 import type { Result } from '../base/result.js';
-import { below, createRng } from '../transport/rng.js';
+import { randomInt, createRng } from '../transport/rng.js';
 import type { Rng } from '../transport/rng.js';
 import { createCallHistory } from './call-history.js';
 import type { CallHistory } from './call-history.js';
@@ -81,7 +81,7 @@
     const { request, base, value } = change;
     const at = anyController();
     const body = { base, changes: [{ path: ['deployment', 'lineLimit'], value }], operation: request };
-    const limitMs = rng.next() < IMPATIENT_SHARE ? 1 + below(rng, IMPATIENT_MS) : undefined;
+    const limitMs = rng.next() < IMPATIENT_SHARE ? 1 + randomInt(rng, IMPATIENT_MS) : undefined;
     const noteAnswer = history.changeSent({
       node: `controller ${at + 1}`,
       request,
@@ -109,7 +109,7 @@
       if (answer === 'unclear') await pause(RESEND_PAUSE_MS * sending * (0.5 + rng.next()));
     }
     if (answer !== 'confirmed' || rng.next() >= REPEATED_SHARE) return;
-    await pause(below(rng, 5_000));
+    await pause(randomInt(rng, 5_000));
     await sendOnce(change);
   }
   return { sendOnce, send };
@@ -130,7 +130,7 @@
   const sender = createChangeSender(fleet, watchers, history, anyController, createRng(seed * 13 + 5));
 
   function anyController(): number {
-    return below(rng, fleet.controllers.length);
+    return randomInt(rng, fleet.controllers.length);
   }
   function changeTo(base: number, value: number): Change {
     return { request: `change-${value}`, base, value };
--- a/src/sim/chaos.ts
+++ b/src/sim/chaos.ts
@@ -1,7 +1,7 @@
-import type { Broken } from '../standin/check.js';
-import { tagOf } from '../standin/caller.js';
+import type { RuleViolation } from '../standin/check.js';
+import { errorLabel } from '../standin/caller.js';
 import { createClientOver } from '../client/client.js';
-import { below, createRng, pick } from '../transport/rng.js';
+import { randomInt, createRng, pick } from '../transport/rng.js';
 import type { LogRoot } from '../transport/log.js';
 import { FAULTS, inZone, names, nodeNames } from './faults.js';
 import type { FaultAct, FaultName } from './faults.js';
@@ -18,7 +18,7 @@
 
 export type ChaosEnd = {
   readonly seed: number;
-  readonly broken: readonly Broken[];
+  readonly broken: readonly RuleViolation[];
   readonly faults: readonly string[];
   readonly asked: number;
   readonly good: number;
@@ -104,11 +104,11 @@
     pick(rng, fleet.zones),
   );
   note(`last: ${disaster}`);
-  await world.advance(3_000 + below(rng, 3_000), watchers.step);
+  await world.advance(3_000 + randomInt(rng, 3_000), watchers.step);
   bringBack(fleet);
   const backAt = world.now();
   const last: Readonly<Record<string, number>>[] = [];
-  for (const zone of fleet.zones) loadOn(zone, 14, last, { name: `probe-${zone}`, patience: 0, runOnceShare: 0.5 });
+  for (const zone of fleet.zones) loadOn(zone, 14, last, { name: `probe-${zone}`, maxRetries: 0, runOnceShare: 0.5 });
   const operatorAt = ops.firstAccepted(backAt + RECOVERY_MS);
   await world.advance(14_000, watchers.step);
   const recoveryMs: Record<string, number> = firstSuccesses(fleet, backAt);
@@ -296,7 +296,7 @@
       repeatable: false,
       key,
     });
-    const tag = got.ok ? 'success' : tagOf(got.error);
+    const tag = got.ok ? 'success' : errorLabel(got.error);
     if (tag !== 'alreadyAnswered' && tag !== 'outcomeUnknown')
       fault('runOnce', `${key} ran and was answered; sent again, it is told ${tag}`);
   }
--- a/src/sim/core-scenarios.ts
+++ b/src/sim/core-scenarios.ts
@@ -225,7 +225,7 @@
   for (const n of nodes) void fleet.startNode(n.name);
   const from = fleet.world.now();
   const mark = fleet.records.length;
-  const t = await fleet.finish(fleet.traffic({ zone: 'ro-1', seconds: 12, runOnceShare: 1, patience: 0 }), 60_000);
+  const t = await fleet.finish(fleet.traffic({ zone: 'ro-1', seconds: 12, runOnceShare: 1, maxRetries: 0 }), 60_000);
   let first = -1;
   for (const r of fleet.records.slice(mark))
     if (first < 0 && r['who'] === 'caller' && r['result'] === 'success') first = (r['at'] as number) - from;
--- a/src/sim/edge-day.ts
+++ b/src/sim/edge-day.ts
@@ -2,7 +2,7 @@
  * A day of one proxy's opaque server: callers of all kinds, workers in all kinds of trouble, and a proxy
  * that is frozen now and then. By seed, without sockets; judged from what callers and workers noted.
  */
-import { OPEN_WORDS } from '../protocol/header-names.js';
+import { DEFAULT_HEADER_NAMES } from '../protocol/header-names.js';
 import { createAttemptBudget } from '../state/forwarding/attempt-budget.js';
 import { EDGE_TUNING } from '../state/forwarding/edge-tuning.js';
 import { createRouteTable } from '../state/configuration/route-table.js';
@@ -11,7 +11,7 @@
 import type { RouteSettings } from '../state/configuration/serving.js';
 import { createWorkerRegistry } from '../state/discovery/worker-registry.js';
 import type { WorkerEntry } from '../state/discovery/worker-entry.js';
-import { every, turnOver } from '../transport/clock.js';
+import { every, yieldToEventLoop } from '../transport/clock.js';
 import { createQuietLog } from '../transport/log.js';
 import type { ConnectionPool, OpaqueRequest } from '../transport/opaque-http.js';
 import { createRng } from '../transport/rng.js';
@@ -92,7 +92,7 @@
   const connectionPool: ConnectionPool = createEdgeWorkers({
     world,
     proc,
-    headerNames: OPEN_WORDS,
+    headerNames: DEFAULT_HEADER_NAMES,
     rng,
     journal,
     sabotage: options.sabotage ?? 'none',
@@ -108,7 +108,7 @@
   );
   book.applyList([1, 2, 3, 4].map(workerEntry), 0);
   const relay = options.createRelay({
-    headerNames: OPEN_WORDS,
+    headerNames: DEFAULT_HEADER_NAMES,
     tuning: EDGE_TUNING,
     registry: book,
     budget: createAttemptBudget(BOUNDS),
@@ -172,7 +172,7 @@
   host.frozen = false;
   for (const callback of host.parked.splice(0)) {
     callback();
-    await turnOver();
+    await yieldToEventLoop();
   }
 }
 
@@ -200,8 +200,8 @@
   const watchers: (() => void)[] = [];
   const headers: Record<string, string> = {
     host: 'a.example',
-    [OPEN_WORDS.attemptId]: asked.id,
-    [OPEN_WORDS.deadline]: String(asked.deadlineMs),
+    [DEFAULT_HEADER_NAMES.attemptId]: asked.id,
+    [DEFAULT_HEADER_NAMES.deadline]: String(asked.deadlineMs),
     'content-length': String(bodyOf(asked.id).length),
   };
   let gone = false;
@@ -221,7 +221,7 @@
   function head(status: number, raw: readonly string[]): void {
     if (gone || asked.status !== 0) return;
     asked.status = status;
-    const at = raw.indexOf(OPEN_WORDS.seal);
+    const at = raw.indexOf(DEFAULT_HEADER_NAMES.seal);
     asked.seal = at < 0 ? null : (raw[at + 1] ?? null);
   }
   function write(data: Buffer): void {
@@ -246,7 +246,7 @@
     headers: Object.entries(headers).flat(),
     get,
     body,
-    answerer: { head, write, end, abort: cut, gone: isGone, begun, onGone },
+    responseWriter: { head, write, end, abort: cut, gone: isGone, begun, onCallerGone: onGone },
   };
   return { incoming, left };
 }
--- a/src/sim/edge-workers.ts
+++ b/src/sim/edge-workers.ts
@@ -3,7 +3,7 @@
  * workers misbehave as they are told by chance. Each notes what came to it and what it ran.
  */
 import type { HeaderNames } from '../protocol/header-names.js';
-import type { ConnectionPool, SendEvents, SendError, Sending, Sent } from '../transport/opaque-http.js';
+import type { ConnectionPool, SendEvents, SendError, OutgoingRequest, PendingSend } from '../transport/opaque-http.js';
 import type { Rng } from '../transport/rng.js';
 import { eventText } from './edge-journal.js';
 import type { Arrival, Asked, EdgeJournal } from './edge-journal.js';
@@ -91,9 +91,9 @@
     events.failed({ tag: options.sabotage === 'resetToldAsNotConnected' && tag === 'reset' ? 'notConnected' : tag });
   }
 
-  function send(what: Sending, events: SendEvents): Sent {
+  function send(what: OutgoingRequest, events: SendEvents): PendingSend {
     const sending = { over: false, visit: null as Visit | null };
-    const reused = !what.newConnection && chance(0.7) ? idle.get(what.address)?.pop() : undefined;
+    const reused = !what.requiresNewConnection && chance(0.7) ? idle.get(what.address)?.pop() : undefined;
     if (reused) write(reused);
     else toProxy(soon(CONNECT_MS), dialled);
 
@@ -136,7 +136,7 @@
   }
 
   function visit(
-    what: Sending,
+    what: OutgoingRequest,
     headers: readonly string[],
     connection: Connection,
     events: SendEvents,
@@ -349,5 +349,5 @@
     return 0;
   }
   function nothing(): void {}
-  return { send, check, open: none, idle: idleAt, forget: nothing, made: none, stop: nothing };
+  return { send, check, open: none, idle: idleAt, forget: nothing, totalDialled: none, stop: nothing };
 }
