--- a/src/sim/faults.ts
+++ b/src/sim/faults.ts
@@ -1,4 +1,4 @@
-import { below, pick } from '../transport/rng.js';
+import { randomInt, pick } from '../transport/rng.js';
 import type { Rng } from '../transport/rng.js';
 import type { SimFleet } from './sim-fleet.js';
 import { CALM } from './sim-wire.js';
@@ -56,7 +56,7 @@
   const simWorker = pick(faultAct.rng, faultAct.fleet.workers);
   faultAct.note(`kills ${simWorker.id}`);
   faultAct.fleet.kill(simWorker.id);
-  bounce(faultAct, simWorker.id, 1_000 + below(faultAct.rng, 6_000));
+  bounce(faultAct, simWorker.id, 1_000 + randomInt(faultAct.rng, 6_000));
 }
 function lab(faultAct: FaultAct, address: string, path: string, body: unknown): void {
   void faultAct.fleet.call({ method: 'POST', address, path, body, timeoutMs: 2_000 });
@@ -71,13 +71,13 @@
 function silenceWorker(faultAct: FaultAct): void {
   const simWorker = pick(faultAct.rng, faultAct.fleet.workers);
   faultAct.note(`silences ${simWorker.id}`);
-  spell(faultAct, simWorker.http, 'silent', 2_000 + below(faultAct.rng, 8_000));
+  spell(faultAct, simWorker.http, 'silent', 2_000 + randomInt(faultAct.rng, 8_000));
 }
 function lyingWorker(faultAct: FaultAct): void {
   const simWorker = pick(faultAct.rng, faultAct.fleet.workers);
   const mode = pick(faultAct.rng, ['truncate', 'wrongSeal', 'swapPieces', 'refuse']);
   faultAct.note(`${simWorker.id} does ${mode}`);
-  spell(faultAct, simWorker.http, mode, 3_000 + below(faultAct.rng, 4_000));
+  spell(faultAct, simWorker.http, mode, 3_000 + randomInt(faultAct.rng, 4_000));
 }
 function coldWorker(faultAct: FaultAct): void {
   const simWorker = pick(faultAct.rng, faultAct.fleet.workers);
@@ -87,7 +87,7 @@
 function reclaim(faultAct: FaultAct): void {
   for (const machine of readySpot(faultAct)) {
     if (faultAct.rng.next() < 0.5) continue;
-    const remainingMs = 500 + below(faultAct.rng, 4_000);
+    const remainingMs = 500 + randomInt(faultAct.rng, 4_000);
     faultAct.note(`reclaims ${machine} within ${remainingMs}`);
     lab(faultAct, faultAct.fleet.cloudAddress, '/lab/reclaim', { machine, remainingMs });
     return;
@@ -100,34 +100,34 @@
   function back(): void {
     lab(faultAct, faultAct.fleet.cloudAddress, '/lab/zone', { zone, spot: true });
   }
-  after(faultAct, 5_000 + below(faultAct.rng, 10_000), back);
+  after(faultAct, 5_000 + randomInt(faultAct.rng, 10_000), back);
 }
 function loseReplies(faultAct: FaultAct): void {
   faultAct.note('cloud loses replies');
-  lab(faultAct, faultAct.fleet.cloudAddress, '/lab/lose', { replies: 1 + below(faultAct.rng, 3) });
+  lab(faultAct, faultAct.fleet.cloudAddress, '/lab/lose', { replies: 1 + randomInt(faultAct.rng, 3) });
 }
 function platformFault(faultAct: FaultAct): void {
   const mode = pick(faultAct.rng, ['down', 'nonsense']);
   faultAct.note(`platform ${mode}`);
-  spell(faultAct, faultAct.fleet.platformAddress, mode, 1_000 + below(faultAct.rng, 4_000));
+  spell(faultAct, faultAct.fleet.platformAddress, mode, 1_000 + randomInt(faultAct.rng, 4_000));
 }
 function killHead(faultAct: FaultAct): void {
   const name = pick(faultAct.rng, names(faultAct.fleet.controllers));
   faultAct.note(`kills ${name}`);
   faultAct.fleet.kill(name);
-  bounce(faultAct, name, 500 + below(faultAct.rng, 8_000));
+  bounce(faultAct, name, 500 + randomInt(faultAct.rng, 8_000));
 }
 function powerHead(faultAct: FaultAct): void {
   const name = pick(faultAct.rng, names(faultAct.fleet.controllers));
   faultAct.note(`${name} loses power`);
   faultAct.fleet.powerLoss(name);
-  bounce(faultAct, name, 500 + below(faultAct.rng, 8_000));
+  bounce(faultAct, name, 500 + randomInt(faultAct.rng, 8_000));
 }
 function powerAllHeads(faultAct: FaultAct): void {
   faultAct.note('all controllers lose power');
   for (const name of names(faultAct.fleet.controllers)) {
     faultAct.fleet.powerLoss(name);
-    bounce(faultAct, name, 500 + below(faultAct.rng, 3_000));
+    bounce(faultAct, name, 500 + randomInt(faultAct.rng, 3_000));
   }
 }
 function wipeHead(faultAct: FaultAct): void {
@@ -136,20 +136,20 @@
   faultAct.note(`${name} loses its disk`);
   faultAct.fleet.kill(name);
   faultAct.fleet.wipe(name);
-  bounce(faultAct, name, 500 + below(faultAct.rng, 4_000));
+  bounce(faultAct, name, 500 + randomInt(faultAct.rng, 4_000));
 }
 function killProxy(faultAct: FaultAct): void {
   const name = pick(faultAct.rng, names(faultAct.fleet.proxies));
   faultAct.note(`kills ${name}`);
   faultAct.fleet.kill(name);
-  bounce(faultAct, name, 200 + below(faultAct.rng, 5_000));
+  bounce(faultAct, name, 200 + randomInt(faultAct.rng, 5_000));
 }
 function killMany(faultAct: FaultAct): void {
   faultAct.note('kills many');
   for (const name of nodeNames(faultAct)) {
     if (faultAct.rng.next() < 0.5) continue;
     faultAct.fleet.kill(name);
-    bounce(faultAct, name, 500 + below(faultAct.rng, 3_000));
+    bounce(faultAct, name, 500 + randomInt(faultAct.rng, 3_000));
   }
 }
 function freeze(faultAct: FaultAct): void {
@@ -161,11 +161,11 @@
   function thaw(): void {
     faultAct.fleet.world.thaw(host);
   }
-  after(faultAct, 500 + below(faultAct.rng, 9_000), thaw);
+  after(faultAct, 500 + randomInt(faultAct.rng, 9_000), thaw);
 }
 function jumpClock(faultAct: FaultAct): void {
   const name = pick(faultAct.rng, nodeNames(faultAct));
-  const ms = (faultAct.rng.next() < 0.5 ? -1 : 1) * (1_000 + below(faultAct.rng, 3_600_000));
+  const ms = (faultAct.rng.next() < 0.5 ? -1 : 1) * (1_000 + randomInt(faultAct.rng, 3_600_000));
   faultAct.note(`${name}'s clock jumps ${ms}`);
   faultAct.fleet.hostOf(name).wallOffset += ms;
 }
@@ -175,13 +175,13 @@
   for (const host of faultAct.fleet.world.hosts()) if (host.zone === zone) inside.push(host.name);
   faultAct.note(`cuts ${zone} off`);
   faultAct.fleet.cutOff(inside);
-  after(faultAct, 1_000 + below(faultAct.rng, 9_000), faultAct.fleet.world.healAll);
+  after(faultAct, 1_000 + randomInt(faultAct.rng, 9_000), faultAct.fleet.world.healAll);
 }
 function cutOne(faultAct: FaultAct): void {
   const name = pick(faultAct.rng, nodeNames(faultAct));
   faultAct.note(`cuts ${name} off`);
   faultAct.fleet.cutOff([name]);
-  after(faultAct, 1_000 + below(faultAct.rng, 9_000), faultAct.fleet.world.healAll);
+  after(faultAct, 1_000 + randomInt(faultAct.rng, 9_000), faultAct.fleet.world.healAll);
 }
 function oneWay(faultAct: FaultAct): void {
   const all = nodeNames(faultAct);
@@ -189,7 +189,7 @@
   const to = pick(faultAct.rng, all);
   faultAct.note(`${from} is not heard by ${to}`);
   faultAct.fleet.world.cut(from, to);
-  after(faultAct, 1_000 + below(faultAct.rng, 9_000), faultAct.fleet.world.healAll);
+  after(faultAct, 1_000 + randomInt(faultAct.rng, 9_000), faultAct.fleet.world.healAll);
 }
 function fullDisk(faultAct: FaultAct): void {
   const node = pick(faultAct.rng, faultAct.fleet.controllers);
@@ -198,7 +198,7 @@
   function back(): void {
     node.platter.failing = false;
   }
-  after(faultAct, 2_000 + below(faultAct.rng, 3_000), back);
+  after(faultAct, 2_000 + randomInt(faultAct.rng, 3_000), back);
   function restart(): void {
     faultAct.fleet.kill(node.name);
     bounce(faultAct, node.name, 200);
@@ -208,7 +208,7 @@
 function evacuate(faultAct: FaultAct): void {
   const zone = pick(faultAct.rng, faultAct.fleet.zones);
   faultAct.note(`evacuates ${zone}`);
-  faultAct.evacuate(zone, 9_000 + below(faultAct.rng, 6_000));
+  faultAct.evacuate(zone, 9_000 + randomInt(faultAct.rng, 6_000));
 }
 function crowdOfOperators(faultAct: FaultAct): void {
   faultAct.note('six operators at once, some of them wrong');
@@ -227,7 +227,7 @@
   const machines = readySpot(faultAct);
   if (machines.length === 0) return;
   const machine = pick(faultAct.rng, machines);
-  const remainingMs = 3_000 + below(faultAct.rng, 6_000);
+  const remainingMs = 3_000 + randomInt(faultAct.rng, 6_000);
   faultAct.note(`drains ${machine} within ${remainingMs}`);
   lab(faultAct, faultAct.fleet.platformAddress, '/lab/drain', { machine, remainingMs });
 }
@@ -239,12 +239,12 @@
   function thaw(): void {
     faultAct.fleet.world.thaw(simWorker.host);
   }
-  after(faultAct, 1_000 + below(faultAct.rng, 8_000), thaw);
+  after(faultAct, 1_000 + randomInt(faultAct.rng, 8_000), thaw);
 }
 function stallWorker(faultAct: FaultAct): void {
   const simWorker = pick(faultAct.rng, faultAct.fleet.workers);
   faultAct.note(`${simWorker.id} stalls between pieces`);
-  spell(faultAct, simWorker.http, 'stall', 2_000 + below(faultAct.rng, 3_000));
+  spell(faultAct, simWorker.http, 'stall', 2_000 + randomInt(faultAct.rng, 3_000));
 }
 function replaceWorkers(faultAct: FaultAct): void {
   faultAct.note('replaces the fixed workers one by one, at new addresses');
@@ -261,7 +261,7 @@
 function regionLost(faultAct: FaultAct): void {
   const zone = pick(faultAct.rng, faultAct.fleet.zones);
   faultAct.note(`${zone} loses power, and comes back cold`);
-  const ms = 3_000 + below(faultAct.rng, 6_000);
+  const ms = 3_000 + randomInt(faultAct.rng, 6_000);
   for (const name of inZone(faultAct.fleet, zone)) {
     faultAct.fleet.powerLoss(name);
     bounce(faultAct, name, ms);
@@ -272,11 +272,11 @@
   for (const node of faultAct.fleet.controllers)
     for (const target of faultAct.fleet.controllers)
       if (node !== target) faultAct.fleet.world.cut(node.name, target.name);
-  after(faultAct, 2_000 + below(faultAct.rng, 6_000), faultAct.fleet.world.healAll);
+  after(faultAct, 2_000 + randomInt(faultAct.rng, 6_000), faultAct.fleet.world.healAll);
 }
 function moveHead(faultAct: FaultAct): void {
   if (runningHeads(faultAct) < faultAct.fleet.controllers.length) return;
-  const at = below(faultAct.rng, faultAct.fleet.controllers.length);
+  const at = randomInt(faultAct.rng, faultAct.fleet.controllers.length);
   faultAct.note(`controller-${at + 1} moves to a new address`);
   faultAct.fleet.moveController(at);
 }
@@ -286,7 +286,7 @@
   function calm(): void {
     faultAct.fleet.turbulence(CALM);
   }
-  after(faultAct, 2_000 + below(faultAct.rng, 4_000), calm);
+  after(faultAct, 2_000 + randomInt(faultAct.rng, 4_000), calm);
 }
 function noRoom(faultAct: FaultAct): void {
   const n = pick(faultAct.rng, [...faultAct.fleet.controllers, ...faultAct.fleet.proxies]);
@@ -301,13 +301,13 @@
     if (faultAct.fleet.hostOf(n.name).running && !isUp(faultAct.fleet, n.name)) faultAct.fleet.kill(n.name);
     bounce(faultAct, n.name, 100);
   }
-  after(faultAct, 2_000 + below(faultAct.rng, 4_000), room);
+  after(faultAct, 2_000 + randomInt(faultAct.rng, 4_000), room);
 }
 function powerProxy(faultAct: FaultAct): void {
   const name = pick(faultAct.rng, names(faultAct.fleet.proxies));
   faultAct.note(`${name} loses power`);
   faultAct.fleet.powerLoss(name);
-  bounce(faultAct, name, 500 + below(faultAct.rng, 4_000));
+  bounce(faultAct, name, 500 + randomInt(faultAct.rng, 4_000));
 }
 function outsideUnseen(faultAct: FaultAct): void {
   const what = pick(faultAct.rng, ['platform', 'cloud']);
@@ -315,7 +315,7 @@
   for (const name of nodeNames(faultAct)) if (faultAct.rng.next() < 0.5) blind.push(name);
   faultAct.note(`${blind.join()} can't reach the ${what}`);
   for (const name of blind) faultAct.fleet.world.cut(name, what);
-  after(faultAct, 2_000 + below(faultAct.rng, 8_000), faultAct.fleet.world.healAll);
+  after(faultAct, 2_000 + randomInt(faultAct.rng, 8_000), faultAct.fleet.world.healAll);
 }
 function crowd(faultAct: FaultAct): void {
   const zone = pick(faultAct.rng, faultAct.fleet.zones);
--- a/src/sim/lag-scenarios.ts
+++ b/src/sim/lag-scenarios.ts
@@ -1,4 +1,4 @@
-import type { Step } from '../state/consensus/entry.js';
+import type { ScalerStep } from '../state/consensus/entry.js';
 import { createFollower } from '../coordination/distribution/follower.js';
 import type { Follower } from '../coordination/distribution/follower.js';
 import { createPeers } from '../coordination/messaging/peers.js';
@@ -56,7 +56,7 @@
 const WHOLE_LIFE: readonly OrderStage[] = ['intended', 'placed', 'ready', 'lost'];
 
 /** One step in the life of an order, with a cause as the scaler names it. */
-function stepOf(count: number, series: string, stage: OrderStage): Step {
+function stepOf(count: number, series: string, stage: OrderStage): ScalerStep {
   const order = `${series}-${count}-7f3a9c`;
   switch (stage) {
     case 'intended':
@@ -84,7 +84,7 @@
 }
 
 async function decide(core: SimCore, series: string, from: number, to: number, stage: OrderStage): Promise<void> {
-  const steps: Step[] = [];
+  const steps: ScalerStep[] = [];
   for (let count = from; count < to; count += 1) steps.push(stepOf(count, series, stage));
   await agree(core, 'The scaler decided.', { tag: 'decided', steps });
 }
--- a/src/sim/linearizability.test.ts
+++ b/src/sim/linearizability.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, test } from '@jest/globals';
-import { below, createRng } from '../transport/rng.js';
+import { randomInt, createRng } from '../transport/rng.js';
 import type { Rng } from '../transport/rng.js';
 import { checkLinearizable } from './linearizability.js';
 import type { ViolationKind } from './linearizability.js';
@@ -220,18 +220,18 @@
 
 function anyHistory(rng: Rng): OperatorCall[] {
   const history: OperatorCall[] = [];
-  for (let n = 2 + below(rng, 5); n > 0; n -= 1) {
-    const start = below(rng, 12);
-    const end = start + 1 + below(rng, 6);
-    const number = below(rng, 4);
-    if (below(rng, 3) === 0) history.push(read(start, end, number));
+  for (let n = 2 + randomInt(rng, 5); n > 0; n -= 1) {
+    const start = randomInt(rng, 12);
+    const end = start + 1 + randomInt(rng, 6);
+    const number = randomInt(rng, 4);
+    if (randomInt(rng, 3) === 0) history.push(read(start, end, number));
     else {
-      const base = below(rng, number + 1);
+      const base = randomInt(rng, number + 1);
       const answer = (['confirmed', 'confirmed', 'stale', 'invalid', 'unclear'] as const)[
-        below(rng, 5)
+        randomInt(rng, 5)
       ] as ChangeAnswer;
       history.push(
-        change(start, end, base, number + 1, answer, { request: `r${number + 1}.${base}.${below(rng, 2)}` }),
+        change(start, end, base, number + 1, answer, { request: `r${number + 1}.${base}.${randomInt(rng, 2)}` }),
       );
     }
   }
@@ -267,7 +267,7 @@
     }
     const isAgain = known.length > 0 && rng.next() < 0.4;
     const fresh = { request: `r${top + 1}`, base: rng.next() < 0.8 ? now : Math.max(0, now - 1), number: top + 1 };
-    const sent = isAgain ? (known[Math.max(0, known.length - 1 - below(rng, 6))] ?? fresh) : fresh;
+    const sent = isAgain ? (known[Math.max(0, known.length - 1 - randomInt(rng, 6))] ?? fresh) : fresh;
     if (!isAgain) {
       top += 1;
       known.push(sent);
--- a/src/sim/model/agreement-state.ts
+++ b/src/sim/model/agreement-state.ts
@@ -8,7 +8,7 @@
  * is whether and when the explorer delivers it.
  */
 import { accept, createAcceptor, prepare, restoreSlot } from '../../state/consensus/acceptor.js';
-import type { Acceptor, Accepted, SlotState } from '../../state/consensus/acceptor.js';
+import type { Acceptor, AcceptedBatch, SlotState } from '../../state/consensus/acceptor.js';
 import type { Ballot } from '../../state/consensus/ballot.js';
 import { emptyControlState, foldBatch, memberId } from '../../state/consensus/control-state.js';
 import type { ControlState } from '../../state/consensus/control-state.js';
@@ -35,7 +35,7 @@
   /** The members that the proposer asks; empty until it starts. */
   readonly electorate: readonly string[];
   /** Who promised, and what each had accepted before. */
-  readonly promises: Readonly<Record<string, Accepted | null>>;
+  readonly promises: Readonly<Record<string, AcceptedBatch | null>>;
   /** The batch put to the vote, once a majority promised. */
   readonly batch: string | null;
   readonly acceptedBy: readonly string[];
@@ -140,7 +140,7 @@
   return left[0] - right[0];
 }
 
-export type Promised = { readonly node: NodeState; readonly accepted: Accepted | null };
+export type Promised = { readonly node: NodeState; readonly accepted: AcceptedBatch | null };
 
 /** Puts a prepare to the real acceptor; null if it does not promise. */
 export function promiseOf(node: NodeState, slot: number, ballot: Ballot): Promised | null {
--- a/src/sim/model/agreement-steps.ts
+++ b/src/sim/model/agreement-steps.ts
@@ -7,7 +7,7 @@
  */
 import { compareBallots } from '../../state/consensus/ballot.js';
 import type { Ballot } from '../../state/consensus/ballot.js';
-import type { Accepted, SlotState } from '../../state/consensus/acceptor.js';
+import type { AcceptedBatch, SlotState } from '../../state/consensus/acceptor.js';
 import { acceptanceOf, MACHINES, membersOf, promiseOf, withLog, withNode, withProposal } from './agreement-state.js';
 import type { AgreementState, NodeState, PlannedProposal, ProposalState } from './agreement-state.js';
 
@@ -94,8 +94,8 @@
   return out;
 }
 
-function batchFor(planned: PlannedProposal, promises: readonly (Accepted | null)[], scenario: Scenario): string {
-  let best: Accepted | null = null;
+function batchFor(planned: PlannedProposal, promises: readonly (AcceptedBatch | null)[], scenario: Scenario): string {
+  let best: AcceptedBatch | null = null;
   for (const one of promises) if (one && (!best || compareBallots(one.ballot, best.ballot) > 0)) best = one;
   return best && scenario.broken !== 'ignoresAccepted' ? best.batch.id : planned.batch;
 }
@@ -106,7 +106,7 @@
   if (proposal.batch !== null || !nodeOf(state, planned.by).alive) return [];
   const batches = new Set<string>();
   for (const promisers of majorities(proposal.electorate, Object.keys(proposal.promises))) {
-    const told: (Accepted | null)[] = [];
+    const told: (AcceptedBatch | null)[] = [];
     for (const name of promisers) told.push(proposal.promises[name] ?? null);
     batches.add(batchFor(planned, told, scenario));
   }
--- a/src/sim/model/same-value.ts
+++ b/src/sim/model/same-value.ts
@@ -1,5 +1,5 @@
 /** Deep equality of JSON values, whatever the order of their keys. */
-import { isTable } from '../../base/is-table.js';
+import { isJsonObject } from '../../base/is-json-object.js';
 
 export function sameValue(left: unknown, right: unknown): boolean {
   if (Object.is(left, right)) return true;
@@ -8,7 +8,7 @@
     for (let i = 0; i < left.length; i += 1) if (!sameValue(left[i], right[i])) return false;
     return true;
   }
-  if (!isTable(left) || !isTable(right) || Array.isArray(left) || Array.isArray(right)) return false;
+  if (!isJsonObject(left) || !isJsonObject(right) || Array.isArray(left) || Array.isArray(right)) return false;
   const keys = Object.keys(left);
   if (keys.length !== Object.keys(right).length) return false;
   for (const key of keys) if (!Object.hasOwn(right, key) || !sameValue(left[key], right[key])) return false;
--- a/src/sim/model/tolerance.ts
+++ b/src/sim/model/tolerance.ts
@@ -3,8 +3,8 @@
  * members, on whole disks, must be left. While the members change, it must be
  * left of each membership that may turn out to be agreed.
  */
-import { isTable } from '../../base/is-table.js';
-import { parsedJson } from '../../base/parsed-json.js';
+import { isJsonObject } from '../../base/is-json-object.js';
+import { parseJson } from '../../base/parse-json.js';
 import { memberId } from '../../state/consensus/control-state.js';
 import type { World } from '../world.js';
 import type { SlotFacts } from './slot-facts.js';
@@ -30,8 +30,8 @@
 /** The identity that a platter holds, as it would be read at the next start. */
 export function identityOn(node: ModelNode): string | null {
   const file = node.platter.files.get(IDENTITY_FILE);
-  const read = file ? parsedJson(file.current.toString()) : null;
-  return isTable(read) && typeof read['incarnation'] === 'string'
+  const read = file ? parseJson(file.current.toString()) : null;
+  return isJsonObject(read) && typeof read['incarnation'] === 'string'
     ? memberId({ name: node.name, incarnation: read['incarnation'] })
     : null;
 }
--- a/src/sim/model/watched-disk.ts
+++ b/src/sim/model/watched-disk.ts
@@ -40,7 +40,7 @@
     return { ...file, write, sync };
   }
   async function preallocated(name: string, size: number): Promise<Result<DiskFile, DiskError>> {
-    const made = await inner.preallocated(name, size);
+    const made = await inner.openPreallocated(name, size);
     return made.ok ? ok(watchFile(made.value)) : made;
   }
   function replace(name: string, data: Buffer): Promise<Result<null, DiskError>> {
@@ -49,5 +49,5 @@
     }
     return guarded(work);
   }
-  return { ...inner, preallocated, replace };
+  return { ...inner, openPreallocated: preallocated, replace };
 }
--- a/src/sim/racing-day.ts
+++ b/src/sim/racing-day.ts
@@ -10,8 +10,8 @@
 import type { ConfigurationService } from '../coordination/configuration/configuration-service.js';
 import type { Serving } from '../state/configuration/serving.js';
 import { DEFAULT_LIMITS } from '../state/configuration/serving.js';
-import { delay, within } from '../transport/clock.js';
-import { below, createRng } from '../transport/rng.js';
+import { delay, withTimeout } from '../transport/clock.js';
+import { randomInt, createRng } from '../transport/rng.js';
 import type { Rng } from '../transport/rng.js';
 import { createCallHistory } from './call-history.js';
 import type { CallHistory } from './call-history.js';
@@ -87,7 +87,7 @@
 }
 
 function anyNode(day: Day): string {
-  return day.running[below(day.rng, day.running.length)] as string;
+  return day.running[randomInt(day.rng, day.running.length)] as string;
 }
 
 async function readNewest(day: Day): Promise<number | null> {
@@ -95,7 +95,7 @@
   const service = serviceOf(day, name);
   if (!service) return null;
   const noteRead = day.history.readSent(name);
-  const read = await within(day.clock, PATIENCE_MS, service.read());
+  const read = await withTimeout(day.clock, PATIENCE_MS, service.read());
   if (!read?.ok) return null;
   noteRead(read.value.number, contentOf(read.value));
   return read.value.number;
@@ -107,7 +107,7 @@
   const noteAnswer = day.history.changeSent({ node: name, request, base, number, content });
   const service = serviceOf(day, name);
   if (!service) return 'unclear';
-  const answer = await within(
+  const answer = await withTimeout(
     day.clock,
     patienceMs(day.rng),
     day.rng.next() < 0.5 ? service.replace(base, servingOf(change), request) : amended(service, change),
@@ -127,7 +127,7 @@
 }
 
 function patienceMs(rng: Rng): number {
-  return rng.next() < LOST_SHARE ? 1 + below(rng, 120) : PATIENCE_MS;
+  return rng.next() < LOST_SHARE ? 1 + randomInt(rng, 120) : PATIENCE_MS;
 }
 
 /** Sends until the answer is clear, at times to a second controller while the first sending is still under way. */
@@ -137,14 +137,14 @@
     const answer = await sendOnce(day, change);
     if (answer === 'confirmed') day.confirmed.push(change);
     if (answer !== 'unclear') return;
-    await delay(day.clock, 50 + below(day.rng, 200 * sending));
+    await delay(day.clock, 50 + randomInt(day.rng, 200 * sending));
   }
 }
 
 /** A change on the newest configuration; at times with the result of one that another operator sends under its own request. */
 function nextChange(day: Day, base: number): Change {
   day.serial += 1;
-  const number = base + 1 + below(day.rng, 2);
+  const number = base + 1 + randomInt(day.rng, 2);
   return { request: `r-${day.serial}`, base, number, content: `content-${day.serial}` };
 }
 
@@ -157,15 +157,15 @@
       if (day.rng.next() < 0.08) void sendUntilClear(day, twin);
       await sendUntilClear(day, change);
     }
-    const again = day.confirmed[day.confirmed.length - 1 - below(day.rng, 30)];
+    const again = day.confirmed[day.confirmed.length - 1 - randomInt(day.rng, 30)];
     if (again && day.rng.next() < 0.3) await sendOnce(day, again);
-    await delay(day.clock, below(day.rng, 1_200));
+    await delay(day.clock, randomInt(day.rng, 1_200));
   }
 }
 
 async function ordinaryEntries(day: Day): Promise<void> {
   while (!day.isOver) {
-    await delay(day.clock, 5_000 + below(day.rng, 15_000));
+    await delay(day.clock, 5_000 + randomInt(day.rng, 15_000));
     const ledger = day.core.node(anyNode(day)).controller?.ledger;
     for (let count = 0; count < ENTRIES_OF_A_BURST; count += 1) {
       void ledger?.propose({ cause: 'A racing day.', act: { tag: 'targetChanged', model: 'm', target: count } }, 1_500);
@@ -232,7 +232,7 @@
   void ordinaryEntries(day);
   const endAt = core.world.now() + options.seconds * 1_000;
   while (core.world.now() < endAt) {
-    await core.world.advance(below(day.rng, 4_000));
+    await core.world.advance(randomInt(day.rng, 4_000));
     troubles.push(await strikeCore(core, running, day.rng));
     if (!(await core.until(15_000, isWhole))) broken.push(`not whole after: ${troubles[troubles.length - 1] ?? ''}`);
   }
--- a/src/sim/racing-troubles.ts
+++ b/src/sim/racing-troubles.ts
@@ -1,5 +1,5 @@
 /** One trouble at a time for a core whose operators go on: struck, kept up for a while and ended again. */
-import { below } from '../transport/rng.js';
+import { randomInt } from '../transport/rng.js';
 import type { Rng } from '../transport/rng.js';
 import type { SimCore } from './sim-core.js';
 
@@ -13,7 +13,7 @@
 type Trouble = (struck: Struck) => Promise<string>;
 
 async function spell(struck: Struck): Promise<void> {
-  await struck.core.world.advance(200 + below(struck.rng, LONGEST_MS));
+  await struck.core.world.advance(200 + randomInt(struck.rng, LONGEST_MS));
 }
 
 async function kill(struck: Struck): Promise<string> {
@@ -46,9 +46,9 @@
 async function flap(struck: Struck): Promise<string> {
   for (let count = 0; count < FLAPS; count += 1) {
     struck.core.cutOff([struck.name]);
-    await struck.core.world.advance(100 + below(struck.rng, LONGEST_FLAP_MS));
+    await struck.core.world.advance(100 + randomInt(struck.rng, LONGEST_FLAP_MS));
     struck.core.world.healAll();
-    await struck.core.world.advance(below(struck.rng, 500));
+    await struck.core.world.advance(randomInt(struck.rng, 500));
   }
   return `${struck.name} comes and goes`;
 }
@@ -90,11 +90,11 @@
   const isPlanned = struck.rng.next() < 0.5;
   if (isPlanned) {
     struck.core.start(next);
-    await struck.core.world.advance(1_500 + below(struck.rng, 3_000));
+    await struck.core.world.advance(1_500 + randomInt(struck.rng, 3_000));
     await struck.core.end(struck.name);
   } else {
     struck.core.powerLoss(struck.name);
-    await struck.core.world.advance(below(struck.rng, 3_000));
+    await struck.core.world.advance(randomInt(struck.rng, 3_000));
     struck.core.start(next);
   }
   struck.running.splice(struck.running.indexOf(struck.name), 1, next);
@@ -117,7 +117,7 @@
 
 /** Strikes any of `running` and returns what it did, once the trouble is over; `running` then names those that run. */
 export function strikeCore(core: SimCore, running: string[], rng: Rng): Promise<string> {
-  const name = running[below(rng, running.length)] as string;
-  const trouble = TROUBLES[below(rng, TROUBLES.length)] as Trouble;
+  const name = running[randomInt(rng, running.length)] as string;
+  const trouble = TROUBLES[randomInt(rng, TROUBLES.length)] as Trouble;
   return trouble({ core, running, rng, name });
 }
--- a/src/sim/racing-zones.ts
+++ b/src/sim/racing-zones.ts
@@ -4,9 +4,9 @@
  * next one. An order that was given up and acts late shows as a zone that reads otherwise.
  */
 import type { Caller, ConfigurationService } from '../coordination/configuration/configuration-service.js';
-import { delay, within } from '../transport/clock.js';
+import { delay, withTimeout } from '../transport/clock.js';
 import type { Clock } from '../transport/clock.js';
-import { below } from '../transport/rng.js';
+import { randomInt } from '../transport/rng.js';
 import type { Rng } from '../transport/rng.js';
 import type { SimCore } from './sim-core.js';
 
@@ -32,13 +32,17 @@
 const TWICE_SHARE = 0.4;
 
 function anyNode(operator: ZoneOperator): string {
-  return operator.running[below(operator.rng, operator.running.length)] as string;
+  return operator.running[randomInt(operator.rng, operator.running.length)] as string;
 }
 
 async function orderOnce(operator: ZoneOperator, begun: boolean): Promise<boolean> {
   const service = operator.serviceOf(anyNode(operator));
   if (!service) return false;
-  const answer = await within(operator.clock, operator.patienceMs(), service.evacuate(operator.zone, begun, WAITS));
+  const answer = await withTimeout(
+    operator.clock,
+    operator.patienceMs(),
+    service.evacuate(operator.zone, begun, WAITS),
+  );
   return answer?.ok === true;
 }
 
@@ -46,7 +50,7 @@
   while (!operator.isOver()) {
     if (operator.rng.next() < TWICE_SHARE) void orderOnce(operator, begun);
     if (await orderOnce(operator, begun)) return true;
-    await delay(operator.clock, 100 + below(operator.rng, 400));
+    await delay(operator.clock, 100 + randomInt(operator.rng, 400));
   }
   return false;
 }
@@ -54,7 +58,7 @@
 async function check(operator: ZoneOperator, begun: boolean): Promise<void> {
   const name = anyNode(operator);
   const ledger = operator.core.node(name).controller?.ledger;
-  const isCommitted = ledger && (await within(operator.clock, PATIENCE_MS, ledger.linearizableRead(PATIENCE_MS)));
+  const isCommitted = ledger && (await withTimeout(operator.clock, PATIENCE_MS, ledger.linearizableRead(PATIENCE_MS)));
   if (!ledger || !isCommitted) return;
   const isEvacuated = ledger.controlState().evacuated[operator.zone] !== undefined;
   if (isEvacuated === begun) return;
@@ -66,10 +70,10 @@
 export async function operateZone(operator: ZoneOperator): Promise<void> {
   for (let begun = true; await orderUntilConfirmed(operator, begun); begun = !begun) {
     operator.confirmed();
-    const restUntil = operator.clock.mono() + PATIENCE_MS + below(operator.rng, REST_MS);
+    const restUntil = operator.clock.mono() + PATIENCE_MS + randomInt(operator.rng, REST_MS);
     while (operator.clock.mono() < restUntil) {
       await check(operator, begun);
-      await delay(operator.clock, 50 + below(operator.rng, 400));
+      await delay(operator.clock, 50 + randomInt(operator.rng, 400));
     }
   }
 }
--- a/src/sim/replay.ts
+++ b/src/sim/replay.ts
@@ -1,6 +1,6 @@
 import { emptyControlState, foldBatch } from '../state/consensus/control-state.js';
-import type { Command, Kind } from '../state/consensus/entry.js';
-import { decideModel, ordersOf } from '../state/scaling/scaler-decide.js';
+import type { Command, MachineKind } from '../state/consensus/entry.js';
+import { decideModel, ordersOfModel } from '../state/scaling/scaler-decide.js';
 import { recordLaunchFailed } from '../state/scaling/scaler-memory.js';
 import type { ScalerMemory } from '../state/scaling/scaler-memory.js';
 import type { ObservedMachine } from '../state/scaling/scaler-observation.js';
@@ -149,7 +149,7 @@
   readonly id: string;
   readonly key: string;
   readonly zone: string;
-  readonly kind: Kind;
+  readonly kind: MachineKind;
   readonly readyAt: number;
 };
 
@@ -157,9 +157,9 @@
   readonly wants: (
     now: number,
     live: readonly Instance[],
-  ) => readonly { readonly key: string; readonly zone: string; readonly kind: Kind }[];
+  ) => readonly { readonly key: string; readonly zone: string; readonly kind: MachineKind }[];
   readonly launched: (i: Instance, now: number) => void;
-  readonly failed: (key: string, zone: string, kind: Kind, now: number) => void;
+  readonly failed: (key: string, zone: string, kind: MachineKind, now: number) => void;
   readonly lost: (i: Instance, now: number) => void;
   readonly drops: (now: number) => readonly string[];
 };
@@ -275,7 +275,7 @@
   function wants(
     now: number,
     live: readonly Instance[],
-  ): readonly { readonly key: string; readonly zone: string; readonly kind: Kind }[] {
+  ): readonly { readonly key: string; readonly zone: string; readonly kind: MachineKind }[] {
     const listed: ObservedMachine[] = [];
     const workers = [];
     for (const i of live) {
@@ -292,8 +292,8 @@
         prices,
         rates: rule.demand ? { m: { perSecond: rule.demand(now), complete: true } } : {},
         deadMachines: new Set(),
-        failedIn,
-        asOf: controlState.slot,
+        failedSpotZones: failedIn,
+        asOfSlot: controlState.slot,
         knownMachines: seen,
       },
       memory,
@@ -304,7 +304,7 @@
     for (const decision of decisions) acts.push(decision.act);
     fold(acts, now * 1_000);
     const out = [];
-    for (const order of ordersOf(controlState, 'm'))
+    for (const order of ordersOfModel(controlState, 'm'))
       if (order.status === 'intended') out.push({ key: order.id, zone: order.zone, kind: order.kind });
     return out;
   }
@@ -313,7 +313,7 @@
     seen.add(i.id);
     fold([{ tag: 'orderPlaced', order: i.key, machine: i.id }], now * 1_000);
   }
-  function failed(key: string, zone: string, kind: Kind, now: number): void {
+  function failed(key: string, zone: string, kind: MachineKind, now: number): void {
     recordLaunchFailed(memory, 'm', kind, zone, now * 1_000);
     if (kind === 'spot') failedIn.push(zone);
     fold([{ tag: 'orderFailed', order: key }], now * 1_000);
@@ -323,7 +323,7 @@
   }
   function drops(now: number): readonly string[] {
     const out: string[] = [];
-    for (const order of ordersOf(controlState, 'm')) {
+    for (const order of ordersOfModel(controlState, 'm')) {
       if (order.status !== 'draining') continue;
       if (order.machine !== null) out.push(order.machine);
       fold([{ tag: 'orderReleased', order: order.id }], now * 1_000);
@@ -340,7 +340,7 @@
   function wants(
     _now: number,
     live: readonly Instance[],
-  ): readonly { readonly key: string; readonly zone: string; readonly kind: Kind }[] {
+  ): readonly { readonly key: string; readonly zone: string; readonly kind: MachineKind }[] {
     const out = [];
     const held = new Map<string, number>();
     for (const i of live) held.set(i.zone, (held.get(i.zone) ?? 0) + 1);
--- a/src/sim/request-scenarios.ts
+++ b/src/sim/request-scenarios.ts
@@ -1,7 +1,7 @@
-import type { CallerTally } from '../standin/caller.js';
-import { bootstrapDigest } from '../standin/mark.js';
-import { PLACE_PATH, REQUESTS_PATH, ADMISSION_TOKEN_HEADER } from '../protocol/caller-wire.js';
-import { tagOf } from '../standin/caller.js';
+import type { CallerCounts } from '../standin/caller.js';
+import { markedHash } from '../standin/mark.js';
+import { PLACEMENT_PATH, REQUESTS_PATH, ADMISSION_TOKEN_HEADER } from '../protocol/caller-wire.js';
+import { errorLabel } from '../standin/caller.js';
 import { createClientOver } from '../client/client.js';
 import type { ClientRequest } from '../client/client.js';
 import { runKey } from '../state/idempotency/run-key.js';
@@ -16,7 +16,7 @@
   const calm = await fleet.finish(fleet.traffic({ zone: 'hu-1', seconds: 5, runOnceShare: 0, perSecond: 20 }), 60_000);
   const mark = fleet.records.length;
   const from = fleet.world.now();
-  const many: Promise<CallerTally>[] = [];
+  const many: Promise<CallerCounts>[] = [];
   for (const zone of ['hu-1', 'at-1', 'ro-1'])
     many.push(fleet.traffic({ zone, seconds: 10, runOnceShare: 0, perSecond: 90, name: `crowd-${zone}` }));
   await fleet.finish(Promise.all(many), 300_000);
@@ -105,12 +105,13 @@
   }
   if (!stream) {
     const got = await client.send(ask);
-    return over(got.ok ? 'success' : tagOf(got.error));
+    return over(got.ok ? 'success' : errorLabel(got.error));
   }
   const got = await client.stream(ask);
-  if (!got.ok) return over(tagOf(got.error));
+  if (!got.ok) return over(errorLabel(got.error));
   for await (const clientEvent of got.value.events)
-    if (clientEvent.tag !== 'piece') return over(clientEvent.tag === 'sealed' ? 'success' : tagOf(clientEvent.error));
+    if (clientEvent.tag !== 'piece')
+      return over(clientEvent.tag === 'sealed' ? 'success' : errorLabel(clientEvent.error));
   return over('nothing');
 }
 
@@ -195,7 +196,7 @@
     const got = await fleet.call({
       method: 'POST',
       address: fleet.proxies[at]?.http ?? '',
-      path: PLACE_PATH,
+      path: PLACEMENT_PATH,
       body: {
         model: 'card-gateway',
         kind: 'card',
@@ -214,7 +215,7 @@
     homes: readonly string[],
     token = placement.ticket ?? '',
   ): Promise<string> {
-    const hash = bootstrapDigest({ key: null, kind: null, homes }, 'stale');
+    const hash = markedHash({ key: null, kind: null, homes }, 'stale');
     const got = await fleet.call({
       method: 'POST',
       address,
--- a/src/sim/scenarios.ts
+++ b/src/sim/scenarios.ts
@@ -1,4 +1,4 @@
-import type { Broken } from '../standin/check.js';
+import type { RuleViolation } from '../standin/check.js';
 import { createSimFleet } from './sim-fleet.js';
 import { SMALL } from './shapes.js';
 import type { FleetShape } from './shapes.js';
@@ -47,7 +47,7 @@
   readonly seed: number;
   readonly recoverMs: number | null;
   readonly facts: Readonly<Record<string, number | string | boolean>>;
-  readonly broken: readonly Broken[];
+  readonly broken: readonly RuleViolation[];
 };
 
 export const SCENARIOS = {
--- a/src/sim/sim-disk.ts
+++ b/src/sim/sim-disk.ts
@@ -1,7 +1,7 @@
 import { err, ok } from '../base/result.js';
 import type { Result } from '../base/result.js';
 import type { Disk, DiskError, DiskFile } from '../transport/disk.js';
-import { below } from '../transport/rng.js';
+import { randomInt } from '../transport/rng.js';
 import type { Proc, World } from './world.js';
 
 type Write = { readonly at: number; readonly data: Buffer };
@@ -19,9 +19,9 @@
 /** Each write that was not synced is lost, kept, or kept in part. */
 export function losePower(platter: Platter, world: World): void {
   function drawn(bytes: number): number {
-    const fate = below(world.rng, 3);
+    const fate = randomInt(world.rng, 3);
     if (fate === 0) return 0;
-    return fate === 1 ? bytes : below(world.rng, bytes + 1);
+    return fate === 1 ? bytes : randomInt(world.rng, bytes + 1);
   }
   losePowerWith(platter, drawn);
 }
@@ -50,7 +50,7 @@
   }
   function never(): void {}
   async function preallocated(name: string, size: number): Promise<Result<DiskFile, DiskError>> {
-    const opened = await disk.preallocated(name, size);
+    const opened = await disk.openPreallocated(name, size);
     if (!opened.ok) return opened;
     const file = opened.value;
     function write(at: number, data: Buffer): Promise<Result<null, DiskError>> {
@@ -73,7 +73,7 @@
   function used(): number {
     return Math.min(done, operations);
   }
-  return { disk: { ...disk, preallocated, replace }, used };
+  return { disk: { ...disk, openPreallocated: preallocated, replace }, used };
 }
 
 export function loseDisk(platter: Platter): void {
@@ -144,5 +144,5 @@
     const have = platter.files.get(name);
     return Promise.resolve(ok(have ? Buffer.from(have.current) : null));
   }
-  return { list, preallocated, replace, load };
+  return { list, openPreallocated: preallocated, replace, load };
 }
--- a/src/sim/sim-fleet.ts
+++ b/src/sim/sim-fleet.ts
@@ -1,13 +1,13 @@
 import { startStandinCloud } from '../standin/cloud.js';
 import { checkRecords } from '../standin/check.js';
-import type { Broken, CheckRules, Rec } from '../standin/check.js';
-import { markIn } from '../standin/mark.js';
+import type { RuleViolation, CheckRules, JournalRecord } from '../standin/check.js';
+import { findMark } from '../standin/mark.js';
 import { runCaller } from '../standin/caller.js';
-import type { CallerSettings, CallerTally } from '../standin/caller.js';
+import type { CallerSettings, CallerCounts } from '../standin/caller.js';
 import { startStandinPlatform } from '../standin/platform.js';
 import { startStandinWorker, WORKER_DEFAULTS } from '../standin/worker.js';
 import { startController } from '../coordination/controller.js';
-import type { Controller, ControllerShapes } from '../coordination/controller.js';
+import type { Controller, ControllerRingShapes } from '../coordination/controller.js';
 import type { NodeDeps, NodeIdentity } from '../coordination/node.js';
 import { startProxy } from '../coordination/proxy/proxy.js';
 import type { Proxy } from '../coordination/proxy/proxy.js';
@@ -60,8 +60,8 @@
 export type SimFleet = {
   readonly world: World;
   readonly seed: number;
-  readonly records: Rec[];
-  readonly violations: Broken[];
+  readonly records: JournalRecord[];
+  readonly violations: RuleViolation[];
   readonly controllers: readonly SimController[];
   readonly proxies: readonly SimProxy[];
   readonly workers: readonly SimWorker[];
@@ -94,16 +94,16 @@
   ) => Promise<Result<HttpAnswer, HttpError>>;
   readonly traffic: (
     s: Partial<CallerSettings> & { readonly zone: string; readonly seconds: number },
-  ) => Promise<CallerTally>;
+  ) => Promise<CallerCounts>;
   readonly run: (ms: number) => Promise<void>;
   readonly until: (limitMs: number, test: () => boolean) => Promise<boolean>;
   readonly finish: <T>(work: Promise<T>, limitMs: number) => Promise<T | null>;
-  readonly check: (rules?: Partial<CheckRules>) => Broken[];
+  readonly check: (rules?: Partial<CheckRules>) => RuleViolation[];
   readonly allReady: () => boolean;
   readonly load: () => { readonly frames: number; readonly bytes: number; readonly calls: number };
 };
 
-function shapesOf(shape: FleetShape): ControllerShapes {
+function shapesOf(shape: FleetShape): ControllerRingShapes {
   const fileBytes = shape.ringFileBytes ?? 48 * 1024;
   return {
     ledger: { name: 'ledger', files: 4, fileBytes, snapshotBytes: Math.max(1_048_576, 4 * fileBytes) },
@@ -120,8 +120,8 @@
   const world = createWorld(seed);
   const net = createSimNet(world);
   const http = createSimHttp(world, noteBody);
-  const records: Rec[] = [];
-  const violations: Broken[] = [];
+  const records: JournalRecord[] = [];
+  const violations: RuleViolation[] = [];
   const zones = Object.keys(shape.zones);
   const chosen = new Map<number, string>();
   const starters = new Map<string, (proc: Proc) => Promise<void>>();
@@ -147,7 +147,7 @@
       node: host.name,
       zone: host.zone,
       region: shape.zones[host.zone],
-      mark: markIn(parts as { readonly hash: string }[]),
+      mark: findMark(parts as { readonly hash: string }[]),
     });
   }
   function procRng(): Rng {
@@ -155,7 +155,7 @@
     return createRng(Math.imul(seed, 7_919) + procs * 104_729);
   }
   function journal(): Journal {
-    function note(record: Rec): void {
+    function note(record: JournalRecord): void {
       records.push({ ...record, at: world.now() });
     }
     function close(): Promise<void> {
@@ -319,7 +319,7 @@
         address: cloudAddress,
         platform: platformAddress,
         prices: shape.prices,
-        forgetsKeys: sabotage.cloudForgetsKeys === true,
+        ignoresIdempotencyKeys: sabotage.cloudForgetsKeys === true,
         listLagMs: sabotage.listLagMs ?? 0,
       },
       { ...deps, journal: journal() },
@@ -479,7 +479,7 @@
 
   function traffic(
     s: Partial<CallerSettings> & { readonly zone: string; readonly seconds: number },
-  ): Promise<CallerTally> {
+  ): Promise<CallerCounts> {
     const name = s.name ?? `caller-${s.zone}-${procs}`;
     const proc = world.begin(world.host(name, s.zone));
     const near: string[] = [];
@@ -495,7 +495,7 @@
         perSecond: shape.perSecond,
         runOnceShare: 0.4,
         prefixes: 6,
-        patience: 3,
+        maxRetries: 3,
         ...s,
       },
       { clock: world.clockOf(proc), rng: procRng(), httpClient: http.httpClientOf(proc), journal: journal() },
@@ -508,8 +508,8 @@
   function until(limitMs: number, test: () => boolean): Promise<boolean> {
     return world.until(limitMs, test);
   }
-  function check(rules: Partial<CheckRules> = {}): Broken[] {
-    const report = checkRecords(records, { regionsOfKind: shape.homesOfKind, leavingMs: 4_000, ...rules });
+  function check(rules: Partial<CheckRules> = {}): RuleViolation[] {
+    const report = checkRecords(records, { regionsOfKind: shape.homesOfKind, drainNoticeGraceMs: 4_000, ...rules });
     return [...violations, ...report.broken];
   }
 
--- a/src/sim/sim-http.ts
+++ b/src/sim/sim-http.ts
@@ -185,9 +185,9 @@
           headers: { ...call.headers },
           body: copied(call.body),
           gone,
-          cameAt,
+          arrivedAt: cameAt,
         };
-        const early = route.gate?.({ ...req, body: undefined });
+        const early = route.earlyReply?.({ ...req, body: undefined });
         if (!early) onBody(httpServer.proc.host, path, req.body);
         reply = early ?? (await route.handle(req));
         break;
--- a/src/sim/stage.ts
+++ b/src/sim/stage.ts
@@ -1,4 +1,4 @@
-import type { CallerTally } from '../standin/caller.js';
+import type { CallerCounts } from '../standin/caller.js';
 import type { HttpAnswer, HttpError } from '../transport/http.js';
 import type { Result } from '../base/result.js';
 import type { SimFleet } from './sim-fleet.js';
@@ -11,7 +11,7 @@
 };
 export type Play = (stage: Stage) => Promise<void>;
 
-export function share(t: CallerTally | null, what: string): number {
+export function share(t: CallerCounts | null, what: string): number {
   let all = 0;
   let hit = 0;
   for (const [key, count] of Object.entries(t ?? {})) {
@@ -56,7 +56,7 @@
     zone,
     seconds: limitMs / 1_000,
     perSecond: 5,
-    patience: 0,
+    maxRetries: 0,
     name: `probe-${zone}-${from}`,
   });
   function success(): boolean {
--- a/src/sim/stored-data.ts
+++ b/src/sim/stored-data.ts
@@ -4,12 +4,12 @@
  */
 import { createClaims } from '../coordination/idempotency/claims.js';
 import { createFollower } from '../coordination/distribution/follower.js';
-import { openIdentity } from '../coordination/membership/identity.js';
+import { loadOrCreateIdentity } from '../coordination/membership/identity.js';
 import { loadControlState } from '../coordination/distribution/stored-control-state.js';
 import { nextIncarnation } from '../coordination/membership/incarnation.js';
 import { openStore } from '../coordination/consensus/store.js';
 import { createPeers } from '../coordination/messaging/peers.js';
-import { shapesFor } from '../coordination/controller.js';
+import { ringShapesFor } from '../coordination/controller.js';
 import { membersDigest, memberId } from '../state/consensus/control-state.js';
 import { HOUR_MS } from '../state/idempotency/claim-table.js';
 import { createQuietLog } from '../transport/log.js';
@@ -183,8 +183,8 @@
     return box.value as T;
   }
   if (name === PROXY) return finish(loadControlState(disk, log));
-  const shapes = shapesFor(DISK_BYTES);
-  const identity = await finish(openIdentity(disk, createRng(1), null));
+  const shapes = ringShapesFor(DISK_BYTES);
+  const identity = await finish(loadOrCreateIdentity(disk, createRng(1), null));
   const incarnation = await finish(nextIncarnation(disk, log));
   const store = await finish(openStore(disk, shapes.ledger, drop, drop));
   if (!store.ok || !identity.ok) return { store, identity };
--- a/src/sim/world.ts
+++ b/src/sim/world.ts
@@ -1,6 +1,6 @@
 import { Heap } from 'mnemonist';
 import type { Clock, Timer } from '../transport/clock.js';
-import { turnOver } from '../transport/clock.js';
+import { yieldToEventLoop } from '../transport/clock.js';
 import { createRng } from '../transport/rng.js';
 import type { Rng } from '../transport/rng.js';
 import type { Address } from '../transport/wire.js';
@@ -193,18 +193,18 @@
     if (next.off) return true;
     handled += 1;
     next.callback();
-    await turnOver();
+    await yieldToEventLoop();
     return true;
   }
   async function advance(ms: number, everyStep?: () => void): Promise<void> {
     const end = time + ms;
-    await turnOver();
+    await yieldToEventLoop();
     while (await step(end)) everyStep?.();
     time = end;
   }
   async function until(limitMs: number, test: () => boolean, everyStep?: () => void): Promise<boolean> {
     const end = time + limitMs;
-    await turnOver();
+    await yieldToEventLoop();
     while (!test()) {
       if (!(await step(end))) return test();
       everyStep?.();
--- a/src/standin/caller.ts
+++ b/src/standin/caller.ts
@@ -3,16 +3,16 @@
 import type { ClientRequest, ClientError } from '../client/client.js';
 import { sha256 } from '../base/digest.js';
 import { runKey } from '../state/idempotency/run-key.js';
-import { bootstrapDigest } from './mark.js';
+import { markedHash } from './mark.js';
 import { delay } from '../transport/clock.js';
 import type { Clock } from '../transport/clock.js';
 import type { HttpClient } from '../transport/http.js';
 import type { Journal } from '../transport/journal.js';
-import { below, newId, exponential } from '../transport/rng.js';
+import { randomInt, newId, exponential } from '../transport/rng.js';
 import type { Rng } from '../transport/rng.js';
 import type { Address } from '../transport/wire.js';
 
-/** Traffic of a caller; `patience` is how often it retries a run-once request that was not run. */
+/** Traffic of a caller; `maxRetries` is how often it retries a run-once request that was not run. */
 export type CallerSettings = {
   readonly name: string;
   readonly proxies: readonly Address[];
@@ -24,7 +24,7 @@
   readonly seconds: number;
   readonly runOnceShare: number;
   readonly prefixes: number;
-  readonly patience: number;
+  readonly maxRetries: number;
   readonly historyTokens?: number;
   readonly outputTokens?: number;
   readonly homes?: readonly string[];
@@ -33,7 +33,7 @@
 type Received = { readonly text: string; readonly pieces: number };
 
 /** Counts of results. */
-export type CallerTally = Record<string, number>;
+export type CallerCounts = Record<string, number>;
 
 /** Dependencies of a caller. */
 export type CallerDeps = {
@@ -44,7 +44,7 @@
 };
 
 /** A short name of an error, for counts and journals. */
-export function tagOf(error: ClientError): string {
+export function errorLabel(error: ClientError): string {
   if (error.tag !== 'failed') return error.tag;
   return error.failure.tag === 'shed' ? `shed:${error.failure.reason}` : error.failure.tag;
 }
@@ -55,10 +55,10 @@
 }
 
 /** Sends requests for the given time and waits for all responses; returns the counts. */
-export async function runCaller(settings: CallerSettings, deps: CallerDeps): Promise<CallerTally> {
+export async function runCaller(settings: CallerSettings, deps: CallerDeps): Promise<CallerCounts> {
   const { clock, rng, journal } = deps;
   const client = createClientOver({ proxies: settings.proxies, zone: settings.zone }, deps.httpClient, clock);
-  const tally: CallerTally = {};
+  const tally: CallerCounts = {};
   const inFlight = new Set<Promise<void>>();
   const endAt = clock.mono() + settings.seconds * 1_000;
 
@@ -106,7 +106,7 @@
       ...(settings.homes ? { homes: settings.homes } : {}),
       parts: [
         {
-          hash: bootstrapDigest({ key, kind: settings.kind, homes: settings.homes ?? null }, newId(rng, 'card')),
+          hash: markedHash({ key, kind: settings.kind, homes: settings.homes ?? null }, newId(rng, 'card')),
           tokens: 24,
         },
       ],
@@ -137,30 +137,30 @@
         request,
         startedAt,
         null,
-        tagOf(error),
+        errorLabel(error),
         'requestId' in error ? error.requestId : null,
         null,
         null,
       );
-      if (!isNotRun(error) || retries >= settings.patience) return;
+      if (!isNotRun(error) || retries >= settings.maxRetries) return;
       await delay(clock, 1_000 * (error.tag === 'failed' ? Math.max(1, error.retryAfterS) : 1));
     }
   }
 
   async function sendStream(): Promise<void> {
-    const model = settings.streamModels[below(rng, settings.streamModels.length)] as string;
-    const prefix = below(rng, settings.prefixes);
+    const model = settings.streamModels[randomInt(rng, settings.streamModels.length)] as string;
+    const prefix = randomInt(rng, settings.prefixes);
     const request: ClientRequest = {
       model,
       parts: [
         { hash: `${model}-rules`, tokens: 400 },
         { hash: `${model}-history-${prefix}`, tokens: settings.historyTokens ?? 1_500 },
         {
-          hash: bootstrapDigest({ key: null, kind: null, homes: settings.homes ?? null }, newId(rng, 'case')),
-          tokens: 60 + below(rng, 200),
+          hash: markedHash({ key: null, kind: null, homes: settings.homes ?? null }, newId(rng, 'case')),
+          tokens: 60 + randomInt(rng, 200),
         },
       ],
-      outputTokens: settings.outputTokens ?? 40 + below(rng, 120),
+      outputTokens: settings.outputTokens ?? 40 + randomInt(rng, 120),
       repeatable: true,
       ...(settings.homes ? { homes: settings.homes } : {}),
     };
@@ -173,7 +173,7 @@
         request,
         startedAt,
         null,
-        tagOf(result.error),
+        errorLabel(result.error),
         'requestId' in result.error ? result.error.requestId : null,
         null,
         null,
@@ -204,7 +204,7 @@
           request,
           startedAt,
           firstPieceAt,
-          tagOf(clientEvent.error),
+          errorLabel(clientEvent.error),
           result.value.requestId,
           received,
           null,
--- a/src/standin/check.test.ts
+++ b/src/standin/check.test.ts
@@ -1,18 +1,18 @@
 import { describe, expect, test } from '@jest/globals';
 import { sha256 } from '../base/digest.js';
 import { checkRecords } from './check.js';
-import { bootstrapDigest } from './mark.js';
-import type { Rec } from './check.js';
+import { markedHash } from './mark.js';
+import type { JournalRecord } from './check.js';
 
-const rules = { regionsOfKind: { card: ['north'] }, leavingMs: 4_000 };
-const MARK = bootstrapDigest({ key: 'k1', kind: 'card', homes: null }, 'u');
+const rules = { regionsOfKind: { card: ['north'] }, drainNoticeGraceMs: 4_000 };
+const MARK = markedHash({ key: 'k1', kind: 'card', homes: null }, 'u');
 
 function piecesText(requestId: string, attemptId: string, pieces: number): string {
   let out = '';
   for (let n = 0; n < pieces; n += 1) out += `${requestId.slice(-6)}/${attemptId.slice(-6)}/${n} `;
   return out;
 }
-function workerRecord(event: string, overrides: Rec = {}): Rec {
+function workerRecord(event: string, overrides: JournalRecord = {}): JournalRecord {
   return {
     who: 'worker',
     worker: 'w1',
@@ -27,7 +27,7 @@
     ...overrides,
   };
 }
-function callerRecord(overrides: Rec = {}): Rec {
+function callerRecord(overrides: JournalRecord = {}): JournalRecord {
   return {
     who: 'caller',
     at: 20,
@@ -41,7 +41,7 @@
     ...overrides,
   };
 }
-const correctRun: Rec[] = [
+const correctRun: JournalRecord[] = [
   workerRecord('arrived'),
   workerRecord('begin'),
   workerRecord('end', { pieces: 2, at: 15 }),
@@ -62,7 +62,7 @@
     expect(checkRecords([...correctRun.slice(0, 2), truncated], rules).broken).toEqual([]);
   });
 
-  const violations: readonly (readonly [string, string, Rec[]])[] = [
+  const violations: readonly (readonly [string, string, JournalRecord[]])[] = [
     [
       'runOnce',
       'a key that two requests ran',
@@ -121,7 +121,7 @@
     [
       'homes',
       'an arrival outside the homes that the request named',
-      [workerRecord('arrived', { mark: bootstrapDigest({ key: null, kind: null, homes: ['south'] }, 'u') })],
+      [workerRecord('arrived', { mark: markedHash({ key: null, kind: null, homes: ['south'] }, 'u') })],
     ],
     ['homes', 'a body at a proxy outside its homes', [{ who: 'body', region: 'south', mark: MARK, at: 1 }]],
     [
--- a/src/standin/check.ts
+++ b/src/standin/check.ts
@@ -7,46 +7,49 @@
 import { readMark } from './mark.js';
 
 /** One record of a journal. */
-export type Rec = Readonly<Record<string, unknown>>;
+export type JournalRecord = Readonly<Record<string, unknown>>;
 
 /** A rule that was violated, and by what. */
-export type Broken = { readonly rule: string; readonly detail: string };
+export type RuleViolation = { readonly rule: string; readonly detail: string };
 
 /** All violations, and counts of what was checked. */
-export type CheckReport = { readonly broken: readonly Broken[]; readonly counts: Readonly<Record<string, number>> };
+export type CheckReport = {
+  readonly broken: readonly RuleViolation[];
+  readonly counts: Readonly<Record<string, number>>;
+};
 
 /** Home regions by kind of request, and how long after its notice a leaving machine may still receive requests. */
 export type CheckRules = {
   readonly regionsOfKind: Readonly<Record<string, readonly string[]>>;
-  readonly leavingMs: number;
+  readonly drainNoticeGraceMs: number;
 };
 
 type WorkerRun = { readonly worker: string; readonly region: string; readonly attemptId: string; readonly at: number };
 
-function textField(record: Rec, key: string): string {
+function textField(record: JournalRecord, key: string): string {
   const value = record[key];
   return typeof value === 'string' ? value : '';
 }
-function numberField(record: Rec, key: string): number {
+function numberField(record: JournalRecord, key: string): number {
   const value = record[key];
   return typeof value === 'number' ? value : 0;
 }
 
 /** Checks the records of all journals together, in order of time. */
-export function checkRecords(records: readonly Rec[], rules: CheckRules): CheckReport {
-  const broken: Broken[] = [];
+export function checkRecords(records: readonly JournalRecord[], rules: CheckRules): CheckReport {
+  const broken: RuleViolation[] = [];
   const counts: Record<string, number> = {};
   const runsByRequest = new Map<string, WorkerRun[]>();
   const attemptsByRequest = new Map<string, number>();
-  const endByAttempt = new Map<string, Rec>();
+  const endByAttempt = new Map<string, JournalRecord>();
   const leavingSince = new Map<string, number>();
   const runsByKey = new Map<string, string[]>();
-  const callerRecords: Rec[] = [];
+  const callerRecords: JournalRecord[] = [];
 
   function addCount(key: string, amount = 1): void {
     counts[key] = (counts[key] ?? 0) + amount;
   }
-  function recordLeaving(record: Rec): void {
+  function recordLeaving(record: JournalRecord): void {
     const machine = textField(record, 'machine');
     if (!leavingSince.has(machine)) leavingSince.set(machine, numberField(record, 'at'));
   }
@@ -56,7 +59,7 @@
   }
 
   const sorted = [...records].sort(byTime);
-  function byTime(left: Rec, right: Rec): number {
+  function byTime(left: JournalRecord, right: JournalRecord): number {
     return numberField(left, 'at') - numberField(right, 'at');
   }
   for (const record of sorted) {
@@ -84,7 +87,7 @@
       checkHomes(record, 'it reached');
       const noticeAt = leavingSince.get(textField(record, 'machine'));
       const arrivedAt = typeof record['came'] === 'number' ? record['came'] : numberField(record, 'at');
-      if (noticeAt !== undefined && arrivedAt - noticeAt > rules.leavingMs) {
+      if (noticeAt !== undefined && arrivedAt - noticeAt > rules.drainNoticeGraceMs) {
         addViolation(
           'leaving',
           `${requestId} reached ${textField(record, 'worker')} ${arrivedAt - noticeAt} ms after the notice`,
@@ -131,7 +134,7 @@
   addCount('run-once keys', runsByKey.size);
   return { broken, counts };
 
-  function checkHomes(record: Rec, event: string): void {
+  function checkHomes(record: JournalRecord, event: string): void {
     const mark = readMark(textField(record, 'mark'));
     const homes = mark?.homes ?? rules.regionsOfKind[mark?.kind ?? ''] ?? null;
     if (homes && !homes.includes(textField(record, 'region')))
@@ -141,14 +144,14 @@
       );
   }
 
-  function isPrefixOfOneRun(record: Rec, requestId: string, runs: readonly WorkerRun[]): boolean {
+  function isPrefixOfOneRun(record: JournalRecord, requestId: string, runs: readonly WorkerRun[]): boolean {
     for (const run of runs)
       if (sha256(expectedText(requestId, run.attemptId, numberField(record, 'pieces'))) === textField(record, 'text'))
         return true;
     return false;
   }
 
-  function checkSuccess(record: Rec, requestId: string, runs: readonly WorkerRun[]): void {
+  function checkSuccess(record: JournalRecord, requestId: string, runs: readonly WorkerRun[]): void {
     const end = endByAttempt.get(textField(record, 'attemptId'));
     if (!end || textField(end, 'requestId') !== requestId) {
       addViolation('sealed', `${requestId} was reported as a success, but no worker finished it`);
--- a/src/standin/cloud.ts
+++ b/src/standin/cloud.ts
@@ -18,14 +18,14 @@
 import type { Address, WireError } from '../transport/wire.js';
 
 /**
- * Addresses and prices. With `forgetsKeys` an order that is sent again rents a second machine; a machine is listed
+ * Addresses and prices. With `ignoresIdempotencyKeys` an order that is sent again rents a second machine; a machine is listed
  * `listLagMs` after its order.
  */
 export type CloudSettings = {
   readonly address: Address;
   readonly platform: Address;
   readonly prices: Readonly<Record<string, Price>>;
-  readonly forgetsKeys?: boolean;
+  readonly ignoresIdempotencyKeys?: boolean;
   readonly listLagMs?: number;
 };
 
@@ -102,7 +102,7 @@
     const read = readOrder(req.body);
     if (!read.ok) return { status: 400, body: { error: read.error } };
     const order = read.value;
-    const existingId = settings.forgetsKeys === true ? undefined : machineIdByKey.get(order.key);
+    const existingId = settings.ignoresIdempotencyKeys === true ? undefined : machineIdByKey.get(order.key);
     const reply = existingId ? machineReply(existingId) : await placeOrder(order);
     if (repliesToLose > 0) {
       repliesToLose -= 1;
--- a/src/standin/full-disk.ts
+++ b/src/standin/full-disk.ts
@@ -4,7 +4,7 @@
 import type { Disk, DiskError, DiskFile } from '../transport/disk.js';
 
 /** Wraps a disk: writes and replacements fail with `diskFull` while `isFull` holds; all else passes through. */
-export function fullDisk(disk: Disk, isFull: () => boolean): Disk {
+export function createFullDisk(disk: Disk, isFull: () => boolean): Disk {
   function unlessFull<T>(file: string, write: () => Promise<Result<T, DiskError>>): Promise<Result<T, DiskError>> {
     return isFull() ? Promise.resolve(err({ tag: 'diskFull', file })) : write();
   }
@@ -18,7 +18,7 @@
     return { read: file.read, write, sync: file.sync };
   }
   async function preallocated(name: string, size: number): Promise<Result<DiskFile, DiskError>> {
-    const result = await disk.preallocated(name, size);
+    const result = await disk.openPreallocated(name, size);
     return result.ok ? { ok: true, value: wrapFile(name, result.value) } : result;
   }
   function replace(name: string, data: Buffer): Promise<Result<null, DiskError>> {
@@ -27,5 +27,5 @@
     }
     return unlessFull(name, replaceFile);
   }
-  return { list: () => disk.list(), preallocated, replace, load: (name) => disk.load(name) };
+  return { list: () => disk.list(), openPreallocated: preallocated, replace, load: (name) => disk.load(name) };
 }
--- a/src/standin/hollow.ts
+++ b/src/standin/hollow.ts
@@ -17,7 +17,7 @@
 import type { Address, Listener, WireError } from '../transport/wire.js';
 
 /** The hollow proxies of this process; `tally` is written into the measurements as it is. */
-export type HollowPart = {
+export type HollowProxyGroup = {
   readonly tally: () => {
     readonly proxies: number;
     readonly serving: number;
@@ -42,7 +42,7 @@
 const STOP_TIMEOUT_MS = 10_000;
 
 /** An HTTP server that does not listen, so that a proxy on it receives no requests and only does control work. */
-export function hollowHttpServer(): HttpServer {
+export function createHollowHttpServer(): HttpServer {
   async function open(address: Address): Promise<Result<Listener, WireError>> {
     return ok({ address, close: closeNothing });
   }
@@ -56,7 +56,7 @@
  * An HTTP client that reads the worker list once a second for all proxies of the process, and answers health checks of
  * the listed workers from it, so that hollow workers need no connections.
  */
-export function hollowWorkers(httpClient: HttpClient, clock: Clock): HttpClient {
+export function createSharedListHttpClient(httpClient: HttpClient, clock: Clock): HttpClient {
   const listedWorkers = new Map<Address, ListedWorker>();
   let listResponse: Promise<Result<HttpAnswer, HttpError>> | null = null;
   let listReadAt = 0;
@@ -101,7 +101,7 @@
 }
 
 /** Servers of one process that call each other without a connection; all other calls go out. */
-export function localHttpServers(
+export function createLocalHttp(
   httpServer: HttpServer,
   httpClient: HttpClient,
 ): { readonly httpServer: HttpServer; readonly httpClient: HttpClient } {
@@ -139,7 +139,7 @@
   hollowProxies: readonly HollowProxy[],
   depsOf: (hollowProxy: HollowProxy) => NodeDeps,
   clock: Clock,
-): Promise<Result<HollowPart, WireError>> {
+): Promise<Result<HollowProxyGroup, WireError>> {
   type RunningProxy = { readonly identity: HollowProxy; proxy: Proxy | null };
   const runningProxies: RunningProxy[] = [];
   const inForceAt: Record<number, number> = {};
@@ -186,7 +186,7 @@
   }
   const checkTimer = every(clock, CHECK_INTERVAL_MS, checkProxies);
 
-  function tally(): ReturnType<HollowPart['tally']> {
+  function tally(): ReturnType<HollowProxyGroup['tally']> {
     let serving = 0;
     let partitioned = 0;
     for (const entry of runningProxies) {
--- a/src/standin/slow-net.ts
+++ b/src/standin/slow-net.ts
@@ -7,7 +7,7 @@
 import type { Clock } from '../transport/clock.js';
 import { delay } from '../transport/clock.js';
 import type { HttpClient, HttpAnswer, HttpCall, HttpError } from '../transport/http.js';
-import type { Switches } from '../transport/switch-file.js';
+import type { FaultSwitches } from '../transport/switch-file.js';
 import type { Address, Connection, ConnectionEvents, Wire, WireError } from '../transport/wire.js';
 
 /** Delay in each direction, and whether a direction is partitioned now. */
@@ -17,7 +17,7 @@
   readonly isInPartitioned: () => boolean;
 };
 /** Looks up the path to an address. */
-export type PathTo = (address: Address) => NetworkPath;
+export type PathLookup = (address: Address) => NetworkPath;
 
 const PARTITION_CHECK_INTERVAL_MS = 50;
 const CONNECT_TIMEOUT_MS = 1_000;
@@ -27,12 +27,12 @@
 }
 
 /** Paths from `zone`; addresses without a known zone have no delay and are never partitioned. */
-export function pathTable(
+export function createPathLookup(
   zone: string,
   zones: Readonly<Record<string, string>>,
   delayMs: Readonly<Record<string, number>>,
-  switches: Switches,
-): PathTo {
+  switches: FaultSwitches,
+): PathLookup {
   function pathTo(address: Address): NetworkPath {
     const knownZone = zones[address];
     if (knownZone === undefined) return { delayMs: 0, isOutPartitioned: never, isInPartitioned: never };
@@ -53,7 +53,7 @@
 }
 
 /** Adds delays and partitions to the connections that it dials. */
-export function slowWire(wire: Wire, clock: Clock, pathTo: PathTo): Wire {
+export function createSlowWire(wire: Wire, clock: Clock, pathTo: PathLookup): Wire {
   // Delivers in order after the delay, and holds items back while the direction is partitioned.
   function createDelayQueue(delayMs: number, isPartitioned: () => boolean): (item: () => void) => void {
     const ready: (() => void)[] = [];
@@ -110,7 +110,7 @@
 }
 
 /** Adds delays and partitions to outgoing calls. */
-export function slowHttpClient(httpClient: HttpClient, clock: Clock, pathTo: PathTo): HttpClient {
+export function createSlowHttpClient(httpClient: HttpClient, clock: Clock, pathTo: PathLookup): HttpClient {
   async function* slowLines(lines: HttpAnswer['lines'], path: NetworkPath): AsyncGenerator<Result<unknown, HttpError>> {
     let isFirst = true;
     for await (const line of lines) {
--- a/src/standin/tally.test.ts
+++ b/src/standin/tally.test.ts
@@ -30,7 +30,7 @@
   const tally = createTally(places);
   const call = async () =>
     ({ ok: true, value: { status: 200, headers: {}, body: { a: 1 }, lines: [], abandon: () => {} } }) as never;
-  const httpClient = tally.countedHttpClient(places['10.0.0.1:1'], { call });
+  const httpClient = tally.meteredHttpClient(places['10.0.0.1:1'], { call });
   await httpClient.call({ method: 'GET', address: '10.0.0.1:4', path: '/lab/workers/w1?x=2', timeoutMs: 1 });
   await httpClient.call({ method: 'GET', address: '10.0.0.1:4', path: '/lab/workers/w2', timeoutMs: 1 });
   expect(tally.rows()).toEqual({
--- a/src/standin/tally.ts
+++ b/src/standin/tally.ts
@@ -1,13 +1,13 @@
 /** Counts messages and bytes between nodes by role, distance and kind, for capacity measurements. */
-import { isTable } from '../base/is-table.js';
+import { isJsonObject } from '../base/is-json-object.js';
 import type { HttpClient, HttpAnswer, HttpCall, HttpError } from '../transport/http.js';
 import type { Result } from '../base/result.js';
 import type { Address, WireMeter } from '../transport/wire.js';
 
 /** Role and location of a node. */
-export type Place = { readonly role: string; readonly zone: string; readonly region: string };
+export type NodeLocation = { readonly role: string; readonly zone: string; readonly region: string };
 /** Locations by address. */
-export type Places = Readonly<Record<Address, Place>>;
+export type NodeLocations = Readonly<Record<Address, NodeLocation>>;
 
 /** Number of messages and their bytes. */
 export type TrafficCount = { n: number; bytes: number };
@@ -15,9 +15,9 @@
 export type TrafficCounts = Readonly<Record<string, Readonly<TrafficCount>>>;
 
 /** Meters for the wire and the HTTP client of a node, and the counts so far. */
-export type Tally = {
-  readonly meterOf: (own: Place) => WireMeter;
-  readonly countedHttpClient: (own: Place, httpClient: HttpClient) => HttpClient;
+export type TrafficTally = {
+  readonly meterOf: (own: NodeLocation) => WireMeter;
+  readonly meteredHttpClient: (own: NodeLocation, httpClient: HttpClient) => HttpClient;
   readonly rows: () => TrafficCounts;
 };
 
@@ -26,18 +26,18 @@
 const CALLS_PER_SIZE_SAMPLE = 16;
 
 /** The distance between two nodes. */
-export function distance(left: Place, right: Place): 'inZone' | 'betweenZones' | 'betweenRegions' {
+export function distance(left: NodeLocation, right: NodeLocation): 'inZone' | 'betweenZones' | 'betweenRegions' {
   if (left.region !== right.region) return 'betweenRegions';
   return left.zone === right.zone ? 'inZone' : 'betweenZones';
 }
 
 function messageKindOf(body: unknown): string {
-  if (!isTable(body) || !isTable(body['m'])) return 'unknown';
+  if (!isJsonObject(body) || !isJsonObject(body['m'])) return 'unknown';
   return String(body['m']['kind']);
 }
 
 /** A tally of no traffic yet. Only the end that dialled counts frames, so that each is counted once in a fleet. */
-export function createTally(places: Places): Tally {
+export function createTally(places: NodeLocations): TrafficTally {
   const rows: Record<string, TrafficCount> = {};
   const bodySizes = new Map<string, { calls: number; bytes: number }>();
 
@@ -49,12 +49,12 @@
     } else rows[key] = { n: count, bytes };
   }
 
-  function keyOf(own: Place, peer: Address, traffic: string): string {
+  function keyOf(own: NodeLocation, peer: Address, traffic: string): string {
     const peerLocation = places[peer];
     return `${own.role} ${peerLocation?.role ?? 'unknown'} ${peerLocation ? distance(own, peerLocation) : 'betweenRegions'} ${traffic}`;
   }
 
-  function meterOf(own: Place): WireMeter {
+  function meterOf(own: NodeLocation): WireMeter {
     function frame(direction: 'out' | 'in', peer: Address, dialled: boolean, bytes: number, body: unknown): void {
       if (dialled) add(keyOf(own, peer, `${direction} ${messageKindOf(body)}`), 1, bytes);
     }
@@ -74,7 +74,7 @@
     return sample.bytes + ESTIMATED_HEADER_BYTES;
   }
 
-  function countedHttpClient(own: Place, httpClient: HttpClient): HttpClient {
+  function countedHttpClient(own: NodeLocation, httpClient: HttpClient): HttpClient {
     async function call(httpCall: HttpCall): Promise<Result<HttpAnswer, HttpError>> {
       const path = httpCall.path.replace(/\?.*$/, '').replace(/\/[^/]*\d[^/]*$/, '/:id');
       const requestKey = keyOf(own, httpCall.address, `out ${httpCall.method}:${path}`);
@@ -91,5 +91,5 @@
   function currentRows(): TrafficCounts {
     return rows;
   }
-  return { meterOf, countedHttpClient, rows: currentRows };
+  return { meterOf, meteredHttpClient: countedHttpClient, rows: currentRows };
 }
--- a/src/standin/worker.ts
+++ b/src/standin/worker.ts
@@ -8,7 +8,7 @@
 import type { Result } from '../base/result.js';
 import { readerOf } from '../protocol/read-shape.js';
 import { HEALTH_PATH, readRun, RUN_PATH } from '../protocol/worker-wire.js';
-import { markIn } from './mark.js';
+import { findMark } from './mark.js';
 import type { Run } from '../protocol/worker-wire.js';
 import { addChunk, closeDigest, startDigest } from '../state/forwarding/response-digest.js';
 import { every, delay } from '../transport/clock.js';
@@ -248,8 +248,8 @@
       model: runRequest.model,
       state,
       running,
-      mark: markIn(runRequest.parts),
-      came: req.cameAt ?? null,
+      mark: findMark(runRequest.parts),
+      came: req.arrivedAt ?? null,
     });
     if (faultMode === 'silent') await delay(clock, 600_000);
     if (state !== 'ready' || runRequest.model !== model || running >= settings.capacity || faultMode === 'refuse') {
@@ -257,7 +257,7 @@
       return { status: 503, body: { notRun: true, requestId: runRequest.requestId, attemptId: runRequest.attemptId } };
     }
     running += 1;
-    writeRecord('begin', runRequest, { tokens: runRequest.outputTokens, mark: markIn(runRequest.parts) });
+    writeRecord('begin', runRequest, { tokens: runRequest.outputTokens, mark: findMark(runRequest.parts) });
     const lines = produce(runRequest, epoch);
     if (runRequest.stream) return { status: 200, lines };
     const pieces: unknown[] = [];
--- a/src/state/configuration/latency-target-counts.ts
+++ b/src/state/configuration/latency-target-counts.ts
@@ -28,14 +28,14 @@
 export type CountTable = Record<string, Counts>;
 
 /** The outcome of one request; times are in milliseconds, and null where they do not apply. */
-export type Ended = {
+export type RequestOutcome = {
   readonly outcome: 'good' | 'shed' | 'failed';
   readonly firstMs: number | null;
   readonly wholeMs: number | null;
 };
 
 /** Creates counts that are all 0. */
-export function noCounts(): Counts {
+export function emptyCounts(): Counts {
   return { good: 0, shed: 0, failed: 0, first: emptyBuckets(), whole: emptyBuckets() };
 }
 function emptyBuckets(): number[] {
@@ -43,8 +43,8 @@
 }
 
 /** Counts one request for a subject. */
-export function recordIn(table: CountTable, subject: string, ended: Ended): void {
-  const counts = (table[subject] ??= noCounts());
+export function countOutcome(table: CountTable, subject: string, ended: RequestOutcome): void {
+  const counts = (table[subject] ??= emptyCounts());
   counts[ended.outcome] += 1;
   if (ended.firstMs !== null) incrementBucket(counts.first, ended.firstMs);
   if (ended.wholeMs !== null) incrementBucket(counts.whole, ended.wholeMs);
@@ -56,8 +56,13 @@
 }
 
 /** Adds counts to a subject's sum. `alreadyAdded` is subtracted first; a difference below 0 counts as 0. */
-export function addCounts(table: CountTable, subject: string, counts: Counts, alreadyAdded: Counts = noCounts()): void {
-  const sum = (table[subject] ??= noCounts());
+export function addCounts(
+  table: CountTable,
+  subject: string,
+  counts: Counts,
+  alreadyAdded: Counts = emptyCounts(),
+): void {
+  const sum = (table[subject] ??= emptyCounts());
   for (const key of ['good', 'shed', 'failed'] as const) sum[key] += Math.max(0, counts[key] - alreadyAdded[key]);
   for (const key of ['first', 'whole'] as const)
     for (let i = 0; i <= BUCKET_BOUNDS_MS.length; i += 1)
@@ -66,7 +71,10 @@
 }
 
 /** Returns how many requests of a histogram took at most `maxMs` (`good`), and how many it holds (`all`). */
-export function within(buckets: readonly number[], maxMs: number): { readonly good: number; readonly all: number } {
+export function countWithin(
+  buckets: readonly number[],
+  maxMs: number,
+): { readonly good: number; readonly all: number } {
   let good = 0;
   let all = 0;
   for (let i = 0; i < buckets.length; i += 1) {
--- a/src/state/configuration/latency-target-report.ts
+++ b/src/state/configuration/latency-target-report.ts
@@ -1,5 +1,5 @@
 /** Reports on service-level objectives: whether each was met over its window, and how much error budget remains. */
-import { addCounts, CHANGES_SUBJECT, routeSubject, noCounts, within } from './latency-target-counts.js';
+import { addCounts, CHANGES_SUBJECT, routeSubject, emptyCounts, countWithin } from './latency-target-counts.js';
 import type { Counts, CountTable } from './latency-target-counts.js';
 import type { Minute } from './latency-target-table.js';
 
@@ -49,10 +49,10 @@
     case 'shed':
       return { good: requests - counts.shed, all: requests };
     case 'firstPiece':
-      return within(counts.first, target.withinMs ?? 0);
+      return countWithin(counts.first, target.withinMs ?? 0);
     case 'whole':
     case 'changeInForce':
-      return within(counts.whole, target.withinMs ?? 0);
+      return countWithin(counts.whole, target.withinMs ?? 0);
   }
 }
 
@@ -64,7 +64,7 @@
 ): LatencyTargetRow {
   const subject = countedSubject(target);
   const firstMinute = nowMinute - target.windowMinutes;
-  const sums: CountTable = { [subject]: noCounts() };
+  const sums: CountTable = { [subject]: emptyCounts() };
   const unknownOf = new Set<string>();
   let completeMinutes = 0;
   for (const minute of minutes) {
--- a/src/state/configuration/settings-tree.test.ts
+++ b/src/state/configuration/settings-tree.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, test } from '@jest/globals';
-import { changesBack, differences, resolveModel, withChanges } from './settings-tree.js';
+import { inverseChanges, differences, resolveModel, withChanges } from './settings-tree.js';
 import type { Configuration } from './settings-tree.js';
-import { createRng, below } from '../../transport/rng.js';
+import { createRng, randomInt } from '../../transport/rng.js';
 
 const cfg: Configuration = {
   zones: { z1: { region: 'north' }, z2: { region: 'south' } },
@@ -27,9 +27,10 @@
   test('for any two trees, the differences applied to one give the other', () => {
     const rng = createRng(7);
     function tree(depth: number): unknown {
-      if (depth === 0 || below(rng, 4) === 0) return below(rng, 3) === 0 ? [below(rng, 3)] : below(rng, 5);
+      if (depth === 0 || randomInt(rng, 4) === 0)
+        return randomInt(rng, 3) === 0 ? [randomInt(rng, 3)] : randomInt(rng, 5);
       const out: Record<string, unknown> = {};
-      for (const key of ['a', 'b', '__proto__x', 'c']) if (below(rng, 3) > 0) out[key] = tree(depth - 1);
+      for (const key of ['a', 'b', '__proto__x', 'c']) if (randomInt(rng, 3) > 0) out[key] = tree(depth - 1);
       return out;
     }
     for (let i = 0; i < 300; i += 1) {
@@ -43,21 +44,21 @@
   test('for any changes, the inverse changes applied to their result give the original tree', () => {
     const rng = createRng(8);
     function tree(depth: number): unknown {
-      if (depth === 0 || below(rng, 4) === 0) return below(rng, 5);
+      if (depth === 0 || randomInt(rng, 4) === 0) return randomInt(rng, 5);
       const out: Record<string, unknown> = {};
-      for (const key of ['a', 'b', 'c']) if (below(rng, 3) > 0) out[key] = tree(depth - 1);
+      for (const key of ['a', 'b', 'c']) if (randomInt(rng, 3) > 0) out[key] = tree(depth - 1);
       return out;
     }
     function path(): string[] {
-      return Array.from({ length: below(rng, 4) }, () => ['a', 'b', 'c'][below(rng, 3)] as string);
+      return Array.from({ length: randomInt(rng, 4) }, () => ['a', 'b', 'c'][randomInt(rng, 3)] as string);
     }
     for (let i = 0; i < 1_000; i += 1) {
       const base = tree(3);
-      const changes = Array.from({ length: below(rng, 5) }, () =>
-        below(rng, 3) === 0 ? { path: path().concat('a') } : { path: path(), value: tree(2) },
+      const changes = Array.from({ length: randomInt(rng, 5) }, () =>
+        randomInt(rng, 3) === 0 ? { path: path().concat('a') } : { path: path(), value: tree(2) },
       );
       const changed = withChanges(base, changes);
-      expect(withChanges(changed, changesBack(base, changes))).toEqual(base);
+      expect(withChanges(changed, inverseChanges(base, changes))).toEqual(base);
     }
   });
 
@@ -66,13 +67,13 @@
   test('the inverse changes of a large table cost about as much as the changes themselves', () => {
     const entries = Object.fromEntries(Array.from({ length: 3_000 }, (_, i) => [`r-${i}`, { at: i }]));
     const changes = Object.keys(entries).map((name) => ({ path: ['routes', name], value: { at: -1 } }));
-    function durationOf(operation: typeof withChanges | typeof changesBack): number {
+    function durationOf(operation: typeof withChanges | typeof inverseChanges): number {
       const startedAt = performance.now();
       operation({ routes: entries }, changes);
       return performance.now() - startedAt;
     }
     const forwardMs = Math.max(10, durationOf(withChanges));
-    expect(durationOf(changesBack)).toBeLessThan(50 * forwardMs);
+    expect(durationOf(inverseChanges)).toBeLessThan(50 * forwardMs);
   });
 
   test('neither the tree nor the changes are modified, and an unchanged branch is shared, not copied', () => {
--- a/src/state/configuration/settings-tree.ts
+++ b/src/state/configuration/settings-tree.ts
@@ -1,8 +1,8 @@
 /**
  * The configuration as a tree of settings, resolved from the most specific level upwards, and diffs between two trees.
  */
-import { isTable } from '../../base/is-table.js';
-import type { Change } from '../consensus/entry.js';
+import { isJsonObject } from '../../base/is-json-object.js';
+import type { ConfigurationChange } from '../consensus/entry.js';
 import type { Serving } from './serving.js';
 
 /** Settings as given by an operator; each may be omitted. */
@@ -45,7 +45,7 @@
 };
 
 /** All settings of a model, each with its effective value. */
-export type Resolved = {
+export type ResolvedSettings = {
   readonly zones: readonly string[];
   readonly homes: Readonly<Record<string, readonly string[]>>;
   readonly nExtra: number;
@@ -69,7 +69,7 @@
 };
 
 /** Default values, used for settings that no level gives. */
-export const DEFAULT_SETTINGS: Resolved = {
+export const DEFAULT_SETTINGS: ResolvedSettings = {
   zones: [],
   homes: {},
   nExtra: 2,
@@ -95,12 +95,12 @@
 /** The level that a value comes from. */
 export type SettingLevel = 'default' | 'deployment' | 'region' | 'model';
 /** The level that each setting's value comes from. */
-export type SettingLevels = Readonly<Record<keyof Resolved, SettingLevel>>;
+export type SettingLevels = Readonly<Record<keyof ResolvedSettings, SettingLevel>>;
 /** A model's effective settings and the levels that they come from. */
 export type ResolvedModel = {
   readonly model: string;
   readonly region: string;
-  readonly values: Resolved;
+  readonly values: ResolvedSettings;
   readonly levels: SettingLevels;
 };
 
@@ -127,7 +127,7 @@
       break;
     }
   }
-  return { model, region, values: values as unknown as Resolved, levels: levels as SettingLevels };
+  return { model, region, values: values as unknown as ResolvedSettings, levels: levels as SettingLevels };
 }
 
 /** Returns the effective settings of all models, sorted by region and model. */
@@ -141,10 +141,10 @@
 }
 
 /** Returns the changes that turn one tree into another, sorted by path. */
-export function differences(from: unknown, to: unknown): Change[] {
-  const changes: Change[] = [];
+export function differences(from: unknown, to: unknown): ConfigurationChange[] {
+  const changes: ConfigurationChange[] = [];
   function walk(path: readonly string[], before: unknown, after: unknown): void {
-    if (isTable(before) && isTable(after)) {
+    if (isJsonObject(before) && isJsonObject(after)) {
       const keys = new Set([...Object.keys(before), ...Object.keys(after)]);
       for (const key of [...keys].sort()) walk([...path, key], ownValue(before, key), ownValue(after, key));
       return;
@@ -170,7 +170,7 @@
     return this.root;
   }
 
-  apply({ path, value }: Change): void {
+  apply({ path, value }: ConfigurationChange): void {
     const lastKey = path.at(-1);
     if (lastKey === undefined) {
       this.root = value;
@@ -196,14 +196,14 @@
 
   private writableCopy(value: unknown): Record<string, unknown> {
     if (this.copies.has(value)) return value as Record<string, unknown>;
-    const copy: Record<string, unknown> = isTable(value) ? { ...value } : {};
+    const copy: Record<string, unknown> = isJsonObject(value) ? { ...value } : {};
     this.copies.add(copy);
     return copy;
   }
 }
 
 /** Returns the tree after the changes; `base` is not modified. */
-export function withChanges(base: unknown, changes: readonly Change[]): unknown {
+export function withChanges(base: unknown, changes: readonly ConfigurationChange[]): unknown {
   const tree = new CopyOnWriteTree(base);
   for (const change of changes) tree.apply(change);
   return tree.current();
@@ -213,8 +213,8 @@
  * Returns the changes that turn `withChanges(base, changes)` back into `base`. An object that a change removes from the
  * tree is not modified any more, so the result may refer to it without a copy.
  */
-export function changesBack(base: unknown, changes: readonly Change[]): Change[] {
-  const inverse: Change[] = [];
+export function inverseChanges(base: unknown, changes: readonly ConfigurationChange[]): ConfigurationChange[] {
+  const inverse: ConfigurationChange[] = [];
   const tree = new CopyOnWriteTree(base);
   for (const change of changes) {
     inverse.push(inverseChange(tree.current(), change.path));
@@ -223,11 +223,11 @@
   return inverse.reverse();
 }
 
-function inverseChange(tree: unknown, path: readonly string[]): Change {
+function inverseChange(tree: unknown, path: readonly string[]): ConfigurationChange {
   let node = tree;
   for (let depth = 0; depth < path.length; depth += 1) {
     const prefix = path.slice(0, depth);
-    if (!isTable(node)) return depth === 0 ? { path: [], value: node } : { path: prefix, value: node };
+    if (!isJsonObject(node)) return depth === 0 ? { path: [], value: node } : { path: prefix, value: node };
     const key = path[depth] as string;
     if (!Object.hasOwn(node, key)) return { path: path.slice(0, depth + 1) };
     node = node[key];
--- a/src/state/consensus/acceptor.test.ts
+++ b/src/state/consensus/acceptor.test.ts
@@ -3,7 +3,7 @@
 import type { Acceptor } from './acceptor.js';
 import { compareBallots } from './ballot.js';
 import type { Batch } from './entry.js';
-import { below, createRng, shuffled } from '../../transport/rng.js';
+import { randomInt, createRng, shuffled } from '../../transport/rng.js';
 
 function batch(id: string): Batch {
   return { id, entries: [] };
@@ -32,17 +32,17 @@
     const votersByProposal = new Map<string, Set<number>>();
     const rounds = new Map<string, number>();
     for (let step = 0; step < 40; step += 1) {
-      const by = `p${below(rng, 3)}`;
-      const ballot = { round: (rounds.get(by) ?? 0) + 1 + below(rng, 2), by };
+      const by = `p${randomInt(rng, 3)}`;
+      const ballot = { round: (rounds.get(by) ?? 0) + 1 + randomInt(rng, 2), by };
       rounds.set(by, ballot.round);
       const promises = shuffled(rng, [0, 1, 2])
-        .slice(0, 1 + below(rng, 3))
+        .slice(0, 1 + randomInt(rng, 3))
         .map((i) => prepare(acceptors[i] as Acceptor, 0, ballot));
       const acceptedBefore = promises.flatMap((p) => (p.tag === 'promised' ? [p.accepted] : []));
       if (acceptedBefore.length < 2) continue;
       const newest = acceptedBefore.filter((a) => a !== null).sort((a, b) => compareBallots(b.ballot, a.ballot))[0];
       const value = newest ? newest.batch : batch(`v${step}`);
-      for (const i of shuffled(rng, [0, 1, 2]).slice(0, below(rng, 4))) {
+      for (const i of shuffled(rng, [0, 1, 2]).slice(0, randomInt(rng, 4))) {
         if (accept(acceptors[i] as Acceptor, 0, ballot, value).tag !== 'accepted') continue;
         const key = `${ballot.round}/${ballot.by}/${value.id}`;
         const voters = votersByProposal.get(key) ?? new Set();
--- a/src/state/consensus/acceptor.ts
+++ b/src/state/consensus/acceptor.ts
@@ -11,17 +11,17 @@
 import type { Batch } from './entry.js';
 
 /** A batch accepted under a ballot. */
-export type Accepted = { readonly ballot: Ballot; readonly batch: Batch };
+export type AcceptedBatch = { readonly ballot: Ballot; readonly batch: Batch };
 
 /** The state of an acceptor for one slot: the highest ballot promised, and the batch accepted last. */
-export type SlotState = { readonly promised: Ballot; readonly accepted: Accepted | null };
+export type SlotState = { readonly promised: Ballot; readonly accepted: AcceptedBatch | null };
 
 /** The states of the slots not yet learned, and the floor below which all slots are learned. */
 export type Acceptor = { floor: number; slots: Map<number, SlotState> };
 
 /** The vote sent to a proposer. `outbid` carries the higher ballot, so that the proposer can raise its own. */
 export type Vote =
-  | { readonly tag: 'promised'; readonly accepted: Accepted | null }
+  | { readonly tag: 'promised'; readonly accepted: AcceptedBatch | null }
   | { readonly tag: 'accepted' }
   | { readonly tag: 'outbid'; readonly by: Ballot }
   | { readonly tag: 'alreadyChosen' };
@@ -32,14 +32,14 @@
 }
 
 /** Returns the state of a slot; the initial state if there was no vote on it. */
-export function slotOf(acceptor: Acceptor, slot: number): SlotState {
+export function slotStateOf(acceptor: Acceptor, slot: number): SlotState {
   return acceptor.slots.get(slot) ?? { promised: NO_BALLOT, accepted: null };
 }
 
 /** Phase 1: promises to take part in no lower ballot, and returns the batch accepted before. */
 export function prepare(acceptor: Acceptor, slot: number, ballot: Ballot): Vote {
   if (slot < acceptor.floor) return { tag: 'alreadyChosen' };
-  const slotState = slotOf(acceptor, slot);
+  const slotState = slotStateOf(acceptor, slot);
   if (compareBallots(ballot, slotState.promised) <= 0) return { tag: 'outbid', by: slotState.promised };
   acceptor.slots.set(slot, { promised: ballot, accepted: slotState.accepted });
   return { tag: 'promised', accepted: slotState.accepted };
@@ -48,7 +48,7 @@
 /** Phase 2: accepts the batch unless a higher ballot was promised. */
 export function accept(acceptor: Acceptor, slot: number, ballot: Ballot, batch: Batch): Vote {
   if (slot < acceptor.floor) return { tag: 'alreadyChosen' };
-  const slotState = slotOf(acceptor, slot);
+  const slotState = slotStateOf(acceptor, slot);
   if (compareBallots(ballot, slotState.promised) < 0) return { tag: 'outbid', by: slotState.promised };
   acceptor.slots.set(slot, { promised: ballot, accepted: { ballot, batch } });
   return { tag: 'accepted' };
@@ -67,7 +67,7 @@
 }
 
 /** Returns what was accepted for a slot, or null. */
-export function acceptedAt(acceptor: Acceptor, slot: number): Accepted | null {
+export function acceptedAt(acceptor: Acceptor, slot: number): AcceptedBatch | null {
   return acceptor.slots.get(slot)?.accepted ?? null;
 }
 
--- a/src/state/consensus/closed-orders.test.ts
+++ b/src/state/consensus/closed-orders.test.ts
@@ -42,7 +42,7 @@
   test('are restored from disk unchanged', () => {
     const orders = createClosedOrders(MAX_BYTES, null);
     orders.add(closedOrder(3, 'c'));
-    orders.skip({ from: 4, to: 9 });
+    orders.markMissing({ from: 4, to: 9 });
     const again = createClosedOrders(MAX_BYTES, JSON.parse(JSON.stringify(orders.saved())) as SavedClosedOrders);
     expect([again.all(), again.lacking()]).toEqual([[closedOrder(3, 'c')], { from: 4, to: 9 }]);
   });
@@ -52,7 +52,7 @@
     for (let n = 0; n < 30; n += 1) other.add(closedOrder(Math.floor(n / 3), `o${String(n).padStart(2, '0')}`));
     const own = createClosedOrders(MAX_BYTES, null);
     own.add(closedOrder(0, 'o00'));
-    own.skip({ from: 1, to: 8 });
+    own.markMissing({ from: 1, to: 8 });
     const texts: string[] = [];
     let pages = 0;
     for (let after: ClosedCursor | null = null; ;) {
@@ -64,7 +64,7 @@
       if (!after) break;
     }
     expect(pages).toBeGreaterThan(5);
-    own.fill(
+    own.addMissing(
       [...texts, JSON.stringify(closedOrder(99, 'foreign')), 'no JSON', '{"id":1}', '{"id":"x","events":[7]}'],
       true,
     );
@@ -74,7 +74,7 @@
 
   test('a controller that misses orders itself reports so; what it sent is kept while the slots stay missing', () => {
     const other = createClosedOrders(MAX_BYTES, null);
-    other.skip({ from: 0, to: 4 });
+    other.markMissing({ from: 0, to: 4 });
     other.add(closedOrder(5, 'a'));
     expect(other.page({ from: 4, to: 8 }, null, 500)).toEqual({
       orders: [JSON.stringify(closedOrder(5, 'a'))],
@@ -83,14 +83,14 @@
     });
     expect(other.page({ from: 5, to: 8 }, null, 500).lacking).toBe(false);
     const own = createClosedOrders(MAX_BYTES, null);
-    own.skip({ from: 4, to: 8 });
-    own.fill([JSON.stringify(closedOrder(5, 'a'))], false);
+    own.markMissing({ from: 4, to: 8 });
+    own.addMissing([JSON.stringify(closedOrder(5, 'a'))], false);
     expect([ids(own.all()), own.lacking()]).toEqual([['a'], { from: 4, to: 8 }]);
   });
 
   test('slots are no longer missing once their orders would be older than all that are kept', () => {
     const orders = createClosedOrders(3 * JSON.stringify(closedOrder(1, 'o1')).length, null);
-    orders.skip({ from: 0, to: 4 });
+    orders.markMissing({ from: 0, to: 4 });
     for (let n = 5; n < 8; n += 1) orders.add(closedOrder(n, `o${n}`));
     expect(orders.lacking()).toEqual({ from: 0, to: 4 });
     orders.add(closedOrder(8, 'o8'));
--- a/src/state/consensus/closed-orders.ts
+++ b/src/state/consensus/closed-orders.ts
@@ -1,6 +1,6 @@
 /** Closed orders, kept by each controller beside the replicated state. */
-import { isTable } from '../../base/is-table.js';
-import { parsedJson } from '../../base/parsed-json.js';
+import { isJsonObject } from '../../base/is-json-object.js';
+import { parseJson } from '../../base/parse-json.js';
 import type { Order } from '../scaling/order.js';
 
 /**
@@ -13,11 +13,11 @@
 export interface ClosedOrders {
   add(order: Order): void;
   /** Records that these slots were not applied here, so that orders closed in them may be missing. */
-  skip(slots: SlotRange): void;
+  markMissing(slots: SlotRange): void;
   /** Slots whose closed orders may be missing here; null if none are missing. */
   lacking(): SlotRange | null;
   /** Adds orders of the missing slots, received from another controller. `complete`: these were all that exist. */
-  fill(texts: readonly string[], complete: boolean): void;
+  addMissing(texts: readonly string[], complete: boolean): void;
   page(slots: SlotRange, after: ClosedCursor | null, maxLength: number): ClosedPage;
   all(): Order[];
   saved(): SavedClosedOrders;
@@ -57,9 +57,9 @@
 }
 
 function parseOrder(text: string): Order | null {
-  const order = parsedJson(text);
-  if (!isTable(order) || typeof order['id'] !== 'string' || !Array.isArray(order['events'])) return null;
-  for (const event of order['events']) if (!isTable(event) || !Number.isInteger(event['slot'])) return null;
+  const order = parseJson(text);
+  if (!isJsonObject(order) || typeof order['id'] !== 'string' || !Array.isArray(order['events'])) return null;
+  for (const event of order['events']) if (!isJsonObject(event) || !Number.isInteger(event['slot'])) return null;
   return order as Order;
 }
 
@@ -112,7 +112,7 @@
     this.trim();
   }
 
-  skip(slots: SlotRange): void {
+  markMissing(slots: SlotRange): void {
     this.missingSlots = this.missingSlots
       ? { from: Math.min(this.missingSlots.from, slots.from), to: Math.max(this.missingSlots.to, slots.to) }
       : slots;
@@ -122,7 +122,7 @@
     return this.missingSlots;
   }
 
-  fill(texts: readonly string[], complete: boolean): void {
+  addMissing(texts: readonly string[], complete: boolean): void {
     const slots = this.missingSlots;
     if (!slots) return;
     for (const text of texts) {
--- a/src/state/consensus/control-state.ts
+++ b/src/state/consensus/control-state.ts
@@ -4,8 +4,8 @@
  * number. The parts of the state are in modules of their own (`fold-members.ts`, `fold-operators.ts`,
  * `fold-orders.ts`); this one combines them.
  */
-import { isTable } from '../../base/is-table.js';
-import type { Command, Batch, Entry, Step } from './entry.js';
+import { isJsonObject } from '../../base/is-json-object.js';
+import type { Command, Batch, Entry, ScalerStep } from './entry.js';
 import { foldBootstrapped, foldMemberAdded, foldMemberRemoved, foldMemberReplaced } from './fold-members.js';
 import type { MembersState } from './fold-members.js';
 import { foldChangeRepeated, foldConfigured, foldEvacuation } from './fold-operators.js';
@@ -13,7 +13,7 @@
 import { foldOrderIntended, foldOrdersAdopted, changeOrderStatus } from './fold-orders.js';
 import type { OrdersState } from './fold-orders.js';
 import {
-  appliedChange,
+  findAppliedChange,
   findAppliedZoneOrder,
   emptyOperatorHistory,
   isOperatorHistory,
@@ -24,7 +24,7 @@
 import { EMPTY_CONFIGURATION } from '../configuration/settings-tree.js';
 import type { ZoneSets } from '../scaling/zone-sets.js';
 
-export { majorityOf, memberId, membersDigest, MOST_MEMBERS } from './fold-members.js';
+export { majorityOf, memberId, membersDigest, MAX_MEMBERS } from './fold-members.js';
 export type { Outcome } from './outcome.js';
 
 /** The location of a proxy. */
@@ -51,7 +51,7 @@
   };
 
 /** Name of the scaler's singleton role in the replicated log. */
-export const SCALER_DUTY = 'scaler';
+export const SCALER_ROLE = 'scaler';
 /** An entry that is proposed again follows its first proposal within seconds, at most some hundred entries later. */
 const MAX_OPERATIONS = 1_024;
 
@@ -80,13 +80,13 @@
 
 /** Whether a parsed value has the fields of a state. */
 export function isControlState(value: unknown): value is ControlState {
-  if (!isTable(value)) return false;
+  if (!isJsonObject(value)) return false;
   for (const key of ['slot', 'version']) if (!Number.isInteger(value[key])) return false;
   for (const key of ['ledger', 'ticketKey']) if (typeof value[key] !== 'string') return false;
   for (const key of ['members', 'claimants', 'closed', 'departed', 'operations'])
     if (!Array.isArray(value[key])) return false;
   for (const key of ['configuration', 'evacuated', 'proxies', 'leases', 'orders', 'zoneSets', 'targets'])
-    if (!isTable(value[key])) return false;
+    if (!isJsonObject(value[key])) return false;
   return isOperatorHistory(value['history']);
 }
 
@@ -123,7 +123,7 @@
   }
 }
 
-type ScalerCommand = Step['act'] | Extract<Command, { tag: 'decided' }>;
+type ScalerCommand = ScalerStep['act'] | Extract<Command, { tag: 'decided' }>;
 
 /** Applies a decision of the node that holds the scaler role. */
 function foldScalerCommand(state: ControlState, slot: number, entry: Entry, command: ScalerCommand): Outcome {
@@ -173,20 +173,20 @@
 }
 
 /** Returns the outcome of an entry applied before: one of the newest entries, or an operator change in the history. */
-export function operationOf(state: ControlState, id: string): CompletedOperation | null {
+export function findOperation(state: ControlState, id: string): CompletedOperation | null {
   for (let i = state.operations.length - 1; i >= 0; i -= 1) {
     const operation = state.operations[i] as CompletedOperation;
     if (operation.id === id) return operation;
   }
   if (!isOperatorRequestId(id)) return null;
-  const change = appliedChange(state.history, id) ?? findAppliedZoneOrder(state.history, id);
+  const change = findAppliedChange(state.history, id) ?? findAppliedZoneOrder(state.history, id);
   return change && { id, slot: change.version, outcome: APPLIED };
 }
 
 function foldEntry(state: ControlState, slot: number, entry: Entry): Outcome {
-  const previous = operationOf(state, entry.id);
+  const previous = findOperation(state, entry.id);
   if (previous) return previous.outcome;
-  const fence = state.leases[SCALER_DUTY]?.fence ?? -1;
+  const fence = state.leases[SCALER_ROLE]?.fence ?? -1;
   const isStale = entry.fence !== undefined && entry.fence !== fence;
   const outcome: Outcome = isStale ? { tag: 'staleFence', fence } : foldCommand(state, slot, entry, entry.act);
   state.operations.push({ id: entry.id, slot, outcome });
--- a/src/state/consensus/entry.ts
+++ b/src/state/consensus/entry.ts
@@ -13,7 +13,7 @@
 /** A change of the configuration: a path and its new value; without a value the path is removed. */
 export const ChangeShape = Type.Object({ path: Type.Array(Type.String()), value: Type.Optional(Type.Unknown()) });
 /** A validated change. */
-export type Change = Static<typeof ChangeShape>;
+export type ConfigurationChange = Static<typeof ChangeShape>;
 
 /** The request for a change of the configuration, with the revision numbers that the operator gave it. */
 const RevisionShape = Type.Object({ request: ShortString, base: NonNegativeInteger, number: NonNegativeInteger });
@@ -21,7 +21,7 @@
 /** Kind of a machine: spot or on demand. */
 export const MachineKindShape = Type.Union([Type.Literal('spot'), Type.Literal('onDemand')]);
 /** A validated kind of machine. */
-export type Kind = Static<typeof MachineKindShape>;
+export type MachineKind = Static<typeof MachineKindShape>;
 
 const AdoptedShape = Type.Object({
   order: ShortString,
@@ -67,7 +67,7 @@
   act: Type.Union([...SCALER_COMMANDS]),
 });
 /** A validated decision of the scaler. */
-export type Step = Static<typeof StepShape>;
+export type ScalerStep = Static<typeof StepShape>;
 
 /** The command of an entry, discriminated by `tag`. */
 export const CommandShape = Type.Union([
--- a/src/state/consensus/fold-members.ts
+++ b/src/state/consensus/fold-members.ts
@@ -16,7 +16,7 @@
 };
 
 /** Maximum number of members of the group. */
-export const MOST_MEMBERS = 9;
+export const MAX_MEMBERS = 9;
 /** A group of odd size is reduced only from this size on. */
 const MIN_ODD_SIZE_TO_SHRINK = 5;
 
@@ -64,7 +64,7 @@
 
 /** Adds a member. */
 export function foldMemberAdded(state: MembersState, command: Extract<Command, { tag: 'memberAdded' }>): Outcome {
-  if (state.members.length >= MOST_MEMBERS || isTaken(state, command.member, -1)) return unfit('member');
+  if (state.members.length >= MAX_MEMBERS || isTaken(state, command.member, -1)) return unfit('member');
   state.members = [...state.members, command.member];
   return APPLIED;
 }
--- a/src/state/consensus/fold-operators.ts
+++ b/src/state/consensus/fold-operators.ts
@@ -3,12 +3,12 @@
  * evacuated zones, and the history by which a retried change is recognized. A change is applied only on the version
  * it is based on.
  */
-import type { Command, Change } from './entry.js';
+import type { Command, ConfigurationChange } from './entry.js';
 import { recordChange, recordRepeatedChange, recordZoneOrder, zoneVersion } from './operator-history.js';
 import type { OperatorHistory } from './operator-history.js';
 import { APPLIED, unfit } from './outcome.js';
 import type { Outcome } from './outcome.js';
-import { changesBack, withChanges } from '../configuration/settings-tree.js';
+import { inverseChanges, withChanges } from '../configuration/settings-tree.js';
 import type { Configuration } from '../configuration/settings-tree.js';
 
 /** The part of the replicated state that operators change. */
@@ -38,7 +38,7 @@
   const { revision } = command;
   if (revision) {
     const { request, base, number } = revision;
-    const undo = changesBack(previous, command.changes);
+    const undo = inverseChanges(previous, command.changes);
     recordChange(state.history, { request, version: slot, revision: { base, number } }, undo);
   } else {
     const undo = command.changes.some(affectsServing) ? null : state.history.undo;
@@ -47,7 +47,7 @@
   return APPLIED;
 }
 
-function affectsServing(change: Change): boolean {
+function affectsServing(change: ConfigurationChange): boolean {
   return change.path.length === 0 || change.path[0] === 'serving';
 }
 
--- a/src/state/consensus/fold-orders.ts
+++ b/src/state/consensus/fold-orders.ts
@@ -1,6 +1,6 @@
 /** Machine orders in the replicated state, and how entries of the log change them. */
 import type { Command, Entry } from './entry.js';
-import { isOpen, mayBecome } from '../scaling/order.js';
+import { isOpen, mayTransition } from '../scaling/order.js';
 import type { Order, OrderEvent, OrderStatus } from '../scaling/order.js';
 import { APPLIED, unfit } from './outcome.js';
 import type { Outcome } from './outcome.js';
@@ -69,7 +69,7 @@
   machine: string | null = null,
 ): Outcome {
   const order = state.orders[id];
-  if (!order || !mayBecome(order.status, nextStatus)) return unfit('order');
+  if (!order || !mayTransition(order.status, nextStatus)) return unfit('order');
   const events = [...order.events, createEvent(slot, entry, nextStatus)];
   const updated: Order = { ...order, status: nextStatus, machine: machine ?? order.machine, events };
   if (isOpen(nextStatus)) state.orders[id] = updated;
--- a/src/state/consensus/operator-history.test.ts
+++ b/src/state/consensus/operator-history.test.ts
@@ -1,14 +1,14 @@
 import { describe, expect, test } from '@jest/globals';
 import {
-  appliedChange,
+  findAppliedChange,
   findAppliedZoneOrder,
   emptyOperatorHistory,
   isOperatorHistory,
   MAX_APPLIED_CHANGES,
   MAX_ZONE_ORDERS,
-  mayBeForgotten,
+  numberMayBeForgotten,
   NO_ZONE_VERSION,
-  operatorRequest,
+  operatorRequestId,
   recordChange,
   recordZoneOrder,
   versionMayBeForgotten,
@@ -27,14 +27,18 @@
   test('is bounded, and reports from which base on it is complete', () => {
     const history = historyOfNumberedChanges(MAX_APPLIED_CHANGES + 2);
     expect(history.changes.length).toBe(MAX_APPLIED_CHANGES);
-    expect([0, 1, 2].map((n) => appliedChange(history, `r${n}`)?.revision?.number)).toEqual([undefined, undefined, 3]);
-    expect([0, 1, 2].map((base) => mayBeForgotten(history, base))).toEqual([true, true, false]);
+    expect([0, 1, 2].map((n) => findAppliedChange(history, `r${n}`)?.revision?.number)).toEqual([
+      undefined,
+      undefined,
+      3,
+    ]);
+    expect([0, 1, 2].map((base) => numberMayBeForgotten(history, base))).toEqual([true, true, false]);
     expect([9, 10, 11].map((version) => versionMayBeForgotten(history, version))).toEqual([true, false, false]);
   });
 
   test('is complete while no change was dropped', () => {
     const history = historyOfNumberedChanges(MAX_APPLIED_CHANGES);
-    expect([mayBeForgotten(history, 0), versionMayBeForgotten(history, 0)]).toEqual([false, false]);
+    expect([numberMayBeForgotten(history, 0), versionMayBeForgotten(history, 0)]).toEqual([false, false]);
   });
 
   test('takes little more than a hundred bytes for each change', () => {
@@ -43,7 +47,7 @@
       recordChange(
         history,
         {
-          request: operatorRequest('f'.repeat(32)),
+          request: operatorRequestId('f'.repeat(32)),
           version: 1_000_000 + n,
           revision: { base: 100_000 + n, number: 100_001 + n },
         },
@@ -57,11 +61,14 @@
     const history = emptyOperatorHistory();
     expect(zoneVersion(history, 'constructor')).toBe(NO_ZONE_VERSION);
     for (let n = 0; n <= MAX_ZONE_ORDERS; n += 1)
-      recordZoneOrder(history, 'z', { request: operatorRequest(`${n}`), version: n });
+      recordZoneOrder(history, 'z', { request: operatorRequestId(`${n}`), version: n });
     recordZoneOrder(history, 'z', { request: 'evacuation:z@7', version: 999 });
     expect(zoneVersion(history, 'z')).toBe(999);
     expect(history.zoneOrders.length).toBe(MAX_ZONE_ORDERS);
-    expect([0, 1].map((n) => findAppliedZoneOrder(history, operatorRequest(`${n}`))?.version)).toEqual([undefined, 1]);
+    expect([0, 1].map((n) => findAppliedZoneOrder(history, operatorRequestId(`${n}`))?.version)).toEqual([
+      undefined,
+      1,
+    ]);
   });
 
   test('is validated when it was received or read from disk', () => {
--- a/src/state/consensus/operator-history.ts
+++ b/src/state/consensus/operator-history.ts
@@ -4,8 +4,8 @@
  * distinguish a retry of a request from a stale request. It has a bound of its own, so that other entries never push
  * a change out of it.
  */
-import { isTable } from '../../base/is-table.js';
-import type { Change } from './entry.js';
+import { isJsonObject } from '../../base/is-json-object.js';
+import type { ConfigurationChange } from './entry.js';
 
 /** The operator's own revision numbers of a change: the one that it is based on and the one that it creates. */
 export type Revision = { readonly base: number; readonly number: number };
@@ -29,7 +29,7 @@
   /** Revision numbers up to this one may have been dropped from `changes`; -1 if none were. */
   forgottenNumber: number;
   /** Changes that revert the configuration to the one that the newest numbered change was based on. */
-  undo: Change[] | null;
+  undo: ConfigurationChange[] | null;
   /** The slot of the newest order to evacuate or restore each zone; kept after the zone was restored. */
   zoneVersions: Record<string, number>;
   /** Applied zone orders that had an id of their own, oldest first, at most MAX_ZONE_ORDERS. */
@@ -58,16 +58,16 @@
 
 /** Whether a parsed value has the fields of a history. */
 export function isOperatorHistory(value: unknown): value is OperatorHistory {
-  if (!isTable(value)) return false;
+  if (!isJsonObject(value)) return false;
   const { changes, forgottenVersion, forgottenNumber, undo, zoneVersions, zoneOrders } = value;
-  if (!Array.isArray(changes) || !Array.isArray(zoneOrders) || !isTable(zoneVersions)) return false;
+  if (!Array.isArray(changes) || !Array.isArray(zoneOrders) || !isJsonObject(zoneVersions)) return false;
   return (
     Number.isInteger(forgottenVersion) && Number.isInteger(forgottenNumber) && (undo === null || Array.isArray(undo))
   );
 }
 
 /** Returns the id of an operator's request, from the digest of its content or from the id that the caller gave it. */
-export function operatorRequest(digestOrId: string): string {
+export function operatorRequestId(digestOrId: string): string {
   return `${OPERATOR_PREFIX}${digestOrId}`;
 }
 
@@ -77,7 +77,11 @@
 }
 
 /** Adds an applied change. `undo` reverts the configuration to the one that the newest numbered change was based on. */
-export function recordChange(history: OperatorHistory, change: AppliedChange, undo: Change[] | null): void {
+export function recordChange(
+  history: OperatorHistory,
+  change: AppliedChange,
+  undo: ConfigurationChange[] | null,
+): void {
   history.changes.push(change);
   history.undo = undo;
   while (history.changes.length > MAX_APPLIED_CHANGES) dropOldestChange(history);
@@ -107,7 +111,7 @@
 }
 
 /** Returns the configuration change of a request, or null if it was not applied or is no longer in the history. */
-export function appliedChange(history: OperatorHistory, request: string): AppliedChange | null {
+export function findAppliedChange(history: OperatorHistory, request: string): AppliedChange | null {
   return findNewest(history.changes, request);
 }
 
@@ -132,7 +136,7 @@
 }
 
 /** Returns the newest numbered change if it is still in force, else null. */
-export function newestNumbered(history: OperatorHistory): NumberedChange | null {
+export function newestNumberedChange(history: OperatorHistory): NumberedChange | null {
   if (history.undo === null) return null;
   for (let i = history.changes.length - 1; i >= 0; i -= 1) {
     const change = history.changes[i] as AppliedChange;
@@ -143,14 +147,14 @@
 
 /** Adds another request for the newest numbered change; false if that change has another number. */
 export function recordRepeatedChange(history: OperatorHistory, request: string, number: number): boolean {
-  const newest = newestNumbered(history);
+  const newest = newestNumberedChange(history);
   if (newest?.revision.number !== number) return false;
-  if (!appliedChange(history, request)) recordChange(history, { ...newest, request }, history.undo);
+  if (!findAppliedChange(history, request)) recordChange(history, { ...newest, request }, history.undo);
   return true;
 }
 
 /** Whether a numbered change on `base` may have been applied but dropped from the history since. */
-export function mayBeForgotten(history: OperatorHistory, base: number): boolean {
+export function numberMayBeForgotten(history: OperatorHistory, base: number): boolean {
   return base < history.forgottenNumber;
 }
 
--- a/src/state/consensus/recent-slots.ts
+++ b/src/state/consensus/recent-slots.ts
@@ -10,7 +10,7 @@
  * consecutive.
  */
 export interface RecentSlots {
-  remember(slot: number, batch: Batch, bytes: number): void;
+  add(slot: number, batch: Batch, bytes: number): void;
   clear(): void;
   /** Returns all slots from this one on; null if the first of them is no longer kept. */
   since(from: number): readonly RecentSlot[] | null;
@@ -39,7 +39,7 @@
     this.slots = this.slots.slice(dropped);
   }
 
-  remember(slot: number, batch: Batch, size: number): void {
+  add(slot: number, batch: Batch, size: number): void {
     this.slots.push({ slot, batch, bytes: size });
     this.bytes += size;
     if (this.slots.length > 2 * MAX_SLOTS || this.bytes > MAX_BYTES) this.trim();
--- a/src/state/consensus/snapshot-chunks.test.ts
+++ b/src/state/consensus/snapshot-chunks.test.ts
@@ -1,14 +1,14 @@
 import { describe, expect, test } from '@jest/globals';
 import {
   addChunk,
-  assembled,
+  assembleText,
   createAssembly,
-  isBounded,
+  isWithinSizeLimit,
   MAX_SNAPSHOT_LENGTH,
   nextChunk,
   CHUNK_LENGTH,
   chunkCount,
-  chunkOf,
+  chunkAt,
   snapshotOf,
 } from './snapshot-chunks.js';
 
@@ -26,21 +26,21 @@
       const assembly = createAssembly(snapshot.offer);
       let count = 0;
       for (let next = nextChunk(assembly); next !== null; next = nextChunk(assembly)) {
-        const chunk = JSON.parse(JSON.stringify(chunkOf(snapshot, next))) as string;
+        const chunk = JSON.parse(JSON.stringify(chunkAt(snapshot, next))) as string;
         expect(addChunk(assembly, next, chunk)).toBe(true);
         count += 1;
       }
       expect(count).toBe(chunkCount(snapshot.offer));
-      expect(assembled(assembly)).toEqual({ ok: true, value: snapshot.text });
-      expect(chunkOf(snapshot, count)).toBeNull();
-      expect(chunkOf(snapshot, -1)).toBeNull();
+      expect(assembleText(assembly)).toEqual({ ok: true, value: snapshot.text });
+      expect(chunkAt(snapshot, count)).toBeNull();
+      expect(chunkAt(snapshot, -1)).toBeNull();
     },
   );
 
   test('a chunk out of order, too long or too short is not added', () => {
     const snapshot = snapshotOf(5, textOf(2 * CHUNK_LENGTH + 9));
     const assembly = createAssembly(snapshot.offer);
-    const [first, second, third] = [0, 1, 2].map((i) => chunkOf(snapshot, i) ?? '') as [string, string, string];
+    const [first, second, third] = [0, 1, 2].map((i) => chunkAt(snapshot, i) ?? '') as [string, string, string];
     expect(addChunk(assembly, 1, second)).toBe(false);
     expect(addChunk(assembly, 0, first.slice(1))).toBe(false);
     expect(addChunk(assembly, 0, `${first}x`)).toBe(false);
@@ -58,13 +58,13 @@
     const one = snapshotOf(5, 'a'.repeat(2 * CHUNK_LENGTH));
     const other = snapshotOf(6, 'b'.repeat(2 * CHUNK_LENGTH));
     const mixed = createAssembly(one.offer);
-    addChunk(mixed, 0, chunkOf(one, 0) ?? '');
-    addChunk(mixed, 1, chunkOf(other, 1) ?? '');
-    expect(assembled(mixed)).toEqual({ ok: false, error: { tag: 'digestDiffers' } });
+    addChunk(mixed, 0, chunkAt(one, 0) ?? '');
+    addChunk(mixed, 1, chunkAt(other, 1) ?? '');
+    expect(assembleText(mixed)).toEqual({ ok: false, error: { tag: 'digestDiffers' } });
   });
 
   test('an offer above the size limit is detected before anything is fetched', () => {
-    expect(isBounded({ digest: 'd', slot: 1, length: MAX_SNAPSHOT_LENGTH })).toBe(true);
-    expect(isBounded({ digest: 'd', slot: 1, length: MAX_SNAPSHOT_LENGTH + 1 })).toBe(false);
+    expect(isWithinSizeLimit({ digest: 'd', slot: 1, length: MAX_SNAPSHOT_LENGTH })).toBe(true);
+    expect(isWithinSizeLimit({ digest: 'd', slot: 1, length: MAX_SNAPSHOT_LENGTH + 1 })).toBe(false);
   });
 });
--- a/src/state/consensus/snapshot-chunks.ts
+++ b/src/state/consensus/snapshot-chunks.ts
@@ -47,13 +47,13 @@
 }
 
 /** Returns the chunk with this index, or null if the snapshot has none. */
-export function chunkOf(snapshot: Snapshot, index: number): string | null {
+export function chunkAt(snapshot: Snapshot, index: number): string | null {
   if (index < 0 || index >= chunkCount(snapshot.offer)) return null;
   return snapshot.text.slice(index * CHUNK_LENGTH, (index + 1) * CHUNK_LENGTH);
 }
 
 /** Whether an offered snapshot is small enough to be fetched: at most MAX_SNAPSHOT_LENGTH. */
-export function isBounded(offer: SnapshotOffer): boolean {
+export function isWithinSizeLimit(offer: SnapshotOffer): boolean {
   return offer.length <= MAX_SNAPSHOT_LENGTH;
 }
 
@@ -77,7 +77,7 @@
 }
 
 /** Returns the complete text if the digest of the received chunks matches the offer. Call it once all were received. */
-export function assembled(assembly: Assembly): Result<string, AssemblyError> {
+export function assembleText(assembly: Assembly): Result<string, AssemblyError> {
   const text = assembly.parts.join('');
   return sha256(text) === assembly.offer.digest ? ok(text) : err({ tag: 'digestDiffers' });
 }
--- a/src/state/discovery/worker-table.ts
+++ b/src/state/discovery/worker-table.ts
@@ -7,7 +7,7 @@
 import type { ListedWorker } from './listed.js';
 import { createPrefixTable } from './prefix-table.js';
 import type { PrefixTable } from './prefix-table.js';
-import type { Resolved } from '../configuration/settings-tree.js';
+import type { ResolvedSettings } from '../configuration/settings-tree.js';
 import { createWorkerPools } from './worker-pools.js';
 import type { SampledWorker } from './worker-pools.js';
 import { createWorkerRow, MAX_WINDOW } from './worker-row.js';
@@ -41,7 +41,7 @@
 export type CandidateQuery = {
   readonly model: string;
   readonly parts: readonly string[];
-  readonly values: Resolved;
+  readonly values: ResolvedSettings;
   readonly zone: string;
   readonly callerZone: string;
   readonly zonesWithProxy: ReadonlySet<string>;
--- a/src/state/forwarding/admission-token.ts
+++ b/src/state/forwarding/admission-token.ts
@@ -4,8 +4,8 @@
  * one.
  */
 
-import { hmac, sameText } from '../../base/digest.js';
-import { parsedJson } from '../../base/parsed-json.js';
+import { hmac, timingSafeEqualText } from '../../base/digest.js';
+import { parseJson } from '../../base/parse-json.js';
 
 /** The constraints that were asked for; the home regions are derived from them again when the request arrives. */
 export type PlacementConstraints = {
@@ -43,8 +43,9 @@
   now: number,
 ): AdmissionToken | AdmissionTokenError {
   const dot = text.indexOf('.');
-  if (key === '' || dot <= 0 || !sameText(text.slice(dot + 1), hmac(key, text.slice(0, dot)))) return 'ticketForeign';
-  const token = parsedJson(Buffer.from(text.slice(0, dot), 'base64url').toString()) as AdmissionToken | undefined;
+  if (key === '' || dot <= 0 || !timingSafeEqualText(text.slice(dot + 1), hmac(key, text.slice(0, dot))))
+    return 'ticketForeign';
+  const token = parseJson(Buffer.from(text.slice(0, dot), 'base64url').toString()) as AdmissionToken | undefined;
   if (!token?.bound || token.proxy !== proxy) return 'ticketForeign';
   return now > token.expiresAt ? 'ticketExpired' : token;
 }
--- a/src/state/idempotency/claim-table.test.ts
+++ b/src/state/idempotency/claim-table.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, test } from '@jest/globals';
-import { below, createRng, shuffled } from '../../transport/rng.js';
+import { randomInt, createRng, shuffled } from '../../transport/rng.js';
 import { CLAIM_RECORD_BYTES, createClaimTable, HOUR_MS, unpackClaims } from './claim-table.js';
 import type { ClaimTable } from './claim-table.js';
 
@@ -128,8 +128,8 @@
         }
       }
     }
-    if (below(rng, 10) === 0 && inFlight.length > 0)
-      inFlight.push(inFlight[below(rng, inFlight.length)] as PendingMessage);
+    if (randomInt(rng, 10) === 0 && inFlight.length > 0)
+      inFlight.push(inFlight[randomInt(rng, inFlight.length)] as PendingMessage);
   }
   for (const by of attempts)
     if (!ran.includes(by) && !abandoned.has(by)) for (const v of [0, 1, 2]) releases.push(releaseMessage(by, v));
--- a/src/state/idempotency/lease-table.test.ts
+++ b/src/state/idempotency/lease-table.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from '@jest/globals';
-import { requestGrant, createLeaseTable, dropGrant } from './lease-table.js';
+import { requestGrant, createLeaseTable, releaseGrant } from './lease-table.js';
 
 const request = { role: 'scaler', termMs: 100 };
 
@@ -22,8 +22,8 @@
   const table = createLeaseTable(0, 0);
   requestGrant(table, { ...request, holder: 'a', round: 1 }, 0);
   requestGrant(table, { ...request, holder: 'a', round: 2 }, 1);
-  expect(dropGrant(table, 'scaler', 'a', 1)).toBe(false);
+  expect(releaseGrant(table, 'scaler', 'a', 1)).toBe(false);
   expect(requestGrant(table, { ...request, holder: 'b', round: 1 }, 2)).toBe(false);
-  expect(dropGrant(table, 'scaler', 'a', 2)).toBe(true);
+  expect(releaseGrant(table, 'scaler', 'a', 2)).toBe(true);
   expect(requestGrant(table, { ...request, holder: 'b', round: 1 }, 3)).toBe(true);
 });
--- a/src/state/idempotency/lease-table.ts
+++ b/src/state/idempotency/lease-table.ts
@@ -33,7 +33,7 @@
 }
 
 /** Releases a lease early. Returns false if the current grant is not of this holder and this round. */
-export function dropGrant(table: LeaseTable, role: string, holder: string, round: number): boolean {
+export function releaseGrant(table: LeaseTable, role: string, holder: string, round: number): boolean {
   const current = table.grants.get(role);
   if (!current || current.holder !== holder || current.round !== round) return false;
   table.grants.delete(role);
--- a/src/state/idempotency/run-key.ts
+++ b/src/state/idempotency/run-key.ts
@@ -21,7 +21,7 @@
 }
 
 /** Parses a key and checks its age against `now`. The clock of the key's creator may be up to 12 hours ahead. */
-export function readRunKey(text: string, now: number): RunKey | RunKeyError {
+export function parseRunKey(text: string, now: number): RunKey | RunKeyError {
   const born = Number(KEY_PATTERN.exec(text)?.[1] ?? Number.NaN);
   if (Number.isNaN(born)) return 'withoutBirth';
   if (born > now + MAX_CLOCK_LEAD_MS) return 'fromTheFuture';
--- a/src/state/membership/core-health.test.ts
+++ b/src/state/membership/core-health.test.ts
@@ -6,8 +6,8 @@
 function memberViews(size: number, overrides: Readonly<Record<string, Partial<MemberView>>> = {}): MemberView[] {
   return Array.from({ length: size }, (_, i) => memberView(`h${i + 1}`, overrides[`h${i + 1}`]));
 }
-const silent = { inTouch: false, holdsAll: false, learned: -1, top: -1 };
-const behind = { holdsAll: false, learned: 3 };
+const silent = { inTouch: false, isComplete: false, learned: -1, top: -1 };
+const behind = { isComplete: false, learned: 3 };
 function figures(members: readonly MemberView[], self = 'h1#i'): unknown[] {
   const health = coreHealth(self, members);
   return [health.inTouch, health.holdingAll, health.spareLosses, health.warning];
--- a/src/state/membership/core-health.ts
+++ b/src/state/membership/core-health.ts
@@ -19,7 +19,7 @@
   readonly top: number;
   readonly writable: boolean;
   /** Whether its copy of the data in question is complete: every required slot of the ledger, or all claims. */
-  readonly holdsAll: boolean;
+  readonly isComplete: boolean;
   /** Ids of the members that it reports to have lost contact with. */
   readonly unheard: readonly string[];
 };
@@ -69,7 +69,7 @@
 function exclusionReasonOf(member: MemberView): ExclusionReason | null {
   if (!member.inTouch) return 'silent';
   if (!member.writable) return 'cannotWrite';
-  return member.holdsAll ? null : 'behind';
+  return member.isComplete ? null : 'behind';
 }
 
 function canReachEachOther(left: MemberView, right: MemberView): boolean {
--- a/src/state/scaling/observed-orders.test.ts
+++ b/src/state/scaling/observed-orders.test.ts
@@ -2,7 +2,7 @@
 import { workerEntry } from '../../sim/builders.js';
 import { emptyControlState, foldBatch } from '../consensus/control-state.js';
 import type { ControlState } from '../consensus/control-state.js';
-import type { Command, Step } from '../consensus/entry.js';
+import type { Command, ScalerStep } from '../consensus/entry.js';
 import { decideOrdersFromList, decideRetiredModels, createListScalerMemory, scaledModels } from './observed-orders.js';
 import type { ListScalerMemory, ListObservation } from './observed-orders.js';
 import { DEFAULT_LIMITS } from '../configuration/serving.js';
@@ -52,7 +52,7 @@
     entries: [{ id: `e${s.serial}`, author: 'h1', wall: 0, cause: '-', act: command }],
   });
 }
-function tick(s: Scenario, overrides: Partial<ListObservation> = {}, ms = 1_000): Step[] {
+function tick(s: Scenario, overrides: Partial<ListObservation> = {}, ms = 1_000): ScalerStep[] {
   s.now += ms;
   const [scaledModel] = scaledModels(s.controlState.configuration, ZONES);
   if (!scaledModel) return [];
@@ -71,7 +71,7 @@
 function changeWorker(s: Scenario, id: string, overrides: Partial<WorkerEntry> | null): void {
   s.list = s.list.flatMap((w) => (w.id !== id ? [w] : overrides === null ? [] : [{ ...w, ...overrides }]));
 }
-function tags(steps: readonly Step[]): string[] {
+function tags(steps: readonly ScalerStep[]): string[] {
   return steps.map((s) => s.act.tag);
 }
 function zoneSetsText(s: Scenario): string {
@@ -273,7 +273,7 @@
   test('decisions under a stale fencing token are rejected', () => {
     const s = createScenario();
     fold(s, { tag: 'leaseTaken', duty: 'scaler', holder: 'h2' });
-    const steps: Step[] = [{ cause: '-', act: { tag: 'targetChanged', model: 'm', target: 9 } }];
+    const steps: ScalerStep[] = [{ cause: '-', act: { tag: 'targetChanged', model: 'm', target: 9 } }];
     const [outcome] = foldBatch(s.controlState, s.controlState.slot + 1, {
       id: 'x',
       entries: [{ id: 'x', author: 'h1', wall: 0, cause: '-', fence: 77, act: { tag: 'decided', steps } }],
--- a/src/state/scaling/observed-orders.ts
+++ b/src/state/scaling/observed-orders.ts
@@ -3,13 +3,13 @@
  * matched with the workers that appear in the platform's list.
  */
 import type { ControlState } from '../consensus/control-state.js';
-import type { Kind, Step } from '../consensus/entry.js';
+import type { MachineKind, ScalerStep } from '../consensus/entry.js';
 import { decideMixture } from './mixture.js';
-import { counts } from './order.js';
+import { countsTowardsTarget } from './order.js';
 import type { Order } from './order.js';
-import { ordersOf } from './scaler-decide.js';
+import { ordersOfModel } from './scaler-decide.js';
 import { resolveModel } from '../configuration/settings-tree.js';
-import type { Configuration, Resolved } from '../configuration/settings-tree.js';
+import type { Configuration, ResolvedSettings } from '../configuration/settings-tree.js';
 import { decideTarget } from './target.js';
 import type { PendingChange, Rate } from './target.js';
 import type { WorkerEntry } from '../discovery/worker-entry.js';
@@ -24,7 +24,11 @@
 import type { ZoneSets } from './zone-sets.js';
 
 /** A model that the scaler manages, with its enabled zones and its settings. */
-export type ScaledModel = { readonly model: string; readonly zones: readonly string[]; readonly values: Resolved };
+export type ScaledModel = {
+  readonly model: string;
+  readonly zones: readonly string[];
+  readonly values: ResolvedSettings;
+};
 
 /**
  * Input of one pass. Times are those of the monotonic clock, in milliseconds. `dead` contains workers that have been
@@ -86,10 +90,10 @@
   controlState: ControlState,
   configured: ReadonlySet<string>,
   list: readonly WorkerEntry[],
-): Step[] {
+): ScalerStep[] {
   const listedIds = new Set<string | null>();
   for (const worker of list) listedIds.add(worker.id);
-  const steps: Step[] = [];
+  const steps: ScalerStep[] = [];
   for (const order of Object.values(controlState.orders)) {
     if (configured.has(order.model) || listedIds.has(order.machine) || steps.length >= MAX_STEPS) continue;
     steps.push({ cause: `${order.model} is served no more.`, act: { tag: 'orderReleased', order: order.id } });
@@ -99,7 +103,7 @@
 
 /** One pass over a model; collects its decisions in `steps`. */
 class ListDecisionPass {
-  private readonly steps: Step[] = [];
+  private readonly steps: ScalerStep[] = [];
   private readonly zones: string[] = [];
   private readonly previousSets: ZoneSets | undefined;
   private zoneSets: ZoneSets;
@@ -128,7 +132,7 @@
       if (worker.model === this.scaledModel.model) this.listedWorkers.set(worker.id, worker);
   }
 
-  decide(): Step[] {
+  decide(): ScalerStep[] {
     this.target = this.decideTarget();
     this.openOrders = this.updateTimestamps();
     this.resolveOpenOrders();
@@ -164,7 +168,7 @@
   }
 
   private updateTimestamps(): Order[] {
-    const orders = ordersOf(this.controlState, this.scaledModel.model);
+    const orders = ordersOfModel(this.controlState, this.scaledModel.model);
     const orderIds = new Set<string>();
     for (const order of orders) orderIds.add(order.id);
     for (const timestamps of [this.memory.intendedSince, this.memory.missingSince])
@@ -194,14 +198,15 @@
     this.zoneSets = nextSets;
   }
 
-  private recordLaunch(kind: Kind, zone: string): void {
+  private recordLaunch(kind: MachineKind, zone: string): void {
     const nextSets = kind === 'spot' ? handleLaunch(this.zoneSets, zone) : this.zoneSets;
     if (nextSets !== this.zoneSets) this.zonesCause = `A launch became ready in ${zone}.`;
     this.zoneSets = nextSets;
   }
 
   private resolveOpenOrders(): void {
-    for (const order of this.openOrders) if (!this.resolveOrder(order) && counts(order)) this.activeOrders.push(order);
+    for (const order of this.openOrders)
+      if (!this.resolveOrder(order) && countsTowardsTarget(order)) this.activeOrders.push(order);
   }
 
   /** Adds the step that the list calls for. Returns whether the order is settled; if not, it keeps its status. */
@@ -329,7 +334,7 @@
     }
   }
 
-  private activeOfKind(kind: Kind): Order[] {
+  private activeOfKind(kind: MachineKind): Order[] {
     const matching: Order[] = [];
     for (const order of this.activeOrders)
       if (order.kind === kind && this.zones.includes(order.zone)) matching.push(order);
@@ -342,7 +347,7 @@
     return count;
   }
 
-  private decideKind(kind: Kind, wanted: number): void {
+  private decideKind(kind: MachineKind, wanted: number): void {
     const active = this.activeOfKind(kind);
     const occupied = new Set<string>();
     for (const order of active) occupied.add(order.zone);
@@ -395,7 +400,7 @@
   observation: ListObservation,
   memory: ListScalerMemory,
   nextOrderId: () => string,
-): Step[] {
+): ScalerStep[] {
   return new ListDecisionPass(scaledModel, controlState, observation, memory, nextOrderId).decide();
 }
 
--- a/src/state/scaling/order.ts
+++ b/src/state/scaling/order.ts
@@ -3,7 +3,7 @@
  * the entries of the replicated log.
  */
 
-import type { Kind } from '../consensus/entry.js';
+import type { MachineKind } from '../consensus/entry.js';
 
 /** States of an order, from the decision to order until it is closed. */
 export type OrderStatus = 'intended' | 'placed' | 'ready' | 'draining' | 'failed' | 'lost' | 'released';
@@ -23,7 +23,7 @@
   readonly id: string;
   readonly model: string;
   readonly zone: string;
-  readonly kind: Kind;
+  readonly kind: MachineKind;
   readonly accelerator: string;
   readonly status: OrderStatus;
   readonly machine: string | null;
@@ -41,7 +41,7 @@
 };
 
 /** Returns whether an order may change from one state to another. */
-export function mayBecome(from: OrderStatus, to: OrderStatus): boolean {
+export function mayTransition(from: OrderStatus, to: OrderStatus): boolean {
   return TRANSITIONS[from].includes(to);
 }
 
@@ -51,6 +51,6 @@
 }
 
 /** Returns whether the order counts towards the number of workers wanted. */
-export function counts(order: Order): boolean {
+export function countsTowardsTarget(order: Order): boolean {
   return order.status === 'intended' || order.status === 'placed' || order.status === 'ready';
 }
--- a/src/state/scaling/scaler-decide.test.ts
+++ b/src/state/scaling/scaler-decide.test.ts
@@ -2,7 +2,7 @@
 import { emptyControlState, foldBatch } from '../consensus/control-state.js';
 import type { ControlState } from '../consensus/control-state.js';
 import type { Command } from '../consensus/entry.js';
-import { decideModel, ordersOf } from './scaler-decide.js';
+import { decideModel, ordersOfModel } from './scaler-decide.js';
 import type { Decision } from './scaler-decide.js';
 import { recordLaunchFailed } from './scaler-memory.js';
 import type { ScalerMemory } from './scaler-memory.js';
@@ -63,8 +63,8 @@
     prices: { zone1: { spot: 1, onDemand: 3 }, zone2: { spot: 1, onDemand: 3 }, zone3: { spot: 1, onDemand: 3 } },
     rates: {},
     deadMachines: new Set(),
-    failedIn,
-    asOf: s.controlState.slot,
+    failedSpotZones: failedIn,
+    asOfSlot: s.controlState.slot,
     knownMachines: s.knownMachines,
     ...overrides,
   };
@@ -73,7 +73,7 @@
 
 function tick(s: Scenario): Decision[] {
   s.now += 1_000;
-  for (const o of ordersOf(s.controlState, 'm')) {
+  for (const o of ordersOfModel(s.controlState, 'm')) {
     if (o.status === 'draining') {
       s.machines.delete(o.machine ?? '');
       fold(s, [{ tag: 'orderReleased', order: o.id }]);
@@ -99,18 +99,18 @@
 
 function preemptZone(s: Scenario, zone: string): void {
   s.zonesWithoutSpot.add(zone);
-  for (const o of ordersOf(s.controlState, 'm'))
+  for (const o of ordersOfModel(s.controlState, 'm'))
     if (o.kind === 'spot' && o.zone === zone && o.machine) s.machines.delete(o.machine);
 }
 
 function readySpotByZone(s: Scenario): Record<string, number> {
   const out: Record<string, number> = {};
-  for (const o of ordersOf(s.controlState, 'm'))
+  for (const o of ordersOfModel(s.controlState, 'm'))
     if (o.kind === 'spot' && o.status === 'ready') out[o.zone] = (out[o.zone] ?? 0) + 1;
   return out;
 }
 function openOnDemandCount(s: Scenario): number {
-  return ordersOf(s.controlState, 'm').filter(
+  return ordersOfModel(s.controlState, 'm').filter(
     (o) => o.kind === 'onDemand' && ['intended', 'placed', 'ready'].includes(o.status),
   ).length;
 }
@@ -165,7 +165,7 @@
   test('a machine with a preemption notice counts as lost at once, and its zone is demoted', () => {
     const s = createScenario(2, 1);
     ticks(s, 4);
-    const preempted = ordersOf(s.controlState, 'm').find((o) => o.kind === 'spot');
+    const preempted = ordersOfModel(s.controlState, 'm').find((o) => o.kind === 'spot');
     const machine = s.machines.get(preempted?.machine ?? '') as ObservedMachine;
     s.machines.set(machine.id, { ...machine, state: 'reclaiming' });
     const acts = tick(s).map((d) => d.act);
@@ -189,14 +189,14 @@
     const s = createScenario(2, 1);
     for (const zone of Object.keys(zones)) fold(s, [{ tag: 'evacuation', zone, begun: true }]);
     ticks(s, 5);
-    expect(ordersOf(s.controlState, 'm')).toEqual([]);
+    expect(ordersOfModel(s.controlState, 'm')).toEqual([]);
   });
 
   test('a machine is not lost if the list is unknown, too old, or may lag behind the order', () => {
     const s = createScenario(2, 1);
     ticks(s, 4);
     expect(decide(s, { machines: null, workers: null }).filter((d) => d.act.tag === 'orderLost')).toEqual([]);
-    const early = decide(s, { machines: [], asOf: -1 });
+    const early = decide(s, { machines: [], asOfSlot: -1 });
     expect(early.filter((d) => d.act.tag === 'orderLost')).toEqual([]);
     const late = decide(s, { machines: [] });
     expect(late.filter((d) => d.act.tag === 'orderLost').length).toBe(3);
@@ -209,8 +209,8 @@
   test('a new holder does not wait for a lagging list of the cloud if the platform no longer lists the worker', () => {
     const s = createScenario(2, 1);
     ticks(s, 4);
-    const [missing, ...listed] = ordersOf(s.controlState, 'm').map((o) => o.machine ?? '');
-    expect(s.controlState.orders[ordersOf(s.controlState, 'm')[0]?.id ?? '']?.status).toBe('ready');
+    const [missing, ...listed] = ordersOfModel(s.controlState, 'm').map((o) => o.machine ?? '');
+    expect(s.controlState.orders[ordersOfModel(s.controlState, 'm')[0]?.id ?? '']?.status).toBe('ready');
     const successor = { ...s, memory: new Map(), knownMachines: new Set<string>() };
     const workers = listed.map((machine) => ({ id: `w-${machine}`, machine, state: 'ready' as const }));
     const lostMachines = (overrides: Partial<ScalerObservation>) =>
--- a/src/state/scaling/scaler-decide.ts
+++ b/src/state/scaling/scaler-decide.ts
@@ -5,9 +5,9 @@
  */
 
 import type { ControlState } from '../consensus/control-state.js';
-import type { Command, Kind } from '../consensus/entry.js';
+import type { Command, MachineKind } from '../consensus/entry.js';
 import { decideMixture } from './mixture.js';
-import { counts } from './order.js';
+import { countsTowardsTarget } from './order.js';
 import type { Order } from './order.js';
 import type { ResolvedModel } from '../configuration/settings-tree.js';
 import { decideTarget } from './target.js';
@@ -33,7 +33,7 @@
 const CLOUD_LIST_LAG_MS = 30_000;
 
 /** Returns all orders of a model in the replicated state, whatever their status. */
-export function ordersOf(controlState: ControlState, model: string): Order[] {
+export function ordersOfModel(controlState: ControlState, model: string): Order[] {
   const modelOrders: Order[] = [];
   for (const order of Object.values(controlState.orders)) if (order.model === model) modelOrders.push(order);
   return modelOrders;
@@ -76,9 +76,9 @@
   }
 
   decide(): Decision[] {
-    for (const zone of this.observation.failedIn) this.demoteZone(zone, `No spot capacity in ${zone}.`);
+    for (const zone of this.observation.failedSpotZones) this.demoteZone(zone, `No spot capacity in ${zone}.`);
     this.target = this.decideTarget();
-    this.orders = ordersOf(this.controlState, this.resolved.model);
+    this.orders = ordersOfModel(this.controlState, this.resolved.model);
     this.updatePlacedSince();
     this.activeOrders = this.resolveOrders();
     this.decideSpot();
@@ -131,7 +131,7 @@
   private resolveOrders(): Order[] {
     const active: Order[] = [];
     for (const order of this.orders) {
-      if (!counts(order)) continue;
+      if (!countsTowardsTarget(order)) continue;
       const reason = this.lossCause(order);
       if (reason) {
         this.recordLoss(order, reason);
@@ -179,7 +179,7 @@
   /** Returns why the order counts as lost, or null if it does not. */
   private lossCause(order: Order): string | null {
     if (order.status === 'intended' || order.machine === null) return null;
-    if (placedSlot(order) > this.observation.asOf) return null;
+    if (placedSlot(order) > this.observation.asOfSlot) return null;
     if (this.observation.machines) {
       let listed: ObservedMachine | null = null;
       for (const machine of this.observation.machines) if (machine.id === order.machine) listed = machine;
@@ -212,7 +212,7 @@
     return this.observation.prices[zone]?.onDemand ?? Number.MAX_VALUE;
   }
 
-  private backoffCheck(kind: Kind): (zone: string) => boolean {
+  private backoffCheck(kind: MachineKind): (zone: string) => boolean {
     const isBackingOff = (zone: string): boolean => {
       const delay = this.modelMemory.retryDelay.get(`${kind} ${zone}`);
       return delay !== undefined && delay.until > this.observation.now;
@@ -220,13 +220,13 @@
     return isBackingOff;
   }
 
-  private activeOfKind(kind: Kind): Order[] {
+  private activeOfKind(kind: MachineKind): Order[] {
     const matching: Order[] = [];
     for (const order of this.activeOrders) if (order.kind === kind) matching.push(order);
     return matching;
   }
 
-  private intendOrder(kind: Kind, zone: string, cause: string): void {
+  private intendOrder(kind: MachineKind, zone: string, cause: string): void {
     this.decisions.push({
       cause,
       act: {
--- a/src/state/scaling/scaler-memory.ts
+++ b/src/state/scaling/scaler-memory.ts
@@ -3,7 +3,7 @@
  * new holder restarts all waiting times, which may delay orders but never duplicates them.
  */
 
-import type { Kind } from '../consensus/entry.js';
+import type { MachineKind } from '../consensus/entry.js';
 import type { PendingChange } from './target.js';
 
 /** State of one model: the pending change of its target, delays of zones, and since when each order has its machine. */
@@ -30,7 +30,13 @@
 }
 
 /** Delays further orders of this kind in the zone. The delay doubles with each failure, up to a minute. */
-export function recordLaunchFailed(memory: ScalerMemory, model: string, kind: Kind, zone: string, now: number): void {
+export function recordLaunchFailed(
+  memory: ScalerMemory,
+  model: string,
+  kind: MachineKind,
+  zone: string,
+  now: number,
+): void {
   const { retryDelay: delays } = memoryOf(memory, model);
   const key = `${kind} ${zone}`;
   const previous = delays.get(key);
@@ -39,6 +45,6 @@
 }
 
 /** Ends the delay for this kind of machine in the zone. */
-export function recordLaunchSucceeded(memory: ScalerMemory, model: string, kind: Kind, zone: string): void {
+export function recordLaunchSucceeded(memory: ScalerMemory, model: string, kind: MachineKind, zone: string): void {
   memoryOf(memory, model).retryDelay.delete(`${kind} ${zone}`);
 }
--- a/src/state/scaling/scaler-observation.ts
+++ b/src/state/scaling/scaler-observation.ts
@@ -34,7 +34,7 @@
   readonly prices: Readonly<Record<string, Price>>;
   readonly rates: Readonly<Record<string, Rate | null>>;
   readonly deadMachines: ReadonlySet<string>;
-  readonly failedIn: readonly string[];
-  readonly asOf: number;
+  readonly failedSpotZones: readonly string[];
+  readonly asOfSlot: number;
   readonly knownMachines: ReadonlySet<string>;
 };
--- a/src/state/scaling/target.ts
+++ b/src/state/scaling/target.ts
@@ -2,7 +2,7 @@
  * Computes the number of workers wanted from the request rate, following SkyServe (docs/skyserve.md). A change of the
  * target must persist for a hold time before it takes effect, so that short swings of the rate cause no orders.
  */
-import type { Resolved } from '../configuration/settings-tree.js';
+import type { ResolvedSettings } from '../configuration/settings-tree.js';
 
 /** Requests per second that one worker serves, how long a change must persist, and the bounds of the target. */
 export type TargetRule = {
@@ -64,7 +64,7 @@
 /** Decides a model's target. `agreedTarget` is the replicated target; `memory` keeps a pending change between ticks. */
 export function decideTarget(
   model: string,
-  values: Resolved,
+  values: ResolvedSettings,
   agreedTarget: number | undefined,
   rate: Rate | null,
   memory: { pendingChange: PendingChange | null },
--- a/src/transport/clock.ts
+++ b/src/transport/clock.ts
@@ -42,7 +42,7 @@
 }
 
 /** Resolves to the value of `work`, or to null if it takes longer than `ms`. The work itself is not cancelled. */
-export function within<T>(clock: Clock, ms: number, work: Promise<T>): Promise<T | null> {
+export function withTimeout<T>(clock: Clock, ms: number, work: Promise<T>): Promise<T | null> {
   function start(resolve: (value: T | null) => void): void {
     function onTimeout(): void {
       resolve(null);
@@ -74,7 +74,7 @@
 }
 
 /** Yields to the event loop: resolves after the events that are already pending have been handled. */
-export function turnOver(): Promise<void> {
+export function yieldToEventLoop(): Promise<void> {
   function start(resolve: () => void): void {
     setImmediate(resolve);
   }
--- a/src/transport/connection-pool.test.ts
+++ b/src/transport/connection-pool.test.ts
@@ -51,8 +51,8 @@
         target: '/p?q=1',
         headers: () => ['Host', 'h', 'X-One', '1'],
         body: body === null ? null : Buffer.from(body),
-        newConnection,
-        connectMs: 500,
+        requiresNewConnection: newConnection,
+        connectTimeoutMs: 500,
       },
       {
         head: (status) => {
@@ -81,7 +81,7 @@
   for (let i = 0; i < 3; i += 1)
     expect(await sendRequest(pool, address)).toEqual({ status: 200, body: 'hi', error: null });
   expect(connections).toBe(1);
-  expect(pool.made()).toBe(1);
+  expect(pool.totalDialled()).toBe(1);
 });
 
 test('bytes after a complete response belong to no request', async () => {
@@ -91,7 +91,7 @@
   const pool = newPool();
   expect(await sendRequest(pool, address)).toMatchObject({ body: 'hi', error: null });
   expect(await sendRequest(pool, address)).toMatchObject({ body: 'hi', error: null });
-  expect(pool.made()).toBe(2);
+  expect(pool.totalDialled()).toBe(2);
 });
 
 test('a late response on an idle connection closes that connection', async () => {
@@ -107,7 +107,7 @@
   sendLateResponse!();
   while (pool.idle(address) > 0) await new Promise((r) => setImmediate(r));
   expect(await sendRequest(pool, address)).toMatchObject({ body: 'hi', error: null });
-  expect(pool.made()).toBe(2);
+  expect(pool.totalDialled()).toBe(2);
 });
 
 test('a truncated response is an error, not an end', async () => {
@@ -150,7 +150,7 @@
   const pool = newPool();
   await sendRequest(pool, address);
   expect(await sendRequest(pool, address)).toMatchObject({ body: 'hi', error: null });
-  expect(pool.made()).toBe(2);
+  expect(pool.totalDialled()).toBe(2);
 });
 
 test('through the server and the pool: head, chunks and end arrive unchanged, and a truncated response as an error', async () => {
@@ -158,10 +158,10 @@
   let isTruncated = false;
   const opened = await httpServer.open('127.0.0.1:0', (req: OpaqueRequest) => {
     void req.body(100).then((b) => {
-      req.answerer.head(200, ['X-Body', b.ok ? b.value.toString() : b.error.tag]);
-      req.answerer.write(Buffer.from('one'));
-      if (isTruncated) req.answerer.abort();
-      else req.answerer.end();
+      req.responseWriter.head(200, ['X-Body', b.ok ? b.value.toString() : b.error.tag]);
+      req.responseWriter.write(Buffer.from('one'));
+      if (isTruncated) req.responseWriter.abort();
+      else req.responseWriter.end();
     });
   });
   if (!opened.ok) throw new Error('listen');
@@ -188,13 +188,13 @@
   expect((await sendRequest(pool, address)).error).toEqual({ tag: 'reset' });
   hasForgotten = false;
   await sendRequest(pool, address);
-  const dialledBefore = pool.made();
+  const dialledBefore = pool.totalDialled();
   now += 2_600;
   await sendRequest(pool, address);
-  expect(pool.made()).toBe(dialledBefore + 1);
+  expect(pool.totalDialled()).toBe(dialledBefore + 1);
   now += 1_000;
   await sendRequest(pool, address);
-  expect(pool.made()).toBe(dialledBefore + 1);
+  expect(pool.totalDialled()).toBe(dialledBefore + 1);
 });
 
 test('garbage in the same packet as a complete response does not affect that response', async () => {
@@ -203,7 +203,7 @@
     const pool = newPool();
     expect(await sendRequest(pool, address)).toEqual({ status: 200, body: 'hi', error: null });
     expect(await sendRequest(pool, address)).toEqual({ status: 200, body: 'hi', error: null });
-    expect(pool.made()).toBe(2);
+    expect(pool.totalDialled()).toBe(2);
   }
 });
 
@@ -214,7 +214,7 @@
   const pool = newPool();
   expect(await sendRequest(pool, address)).toEqual({ status: 200, body: 'hi', error: null });
   expect(await sendRequest(pool, address)).toEqual({ status: 200, body: 'hi', error: null });
-  expect(pool.made()).toBe(1);
+  expect(pool.totalDialled()).toBe(1);
 });
 
 test('an unrequested protocol upgrade is reported as a reset', async () => {
@@ -300,7 +300,7 @@
   expect(worker.connections).toHaveLength(2);
   first.sock.resume();
   while (pool.idle(address) < 2) await new Promise((r) => setImmediate(r));
-  expect(pool.made()).toBe(2);
+  expect(pool.totalDialled()).toBe(2);
 });
 
 test('bytes that arrive after an early response, before the request body is written, close the connection', async () => {
@@ -330,24 +330,24 @@
         target: '/held',
         headers: () => null,
         body: Buffer.from('x'),
-        newConnection: false,
-        connectMs: 500,
+        requiresNewConnection: false,
+        connectTimeoutMs: 500,
       },
       { head: () => undefined, data: () => undefined, end: () => done(null), failed: done },
     ),
   );
   expect(error).toEqual({ tag: 'withheld' });
   expect(await sendRequest(pool, workerAddress)).toEqual({ status: 200, body: 'hi', error: null });
-  expect([pool.made(), received.includes('/held')]).toEqual([1, false]);
+  expect([pool.totalDialled(), received.includes('/held')]).toEqual([1, false]);
 });
 
 test('a truncated response of unknown length does not look complete to a caller without chunked encoding', async () => {
   const httpServer = createOpaqueHttpServer();
   let isTruncated = false;
   const opened = await httpServer.open('127.0.0.1:0', (req: OpaqueRequest) => {
-    req.answerer.head(200, []);
-    req.answerer.write(Buffer.from('one'));
-    const finish = (): void => (isTruncated ? req.answerer.abort() : req.answerer.end());
+    req.responseWriter.head(200, []);
+    req.responseWriter.write(Buffer.from('one'));
+    const finish = (): void => (isTruncated ? req.responseWriter.abort() : req.responseWriter.end());
     setImmediate(finish);
   });
   if (!opened.ok) throw new Error('listen');
@@ -374,7 +374,7 @@
   await sendRequest(pool, address);
   expect(pool.idle(address)).toBe(1);
   expect(await sendRequest(pool, address, 'x', true)).toEqual({ status: 200, body: 'hi', error: null });
-  expect(pool.made()).toBe(2);
+  expect(pool.totalDialled()).toBe(2);
 });
 
 test('aborting an attempt closes its connection, so that a late response of the worker is discarded', async () => {
@@ -392,8 +392,8 @@
       target: '/first',
       headers: () => ['Host', 'h'],
       body: null,
-      newConnection: false,
-      connectMs: 500,
+      requiresNewConnection: false,
+      connectTimeoutMs: 500,
     },
     {
       head: () => events.push('head'),
@@ -406,5 +406,5 @@
   attempt.abort();
   sockets[0]!.write('HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate');
   expect(await sendRequest(pool, address)).toEqual({ status: 200, body: 'hi', error: null });
-  expect([pool.made(), events]).toEqual([2, []]);
+  expect([pool.totalDialled(), events]).toEqual([2, []]);
 });
--- a/src/transport/connection-pool.ts
+++ b/src/transport/connection-pool.ts
@@ -5,7 +5,7 @@
 import { createConnection } from 'node:net';
 import type { Socket } from 'node:net';
 import type { Clock, Timer } from './clock.js';
-import type { ConnectionPool, SendEvents, Sending, Sent } from './opaque-http.js';
+import type { ConnectionPool, SendEvents, OutgoingRequest, PendingSend } from './opaque-http.js';
 import { createPooledSend } from './pooled-send.js';
 import type { Endpoint, IdleConnection, SendingPool } from './pooled-send.js';
 import { splitAddress } from './wire.js';
@@ -131,7 +131,7 @@
     this.dial(address, endpoint, timeoutMs, onDialled);
   }
 
-  send(what: Sending, events: SendEvents): Sent {
+  send(what: OutgoingRequest, events: SendEvents): PendingSend {
     return createPooledSend(this, this.clock, what, events);
   }
 
@@ -155,7 +155,7 @@
     for (const idle of [...(this.endpoints.get(address)?.idle ?? [])]) idle.drop();
   }
 
-  made(): number {
+  totalDialled(): number {
     return this.dialledCount;
   }
 
--- a/src/transport/disk.ts
+++ b/src/transport/disk.ts
@@ -27,7 +27,7 @@
  */
 export interface Disk {
   list(): Promise<Result<string[], DiskError>>;
-  preallocated(name: string, size: number): Promise<Result<DiskFile, DiskError>>;
+  openPreallocated(name: string, size: number): Promise<Result<DiskFile, DiskError>>;
   replace(name: string, data: Buffer): Promise<Result<null, DiskError>>;
   load(name: string): Promise<Result<Buffer | null, DiskError>>;
 }
@@ -102,7 +102,7 @@
     return { read, write, sync };
   }
 
-  preallocated(name: string, size: number): Promise<Result<DiskFile, DiskError>> {
+  openPreallocated(name: string, size: number): Promise<Result<DiskFile, DiskError>> {
     const openFile = async (): Promise<DiskFile> => {
       await mkdir(this.folder, { recursive: true });
       const path = join(this.folder, name);
--- a/src/transport/http-connections.test.ts
+++ b/src/transport/http-connections.test.ts
@@ -7,7 +7,7 @@
 import type { World } from '../sim/world.js';
 import { HttpConnections } from './http-connections.js';
 
-const LIMITS = { intakeMs: 2_000, longestMs: 7_000 };
+const LIMITS = { receiveTimeoutMs: 2_000, stopTimeoutMs: 7_000 };
 
 type TestServer = {
   readonly world: World;
@@ -147,7 +147,7 @@
     const busy = await connectCaller(fixture, 'GET / HTTP/1.1\r\nHost: a\r\n\r\n');
     await until(() => fixture.requests.length === 1);
     const stopped = fixture.connections.stop(LIMITS);
-    await fixture.world.advance(LIMITS.longestMs + 100);
+    await fixture.world.advance(LIMITS.stopTimeoutMs + 100);
     await stopped;
     await until(() => busy.ended);
     expect(busy.text).toBe('');
--- a/src/transport/http-connections.ts
+++ b/src/transport/http-connections.ts
@@ -13,20 +13,20 @@
 /** Deadlines of a graceful stop, in milliseconds from its start. */
 export type StopLimits = {
   /** A request that is still incomplete by then is rejected with 503. */
-  readonly intakeMs: number;
+  readonly receiveTimeoutMs: number;
   /** Connections whose request has no complete response by then are closed. */
-  readonly longestMs: number;
+  readonly stopTimeoutMs: number;
 };
 
 /** Closes all connections at once. */
-export const STOP_IMMEDIATELY: StopLimits = { intakeMs: 0, longestMs: 0 };
+export const STOP_IMMEDIATELY: StopLimits = { receiveTimeoutMs: 0, stopTimeoutMs: 0 };
 
 /** A request that is still incomplete this long after the stop is rejected, in milliseconds. */
 const RECEIVE_TIMEOUT_MS = 2_000;
 
 /** Returns the limits for a server that must have stopped within `longestMs`. */
 export function stopLimits(longestMs: number): StopLimits {
-  return { intakeMs: Math.min(RECEIVE_TIMEOUT_MS, longestMs), longestMs };
+  return { receiveTimeoutMs: Math.min(RECEIVE_TIMEOUT_MS, longestMs), stopTimeoutMs: longestMs };
 }
 
 type Exchange = { readonly req: IncomingMessage; readonly res: ServerResponse; readonly arrivedAt: number };
@@ -75,10 +75,10 @@
   stop(limits: StopLimits): Promise<void> {
     const closed = this.closed();
     this.closeIdle();
-    if (limits.longestMs <= 0) this.destroyAll();
+    if (limits.stopTimeoutMs <= 0) this.destroyAll();
     else {
-      this.after(limits.intakeMs, () => this.rejectIncomplete());
-      this.after(limits.longestMs, () => this.destroyAll());
+      this.after(limits.receiveTimeoutMs, () => this.rejectIncomplete());
+      this.after(limits.stopTimeoutMs, () => this.destroyAll());
     }
     return closed;
   }
--- a/src/transport/http-server.test.ts
+++ b/src/transport/http-server.test.ts
@@ -37,7 +37,7 @@
 }
 const routes: Route[] = [
   { method: 'POST', path: '/echo/:id', maxBytes: 1_000, handle: echo },
-  { method: 'POST', path: '/gated', gate, handle: echo },
+  { method: 'POST', path: '/gated', earlyReply: gate, handle: echo },
   { method: 'GET', path: '/three', handle: () => Promise.resolve({ status: 200, lines: threeLines() }) },
   { method: 'GET', path: '/cut', handle: () => Promise.resolve({ status: 200, lines: failingLines() }) },
   { method: 'GET', path: '/endless', handle: () => Promise.resolve({ status: 200, lines: endlessLines() }) },
--- a/src/transport/http-server.ts
+++ b/src/transport/http-server.ts
@@ -8,7 +8,7 @@
 import type { Express, NextFunction, Request, Response } from 'express';
 import { createServer } from 'node:http';
 import { once } from 'node:events';
-import { deeperThan } from '../base/depth.js';
+import { isDeeperThan } from '../base/depth.js';
 import { describeError } from '../base/describe-error.js';
 import { portOf } from './close-server.js';
 import { STOP_IMMEDIATELY, HttpConnections } from './http-connections.js';
@@ -77,7 +77,7 @@
 
   private mount(app: Express, route: Route): void {
     function replyEarly(req: Request, res: Response, next: NextFunction): void {
-      const earlyReply = route.gate?.(toHttpRequest(req, res));
+      const earlyReply = route.earlyReply?.(toHttpRequest(req, res));
       if (!earlyReply) {
         next();
         return;
@@ -87,7 +87,7 @@
     }
     async function handle(req: Request, res: Response): Promise<void> {
       if (res.headersSent) return;
-      if (deeperThan(req.body, MAX_BODY_DEPTH)) {
+      if (isDeeperThan(req.body, MAX_BODY_DEPTH)) {
         await sendReply(res, {
           status: 400,
           body: { error: { tag: 'malformed', detail: `/: expected at most ${MAX_BODY_DEPTH} levels` } },
--- a/src/transport/http.ts
+++ b/src/transport/http.ts
@@ -19,7 +19,7 @@
   readonly headers: Headers;
   readonly body: unknown;
   readonly gone: () => boolean;
-  readonly cameAt?: number;
+  readonly arrivedAt?: number;
 };
 
 /** A response: one JSON body, one text, or a stream of JSON lines. */
@@ -36,7 +36,7 @@
   readonly method: 'GET' | 'POST' | 'DELETE';
   readonly path: string;
   readonly maxBytes?: number;
-  readonly gate?: (req: HttpRequest) => HttpReply | null;
+  readonly earlyReply?: (req: HttpRequest) => HttpReply | null;
   readonly handle: (req: HttpRequest) => Promise<HttpReply>;
 };
 
--- a/src/transport/log-line.ts
+++ b/src/transport/log-line.ts
@@ -25,7 +25,7 @@
 /**
  * Formats the fields as `key=value`, separated by spaces. Empty values and those with spaces, `"` or `=` are quoted.
  */
-export function fieldsText(fields: LogFields): string {
+export function formatFields(fields: LogFields): string {
   const formatted: string[] = [];
   for (const [key, value] of Object.entries(fields)) formatted.push(`${key}=${formatValue(value)}`);
   return formatted.join(' ');
@@ -33,7 +33,7 @@
 
 /** Formats the line as text: time, level, component, event, fields. */
 export function formatTextLine({ time, level, component, event, fields }: LogLine): string {
-  const formatted = fieldsText(fields);
+  const formatted = formatFields(fields);
   return `${time.toISOString()} ${level.padEnd(5)} [${component}] ${event}${formatted === '' ? '' : ` ${formatted}`}\n`;
 }
 
--- a/src/transport/opaque-http-server.test.ts
+++ b/src/transport/opaque-http-server.test.ts
@@ -21,9 +21,9 @@
 }
 
 function respondWith(req: OpaqueRequest, body: string): void {
-  req.answerer.head(200, ['Content-Length', String(body.length)]);
-  req.answerer.write(Buffer.from(body));
-  req.answerer.end();
+  req.responseWriter.head(200, ['Content-Length', String(body.length)]);
+  req.responseWriter.write(Buffer.from(body));
+  req.responseWriter.end();
 }
 
 test('a server that stops listening completes requests in flight, refuses new connections and closes idle ones', async () => {
@@ -58,9 +58,9 @@
 test('a server that stops listening lets a slow caller read its response completely', async () => {
   const size = 48 * 1_048_576;
   const opened = await createOpaqueHttpServer().open('127.0.0.1:0', (req) => {
-    req.answerer.head(200, ['Content-Length', String(size)]);
-    req.answerer.write(Buffer.alloc(size));
-    req.answerer.end();
+    req.responseWriter.head(200, ['Content-Length', String(size)]);
+    req.responseWriter.write(Buffer.alloc(size));
+    req.responseWriter.end();
   });
   if (!opened.ok) throw new Error(opened.error.tag);
   const server = opened.value;
--- a/src/transport/opaque-http-server.ts
+++ b/src/transport/opaque-http-server.ts
@@ -72,7 +72,7 @@
   function begun(): boolean {
     return res.headersSent;
   }
-  return { head, write, end, abort, gone, begun, onGone };
+  return { head, write, end, abort, gone, begun, onCallerGone: onGone };
 }
 
 function createRequest(req: IncomingMessage, res: ServerResponse): OpaqueRequest {
@@ -115,7 +115,7 @@
     headers: req.rawHeaders,
     get,
     body,
-    answerer: createResponseWriter(res),
+    responseWriter: createResponseWriter(res),
   };
 }
 
@@ -179,9 +179,9 @@
             address: `${target.host}:${portOf(server, target.port)}`,
             close,
             stopListening,
-            limit,
+            setLimits: limit,
             inFlight: () => connections.inFlight(),
-            refusePartial: (afterMs) => connections.rejectIncomplete(afterMs),
+            rejectIncomplete: (afterMs) => connections.rejectIncomplete(afterMs),
           }),
         );
       }
--- a/src/transport/opaque-http.ts
+++ b/src/transport/opaque-http.ts
@@ -20,7 +20,7 @@
   readonly gone: () => boolean;
   /** Whether the head has been sent. */
   readonly begun: () => boolean;
-  readonly onGone: (callback: () => void) => void;
+  readonly onCallerGone: (callback: () => void) => void;
 };
 
 /** A request whose body has not been read yet; `body` reads at most `maxBytes` bytes. */
@@ -30,7 +30,7 @@
   readonly headers: RawHeaders;
   readonly get: (name: string) => string | null;
   readonly body: (maxBytes: number) => Promise<Result<Buffer, BodyError>>;
-  readonly answerer: ResponseWriter;
+  readonly responseWriter: ResponseWriter;
 };
 
 /** Timeouts of headers and of idle connections, in milliseconds. */
@@ -44,10 +44,10 @@
    */
   readonly inFlight: () => number;
   /** Rejects requests with 503 that arrived at least `afterMs` ago and are still incomplete. */
-  readonly refusePartial: (afterMs: number) => void;
+  readonly rejectIncomplete: (afterMs: number) => void;
   /** Stops accepting connections and closes idle ones; requests in flight continue. Idempotent. */
   readonly stopListening: () => void;
-  readonly limit: (limits: OpaqueLimits) => void;
+  readonly setLimits: (limits: OpaqueLimits) => void;
 };
 
 /** Opens listeners. */
@@ -74,7 +74,7 @@
 };
 
 /** A request to send, and the connect timeout in milliseconds. */
-export type Sending = {
+export type OutgoingRequest = {
   readonly address: Address;
   readonly method: string;
   readonly target: string;
@@ -82,22 +82,22 @@
   readonly headers: () => RawHeaders | null;
   readonly body: Buffer | null;
   /** Whether the request must not be sent on a connection that has carried a request before. */
-  readonly newConnection: boolean;
-  readonly connectMs: number;
+  readonly requiresNewConnection: boolean;
+  readonly connectTimeoutMs: number;
 };
 
 /** A send in flight; `abort` ends it and closes its connection. */
-export interface Sent {
+export interface PendingSend {
   abort(): void;
 }
 
 /** A pool of connections to workers, which are kept open between requests. */
 export interface ConnectionPool {
-  send(what: Sending, events: SendEvents): Sent;
+  send(what: OutgoingRequest, events: SendEvents): PendingSend;
   check(address: Address, waitMs: number, done: (reached: boolean) => void): void;
   open(address: Address): number;
   idle(address: Address): number;
   forget(address: Address): void;
-  made(): number;
+  totalDialled(): number;
   stop(): void;
 }
--- a/src/transport/pooled-send.ts
+++ b/src/transport/pooled-send.ts
@@ -8,7 +8,7 @@
 import type { Socket } from 'node:net';
 import type { Clock } from './clock.js';
 import { hasTokenNames, isFinalStatus } from './http-syntax.js';
-import type { SendEvents, SendError, Sending, Sent } from './opaque-http.js';
+import type { SendEvents, SendError, OutgoingRequest, PendingSend } from './opaque-http.js';
 import type { Address } from './wire.js';
 
 /** A connection that is idle between two requests, with the monotonic times of its idle period in milliseconds. */
@@ -38,7 +38,7 @@
 /** After an early response, time to write the rest of the request body before the connection is closed. */
 const BODY_TIMEOUT_MS = 5_000;
 
-class PooledSend implements Sent {
+class PooledSend implements PendingSend {
   private readonly endpoint: Endpoint;
   private isSettled = false;
   private readonly idleMs: number;
@@ -50,12 +50,12 @@
   constructor(
     private readonly pool: SendingPool,
     private readonly clock: Clock,
-    private readonly outgoing: Sending,
+    private readonly outgoing: OutgoingRequest,
     private readonly events: SendEvents,
   ) {
     this.endpoint = this.pool.endpointOf(this.outgoing.address);
 
-    const idle = this.outgoing.newConnection ? null : this.pool.takeIdle(this.endpoint);
+    const idle = this.outgoing.requiresNewConnection ? null : this.pool.takeIdle(this.endpoint);
     this.idleMs = idle ? this.clock.mono() - idle.from : 0;
     this.isReused = idle !== null;
     this.socket = idle?.socket ?? null;
@@ -210,7 +210,7 @@
       this.events.connected?.(this.clock.mono() - startedAt);
       this.sendOver(socket);
     };
-    this.socket = this.pool.dial(this.outgoing.address, this.endpoint, this.outgoing.connectMs, onDialled);
+    this.socket = this.pool.dial(this.outgoing.address, this.endpoint, this.outgoing.connectTimeoutMs, onDialled);
   }
 
   abort(): void {
@@ -222,6 +222,11 @@
 }
 
 /** Sends one request on an idle or a new connection of `pool`, and returns the connection to the pool if reusable. */
-export function createPooledSend(pool: SendingPool, clock: Clock, outgoing: Sending, events: SendEvents): Sent {
+export function createPooledSend(
+  pool: SendingPool,
+  clock: Clock,
+  outgoing: OutgoingRequest,
+  events: SendEvents,
+): PendingSend {
   return new PooledSend(pool, clock, outgoing, events);
 }
--- a/src/transport/ring.test.ts
+++ b/src/transport/ring.test.ts
@@ -4,7 +4,7 @@
 import { createWorld } from '../sim/world.js';
 import type { World } from '../sim/world.js';
 import { openRing } from './ring.js';
-import type { Opened, RingError } from './ring.js';
+import type { OpenedRing, RingError } from './ring.js';
 import type { Result } from '../base/result.js';
 
 const shape = { name: 'r', files: 4, fileBytes: 400, snapshotBytes: 2_000 };
@@ -15,17 +15,17 @@
   await world.until(60_000, () => value !== null);
   return (value as unknown as { v: T }).v;
 }
-function open(world: World, platter: Platter): Promise<Result<Opened, RingError>> {
+function open(world: World, platter: Platter): Promise<Result<OpenedRing, RingError>> {
   return advanceUntilDone(world, openRing(simDisk(platter, world.begin(world.host('h', 'z')), world), shape));
 }
-async function openOrThrow(world: World, platter: Platter): Promise<Opened> {
+async function openOrThrow(world: World, platter: Platter): Promise<OpenedRing> {
   const response = await open(world, platter);
   if (!response.ok) throw new Error(JSON.stringify(response.error));
   return response.value;
 }
 
 type ItemLog = { readonly base: number; readonly items: number[] };
-function readItems(opened: Opened): number[] {
+function readItems(opened: OpenedRing): number[] {
   const all = opened.snapshot ? [...(JSON.parse(opened.snapshot.toString()) as ItemLog).items] : [];
   for (const r of opened.records) all.push(Number(r.toString()));
   return all;
@@ -54,7 +54,7 @@
         next = items.length;
         const writeCount = 5 + Math.floor(world.rng.next() * 30);
         for (let i = 0; i < writeCount; i += 1) {
-          if (opened.ring.crowded()) {
+          if (opened.ring.isNearlyFull()) {
             const snapshot = Buffer.from(JSON.stringify({ base: 0, items: [...acknowledged] }));
             const compacting = opened.ring.compact(snapshot);
             if (i === writeCount - 1 && world.rng.next() < 0.5) break;
@@ -92,7 +92,7 @@
         const writeCount = Math.floor(world.rng.next() * 12);
         for (let i = 0; i <= writeCount; i += 1) {
           const nextItem = readBack.length;
-          const compacts = opened.ring.crowded();
+          const compacts = opened.ring.isNearlyFull();
           const operation = compacts
             ? opened.ring.compact(Buffer.from(JSON.stringify({ base: 0, items: readBack })))
             : opened.ring.append([Buffer.from(String(nextItem)), Buffer.from(String(nextItem + 1))]);
--- a/src/transport/ring.ts
+++ b/src/transport/ring.ts
@@ -39,12 +39,12 @@
 export interface Ring {
   append(records: readonly Buffer[]): Promise<Result<null, RingError>>;
   compact(snapshot: Buffer): Promise<Result<null, RingError>>;
-  crowded(): boolean;
+  isNearlyFull(): boolean;
   usedFiles(): number;
 }
 
 /** An opened ring and its contents. */
-export type Opened = { readonly ring: Ring; readonly snapshot: Buffer | null; readonly records: readonly Buffer[] };
+export type OpenedRing = { readonly ring: Ring; readonly snapshot: Buffer | null; readonly records: readonly Buffer[] };
 
 /** First bytes of each record: "MIL2". The digit is the version of the contents of records and snapshots. */
 const MAGIC = 0x4d494c32;
@@ -161,7 +161,7 @@
 const CLEAR_CHUNK_BYTES = 1_048_576;
 
 async function clearFile(disk: Disk, name: string, bytes: number): Promise<Result<null, DiskError>> {
-  const opened = await disk.preallocated(name, bytes);
+  const opened = await disk.openPreallocated(name, bytes);
   if (!opened.ok) return opened;
   for (let offset = 0; offset < bytes; offset += CLEAR_CHUNK_BYTES) {
     const written = await opened.value.write(offset, Buffer.alloc(Math.min(CLEAR_CHUNK_BYTES, bytes - offset)));
@@ -211,7 +211,7 @@
 async function openFiles(disk: Disk, shape: RingShape): Promise<Result<DiskFile[], RingError>> {
   const files: DiskFile[] = [];
   for (let i = 0; i < shape.files; i += 1) {
-    const file = await disk.preallocated(`${shape.name}-${i}`, shape.fileBytes);
+    const file = await disk.openPreallocated(`${shape.name}-${i}`, shape.fileBytes);
     if (!file.ok) return file;
     files.push(file.value);
   }
@@ -231,7 +231,7 @@
   const areas: DiskFile[] = [];
   let newest: StoredRecord | null = null;
   for (let i = 0; i < 2; i += 1) {
-    const file = await disk.preallocated(`${shape.name}-snapshot-${i}`, shape.snapshotBytes);
+    const file = await disk.openPreallocated(`${shape.name}-snapshot-${i}`, shape.snapshotBytes);
     if (!file.ok) return file;
     areas.push(file.value);
     const found = await readSnapshot(file.value, i);
@@ -283,7 +283,7 @@
 }
 
 /** Opens a ring and returns its contents: the newest snapshot and all records since. */
-export async function openRing(disk: Disk, shape: RingShape): Promise<Result<Opened, RingError>> {
+export async function openRing(disk: Disk, shape: RingShape): Promise<Result<OpenedRing, RingError>> {
   const opened = await openFiles(disk, shape);
   if (!opened.ok) return opened;
   const files = opened.value;
@@ -407,7 +407,7 @@
     return this.epoch + 1 - this.oldestEpoch;
   }
 
-  crowded(): boolean {
+  isNearlyFull(): boolean {
     return this.usedFiles() >= Math.max(1, this.shape.files - 1);
   }
 }
--- a/src/transport/rng.ts
+++ b/src/transport/rng.ts
@@ -37,13 +37,13 @@
 }
 
 /** Returns a random integer in [0, `count`). */
-export function below(rng: Rng, count: number): number {
+export function randomInt(rng: Rng, count: number): number {
   return Math.floor(rng.next() * count);
 }
 
 /** Returns one of the items, each with the same probability. */
 export function pick<T>(rng: Rng, items: readonly T[]): T {
-  return items[below(rng, items.length)] as T;
+  return items[randomInt(rng, items.length)] as T;
 }
 
 /** Returns an exponentially distributed interval between independent events, in units of the mean interval. */
@@ -56,7 +56,7 @@
 /** Returns an id: a prefix and 80 random bits. */
 export function newId(rng: Rng, prefix: string): string {
   let text = '';
-  for (let i = 0; i < 20; i += 1) text += HEX[below(rng, 16)];
+  for (let i = 0; i < 20; i += 1) text += HEX[randomInt(rng, 16)];
   return `${prefix}-${text}`;
 }
 
@@ -64,7 +64,7 @@
 export function shuffled<T>(rng: Rng, items: readonly T[]): T[] {
   const copy = [...items];
   for (let i = copy.length - 1; i > 0; i -= 1) {
-    const j = below(rng, i + 1);
+    const j = randomInt(rng, i + 1);
     const swapped = copy[i] as T;
     copy[i] = copy[j] as T;
     copy[j] = swapped;
--- a/src/transport/stop-signal.test.ts
+++ b/src/transport/stop-signal.test.ts
@@ -1,7 +1,7 @@
 import { afterEach, expect, jest, test } from '@jest/globals';
 import { createWorld } from '../sim/world.js';
 import type { Log } from './log.js';
-import { awaitStopSignal, endProcess, endStuckStart } from './stop-signal.js';
+import { awaitStopSignal, stopAndExit, exitIfStartHangs } from './stop-signal.js';
 
 const WITHIN_MS = 5_000;
 const lines: string[] = [];
@@ -31,7 +31,7 @@
   const world = createWorld(1);
   const clock = world.clockOf(world.begin(world.host('node', 'zone')));
   const exit = mockedExit();
-  await endProcess(log, clock, WITHIN_MS, () => Promise.resolve());
+  await stopAndExit(log, clock, WITHIN_MS, () => Promise.resolve());
   expect(exit).toHaveBeenCalledWith(0);
   expect(lines).toEqual(['exiting {"outcome":"done","afterMs":0}']);
 });
@@ -41,7 +41,7 @@
   const world = createWorld(1);
   const clock = world.clockOf(world.begin(world.host('node', 'zone')));
   const exit = mockedExit();
-  await endProcess(log, clock, WITHIN_MS, () => Promise.reject(new Error('no disk')));
+  await stopAndExit(log, clock, WITHIN_MS, () => Promise.reject(new Error('no disk')));
   expect(exit).toHaveBeenCalledWith(0);
   expect(lines[0]).toMatch(/^stop failed .*no disk/);
 });
@@ -50,7 +50,7 @@
   const world = createWorld(1);
   const clock = world.clockOf(world.begin(world.host('node', 'zone')));
   const exit = mockedExit();
-  const ended = endProcess(log, clock, WITHIN_MS, () => new Promise(() => undefined));
+  const ended = stopAndExit(log, clock, WITHIN_MS, () => new Promise(() => undefined));
   await world.advance(WITHIN_MS - 10);
   expect(exit).not.toHaveBeenCalled();
   await world.advance(20);
@@ -68,7 +68,7 @@
   const clock = world.clockOf(world.begin(world.host('node', 'zone')));
   const exit = mockedExit();
   const signal = awaitStopSignal();
-  const started = endStuckStart(log, clock, signal, WITHIN_MS);
+  const started = exitIfStartHangs(log, clock, signal, WITHIN_MS);
   await world.advance(WITHIN_MS + 10);
   expect(exit).not.toHaveBeenCalled();
   process.emit('SIGTERM', 'SIGTERM');
--- a/src/transport/stop-signal.ts
+++ b/src/transport/stop-signal.ts
@@ -1,6 +1,6 @@
 /** Handles stop signals and ends the process in an orderly way. */
 import { describeError } from '../base/describe-error.js';
-import { within } from './clock.js';
+import { withTimeout } from './clock.js';
 import type { Clock } from './clock.js';
 import type { Log } from './log.js';
 
@@ -24,7 +24,7 @@
  * Ends the process `withinMs` after the signal if it is still starting then; nothing else would end it. The caller
  * calls the returned function once the process has started.
  */
-export function endStuckStart(log: Log, clock: Clock, signal: Promise<StopSignal>, withinMs: number): () => void {
+export function exitIfStartHangs(log: Log, clock: Clock, signal: Promise<StopSignal>, withinMs: number): () => void {
   let isStarting = true;
   function exitIfStarting(): void {
     if (!isStarting) return;
@@ -38,7 +38,7 @@
 }
 
 /** Runs `stop` and then ends the process, after `withinMs` at the latest, also if `stop` fails. */
-export async function endProcess(log: Log, clock: Clock, withinMs: number, stop: () => Promise<void>): Promise<void> {
+export async function stopAndExit(log: Log, clock: Clock, withinMs: number, stop: () => Promise<void>): Promise<void> {
   const startedAt = clock.mono();
   async function tryStop(): Promise<'done' | 'failed'> {
     try {
@@ -49,7 +49,7 @@
       return 'failed';
     }
   }
-  const outcome = (await within(clock, withinMs, tryStop())) ?? 'timedOut';
+  const outcome = (await withTimeout(clock, withinMs, tryStop())) ?? 'timedOut';
   log.info('exiting', { outcome, afterMs: Math.round(clock.mono() - startedAt) });
   process.exit(EXIT_OK);
 }
--- a/src/transport/switch-file.ts
+++ b/src/transport/switch-file.ts
@@ -4,11 +4,11 @@
  */
 
 import { readFileSync } from 'node:fs';
-import { isTable } from '../base/is-table.js';
-import { parsedJson } from '../base/parsed-json.js';
+import { isJsonObject } from '../base/is-json-object.js';
+import { parseJson } from '../base/parse-json.js';
 
 /** Whether the link from one end to another is partitioned, and whether a node's disk behaves as full. */
-export type Switches = {
+export type FaultSwitches = {
   readonly isPartitioned: (from: string, to: string) => boolean;
   readonly isFull: (node: string) => boolean;
 };
@@ -22,11 +22,11 @@
 }
 
 /** Returns the switches in the file at `path`; without a path all are off. */
-export function switchesAt(path: string | undefined): Switches {
+export function createFaultSwitches(path: string | undefined): FaultSwitches {
   return path === undefined ? noSwitches() : watchSwitchFile(path);
 }
 
-function watchSwitchFile(path: string): Switches {
+function watchSwitchFile(path: string): FaultSwitches {
   let partitions: ReadonlySet<string> = new Set();
   let fullDisks: ReadonlySet<string> = new Set();
 
@@ -37,8 +37,8 @@
     } catch {
       return;
     }
-    const parsed = parsedJson(text);
-    if (!isTable(parsed)) return;
+    const parsed = parseJson(text);
+    if (!isJsonObject(parsed)) return;
     partitions = stringsIn(parsed['cuts']);
     fullDisks = stringsIn(parsed['fullDisks']);
   }
@@ -54,7 +54,7 @@
   return { isPartitioned, isFull };
 }
 
-function noSwitches(): Switches {
+function noSwitches(): FaultSwitches {
   function never(): boolean {
     return false;
   }
--- a/src/transport/wire.ts
+++ b/src/transport/wire.ts
@@ -25,7 +25,7 @@
 export type ConnectionEvents = {
   readonly frame: (body: unknown) => void;
   readonly closed: () => void;
-  readonly heard?: () => void;
+  readonly bytesReceived?: () => void;
 };
 
 /** An open connection. `send` neither waits nor fails: frames that a failed peer does not receive are lost. */
@@ -123,7 +123,7 @@
   }
 
   private onData(chunk: string | Buffer): void {
-    this.events?.heard?.();
+    this.events?.bytesReceived?.();
     const lines = chunk.toString().split('\n');
     for (let i = 0; i < lines.length; i += 1) {
       const line = lines[i] as string;
--- a/standin-platform/ask.ts
+++ b/standin-platform/ask.ts
@@ -1,6 +1,6 @@
 /** A single HTTP request with a JSON body, on a connection of its own. */
 
-import { parsedJson } from '../src/base/parsed-json.js';
+import { parseJson } from '../src/base/parse-json.js';
 import type { Clock } from '../src/transport/clock.js';
 import { openConnection } from './client.js';
 
@@ -8,7 +8,7 @@
 export type Reply = { readonly status: number; readonly headers: ReadonlyMap<string, string>; readonly body: unknown };
 
 /** Sends one request and returns the response, or null if it failed, timed out or was truncated. */
-export async function ask(
+export async function sendRequest(
   address: string,
   clock: Clock,
   method: string,
@@ -31,7 +31,7 @@
   );
   connection.close();
   if (result.end !== 'whole' || !result.head) return null;
-  return { status: result.head.status, headers: result.head.headers, body: parsedJson(result.body.toString('utf8')) };
+  return { status: result.head.status, headers: result.head.headers, body: parseJson(result.body.toString('utf8')) };
 }
 
 function onStrayBytes(): void {}
--- a/standin-platform/caller.test.ts
+++ b/standin-platform/caller.test.ts
@@ -7,10 +7,10 @@
 import { createRng } from '../src/transport/rng.js';
 import { judge } from './check.js';
 import { documentToWire, MAPPING_DEFAULTS, MODEL_DEFAULTS } from './document.js';
-import { createCaller, WISH_DEFAULTS } from './caller.js';
-import type { Caller, CallerSpec, Wish } from './caller.js';
-import { createRecords, onlyOf } from './records.js';
-import type { Kind, Records } from './records.js';
+import { createCaller, REQUEST_DEFAULTS } from './caller.js';
+import type { Caller, CallerSpec, RequestSpec } from './caller.js';
+import { createRecords, recordsOfType } from './records.js';
+import type { RequestKind, Records } from './records.js';
 import { createStandinWorker } from './worker.js';
 import { ENGINE_DEFAULTS, WORKER_DEFAULTS } from './worker-spec.js';
 import type { StandinWorker, WorkerSpec } from './worker-spec.js';
@@ -91,12 +91,12 @@
   cleanups.push(created.close);
   return created;
 }
-function requestSpec(kind: Kind, over: Partial<Wish> = {}): Wish {
+function requestSpec(kind: RequestKind, over: Partial<RequestSpec> = {}): RequestSpec {
   const streamFields = kind === 'stream' ? { tokens: '400,30', prefix: '5c1e07a2:300,91bd3f06:100' } : {};
-  return { ...WISH_DEFAULTS, host: HOST, path: `/${kind}/1`, kind, ...streamFields, ...over };
+  return { ...REQUEST_DEFAULTS, host: HOST, path: `/${kind}/1`, kind, ...streamFields, ...over };
 }
 function recordConfiguration(): void {
-  const kinds: readonly Kind[] = ['repeatable', 'once', 'stream'];
+  const kinds: readonly RequestKind[] = ['repeatable', 'once', 'stream'];
   const mappings = kinds.map((kind) => ({
     ...MAPPING_DEFAULTS,
     name: kind,
@@ -106,8 +106,8 @@
     shares: [{ model: 'm1', share: 1 }],
   }));
   const document = documentToWire({ number: 1, mappings, models: [{ ...MODEL_DEFAULTS, name: 'm1' }] });
-  records.note({ what: 'submitted', order: 'o-1', number: 1, base: 0, document, valid: true });
-  records.note({ what: 'settled', order: 'o-1', outcome: 'acknowledged', status: 200 });
+  records.add({ what: 'submitted', order: 'o-1', number: 1, base: 0, document, valid: true });
+  records.add({ what: 'settled', order: 'o-1', outcome: 'acknowledged', status: 200 });
 }
 
 describe('the stand-in caller, connected directly to a worker', () => {
@@ -115,13 +115,13 @@
     await startWorker({ capacity: 64 });
     recordConfiguration();
     const caller = await createTestCaller();
-    const kinds: readonly Kind[] = ['repeatable', 'once', 'stream'];
+    const kinds: readonly RequestKind[] = ['repeatable', 'once', 'stream'];
     const results = await Promise.all(
       Array.from({ length: 30 }, (_, i) => caller.call(requestSpec(kinds[i % 3] ?? 'once', { chunked: i % 2 === 0 }))),
     );
-    expect(results.every((t) => t.served && t.tries === 1)).toBe(true);
+    expect(results.every((t) => t.succeeded && t.tries === 1)).toBe(true);
     expect(judge(records.all())).toEqual([]);
-    expect(onlyOf(records.all(), 'ran')).toHaveLength(30);
+    expect(recordsOfType(records.all(), 'ran')).toHaveLength(30);
     expect(directoryRequests).toEqual(['/millfield/resolve?name=caller.example&region=r&zone=z']);
   });
 
@@ -129,8 +129,14 @@
     await startWorker({ closeEvery: 3 });
     ttlS = 0.05;
     const caller = await createTestCaller();
-    for (let i = 0; i < 5; i += 1) expect((await caller.call(requestSpec('once'))).served).toBe(true);
-    expect(onlyOf(records.all(), 'arrived').map((a) => a.headers['connection'] ?? '')).toEqual(['', '', '', '', '']);
+    for (let i = 0; i < 5; i += 1) expect((await caller.call(requestSpec('once'))).succeeded).toBe(true);
+    expect(recordsOfType(records.all(), 'arrived').map((a) => a.headers['connection'] ?? '')).toEqual([
+      '',
+      '',
+      '',
+      '',
+      '',
+    ]);
     expect(directoryRequests.length).toBeGreaterThan(1);
   });
 
@@ -142,7 +148,7 @@
     await records.until((r) => r.what === 'finished');
     worker.fault(null);
     expect(await result).toMatchObject({ served: true, tries: 2 });
-    const ids = onlyOf(records.all(), 'asked').map((a) => a.attempt);
+    const ids = recordsOfType(records.all(), 'asked').map((a) => a.attempt);
     expect(new Set(ids).size).toBe(2);
   });
 
@@ -166,11 +172,11 @@
     edgeAddresses.push(await listen(server));
     const caller = await createTestCaller();
     expect(await caller.call(requestSpec('once'))).toMatchObject({ status: 404, tries: 2 });
-    const [first, second] = onlyOf(records.all(), 'asked');
+    const [first, second] = recordsOfType(records.all(), 'asked');
     expect((second?.at ?? 0) - (first?.at ?? 0)).toBeGreaterThan(145);
     requestCount = 0;
     await caller.call(requestSpec('once', { deadlineMs: 150 }));
-    const [, , third, fourth] = onlyOf(records.all(), 'asked');
+    const [, , third, fourth] = recordsOfType(records.all(), 'asked');
     expect((fourth?.at ?? 0) - (third?.at ?? 0)).toBeLessThan(140);
   });
 
@@ -182,24 +188,24 @@
     await records.until((r) => r.what === 'finished');
     worker.fault(null);
     expect(await result).toMatchObject({ served: true, tries: 2 });
-    const [, second] = onlyOf(records.all(), 'asked');
+    const [, second] = recordsOfType(records.all(), 'asked');
     expect(second?.lastEvent).toBeGreaterThan(0);
   });
 
   test('aborts a stream that sends nothing', async () => {
     const worker = await startWorker();
-    worker.dark(true);
+    worker.setUnresponsive(true);
     const caller = await createTestCaller();
     expect(await caller.call(requestSpec('stream', { aimMs: 10, pauseMs: 10 }))).toMatchObject({ served: false });
-    expect(onlyOf(records.all(), 'answered').map((a) => a.end)).toEqual(['silence']);
+    expect(recordsOfType(records.all(), 'answered').map((a) => a.end)).toEqual(['silence']);
   });
 
   test('avoids addresses that failed', async () => {
     edgeAddresses.push('127.0.0.1:1');
     await startWorker();
     const caller = await createTestCaller({ keepConnections: false });
-    for (let i = 0; i < 8; i += 1) expect((await caller.call(requestSpec('once'))).served).toBe(true);
-    expect(new Set(onlyOf(records.all(), 'asked').map((a) => a.edge)).size).toBe(1);
+    for (let i = 0; i < 8; i += 1) expect((await caller.call(requestSpec('once'))).succeeded).toBe(true);
+    expect(new Set(recordsOfType(records.all(), 'asked').map((a) => a.edge)).size).toBe(1);
   });
 
   test('records bytes that belong to no request, and the judge reports them', async () => {
--- a/standin-platform/caller.ts
+++ b/standin-platform/caller.ts
@@ -2,21 +2,21 @@
 
 import { delay } from '../src/transport/clock.js';
 import type { Clock } from '../src/transport/clock.js';
-import { below, shuffled } from '../src/transport/rng.js';
+import { randomInt, shuffled } from '../src/transport/rng.js';
 import type { Rng } from '../src/transport/rng.js';
-import { CALL, HEADER, QUERY, RESOLVED } from '../platform/words.js';
-import { ask } from './ask.js';
+import { API_PATH, HEADER, QUERY_PARAMETER, DIRECTORY_RESPONSE } from '../platform/words.js';
+import { sendRequest } from './ask.js';
 import { openConnection } from './client.js';
 import type { ExchangeResult, Connection } from './client.js';
 import { createEventReader } from './events.js';
-import type { Ended, EventSeen, Kind, Records } from './records.js';
+import type { AttemptEnd, EventSeen, RequestKind, Records } from './records.js';
 import { sha256Hex } from './incoming.js';
 
 /** A request that a caller is to send, and how it retries it. */
-export type Wish = {
+export type RequestSpec = {
   readonly host: string;
   readonly path: string;
-  readonly kind: Kind;
+  readonly kind: RequestKind;
   readonly resumable: boolean;
   readonly deadlineMs: number;
   readonly aimMs: number;
@@ -28,7 +28,7 @@
   readonly chunked: boolean;
 };
 
-export const WISH_DEFAULTS = {
+export const REQUEST_DEFAULTS = {
   resumable: false,
   deadlineMs: 6_000,
   aimMs: 1_000,
@@ -54,8 +54,8 @@
 };
 
 /** The outcome of a call over all its attempts; times in milliseconds since the call began. */
-export type Told = {
-  readonly served: boolean;
+export type CallResult = {
+  readonly succeeded: boolean;
   readonly tries: number;
   readonly status: number;
   readonly firstMs: number | null;
@@ -65,9 +65,9 @@
 /** A client of the edges that follows the caller rules of the platform. */
 export type Caller = {
   /** Sends a request through an edge from the directory, with retries. */
-  readonly call: (request: Wish) => Promise<Told>;
+  readonly call: (request: RequestSpec) => Promise<CallResult>;
   /** Sends a request once, to the given edge. */
-  readonly direct: (edge: string, request: Wish) => Promise<Told>;
+  readonly callEdge: (edge: string, request: RequestSpec) => Promise<CallResult>;
   /** Returns the edge addresses; asks the directory again once the TTL is over. */
   readonly resolved: () => Promise<readonly string[]>;
   readonly inFlight: () => number;
@@ -89,7 +89,7 @@
  * event received, after which a resumable stream continues.
  */
 type AttemptResult = {
-  readonly end: Ended;
+  readonly end: AttemptEnd;
   readonly status: number;
   readonly retryAfterMs: number;
   readonly lastEvent: number;
@@ -109,15 +109,15 @@
   const idleConnections: Connection[] = [];
 
   async function refreshAddresses(): Promise<void> {
-    const path = `${CALL.resolve}?${QUERY.name}=caller.example&${QUERY.region}=${spec.region}&${QUERY.zone}=${spec.zone}`;
+    const path = `${API_PATH.resolve}?${QUERY_PARAMETER.name}=caller.example&${QUERY_PARAMETER.region}=${spec.region}&${QUERY_PARAMETER.zone}=${spec.zone}`;
     for (const directory of spec.directories.slice(0, 3)) {
-      const reply = await ask(directory, clock, 'GET', path, DIRECTORY_TIMEOUT_MS);
+      const reply = await sendRequest(directory, clock, 'GET', path, DIRECTORY_TIMEOUT_MS);
       const body =
         reply?.status === 200 && typeof reply.body === 'object' && reply.body !== null
           ? (reply.body as Readonly<Record<string, unknown>>)
           : {};
-      const listedAddresses = body[RESOLVED.addresses];
-      const ttlS = body[RESOLVED.ttlS];
+      const listedAddresses = body[DIRECTORY_RESPONSE.addresses];
+      const ttlS = body[DIRECTORY_RESPONSE.ttlS];
       if (!Array.isArray(listedAddresses) || listedAddresses.length === 0 || typeof ttlS !== 'number') continue;
       addresses = listedAddresses.filter(isString).slice(0, 64);
       addressesFreshUntil = clock.mono() + Math.min(ttlS, spec.ttlMaxS) * 1_000 * spec.ttlFactor;
@@ -165,17 +165,17 @@
     if (!connection) avoidUntil.set(edge, clock.mono() + AVOID_FAILED_ADDRESS_MS);
     return connection;
     function onStrayBytes(text: string, isRequestPending: boolean): void {
-      records.note({ what: 'stray', edge, attempt: isRequestPending ? 'waiting' : null, text });
+      records.add({ what: 'stray', edge, attempt: isRequestPending ? 'waiting' : null, text });
     }
   }
 
   function newAttemptId(): string {
     let out = '';
-    for (let i = 0; i < 16; i += 1) out += below(rng, 16).toString(16);
+    for (let i = 0; i < 16; i += 1) out += randomInt(rng, 16).toString(16);
     return out;
   }
 
-  async function call(request: Wish): Promise<Told> {
+  async function call(request: RequestSpec): Promise<CallResult> {
     const startedAt = clock.mono();
     const callName = `${spec.name}/${(callCount += 1)}`;
     const deadlineAt = startedAt + request.deadlineMs;
@@ -203,13 +203,19 @@
     inFlightCount -= 1;
     const served =
       lastResult !== null && lastResult.end === 'whole' && lastResult.status >= 200 && lastResult.status < 300;
-    return { served, tries: attempts, status: lastResult?.status ?? 0, firstMs, wholeMs: clock.mono() - startedAt };
+    return {
+      succeeded: served,
+      tries: attempts,
+      status: lastResult?.status ?? 0,
+      firstMs,
+      wholeMs: clock.mono() - startedAt,
+    };
   }
 
-  async function callEdge(edge: string, request: Wish): Promise<Told> {
+  async function callEdge(edge: string, request: RequestSpec): Promise<CallResult> {
     const startedAt = clock.mono();
     const connection = await connectTo(edge);
-    if (!connection) return { served: false, tries: 1, status: 0, firstMs: null, wholeMs: 0 };
+    if (!connection) return { succeeded: false, tries: 1, status: 0, firstMs: null, wholeMs: 0 };
     const result = await sendAttempt(
       connection,
       request,
@@ -220,7 +226,7 @@
     );
     connection.close();
     return {
-      served: result.end === 'whole' && result.status >= 200 && result.status < 300,
+      succeeded: result.end === 'whole' && result.status >= 200 && result.status < 300,
       tries: 1,
       status: result.status,
       firstMs: null,
@@ -230,7 +236,7 @@
 
   async function sendAttempt(
     connection: Connection,
-    request: Wish,
+    request: RequestSpec,
     callName: string,
     remainingMs: number,
     lastEvent: number,
@@ -238,7 +244,7 @@
   ): Promise<AttemptResult> {
     const attemptId = newAttemptId();
     const body = Buffer.from(`${attemptId} `.repeat(Math.ceil(request.bytes / 17)).slice(0, request.bytes));
-    records.note({
+    records.add({
       what: 'asked',
       attempt: attemptId,
       call: callName,
@@ -261,7 +267,7 @@
       if (request.kind === 'stream') events.push(part);
     }
     function onSent(): void {
-      records.note({ what: 'sent', attempt: attemptId });
+      records.add({ what: 'sent', attempt: attemptId });
     }
     const inactivityTimeoutMs =
       request.kind === 'stream' ? Math.max(2_000, 4 * request.aimMs, 8 * request.pauseMs) : null;
@@ -289,7 +295,7 @@
 
   function recordAnswered(attemptId: string, result: ExchangeResult, events: readonly EventSeen[]): void {
     const headers = result.head?.headers;
-    records.note({
+    records.add({
       what: 'answered',
       attempt: attemptId,
       end: result.end,
@@ -307,11 +313,11 @@
   function getInFlightCount(): number {
     return inFlightCount;
   }
-  return { call, direct: callEdge, resolved: resolveAddresses, inFlight: getInFlightCount, close };
+  return { call, callEdge: callEdge, resolved: resolveAddresses, inFlight: getInFlightCount, close };
 }
 
 /** Tells whether the platform allows another attempt after this result. */
-function mayRetry(request: Wish, result: ExchangeResult, hasEvents: boolean): boolean {
+function mayRetry(request: RequestSpec, result: ExchangeResult, hasEvents: boolean): boolean {
   const status = result.head?.status ?? 0;
   if (result.end === 'whole' && (status < 300 || FINAL_STATUSES.includes(status))) return false;
   if (result.end === 'whole' && NOT_EXECUTED_STATUSES.includes(status)) return true;
@@ -320,7 +326,7 @@
 }
 
 function serializeRequest(
-  request: Wish,
+  request: RequestSpec,
   attemptId: string,
   body: Buffer,
   remainingMs: number,
--- a/standin-platform/check-config.ts
+++ b/standin-platform/check-config.ts
@@ -1,6 +1,6 @@
-import { canonical, mappingFor, numberOf } from './document.js';
+import { canonicalJson, mappingFor, versionNumber } from './document.js';
 import type { Facts, Note, Order, Request, Version } from './facts.js';
-import { onlyOf } from './records.js';
+import { recordsOfType } from './records.js';
 
 type Handling = { readonly at: number; readonly request: Request; readonly model: string | null };
 
@@ -72,7 +72,7 @@
   checkReadBack(facts, note);
 }
 function startedSince(facts: Facts, edge: string, from: number, until: number): boolean {
-  for (const planned of onlyOf(facts.records, 'planned'))
+  for (const planned of recordsOfType(facts.records, 'planned'))
     if (planned.edge === edge && planned.fault === 'start' && planned.at >= from && planned.at <= until) return true;
   return false;
 }
@@ -83,7 +83,7 @@
     if (order.settled?.outcome !== 'acknowledged') continue;
     if (!order.submitted.valid) note('CONFIG', `the invalid ${order.submitted.order} was acknowledged`);
     const other = won.get(order.submitted.base);
-    if (other && canonical(other.submitted.document) !== canonical(order.submitted.document))
+    if (other && canonicalJson(other.submitted.document) !== canonicalJson(order.submitted.document))
       note(
         'CONFIG',
         `${other.submitted.order} and ${order.submitted.order} were both acknowledged on top of ${order.submitted.base}`,
@@ -93,16 +93,17 @@
 }
 
 function checkReadBack(facts: Facts, note: Note): void {
-  for (const readBack of onlyOf(facts.records, 'readBack')) {
+  for (const readBack of recordsOfType(facts.records, 'readBack')) {
     const rule = facts.closingAt !== null && facts.closingAt < readBack.at ? 'LOST' : 'CONFIG';
     let newest = 0;
     for (const version of facts.versions)
       if (version.acknowledgedAt < readBack.at) newest = Math.max(newest, version.number);
     if (newest === 0) continue;
-    const number = numberOf(readBack.document);
+    const number = versionNumber(readBack.document);
     let isSent = false;
     for (const version of facts.versions)
-      if (version.number === number && canonical(version.document) === canonical(readBack.document)) isSent = true;
+      if (version.number === number && canonicalJson(version.document) === canonicalJson(readBack.document))
+        isSent = true;
     if (readBack.document === null) note(rule, 'the configuration did not come when it was read back');
     else if (number < newest) note(rule, `${number} was read back, though ${newest} was acknowledged`);
     else if (!isSent) note(rule, `what was read back as ${number} was not sent so`);
--- a/standin-platform/check-requests.ts
+++ b/standin-platform/check-requests.ts
@@ -1,5 +1,5 @@
 import type { Facts, Note, Request, Visit } from './facts.js';
-import { onlyOf } from './records.js';
+import { recordsOfType } from './records.js';
 import type { Answered, EventSeen } from './records.js';
 
 const PROMISES: readonly number[] = [408, 421, 429, 503];
@@ -9,7 +9,7 @@
 const NOT_DENIED: readonly number[] = [408, 421, 429];
 
 export function checkMixed(facts: Facts, note: Note): void {
-  for (const stray of onlyOf(facts.records, 'stray')) {
+  for (const stray of recordsOfType(facts.records, 'stray')) {
     const status = /^HTTP\/1\.[01] (\d)/.exec(stray.text)?.[1];
     if (stray.attempt !== null || status === undefined)
       note('MIXED', `${stray.edge} sent bytes that are no answer: ${JSON.stringify(stray.text)}`);
@@ -125,7 +125,7 @@
 
 export function checkLostRequests(facts: Facts, note: Note): void {
   const { gracePeriodS, lossSlackMs, contactMs } = facts.bounds;
-  const planned = onlyOf(facts.records, 'planned');
+  const planned = recordsOfType(facts.records, 'planned');
   for (const plan of planned) {
     if (plan.fault !== 'term' || plan.core) continue;
     for (const [id, request] of facts.requests) {
