--- a/standin-platform/check-workers.ts
+++ b/standin-platform/check-workers.ts
@@ -1,6 +1,6 @@
 import { MODEL, DOCUMENT } from '../platform/words.js';
 import type { Facts, Note, Visit } from './facts.js';
-import { onlyOf } from './records.js';
+import { recordsOfType } from './records.js';
 
 function counts(visit: Visit): boolean {
   return !visit.arrived.probe && visit.refused?.status !== 421;
@@ -11,7 +11,7 @@
 
 export function checkDrain(facts: Facts, note: Note): void {
   const listed = new Map<string, number>();
-  for (const worker of onlyOf(facts.records, 'listed'))
+  for (const worker of recordsOfType(facts.records, 'listed'))
     if (worker.phase !== 'serving' && !listed.has(worker.worker)) listed.set(worker.worker, worker.at);
   for (const visit of facts.visits) {
     const at = listed.get(visit.arrived.worker);
@@ -27,7 +27,7 @@
 function listTrouble(facts: Facts, from: number, until: number): number {
   let since: number | null = null;
   let sum = 0;
-  for (const listTrouble of onlyOf(facts.records, 'listTrouble')) {
+  for (const listTrouble of recordsOfType(facts.records, 'listTrouble')) {
     if (listTrouble.on && since === null) since = listTrouble.at;
     if (!listTrouble.on && since !== null) {
       sum += Math.max(0, Math.min(listTrouble.at, until) - Math.max(since, from));
@@ -70,7 +70,7 @@
 
 export function checkFailback(facts: Facts, note: Note): void {
   const rates = coldRates(facts);
-  for (const life of onlyOf(facts.records, 'life')) {
+  for (const life of recordsOfType(facts.records, 'life')) {
     const rate = rates.get(life.model) ?? 0;
     if ((life.event !== 'started' && life.event !== 'cold') || life.coldMs <= 0 || rate <= 0) continue;
     const most = rate * facts.bounds.coldExcess + facts.bounds.coldMargin;
--- a/standin-platform/check.test.ts
+++ b/standin-platform/check.test.ts
@@ -3,7 +3,7 @@
 import { documentToWire, MAPPING_DEFAULTS, MODEL_DEFAULTS } from './document.js';
 import type { ModelRoute } from './document.js';
 import { BOUNDS } from './facts.js';
-import type { Answered, Arrived, Asked, Finished, Life, Ran, Rec, Settled, Submitted } from './records.js';
+import type { Answered, Arrived, Asked, Finished, Life, Ran, JournalRecord, Settled, Submitted } from './records.js';
 
 const HOST = 'ficu95.example';
 
@@ -104,16 +104,16 @@
   return { id: n * 5, run, n, of };
 }
 
-const START: readonly Rec[] = [submitted(), settled(), life()];
-const SERVED: readonly Rec[] = [...START, asked(), arrived(), ran(), finished(), answered()];
-const STREAM: readonly Rec[] = [
+const START: readonly JournalRecord[] = [submitted(), settled(), life()];
+const SERVED: readonly JournalRecord[] = [...START, asked(), arrived(), ran(), finished(), answered()];
+const STREAM: readonly JournalRecord[] = [
   ...START,
   asked({ path: '/stream/1' }),
   arrived({ path: '/stream/1', model: 'llm' }),
   ran(),
   finished(),
 ];
-const RESUMED: readonly Rec[] = [
+const RESUMED: readonly JournalRecord[] = [
   ...START,
   asked({ path: '/resumed/1' }),
   arrived({ path: '/resumed/1', model: 'llm' }),
@@ -124,18 +124,18 @@
   finished({ visit: 'v2', seal: 's2', digest: 'y' }),
 ];
 const SECOND = document(8, [mapping('once', 'llm'), ...MAPPINGS.slice(1)]);
-const MOVED: readonly Rec[] = [
+const MOVED: readonly JournalRecord[] = [
   ...START,
   submitted({ order: 'o-2', number: 8, base: 3, document: SECOND, at: 1_000 }),
   settled({ order: 'o-2', at: 1_010 }),
 ];
 
-function many(n: number, make: (k: number) => readonly Rec[]): readonly Rec[] {
+function many(n: number, make: (k: number) => readonly JournalRecord[]): readonly JournalRecord[] {
   return Array.from({ length: n }, (_, k) => make(k)).flat();
 }
 
 describe('the judge', () => {
-  const clean: readonly (readonly [string, readonly Rec[]])[] = [
+  const clean: readonly (readonly [string, readonly JournalRecord[]])[] = [
     ['a served request', SERVED],
     [
       'a worker failure told as it is',
@@ -273,7 +273,7 @@
     expect(judge(records)).toEqual([]);
   });
 
-  const broken: readonly (readonly [string, string, readonly Rec[]])[] = [
+  const broken: readonly (readonly [string, string, readonly JournalRecord[]])[] = [
     ['MIXED', 'a success without a seal', [...SERVED.slice(0, -1), answered({ seal: null })]],
     ['MIXED', 'a body that is not whole', [...SERVED.slice(0, -1), answered({ digest: 'half' })]],
     ['MIXED', 'a failure told as a success', [...SERVED.slice(0, -2), finished({ status: 500 }), answered()]],
@@ -582,8 +582,8 @@
   });
 
   test('leaves an edge out that was not in touch', () => {
-    const killed: Rec = { what: 'planned', at: 4_000, edge: 'e1', core: false, fault: 'kill' };
-    const late: readonly Rec[] = [
+    const killed: JournalRecord = { what: 'planned', at: 4_000, edge: 'e1', core: false, fault: 'kill' };
+    const late: readonly JournalRecord[] = [
       ...START,
       { what: 'listed', at: 900, worker: 'w1', phase: 'draining' },
       asked(),
--- a/standin-platform/check.ts
+++ b/standin-platform/check.ts
@@ -12,7 +12,7 @@
 import { checkBudget, checkDrain, checkEvac, checkFailback, checkHome } from './check-workers.js';
 import { BOUNDS, gather } from './facts.js';
 import type { Bounds, Verdict } from './facts.js';
-import type { Rec } from './records.js';
+import type { JournalRecord } from './records.js';
 
 const JUDGES = [
   checkMixed,
@@ -33,7 +33,7 @@
   checkRecover,
 ] as const;
 
-export function judge(records: readonly Rec[], bounds: Bounds = BOUNDS): readonly Verdict[] {
+export function judge(records: readonly JournalRecord[], bounds: Bounds = BOUNDS): readonly Verdict[] {
   const facts = gather(records, bounds);
   const out: Verdict[] = [];
   function note(rule: string, text: string): void {
--- a/standin-platform/contact.test.ts
+++ b/standin-platform/contact.test.ts
@@ -27,9 +27,9 @@
   });
 
   test('is not in contact while it is paused itself, however long', () => {
-    const { inTouch, inOuterTouch } = contactAfter(edge(20_000, 'freeze'), edge(40_000, 'thaw'));
+    const { inTouch, inTouchWithMajority } = contactAfter(edge(20_000, 'freeze'), edge(40_000, 'thaw'));
     expect([39_000, 44_000, 44_001].map((at) => inTouch(EDGE, at))).toEqual([false, false, true]);
-    expect(inOuterTouch(EDGE, 39_000, 39_000)).toBe(false);
+    expect(inTouchWithMajority(EDGE, 39_000, 39_000)).toBe(false);
     expect(inTouch('e2', 39_000)).toBe(true);
   });
 
@@ -41,7 +41,7 @@
   });
 
   test('is in contact with the majority of an unsettled core, unless the majority was lost meanwhile', () => {
-    const { inTouch, inOuterTouch } = contactAfter(
+    const { inTouch, inTouchWithMajority } = contactAfter(
       first(20_000, 'freeze'),
       first(22_000, 'thaw'),
       second(30_000, 'kill'),
@@ -49,8 +49,8 @@
       third(31_000, 'thaw'),
     );
     expect(inTouch(EDGE, 23_000)).toBe(false);
-    expect(inOuterTouch(EDGE, 15_000, 23_000)).toBe(true);
-    expect(inOuterTouch(EDGE, 15_000, 33_000)).toBe(false);
-    expect(inOuterTouch(EDGE, 36_000, 37_000)).toBe(true);
+    expect(inTouchWithMajority(EDGE, 15_000, 23_000)).toBe(true);
+    expect(inTouchWithMajority(EDGE, 15_000, 33_000)).toBe(false);
+    expect(inTouchWithMajority(EDGE, 36_000, 37_000)).toBe(true);
   });
 });
--- a/standin-platform/contact.ts
+++ b/standin-platform/contact.ts
@@ -1,6 +1,6 @@
 /** Tells which proxies are in contact with a settled core, and when; rules with a time bound hold only for these. */
-import { onlyOf } from './records.js';
-import type { Planned, Rec } from './records.js';
+import { recordsOfType } from './records.js';
+import type { Planned, JournalRecord } from './records.js';
 
 /** A time interval, both ends included. */
 type Interval = { readonly from: number; readonly until: number };
@@ -10,7 +10,7 @@
   /** Tells whether the proxy ran, and the core was settled, for the whole contact time before. */
   readonly inTouch: (edge: string, at: number) => boolean;
   /** The same, but the core may be unsettled if more than half of it ran all the time since `from`. */
-  readonly inOuterTouch: (edge: string, from: number, at: number) => boolean;
+  readonly inTouchWithMajority: (edge: string, from: number, at: number) => boolean;
 };
 
 function isWithinAny(intervals: readonly Interval[], at: number): boolean {
@@ -63,8 +63,8 @@
 }
 
 /** Computes the intervals from the journal, which is read once. */
-export function contactOf(records: readonly Rec[], { contactMs }: { readonly contactMs: number }): Contact {
-  const machineEvents = onlyOf(records, 'planned');
+export function contactOf(records: readonly JournalRecord[], { contactMs }: { readonly contactMs: number }): Contact {
+  const machineEvents = recordsOfType(records, 'planned');
   const coreEvents = machineEvents.filter((event) => event.core);
   const majorityLost = majorityLossIntervals(
     coreEvents.filter(({ fault }) => fault !== 'closing' && fault !== 'back'),
@@ -90,5 +90,5 @@
   function inTouchWithMajority(edge: string, from: number, at: number): boolean {
     return isStable(edge, at) && !overlapsAny(majorityLost, from, at);
   }
-  return { inTouch, inOuterTouch: inTouchWithMajority };
+  return { inTouch, inTouchWithMajority: inTouchWithMajority };
 }
--- a/standin-platform/document.ts
+++ b/standin-platform/document.ts
@@ -1,7 +1,7 @@
 /** Configuration documents of the platform: conversion to and from the wire form, lookup and amendment. */
 
-import { DOCUMENT, KIND, LIMITS, MAPPING, MODEL } from '../platform/words.js';
-import type { Kind } from './records.js';
+import { DOCUMENT, ROUTE_KIND, REQUEST_LIMITS, ROUTE, MODEL } from '../platform/words.js';
+import type { RequestKind } from './records.js';
 
 /** A model and its share of the requests of a route. */
 export type Share = { readonly model: string; readonly share: number };
@@ -11,7 +11,7 @@
   readonly name: string;
   readonly host: string;
   readonly prefix: string;
-  readonly kind: Kind;
+  readonly kind: RequestKind;
   readonly deadlineMs: number;
   readonly aimMs: number;
   readonly rank: number;
@@ -57,34 +57,34 @@
 
 /** The bounds that the platform sets on callers. */
 const LIMIT_VALUES = {
-  [LIMITS.headerBytes]: 16_384,
-  [LIMITS.bodyBytes]: 4_194_304,
-  [LIMITS.headerMs]: 3_000,
-  [LIMITS.idleMs]: 15_000,
+  [REQUEST_LIMITS.headerBytes]: 16_384,
+  [REQUEST_LIMITS.bodyBytes]: 4_194_304,
+  [REQUEST_LIMITS.headerMs]: 3_000,
+  [REQUEST_LIMITS.idleMs]: 15_000,
 };
 
 /** Converts a route to its wire form; a route with one share names its model directly. */
 export function mappingToWire(modelRoute: ModelRoute): Record<string, unknown> {
   const onlyShare = modelRoute.shares.length === 1 ? modelRoute.shares[0] : undefined;
   return {
-    [MAPPING.name]: modelRoute.name,
-    [MAPPING.host]: modelRoute.host,
-    [MAPPING.prefix]: modelRoute.prefix,
-    [MAPPING.kind]: KIND[modelRoute.kind],
-    [MAPPING.deadlineMs]: modelRoute.deadlineMs,
-    [MAPPING.aimMs]: modelRoute.aimMs,
-    [MAPPING.rank]: modelRoute.rank,
-    ...(onlyShare ? { [MAPPING.model]: onlyShare.model } : { [MAPPING.shares]: modelRoute.shares.map(shareToWire) }),
-    [MAPPING.attempts]: modelRoute.attempts,
-    [MAPPING.pinned]: modelRoute.pinned,
-    [MAPPING.resumable]: modelRoute.resumable,
-    ...(modelRoute.kind === 'stream' ? { [MAPPING.pauseMs]: modelRoute.pauseMs } : {}),
-    [MAPPING.homes]: [...modelRoute.homes],
+    [ROUTE.name]: modelRoute.name,
+    [ROUTE.host]: modelRoute.host,
+    [ROUTE.prefix]: modelRoute.prefix,
+    [ROUTE.kind]: ROUTE_KIND[modelRoute.kind],
+    [ROUTE.deadlineMs]: modelRoute.deadlineMs,
+    [ROUTE.aimMs]: modelRoute.aimMs,
+    [ROUTE.rank]: modelRoute.rank,
+    ...(onlyShare ? { [ROUTE.model]: onlyShare.model } : { [ROUTE.shares]: modelRoute.shares.map(shareToWire) }),
+    [ROUTE.attempts]: modelRoute.attempts,
+    [ROUTE.pinned]: modelRoute.pinned,
+    [ROUTE.resumable]: modelRoute.resumable,
+    ...(modelRoute.kind === 'stream' ? { [ROUTE.pauseMs]: modelRoute.pauseMs } : {}),
+    [ROUTE.homes]: [...modelRoute.homes],
   };
 }
 
 function shareToWire(share: Share): Record<string, unknown> {
-  return { [MAPPING.model]: share.model, [MAPPING.share]: share.share };
+  return { [ROUTE.model]: share.model, [ROUTE.share]: share.share };
 }
 
 export function modelToWire(model: Model): Record<string, unknown> {
@@ -134,31 +134,31 @@
 
 function shareFromWire(wire: unknown): Share {
   const object = asObject(wire);
-  return { model: asString(object[MAPPING.model]), share: asNumber(object[MAPPING.share]) };
+  return { model: asString(object[ROUTE.model]), share: asNumber(object[ROUTE.share]) };
 }
 
-function kindFromWire(wire: unknown): Kind {
-  if (wire === KIND.repeatable) return 'repeatable';
-  return wire === KIND.stream ? 'stream' : 'once';
+function kindFromWire(wire: unknown): RequestKind {
+  if (wire === ROUTE_KIND.repeatable) return 'repeatable';
+  return wire === ROUTE_KIND.stream ? 'stream' : 'once';
 }
 
 function mappingFromWire(wire: unknown): ModelRoute {
   const object = asObject(wire);
-  const shares = asArray(object[MAPPING.shares]).map(shareFromWire);
+  const shares = asArray(object[ROUTE.shares]).map(shareFromWire);
   return {
-    name: asString(object[MAPPING.name]),
-    host: asString(object[MAPPING.host]),
-    prefix: asString(object[MAPPING.prefix]),
-    kind: kindFromWire(object[MAPPING.kind]),
-    deadlineMs: asNumber(object[MAPPING.deadlineMs]),
-    aimMs: asNumber(object[MAPPING.aimMs]),
-    rank: asNumber(object[MAPPING.rank]),
-    shares: shares.length > 0 ? shares : [{ model: asString(object[MAPPING.model]), share: 1 }],
-    attempts: asNumber(object[MAPPING.attempts]),
-    pinned: object[MAPPING.pinned] === true,
-    resumable: object[MAPPING.resumable] === true,
-    pauseMs: asNumber(object[MAPPING.pauseMs]),
-    homes: asArray(object[MAPPING.homes]).map(asString),
+    name: asString(object[ROUTE.name]),
+    host: asString(object[ROUTE.host]),
+    prefix: asString(object[ROUTE.prefix]),
+    kind: kindFromWire(object[ROUTE.kind]),
+    deadlineMs: asNumber(object[ROUTE.deadlineMs]),
+    aimMs: asNumber(object[ROUTE.aimMs]),
+    rank: asNumber(object[ROUTE.rank]),
+    shares: shares.length > 0 ? shares : [{ model: asString(object[ROUTE.model]), share: 1 }],
+    attempts: asNumber(object[ROUTE.attempts]),
+    pinned: object[ROUTE.pinned] === true,
+    resumable: object[ROUTE.resumable] === true,
+    pauseMs: asNumber(object[ROUTE.pauseMs]),
+    homes: asArray(object[ROUTE.homes]).map(asString),
   };
 }
 
@@ -168,7 +168,7 @@
 }
 
 /** Returns the version number of a document in wire form, or 0 if it has none. */
-export function numberOf(document: unknown): number {
+export function versionNumber(document: unknown): number {
   return asNumber(asObject(document)[DOCUMENT.number]);
 }
 
@@ -205,7 +205,7 @@
 }
 
 /** Returns JSON in which the order of keys and of named items makes no difference. */
-export function canonical(value: unknown): string {
+export function canonicalJson(value: unknown): string {
   return JSON.stringify(canonicalValue(value));
 }
 
--- a/standin-platform/events.ts
+++ b/standin-platform/events.ts
@@ -1,4 +1,4 @@
-import { parsedJson } from '../src/base/parsed-json.js';
+import { parseJson } from '../src/base/parse-json.js';
 import type { EventSeen } from './records.js';
 
 export function eventText(eventSeen: EventSeen): string {
@@ -26,6 +26,6 @@
 
 function readEvent(text: string): EventSeen {
   const id = Number(/^id: (\d+)$/m.exec(text)?.[1] ?? -1);
-  const data = parsedJson(/^data: (.*)$/m.exec(text)?.[1] ?? '') as Partial<EventSeen> | undefined;
+  const data = parseJson(/^data: (.*)$/m.exec(text)?.[1] ?? '') as Partial<EventSeen> | undefined;
   return { id, run: data?.run ?? '', n: data?.n ?? -1, of: data?.of ?? -1 };
 }
--- a/standin-platform/facts.ts
+++ b/standin-platform/facts.ts
@@ -1,7 +1,7 @@
 import { mappingFor } from './document.js';
 import type { ModelRoute } from './document.js';
 import { contactOf } from './contact.js';
-import { onlyOf } from './records.js';
+import { recordsOfType } from './records.js';
 import type {
   Answered,
   Arrived,
@@ -9,7 +9,7 @@
   Evacuated,
   Finished,
   Ran,
-  Rec,
+  JournalRecord,
   Refused,
   Settled,
   Submitted,
@@ -78,7 +78,7 @@
 
 export type Facts = {
   readonly bounds: Bounds;
-  readonly records: readonly Rec[];
+  readonly records: readonly JournalRecord[];
   readonly requests: ReadonlyMap<string, Request>;
   readonly visits: readonly Visit[];
   readonly bySeal: ReadonlyMap<string, Visit>;
@@ -97,7 +97,7 @@
 
 export type Note = (rule: string, text: string) => void;
 
-export function gather(records: readonly Rec[], bounds: Bounds): Facts {
+export function gather(records: readonly JournalRecord[], bounds: Bounds): Facts {
   const visits = visitsOf(records);
   const requests = requestsOf(records, visits);
   const orders = ordersOf(records);
@@ -125,7 +125,7 @@
     return false;
   }
   function timeOf(error: 'closing' | 'back'): number | null {
-    for (const planned of onlyOf(records, 'planned')) if (planned.fault === error) return planned.at;
+    for (const planned of recordsOfType(records, 'planned')) if (planned.fault === error) return planned.at;
     return null;
   }
   return {
@@ -140,13 +140,13 @@
     closingAt: timeOf('closing'),
     backAt: timeOf('back'),
     inTouch: contact.inTouch,
-    inOuterTouch: contact.inOuterTouch,
+    inOuterTouch: contact.inTouchWithMajority,
     mappings,
     repeatable,
   };
 }
 
-function visitsOf(records: readonly Rec[]): readonly Visit[] {
+function visitsOf(records: readonly JournalRecord[]): readonly Visit[] {
   const refused = new Map<string, Refused>();
   const ran = new Map<string, Ran>();
   const finished = new Map<string, Finished>();
@@ -156,7 +156,7 @@
     if (rec.what === 'finished') finished.set(rec.visit, rec);
   }
   const out: Visit[] = [];
-  for (const arrived of onlyOf(records, 'arrived')) {
+  for (const arrived of recordsOfType(records, 'arrived')) {
     const value = arrived.visit;
     out.push({
       arrived,
@@ -168,7 +168,7 @@
   return out;
 }
 
-function requestsOf(records: readonly Rec[], visits: readonly Visit[]): ReadonlyMap<string, Request> {
+function requestsOf(records: readonly JournalRecord[], visits: readonly Visit[]): ReadonlyMap<string, Request> {
   const at = new Map<string, Visit[]>();
   for (const visit of visits) {
     const id = visit.arrived.attempt;
@@ -184,23 +184,23 @@
     if (rec.what === 'sent') sent.set(rec.attempt, rec.at);
   }
   const out = new Map<string, Request>();
-  for (const asked of onlyOf(records, 'asked')) {
+  for (const asked of recordsOfType(records, 'asked')) {
     const id = asked.attempt;
     out.set(id, { asked, sentAt: sent.get(id) ?? null, answered: answered.get(id) ?? null, visits: at.get(id) ?? [] });
   }
   return out;
 }
 
-function ordersOf(records: readonly Rec[]): readonly Order[] {
+function ordersOf(records: readonly JournalRecord[]): readonly Order[] {
   const settled = settledOf(records);
   const out: Order[] = [];
-  for (const submitted of onlyOf(records, 'submitted'))
+  for (const submitted of recordsOfType(records, 'submitted'))
     out.push({ submitted, settled: settled.get(submitted.order) ?? null });
   return out;
 }
-function settledOf(records: readonly Rec[]): ReadonlyMap<string, Settled> {
+function settledOf(records: readonly JournalRecord[]): ReadonlyMap<string, Settled> {
   const settled = new Map<string, Settled>();
-  for (const fact of onlyOf(records, 'settled')) settled.set(fact.order, fact);
+  for (const fact of recordsOfType(records, 'settled')) settled.set(fact.order, fact);
   return settled;
 }
 
@@ -217,9 +217,9 @@
   return left.number - right.number;
 }
 
-function emptyingsOf(records: readonly Rec[]): readonly Emptying[] {
+function emptyingsOf(records: readonly JournalRecord[]): readonly Emptying[] {
   const settled = settledOf(records);
-  const all = onlyOf(records, 'evacuated');
+  const all = recordsOfType(records, 'evacuated');
   const out: Emptying[] = [];
   for (const evacuated of all) {
     const s = settled.get(evacuated.order);
--- a/standin-platform/list.test.ts
+++ b/standin-platform/list.test.ts
@@ -1,6 +1,6 @@
 import { afterEach, beforeEach, describe, expect, test } from '@jest/globals';
 import { createClock } from '../src/transport/clock.js';
-import { ask } from './ask.js';
+import { sendRequest } from './ask.js';
 import { LIST_DEFAULTS, startStandinList } from './list.js';
 import type { ListSpec, StandinList } from './list.js';
 import { createRecords } from './records.js';
@@ -34,12 +34,12 @@
   };
 }
 async function publishAndWait(w: ListedWorker): Promise<void> {
-  list.show(w);
+  list.publish(w);
   await records.until((r) => r.what === 'listed' && r.worker === w.id && r.phase === w.phase);
 }
 type Page = { members: Record<string, unknown>[]; nextToken: string | null };
 async function getWorkers(query = ''): Promise<{ status: number; body: Page }> {
-  const reply = await ask(list.address(), clock, 'GET', `/workers${query}`, 1_000);
+  const reply = await sendRequest(list.address(), clock, 'GET', `/workers${query}`, 1_000);
   return { status: reply?.status ?? 0, body: (reply?.body ?? {}) as Page };
 }
 
@@ -81,13 +81,13 @@
 
   test('lags, lists a draining worker with its remaining time, and drops a worker that is gone', async () => {
     await startList({ maxLagMs: 30 });
-    list.show(listedWorker(1));
+    list.publish(listedWorker(1));
     expect((await getWorkers()).body.members).toEqual([]);
     await publishAndWait(listedWorker(1, { phase: 'draining', remainingMs: 2_000 }));
     const [m] = (await getWorkers()).body.members;
     expect(m?.['phase']).toBe('draining');
     expect(m?.['remainingMs']).toBeLessThanOrEqual(1_970);
-    list.drop('i-1');
+    list.remove('i-1');
     await records.until((r) => r.what === 'listed' && r.phase === 'gone');
     expect((await getWorkers()).body.members).toEqual([]);
   });
@@ -101,17 +101,17 @@
 
   test('is down, slow, or responds with an error or an invalid body when such a fault is set', async () => {
     await startList();
-    list.trouble({ mode: 'down' });
+    list.setFault({ mode: 'down' });
     expect((await getWorkers()).status).toBe(0);
-    list.trouble({ mode: 'error' });
+    list.setFault({ mode: 'error' });
     expect((await getWorkers()).status).toBe(500);
-    list.trouble({ mode: 'nonsense' });
+    list.setFault({ mode: 'nonsense' });
     expect((await getWorkers()).body).toEqual({ members: 'many' });
-    list.trouble({ mode: 'slow', ms: 40 });
+    list.setFault({ mode: 'slow', ms: 40 });
     const startedAt = clock.mono();
     expect((await getWorkers()).status).toBe(200);
     expect(clock.mono() - startedAt).toBeGreaterThan(38);
-    list.trouble({ mode: 'none' });
+    list.setFault({ mode: 'none' });
     expect((await getWorkers()).status).toBe(200);
   });
 });
--- a/standin-platform/list.ts
+++ b/standin-platform/list.ts
@@ -4,7 +4,7 @@
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import { delay } from '../src/transport/clock.js';
 import type { Clock } from '../src/transport/clock.js';
-import { CALL, LISTED, QUERY, USAGE } from '../platform/words.js';
+import { API_PATH, WORKER_LIST, QUERY_PARAMETER, USAGE } from '../platform/words.js';
 import type { Records } from './records.js';
 import type { ListedWorker } from './worker-spec.js';
 
@@ -26,10 +26,10 @@
 /** A running list and its controls. */
 export type StandinList = {
   readonly address: () => string;
-  readonly show: (worker: ListedWorker) => void;
-  readonly drop: (id: string) => void;
-  readonly trouble: (newFault: ListFault) => void;
-  readonly calls: () => number;
+  readonly publish: (worker: ListedWorker) => void;
+  readonly remove: (id: string) => void;
+  readonly setFault: (newFault: ListFault) => void;
+  readonly requestCount: () => number;
   readonly stop: () => Promise<void>;
 };
 
@@ -52,19 +52,19 @@
       const previous = published.get(worker.id);
       if (previous && previous.worker.phase === 'draining' && worker.phase === 'serving') return;
       published.set(worker.id, { worker, at });
-      records.note({ what: 'listed', worker: worker.id, phase: worker.phase });
+      records.add({ what: 'listed', worker: worker.id, phase: worker.phase });
     }
     afterLag(appear);
   }
   function remove(id: string): void {
     function disappear(): void {
       published.delete(id);
-      records.note({ what: 'listed', worker: id, phase: 'gone' });
+      records.add({ what: 'listed', worker: id, phase: 'gone' });
     }
     afterLag(disappear);
   }
   function setFault(newFault: ListFault): void {
-    if (fault.mode !== newFault.mode) records.note({ what: 'listTrouble', on: newFault.mode !== 'none' });
+    if (fault.mode !== newFault.mode) records.add({ what: 'listTrouble', on: newFault.mode !== 'none' });
     fault = newFault;
     if (newFault.mode === 'down') server.closeAllConnections();
   }
@@ -84,21 +84,21 @@
     if (recentRequests.length >= spec.ratePerS) return send(res, 429, {});
     recentRequests.push(now);
     const url = new URL(req.url ?? '/', 'http://list');
-    if (req.method !== 'GET' || url.pathname !== CALL.workers) return send(res, 404, {});
+    if (req.method !== 'GET' || url.pathname !== API_PATH.workers) return send(res, 404, {});
     if (fault.mode === 'error') return send(res, 500, {});
-    if (fault.mode === 'nonsense') return send(res, 200, { [LISTED.members]: 'many' });
-    const zone = url.searchParams.get(QUERY.zone);
-    const offset = Number((url.searchParams.get(QUERY.pageToken) ?? 'p-0').slice(2));
+    if (fault.mode === 'nonsense') return send(res, 200, { [WORKER_LIST.members]: 'many' });
+    const zone = url.searchParams.get(QUERY_PARAMETER.zone);
+    const offset = Number((url.searchParams.get(QUERY_PARAMETER.pageToken) ?? 'p-0').slice(2));
     const inRequestedZone = [...published.values()].filter(isInRequestedZone);
     function isInRequestedZone(entry: PublishedWorker): boolean {
       return zone === null || entry.worker.zone === zone;
     }
     const page = inRequestedZone.slice(offset, offset + spec.pageSize);
     const nextToken = offset + spec.pageSize < inRequestedZone.length ? `p-${offset + spec.pageSize}` : null;
-    send(res, 200, { [LISTED.members]: page.map(toWire), [LISTED.nextToken]: nextToken });
+    send(res, 200, { [WORKER_LIST.members]: page.map(toWire), [WORKER_LIST.nextToken]: nextToken });
   }
   function send(res: ServerResponse, status: number, body: unknown): void {
-    records.note({ what: 'listCall', status });
+    records.add({ what: 'listCall', status });
     const text = JSON.stringify(body);
     res.writeHead(status, { 'content-type': 'application/json', 'content-length': String(Buffer.byteLength(text)) });
     res.end(text);
@@ -107,23 +107,23 @@
     const worker = entry.worker;
     const elapsedMs = clock.mono() - entry.at;
     return {
-      [LISTED.model]: worker.model,
-      [LISTED.address]: worker.address,
-      [LISTED.zone]: worker.zone,
-      [LISTED.software]: 'v1',
-      [LISTED.batch]: worker.capacity,
-      [LISTED.phase]: worker.phase === 'serving' ? LISTED.serving : LISTED.draining,
-      [LISTED.coldMs]: Math.max(0, Math.round(worker.coldLeftMs - elapsedMs)),
+      [WORKER_LIST.model]: worker.model,
+      [WORKER_LIST.address]: worker.address,
+      [WORKER_LIST.zone]: worker.zone,
+      [WORKER_LIST.softwareVersion]: 'v1',
+      [WORKER_LIST.batch]: worker.capacity,
+      [WORKER_LIST.phase]: worker.phase === 'serving' ? WORKER_LIST.serving : WORKER_LIST.draining,
+      [WORKER_LIST.coldMs]: Math.max(0, Math.round(worker.coldLeftMs - elapsedMs)),
       ...(worker.remainingMs === null
         ? {}
-        : { [LISTED.remainingMs]: Math.max(0, Math.round(worker.remainingMs - elapsedMs)) }),
+        : { [WORKER_LIST.remainingMs]: Math.max(0, Math.round(worker.remainingMs - elapsedMs)) }),
       ...(worker.weights === null
         ? {}
         : {
-            [LISTED.stage]: 'colocated',
-            [LISTED.models]: [{ [USAGE.name]: 'm', [USAGE.weights]: worker.weights, adapters: [] }],
+            [WORKER_LIST.stage]: 'colocated',
+            [WORKER_LIST.models]: [{ [USAGE.name]: 'm', [USAGE.weightVersion]: worker.weights, adapters: [] }],
           }),
-      [LISTED.id]: worker.id,
+      [WORKER_LIST.id]: worker.id,
     };
   }
 
@@ -155,5 +155,5 @@
   function getRequestCount(): number {
     return requestCount;
   }
-  return { address, show: publish, drop: remove, trouble: setFault, calls: getRequestCount, stop };
+  return { address, publish: publish, remove: remove, setFault: setFault, requestCount: getRequestCount, stop };
 }
--- a/standin-platform/node-process.ts
+++ b/standin-platform/node-process.ts
@@ -40,7 +40,7 @@
     closeSync(log);
     child = mine;
     asked = false;
-    records.note({ what: 'planned', edge: spec.edge, core: spec.core, fault: 'start' });
+    records.add({ what: 'planned', edge: spec.edge, core: spec.core, fault: 'start' });
     function wait(resolve: () => void): void {
       function exited(code: number | null, signal: string | null): void {
         if (child === mine) child = null;
@@ -62,7 +62,7 @@
     const error = ({ SIGTERM: 'term', SIGKILL: 'kill', SIGSTOP: 'freeze', SIGCONT: 'thaw', SIGHUP: null } as const)[
       sig
     ];
-    if (error) records.note({ what: 'planned', edge: spec.edge, core: spec.core, fault: error });
+    if (error) records.add({ what: 'planned', edge: spec.edge, core: spec.core, fault: error });
     child.kill(sig);
   }
   function runs(): boolean {
--- a/standin-platform/operator.test.ts
+++ b/standin-platform/operator.test.ts
@@ -8,7 +8,7 @@
 import { applyAmendment, documentToWire, MAPPING_DEFAULTS, MODEL_DEFAULTS } from './document.js';
 import { createOperator } from './operator.js';
 import type { Operator } from './operator.js';
-import { createRecords, onlyOf } from './records.js';
+import { createRecords, recordsOfType } from './records.js';
 import type { Records } from './records.js';
 
 const clock = createClock();
@@ -146,7 +146,7 @@
   test('records an order without a conclusive response as unclear', async () => {
     const operator = createTestOperator(['127.0.0.1:1'], 60);
     expect((await operator.replace(configDocument(7), 5)).outcome).toBe('unclear');
-    expect(onlyOf(records.all(), 'settled').map((s) => s.outcome)).toEqual(['unclear']);
+    expect(recordsOfType(records.all(), 'settled').map((s) => s.outcome)).toEqual(['unclear']);
     expect(await operator.read(30)).toBeNull();
   });
 });
--- a/standin-platform/operator.ts
+++ b/standin-platform/operator.ts
@@ -4,10 +4,10 @@
 import type { Clock } from '../src/transport/clock.js';
 import { shuffled } from '../src/transport/rng.js';
 import type { Rng } from '../src/transport/rng.js';
-import { CALL, DOCUMENT, HEADER } from '../platform/words.js';
-import { ask } from './ask.js';
+import { API_PATH, DOCUMENT, HEADER } from '../platform/words.js';
+import { sendRequest } from './ask.js';
 import type { Reply } from './ask.js';
-import { applyAmendment, numberOf } from './document.js';
+import { applyAmendment, versionNumber } from './document.js';
 import type { Records } from './records.js';
 
 /** The result of an order; `unclear` means that it may or may not have been applied. */
@@ -18,7 +18,7 @@
   readonly replace: (document: unknown, base: number, valid?: boolean) => Promise<Outcome>;
   readonly amend: (before: unknown, amendment: unknown, base: number, valid?: boolean) => Promise<Outcome>;
   /** Sends a text that is not a valid configuration, which must be refused. */
-  readonly spoiled: (text: string, base: number) => Promise<Outcome>;
+  readonly replaceRaw: (text: string, base: number) => Promise<Outcome>;
   readonly evacuate: (zone: string, begin: boolean, options?: SendOptions) => Promise<Outcome>;
   /** Reads the configuration back, with retries for this long; null if there was no answer. */
   readonly read: (forMs: number) => Promise<unknown>;
@@ -60,7 +60,7 @@
     let target = path;
     const timeoutMs = RESPONSE_TIMEOUT_MS + body.length / 1_000;
     for (let redirects = 0; redirects <= 2; redirects += 1) {
-      const reply = await ask(address, clock, method, target, timeoutMs, headers, body);
+      const reply = await sendRequest(address, clock, method, target, timeoutMs, headers, body);
       if (reply?.status !== 307) return reply;
       const location = /^http:\/\/([^/]+)(\/.*)$/.exec(reply.headers.get('location') ?? '');
       if (!location) return null;
@@ -99,38 +99,38 @@
 
   async function submit(path: string, body: string, base: number, document: unknown, valid: boolean): Promise<Outcome> {
     const orderName = `o-${(orderCount += 1)}`;
-    records.note({ what: 'submitted', order: orderName, number: numberOf(document), base, document, valid });
+    records.add({ what: 'submitted', order: orderName, number: versionNumber(document), base, document, valid });
     const { outcome } = await sendWithRetries('POST', path, { [HEADER.base]: String(base) }, body, deps.withinMs);
-    records.note({ what: 'settled', order: orderName, outcome: outcome.outcome, status: outcome.status });
+    records.add({ what: 'settled', order: orderName, outcome: outcome.outcome, status: outcome.status });
     return outcome;
   }
   function replace(document: unknown, base: number, valid = true): Promise<Outcome> {
-    return submit(CALL.replace, JSON.stringify(document), base, document, valid);
+    return submit(API_PATH.replace, JSON.stringify(document), base, document, valid);
   }
   function amend(before: unknown, amendment: unknown, base: number, valid = true): Promise<Outcome> {
-    return submit(CALL.amend, JSON.stringify(amendment), base, applyAmendment(before, amendment), valid);
+    return submit(API_PATH.amend, JSON.stringify(amendment), base, applyAmendment(before, amendment), valid);
   }
   function replaceRaw(text: string, base: number): Promise<Outcome> {
-    return submit(CALL.replace, text, base, { [DOCUMENT.number]: -1 }, false);
+    return submit(API_PATH.replace, text, base, { [DOCUMENT.number]: -1 }, false);
   }
   async function evacuate(zone: string, begin: boolean, options: SendOptions = {}): Promise<Outcome> {
     const orderName = `o-${(orderCount += 1)}`;
-    records.note({ what: 'evacuated', order: orderName, zone, begin });
+    records.add({ what: 'evacuated', order: orderName, zone, begin });
     const { outcome } = await sendWithRetries(
       'POST',
-      `${CALL.evacuation}${zone}${begin ? CALL.begin : CALL.finish}`,
+      `${API_PATH.evacuation}${zone}${begin ? API_PATH.begin : API_PATH.finish}`,
       {},
       '',
       options.withinMs ?? deps.withinMs,
       options.first,
     );
-    records.note({ what: 'settled', order: orderName, outcome: outcome.outcome, status: outcome.status });
+    records.add({ what: 'settled', order: orderName, outcome: outcome.outcome, status: outcome.status });
     return outcome;
   }
   async function read(forMs: number): Promise<unknown> {
-    const { reply } = await sendWithRetries('GET', CALL.read, {}, '', forMs);
-    records.note({ what: 'readBack', document: reply?.body ?? null });
+    const { reply } = await sendWithRetries('GET', API_PATH.read, {}, '', forMs);
+    records.add({ what: 'readBack', document: reply?.body ?? null });
     return reply?.body ?? null;
   }
-  return { replace, amend, spoiled: replaceRaw, evacuate, read };
+  return { replace, amend, replaceRaw: replaceRaw, evacuate, read };
 }
--- a/standin-platform/records.ts
+++ b/standin-platform/records.ts
@@ -1,13 +1,13 @@
 /** The journal of a run: what callers, workers, the list and the operator did. `check.ts` judges the product by it. */
 
 /** How a request may be retried: at any time, only if it was not executed, or as a stream. */
-export type Kind = 'repeatable' | 'once' | 'stream';
+export type RequestKind = 'repeatable' | 'once' | 'stream';
 
 /** An event of a stream: event `n` of `of`, with the seal of its run. */
 export type EventSeen = { readonly id: number; readonly run: string; readonly n: number; readonly of: number };
 
 /** How an attempt ended for its caller. */
-export type Ended = 'whole' | 'cut' | 'garbage' | 'deadline' | 'silence' | 'noConnection';
+export type AttemptEnd = 'whole' | 'cut' | 'garbage' | 'deadline' | 'silence' | 'noConnection';
 
 /** A caller starts an attempt. */
 export type Asked = {
@@ -35,7 +35,7 @@
   readonly what: 'answered';
   readonly at: number;
   readonly attempt: string;
-  readonly end: Ended;
+  readonly end: AttemptEnd;
   readonly status: number;
   readonly seal: string | null;
   readonly echo: string | null;
@@ -168,7 +168,7 @@
 };
 
 /** Any record of the journal. */
-export type Rec =
+export type JournalRecord =
   | Asked
   | Sent
   | Answered
@@ -188,28 +188,28 @@
   | Planned;
 
 /** The record type with this value of `what`. */
-export type RecordOf<W extends Rec['what']> = Extract<Rec, { readonly what: W }>;
+export type RecordOf<W extends JournalRecord['what']> = Extract<JournalRecord, { readonly what: W }>;
 
 type WithoutTime<T> = T extends unknown ? Omit<T, 'at'> : never;
 
 /** The journal of one run, in order of time. */
 export type Records = {
-  readonly note: (rec: WithoutTime<Rec>) => void;
-  readonly all: () => readonly Rec[];
-  readonly of: <W extends Rec['what']>(what: W) => readonly RecordOf<W>[];
+  readonly add: (rec: WithoutTime<JournalRecord>) => void;
+  readonly all: () => readonly JournalRecord[];
+  readonly of: <W extends JournalRecord['what']>(what: W) => readonly RecordOf<W>[];
   /** Resolves with the first record that matches, past or future. */
-  readonly until: (matches: (rec: Rec) => boolean) => Promise<Rec>;
+  readonly until: (matches: (rec: JournalRecord) => boolean) => Promise<JournalRecord>;
 };
 
-type Waiter = { readonly matches: (rec: Rec) => boolean; readonly resolve: (rec: Rec) => void };
+type Waiter = { readonly matches: (rec: JournalRecord) => boolean; readonly resolve: (rec: JournalRecord) => void };
 
 /** Creates an empty journal that stamps each record with the time. */
 export function createRecords(now: () => number): Records {
-  const entries: Rec[] = [];
+  const entries: JournalRecord[] = [];
   let waiters: Waiter[] = [];
 
-  function add(rec: WithoutTime<Rec>): void {
-    const stamped = { ...rec, at: now() } as Rec;
+  function add(rec: WithoutTime<JournalRecord>): void {
+    const stamped = { ...rec, at: now() } as JournalRecord;
     entries.push(stamped);
     const remaining: Waiter[] = [];
     for (const waiter of waiters) {
@@ -218,24 +218,27 @@
     }
     waiters = remaining;
   }
-  function all(): readonly Rec[] {
+  function all(): readonly JournalRecord[] {
     return entries;
   }
-  function ofType<W extends Rec['what']>(what: W): readonly RecordOf<W>[] {
-    return onlyOf(entries, what);
+  function ofType<W extends JournalRecord['what']>(what: W): readonly RecordOf<W>[] {
+    return recordsOfType(entries, what);
   }
-  function waitFor(matches: (rec: Rec) => boolean): Promise<Rec> {
+  function waitFor(matches: (rec: JournalRecord) => boolean): Promise<JournalRecord> {
     for (const rec of entries) if (matches(rec)) return Promise.resolve(rec);
-    function register(resolve: (rec: Rec) => void): void {
+    function register(resolve: (rec: JournalRecord) => void): void {
       waiters.push({ matches, resolve });
     }
-    return new Promise<Rec>(register);
+    return new Promise<JournalRecord>(register);
   }
-  return { note: add, all, of: ofType, until: waitFor };
+  return { add: add, all, of: ofType, until: waitFor };
 }
 
 /** Returns the records with this value of `what`. */
-export function onlyOf<W extends Rec['what']>(records: readonly Rec[], what: W): readonly RecordOf<W>[] {
+export function recordsOfType<W extends JournalRecord['what']>(
+  records: readonly JournalRecord[],
+  what: W,
+): readonly RecordOf<W>[] {
   const out: RecordOf<W>[] = [];
   for (const rec of records) if (rec.what === what) out.push(rec as RecordOf<W>);
   return out;
--- a/standin-platform/report.ts
+++ b/standin-platform/report.ts
@@ -1,8 +1,8 @@
 import { judge } from './check.js';
 import { BOUNDS } from './facts.js';
 import type { Bounds, Verdict } from './facts.js';
-import { onlyOf } from './records.js';
-import type { Rec } from './records.js';
+import { recordsOfType } from './records.js';
+import type { JournalRecord } from './records.js';
 import type { Count, Site } from './site.js';
 
 export type SiteReport = {
@@ -27,12 +27,12 @@
       `${name.padEnd(10)} ${count.served} of ${count.asked} served, first byte ${percentile(count.firstMs, 0.5)} / ${percentile(count.firstMs, 0.99)} ms (p50 / p99)`,
     );
   }
-  const arrivals = onlyOf(records, 'arrived');
+  const arrivals = recordsOfType(records, 'arrived');
   const probes = arrivals.filter(isProbe).length;
   lines.push(
-    `${arrivals.length - probes} arrivals at workers, ${onlyOf(records, 'ran').length} runs, ${probes} health probes, ${site.list.calls()} calls to the list`,
+    `${arrivals.length - probes} arrivals at workers, ${recordsOfType(records, 'ran').length} runs, ${probes} health probes, ${site.list.requestCount()} calls to the list`,
   );
-  const halves = onlyOf(records, 'finished').filter(isHalf).length;
+  const halves = recordsOfType(records, 'finished').filter(isHalf).length;
   const again = arrivals.filter(isResumed).length;
   lines.push(`${halves} runs left half done, ${again} arrivals that go on behind an event`);
   const ends = endsOf(records);
@@ -45,9 +45,9 @@
   return { verdicts, served, asked, text: lines.join('\n') };
 }
 
-function endsOf(records: readonly Rec[]): string {
+function endsOf(records: readonly JournalRecord[]): string {
   const counts = new Map<string, number>();
-  for (const answered of onlyOf(records, 'answered')) {
+  for (const answered of recordsOfType(records, 'answered')) {
     if (answered.end === 'whole' && answered.status >= 200 && answered.status < 300) continue;
     const key =
       answered.end === 'whole'
@@ -57,13 +57,13 @@
   }
   return [...counts].map(told).join(', ');
 }
-function cutsIn(records: readonly Rec[]): readonly string[] {
+function cutsIn(records: readonly JournalRecord[]): readonly string[] {
   const out: string[] = [];
-  for (const answered of onlyOf(records, 'answered'))
+  for (const answered of recordsOfType(records, 'answered'))
     if (answered.end === 'cut' && out.length < MOST_TOLD) out.push(`  cut: ${storyOf(records, answered.attempt)}`);
   return out;
 }
-function storyOf(records: readonly Rec[], attempt: string): string {
+function storyOf(records: readonly JournalRecord[], attempt: string): string {
   const visits = new Set<string>();
   const steps: string[] = [];
   for (const rec of records) {
--- a/standin-platform/scenarios.ts
+++ b/standin-platform/scenarios.ts
@@ -70,9 +70,9 @@
 async function darkWorker(site: Site): Promise<void> {
   await site.asked(80);
   const silent = [busiest(site, LLM), busiest(site, WEB)];
-  for (const placedWorker of silent) placedWorker.worker.dark(true);
+  for (const placedWorker of silent) placedWorker.worker.setUnresponsive(true);
   await site.asked(160);
-  for (const placedWorker of silent) placedWorker.worker.dark(false);
+  for (const placedWorker of silent) placedWorker.worker.setUnresponsive(false);
 }
 async function spoiledAnswers(site: Site): Promise<void> {
   const modes = [
@@ -90,7 +90,7 @@
     for (const placedWorker of site.workers) placedWorker.worker.fault({ mode, share: 0.15 });
     await site.asked(60);
   }
-  for (const placedWorker of site.workers) placedWorker.worker.resetIdle();
+  for (const placedWorker of site.workers) placedWorker.worker.resetIdleConnections();
   for (const placedWorker of site.workers) placedWorker.worker.fault(null);
 }
 async function drain(site: Site): Promise<void> {
@@ -157,7 +157,7 @@
   });
   await site.operator.replace(same, 1, false);
   await site.operator.replace(documentOf(SMALL, 1), 1, false);
-  await site.operator.spoiled(JSON.stringify(documentOf(SMALL, 9)).slice(0, -20), 1);
+  await site.operator.replaceRaw(JSON.stringify(documentOf(SMALL, 9)).slice(0, -20), 1);
 }
 async function controllerKilled(site: Site): Promise<void> {
   const head = controller(site);
@@ -233,9 +233,9 @@
 }
 async function listDown(site: Site): Promise<void> {
   await site.asked(30);
-  site.list.trouble({ mode: 'down' });
+  site.list.setFault({ mode: 'down' });
   await site.asked(80);
-  site.list.trouble({ mode: 'none' });
+  site.list.setFault({ mode: 'none' });
 }
 
 export const SCENARIOS: readonly Scenario[] = [
--- a/standin-platform/shape.ts
+++ b/standin-platform/shape.ts
@@ -1,7 +1,7 @@
 import { MAPPING_DEFAULTS, MODEL_DEFAULTS, documentToWire } from './document.js';
 import type { ModelRoute, Model } from './document.js';
-import type { Wish } from './caller.js';
-import { WISH_DEFAULTS } from './caller.js';
+import type { RequestSpec } from './caller.js';
+import { REQUEST_DEFAULTS } from './caller.js';
 import type { EngineSpec } from './worker-spec.js';
 import { ENGINE_DEFAULTS } from './worker-spec.js';
 
@@ -23,7 +23,7 @@
   readonly groups: readonly WorkerGroup[];
   readonly mappings: readonly ModelRoute[];
   readonly models: readonly Model[];
-  readonly wishes: readonly Wish[];
+  readonly wishes: readonly RequestSpec[];
 };
 
 export const HOST = 'ficu95.example';
@@ -43,8 +43,8 @@
     ...over,
   };
 }
-function wish(name: string, over: Partial<Wish>): Wish {
-  return { ...WISH_DEFAULTS, host: HOST, path: `/${name}/2f`, kind: 'once', ...over };
+function wish(name: string, over: Partial<RequestSpec>): RequestSpec {
+  return { ...REQUEST_DEFAULTS, host: HOST, path: `/${name}/2f`, kind: 'once', ...over };
 }
 
 export const SMALL: Shape = {
--- a/standin-platform/site.ts
+++ b/standin-platform/site.ts
@@ -4,10 +4,10 @@
 import { stringify } from 'smol-toml';
 import { delay } from '../src/transport/clock.js';
 import type { Clock } from '../src/transport/clock.js';
-import { below } from '../src/transport/rng.js';
+import { randomInt } from '../src/transport/rng.js';
 import type { Rng } from '../src/transport/rng.js';
-import { CALL, QUERY, RESOLVED, SETTING } from '../platform/words.js';
-import { ask } from './ask.js';
+import { API_PATH, QUERY_PARAMETER, DIRECTORY_RESPONSE, SETTING } from '../platform/words.js';
+import { sendRequest } from './ask.js';
 import { machinesOf, readDeployFile } from './deploy-file.js';
 import type { Role } from './deploy-file.js';
 import { BOUNDS } from './facts.js';
@@ -18,9 +18,9 @@
 import { createOperator } from './operator.js';
 import type { Operator } from './operator.js';
 import { createCaller } from './caller.js';
-import type { Caller, Told, Wish } from './caller.js';
+import type { Caller, CallResult, RequestSpec } from './caller.js';
 import { createRecords } from './records.js';
-import type { Rec, Records } from './records.js';
+import type { JournalRecord, Records } from './records.js';
 import { documentOf, HOST } from './shape.js';
 import type { Shape } from './shape.js';
 import { createStandinWorker } from './worker.js';
@@ -70,7 +70,7 @@
   readonly workers: readonly PlacedWorker[];
   readonly operator: Operator;
   readonly load: (load: Load) => Promise<ReadonlyMap<string, Count>>;
-  readonly direct: (node: SiteNode, wish: Wish) => Promise<Told>;
+  readonly direct: (node: SiteNode, wish: RequestSpec) => Promise<CallResult>;
   readonly up: () => Promise<boolean>;
   readonly asked: (more: number) => Promise<unknown>;
   readonly replaceCore: (node: SiteNode) => Promise<void>;
@@ -248,7 +248,7 @@
           };
           const worker = createStandinWorker(spec, { clock, rng, records });
           await worker.start();
-          list.show(worker.seen());
+          list.publish(worker.seen());
           placed.push({ model: workerGroup.model, zone, worker });
         }
       }
@@ -289,20 +289,20 @@
 
   async function edgesReady(): Promise<boolean> {
     for (const siteNode of serving('edge'))
-      if ((await ask(`${siteNode.ip}:${PORT.readiness}`, clock, 'GET', CALL.ready, 1_000))?.status !== 200)
+      if ((await sendRequest(`${siteNode.ip}:${PORT.readiness}`, clock, 'GET', API_PATH.ready, 1_000))?.status !== 200)
         return false;
     return true;
   }
   async function directoriesKnow(): Promise<boolean> {
     for (const siteNode of serving('registry')) {
-      const reply = await ask(
+      const reply = await sendRequest(
         `${siteNode.ip}:${PORT.directory}`,
         clock,
         'GET',
-        `${CALL.resolve}?${QUERY.name}=${HOST}&${QUERY.region}=${siteNode.region}&${QUERY.zone}=${siteNode.zone}`,
+        `${API_PATH.resolve}?${QUERY_PARAMETER.name}=${HOST}&${QUERY_PARAMETER.region}=${siteNode.region}&${QUERY_PARAMETER.zone}=${siteNode.zone}`,
         1_000,
       );
-      const addresses = (reply?.body as Readonly<Record<string, unknown>> | undefined)?.[RESOLVED.addresses];
+      const addresses = (reply?.body as Readonly<Record<string, unknown>> | undefined)?.[DIRECTORY_RESPONSE.addresses];
       if (!Array.isArray(addresses) || addresses.length === 0) return false;
     }
     return true;
@@ -320,8 +320,8 @@
     return false;
   }
 
-  function lists(id: string): (rec: Rec) => boolean {
-    function isListed(rec: Rec): boolean {
+  function lists(id: string): (rec: JournalRecord) => boolean {
+    function isListed(rec: JournalRecord): boolean {
       return rec.what === 'listed' && rec.worker === id;
     }
     return isListed;
@@ -341,33 +341,33 @@
       if (due >= load.forMs) break;
       await delay(clock, due - (clock.mono() - started));
       const wish = shape.wishes[count % shape.wishes.length];
-      const caller = callers[below(rng, callers.length)];
+      const caller = callers[randomInt(rng, callers.length)];
       if (wish && caller) flying.push(one(caller, wish));
     }
     await Promise.all(flying);
     return counts;
 
-    async function one(caller: Caller, wish: Wish): Promise<void> {
+    async function one(caller: Caller, wish: RequestSpec): Promise<void> {
       const name = wish.path.split('/')[1] ?? '';
       const count = counts.get(name) ?? { asked: 0, served: 0, firstMs: [] };
       counts.set(name, count);
       count.asked += 1;
       const told = await caller.call({ ...wish, prefix: ownEnd(wish.prefix) });
-      if (told.served) count.served += 1;
+      if (told.succeeded) count.served += 1;
       if (told.firstMs !== null) count.firstMs.push(told.firstMs);
     }
   }
   function ownEnd(prefix: string | null): string | null {
     return prefix === null ? null : prefix.replace(/[0-9a-f]+:(\d+)$/, last);
     function last(_all: string, tokens: string): string {
-      return `${below(rng, 0xffffffff).toString(16)}:${tokens}`;
+      return `${randomInt(rng, 0xffffffff).toString(16)}:${tokens}`;
     }
   }
 
-  async function direct(node: SiteNode, wish: Wish): Promise<Told> {
+  async function direct(node: SiteNode, wish: RequestSpec): Promise<CallResult> {
     const [caller] = callers;
-    if (!caller) return { served: false, tries: 0, status: 0, firstMs: null, wholeMs: 0 };
-    return caller.direct(`${node.ip}:${PORT.front}`, wish);
+    if (!caller) return { succeeded: false, tries: 0, status: 0, firstMs: null, wholeMs: 0 };
+    return caller.callEdge(`${node.ip}:${PORT.front}`, wish);
   }
 
   function asked(more: number): Promise<unknown> {
@@ -407,21 +407,21 @@
     const { id } = placedWorker.worker.seen();
     await placedWorker.worker.crash();
     function unlisted(): void {
-      list.drop(id);
+      list.remove(id);
     }
     clock.timer(CRASHED_SHOWN_MS, unlisted);
   }
   async function restartWorker(placedWorker: PlacedWorker, coldMs: number): Promise<void> {
-    list.drop(placedWorker.worker.seen().id);
+    list.remove(placedWorker.worker.seen().id);
     await placedWorker.worker.start({ coldMs });
-    list.show(placedWorker.worker.seen());
+    list.publish(placedWorker.worker.seen());
   }
   function drainWorker(placedWorker: PlacedWorker, remainingMs: number | null): void {
     placedWorker.worker.drain(remainingMs);
-    list.show(placedWorker.worker.seen());
+    list.publish(placedWorker.worker.seen());
     const { id } = placedWorker.worker.seen();
     function unlisted(): void {
-      list.drop(id);
+      list.remove(id);
     }
     if (remainingMs !== null) clock.timer(remainingMs, unlisted);
   }
--- a/standin-platform/soak/plan.ts
+++ b/standin-platform/soak/plan.ts
@@ -1,5 +1,5 @@
 /** Draws what happens in one soak run from its seed: several series of troubles and orders that overlap. */
-import { below, createRng, pick } from '../../src/transport/rng.js';
+import { randomInt, createRng, pick } from '../../src/transport/rng.js';
 import type { Rng } from '../../src/transport/rng.js';
 
 /** What may be done to a machine that runs a role. */
@@ -67,7 +67,7 @@
 const MOST_EVACUATED_MS = 20_000;
 
 function between(rng: Rng, least: number, most: number): number {
-  return least + below(rng, most - least + 1);
+  return least + randomInt(rng, most - least + 1);
 }
 
 function nodeTrouble(rng: Rng, isCore: boolean): NodeTrouble {
@@ -100,7 +100,7 @@
 }
 
 function step(series: Series, rng: Rng, count: number): Step {
-  const common = { afterMs: restOf(series, rng, count), at: below(rng, 1_000) };
+  const common = { afterMs: restOf(series, rng, count), at: randomInt(rng, 1_000) };
   switch (series) {
     case 'core':
     case 'edge':
--- a/standin-platform/soak/run.ts
+++ b/standin-platform/soak/run.ts
@@ -1,7 +1,7 @@
 /** Plays a soak plan on a site of real processes. */
 import { delay } from '../../src/transport/clock.js';
 import type { Clock } from '../../src/transport/clock.js';
-import { numberOf } from '../document.js';
+import { versionNumber } from '../document.js';
 import { BOUNDS } from '../facts.js';
 import { documentOf, SMALL } from '../shape.js';
 import type { PlacedWorker, Site, SiteNode } from '../site.js';
@@ -177,9 +177,9 @@
         await delay(this.clock, trouble.forMs);
         return this.site.restartWorker(placed, trouble.coldMs);
       case 'dark':
-        placed.worker.dark(true);
+        placed.worker.setUnresponsive(true);
         await delay(this.clock, trouble.forMs);
-        placed.worker.dark(false);
+        placed.worker.setUnresponsive(false);
         return;
       case 'spoil':
         placed.worker.fault({ mode: trouble.mode, share: SPOILED_SHARE });
@@ -189,9 +189,9 @@
   }
 
   private async troubleList(mode: 'down' | 'error' | 'slow', forMs: number): Promise<void> {
-    this.site.list.trouble(mode === 'slow' ? { mode, ms: forMs } : { mode });
+    this.site.list.setFault(mode === 'slow' ? { mode, ms: forMs } : { mode });
     await delay(this.clock, forMs);
-    this.site.list.trouble({ mode: 'none' });
+    this.site.list.setFault({ mode: 'none' });
   }
 
   /** A configuration on the newest one, true once acknowledged; after an unclear answer the newest one is read first. */
@@ -206,17 +206,17 @@
 
   private async readNumber(): Promise<number | null> {
     const document = await this.site.operator.read(BOUNDS.contactMs);
-    return document === null ? null : numberOf(document);
+    return document === null ? null : versionNumber(document);
   }
 
   private async closingFault(): Promise<void> {
     const cores = this.site.nodes.filter((node) => node.core);
     const lost = cores.slice(0, Math.ceil(this.plan.lostAtEnd * cores.length));
     const { records } = this.site;
-    records.note({ what: 'planned', edge: '', core: true, fault: 'closing' });
+    records.add({ what: 'planned', edge: '', core: true, fault: 'closing' });
     for (const node of lost) node.process.signal('SIGKILL');
     for (const node of lost) await node.restart();
-    records.note({ what: 'planned', edge: '', core: true, fault: 'back' });
+    records.add({ what: 'planned', edge: '', core: true, fault: 'back' });
     await delay(this.clock, AFTER_RETURN_MS);
   }
 }
--- a/standin-platform/soak/timeline.ts
+++ b/standin-platform/soak/timeline.ts
@@ -1,11 +1,11 @@
 /** A run that broke a rule, told for tracing: verdicts, what was done and ordered, the requests concerned, the logs. */
 import type { SiteReport } from '../report.js';
-import type { Rec } from '../records.js';
+import type { JournalRecord } from '../records.js';
 
 /** Requests whose whole way is told. */
 const MOST_REQUESTS = 5;
 const ATTEMPT = /\b[0-9a-f]{16}\b/;
-const TOLD: ReadonlySet<Rec['what']> = new Set([
+const TOLD: ReadonlySet<JournalRecord['what']> = new Set([
   'planned',
   'submitted',
   'evacuated',
@@ -16,7 +16,7 @@
 ]);
 const LOUD = / (warn|error|fatal) |agreed|lease acquired|following|settled on|order on a zone/;
 
-function told(record: Rec): string {
+function told(record: JournalRecord): string {
   const { at, what, ...fields } = record;
   const rest: Record<string, unknown> = { ...fields };
   delete rest['document'];
@@ -34,7 +34,11 @@
 }
 
 /** The whole text. */
-export function timelineOf(records: readonly Rec[], report: SiteReport, logs: ReadonlyMap<string, string>): string {
+export function timelineOf(
+  records: readonly JournalRecord[],
+  report: SiteReport,
+  logs: ReadonlyMap<string, string>,
+): string {
   const named = attemptsIn(report);
   const visits = new Set<string>();
   const lines = ['== Verdicts', ...report.verdicts.map(({ rule, text }) => `${rule}: ${text}`), '', report.text, ''];
--- a/standin-platform/worker-spec.ts
+++ b/standin-platform/worker-spec.ts
@@ -83,14 +83,14 @@
   readonly crash: () => Promise<void>;
   readonly end: () => Promise<void>;
   /** Makes the worker accept requests without answering any until it is switched off. */
-  readonly dark: (on: boolean) => void;
+  readonly setUnresponsive: (on: boolean) => void;
   /** Makes the worker slow, and prone to crash under load, for this long. */
   readonly startColdPeriod: (durationMs: number) => void;
   readonly fault: (newFault: Fault | null) => void;
   /** Makes health checks succeed even while the worker drains. */
   readonly setAlwaysHealthy: (on: boolean) => void;
   readonly loadWeights: (version: number) => void;
-  readonly resetIdle: () => void;
+  readonly resetIdleConnections: () => void;
   readonly running: () => number;
 };
 
--- a/standin-platform/worker.test.ts
+++ b/standin-platform/worker.test.ts
@@ -3,7 +3,7 @@
 import { createRng } from '../src/transport/rng.js';
 import { openConnection } from './client.js';
 import type { ExchangeResult, Connection } from './client.js';
-import { createRecords, onlyOf } from './records.js';
+import { createRecords, recordsOfType } from './records.js';
 import type { Records } from './records.js';
 import { createStandinWorker } from './worker.js';
 import { ENGINE_DEFAULTS, WORKER_DEFAULTS } from './worker-spec.js';
@@ -83,7 +83,7 @@
     expect(a.head?.headers.get('x-millfield-attempt-id')).toBe(ID);
     expect(a.head?.headers.get('x-millfield-server-seal')).toMatch(/^[0-9a-f.]+$/);
     expect(recordTypes()).toEqual(['life', 'arrived', 'ran', 'finished']);
-    const [seen] = onlyOf(records.all(), 'arrived');
+    const [seen] = recordsOfType(records.all(), 'arrived');
     expect(seen).toMatchObject({
       attempt: ID,
       method: 'POST',
@@ -102,7 +102,7 @@
     expect(own.head?.status).toBe(200);
     const none = await sendOnNewConnection(worker, 'POST /x HTTP/1.1\r\nHost: h\r\n');
     expect(none.head?.status).toBe(400);
-    expect(onlyOf(records.all(), 'ran')).toHaveLength(1);
+    expect(recordsOfType(records.all(), 'ran')).toHaveLength(1);
   });
 
   test('gets a new id when it starts again after a crash', async () => {
@@ -128,7 +128,7 @@
     expect(full.head?.headers.get('x-millfield-not-executed')).toBe('1');
     expect((await queued).head?.status).toBe(503);
     expect((await first).head?.status).toBe(200);
-    expect(onlyOf(records.all(), 'ran')).toHaveLength(1);
+    expect(recordsOfType(records.all(), 'ran')).toHaveLength(1);
   });
 
   test('runs the more urgent queued requests first', async () => {
@@ -141,9 +141,9 @@
     }
     await Promise.all(all);
     const urgencies = new Map(
-      onlyOf(records.all(), 'arrived').map((r) => [r.visit, r.headers['x-millfield-urgency-class']]),
+      recordsOfType(records.all(), 'arrived').map((r) => [r.visit, r.headers['x-millfield-urgency-class']]),
     );
-    expect(onlyOf(records.all(), 'ran').map((r) => urgencies.get(r.visit))).toEqual([undefined, '1', '4', '7']);
+    expect(recordsOfType(records.all(), 'ran').map((r) => urgencies.get(r.visit))).toEqual([undefined, '1', '4', '7']);
   });
 
   test('streams events with increasing ids, and continues after Last-Event-Id', async () => {
@@ -221,7 +221,7 @@
     const third = await openConnection(worker.seen().address, clock, { onStrayBytes: () => undefined });
     expect(third === null ? 'cut' : (await send(third, PLAIN)).end).toBe('cut');
     expect((await send(connection, PLAIN)).end).toBe('whole');
-    worker.resetIdle();
+    worker.resetIdleConnections();
     expect((await send(connection, PLAIN)).end).toBe('cut');
   });
 
@@ -229,12 +229,17 @@
     const worker = await startWorker({ coldRateS: 1, capacity: 64, queue: 64 });
     worker.startColdPeriod(5_000);
     await Promise.all(Array.from({ length: 16 }, () => sendOnNewConnection(worker, PLAIN)));
-    expect(onlyOf(records.all(), 'life').map((l) => l.event)).toEqual(['started', 'cold', 'fellOver', 'crashed']);
+    expect(recordsOfType(records.all(), 'life').map((l) => l.event)).toEqual([
+      'started',
+      'cold',
+      'fellOver',
+      'crashed',
+    ]);
   });
 
   test('sends nothing while it is unresponsive, and responds afterwards', async () => {
     const worker = await startWorker();
-    worker.dark(true);
+    worker.setUnresponsive(true);
     let answered = false;
     const a = sendOnNewConnection(worker, PLAIN).then((x) => {
       answered = true;
@@ -248,7 +253,7 @@
       () => undefined,
     );
     expect([silent.end, answered]).toEqual(['deadline', false]);
-    worker.dark(false);
+    worker.setUnresponsive(false);
     expect((await a).head?.status).toBe(200);
   });
 
@@ -279,7 +284,7 @@
     expect((await sendOnNewConnection(worker, PLAIN)).head?.status).toBe(503);
     worker.fault(null);
     expect((await sendOnNewConnection(worker, PLAIN)).head?.status).toBe(200);
-    expect(onlyOf(records.all(), 'ran')).toHaveLength(5);
+    expect(recordsOfType(records.all(), 'ran')).toHaveLength(5);
   });
 
   test('sends bytes after a complete response, or a surplus response late, in place of the next one', async () => {
--- a/standin-platform/worker.ts
+++ b/standin-platform/worker.ts
@@ -9,8 +9,8 @@
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
 import { delay } from '../src/transport/clock.js';
-import { below } from '../src/transport/rng.js';
-import { CALL, HEADER, USAGE } from '../platform/words.js';
+import { randomInt } from '../src/transport/rng.js';
+import { API_PATH, HEADER, USAGE } from '../platform/words.js';
 import { eventText } from './events.js';
 import { digestBody, header, sha256Hex, tokenCounts } from './incoming.js';
 import { createPrefixMemory } from './prefix-memory.js';
@@ -48,7 +48,7 @@
   HEADER.model,
   HEADER.tokens,
   HEADER.prefix,
-  HEADER.expectWeights,
+  HEADER.expectWeightVersion,
   'connection',
 ];
 
@@ -83,7 +83,7 @@
     event: 'started' | 'draining' | 'ended' | 'crashed' | 'dark' | 'lit' | 'cold' | 'fellOver',
     coldMs = 0,
   ): void {
-    records.note({ what: 'life', worker: id, model, zone: spec.zone, event, coldMs });
+    records.add({ what: 'life', worker: id, model, zone: spec.zone, event, coldMs });
   }
   function coldLeftMs(): number {
     return Math.max(0, Math.round(coldUntil - clock.mono()));
@@ -132,7 +132,7 @@
   }
   function randomHex(count: number): string {
     let out = '';
-    for (let i = 0; i < count; i += 1) out += below(rng, 16).toString(16);
+    for (let i = 0; i < count; i += 1) out += randomInt(rng, 16).toString(16);
     return out;
   }
 
@@ -174,7 +174,7 @@
       req.socket.write(lateBytes);
     }
     const path = req.url ?? '';
-    if (req.method === 'GET' && path === CALL.usage) return sendUsage(res);
+    if (req.method === 'GET' && path === API_PATH.usage) return sendUsage(res);
     const isHealthCheck = req.method === 'GET' && path === spec.healthPath;
     const visitId = `${id}#${(visitCount += 1)}`;
     const attempt = header(req, HEADER.attemptId);
@@ -186,7 +186,7 @@
       const value = header(req, name);
       if (value !== null) headers[name] = value;
     }
-    records.note({
+    records.add({
       what: 'arrived',
       visit: visitId,
       attempt,
@@ -207,7 +207,7 @@
     if (!isHealthCheck) {
       if (attempt === null) return reject(visitId, res, 400);
       if (expectedWorker !== null && expectedWorker !== id) return reject(visitId, res, 421);
-      const expectedWeights = header(req, HEADER.expectWeights);
+      const expectedWeights = header(req, HEADER.expectWeightVersion);
       if (expectedWeights !== null && Number(expectedWeights) !== weights) return reject(visitId, res, 421);
       if (!withstandsColdLoad()) return void crashFromOverload();
       if (fault?.mode === 'refuse' && rng.next() < fault.share) return reject(visitId, res, 503);
@@ -250,7 +250,7 @@
   }
 
   function reject(visitId: string, res: ServerResponse, status: number): void {
-    records.note({ what: 'refused', visit: visitId, status });
+    records.add({ what: 'refused', visit: visitId, status });
     if (status === 421) res.setHeader(HEADER.workerId, id);
     if (status !== 421 || visitCount % 2 === 0) res.setHeader(HEADER.notRun, '1');
     setConnectionHeader(res);
@@ -327,7 +327,7 @@
 
   function recordRan(job: Omit<QueuedRequest, 'admit'>): string {
     const seal = sealOf(job);
-    records.note({ what: 'ran', visit: job.id, attempt: job.attempt, digest: job.digest, seal: seal });
+    records.add({ what: 'ran', visit: job.id, attempt: job.attempt, digest: job.digest, seal: seal });
     return seal;
   }
   function recordFinished(
@@ -337,7 +337,7 @@
     digest: string,
     end: Finished['end'],
   ): void {
-    records.note({
+    records.add({
       what: 'finished',
       visit: job.id,
       seal: seal,
@@ -423,7 +423,7 @@
     const hash = createHash('sha256');
     if (shouldInject('fail')) return sendError(job, seal, 500);
     job.res.setHeader(HEADER.seal, seal);
-    job.res.setHeader(HEADER.weights, String(weights));
+    job.res.setHeader(HEADER.weightVersions, String(weights));
     setConnectionHeader(job.res);
     job.res.writeHead(200, { 'content-type': 'text/event-stream' });
     const truncateAt = shouldInject('breakOff') || shouldInject('lostAnswer') ? Math.ceil(eventCount / 2) : 0;
@@ -437,7 +437,7 @@
       if (clock.mono() >= job.deadlineAt || eventNumber === truncateAt) return truncateResponse(job, seal, '');
       const event: EventSeen = { id: eventNumber * engine.tokensPerEvent, run: seal, n: eventNumber, of: eventCount };
       const text =
-        weights === announcedWeights ? eventText(event) : `${HEADER.weights}: ${weights}\n${eventText(event)}`;
+        weights === announcedWeights ? eventText(event) : `${HEADER.weightVersions}: ${weights}\n${eventText(event)}`;
       announcedWeights = weights;
       hash.update(text);
       job.res.write(text);
@@ -453,7 +453,7 @@
   function sendUsage(res: ServerResponse): void {
     const body = JSON.stringify({
       [USAGE.stage]: 'colocated',
-      [USAGE.models]: [{ [USAGE.name]: 'm', [USAGE.weights]: weights, adapters: [] }],
+      [USAGE.models]: [{ [USAGE.name]: 'm', [USAGE.weightVersion]: weights, adapters: [] }],
       [USAGE.ordered]: false,
       [USAGE.orders]: 0,
       [USAGE.queued]: queue.length,
@@ -557,12 +557,12 @@
     drain,
     crash,
     end,
-    dark: setUnresponsive,
+    setUnresponsive: setUnresponsive,
     startColdPeriod,
     fault: setFault,
     setAlwaysHealthy,
     loadWeights,
-    resetIdle: resetIdleConnections,
+    resetIdleConnections: resetIdleConnections,
     running: getActiveCount,
   };
 }
