--- a/src/coordination/configuration/configuration-service.test.ts
+++ b/src/coordination/configuration/configuration-service.test.ts
@@ -30,7 +30,7 @@
   return routes;
 }
 
-const COMMON_DEPS = { log: createQuietLog().component('operator'), standstill: { isRecent: () => false } };
+const COMMON_DEPS = { log: createQuietLog().component('operator'), processPause: { isRecent: () => false } };
 const WAITING_CALLER: Caller = { gone: () => false };
 
 function createSharedLedger() {
@@ -416,12 +416,12 @@
     const sim = createSharedLedger();
     const frozen = sim.world.host('frozen', 'a');
     const clock = sim.world.clockOf(sim.world.begin(frozen));
-    const standstill = watchProcessPauses(clock, CALLER_TIMEOUT_MS);
+    const processPause = watchProcessPauses(clock, CALLER_TIMEOUT_MS);
     const resumedService = createConfigurationService({
       ledger: sim.ledgerAfter(5),
       clock,
       ...COMMON_DEPS,
-      standstill,
+      processPause,
     });
     expect(await sim.run(resumedService.evacuate('z', true, WAITING_CALLER))).toEqual(ok({ tag: 'taken' }));
     sim.world.freeze(frozen);
@@ -431,7 +431,7 @@
     expect(Object.keys(sim.controlState.evacuated)).toEqual(['z']);
     await sim.world.advance(CALLER_TIMEOUT_MS);
     expect(await sim.run(resumedService.evacuate('z', false, WAITING_CALLER))).toEqual(ok({ tag: 'taken' }));
-    standstill.stop();
+    processPause.stop();
   });
 
   test('an order whose caller closed its connection during the read from a majority is rejected', async () => {
--- a/src/coordination/configuration/configuration-service.ts
+++ b/src/coordination/configuration/configuration-service.ts
@@ -72,7 +72,7 @@
   readonly ledger: Pick<Ledger, 'controlState' | 'linearizableRead' | 'propose'>;
   readonly clock: Clock;
   readonly log: Log;
-  readonly standstill: Pick<RecentProcessPause, 'isRecent'>;
+  readonly processPause: Pick<RecentProcessPause, 'isRecent'>;
   readonly readTimeoutMs?: number;
   readonly agreementTimeoutMs?: number;
   /** The maximum that can be stored; no limit if omitted. */
@@ -219,7 +219,7 @@
    * the call that arrived on it.
    */
   private mayBeAbandoned(caller: Caller): boolean {
-    return this.deps.standstill.isRecent() || caller.gone();
+    return this.deps.processPause.isRecent() || caller.gone();
   }
 
   private async readTimeout(): Promise<boolean> {
--- a/src/coordination/configuration/operator-http-server.ts
+++ b/src/coordination/configuration/operator-http-server.ts
@@ -53,7 +53,7 @@
   readonly distribution: ChangeDistribution;
   readonly latencyTargets: LatencyTargetTracker;
   readonly clock: Clock;
-  readonly standstill: Pick<RecentProcessPause, 'isRecent'>;
+  readonly processPause: Pick<RecentProcessPause, 'isRecent'>;
   readonly status: () => unknown;
 };
 
@@ -148,7 +148,7 @@
     if (!(await this.deps.ledger.linearizableRead(AGREEMENT_TIMEOUT_MS))) return errorReply(503, { tag: 'noMajority' });
     if (!Object.hasOwn(this.deps.ledger.controlState().configuration.zones, name))
       return errorReply(404, { tag: 'unknownZone', zone: name });
-    if (this.deps.standstill.isRecent() || req.gone()) return errorReply(503, { tag: 'mayBeAbandoned' });
+    if (this.deps.processPause.isRecent() || req.gone()) return errorReply(503, { tag: 'mayBeAbandoned' });
     return this.proposeAndConfirm(
       { tag: 'evacuation', zone: name, begun },
       begun ? `The operator evacuates ${name}.` : `The operator hands ${name} back.`,
--- a/src/coordination/configuration/recent-process-pause.ts
+++ b/src/coordination/configuration/recent-process-pause.ts
@@ -1,5 +1,5 @@
 /** Remembers for a limited time that the process was paused. */
-import { createStandstill } from '../../state/forwarding/standstill.js';
+import { createResumeDelay } from '../../state/forwarding/resume-delay.js';
 import { every } from '../../transport/clock.js';
 import type { Clock } from '../../transport/clock.js';
 
@@ -14,7 +14,7 @@
 
 /** Starts to watch the clock; a process pause counts as recent for `recentMs` after its end. */
 export function watchProcessPauses(clock: Clock, recentMs: number): RecentProcessPause {
-  const detector = createStandstill(recentMs);
+  const detector = createResumeDelay(recentMs);
   function isRecent(): boolean {
     return detector.observe(clock.mono()) !== null;
   }
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -56,7 +56,7 @@
   readonly holdsScaler: () => boolean;
   readonly readRoutes: readonly Route[];
   /** For operator orders that are accepted outside the controller's own HTTP interface. */
-  readonly standstill: Pick<RecentProcessPause, 'isRecent'>;
+  readonly processPause: Pick<RecentProcessPause, 'isRecent'>;
   /**
    * Leaves the group and responds to the requests that were already read, also those at the given `listeners`, for at
    * most `withinMs`. Then stops everything.
@@ -200,7 +200,7 @@
   const distribution = createChangeDistribution(ledger, quorumAttestation, peers, clock, logs.component('push'));
   const fleetLoad = createFleetLoadRelay(ledger, peers, clock, rng);
   const latencyTargets = createLatencyTargetTracker(ledger, peers, clock);
-  const standstill = watchProcessPauses(clock, CALLER_TIMEOUT_MS);
+  const processPause = watchProcessPauses(clock, CALLER_TIMEOUT_MS);
   const lease =
     nodeIdentity.cloud === null && !deps.workerListReader
       ? null
@@ -278,7 +278,7 @@
     distribution,
     latencyTargets,
     clock,
-    standstill,
+    processPause,
     status: () => status.body(),
   });
   function openOperatorServer(): Promise<Result<HttpListener, WireError>> {
@@ -311,7 +311,7 @@
     quorumAttestation.stop();
     coreHealth.stop();
     latencyTargets.stop();
-    standstill.stop();
+    processPause.stop();
     if (claims.ok) claims.value.stop();
     ledger.stop();
     await peers.close();
@@ -337,7 +337,7 @@
     claimsReady: () => claims.value.ready(),
     holdsScaler,
     readRoutes: routes.filter(isReadRoute),
-    standstill,
+    processPause,
     stop,
   });
 }
--- a/src/coordination/discovery/pushed-list-feed.ts
+++ b/src/coordination/discovery/pushed-list-feed.ts
@@ -174,7 +174,7 @@
     if (!this.isReadingPlatform) this.deps.log.warn('no controller pushes the worker list, reading the platform');
     this.isReadingPlatform = true;
     const response = await withTimeout(this.deps.clock, this.timing.readTimeoutMs, this.deps.reader.read());
-    this.updates.detectStandstill();
+    this.updates.detectProcessPause();
     if (this.stopped) return;
     const isUsable = response?.ok === true && this.deps.clock.mono() - startedAt <= PROCESS_PAUSE_MS;
     this.readBackoffMs = isUsable ? MIN_READ_BACKOFF_MS : Math.min(MAX_READ_BACKOFF_MS, this.readBackoffMs * 2);
@@ -191,7 +191,7 @@
   }
 
   private async runTick(): Promise<void> {
-    this.updates.detectStandstill();
+    this.updates.detectProcessPause();
     if (this.deps.clock.mono() >= this.readDueAt && !this.updates.isFresh()) void this.readPlatform();
     else if (this.deps.clock.mono() >= this.readDueAt)
       this.readDueAt = this.deps.clock.mono() + this.timing.fallbackReadDelayMs;
--- a/src/coordination/discovery/worker-list-updates.ts
+++ b/src/coordination/discovery/worker-list-updates.ts
@@ -59,7 +59,7 @@
 
 /**
  * The table that updates are applied to, its age, and the time since the last contact with the reader. `query` asks a
- * node for the list; `detectStandstill` checks for a process pause.
+ * node for the list; `detectProcessPause` checks for a process pause.
  */
 export interface WorkerListUpdates {
   readonly table: WorkerListTable;
@@ -75,11 +75,11 @@
   isFresh(): boolean;
   isSourceUnresponsive(): boolean;
   query(to: Address): Promise<QueryResult>;
-  detectStandstill(): void;
+  detectProcessPause(): void;
   stop(): void;
 }
 
-const STANDSTILL_CHECK_INTERVAL_MS = 500;
+const PAUSE_CHECK_INTERVAL_MS = 500;
 /** After this time without contact, pushed updates are not applied until a node was queried. */
 const RESYNC_AFTER_MS = 2_500;
 /** How long a report that the list source is unresponsive stays valid. */
@@ -92,16 +92,16 @@
   private isInSync = false;
   private lastContactAt: number | null = null;
   private unresponsiveReportedAt: number | null = null;
-  private readonly standstillDetector: ProcessPauseDetector;
-  private readonly standstillTimer: Timer;
+  private readonly pauseDetector: ProcessPauseDetector;
+  private readonly pauseTimer: Timer;
 
   constructor(
     private readonly peers: Peers,
     private readonly clock: Clock,
     private readonly timing: WorkerListTiming,
   ) {
-    this.standstillDetector = new ProcessPauseDetector(this.clock);
-    this.standstillTimer = every(this.clock, STANDSTILL_CHECK_INTERVAL_MS, () => this.detectStandstill());
+    this.pauseDetector = new ProcessPauseDetector(this.clock);
+    this.pauseTimer = every(this.clock, PAUSE_CHECK_INTERVAL_MS, () => this.detectProcessPause());
 
     this.peers.on('listWhole', (message, peer) => this.onUpdate(message, peer));
 
@@ -134,8 +134,8 @@
     this.lastContactAt = this.clock.mono();
   }
 
-  detectStandstill(): void {
-    const gapMs = this.standstillDetector.tick();
+  detectProcessPause(): void {
+    const gapMs = this.pauseDetector.tick();
     if (gapMs === null) return;
     this.isInSync = false;
     this.lastContactAt = null;
@@ -177,7 +177,7 @@
   }
 
   private onUpdate(message: WorkerListMessage, peer: Peer): null {
-    this.detectStandstill();
+    this.detectProcessPause();
     if (message.number === null) return null;
     if (this.sinceContactMs() > RESYNC_AFTER_MS) this.isInSync = false;
     const current = this.table.number();
@@ -197,14 +197,14 @@
       { kind: 'listFollow', number: this.table.number() },
       this.timing.queryTimeoutMs,
     );
-    this.detectStandstill();
+    this.detectProcessPause();
     if (!response.ok || !isUpdate(response.value) || this.clock.mono() - startedAt > PROCESS_PAUSE_MS) return 'silent';
     if (this.applyUpdate(response.value, startedAt) === 'taken') this.isInSync = true;
     return this.isFresh() ? 'fresh' : 'stale';
   }
 
   stop(): void {
-    this.standstillTimer.cancel();
+    this.pauseTimer.cancel();
   }
 }
 
--- a/src/coordination/forwarding/attempt.ts
+++ b/src/coordination/forwarding/attempt.ts
@@ -5,7 +5,7 @@
  */
 import type { HeaderNames } from '../../protocol/header-names.js';
 import type { AttemptOutcome } from '../../state/forwarding/attempt-outcome.js';
-import type { Standstill } from '../../state/forwarding/standstill.js';
+import type { ResumeDelay } from '../../state/forwarding/resume-delay.js';
 import type { RegistryRow, WorkerRegistry } from '../../state/discovery/worker-registry.js';
 import type { Clock, Timer } from '../../transport/clock.js';
 import type { Log, LogFields } from '../../transport/log.js';
@@ -35,7 +35,7 @@
   readonly registry: WorkerRegistry;
   readonly connectionPool: ConnectionPool;
   readonly watch: UnresponsiveWorkerWatch;
-  readonly standstill: Standstill;
+  readonly resumeDelay: ResumeDelay;
   readonly callerResponses: CallerResponses;
   readonly clock: Clock;
   readonly log: Log;
@@ -134,7 +134,7 @@
     if (
       this.isFinished ||
       now >= this.request.deadlineAt ||
-      this.deps.standstill.observe(now) !== null ||
+      this.deps.resumeDelay.observe(now) !== null ||
       isCancelled(this.request)
     )
       return null;
--- a/src/coordination/forwarding/relay.ts
+++ b/src/coordination/forwarding/relay.ts
@@ -10,7 +10,7 @@
 import type { RetryContext } from '../../state/forwarding/attempt-outcome.js';
 import type { EdgeTuning } from '../../state/forwarding/edge-tuning.js';
 import type { MatchedRoute, RouteTable } from '../../state/configuration/route-table.js';
-import { createStandstill } from '../../state/forwarding/standstill.js';
+import { createResumeDelay } from '../../state/forwarding/resume-delay.js';
 import type { SelectionRequest, WorkerRegistry } from '../../state/discovery/worker-registry.js';
 import { delay } from '../../transport/clock.js';
 import type { Clock } from '../../transport/clock.js';
@@ -86,7 +86,7 @@
     waiting: 0,
   };
 
-  private readonly standstill = createStandstill();
+  private readonly resumeDelay = createResumeDelay();
   private readonly openRequests = new Set<RelayedRequest>();
   private readonly callerResponses: CallerResponses;
   private readonly finalResponses: FinalResponses;
@@ -106,7 +106,7 @@
       registry: this.deps.registry,
       tuning: this.deps.tuning,
       clock: this.deps.clock,
-      standstill: this.standstill,
+      resumeDelay: this.resumeDelay,
       selectionFor: (request) => this.selectionFor(request),
     });
 
@@ -123,7 +123,7 @@
       registry: this.deps.registry,
       connectionPool: this.deps.connectionPool,
       watch,
-      standstill: this.standstill,
+      resumeDelay: this.resumeDelay,
       callerResponses: this.callerResponses,
       clock: this.deps.clock,
       log: this.deps.log,
@@ -224,7 +224,7 @@
   /** Sends the request to one worker after another until a response or a decision ends it. */
   private async run(request: RelayedRequest): Promise<void> {
     for (;;) {
-      await this.waitAfterStandstill();
+      await this.waitAfterPause();
       if (isCancelled(request)) return;
       const reserved = await this.queue.reserve(request);
       if (isCancelled(request)) {
@@ -292,18 +292,18 @@
   }
 
   /** Waits after a process pause until the network events that arrived during it have been read. */
-  private async waitAfterStandstill(): Promise<void> {
+  private async waitAfterPause(): Promise<void> {
     for (
-      let until = this.standstill.observe(this.deps.clock.mono());
+      let until = this.resumeDelay.observe(this.deps.clock.mono());
       until !== null;
-      until = this.standstill.observe(this.deps.clock.mono())
+      until = this.resumeDelay.observe(this.deps.clock.mono())
     ) {
       await delay(this.deps.clock, until - this.deps.clock.mono());
     }
   }
 
   tick(): void {
-    this.standstill.observe(this.deps.clock.mono());
+    this.resumeDelay.observe(this.deps.clock.mono());
   }
 
   tally(): RelayTally {
--- a/src/coordination/forwarding/worker-queue.ts
+++ b/src/coordination/forwarding/worker-queue.ts
@@ -3,7 +3,7 @@
  * ordered by urgency. A request that was not sent yet waits for at most a fraction of its route's latency target.
  */
 import type { EdgeTuning } from '../../state/forwarding/edge-tuning.js';
-import type { Standstill } from '../../state/forwarding/standstill.js';
+import type { ResumeDelay } from '../../state/forwarding/resume-delay.js';
 import type {
   RegistryRow,
   Reservation,
@@ -33,7 +33,7 @@
   readonly registry: WorkerRegistry;
   readonly tuning: EdgeTuning;
   readonly clock: Clock;
-  readonly standstill: Standstill;
+  readonly resumeDelay: ResumeDelay;
   readonly selectionFor: (request: RelayedRequest) => SelectionRequest;
 };
 
@@ -127,7 +127,7 @@
   }
 
   wake(): void {
-    if (this.isWaking || this.deps.standstill.observe(this.deps.clock.mono()) !== null) return;
+    if (this.isWaking || this.deps.resumeDelay.observe(this.deps.clock.mono()) !== null) return;
     this.isWaking = true;
     for (const waiter of [...this.waiters]) {
       const reserved = this.tryReserve(waiter.request);
--- a/src/coordination/scaling/worker-list-role.ts
+++ b/src/coordination/scaling/worker-list-role.ts
@@ -170,7 +170,7 @@
   }
 
   private onFollow(message: MessageOf<'listFollow'>, peer: Peer): Message {
-    this.updates.detectStandstill();
+    this.updates.detectProcessPause();
     const isKnown = this.followerContactAt.has(peer);
     this.followerContactAt.set(peer, this.deps.clock.mono());
 
@@ -248,7 +248,7 @@
     );
     const response = await withTimeout(this.deps.clock, this.pace.readTimeoutMs, this.deps.reader.read());
     slowReadTimer.cancel();
-    this.updates.detectStandstill();
+    this.updates.detectProcessPause();
     if (this.stopped) return;
     if (
       this.deps.clock.mono() - startedAt > PROCESS_PAUSE_MS ||
@@ -272,7 +272,7 @@
   private async runTick(): Promise<void> {
     if (this.stopped || this.isTicking) return;
     this.isTicking = true;
-    this.updates.detectStandstill();
+    this.updates.detectProcessPause();
     if (!this.isReader) await this.queryControllers();
     if (this.stopped) return;
     if (!this.isReader && this.updates.isFresh()) this.scheduleTakeover();
--- a/src/sim/edge-day.test.ts
+++ b/src/sim/edge-day.test.ts
@@ -61,11 +61,11 @@
 
   test('a proxy that goes on at once after a standstill', async () => {
     jest.resetModules();
-    jest.unstable_mockModule('../state/forwarding/standstill.js', () => ({
-      createStandstill: () => ({ observe: () => null }),
+    jest.unstable_mockModule('../state/forwarding/resume-delay.js', () => ({
+      createResumeDelay: () => ({ observe: () => null }),
     }));
     const broken = await import('../coordination/forwarding/relay.js');
     expect(await rulesBroken({ createRelay: broken.createRelay })).toContain('gone');
-    jest.unstable_unmockModule('../state/forwarding/standstill.js');
+    jest.unstable_unmockModule('../state/forwarding/resume-delay.js');
   });
 });
