--- a/standin-platform/check-requests.ts
+++ b/standin-platform/check-requests.ts
@@ -1,172 +1,197 @@
-import type { Facts, Note, Request, Visit } from './facts.js';
+/** Rules on requests, their responses and streams. */
+import type { Facts, ReportViolation, Request, Visit } from './facts.js';
 import { onlyOf } from './records.js';
 import type { Answered, EventSeen } from './records.js';
 
-const PROMISES: readonly number[] = [408, 421, 429, 503];
-const BREAKS: readonly string[] = ['brokenOff', 'spoiled', 'crashed'];
-/** What a proxy takes later than this after it was told to stop has to end, however long its worker is at work. */
-const LATE_AFTER_STOP_MS = 3_000;
-const NOT_DENIED: readonly number[] = [408, 421, 429];
+/** With these statuses a proxy promises that the request did not run and will not run. */
+const NOT_RUN_STATUSES: readonly number[] = [408, 421, 429, 503];
+/** Ends of a run that are failures of the worker. */
+const FAILURE_ENDS: readonly string[] = ['brokenOff', 'spoiled', 'crashed'];
+/** A request that a proxy accepts more than this long after SIGTERM has to complete, however long its worker takes. */
+const LATE_REQUEST_AFTER_STOP_MS = 3_000;
+/** Client error statuses that a proxy may send to a valid request. */
+const NOT_COUNTED_AS_DENIED: readonly number[] = [408, 421, 429];
 
-export function checkMixed(facts: Facts, note: Note): void {
+/** MIXED: a caller gets the complete response to its own request, or can tell that it did not. */
+export function checkMixed(facts: Facts, report: ReportViolation): void {
   for (const stray of onlyOf(facts.records, 'stray')) {
     const status = /^HTTP\/1\.[01] (\d)/.exec(stray.text)?.[1];
     if (stray.attempt !== null || status === undefined)
-      note('MIXED', `${stray.edge} sent bytes that are no answer: ${JSON.stringify(stray.text)}`);
-    else if (status === '2') note('MIXED', `${stray.edge} sent a success where no request is waiting`);
+      report('MIXED', `${stray.edge} sent bytes that are no response: ${JSON.stringify(stray.text)}`);
+    else if (status === '2') report('MIXED', `${stray.edge} sent a success where no request is waiting`);
   }
   for (const [id, request] of facts.requests) {
-    const first = request.answered;
-    if (!first || first.status === 0) continue;
-    if (first.echo !== null && first.echo !== id) note('MIXED', `${id} got the answer of ${first.echo}`);
-    if (first.seal === null) {
-      if (first.end === 'whole' && isSuccess(first)) note('MIXED', `${id} got a success without a seal`);
+    const answered = request.answered;
+    if (!answered || answered.status === 0) continue;
+    if (answered.echo !== null && answered.echo !== id) report('MIXED', `${id} got the response to ${answered.echo}`);
+    if (answered.seal === null) {
+      if (answered.end === 'whole' && isSuccess(answered)) report('MIXED', `${id} got a success without a seal`);
       continue;
     }
-    const value = facts.bySeal.get(first.seal);
-    if (!value || value.arrived.attempt !== id) note('MIXED', `${id} got the seal of another request`);
-    else if (first.end === 'whole') wholeOf(id, first, value, note);
-    for (const eventSeen of first.events)
+    const visit = facts.bySeal.get(answered.seal);
+    if (!visit || visit.arrived.attempt !== id) report('MIXED', `${id} got the seal of another request`);
+    else if (answered.end === 'whole') checkCompleteResponse(id, answered, visit, report);
+    for (const eventSeen of answered.events)
       if (facts.bySeal.get(eventSeen.run)?.arrived.attempt !== id)
-        note('MIXED', `${id} got an event of another request`);
+        report('MIXED', `${id} got an event of another request`);
   }
 }
 
-function wholeOf(id: string, answered: Answered, visit: Visit, note: Note): void {
-  const done = visit.finished;
-  if (runsIn(answered.events).size > 1) return;
-  if (!done || done.status !== answered.status) {
-    note('MIXED', `${id} got ${answered.status} where the worker gave ${done?.status ?? 'nothing'}`);
+function checkCompleteResponse(id: string, answered: Answered, visit: Visit, report: ReportViolation): void {
+  const finished = visit.finished;
+  if (runIds(answered.events).size > 1) return;
+  if (!finished || finished.status !== answered.status) {
+    report('MIXED', `${id} got ${answered.status}, but the worker sent ${finished?.status ?? 'nothing'}`);
     return;
   }
-  if (answered.digest !== done.digest) note('MIXED', `${id} got a body that isn't the worker's whole body`);
+  if (answered.digest !== finished.digest)
+    report('MIXED', `${id} got a body that differs from the worker's complete body`);
 }
 function isSuccess(answered: Answered): boolean {
   return answered.status >= 200 && answered.status < 300;
 }
-function runsIn(events: readonly EventSeen[]): ReadonlySet<string> {
-  const out = new Set<string>();
-  for (const eventSeen of events) out.add(eventSeen.run);
-  return out;
+function runIds(events: readonly EventSeen[]): ReadonlySet<string> {
+  const ids = new Set<string>();
+  for (const eventSeen of events) ids.add(eventSeen.run);
+  return ids;
 }
 
-export function checkUnasked(facts: Facts, note: Note): void {
+/** UNASKED: a worker runs only what a caller sent, unchanged. */
+export function checkUnasked(facts: Facts, report: ReportViolation): void {
   for (const visit of facts.visits) {
     if (!visit.ran) continue;
     const asked = facts.requests.get(visit.ran.attempt)?.asked;
-    if (!asked) note('UNASKED', `${visit.arrived.worker} ran ${visit.ran.attempt}, which no caller sent`);
+    if (!asked) report('UNASKED', `${visit.arrived.worker} ran ${visit.ran.attempt}, which no caller sent`);
     else if (asked.method !== visit.arrived.method || asked.path !== visit.arrived.path)
-      note('UNASKED', `${visit.ran.attempt} ran as ${visit.arrived.method} ${visit.arrived.path}`);
-    else if (asked.digest !== visit.ran.digest) note('UNASKED', `${visit.ran.attempt} ran with a changed body`);
+      report('UNASKED', `${visit.ran.attempt} ran as ${visit.arrived.method} ${visit.arrived.path}`);
+    else if (asked.digest !== visit.ran.digest) report('UNASKED', `${visit.ran.attempt} ran with a changed body`);
   }
 }
 
-export function checkTwice(facts: Facts, note: Note): void {
+/** TWICE: a request that is not repeatable runs at most once. */
+export function checkTwice(facts: Facts, report: ReportViolation): void {
   for (const [id, request] of facts.requests) {
     const runs = request.visits.filter(hasRun).length;
-    if (runs > 1 && !facts.repeatable(request.asked)) note('TWICE', `${id} ran ${runs} times`);
+    if (runs > 1 && !facts.repeatable(request.asked)) report('TWICE', `${id} ran ${runs} times`);
   }
 }
 function hasRun(visit: Visit): boolean {
   return visit.ran !== null;
 }
 
-export function checkRefused(facts: Facts, note: Note): void {
+/** REFUSED: a request answered with a status of NOT_RUN_STATUSES does not run, unless it is repeatable. */
+export function checkRefused(facts: Facts, report: ReportViolation): void {
   for (const [id, request] of facts.requests) {
     const status = request.answered?.status ?? 0;
-    if (PROMISES.includes(status) && request.visits.some(hasRun) && !facts.repeatable(request.asked))
-      note('REFUSED', `${id} was answered ${status}, and it runs`);
+    if (NOT_RUN_STATUSES.includes(status) && request.visits.some(hasRun) && !facts.repeatable(request.asked))
+      report('REFUSED', `${id} was answered ${status}, but it ran`);
   }
 }
 
-export function checkDenied(facts: Facts, note: Note): void {
+/** DENIED: proxies in contact with the core answer hardly any valid request with a 3xx or 4xx status. */
+export function checkDenied(facts: Facts, report: ReportViolation): void {
   let denied = 0;
-  let all = 0;
+  let total = 0;
   for (const request of facts.requests.values()) {
     if (request.asked.direct || !facts.inTouch(request.asked.edge, request.asked.at)) continue;
-    all += 1;
-    const first = request.answered;
+    total += 1;
+    const answered = request.answered;
     if (
-      first &&
-      first.seal === null &&
-      first.status >= 300 &&
-      first.status < 500 &&
-      !NOT_DENIED.includes(first.status) &&
+      answered &&
+      answered.seal === null &&
+      answered.status >= 300 &&
+      answered.status < 500 &&
+      !NOT_COUNTED_AS_DENIED.includes(answered.status) &&
       facts.mappings(request.asked).length === facts.versions.length
     )
       denied += 1;
   }
-  if (denied > 5 + all / 500) note('DENIED', `${denied} of ${all} proper requests were denied`);
+  if (denied > 5 + total / 500) report('DENIED', `${denied} of ${total} valid requests were denied`);
 }
 
-export function checkOrder(facts: Facts, note: Note): void {
+/** ORDER: the pieces of a stream arrive in order, each once, and it ends as complete only after the last one. */
+export function checkOrder(facts: Facts, report: ReportViolation): void {
   for (const [id, request] of facts.requests) {
-    const first = request.answered;
-    if (!first || first.events.length === 0) continue;
-    let before: EventSeen | null = null;
-    for (const eventSeen of first.events) {
-      const from = before === null ? request.asked.lastEvent : before.id;
-      const due = before === null ? nextAfter(eventSeen, from) : before.n + 1;
-      if (eventSeen.n !== due) note('ORDER', `${id} got piece ${eventSeen.n} where ${due} was due`);
-      if (before !== null && before.run !== eventSeen.run && !resumedAt(facts, request, eventSeen, before))
-        note('ORDER', `${id} got pieces of two runs joined at ${eventSeen.n}`);
-      before = eventSeen;
+    const answered = request.answered;
+    if (!answered || answered.events.length === 0) continue;
+    let previous: EventSeen | null = null;
+    for (const eventSeen of answered.events) {
+      const lastId = previous === null ? request.asked.lastEvent : previous.id;
+      const expected = previous === null ? nextPieceNumber(eventSeen, lastId) : previous.n + 1;
+      if (eventSeen.n !== expected) report('ORDER', `${id} got piece ${eventSeen.n} where ${expected} was expected`);
+      if (previous !== null && previous.run !== eventSeen.run && !isResumedAt(facts, request, eventSeen, previous))
+        report('ORDER', `${id} got pieces of two runs joined wrongly at ${eventSeen.n}`);
+      previous = eventSeen;
     }
-    if (before && first.end === 'whole' && isSuccess(first) && before.n !== before.of)
-      note('ORDER', `${id} ended as complete at ${before.n} of ${before.of}`);
+    if (previous && answered.end === 'whole' && isSuccess(answered) && previous.n !== previous.of)
+      report('ORDER', `${id} ended as a complete response after piece ${previous.n} of ${previous.of}`);
   }
 }
-function nextAfter(eventSeen: EventSeen, lastEvent: number): number {
+function nextPieceNumber(eventSeen: EventSeen, lastEvent: number): number {
   return lastEvent === 0 ? 1 : (lastEvent * eventSeen.n) / eventSeen.id + 1;
 }
-function resumedAt(facts: Facts, request: Request, eventSeen: EventSeen, before: EventSeen): boolean {
-  return facts.repeatable(request.asked) && facts.bySeal.get(eventSeen.run)?.arrived.lastEvent === before.id;
+/** Whether the second run continued right after the last event of the first one, as the route allows. */
+function isResumedAt(facts: Facts, request: Request, eventSeen: EventSeen, previous: EventSeen): boolean {
+  return facts.repeatable(request.asked) && facts.bySeal.get(eventSeen.run)?.arrived.lastEvent === previous.id;
 }
 
-export function checkLostRequests(facts: Facts, note: Note): void {
+/**
+ * LOST: a proxy that stops on SIGTERM truncates no response. It does not count if the worker failed, if another fault
+ * was near, if the request reached no worker and ended within `lossSlackMs` after it was sent, or, in the second half
+ * of the grace period, if the proxy accepted the request early and passed it to a worker.
+ */
+export function checkLostRequests(facts: Facts, report: ReportViolation): void {
   const { gracePeriodS, lossSlackMs, contactMs } = facts.bounds;
   const planned = onlyOf(facts.records, 'planned');
-  for (const plan of planned) {
-    if (plan.fault !== 'term' || plan.core) continue;
+  for (const stop of planned) {
+    if (stop.fault !== 'term' || stop.core) continue;
     for (const [id, request] of facts.requests) {
-      const first = request.answered;
+      const answered = request.answered;
       if (
-        request.asked.edge !== plan.edge ||
-        first?.end !== 'cut' ||
-        first.at < plan.at ||
-        request.asked.at > plan.at + gracePeriodS * 1_000 + 1_000
+        request.asked.edge !== stop.edge ||
+        answered?.end !== 'cut' ||
+        answered.at < stop.at ||
+        request.asked.at > stop.at + gracePeriodS * 1_000 + 1_000
       )
         continue;
-      if (planned.some(isUnplanned) || facts.visits.some(brokeOff)) continue;
-      const passedOn = request.visits.length > 0;
-      const stillAtWork =
-        passedOn && first.at > plan.at + gracePeriodS * 500 && request.asked.at <= plan.at + LATE_AFTER_STOP_MS;
-      if (!stillAtWork && (passedOn || (request.sentAt !== null && first.at > request.sentAt + lossSlackMs)))
-        note('LOST', `${id} was cut by ${plan.edge} while that one was being stopped`);
-      function isUnplanned(other: (typeof planned)[number]): boolean {
+      if (planned.some(isOtherFault) || facts.visits.some(isWorkerFailure)) continue;
+      const reachedWorker = request.visits.length > 0;
+      const mayBeTruncated =
+        reachedWorker &&
+        answered.at > stop.at + gracePeriodS * 500 &&
+        request.asked.at <= stop.at + LATE_REQUEST_AFTER_STOP_MS;
+      if (!mayBeTruncated && (reachedWorker || (request.sentAt !== null && answered.at > request.sentAt + lossSlackMs)))
+        report('LOST', `${id} was truncated by ${stop.edge} while that proxy was stopping`);
+      function isOtherFault(other: (typeof planned)[number]): boolean {
         return (
           other.fault !== 'term' &&
           other.fault !== 'start' &&
           other.at > request.asked.at - contactMs &&
-          other.at < (first?.at ?? 0)
+          other.at < (answered?.at ?? 0)
         );
       }
-      function brokeOff(visit: Visit): boolean {
-        return visit.arrived.attempt === id && visit.finished !== null && BREAKS.includes(visit.finished.end);
+      function isWorkerFailure(visit: Visit): boolean {
+        return visit.arrived.attempt === id && visit.finished !== null && FAILURE_ENDS.includes(visit.finished.end);
       }
     }
   }
 }
 
-export function checkRecover(facts: Facts, note: Note): void {
-  const { closingAt, backAt } = facts;
-  if (closingAt === null || backAt === null) return;
-  const before = share(facts, 0, closingAt);
-  const after = share(facts, backAt + facts.bounds.recoveryS * 1_000, Infinity);
-  if (before.all > 0 && after.all > 0 && before.served / before.all >= 0.25 && after.served / after.all < 0.25)
-    note('RECOVER', `${after.served} of ${after.all} were served after the closing fault`);
+/** RECOVER: requests are served again after the final fault, if they were served before it. */
+export function checkRecover(facts: Facts, report: ReportViolation): void {
+  const { finalFaultAt, finalFaultEndedAt } = facts;
+  if (finalFaultAt === null || finalFaultEndedAt === null) return;
+  const beforeFault = servedBetween(facts, 0, finalFaultAt);
+  const afterRecovery = servedBetween(facts, finalFaultEndedAt + facts.bounds.recoveryS * 1_000, Infinity);
+  if (
+    beforeFault.all > 0 &&
+    afterRecovery.all > 0 &&
+    beforeFault.served / beforeFault.all >= 0.25 &&
+    afterRecovery.served / afterRecovery.all < 0.25
+  )
+    report('RECOVER', `${afterRecovery.served} of ${afterRecovery.all} were served after the final fault`);
 }
-function share(facts: Facts, from: number, until: number): { readonly served: number; readonly all: number } {
+function servedBetween(facts: Facts, from: number, until: number): { readonly served: number; readonly all: number } {
   let served = 0;
   let all = 0;
   for (const request of facts.requests.values()) {
--- a/standin-platform/check.test.ts
+++ b/standin-platform/check.test.ts
@@ -7,7 +7,7 @@
 
 const HOST = 'ficu95.example';
 
-function mapping(name: string, model: string, over: Partial<ModelRoute> = {}): ModelRoute {
+function route(name: string, model: string, overrides: Partial<ModelRoute> = {}): ModelRoute {
   return {
     ...MAPPING_DEFAULTS,
     name,
@@ -15,29 +15,38 @@
     prefix: `/${name}/`,
     kind: 'once',
     shares: [{ model, share: 1 }],
-    ...over,
+    ...overrides,
   };
 }
 function document(number: number, mappings: readonly ModelRoute[]): unknown {
   const models = ['llm', 'web'].map((name) => ({ ...MODEL_DEFAULTS, name, coldRateS: 10 }));
   return documentToWire({ number, mappings, models });
 }
-const MAPPINGS = [
-  mapping('once', 'web'),
-  mapping('again', 'web', { kind: 'repeatable' }),
-  mapping('stream', 'llm', { kind: 'stream' }),
-  mapping('resumed', 'llm', { kind: 'stream', resumable: true }),
-  mapping('home', 'web', { homes: ['north'] }),
+const ROUTES = [
+  route('once', 'web'),
+  route('again', 'web', { kind: 'repeatable' }),
+  route('stream', 'llm', { kind: 'stream' }),
+  route('resumed', 'llm', { kind: 'stream', resumable: true }),
+  route('home', 'web', { homes: ['north'] }),
 ];
-const FIRST = document(3, MAPPINGS);
+const FIRST_DOCUMENT = document(3, ROUTES);
 
-function submitted(over: Partial<Submitted> = {}): Submitted {
-  return { what: 'submitted', at: 0, order: 'o-1', number: 3, base: 0, document: FIRST, valid: true, ...over };
+function submitted(overrides: Partial<Submitted> = {}): Submitted {
+  return {
+    what: 'submitted',
+    at: 0,
+    order: 'o-1',
+    number: 3,
+    base: 0,
+    document: FIRST_DOCUMENT,
+    valid: true,
+    ...overrides,
+  };
 }
-function settled(over: Partial<Settled> = {}): Settled {
-  return { what: 'settled', at: 10, order: 'o-1', outcome: 'acknowledged', status: 200, ...over };
+function settled(overrides: Partial<Settled> = {}): Settled {
+  return { what: 'settled', at: 10, order: 'o-1', outcome: 'acknowledged', status: 200, ...overrides };
 }
-function asked(over: Partial<Asked> = {}): Asked {
+function asked(overrides: Partial<Asked> = {}): Asked {
   return {
     what: 'asked',
     at: 5_000,
@@ -53,10 +62,10 @@
     deadlineMs: 6_000,
     lastEvent: 0,
     direct: false,
-    ...over,
+    ...overrides,
   };
 }
-function answered(over: Partial<Answered> = {}): Answered {
+function answered(overrides: Partial<Answered> = {}): Answered {
   return {
     what: 'answered',
     at: 5_030,
@@ -67,10 +76,10 @@
     echo: 'd1',
     digest: 'x',
     events: [],
-    ...over,
+    ...overrides,
   };
 }
-function arrived(over: Partial<Arrived> = {}): Arrived {
+function arrived(overrides: Partial<Arrived> = {}): Arrived {
   return {
     what: 'arrived',
     at: 5_010,
@@ -88,17 +97,17 @@
     lastEvent: 0,
     probe: false,
     headers: {},
-    ...over,
+    ...overrides,
   };
 }
-function ran(over: Partial<Ran> = {}): Ran {
-  return { what: 'ran', at: 5_010, visit: 'v1', attempt: 'd1', digest: 'b', seal: 's1', ...over };
+function ran(overrides: Partial<Ran> = {}): Ran {
+  return { what: 'ran', at: 5_010, visit: 'v1', attempt: 'd1', digest: 'b', seal: 's1', ...overrides };
 }
-function finished(over: Partial<Finished> = {}): Finished {
-  return { what: 'finished', at: 5_025, visit: 'v1', seal: 's1', status: 200, digest: 'x', end: 'whole', ...over };
+function finished(overrides: Partial<Finished> = {}): Finished {
+  return { what: 'finished', at: 5_025, visit: 'v1', seal: 's1', status: 200, digest: 'x', end: 'whole', ...overrides };
 }
-function life(over: Partial<Life> = {}): Life {
-  return { what: 'life', at: 0, worker: 'w1', model: 'web', zone: 'z1', event: 'started', coldMs: 0, ...over };
+function life(overrides: Partial<Life> = {}): Life {
+  return { what: 'life', at: 0, worker: 'w1', model: 'web', zone: 'z1', event: 'started', coldMs: 0, ...overrides };
 }
 function event(n: number, run = 's1', of = 3): { id: number; run: string; n: number; of: number } {
   return { id: n * 5, run, n, of };
@@ -123,32 +132,35 @@
   ran({ visit: 'v2', seal: 's2' }),
   finished({ visit: 'v2', seal: 's2', digest: 'y' }),
 ];
-const SECOND = document(8, [mapping('once', 'llm'), ...MAPPINGS.slice(1)]);
-const MOVED: readonly Rec[] = [
+const SECOND_DOCUMENT = document(8, [route('once', 'llm'), ...ROUTES.slice(1)]);
+const RECONFIGURED: readonly Rec[] = [
   ...START,
-  submitted({ order: 'o-2', number: 8, base: 3, document: SECOND, at: 1_000 }),
+  submitted({ order: 'o-2', number: 8, base: 3, document: SECOND_DOCUMENT, at: 1_000 }),
   settled({ order: 'o-2', at: 1_010 }),
 ];
 
-function many(n: number, make: (k: number) => readonly Rec[]): readonly Rec[] {
-  return Array.from({ length: n }, (_, k) => make(k)).flat();
+function repeated(n: number, recordsOf: (k: number) => readonly Rec[]): readonly Rec[] {
+  return Array.from({ length: n }, (_, k) => recordsOf(k)).flat();
 }
 
-describe('the judge', () => {
-  const clean: readonly (readonly [string, readonly Rec[]])[] = [
+describe('the rule checks', () => {
+  const validRecords: readonly (readonly [string, readonly Rec[]])[] = [
     ['a served request', SERVED],
     [
-      'a worker failure told as it is',
+      'a worker error passed on unchanged',
       [...START, asked(), arrived(), ran(), finished({ status: 500 }), answered({ status: 500 })],
     ],
-    ['a whole stream', [...STREAM, answered({ events: [event(1), event(2), event(3)] })]],
-    ['a stream cut short openly', [...STREAM, answered({ end: 'cut', events: [event(1)] })]],
+    ['a complete stream', [...STREAM, answered({ events: [event(1), event(2), event(3)] })]],
+    [
+      'a truncated stream that the caller can tell from a complete one',
+      [...STREAM, answered({ end: 'cut', events: [event(1)] })],
+    ],
     [
-      'a stream resumed inside one answer',
+      'a stream resumed within one response',
       [...RESUMED, answered({ events: [event(1), event(2, 's2'), event(3, 's2')], digest: 'z' })],
     ],
     [
-      'a stream that the caller took up',
+      'a stream that the caller resumed',
       [
         ...START,
         asked({ path: '/resumed/1', lastEvent: 5 }),
@@ -159,7 +171,7 @@
       ],
     ],
     [
-      'a refusal that never ran',
+      'a rejected request that did not run',
       [
         ...START,
         asked(),
@@ -182,8 +194,8 @@
       ],
     ],
     [
-      'a request on the old model while the change is young',
-      [...MOVED, asked({ at: 3_000 }), arrived({ at: 3_010 }), ran({ at: 3_010 }), finished(), answered()],
+      'a request on the old model before a change has to be applied',
+      [...RECONFIGURED, asked({ at: 3_000 }), arrived({ at: 3_010 }), ran({ at: 3_010 }), finished(), answered()],
     ],
     [
       'arrivals at a worker within the drain cutoff',
@@ -198,7 +210,7 @@
       ],
     ],
     [
-      'arrivals late because the list was down',
+      'a late arrival at a leaving worker after an outage of the worker list',
       [
         ...START,
         { what: 'listed', at: 500, worker: 'w1', phase: 'draining' },
@@ -224,7 +236,7 @@
       ],
     ],
     [
-      'an evacuation taken back',
+      'an arrival after the evacuation was ended',
       [
         ...START,
         { what: 'evacuated', at: 10, order: 'e-1', zone: 'z1', begin: true },
@@ -238,7 +250,7 @@
       ],
     ],
     [
-      'an answer cut by a crash of its worker while the edge is being stopped',
+      'a response truncated by a crash of its worker while the proxy is stopping',
       [
         ...START,
         asked(),
@@ -249,58 +261,65 @@
         answered({ end: 'cut' }),
       ],
     ],
-    ['the newest read back', [...MOVED, { what: 'readBack', at: 9_000, document: SECOND }]],
     [
-      'a race with one winner',
+      'the newest configuration read back',
+      [...RECONFIGURED, { what: 'readBack', at: 9_000, document: SECOND_DOCUMENT }],
+    ],
+    [
+      'two concurrent changes of which one is acknowledged',
       [
         ...START,
         submitted({ order: 'o-2', number: 5, base: 3 }),
-        submitted({ order: 'o-3', number: 8, base: 3, document: SECOND }),
+        submitted({ order: 'o-3', number: 8, base: 3, document: SECOND_DOCUMENT }),
         settled({ order: 'o-2', outcome: 'refused', status: 412 }),
         settled({ order: 'o-3' }),
       ],
     ],
     [
-      'a 404 for what no version holds',
+      'a 404 for a path that no version routes',
       [...START, asked({ path: '/never/1', direct: true }), answered({ status: 404, seal: null })],
     ],
     [
-      'a late closing word on an idle connection',
+      'a 408 on an idle connection',
       [...SERVED, { what: 'stray', at: 9_000, edge: 'e1', attempt: null, text: 'HTTP/1.1 408 Request Timeout\r\n' }],
     ],
   ];
-  test.each(clean)('holds its peace over %s', (_what, records) => {
+  test.each(validRecords)('report nothing for %s', (_what, records) => {
     expect(judge(records)).toEqual([]);
   });
 
-  const broken: readonly (readonly [string, string, readonly Rec[]])[] = [
+  const violations: readonly (readonly [string, string, readonly Rec[]])[] = [
     ['MIXED', 'a success without a seal', [...SERVED.slice(0, -1), answered({ seal: null })]],
-    ['MIXED', 'a body that is not whole', [...SERVED.slice(0, -1), answered({ digest: 'half' })]],
-    ['MIXED', 'a failure told as a success', [...SERVED.slice(0, -2), finished({ status: 500 }), answered()]],
+    ['MIXED', 'a body that differs from that of the worker', [...SERVED.slice(0, -1), answered({ digest: 'half' })]],
+    ['MIXED', 'a worker error passed on as a success', [...SERVED.slice(0, -2), finished({ status: 500 }), answered()]],
     [
       'MIXED',
-      'an answer that was broken off, told as whole',
+      'a truncated response passed on as complete',
       [...SERVED.slice(0, -2), finished({ end: 'brokenOff' }), answered({ digest: 'half' })],
     ],
-    ['MIXED', "another's echo", [...SERVED.slice(0, -1), answered({ echo: 'd9' })]],
-    ['MIXED', "another's seal", [...SERVED, asked({ attempt: 'd2' }), answered({ attempt: 'd2', echo: 'd2' })]],
+    ['MIXED', "the echo of another request's attempt ID", [...SERVED.slice(0, -1), answered({ echo: 'd9' })]],
     [
       'MIXED',
-      "another's seal on a cut answer",
+      'the seal of another request',
+      [...SERVED, asked({ attempt: 'd2' }), answered({ attempt: 'd2', echo: 'd2' })],
+    ],
+    [
+      'MIXED',
+      'the seal of another request on a truncated response',
       [...SERVED, asked({ attempt: 'd2' }), answered({ attempt: 'd2', echo: 'd2', end: 'cut' })],
     ],
-    ['MIXED', "another's event", [...STREAM, answered({ events: [event(1), event(2, 's7'), event(3)] })]],
+    ['MIXED', 'an event of another request', [...STREAM, answered({ events: [event(1), event(2, 's7'), event(3)] })]],
     [
       'MIXED',
-      'a success where none is waiting',
+      'a success while no request is pending',
       [...SERVED, { what: 'stray', at: 9_000, edge: 'e1', attempt: null, text: 'HTTP/1.1 200 OK\r\n' }],
     ],
     [
       'MIXED',
-      'bytes that are no answer',
+      'bytes that are no response',
       [...SERVED, { what: 'stray', at: 9_000, edge: 'e1', attempt: 'waiting', text: '\u0001\u0002' }],
     ],
-    ['UNASKED', 'a run of an unknown dispatch', [...START, arrived({ attempt: 'd9' }), ran({ attempt: 'd9' })]],
+    ['UNASKED', 'a run of an unknown attempt', [...START, arrived({ attempt: 'd9' }), ran({ attempt: 'd9' })]],
     ['UNASKED', 'a changed path', [...START, asked(), arrived({ path: '/once/2' }), ran(), finished(), answered()]],
     ['UNASKED', 'a changed method', [...START, asked(), arrived({ method: 'PUT' }), ran(), finished(), answered()]],
     ['UNASKED', 'a changed body', [...START, asked(), arrived(), ran({ digest: 'c' }), finished(), answered()]],
@@ -315,18 +334,22 @@
         answered({ end: 'cut' }),
       ],
     ],
-    ['REFUSED', 'refused, though it ran', [...SERVED.slice(0, -1), answered({ status: 503, seal: null })]],
     [
       'REFUSED',
-      'refused, and it runs later',
+      'a request answered as not run although it ran',
+      [...SERVED.slice(0, -1), answered({ status: 503, seal: null })],
+    ],
+    [
+      'REFUSED',
+      'a request answered as not run that runs later',
       [...START, asked(), answered({ status: 429, seal: null }), arrived({ at: 6_000 }), ran({ at: 6_000 })],
     ],
     [
       'DENIED',
-      'proper requests answered 400',
+      'valid requests answered 400',
       [
         ...START,
-        ...many(6, (k) => [
+        ...repeated(6, (k) => [
           asked({ attempt: `d${k}` }),
           answered({ attempt: `d${k}`, status: 400, seal: null, echo: null }),
         ]),
@@ -334,12 +357,12 @@
     ],
     [
       'ROUTE',
-      'a model that no version names',
+      'a run on a model that no version routes to',
       [...START, asked(), arrived({ model: 'other' }), ran(), finished(), answered()],
     ],
     [
       'DRAIN',
-      'an arrival past the cutoff',
+      'an arrival after the cutoff',
       [
         ...START,
         { what: 'listed', at: 900, worker: 'w1', phase: 'draining' },
@@ -352,7 +375,7 @@
     ],
     [
       'DRAIN',
-      'a refused arrival past the cutoff',
+      'a rejected arrival after the cutoff',
       [
         ...START,
         { what: 'listed', at: 900, worker: 'w1', phase: 'gone' },
@@ -362,14 +385,18 @@
         answered({ status: 503, seal: null }),
       ],
     ],
-    ['CONFIG', 'run by the old model past the bound', [...MOVED, asked(), arrived(), ran(), finished(), answered()]],
-    ['CONFIG', 'a 404 where the mapping is there', [...START, asked(), answered({ status: 404, seal: null })]],
     [
       'CONFIG',
-      'a dropped mapping is served',
+      'a run on the old model after a change had to be applied',
+      [...RECONFIGURED, asked(), arrived(), ran(), finished(), answered()],
+    ],
+    ['CONFIG', 'a 404 for a path that is routed', [...START, asked(), answered({ status: 404, seal: null })]],
+    [
+      'CONFIG',
+      'a request served on a removed route',
       [
         ...START,
-        submitted({ order: 'o-2', number: 8, base: 3, document: document(8, MAPPINGS.slice(1)), at: 1_000 }),
+        submitted({ order: 'o-2', number: 8, base: 3, document: document(8, ROUTES.slice(1)), at: 1_000 }),
         settled({ order: 'o-2', at: 1_010 }),
         asked(),
         arrived(),
@@ -380,9 +407,9 @@
     ],
     [
       'CONFIG',
-      'an edge that goes back',
+      'a proxy that reverts to an older version',
       [
-        ...MOVED,
+        ...RECONFIGURED,
         asked({ at: 2_000 }),
         arrived({ at: 2_010, model: 'llm' }),
         ran({ at: 2_010 }),
@@ -397,20 +424,24 @@
     ],
     [
       'CONFIG',
-      'an invalid one is acknowledged',
+      'an acknowledged invalid change',
       [...START, submitted({ order: 'o-2', number: 4, base: 3, valid: false }), settled({ order: 'o-2' })],
     ],
     [
       'CONFIG',
-      'two winners of a race',
-      [...MOVED, submitted({ order: 'o-3', number: 9, base: 3, document: document(9, []) }), settled({ order: 'o-3' })],
+      'two acknowledged changes on the same base',
+      [
+        ...RECONFIGURED,
+        submitted({ order: 'o-3', number: 9, base: 3, document: document(9, []) }),
+        settled({ order: 'o-3' }),
+      ],
     ],
     [
       'CONFIG',
-      'a refused one in force',
+      'a rejected change in force',
       [
         ...START,
-        submitted({ order: 'o-2', number: 8, base: 3, document: SECOND, at: 1_000 }),
+        submitted({ order: 'o-2', number: 8, base: 3, document: SECOND_DOCUMENT, at: 1_000 }),
         settled({ order: 'o-2', at: 1_010, outcome: 'refused', status: 412 }),
         asked(),
         arrived({ model: 'llm' }),
@@ -419,25 +450,29 @@
         answered(),
       ],
     ],
-    ['CONFIG', 'an older one is read back', [...MOVED, { what: 'readBack', at: 9_000, document: FIRST }]],
-    ['CONFIG', 'nothing is read back', [...MOVED, { what: 'readBack', at: 9_000, document: null }]],
     [
       'CONFIG',
-      'something else is read back',
-      [...MOVED, { what: 'readBack', at: 9_000, document: document(8, MAPPINGS) }],
+      'an older version read back',
+      [...RECONFIGURED, { what: 'readBack', at: 9_000, document: FIRST_DOCUMENT }],
+    ],
+    ['CONFIG', 'no configuration read back', [...RECONFIGURED, { what: 'readBack', at: 9_000, document: null }]],
+    [
+      'CONFIG',
+      'a different document read back',
+      [...RECONFIGURED, { what: 'readBack', at: 9_000, document: document(8, ROUTES) }],
     ],
     [
       'LOST',
-      'an acknowledged one is gone after the closing fault',
+      'an acknowledged version lost in the final fault',
       [
-        ...MOVED,
+        ...RECONFIGURED,
         { what: 'planned', at: 8_000, edge: 'h1', core: true, fault: 'closing' },
-        { what: 'readBack', at: 9_000, document: FIRST },
+        { what: 'readBack', at: 9_000, document: FIRST_DOCUMENT },
       ],
     ],
     [
       'LOST',
-      'an answer cut by an edge being stopped',
+      'a response truncated by a stopping proxy',
       [
         ...START,
         asked(),
@@ -450,7 +485,7 @@
     ],
     [
       'LOST',
-      'a run dropped by an edge being stopped',
+      'a run aborted by a stopping proxy',
       [
         ...START,
         asked(),
@@ -463,7 +498,7 @@
     ],
     [
       'LOST',
-      'a run cut at the end of an edge that took it late',
+      'a run aborted at the exit of a proxy that accepted it long after SIGTERM',
       [
         ...START,
         { what: 'planned', at: 5_005, edge: 'e1', core: false, fault: 'term' },
@@ -476,31 +511,31 @@
     ],
     [
       'ACKS',
-      'a proper order left without a clear answer',
+      'a valid change without a clear outcome',
       [
         ...START,
-        submitted({ order: 'o-2', number: 8, base: 3, document: SECOND, at: 1_000 }),
+        submitted({ order: 'o-2', number: 8, base: 3, document: SECOND_DOCUMENT, at: 1_000 }),
         settled({ order: 'o-2', at: 6_100, outcome: 'unclear', status: 503 }),
       ],
     ],
     [
       'BUDGET',
-      'too many further arrivals',
+      'too many retries',
       [
         ...START,
         asked({ path: '/again/1' }),
-        ...many(60, (k) => [
+        ...repeated(60, (k) => [
           arrived({ at: 5_010 + k, path: '/again/1', visit: `v${k}` }),
           { what: 'refused', at: 5_010 + k, visit: `v${k}`, status: 503 } as const,
         ]),
       ],
     ],
     ['ORDER', 'a missing piece', [...STREAM, answered({ events: [event(1), event(3)] })]],
-    ['ORDER', 'a piece twice', [...STREAM, answered({ events: [event(1), event(1), event(2), event(3)] })]],
-    ['ORDER', 'an early end told as complete', [...STREAM, answered({ events: [event(1), event(2)] })]],
+    ['ORDER', 'a repeated piece', [...STREAM, answered({ events: [event(1), event(1), event(2), event(3)] })]],
+    ['ORDER', 'an early end passed on as complete', [...STREAM, answered({ events: [event(1), event(2)] })]],
     [
       'ORDER',
-      'two runs joined where it may not be resumed',
+      'two runs joined in a stream that is not resumable',
       [
         ...STREAM,
         arrived({ path: '/stream/1', model: 'llm', visit: 'v2', lastEvent: 5 }),
@@ -510,21 +545,24 @@
     ],
     [
       'ORDER',
-      'a run joined that did not go on from there',
+      'a joined run that did not continue after the last event',
       [...RESUMED, answered({ events: [event(1), event(2), event(3, 's2')] })],
     ],
     [
       'FAILBACK',
-      'a cold worker pressed',
+      'too many requests at a cold worker',
       [
         ...START,
         life({ event: 'cold', at: 5_000, coldMs: 3_000 }),
-        ...many(25, (k) => [asked({ attempt: `d${k}` }), arrived({ at: 5_100 + k, attempt: `d${k}`, visit: `v${k}` })]),
+        ...repeated(25, (k) => [
+          asked({ attempt: `d${k}` }),
+          arrived({ at: 5_100 + k, attempt: `d${k}`, visit: `v${k}` }),
+        ]),
       ],
     ],
     [
       'HOME',
-      'an arrival outside the homes',
+      'an arrival outside the home regions',
       [
         ...START,
         asked({ path: '/home/1' }),
@@ -535,7 +573,7 @@
     ],
     [
       'EVAC',
-      'an arrival in an emptied zone',
+      'an arrival in an evacuated zone',
       [
         ...START,
         { what: 'evacuated', at: 10, order: 'e-1', zone: 'z1', begin: true },
@@ -549,7 +587,7 @@
     ],
     [
       'EVAC',
-      'an arrival in an emptied zone long past the bound, though the core is unsettled',
+      'an arrival in an evacuated zone long after the time limit, even while the core is unstable',
       [
         ...START,
         { what: 'planned', at: 0, edge: 'c1', core: true, fault: 'start' },
@@ -567,7 +605,7 @@
     ],
     [
       'RECOVER',
-      'nothing served after the closing fault',
+      'no request served after the final fault',
       [
         ...SERVED,
         { what: 'planned', at: 8_000, edge: 'h1', core: true, fault: 'closing' },
@@ -577,11 +615,11 @@
       ],
     ],
   ];
-  test.each(broken)('sees %s: %s', (rule, _what, records) => {
+  test.each(violations)('report %s: %s', (rule, _what, records) => {
     expect(brokenRules(judge(records))).toContain(rule);
   });
 
-  test('leaves an edge out that was not in touch', () => {
+  test('skip a proxy that was not in contact with the core', () => {
     const killed: Rec = { what: 'planned', at: 4_000, edge: 'e1', core: false, fault: 'kill' };
     const late: readonly Rec[] = [
       ...START,
--- a/standin-platform/check.ts
+++ b/standin-platform/check.ts
@@ -1,3 +1,4 @@
+/** Checks the records of a run against all rules. */
 import { checkAcks, checkConfig, checkRoute } from './check-config.js';
 import {
   checkDenied,
@@ -10,11 +11,11 @@
   checkUnasked,
 } from './check-requests.js';
 import { checkBudget, checkDrain, checkEvac, checkFailback, checkHome } from './check-workers.js';
-import { BOUNDS, gather } from './facts.js';
-import type { Bounds, Verdict } from './facts.js';
+import { BOUNDS, collectFacts } from './facts.js';
+import type { Bounds, RuleViolation } from './facts.js';
 import type { Rec } from './records.js';
 
-const JUDGES = [
+const RULE_CHECKS = [
   checkMixed,
   checkUnasked,
   checkTwice,
@@ -33,19 +34,21 @@
   checkRecover,
 ] as const;
 
-export function judge(records: readonly Rec[], bounds: Bounds = BOUNDS): readonly Verdict[] {
-  const facts = gather(records, bounds);
-  const out: Verdict[] = [];
-  function note(rule: string, text: string): void {
-    out.push({ rule, text });
+/** Checks all rules and returns the violations. */
+export function judge(records: readonly Rec[], bounds: Bounds = BOUNDS): readonly RuleViolation[] {
+  const facts = collectFacts(records, bounds);
+  const violations: RuleViolation[] = [];
+  function report(rule: string, text: string): void {
+    violations.push({ rule, text });
   }
-  for (const look of JUDGES) look(facts, note);
-  return out;
+  for (const check of RULE_CHECKS) check(facts, report);
+  return violations;
 }
 
-export function brokenRules(verdicts: readonly Verdict[]): readonly string[] {
-  return [...new Set(verdicts.map(ruleOf))].sort();
+/** The names of the violated rules, sorted, each once. */
+export function brokenRules(violations: readonly RuleViolation[]): readonly string[] {
+  return [...new Set(violations.map(ruleOf))].sort();
 }
-function ruleOf(verdict: Verdict): string {
-  return verdict.rule;
+function ruleOf(violation: RuleViolation): string {
+  return violation.rule;
 }
--- a/standin-platform/events.ts
+++ b/standin-platform/events.ts
@@ -1,27 +1,31 @@
+/** Writes and parses the server-sent events of streamed responses. */
 import { parsedJson } from '../src/base/parsed-json.js';
 import type { EventSeen } from './records.js';
 
+/** Formats one server-sent event as a stand-in worker sends it. */
 export function eventText(eventSeen: EventSeen): string {
   return `id: ${eventSeen.id}\ndata: ${JSON.stringify({ run: eventSeen.run, n: eventSeen.n, of: eventSeen.of })}\n\n`;
 }
 
+/** Parses server-sent events from response body chunks; `push` returns the number of events completed by the chunk. */
 export type EventReader = { readonly push: (bytes: Buffer) => number; readonly seen: () => readonly EventSeen[] };
 
+/** Creates a reader that buffers an incomplete event until the rest of it arrives. */
 export function createEventReader(): EventReader {
   const events: EventSeen[] = [];
-  let held = '';
+  let pending = '';
 
-  function distribution(bytes: Buffer): number {
-    held += bytes.toString('utf8');
-    const parts = held.split('\n\n');
-    held = parts.pop() ?? '';
-    for (const part of parts) events.push(readEvent(part));
-    return parts.length;
+  function push(bytes: Buffer): number {
+    pending += bytes.toString('utf8');
+    const messages = pending.split('\n\n');
+    pending = messages.pop() ?? '';
+    for (const message of messages) events.push(readEvent(message));
+    return messages.length;
   }
   function seen(): readonly EventSeen[] {
     return events;
   }
-  return { push: distribution, seen };
+  return { push: push, seen };
 }
 
 function readEvent(text: string): EventSeen {
--- a/standin-platform/facts.ts
+++ b/standin-platform/facts.ts
@@ -1,3 +1,4 @@
+/** Joins the records of a run into requests, arrivals, configuration versions and evacuations for the rule checks. */
 import { mappingFor } from './document.js';
 import type { ModelRoute } from './document.js';
 import { contactOf } from './contact.js';
@@ -15,6 +16,7 @@
   Submitted,
 } from './records.js';
 
+/** Limits that the rules check against. The site writes them into the settings file of each node. */
 export type Bounds = {
   readonly contactMs: number;
   readonly ackWithinMs: number;
@@ -33,6 +35,7 @@
   readonly recoveryS: number;
 };
 
+/** The limits of all scenarios and soak runs. */
 export const BOUNDS: Bounds = {
   contactMs: 4_000,
   ackWithinMs: 5_000,
@@ -51,6 +54,7 @@
   recoveryS: 12,
 };
 
+/** The arrival of one attempt at a worker, and what the worker did with it. */
 export type Visit = {
   readonly arrived: Arrived;
   readonly refused: Refused | null;
@@ -58,6 +62,7 @@
   readonly finished: Finished | null;
 };
 
+/** One attempt of a caller, its response, and its arrivals at workers. */
 export type Request = {
   readonly asked: Asked;
   readonly sentAt: number | null;
@@ -65,6 +70,7 @@
   readonly visits: readonly Visit[];
 };
 
+/** A submitted configuration version; `acknowledgedAt` is Infinity if it was not acknowledged. */
 export type Version = {
   readonly number: number;
   readonly document: unknown;
@@ -72,32 +78,44 @@
   readonly acknowledgedAt: number;
 };
 
-export type Order = { readonly submitted: Submitted; readonly settled: Settled | null };
+/** A configuration change submitted by an operator, and its outcome. */
+export type ConfigOrder = { readonly submitted: Submitted; readonly settled: Settled | null };
 
-export type Emptying = { readonly zone: string; readonly from: number; readonly until: number };
+/** The time during which a zone was evacuated, from the acknowledgement on. */
+export type Evacuation = { readonly zone: string; readonly from: number; readonly until: number };
 
+/** The records of a run, joined for the rules. */
 export type Facts = {
   readonly bounds: Bounds;
   readonly records: readonly Rec[];
   readonly requests: ReadonlyMap<string, Request>;
   readonly visits: readonly Visit[];
+  /** Arrivals that ran, by the seal that the worker put on the response. */
   readonly bySeal: ReadonlyMap<string, Visit>;
   readonly versions: readonly Version[];
-  readonly orders: readonly Order[];
-  readonly emptyings: readonly Emptying[];
-  readonly closingAt: number | null;
-  readonly backAt: number | null;
+  readonly orders: readonly ConfigOrder[];
+  readonly evacuations: readonly Evacuation[];
+  /** When controllers were killed at the end of a soak run, and when they were back. */
+  readonly finalFaultAt: number | null;
+  readonly finalFaultEndedAt: number | null;
+  /** Whether the proxy had been in contact with a stable core for the whole contact time before. */
   readonly inTouch: (edge: string, at: number) => boolean;
-  readonly inOuterTouch: (edge: string, from: number, at: number) => boolean;
+  /** Whether the proxy ran and a majority of the core had been up since `from`, even if the core was unstable. */
+  readonly hadMajorityContact: (edge: string, from: number, at: number) => boolean;
+  /** The routes of all accepted versions that match the request. */
   readonly mappings: (asked: Asked) => readonly ModelRoute[];
+  /** Whether any version allows the request to run more than once. */
   readonly repeatable: (asked: Asked) => boolean;
 };
 
-export type Verdict = { readonly rule: string; readonly text: string };
+/** One violation of a rule. */
+export type RuleViolation = { readonly rule: string; readonly text: string };
 
-export type Note = (rule: string, text: string) => void;
+/** Called by a rule check for each violation that it finds. */
+export type ReportViolation = (rule: string, text: string) => void;
 
-export function gather(records: readonly Rec[], bounds: Bounds): Facts {
+/** Joins the records of a run. */
+export function collectFacts(records: readonly Rec[], bounds: Bounds): Facts {
   const visits = visitsOf(records);
   const requests = requestsOf(records, visits);
   const orders = ordersOf(records);
@@ -105,27 +123,27 @@
   const contact = contactOf(records, bounds);
   const bySeal = new Map<string, Visit>();
   for (const visit of visits) if (visit.ran) bySeal.set(visit.ran.seal, visit);
-  const kinds = new Map<string, readonly ModelRoute[]>();
+  const routesByPath = new Map<string, readonly ModelRoute[]>();
 
   function mappings(asked: Asked): readonly ModelRoute[] {
     const key = `${asked.host} ${asked.path}`;
-    const known = kinds.get(key);
-    if (known) return known;
-    const out: ModelRoute[] = [];
+    const cached = routesByPath.get(key);
+    if (cached) return cached;
+    const found: ModelRoute[] = [];
     for (const version of versions) {
-      const m = mappingFor(version.document, asked.host, asked.path);
-      if (m) out.push(m);
+      const route = mappingFor(version.document, asked.host, asked.path);
+      if (route) found.push(route);
     }
-    kinds.set(key, out);
-    return out;
+    routesByPath.set(key, found);
+    return found;
   }
   function repeatable(asked: Asked): boolean {
     for (const modelRoute of mappings(asked))
       if (modelRoute.kind === 'repeatable' || (modelRoute.kind === 'stream' && modelRoute.resumable)) return true;
     return false;
   }
-  function timeOf(error: 'closing' | 'back'): number | null {
-    for (const planned of onlyOf(records, 'planned')) if (planned.fault === error) return planned.at;
+  function firstFaultAt(fault: 'closing' | 'back'): number | null {
+    for (const planned of onlyOf(records, 'planned')) if (planned.fault === fault) return planned.at;
     return null;
   }
   return {
@@ -136,11 +154,11 @@
     bySeal,
     versions,
     orders,
-    emptyings: emptyingsOf(records),
-    closingAt: timeOf('closing'),
-    backAt: timeOf('back'),
+    evacuations: evacuationsOf(records),
+    finalFaultAt: firstFaultAt('closing'),
+    finalFaultEndedAt: firstFaultAt('back'),
     inTouch: contact.inTouch,
-    inOuterTouch: contact.inOuterTouch,
+    hadMajorityContact: contact.inOuterTouch,
     mappings,
     repeatable,
   };
@@ -155,81 +173,91 @@
     if (rec.what === 'ran') ran.set(rec.visit, rec);
     if (rec.what === 'finished') finished.set(rec.visit, rec);
   }
-  const out: Visit[] = [];
+  const visits: Visit[] = [];
   for (const arrived of onlyOf(records, 'arrived')) {
-    const value = arrived.visit;
-    out.push({
+    const id = arrived.visit;
+    visits.push({
       arrived,
-      refused: refused.get(value) ?? null,
-      ran: ran.get(value) ?? null,
-      finished: finished.get(value) ?? null,
+      refused: refused.get(id) ?? null,
+      ran: ran.get(id) ?? null,
+      finished: finished.get(id) ?? null,
     });
   }
-  return out;
+  return visits;
 }
 
 function requestsOf(records: readonly Rec[], visits: readonly Visit[]): ReadonlyMap<string, Request> {
-  const at = new Map<string, Visit[]>();
+  const visitsByAttempt = new Map<string, Visit[]>();
   for (const visit of visits) {
     const id = visit.arrived.attempt;
     if (id === null) continue;
-    const list = at.get(id) ?? [];
+    const list = visitsByAttempt.get(id) ?? [];
     list.push(visit);
-    at.set(id, list);
+    visitsByAttempt.set(id, list);
   }
-  const answered = new Map<string, Answered>();
-  const sent = new Map<string, number>();
+  const answeredByAttempt = new Map<string, Answered>();
+  const sentAtByAttempt = new Map<string, number>();
   for (const rec of records) {
-    if (rec.what === 'answered') answered.set(rec.attempt, rec);
-    if (rec.what === 'sent') sent.set(rec.attempt, rec.at);
+    if (rec.what === 'answered') answeredByAttempt.set(rec.attempt, rec);
+    if (rec.what === 'sent') sentAtByAttempt.set(rec.attempt, rec.at);
   }
-  const out = new Map<string, Request>();
+  const requests = new Map<string, Request>();
   for (const asked of onlyOf(records, 'asked')) {
     const id = asked.attempt;
-    out.set(id, { asked, sentAt: sent.get(id) ?? null, answered: answered.get(id) ?? null, visits: at.get(id) ?? [] });
+    requests.set(id, {
+      asked,
+      sentAt: sentAtByAttempt.get(id) ?? null,
+      answered: answeredByAttempt.get(id) ?? null,
+      visits: visitsByAttempt.get(id) ?? [],
+    });
   }
-  return out;
+  return requests;
 }
 
-function ordersOf(records: readonly Rec[]): readonly Order[] {
-  const settled = settledOf(records);
-  const out: Order[] = [];
+function ordersOf(records: readonly Rec[]): readonly ConfigOrder[] {
+  const settledByOrder = settledOf(records);
+  const orders: ConfigOrder[] = [];
   for (const submitted of onlyOf(records, 'submitted'))
-    out.push({ submitted, settled: settled.get(submitted.order) ?? null });
-  return out;
+    orders.push({ submitted, settled: settledByOrder.get(submitted.order) ?? null });
+  return orders;
 }
 function settledOf(records: readonly Rec[]): ReadonlyMap<string, Settled> {
   const settled = new Map<string, Settled>();
-  for (const fact of onlyOf(records, 'settled')) settled.set(fact.order, fact);
+  for (const record of onlyOf(records, 'settled')) settled.set(record.order, record);
   return settled;
 }
 
-function versionsOf(orders: readonly Order[]): readonly Version[] {
-  const out: Version[] = [];
+function versionsOf(orders: readonly ConfigOrder[]): readonly Version[] {
+  const versions: Version[] = [];
   for (const { submitted, settled } of orders) {
     if (!submitted.valid || settled?.outcome === 'refused') continue;
     const acknowledgedAt = settled?.outcome === 'acknowledged' ? settled.at : Infinity;
-    out.push({ number: submitted.number, document: submitted.document, submittedAt: submitted.at, acknowledgedAt });
+    versions.push({
+      number: submitted.number,
+      document: submitted.document,
+      submittedAt: submitted.at,
+      acknowledgedAt,
+    });
   }
-  return out.sort(byNumber);
+  return versions.sort(byNumber);
 }
 function byNumber(left: Version, right: Version): number {
   return left.number - right.number;
 }
 
-function emptyingsOf(records: readonly Rec[]): readonly Emptying[] {
+function evacuationsOf(records: readonly Rec[]): readonly Evacuation[] {
   const settled = settledOf(records);
   const all = onlyOf(records, 'evacuated');
-  const out: Emptying[] = [];
+  const evacuations: Evacuation[] = [];
   for (const evacuated of all) {
-    const s = settled.get(evacuated.order);
-    if (!evacuated.begin || s?.outcome !== 'acknowledged') continue;
-    out.push({ zone: evacuated.zone, from: s.at, until: takenBackAt(all, evacuated) });
+    const result = settled.get(evacuated.order);
+    if (!evacuated.begin || result?.outcome !== 'acknowledged') continue;
+    evacuations.push({ zone: evacuated.zone, from: result.at, until: evacuationEndedAt(all, evacuated) });
   }
-  return out;
+  return evacuations;
 }
-function takenBackAt(all: readonly Evacuated[], began: Evacuated): number {
+function evacuationEndedAt(all: readonly Evacuated[], begun: Evacuated): number {
   for (const evacuated of all)
-    if (!evacuated.begin && evacuated.zone === began.zone && evacuated.at > began.at) return evacuated.at;
+    if (!evacuated.begin && evacuated.zone === begun.zone && evacuated.at > begun.at) return evacuated.at;
   return Infinity;
 }
--- a/standin-platform/node-process.ts
+++ b/standin-platform/node-process.ts
@@ -1,9 +1,11 @@
+/** Starts, signals and watches the operating system process of one node. */
 import { spawn } from 'node:child_process';
 import type { ChildProcess } from 'node:child_process';
 import { closeSync, openSync } from 'node:fs';
 import type { Records } from './records.js';
 import type { Role } from './deploy-file.js';
 
+/** What a node process is started with; `edge` is the address of the proxy, which records name it by. */
 export type NodeSpec = {
   readonly name: string;
   readonly role: Role;
@@ -14,65 +16,68 @@
   readonly logFile: string;
 };
 
-export type End = { readonly name: string; readonly code: number | null; readonly signal: string | null };
+/** An exit that was not requested by SIGTERM or SIGKILL. */
+export type ProcessExit = { readonly name: string; readonly code: number | null; readonly signal: string | null };
 
+/** A node process that can be started again after each exit; `ended` resolves once the last one has exited. */
 export type NodeProcess = {
   readonly name: string;
   readonly start: () => void;
   readonly signal: (sig: 'SIGTERM' | 'SIGKILL' | 'SIGHUP' | 'SIGSTOP' | 'SIGCONT') => void;
-  readonly runs: () => boolean;
+  readonly isRunning: () => boolean;
   readonly ended: () => Promise<void>;
-  readonly ownEnds: () => readonly End[];
+  readonly unexpectedExits: () => readonly ProcessExit[];
 };
 
+/** Creates the handle of a node process without starting it. Starts and signals are recorded as planned faults. */
 export function createNodeProcess(spec: NodeSpec, records: Records): NodeProcess {
   let child: ChildProcess | null = null;
-  let gone: Promise<void> = Promise.resolve();
-  let asked = false;
-  const ends: End[] = [];
+  let exited: Promise<void> = Promise.resolve();
+  let isStopRequested = false;
+  const exits: ProcessExit[] = [];
 
   function start(): void {
     if (child) return;
     const log = openSync(spec.logFile, 'a');
     const env: NodeJS.ProcessEnv = { MILLFIELD_CONFIG: spec.settingsFile };
     for (const name of ['PATH', 'HOME', 'LANG']) if (process.env[name] !== undefined) env[name] = process.env[name];
-    const mine = spawn(spec.role.command, [...spec.role.args], { cwd: spec.root, env, stdio: ['ignore', log, log] });
+    const spawned = spawn(spec.role.command, [...spec.role.args], { cwd: spec.root, env, stdio: ['ignore', log, log] });
     closeSync(log);
-    child = mine;
-    asked = false;
+    child = spawned;
+    isStopRequested = false;
     records.note({ what: 'planned', edge: spec.edge, core: spec.core, fault: 'start' });
     function wait(resolve: () => void): void {
-      function exited(code: number | null, signal: string | null): void {
-        if (child === mine) child = null;
-        if (!asked) ends.push({ name: spec.name, code, signal });
+      function onExit(code: number | null, signal: string | null): void {
+        if (child === spawned) child = null;
+        if (!isStopRequested) exits.push({ name: spec.name, code, signal });
         resolve();
       }
-      function failed(): void {
-        exited(127, null);
+      function onSpawnError(): void {
+        onExit(127, null);
       }
-      mine.once('exit', exited);
-      mine.once('error', failed);
+      spawned.once('exit', onExit);
+      spawned.once('error', onSpawnError);
     }
-    gone = new Promise<void>(wait);
+    exited = new Promise<void>(wait);
   }
 
   function signal(sig: 'SIGTERM' | 'SIGKILL' | 'SIGHUP' | 'SIGSTOP' | 'SIGCONT'): void {
     if (!child) return;
-    if (sig === 'SIGTERM' || sig === 'SIGKILL') asked = true;
-    const error = ({ SIGTERM: 'term', SIGKILL: 'kill', SIGSTOP: 'freeze', SIGCONT: 'thaw', SIGHUP: null } as const)[
+    if (sig === 'SIGTERM' || sig === 'SIGKILL') isStopRequested = true;
+    const fault = ({ SIGTERM: 'term', SIGKILL: 'kill', SIGSTOP: 'freeze', SIGCONT: 'thaw', SIGHUP: null } as const)[
       sig
     ];
-    if (error) records.note({ what: 'planned', edge: spec.edge, core: spec.core, fault: error });
+    if (fault) records.note({ what: 'planned', edge: spec.edge, core: spec.core, fault: fault });
     child.kill(sig);
   }
-  function runs(): boolean {
+  function isRunning(): boolean {
     return child !== null;
   }
   function ended(): Promise<void> {
-    return gone;
+    return exited;
   }
-  function ownEnds(): readonly End[] {
-    return ends;
+  function unexpectedExits(): readonly ProcessExit[] {
+    return exits;
   }
-  return { name: spec.name, start, signal, runs, ended, ownEnds };
+  return { name: spec.name, start, signal, isRunning, ended, unexpectedExits };
 }
--- a/standin-platform/play.ts
+++ b/standin-platform/play.ts
@@ -1,3 +1,4 @@
+/** Plays one scenario on a site of real processes. */
 import { readdirSync, readFileSync } from 'node:fs';
 import { join } from 'node:path';
 import type { Clock } from '../src/transport/clock.js';
@@ -6,10 +7,11 @@
 import { reportOf } from './report.js';
 import type { SiteReport } from './report.js';
 import type { Scenario } from './scenarios.js';
-import { SMALL } from './shape.js';
+import { SMALL_SITE } from './shape.js';
 import { startSite } from './site.js';
 import type { Site } from './site.js';
 
+/** What a scenario is played with; `perS` is the rate of requests. */
 export type PlayDeps = {
   readonly clock: Clock;
   readonly rng: Rng;
@@ -19,35 +21,40 @@
   readonly onSite: (site: Site) => void;
 };
 
-export type Played = { readonly report: SiteReport | null; readonly text: string; readonly good: boolean };
+/** The outcome of a scenario; `report` is null if the site did not start. */
+export type ScenarioResult = { readonly report: SiteReport | null; readonly text: string; readonly good: boolean };
 
-export async function playScenario(scenario: Scenario, deps: PlayDeps): Promise<Played> {
-  const site = await startSite({ ...deps, shape: SMALL });
-  if (!site) return { report: null, text: 'No loopback net is free.', good: false };
+/** Starts a site, plays one scenario under load and checks the records. */
+export async function playScenario(scenario: Scenario, deps: PlayDeps): Promise<ScenarioResult> {
+  const site = await startSite({ ...deps, shape: SMALL_SITE });
+  if (!site) return { report: null, text: 'No loopback network is free.', good: false };
   deps.onSite(site);
-  if (!(await site.up())) {
-    const text = `The site did not come up.\n${lastLogs(site)}`;
+  if (!(await site.waitUntilReady())) {
+    const text = `The site did not become ready.\n${logTails(site)}`;
     await site.stop();
     return { report: null, text, good: false };
   }
-  const loading = site.load({ perS: deps.perS * (scenario.haste ?? 1), forMs: scenario.forMs });
+  const traffic = site.load({ perS: deps.perS * (scenario.rateFactor ?? 1), forMs: scenario.forMs });
   await scenario.play(site);
-  const counts = await loading;
+  const counts = await traffic;
   await site.operator.read(BOUNDS.contactMs);
   const report = reportOf(site, counts);
-  const good =
-    report.verdicts.length === 0 && report.served >= report.asked * scenario.leastServed && site.ownEnds().length === 0;
-  const text = `${scenario.name}: ${scenario.fault}; never ${scenario.never}\n${report.text}\n${report.served} of ${report.asked} served, ${Math.ceil(report.asked * scenario.leastServed)} due.${good ? '' : `\n${lastLogs(site)}`}`;
+  const passed =
+    report.violations.length === 0 &&
+    report.served >= report.asked * scenario.minServedShare &&
+    site.unexpectedExits().length === 0;
+  const text = `${scenario.name}: ${scenario.fault}; must not happen: ${scenario.forbidden}\n${report.text}\n${report.served} of ${report.asked} served, at least ${Math.ceil(report.asked * scenario.minServedShare)} required.${passed ? '' : `\n${logTails(site)}`}`;
   await site.stop();
-  return { report, text, good };
+  return { report, text, good: passed };
 }
 
-function lastLogs(site: Site): string {
+/** The last lines of each log. */
+function logTails(site: Site): string {
   const folder = join(site.folder, 'logs');
-  const out: string[] = [];
+  const tails: string[] = [];
   for (const name of readdirSync(folder)) {
     const lines = readFileSync(join(folder, name), 'utf8').trimEnd().split('\n');
-    out.push(`-- ${name}`, ...lines.slice(-8));
+    tails.push(`-- ${name}`, ...lines.slice(-8));
   }
-  return out.join('\n');
+  return tails.join('\n');
 }
--- a/standin-platform/report.ts
+++ b/standin-platform/report.ts
@@ -1,22 +1,25 @@
+/** Summarizes a run for people: what was served, how requests failed, and which rules were violated. */
 import { judge } from './check.js';
 import { BOUNDS } from './facts.js';
-import type { Bounds, Verdict } from './facts.js';
+import type { Bounds, RuleViolation } from './facts.js';
 import { onlyOf } from './records.js';
 import type { Rec } from './records.js';
-import type { Count, Site } from './site.js';
+import type { RequestCount, Site } from './site.js';
 
+/** The result of a run: rule violations, request counts, and a text for people. */
 export type SiteReport = {
-  readonly verdicts: readonly Verdict[];
+  readonly violations: readonly RuleViolation[];
   readonly served: number;
   readonly asked: number;
   readonly text: string;
 };
 
-const MOST_TOLD = 12;
+const MAX_LISTED = 12;
 
-export function reportOf(site: Site, counts: ReadonlyMap<string, Count>, bounds: Bounds = BOUNDS): SiteReport {
+/** Checks the records of a run and summarizes them. */
+export function reportOf(site: Site, counts: ReadonlyMap<string, RequestCount>, bounds: Bounds = BOUNDS): SiteReport {
   const records = site.records.all();
-  const verdicts = judge(records, bounds);
+  const violations = judge(records, bounds);
   const lines: string[] = [];
   let served = 0;
   let asked = 0;
@@ -30,47 +33,51 @@
   const arrivals = onlyOf(records, 'arrived');
   const probes = arrivals.filter(isProbe).length;
   lines.push(
-    `${arrivals.length - probes} arrivals at workers, ${onlyOf(records, 'ran').length} runs, ${probes} health probes, ${site.list.calls()} calls to the list`,
+    `${arrivals.length - probes} arrivals at workers, ${onlyOf(records, 'ran').length} runs, ${probes} health probes, ${site.list.calls()} requests for the worker list`,
   );
-  const halves = onlyOf(records, 'finished').filter(isHalf).length;
-  const again = arrivals.filter(isResumed).length;
-  lines.push(`${halves} runs left half done, ${again} arrivals that go on behind an event`);
-  const ends = endsOf(records);
-  if (ends !== '') lines.push(`answers that are no success: ${ends}`);
-  lines.push(...cutsIn(records));
-  for (const end of site.ownEnds()) lines.push(`${end.name} ended by itself (${end.code ?? end.signal})`);
-  for (const verdict of verdicts.slice(0, MOST_TOLD)) lines.push(`${verdict.rule}: ${verdict.text}`);
-  if (verdicts.length > MOST_TOLD) lines.push(`and ${verdicts.length - MOST_TOLD} more`);
-  lines.push(verdicts.length === 0 ? 'No rule broken.' : `${verdicts.length} verdicts against rules.`);
-  return { verdicts, served, asked, text: lines.join('\n') };
+  const incompleteRuns = onlyOf(records, 'finished').filter(isIncomplete).length;
+  const resumedArrivals = arrivals.filter(isResumed).length;
+  lines.push(`${incompleteRuns} incomplete runs, ${resumedArrivals} arrivals that resume a stream after an event`);
+  const failures = failureSummary(records);
+  if (failures !== '') lines.push(`responses other than success: ${failures}`);
+  lines.push(...truncatedResponses(records));
+  for (const exit of site.unexpectedExits())
+    lines.push(`${exit.name} exited unexpectedly (${exit.code ?? exit.signal})`);
+  for (const violation of violations.slice(0, MAX_LISTED)) lines.push(`${violation.rule}: ${violation.text}`);
+  if (violations.length > MAX_LISTED) lines.push(`and ${violations.length - MAX_LISTED} more`);
+  lines.push(violations.length === 0 ? 'No rule broken.' : `${violations.length} rule violations.`);
+  return { violations, served, asked, text: lines.join('\n') };
 }
 
-function endsOf(records: readonly Rec[]): string {
+/** Counts the responses other than success by status or kind of failure. */
+function failureSummary(records: readonly Rec[]): string {
   const counts = new Map<string, number>();
   for (const answered of onlyOf(records, 'answered')) {
     if (answered.end === 'whole' && answered.status >= 200 && answered.status < 300) continue;
     const key =
       answered.end === 'whole'
-        ? `${answered.status}${answered.seal === null ? '' : ' of a worker'}`
-        : `${answered.end}${answered.status === 0 ? '' : ` in ${answered.status}`}`;
+        ? `${answered.status}${answered.seal === null ? '' : ' from a worker'}`
+        : `${answered.end}${answered.status === 0 ? '' : ` with status ${answered.status}`}`;
     counts.set(key, (counts.get(key) ?? 0) + 1);
   }
-  return [...counts].map(told).join(', ');
+  return [...counts].map(formatCount).join(', ');
 }
-function cutsIn(records: readonly Rec[]): readonly string[] {
-  const out: string[] = [];
+function truncatedResponses(records: readonly Rec[]): readonly string[] {
+  const lines: string[] = [];
   for (const answered of onlyOf(records, 'answered'))
-    if (answered.end === 'cut' && out.length < MOST_TOLD) out.push(`  cut: ${storyOf(records, answered.attempt)}`);
-  return out;
+    if (answered.end === 'cut' && lines.length < MAX_LISTED)
+      lines.push(`  truncated: ${attemptHistory(records, answered.attempt)}`);
+  return lines;
 }
-function storyOf(records: readonly Rec[], attempt: string): string {
+/** All records of an attempt on one line, with their times. */
+function attemptHistory(records: readonly Rec[], attempt: string): string {
   const visits = new Set<string>();
   const steps: string[] = [];
   for (const rec of records) {
     if (rec.what === 'arrived' && rec.attempt === attempt) visits.add(rec.visit);
-    const mine = ('attempt' in rec && rec.attempt === attempt) || ('visit' in rec && visits.has(rec.visit));
-    if (!mine) continue;
-    const where =
+    const isOfAttempt = ('attempt' in rec && rec.attempt === attempt) || ('visit' in rec && visits.has(rec.visit));
+    if (!isOfAttempt) continue;
+    const detail =
       rec.what === 'asked'
         ? ` ${rec.path} at ${rec.edge}`
         : rec.what === 'arrived'
@@ -78,27 +85,27 @@
           : rec.what === 'finished'
             ? ` ${rec.end}`
             : '';
-    steps.push(`${Math.round(rec.at)} ${rec.what}${where}`);
+    steps.push(`${Math.round(rec.at)} ${rec.what}${detail}`);
   }
   return steps.join(', ');
 }
-function told([key, count]: readonly [string, number]): string {
+function formatCount([key, count]: readonly [string, number]): string {
   return `${key} x ${count}`;
 }
 
-function isHalf(f: { readonly end: string }): boolean {
-  return f.end !== 'whole';
+function isIncomplete(finished: { readonly end: string }): boolean {
+  return finished.end !== 'whole';
 }
-function isResumed(first: { readonly lastEvent: number }): boolean {
-  return first.lastEvent > 0;
+function isResumed(arrived: { readonly lastEvent: number }): boolean {
+  return arrived.lastEvent > 0;
 }
-function isProbe(first: { readonly probe: boolean }): boolean {
-  return first.probe;
+function isProbe(arrived: { readonly probe: boolean }): boolean {
+  return arrived.probe;
 }
 function percentile(values: readonly number[], share: number): number {
-  const sorted = [...values].sort(rising);
+  const sorted = [...values].sort(ascending);
   return Math.round(sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * share))] ?? 0);
 }
-function rising(left: number, right: number): number {
+function ascending(left: number, right: number): number {
   return left - right;
 }
--- a/standin-platform/run.ts
+++ b/standin-platform/run.ts
@@ -1,3 +1,4 @@
+/** Entry point of `tools/site.mjs`. */
 import { createClock } from '../src/transport/clock.js';
 import { createRng } from '../src/transport/rng.js';
 import { readDeployFile } from './deploy-file.js';
@@ -8,6 +9,7 @@
 export { SERIES } from './soak/plan.js';
 export { playSoak } from './soak/play.js';
 
+/** Options of `tools/site.mjs`; an empty list of names means all scenarios. */
 export type RunOptions = {
   readonly root: string;
   readonly deployFile: string;
@@ -18,11 +20,12 @@
   readonly say: (text: string) => void;
 };
 
+/** Plays the scenarios one after the other; returns whether all passed. */
 export async function runScenarios(runOptions: RunOptions): Promise<boolean> {
-  let good = true;
+  let allPassed = true;
   for (const scenario of SCENARIOS) {
     if (runOptions.names.length > 0 && !runOptions.names.includes(scenario.name)) continue;
-    const played = await playScenario(scenario, {
+    const result = await playScenario(scenario, {
       clock: createClock(),
       rng: createRng(runOptions.seed),
       root: runOptions.root,
@@ -30,19 +33,21 @@
       perS: runOptions.perS,
       onSite: runOptions.onSite,
     });
-    runOptions.say(`${played.text}\n${played.good ? 'Held' : 'FAILED'}: ${scenario.name}\n`);
-    good &&= played.good;
+    runOptions.say(`${result.text}\n${result.good ? 'Passed' : 'FAILED'}: ${scenario.name}\n`);
+    allPassed &&= result.good;
   }
-  return good;
+  return allPassed;
 }
 
+/** The names of all scenarios. */
 export function scenarioNames(): readonly string[] {
   return SCENARIOS.map(nameOf);
 }
-function nameOf(s: { readonly name: string }): string {
-  return s.name;
+function nameOf(scenario: { readonly name: string }): string {
+  return scenario.name;
 }
 
+/** The build command of a deploy file. */
 export function deployBuild(path: string): string {
   return readDeployFile(path).build;
 }
--- a/standin-platform/scenarios.ts
+++ b/standin-platform/scenarios.ts
@@ -1,15 +1,18 @@
-import type { PlacedWorker, Site, SiteNode } from './site.js';
+/** The scenarios: each plays one fault on a site under load and says what must not happen. */
+import type { SiteWorker, Site, SiteNode } from './site.js';
 import { documentToWire } from './document.js';
-import { documentOf, SMALL } from './shape.js';
+import { configurationOf, SMALL_SITE } from './shape.js';
 import type { ModelRoute } from './document.js';
 
+/** A fault, what must not happen because of it, and the share of requests that must be served all the same. */
 export type Scenario = {
   readonly name: string;
   readonly fault: string;
-  readonly never: string;
+  readonly forbidden: string;
   readonly forMs: number;
-  readonly haste?: number;
-  readonly leastServed: number;
+  /** Multiplies the request rate. */
+  readonly rateFactor?: number;
+  readonly minServedShare: number;
   readonly play: (site: Site) => Promise<void>;
 };
 
@@ -18,15 +21,15 @@
 const ZONE = 'timis-1';
 const HOME_ZONE = 'szeged-a';
 
-function busiest(site: Site, model: string, notIn = ''): PlacedWorker {
-  return [...site.workers].filter(fits).sort(byRunning)[0] as PlacedWorker;
-  function fits(placedWorker: PlacedWorker): boolean {
+function busiestWorker(site: Site, model: string, excludedZone = ''): SiteWorker {
+  return [...site.workers].filter(fits).sort(byRunning)[0] as SiteWorker;
+  function fits(siteWorker: SiteWorker): boolean {
     return (
-      placedWorker.model === model && placedWorker.zone !== notIn && placedWorker.worker.seen().phase === 'serving'
+      siteWorker.model === model && siteWorker.zone !== excludedZone && siteWorker.worker.seen().phase === 'serving'
     );
   }
 }
-function byRunning(left: PlacedWorker, right: PlacedWorker): number {
+function byRunning(left: SiteWorker, right: SiteWorker): number {
   return right.worker.running() - left.worker.running();
 }
 function busiestEdge(site: Site): SiteNode {
@@ -50,31 +53,31 @@
 function isEdge(siteNode: SiteNode): boolean {
   return !siteNode.core;
 }
-function controller(site: Site): SiteNode {
+function controllerNode(site: Site): SiteNode {
   return site.nodes.find(fits) as SiteNode;
   function fits(siteNode: SiteNode): boolean {
     return siteNode.core && siteNode.zone === ZONE;
   }
 }
 
-async function quiet(): Promise<void> {}
+async function noFault(): Promise<void> {}
 
 async function workerCrash(site: Site): Promise<void> {
   await site.asked(80);
-  const web = busiest(site, WEB);
-  await site.crashWorker(busiest(site, LLM));
+  const web = busiestWorker(site, WEB);
+  await site.crashWorker(busiestWorker(site, LLM));
   await site.crashWorker(web);
   await site.asked(80);
   await site.restartWorker(web, 0);
 }
-async function darkWorker(site: Site): Promise<void> {
+async function unresponsiveWorker(site: Site): Promise<void> {
   await site.asked(80);
-  const silent = [busiest(site, LLM), busiest(site, WEB)];
-  for (const placedWorker of silent) placedWorker.worker.dark(true);
+  const unresponsive = [busiestWorker(site, LLM), busiestWorker(site, WEB)];
+  for (const siteWorker of unresponsive) siteWorker.worker.dark(true);
   await site.asked(160);
-  for (const placedWorker of silent) placedWorker.worker.dark(false);
+  for (const siteWorker of unresponsive) siteWorker.worker.dark(false);
 }
-async function spoiledAnswers(site: Site): Promise<void> {
+async function corruptedResponses(site: Site): Promise<void> {
   const modes = [
     'breakOff',
     'behind',
@@ -87,96 +90,104 @@
     'refuse',
   ] as const;
   for (const mode of modes) {
-    for (const placedWorker of site.workers) placedWorker.worker.fault({ mode, share: 0.15 });
+    for (const siteWorker of site.workers) siteWorker.worker.fault({ mode, share: 0.15 });
     await site.asked(60);
   }
-  for (const placedWorker of site.workers) placedWorker.worker.resetIdle();
-  for (const placedWorker of site.workers) placedWorker.worker.fault(null);
+  for (const siteWorker of site.workers) siteWorker.worker.resetIdle();
+  for (const siteWorker of site.workers) siteWorker.worker.fault(null);
 }
 async function drain(site: Site): Promise<void> {
   await site.asked(80);
-  site.drainWorker(busiest(site, LLM), null);
-  site.drainWorker(busiest(site, WEB), null);
+  site.drainWorker(busiestWorker(site, LLM), null);
+  site.drainWorker(busiestWorker(site, WEB), null);
 }
 async function shortNotice(site: Site): Promise<void> {
   await site.asked(80);
-  site.drainWorker(busiest(site, LLM), 1_800);
+  site.drainWorker(busiestWorker(site, LLM), 1_800);
   await site.asked(120);
-  site.drainWorker(busiest(site, LLM, HOME_ZONE), 900);
+  site.drainWorker(busiestWorker(site, LLM, HOME_ZONE), 900);
 }
-async function coldReturn(site: Site): Promise<void> {
+async function coldRestart(site: Site): Promise<void> {
   await site.asked(60);
-  const mine = site.workers.filter(ours);
-  function ours(placedWorker: PlacedWorker): boolean {
-    return placedWorker.zone === HOME_ZONE && placedWorker.model === LLM;
+  const restarted = site.workers.filter(isRestarted);
+  function isRestarted(siteWorker: SiteWorker): boolean {
+    return siteWorker.zone === HOME_ZONE && siteWorker.model === LLM;
   }
-  for (const placedWorker of mine) await site.crashWorker(placedWorker);
+  for (const siteWorker of restarted) await site.crashWorker(siteWorker);
   await site.asked(120);
-  for (const placedWorker of mine) await site.restartWorker(placedWorker, 3_000);
+  for (const siteWorker of restarted) await site.restartWorker(siteWorker, 3_000);
 }
 async function evacuation(site: Site): Promise<void> {
   await site.asked(30);
   await site.operator.evacuate(ZONE, true);
-  await site.records.until(sixLater(site));
+  await site.records.until(evacuationHasLasted(site));
   await site.operator.evacuate(ZONE, false);
 }
-function sixLater(site: Site): (rec: { readonly at: number }) => boolean {
+function evacuationHasLasted(site: Site): (rec: { readonly at: number }) => boolean {
   const from = site.records.all().at(-1)?.at ?? 0;
-  function later(rec: { readonly at: number }): boolean {
+  function isLater(rec: { readonly at: number }): boolean {
     return rec.at > from + 6_500;
   }
-  return later;
+  return isLater;
 }
 async function race(site: Site): Promise<void> {
   await site.asked(30);
-  const moved = { ...SMALL, mappings: SMALL.mappings.map(split) };
-  const shorter = { ...SMALL, mappings: SMALL.mappings.map(hastier) };
-  await Promise.all([site.operator.replace(documentOf(moved, 4), 1), site.operator.replace(documentOf(shorter, 6), 1)]);
+  const resplit = { ...SMALL_SITE, mappings: SMALL_SITE.mappings.map(resplitExplain) };
+  const shorterDeadlines = { ...SMALL_SITE, mappings: SMALL_SITE.mappings.map(shortenDeadline) };
+  await Promise.all([
+    site.operator.replace(configurationOf(resplit, 4), 1),
+    site.operator.replace(configurationOf(shorterDeadlines, 6), 1),
+  ]);
 }
-function split(modelRoute: ModelRoute): ModelRoute {
+function resplitExplain(modelRoute: ModelRoute): ModelRoute {
   return modelRoute.name === 'r-explain' ? { ...modelRoute, shares: [{ model: WEB, share: 100 }] } : modelRoute;
 }
-function hastier(modelRoute: ModelRoute): ModelRoute {
+function shortenDeadline(modelRoute: ModelRoute): ModelRoute {
   return { ...modelRoute, deadlineMs: modelRoute.deadlineMs - 500 };
 }
 async function invalid(site: Site): Promise<void> {
   await site.asked(20);
-  const unknown = documentToWire({
+  const withUnknownModel = documentToWire({
     number: 5,
     mappings: [
-      ...SMALL.mappings,
-      { ...(SMALL.mappings[0] as ModelRoute), name: 'r-x', prefix: '/x/', shares: [{ model: 'nowhere', share: 1 }] },
+      ...SMALL_SITE.mappings,
+      {
+        ...(SMALL_SITE.mappings[0] as ModelRoute),
+        name: 'r-x',
+        prefix: '/x/',
+        shares: [{ model: 'nowhere', share: 1 }],
+      },
     ],
-    models: SMALL.models,
+    models: SMALL_SITE.models,
   });
-  await site.operator.replace(unknown, 1, false);
-  const same = documentToWire({
+  await site.operator.replace(withUnknownModel, 1, false);
+  const withDuplicateRoute = documentToWire({
     number: 5,
-    mappings: [...SMALL.mappings, { ...(SMALL.mappings[0] as ModelRoute), name: 'r-x' }],
-    models: SMALL.models,
+    mappings: [...SMALL_SITE.mappings, { ...(SMALL_SITE.mappings[0] as ModelRoute), name: 'r-x' }],
+    models: SMALL_SITE.models,
   });
-  await site.operator.replace(same, 1, false);
-  await site.operator.replace(documentOf(SMALL, 1), 1, false);
-  await site.operator.spoiled(JSON.stringify(documentOf(SMALL, 9)).slice(0, -20), 1);
+  await site.operator.replace(withDuplicateRoute, 1, false);
+  await site.operator.replace(configurationOf(SMALL_SITE, 1), 1, false);
+  await site.operator.spoiled(JSON.stringify(configurationOf(SMALL_SITE, 9)).slice(0, -20), 1);
 }
 async function controllerKilled(site: Site): Promise<void> {
-  const head = controller(site);
+  const node = controllerNode(site);
   await site.asked(30);
-  head.process.signal('SIGKILL');
+  node.process.signal('SIGKILL');
   await site.asked(30);
-  await site.operator.replace(documentOf(SMALL, 4), 1);
-  await head.restart();
+  await site.operator.replace(configurationOf(SMALL_SITE, 4), 1);
+  await node.restart();
 }
 async function controllerWiped(site: Site): Promise<void> {
-  const head = controller(site);
+  const node = controllerNode(site);
   await site.asked(20);
-  await site.operator.replace(documentOf(SMALL, 4), 1);
-  head.process.signal('SIGKILL');
-  await head.restart(true);
+  await site.operator.replace(configurationOf(SMALL_SITE, 4), 1);
+  node.process.signal('SIGKILL');
+  await node.restart(true);
 }
 async function allKilled(site: Site): Promise<void> {
   await site.asked(30);
-  await site.operator.replace(documentOf(SMALL, 4), 1);
+  await site.operator.replace(configurationOf(SMALL_SITE, 4), 1);
   for (const siteNode of site.nodes) if (siteNode.core) siteNode.process.signal('SIGKILL');
   for (const siteNode of site.nodes) if (siteNode.core) await siteNode.restart();
 }
@@ -188,17 +199,17 @@
 }
 async function controllerReplaced(site: Site): Promise<void> {
   await site.asked(60);
-  await site.operator.replace(documentOf(SMALL, 4), 1);
-  await site.replaceCore(controller(site));
+  await site.operator.replace(configurationOf(SMALL_SITE, 4), 1);
+  await site.replaceController(controllerNode(site));
   await site.asked(200);
-  await site.operator.replace(documentOf(SMALL, 9), 4);
+  await site.operator.replace(configurationOf(SMALL_SITE, 9), 4);
 }
 async function settingsChanged(site: Site): Promise<void> {
   await site.asked(60);
-  for (const siteNode of site.nodes) siteNode.rewrite();
+  for (const siteNode of site.nodes) siteNode.rewriteSettings();
   await site.asked(60);
   for (const siteNode of site.nodes) siteNode.process.signal('SIGHUP');
-  await site.operator.replace(documentOf(SMALL, 4), 1);
+  await site.operator.replace(configurationOf(SMALL_SITE, 4), 1);
 }
 async function proxyFrozen(site: Site): Promise<void> {
   await site.asked(80);
@@ -209,13 +220,13 @@
   edge.process.signal('SIGCONT');
 }
 async function controllerFrozen(site: Site): Promise<void> {
-  const head = controller(site);
+  const node = controllerNode(site);
   await site.asked(60);
-  head.process.signal('SIGSTOP');
-  await site.operator.replace(documentOf(SMALL, 4), 1);
+  node.process.signal('SIGSTOP');
+  await site.operator.replace(configurationOf(SMALL_SITE, 4), 1);
   await site.asked(200);
-  head.process.signal('SIGCONT');
-  await site.operator.replace(documentOf(SMALL, 9), 4);
+  node.process.signal('SIGCONT');
+  await site.operator.replace(configurationOf(SMALL_SITE, 9), 4);
 }
 async function proxiesRolled(site: Site): Promise<void> {
   for (const siteNode of site.nodes) {
@@ -238,167 +249,175 @@
   site.list.trouble({ mode: 'none' });
 }
 
+/** All scenarios, in the order in which they are played. */
 export const SCENARIOS: readonly Scenario[] = [
-  { name: 'quiet', fault: 'no fault', never: 'a request unserved', forMs: 4_000, leastServed: 1, play: quiet },
+  {
+    name: 'quiet',
+    fault: 'no fault',
+    forbidden: 'an unserved request',
+    forMs: 4_000,
+    minServedShare: 1,
+    play: noFault,
+  },
   {
     name: 'worker-crash',
-    fault: 'two workers crash, one comes back',
-    never: 'a run-once request run twice, or a cut answer told as whole',
+    fault: 'two workers crash, one restarts',
+    forbidden: 'a run-once request run twice, or a truncated response passed on as complete',
     forMs: 6_000,
-    leastServed: 0.9,
+    minServedShare: 0.9,
     play: workerCrash,
   },
   {
     name: 'dark-worker',
-    fault: 'two workers fall silent for some seconds',
-    never: 'a run-once request run twice',
+    fault: 'two workers do not respond for some seconds',
+    forbidden: 'a run-once request run twice',
     forMs: 8_000,
-    leastServed: 0.8,
-    play: darkWorker,
+    minServedShare: 0.8,
+    play: unresponsiveWorker,
   },
   {
     name: 'spoiled-answers',
-    fault: 'workers break off, spoil, repeat, lose and refuse answers',
-    never: "another's answer, or a broken one told as whole",
+    fault: 'workers truncate, corrupt, repeat, lose and reject responses',
+    forbidden: 'the response to another request, or a truncated one passed on as complete',
     forMs: 11_000,
-    leastServed: 0.8,
-    play: spoiledAnswers,
+    minServedShare: 0.8,
+    play: corruptedResponses,
   },
   {
     name: 'drain',
     fault: 'two workers drain',
-    never: 'an arrival past the cutoff',
+    forbidden: 'an arrival after the cutoff',
     forMs: 8_000,
-    leastServed: 0.99,
+    minServedShare: 0.99,
     play: drain,
   },
   {
     name: 'short-notice',
-    fault: 'a worker drains with 1.8 s left',
-    never: 'an arrival past the cutoff, pieces of two runs joined wrongly',
+    fault: 'a worker drains with 1.8 s left, then another one with 0.9 s',
+    forbidden: 'an arrival after the cutoff, or pieces of two runs joined wrongly',
     forMs: 6_000,
-    leastServed: 0.9,
+    minServedShare: 0.9,
     play: shortNotice,
   },
   {
     name: 'cold-return',
-    fault: 'the workers of a zone come back cold',
-    never: 'a cold worker pressed',
+    fault: 'the LLM workers of a zone crash and restart cold',
+    forbidden: 'a cold worker overloaded',
     forMs: 8_000,
-    haste: 3,
-    leastServed: 0.75,
-    play: coldReturn,
+    rateFactor: 3,
+    minServedShare: 0.75,
+    play: coldRestart,
   },
   {
     name: 'evacuation',
-    fault: 'a zone is evacuated and taken back',
-    never: 'an arrival in the evacuated zone',
+    fault: 'a zone is evacuated and restored',
+    forbidden: 'an arrival in the evacuated zone',
     forMs: 11_000,
-    leastServed: 0.99,
+    minServedShare: 0.99,
     play: evacuation,
   },
   {
     name: 'race',
     fault: 'two operators change the same version',
-    never: 'two winners, or the loser in force',
+    forbidden: 'both changes acknowledged, or the rejected one in force',
     forMs: 6_000,
-    leastServed: 0.99,
+    minServedShare: 0.99,
     play: race,
   },
   {
     name: 'invalid',
     fault: 'invalid configurations are sent',
-    never: 'one of them acknowledged or in force',
+    forbidden: 'one of them acknowledged or in force',
     forMs: 5_000,
-    leastServed: 0.99,
+    minServedShare: 0.99,
     play: invalid,
   },
   {
     name: 'controller-killed',
-    fault: 'a controller is killed and comes back',
-    never: 'an older configuration read back',
+    fault: 'a controller is killed and restarts',
+    forbidden: 'an older configuration read back',
     forMs: 8_000,
-    leastServed: 0.99,
+    minServedShare: 0.99,
     play: controllerKilled,
   },
   {
     name: 'controller-wiped',
     fault: 'a controller loses its disk right after an acknowledgement',
-    never: 'an acknowledged configuration lost',
+    forbidden: 'an acknowledged configuration lost',
     forMs: 8_000,
-    leastServed: 0.99,
+    minServedShare: 0.99,
     play: controllerWiped,
   },
   {
     name: 'controller-replaced',
-    fault: 'a controller is gone for good, an empty one comes at another address',
-    never: 'an acknowledged configuration lost, or an order left without an answer',
+    fault: 'a controller is lost for good, an empty one starts at another address',
+    forbidden: 'an acknowledged configuration lost, or a change left unanswered',
     forMs: 10_000,
-    leastServed: 0.98,
+    minServedShare: 0.98,
     play: controllerReplaced,
   },
   {
     name: 'settings-changed',
-    fault: 'the settings files change, first silently, then with SIGHUP',
-    never: 'an answer cut',
+    fault: 'the settings files change, first without a signal, then with SIGHUP',
+    forbidden: 'a truncated response',
     forMs: 6_000,
-    leastServed: 0.99,
+    minServedShare: 0.99,
     play: settingsChanged,
   },
   {
     name: 'controllers-killed',
     fault: 'all controllers are killed at once',
-    never: 'an acknowledged configuration lost',
+    forbidden: 'an acknowledged configuration lost',
     forMs: 9_000,
-    leastServed: 0.9,
+    minServedShare: 0.9,
     play: allKilled,
   },
   {
     name: 'proxy-killed',
-    fault: 'a proxy is killed and comes back',
-    never: 'a run-once request run twice',
+    fault: 'a proxy is killed and restarts',
+    forbidden: 'a run-once request run twice',
     forMs: 8_000,
-    leastServed: 0.85,
+    minServedShare: 0.85,
     play: proxyKilled,
   },
   {
     name: 'proxy-stopped',
     fault: 'a proxy gets SIGTERM with streams in flight',
-    never: 'an answer cut',
+    forbidden: 'a truncated response',
     forMs: 8_000,
-    leastServed: 0.97,
+    minServedShare: 0.97,
     play: proxyStopped,
   },
   {
     name: 'proxies-rolled',
     fault: 'each proxy in turn gets SIGTERM and starts again',
-    never: 'an answer cut',
+    forbidden: 'a truncated response',
     forMs: 12_000,
-    leastServed: 0.97,
+    minServedShare: 0.97,
     play: proxiesRolled,
   },
   {
     name: 'proxy-frozen',
-    fault: 'a proxy stands still while a zone is evacuated, and wakes',
-    never: 'an arrival in the evacuated zone once it is in touch again',
+    fault: 'a proxy is paused while a zone is evacuated, and resumes',
+    forbidden: 'an arrival in the evacuated zone once the proxy is in contact again',
     forMs: 12_000,
-    leastServed: 0.75,
+    minServedShare: 0.75,
     play: proxyFrozen,
   },
   {
     name: 'controller-frozen',
-    fault: 'a controller stands still over a change, and wakes',
-    never: 'an older configuration in force',
+    fault: 'a controller is paused during a change, and resumes',
+    forbidden: 'an older configuration in force',
     forMs: 10_000,
-    leastServed: 0.98,
+    minServedShare: 0.98,
     play: controllerFrozen,
   },
   {
     name: 'list-down',
-    fault: 'the list of workers is down for some seconds',
-    never: 'requests unserved',
+    fault: 'the worker list is down for some seconds',
+    forbidden: 'unserved requests',
     forMs: 7_000,
-    leastServed: 0.99,
+    minServedShare: 0.99,
     play: listDown,
   },
 ];
--- a/standin-platform/shape.ts
+++ b/standin-platform/shape.ts
@@ -1,3 +1,4 @@
+/** Describes the site that scenarios and soak runs play on. */
 import { MAPPING_DEFAULTS, MODEL_DEFAULTS, documentToWire } from './document.js';
 import type { ModelRoute, Model } from './document.js';
 import type { Wish } from './caller.js';
@@ -5,6 +6,7 @@
 import type { EngineSpec } from './worker-spec.js';
 import { ENGINE_DEFAULTS } from './worker-spec.js';
 
+/** Workers of one model in each zone. */
 export type WorkerGroup = {
   readonly model: string;
   readonly count: number;
@@ -16,6 +18,7 @@
   readonly engine: EngineSpec | null;
 };
 
+/** The zones, nodes, workers, configuration and request types of a test site. */
 export type Shape = {
   readonly zones: Readonly<Record<string, string>>;
   readonly edgesPerZone: number;
@@ -23,16 +26,17 @@
   readonly groups: readonly WorkerGroup[];
   readonly mappings: readonly ModelRoute[];
   readonly models: readonly Model[];
-  readonly wishes: readonly Wish[];
+  readonly requestTypes: readonly Wish[];
 };
 
+/** The host name of all requests. */
 export const HOST = 'ficu95.example';
 
 const LLM = 'huvo11a';
 const WEB = 'wuno96b';
 const ZONES = { 'szeged-a': 'hu-south', 'wien-2': 'at-east', 'timis-1': 'ro-west' };
 
-function mapping(name: string, model: string, over: Partial<ModelRoute>): ModelRoute {
+function route(name: string, model: string, overrides: Partial<ModelRoute>): ModelRoute {
   return {
     ...MAPPING_DEFAULTS,
     name: `r-${name}`,
@@ -40,14 +44,15 @@
     prefix: `/${name}/`,
     kind: 'once',
     shares: [{ model, share: 1 }],
-    ...over,
+    ...overrides,
   };
 }
-function wish(name: string, over: Partial<Wish>): Wish {
-  return { ...WISH_DEFAULTS, host: HOST, path: `/${name}/2f`, kind: 'once', ...over };
+function requestType(name: string, overrides: Partial<Wish>): Wish {
+  return { ...WISH_DEFAULTS, host: HOST, path: `/${name}/2f`, kind: 'once', ...overrides };
 }
 
-export const SMALL: Shape = {
+/** Three zones in three regions, with one proxy and three workers in each. */
+export const SMALL_SITE: Shape = {
   zones: ZONES,
   edgesPerZone: 1,
   listLagMs: 800,
@@ -65,25 +70,25 @@
     { model: WEB, count: 1, capacity: 6, queue: 24, maxConns: 96, workMs: 40, coldRateS: 0, engine: null },
   ],
   mappings: [
-    mapping('case', LLM, { kind: 'stream', deadlineMs: 5_000, rank: 1, attempts: 1, pinned: true }),
-    mapping('review', LLM, { kind: 'stream', deadlineMs: 15_000, aimMs: 800, pinned: true, resumable: true }),
-    mapping('home', LLM, { kind: 'stream', deadlineMs: 5_000, pinned: true, homes: ['hu-south'] }),
-    mapping('explain', WEB, { kind: 'repeatable', aimMs: 400, rank: 2 }),
-    mapping('book', WEB, { kind: 'once', aimMs: 400, rank: 1 }),
+    route('case', LLM, { kind: 'stream', deadlineMs: 5_000, rank: 1, attempts: 1, pinned: true }),
+    route('review', LLM, { kind: 'stream', deadlineMs: 15_000, aimMs: 800, pinned: true, resumable: true }),
+    route('home', LLM, { kind: 'stream', deadlineMs: 5_000, pinned: true, homes: ['hu-south'] }),
+    route('explain', WEB, { kind: 'repeatable', aimMs: 400, rank: 2 }),
+    route('book', WEB, { kind: 'once', aimMs: 400, rank: 1 }),
   ],
   models: [
     { ...MODEL_DEFAULTS, name: LLM, maxConns: 360, coldS: 3, coldRateS: 10, engine: { batch: 64, kvTokens: 226_940 } },
     { ...MODEL_DEFAULTS, name: WEB, maxConns: 96 },
   ],
-  wishes: [
-    wish('case', {
+  requestTypes: [
+    requestType('case', {
       kind: 'stream',
       deadlineMs: 5_000,
       tokens: '1460,200',
       prefix: '5c1e07a2:800,91bd3f06:410,e4402b7d:250',
       bytes: 4_000,
     }),
-    wish('review', {
+    requestType('review', {
       kind: 'stream',
       resumable: true,
       deadlineMs: 15_000,
@@ -92,18 +97,19 @@
       prefix: '77e0aa01:198,0c4d5e6f:628',
       bytes: 1_700,
     }),
-    wish('home', {
+    requestType('home', {
       kind: 'stream',
       deadlineMs: 5_000,
       tokens: '826,120',
       prefix: '11e0aa01:198,1c4d5e6f:628',
       bytes: 1_700,
     }),
-    wish('explain', { kind: 'repeatable', aimMs: 400 }),
-    wish('book', { aimMs: 400, chunked: true }),
+    requestType('explain', { kind: 'repeatable', aimMs: 400 }),
+    requestType('book', { aimMs: 400, chunked: true }),
   ],
 };
 
-export function documentOf(shape: Shape, number: number): Record<string, unknown> {
+/** The configuration document of a site, as version `number`. */
+export function configurationOf(shape: Shape, number: number): Record<string, unknown> {
   return documentToWire({ number, mappings: shape.mappings, models: shape.models });
 }
--- a/standin-platform/site.ts
+++ b/standin-platform/site.ts
@@ -1,3 +1,4 @@
+/** A site of real node processes on loopback addresses, with stand-in workers, callers, operator and worker list. */
 import { mkdirSync, mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -8,20 +9,20 @@
 import type { Rng } from '../src/transport/rng.js';
 import { CALL, QUERY, RESOLVED, SETTING } from '../platform/words.js';
 import { ask } from './ask.js';
-import { machinesOf, readDeployFile } from './deploy-file.js';
+import { machineCount, readDeployFile } from './deploy-file.js';
 import type { Role } from './deploy-file.js';
 import { BOUNDS } from './facts.js';
 import { LIST_DEFAULTS, startStandinList } from './list.js';
 import type { StandinList } from './list.js';
 import { createNodeProcess } from './node-process.js';
-import type { End, NodeProcess } from './node-process.js';
+import type { ProcessExit, NodeProcess } from './node-process.js';
 import { createOperator } from './operator.js';
 import type { Operator } from './operator.js';
 import { createCaller } from './caller.js';
 import type { Caller, Told, Wish } from './caller.js';
 import { createRecords } from './records.js';
 import type { Rec, Records } from './records.js';
-import { documentOf, HOST } from './shape.js';
+import { configurationOf, HOST } from './shape.js';
 import type { Shape } from './shape.js';
 import { createStandinWorker } from './worker.js';
 import { WORKER_DEFAULTS } from './worker-spec.js';
@@ -37,95 +38,106 @@
   first: 7720,
   last: 7735,
 } as const;
-const NETS = 200;
-const READY_MS = 20_000;
-const LEAVE_MS = 10_000;
-const CRASHED_SHOWN_MS = 2_000;
+/** Loopback networks that are tried, so that several sites can run on one machine. */
+const MAX_NETS = 200;
+const READY_TIMEOUT_MS = 20_000;
+const STOP_TIMEOUT_MS = 10_000;
+/** A crashed worker stays in the worker list for this long. */
+const CRASHED_LISTED_MS = 2_000;
 
+/** A node of the site and its process. `restart` waits for the exit of the process first. */
 export type SiteNode = {
   readonly name: string;
   readonly core: boolean;
   readonly zone: string;
   readonly region: string;
   readonly ip: string;
-  /** Where operators call it; of use for controllers only. */
+  /** The address for operators; only controllers listen there. */
   readonly control: string;
   readonly serves: readonly string[];
   readonly process: NodeProcess;
   readonly restart: (wipe?: boolean) => Promise<void>;
-  readonly rewrite: () => void;
+  readonly rewriteSettings: () => void;
 };
 
-export type PlacedWorker = { readonly model: string; readonly zone: string; readonly worker: StandinWorker };
+/** A stand-in worker and where it runs. */
+export type SiteWorker = { readonly model: string; readonly zone: string; readonly worker: StandinWorker };
 
-export type Load = { readonly perS: number; readonly forMs: number };
+/** The load on a site: requests per second, and for how long. */
+export type Traffic = { readonly perS: number; readonly forMs: number };
 
-export type Count = { asked: number; served: number; firstMs: number[] };
+/** Counts and first byte times of one request type. */
+export type RequestCount = { asked: number; served: number; firstMs: number[] };
 
+/** A running site, and the faults that can be injected into it. */
 export type Site = {
   readonly folder: string;
   readonly records: Records;
   readonly list: StandinList;
   readonly nodes: readonly SiteNode[];
-  readonly workers: readonly PlacedWorker[];
+  readonly workers: readonly SiteWorker[];
   readonly operator: Operator;
-  readonly load: (load: Load) => Promise<ReadonlyMap<string, Count>>;
-  readonly direct: (node: SiteNode, wish: Wish) => Promise<Told>;
-  readonly up: () => Promise<boolean>;
+  readonly load: (load: Traffic) => Promise<ReadonlyMap<string, RequestCount>>;
+  readonly direct: (node: SiteNode, requestType: Wish) => Promise<Told>;
+  /** Sends the first configuration; false if the site does not become ready in time. */
+  readonly waitUntilReady: () => Promise<boolean>;
+  /** Resolves after this many more requests, or at the end of the load. */
   readonly asked: (more: number) => Promise<unknown>;
-  readonly replaceCore: (node: SiteNode) => Promise<void>;
-  /** One more controller, empty and not started; null where the deploy file has none. */
+  readonly replaceController: (node: SiteNode) => Promise<void>;
+  /** Adds a controller that is empty and not started; null if the deploy file has no controllers. */
   readonly addController: (zone: string) => SiteNode | null;
-  /** A machine that has ended and does not come back. */
+  /** Removes a node whose process has exited and will not start again. */
   readonly removeNode: (node: SiteNode) => void;
-  /** Where callers and operators reach a machine. */
+  /** The addresses at which callers and operators reach a node. */
   readonly listenersOf: (node: SiteNode) => readonly string[];
-  readonly crashWorker: (placedWorker: PlacedWorker) => Promise<void>;
-  readonly restartWorker: (placedWorker: PlacedWorker, coldMs: number) => Promise<void>;
-  readonly drainWorker: (placedWorker: PlacedWorker, remainingMs: number | null) => void;
-  readonly ownEnds: () => readonly End[];
+  readonly crashWorker: (siteWorker: SiteWorker) => Promise<void>;
+  readonly restartWorker: (siteWorker: SiteWorker, coldMs: number) => Promise<void>;
+  readonly drainWorker: (siteWorker: SiteWorker, remainingMs: number | null) => void;
+  readonly unexpectedExits: () => readonly ProcessExit[];
   readonly stop: () => Promise<void>;
 };
 
+/** What a site is started with. */
 export type SiteDeps = {
   readonly clock: Clock;
   readonly rng: Rng;
   readonly root: string;
   readonly deployFile: string;
   readonly shape: Shape;
-  /** Callers who keep connections use them until they are ended, instead of leaving proxies that are not named any more. */
+  /** Callers that keep connections use them until they are closed, even if the directory no longer names the proxy. */
   readonly ignoreRemovals?: boolean;
 };
 
+/** Starts the nodes, workers and callers of a site; null if no loopback network is free. */
 export async function startSite(deps: SiteDeps): Promise<Site | null> {
   const { clock, rng, root, shape } = deps;
   const records = createRecords(clock.mono);
-  const claimed = await claimNet(clock, records, shape.listLagMs);
-  if (!claimed) return null;
-  const { list, net } = claimed;
+  const claim = await claimLoopbackNet(clock, records, shape.listLagMs);
+  if (!claim) return null;
+  const { list, net } = claim;
   const folder = mkdtempSync(join(tmpdir(), 'millfield-site-'));
-  for (const part of ['settings', 'logs', 'data']) mkdirSync(join(folder, part));
+  for (const subfolder of ['settings', 'logs', 'data']) mkdirSync(join(folder, subfolder));
   const zones = Object.keys(shape.zones);
-  const placed: PlacedWorker[] = [];
+  const siteWorkers: SiteWorker[] = [];
   const nodes: SiteNode[] = [];
-  const former: SiteNode[] = [];
+  const removedNodes: SiteNode[] = [];
   const callers: Caller[] = [];
-  let bootstrap = true;
-  let loading: Promise<unknown> = Promise.resolve();
+  let isBootstrap = true;
+  let trafficDone: Promise<unknown> = Promise.resolve();
 
   const deploy = readDeployFile(deps.deployFile);
-  for (const role of deploy.roles) for (const [name, zone] of zones.entries()) place(role, name, zone);
+  for (const role of deploy.roles) for (const [zoneIndex, zone] of zones.entries()) addNodes(role, zoneIndex, zone);
 
-  function place(role: Role, zoneIndex: number, zone: string): void {
+  function addNodes(role: Role, zoneIndex: number, zone: string): void {
     const available = role.on === 'core' ? 1 : shape.edgesPerZone;
-    for (let count = 1; count <= machinesOf(role, available); count += 1) addNode(role, zoneIndex, zone, count);
+    for (let count = 1; count <= machineCount(role, available); count += 1) addNode(role, zoneIndex, zone, count);
   }
   function addNode(role: Role, zoneIndex: number, zone: string, count: number): SiteNode {
     const core = role.on === 'core';
     const ip = `127.${net}.${zoneIndex + 1}.${core ? 200 + count : count}`;
     const name = `${role.on}-${zone}-${count}-${role.name}`;
     const settingsFile = join(folder, 'settings', `${name}.toml`);
-    const own = createNodeProcess(
+    const nodeProcess = createNodeProcess(
       {
         name,
         role,
@@ -145,39 +157,40 @@
       ip,
       control: `${ip}:${PORT.control}`,
       serves: role.serves,
-      process: own,
+      process: nodeProcess,
       restart,
-      rewrite,
+      rewriteSettings,
     };
     nodes.push(node);
     return node;
-    function rewrite(): void {
+    function rewriteSettings(): void {
       writeSettings(node, role.name, settingsFile);
     }
     async function restart(wipe = false): Promise<void> {
-      await own.ended();
+      await nodeProcess.ended();
       if (wipe) rmSync(join(folder, 'data', name), { recursive: true, force: true });
-      rewrite();
-      own.start();
+      rewriteSettings();
+      nodeProcess.start();
     }
   }
 
   function serving(what: string): readonly SiteNode[] {
-    return nodes.filter(has);
-    function has(siteNode: SiteNode): boolean {
+    return nodes.filter(servesIt);
+    function servesIt(siteNode: SiteNode): boolean {
       return siteNode.serves.includes(what);
     }
   }
-  function controls(): readonly string[] {
-    return serving('control_plane').map(at);
-    function at(siteNode: SiteNode): string {
+  function controlAddresses(): readonly string[] {
+    return serving('control_plane').map(controlOf);
+    function controlOf(siteNode: SiteNode): string {
       return siteNode.control;
     }
   }
 
-  function seeds(): readonly string[] {
-    const all = controls().slice(0, 3);
-    return bootstrap ? all : [...all].reverse();
+  /** Settings written after the first start name the seeds in reverse order. */
+  function seedAddresses(): readonly string[] {
+    const addresses = controlAddresses().slice(0, 3);
+    return isBootstrap ? addresses : [...addresses].reverse();
   }
 
   function writeSettings(node: SiteNode, role: string, file: string): void {
@@ -202,8 +215,8 @@
         [SETTING.zone]: node.zone,
         [SETTING.region]: node.region,
         [SETTING.ports]: [PORT.first, PORT.last],
-        [SETTING.seeds]: seeds(),
-        [SETTING.bootstrap]: bootstrap,
+        [SETTING.seeds]: seedAddresses(),
+        [SETTING.bootstrap]: isBootstrap,
         [SETTING.counted]: node.core,
         ...(node.core ? { [SETTING.dataFolder]: dataFolder } : {}),
         discovery: 'platform',
@@ -233,15 +246,15 @@
   }
 
   async function startWorkers(): Promise<void> {
-    for (const [name, zone] of zones.entries()) {
+    for (const [zoneIndex, zone] of zones.entries()) {
       let count = 0;
       for (const workerGroup of shape.groups) {
-        for (let key = 0; key < workerGroup.count; key += 1) {
+        for (let index = 0; index < workerGroup.count; index += 1) {
           count += 1;
           const spec = {
             ...WORKER_DEFAULTS,
             ...workerGroup,
-            ip: `127.${net}.${name + 100}.${count}`,
+            ip: `127.${net}.${zoneIndex + 100}.${count}`,
             port: PORT.worker,
             zone,
             region: shape.zones[zone] ?? '',
@@ -249,7 +262,7 @@
           const worker = createStandinWorker(spec, { clock, rng, records });
           await worker.start();
           list.show(worker.seen());
-          placed.push({ model: workerGroup.model, zone, worker });
+          siteWorkers.push({ model: workerGroup.model, zone, worker });
         }
       }
     }
@@ -257,9 +270,9 @@
 
   function startCallers(): void {
     for (const zone of zones) {
-      const near = [...serving('registry')].sort(nearFirst);
+      const nearestFirst = [...serving('registry')].sort(nearFirst);
       for (const keepConnections of [true, false]) {
-        const directories = near.map(directoryOf);
+        const directories = nearestFirst.map(directoryOf);
         callers.push(
           createCaller(
             {
@@ -285,7 +298,7 @@
     }
   }
 
-  const operator = createOperator({ clock, rng, records, nodes: controls, withinMs: BOUNDS.ackWithinMs });
+  const operator = createOperator({ clock, rng, records, nodes: controlAddresses, withinMs: BOUNDS.ackWithinMs });
 
   async function edgesReady(): Promise<boolean> {
     for (const siteNode of serving('edge'))
@@ -307,95 +320,96 @@
     }
     return true;
   }
-  async function up(): Promise<boolean> {
-    for (const placedWorker of placed) await records.until(lists(placedWorker.worker.seen().id));
-    const until = clock.mono() + READY_MS;
-    let base = false;
-    while (clock.mono() < until && !base)
-      base = (await operator.replace(documentOf(shape, 1), 0)).outcome === 'acknowledged';
-    while (base && clock.mono() < until) {
+  async function waitUntilReady(): Promise<boolean> {
+    for (const siteWorker of siteWorkers) await records.until(isListed(siteWorker.worker.seen().id));
+    const until = clock.mono() + READY_TIMEOUT_MS;
+    let isConfigured = false;
+    while (clock.mono() < until && !isConfigured)
+      isConfigured = (await operator.replace(configurationOf(shape, 1), 0)).outcome === 'acknowledged';
+    while (isConfigured && clock.mono() < until) {
       if ((await edgesReady()) && (await directoriesKnow())) return true;
       await delay(clock, 50);
     }
     return false;
   }
 
-  function lists(id: string): (rec: Rec) => boolean {
-    function isListed(rec: Rec): boolean {
+  function isListed(id: string): (rec: Rec) => boolean {
+    function matches(rec: Rec): boolean {
       return rec.what === 'listed' && rec.worker === id;
     }
-    return isListed;
+    return matches;
   }
 
-  function load(traffic: Load): Promise<ReadonlyMap<string, Count>> {
-    const mine = loadAll(traffic);
-    loading = mine;
-    return mine;
+  function load(traffic: Traffic): Promise<ReadonlyMap<string, RequestCount>> {
+    const started = loadAll(traffic);
+    trafficDone = started;
+    return started;
   }
-  async function loadAll(load: Load): Promise<ReadonlyMap<string, Count>> {
-    const counts = new Map<string, Count>();
-    const flying: Promise<void>[] = [];
+  async function loadAll(traffic: Traffic): Promise<ReadonlyMap<string, RequestCount>> {
+    const counts = new Map<string, RequestCount>();
+    const inFlight: Promise<void>[] = [];
     const started = clock.mono();
     for (let count = 0; ; count += 1) {
-      const due = (count * 1_000) / load.perS;
-      if (due >= load.forMs) break;
+      const due = (count * 1_000) / traffic.perS;
+      if (due >= traffic.forMs) break;
       await delay(clock, due - (clock.mono() - started));
-      const wish = shape.wishes[count % shape.wishes.length];
+      const requestType = shape.requestTypes[count % shape.requestTypes.length];
       const caller = callers[below(rng, callers.length)];
-      if (wish && caller) flying.push(one(caller, wish));
+      if (requestType && caller) inFlight.push(sendOne(caller, requestType));
     }
-    await Promise.all(flying);
+    await Promise.all(inFlight);
     return counts;
 
-    async function one(caller: Caller, wish: Wish): Promise<void> {
-      const name = wish.path.split('/')[1] ?? '';
+    async function sendOne(caller: Caller, requestType: Wish): Promise<void> {
+      const name = requestType.path.split('/')[1] ?? '';
       const count = counts.get(name) ?? { asked: 0, served: 0, firstMs: [] };
       counts.set(name, count);
       count.asked += 1;
-      const told = await caller.call({ ...wish, prefix: ownEnd(wish.prefix) });
-      if (told.served) count.served += 1;
-      if (told.firstMs !== null) count.firstMs.push(told.firstMs);
+      const result = await caller.call({ ...requestType, prefix: withUniqueSuffix(requestType.prefix) });
+      if (result.served) count.served += 1;
+      if (result.firstMs !== null) count.firstMs.push(result.firstMs);
     }
   }
-  function ownEnd(prefix: string | null): string | null {
-    return prefix === null ? null : prefix.replace(/[0-9a-f]+:(\d+)$/, last);
-    function last(_all: string, tokens: string): string {
+  /** Gives each request a prompt prefix whose last part is its own. */
+  function withUniqueSuffix(prefix: string | null): string | null {
+    return prefix === null ? null : prefix.replace(/[0-9a-f]+:(\d+)$/, replaceSuffix);
+    function replaceSuffix(_all: string, tokens: string): string {
       return `${below(rng, 0xffffffff).toString(16)}:${tokens}`;
     }
   }
 
-  async function direct(node: SiteNode, wish: Wish): Promise<Told> {
+  async function direct(node: SiteNode, requestType: Wish): Promise<Told> {
     const [caller] = callers;
     if (!caller) return { served: false, tries: 0, status: 0, firstMs: null, wholeMs: 0 };
-    return caller.direct(`${node.ip}:${PORT.front}`, wish);
+    return caller.direct(`${node.ip}:${PORT.front}`, requestType);
   }
 
-  function asked(more: number): Promise<unknown> {
-    let left = more;
-    function counted(rec: { readonly what: string; readonly at: number }): boolean {
+  function asked(count: number): Promise<unknown> {
+    let remaining = count;
+    function isLast(rec: { readonly what: string; readonly at: number }): boolean {
       if (rec.what !== 'asked' || rec.at < from) return false;
-      left -= 1;
-      return left <= 0;
+      remaining -= 1;
+      return remaining <= 0;
     }
     const from = clock.mono();
-    return Promise.race([records.until(counted), loading]);
+    return Promise.race([records.until(isLast), trafficDone]);
   }
 
-  let added = 1;
+  let lastControllerIndex = 1;
   function addController(zone: string): SiteNode | null {
     const role = deploy.roles.find(isCore);
     function isCore(role: Role): boolean {
       return role.on === 'core';
     }
     if (!role) return null;
-    added += 1;
-    return addNode(role, zones.indexOf(zone), zone, added);
+    lastControllerIndex += 1;
+    return addNode(role, zones.indexOf(zone), zone, lastControllerIndex);
   }
   function removeNode(node: SiteNode): void {
     nodes.splice(nodes.indexOf(node), 1);
-    former.push(node);
+    removedNodes.push(node);
   }
-  async function replaceCore(node: SiteNode): Promise<void> {
+  async function replaceController(node: SiteNode): Promise<void> {
     node.process.signal('SIGKILL');
     removeNode(node);
     await addController(node.zone)?.restart();
@@ -403,33 +417,33 @@
   function listenersOf(node: SiteNode): readonly string[] {
     return node.core ? [node.control, `${node.ip}:${PORT.directory}`] : [`${node.ip}:${PORT.front}`];
   }
-  async function crashWorker(placedWorker: PlacedWorker): Promise<void> {
-    const { id } = placedWorker.worker.seen();
-    await placedWorker.worker.crash();
-    function unlisted(): void {
+  async function crashWorker(siteWorker: SiteWorker): Promise<void> {
+    const { id } = siteWorker.worker.seen();
+    await siteWorker.worker.crash();
+    function dropFromList(): void {
       list.drop(id);
     }
-    clock.timer(CRASHED_SHOWN_MS, unlisted);
+    clock.timer(CRASHED_LISTED_MS, dropFromList);
   }
-  async function restartWorker(placedWorker: PlacedWorker, coldMs: number): Promise<void> {
-    list.drop(placedWorker.worker.seen().id);
-    await placedWorker.worker.start({ coldMs });
-    list.show(placedWorker.worker.seen());
+  async function restartWorker(siteWorker: SiteWorker, coldMs: number): Promise<void> {
+    list.drop(siteWorker.worker.seen().id);
+    await siteWorker.worker.start({ coldMs });
+    list.show(siteWorker.worker.seen());
   }
-  function drainWorker(placedWorker: PlacedWorker, remainingMs: number | null): void {
-    placedWorker.worker.drain(remainingMs);
-    list.show(placedWorker.worker.seen());
-    const { id } = placedWorker.worker.seen();
+  function drainWorker(siteWorker: SiteWorker, remainingMs: number | null): void {
+    siteWorker.worker.drain(remainingMs);
+    list.show(siteWorker.worker.seen());
+    const { id } = siteWorker.worker.seen();
     function unlisted(): void {
       list.drop(id);
     }
     if (remainingMs !== null) clock.timer(remainingMs, unlisted);
   }
 
-  function ownEnds(): readonly End[] {
-    return [...nodes, ...former].flatMap(endsOf);
-    function endsOf(siteNode: SiteNode): readonly End[] {
-      return siteNode.process.ownEnds();
+  function unexpectedExits(): readonly ProcessExit[] {
+    return [...nodes, ...removedNodes].flatMap(exitsOf);
+    function exitsOf(siteNode: SiteNode): readonly ProcessExit[] {
+      return siteNode.process.unexpectedExits();
     }
   }
   function killAll(): void {
@@ -445,11 +459,11 @@
       siteNode.process.signal('SIGCONT');
       siteNode.process.signal('SIGTERM');
     }
-    const late = clock.timer(LEAVE_MS, killAll);
+    const killTimer = clock.timer(STOP_TIMEOUT_MS, killAll);
     for (const siteNode of nodes) await siteNode.process.ended();
-    late.cancel();
+    killTimer.cancel();
     process.off('exit', onExit);
-    for (const placedWorker of placed) await placedWorker.worker.end();
+    for (const siteWorker of siteWorkers) await siteWorker.worker.end();
     await list.stop();
     rmSync(folder, { recursive: true, force: true });
   }
@@ -457,38 +471,39 @@
   process.on('exit', onExit);
   await startWorkers();
   for (const siteNode of nodes) await siteNode.restart();
-  bootstrap = false;
+  isBootstrap = false;
   startCallers();
   return {
     folder,
     records,
     list,
     nodes,
-    workers: placed,
+    workers: siteWorkers,
     operator,
     load,
     direct,
-    up,
+    waitUntilReady,
     asked,
-    replaceCore,
+    replaceController,
     addController,
     removeNode,
     listenersOf,
     crashWorker,
     restartWorker,
     drainWorker,
-    ownEnds,
+    unexpectedExits,
     stop,
   };
 }
 
-async function claimNet(
+/** Tries networks until the worker list can listen in one of them. */
+async function claimLoopbackNet(
   clock: Clock,
   records: Records,
   maxLagMs: number,
 ): Promise<{ readonly list: StandinList; readonly net: number } | null> {
-  for (let key = 0; key < NETS; key += 1) {
-    const net = 20 + ((process.pid + key) % NETS);
+  for (let offset = 0; offset < MAX_NETS; offset += 1) {
+    const net = 20 + ((process.pid + offset) % MAX_NETS);
     try {
       return {
         list: await startStandinList(
--- a/standin-platform/soak/held-connections.ts
+++ b/standin-platform/soak/held-connections.ts
@@ -1,38 +1,42 @@
-/** Connections that callers keep in each state that a stopping process may find: none of them may hold up or cut its stop. */
+/** Keeps connections open in each state that a stopping process may find; none of them may delay or abort its stop. */
 import { createConnection } from 'node:net';
 import type { Socket } from 'node:net';
 
-/** What has been sent on a connection: nothing, a part of a request, a whole one, or two at once. */
-export const HELD_STATES = ['silent', 'halfHead', 'halfBody', 'idle', 'pipelined'] as const;
-/** One of these states. */
-export type HeldState = (typeof HELD_STATES)[number];
+/** What was sent on a connection: nothing, a part of a request, a complete one, or two at once. */
+export const CONNECTION_STATES = ['silent', 'halfHead', 'halfBody', 'idle', 'pipelined'] as const;
+/** One of the connection states. */
+export type ConnectionState = (typeof CONNECTION_STATES)[number];
 
-const WHOLE = 'GET /nowhere HTTP/1.1\r\nHost: held.example\r\n\r\n';
-const SENT: Readonly<Record<HeldState, string>> = {
+const COMPLETE_REQUEST = 'GET /nowhere HTTP/1.1\r\nHost: held.example\r\n\r\n';
+const SENT_BYTES: Readonly<Record<ConnectionState, string>> = {
   silent: '',
   halfHead: 'POST /nowhere HTTP/1.1\r\nHost: held.ex',
   halfBody: 'POST /nowhere HTTP/1.1\r\nHost: held.example\r\nContent-Length: 100\r\n\r\nhalf',
-  idle: WHOLE,
-  pipelined: `${WHOLE}${WHOLE}`,
+  idle: COMPLETE_REQUEST,
+  pipelined: `${COMPLETE_REQUEST}${COMPLETE_REQUEST}`,
 };
 
-/** Opens one connection in each state to each address, and resolves once all have sent what they send. */
+/**
+ * Opens one connection in each state to each address. Resolves once all have sent their bytes; the returned function
+ * closes them.
+ */
 export async function holdConnections(addresses: readonly string[]): Promise<() => void> {
   const sockets: Socket[] = [];
   const opened: Promise<void>[] = [];
   for (const address of addresses)
-    for (const state of HELD_STATES) opened.push(hold(address, SENT[state], (socket) => sockets.push(socket)));
+    for (const state of CONNECTION_STATES)
+      opened.push(openConnection(address, SENT_BYTES[state], (socket) => sockets.push(socket)));
   await Promise.all(opened);
   return () => {
     for (const socket of sockets) socket.destroy();
   };
 }
 
-function hold(address: string, bytes: string, onMade: (socket: Socket) => void): Promise<void> {
-  const at = address.lastIndexOf(':');
+function openConnection(address: string, bytes: string, onCreated: (socket: Socket) => void): Promise<void> {
+  const colon = address.lastIndexOf(':');
   return new Promise((resolve) => {
-    const socket = createConnection({ host: address.slice(0, at), port: Number(address.slice(at + 1)) });
-    onMade(socket);
+    const socket = createConnection({ host: address.slice(0, colon), port: Number(address.slice(colon + 1)) });
+    onCreated(socket);
     socket.on('error', () => resolve());
     socket.on('close', () => resolve());
     socket.on('connect', () => {
--- a/standin-platform/soak/run.ts
+++ b/standin-platform/soak/run.ts
@@ -3,24 +3,24 @@
 import type { Clock } from '../../src/transport/clock.js';
 import { numberOf } from '../document.js';
 import { BOUNDS } from '../facts.js';
-import { documentOf, SMALL } from '../shape.js';
-import type { PlacedWorker, Site, SiteNode } from '../site.js';
+import { configurationOf, SMALL_SITE } from '../shape.js';
+import type { SiteWorker, Site, SiteNode } from '../site.js';
 import { holdConnections } from './held-connections.js';
-import type { NodeTrouble, Plan, Step, WorkerTrouble } from './plan.js';
+import type { NodeFault, Plan, Step, WorkerFault } from './plan.js';
 
-/** After its return a machine counts as lost for this long; nothing else may be lost around a replacement. */
+/** A machine counts as lost for this long after its restart; no other may be lost around a replacement. */
 const SYNC_MS = 4_000;
-/** A successor runs for so long before the machine that it replaces is told to stop. */
-const SETTLED_MS = SYNC_MS + 2_000;
-const LOOK_MS = 50;
-/** Share of the answers of a worker in trouble that are spoiled. */
-const SPOILED_SHARE = 0.3;
-/** The first configuration of a site. */
+/** A new controller runs for this long before the one that it replaces is stopped. */
+const SUCCESSOR_SETTLE_MS = SYNC_MS + 2_000;
+const CHECK_INTERVAL_MS = 50;
+/** Share of the responses of a faulty worker that are corrupted. */
+const CORRUPTED_SHARE = 0.3;
+/** The version of the configuration that a site starts with. */
 const FIRST_NUMBER = 1;
-const READ_MS = 2 * BOUNDS.contactMs;
-const AFTER_RETURN_MS = 3_000;
+const READ_TIMEOUT_MS = 2 * BOUNDS.contactMs;
+const DELAY_AFTER_RETURN_MS = 3_000;
 
-/** One run: the site, its plan, and what it has come to. */
+/** Plays the series of a plan and tracks the configuration version and the nodes and workers in use. */
 export class SoakRun {
   private base: number | null = FIRST_NUMBER;
   private number = FIRST_NUMBER;
@@ -37,11 +37,11 @@
     this.endsAt = clock.mono() + plan.forMs;
   }
 
-  /** Plays all series at once, then takes power from a part of the controllers and reads the configuration back. */
+  /** Plays all series at once, then kills a part of the controllers and reads the configuration back. */
   async play(): Promise<void> {
     await Promise.all(this.plan.series.map((steps) => this.playSeries(steps)));
-    await this.closingFault();
-    await this.site.operator.read(READ_MS);
+    await this.playFinalFault();
+    await this.site.operator.read(READ_TIMEOUT_MS);
   }
 
   private async playSeries(steps: readonly Step[]): Promise<void> {
@@ -58,19 +58,21 @@
       case 'edge': {
         if (step.tag === 'core' && this.isReplacing) return;
         const nodes = this.site.nodes.filter((node) => node.core === (step.tag === 'core'));
-        return this.whileFree(nodes[step.at % nodes.length], (node) => this.troubleNode(node, step.trouble));
+        return this.runExclusively(nodes[step.at % nodes.length], (node) => this.injectNodeFault(node, step.fault));
       }
       case 'worker': {
         const { workers } = this.site;
-        return this.whileFree(workers[step.at % workers.length], (worker) => this.troubleWorker(worker, step.trouble));
+        return this.runExclusively(workers[step.at % workers.length], (worker) =>
+          this.injectWorkerFault(worker, step.fault),
+        );
       }
       case 'list':
-        return this.troubleList(step.mode, step.forMs);
+        return this.injectListFault(step.mode, step.forMs);
       case 'zone': {
-        const zones = Object.keys(SMALL.zones);
+        const zones = Object.keys(SMALL_SITE.zones);
         const zone = zones[this.plan.seed % zones.length] as string;
-        const first = step.toFrozen ? this.frozenController() : undefined;
-        await this.site.operator.evacuate(zone, step.begin, { first, withinMs: step.patienceMs });
+        const first = step.toFrozenController ? this.frozenController() : undefined;
+        await this.site.operator.evacuate(zone, step.begin, { first, withinMs: step.retryForMs });
         return;
       }
       case 'configure':
@@ -79,15 +81,15 @@
       case 'held': {
         if (step.core && this.isReplacing) return;
         const nodes = this.site.nodes.filter((node) => node.core === step.core);
-        return this.whileFree(nodes[step.at % nodes.length], (node) => this.stopWhileHeld(node, step));
+        return this.runExclusively(nodes[step.at % nodes.length], (node) => this.stopWithOpenConnections(node, step));
       }
       case 'replace':
         return this.replaceController(step);
     }
   }
 
-  /** All signals but the first come while the process stops; those of the next start come while it starts. */
-  private async stopWhileHeld(node: SiteNode, step: Extract<Step, { tag: 'held' }>): Promise<void> {
+  /** All signals but the first arrive while the process stops; those after the restart arrive while it starts. */
+  private async stopWithOpenConnections(node: SiteNode, step: Extract<Step, { tag: 'held' }>): Promise<void> {
     const release = await holdConnections(this.site.listenersOf(node));
     for (let count = 0; count < step.signals; count += 1) {
       node.process.signal('SIGHUP');
@@ -95,22 +97,22 @@
     }
     await node.restart();
     release();
-    if (step.againAfterMs === null) return;
-    await delay(this.clock, step.againAfterMs);
+    if (step.stopAgainAfterMs === null) return;
+    await delay(this.clock, step.stopAgainAfterMs);
     node.process.signal('SIGHUP');
     node.process.signal('SIGTERM');
     return node.restart();
   }
 
-  /** The successor first, then the stop; the disk of a third one goes once a configuration was acknowledged. */
+  /** Starts the new controller, stops the old one, and wipes a third one after an acknowledged configuration. */
   private async replaceController(step: Extract<Step, { tag: 'replace' }>): Promise<void> {
     this.isReplacing = true;
-    await this.untilCalm();
+    await this.waitForStableControllers();
     const cores = this.site.nodes.filter((node) => node.core);
     const leaving = cores[step.at % cores.length] as SiteNode;
     const other = cores[(step.at + 1) % cores.length] as SiteNode;
     await this.site.addController(leaving.zone)?.restart();
-    await delay(this.clock, SETTLED_MS);
+    await delay(this.clock, SUCCESSOR_SETTLE_MS);
     const release = await holdConnections(this.site.listenersOf(leaving));
     leaving.process.signal('SIGTERM');
     await leaving.process.ended();
@@ -127,79 +129,79 @@
     await delay(this.clock, SYNC_MS);
   }
 
-  /** Until no controller is in anybody's hands, and has not been for as long as a machine counts as lost. */
-  private async untilCalm(): Promise<void> {
+  /** Waits until no series works on a controller, and then for as long as a machine counts as lost. */
+  private async waitForStableControllers(): Promise<void> {
     const isBusy = (): boolean => this.site.nodes.some((node) => node.core && this.busy.has(node));
-    while (isBusy()) await delay(this.clock, LOOK_MS);
+    while (isBusy()) await delay(this.clock, CHECK_INTERVAL_MS);
     await delay(this.clock, SYNC_MS);
   }
 
-  /** Where operators' calls go that lie unread; undefined while every controller runs. */
+  /** The address of a paused controller, which leaves requests unread; undefined if none is paused. */
   private frozenController(): string | undefined {
     for (const node of this.frozen) if (node.core) return node.control;
     return undefined;
   }
 
-  /** Two series never have the same machine or worker in hand at once. */
-  private async whileFree<T>(item: T | undefined, act: (item: T) => Promise<void>): Promise<void> {
+  /** Skips the step if another series works on the same node or worker. */
+  private async runExclusively<T>(item: T | undefined, act: (item: T) => Promise<void>): Promise<void> {
     if (item === undefined || this.busy.has(item)) return;
     this.busy.add(item);
     await act(item);
     this.busy.delete(item);
   }
 
-  private async troubleNode(node: SiteNode, trouble: NodeTrouble): Promise<void> {
-    switch (trouble.tag) {
+  private async injectNodeFault(node: SiteNode, fault: NodeFault): Promise<void> {
+    switch (fault.tag) {
       case 'freeze':
         this.frozen.add(node);
         node.process.signal('SIGSTOP');
-        await delay(this.clock, trouble.forMs);
+        await delay(this.clock, fault.forMs);
         node.process.signal('SIGCONT');
         this.frozen.delete(node);
         return;
       case 'kill':
         node.process.signal('SIGKILL');
-        await delay(this.clock, trouble.forMs);
-        return node.restart(trouble.wipe);
+        await delay(this.clock, fault.forMs);
+        return node.restart(fault.wipe);
       case 'stop':
         node.process.signal('SIGTERM');
         return node.restart();
       case 'reread':
-        node.rewrite();
+        node.rewriteSettings();
         node.process.signal('SIGHUP');
     }
   }
 
-  private async troubleWorker(placed: PlacedWorker, trouble: WorkerTrouble): Promise<void> {
-    switch (trouble.tag) {
+  private async injectWorkerFault(siteWorker: SiteWorker, fault: WorkerFault): Promise<void> {
+    switch (fault.tag) {
       case 'crash':
-        await this.site.crashWorker(placed);
-        await delay(this.clock, trouble.forMs);
-        return this.site.restartWorker(placed, trouble.coldMs);
+        await this.site.crashWorker(siteWorker);
+        await delay(this.clock, fault.forMs);
+        return this.site.restartWorker(siteWorker, fault.coldMs);
       case 'dark':
-        placed.worker.dark(true);
-        await delay(this.clock, trouble.forMs);
-        placed.worker.dark(false);
+        siteWorker.worker.dark(true);
+        await delay(this.clock, fault.forMs);
+        siteWorker.worker.dark(false);
         return;
       case 'spoil':
-        placed.worker.fault({ mode: trouble.mode, share: SPOILED_SHARE });
-        await delay(this.clock, trouble.forMs);
-        placed.worker.fault(null);
+        siteWorker.worker.fault({ mode: fault.mode, share: CORRUPTED_SHARE });
+        await delay(this.clock, fault.forMs);
+        siteWorker.worker.fault(null);
     }
   }
 
-  private async troubleList(mode: 'down' | 'error' | 'slow', forMs: number): Promise<void> {
+  private async injectListFault(mode: 'down' | 'error' | 'slow', forMs: number): Promise<void> {
     this.site.list.trouble(mode === 'slow' ? { mode, ms: forMs } : { mode });
     await delay(this.clock, forMs);
     this.site.list.trouble({ mode: 'none' });
   }
 
-  /** A configuration on the newest one, true once acknowledged; after an unclear answer the newest one is read first. */
+  /** Submits a change of the newest version; true if acknowledged. After an unclear outcome reads that version first. */
   private async configure(): Promise<boolean> {
     this.base ??= await this.readNumber();
     if (this.base === null) return false;
     this.number = Math.max(this.number, this.base) + 1 + (this.number % 3);
-    const { outcome } = await this.site.operator.replace(documentOf(SMALL, this.number), this.base);
+    const { outcome } = await this.site.operator.replace(configurationOf(SMALL_SITE, this.number), this.base);
     this.base = outcome === 'acknowledged' ? this.number : null;
     return outcome === 'acknowledged';
   }
@@ -209,14 +211,14 @@
     return document === null ? null : numberOf(document);
   }
 
-  private async closingFault(): Promise<void> {
+  private async playFinalFault(): Promise<void> {
     const cores = this.site.nodes.filter((node) => node.core);
-    const lost = cores.slice(0, Math.ceil(this.plan.lostAtEnd * cores.length));
+    const killed = cores.slice(0, Math.ceil(this.plan.killedShareAtEnd * cores.length));
     const { records } = this.site;
     records.note({ what: 'planned', edge: '', core: true, fault: 'closing' });
-    for (const node of lost) node.process.signal('SIGKILL');
-    for (const node of lost) await node.restart();
+    for (const node of killed) node.process.signal('SIGKILL');
+    for (const node of killed) await node.restart();
     records.note({ what: 'planned', edge: '', core: true, fault: 'back' });
-    await delay(this.clock, AFTER_RETURN_MS);
+    await delay(this.clock, DELAY_AFTER_RETURN_MS);
   }
 }
--- a/standin-platform/soak/timeline.ts
+++ b/standin-platform/soak/timeline.ts
@@ -1,11 +1,11 @@
-/** A run that broke a rule, told for tracing: verdicts, what was done and ordered, the requests concerned, the logs. */
+/** Formats a failed run for debugging: violations, faults, operator commands, the requests concerned, and logs. */
 import type { SiteReport } from '../report.js';
 import type { Rec } from '../records.js';
 
-/** Requests whose whole way is told. */
-const MOST_REQUESTS = 5;
+/** Maximum number of requests that are shown in full. */
+const MAX_REQUESTS = 5;
 const ATTEMPT = /\b[0-9a-f]{16}\b/;
-const TOLD: ReadonlySet<Rec['what']> = new Set([
+const SHOWN_RECORDS: ReadonlySet<Rec['what']> = new Set([
   'planned',
   'submitted',
   'evacuated',
@@ -14,39 +14,47 @@
   'listTrouble',
   'life',
 ]);
-const LOUD = / (warn|error|fatal) |agreed|lease acquired|following|settled on|order on a zone/;
+const SHOWN_LOG_LINES = / (warn|error|fatal) |agreed|lease acquired|following|settled on|order on a zone/;
 
-function told(record: Rec): string {
+function formatRecord(record: Rec): string {
   const { at, what, ...fields } = record;
-  const rest: Record<string, unknown> = { ...fields };
-  delete rest['document'];
-  return `${at.toFixed(0).padStart(8)} ${what} ${JSON.stringify(rest)}`;
+  const shown: Record<string, unknown> = { ...fields };
+  delete shown['document'];
+  return `${at.toFixed(0).padStart(8)} ${what} ${JSON.stringify(shown)}`;
 }
 
-/** Attempts that verdicts name, the first few. */
-function attemptsIn(report: SiteReport): ReadonlySet<string> {
+/** The first attempts that violations name. */
+function attemptsNamedIn(report: SiteReport): ReadonlySet<string> {
   const named = new Set<string>();
-  for (const { text } of report.verdicts) {
+  for (const { text } of report.violations) {
     const attempt = ATTEMPT.exec(text)?.[0];
-    if (attempt !== undefined && named.size < MOST_REQUESTS) named.add(attempt);
+    if (attempt !== undefined && named.size < MAX_REQUESTS) named.add(attempt);
   }
   return named;
 }
 
-/** The whole text. */
+/** Returns the complete text. */
 export function timelineOf(records: readonly Rec[], report: SiteReport, logs: ReadonlyMap<string, string>): string {
-  const named = attemptsIn(report);
+  const named = attemptsNamedIn(report);
   const visits = new Set<string>();
-  const lines = ['== Verdicts', ...report.verdicts.map(({ rule, text }) => `${rule}: ${text}`), '', report.text, ''];
-  lines.push('== What was done, ordered and seen; milliseconds since the start');
+  const lines = [
+    '== Violations',
+    ...report.violations.map(({ rule, text }) => `${rule}: ${text}`),
+    '',
+    report.text,
+    '',
+  ];
+  lines.push('== Faults, commands and requests; milliseconds since the start');
   for (const record of records) {
     const isNamed = 'attempt' in record && record.attempt !== null && named.has(record.attempt);
     if (isNamed && 'visit' in record) visits.add(record.visit);
     const isVisit = 'visit' in record && visits.has(record.visit);
-    if (TOLD.has(record.what) || isNamed || isVisit) lines.push(told(record));
+    if (SHOWN_RECORDS.has(record.what) || isNamed || isVisit) lines.push(formatRecord(record));
   }
   for (const [name, text] of logs) {
-    const kept = text.split('\n').filter((line) => LOUD.test(line) || [...named].some((id) => line.includes(id)));
+    const kept = text
+      .split('\n')
+      .filter((line) => SHOWN_LOG_LINES.test(line) || [...named].some((id) => line.includes(id)));
     lines.push('', `== Log of ${name}`, ...kept);
   }
   return `${lines.join('\n')}\n`;
