--- a/standin-platform/check-config.ts
+++ b/standin-platform/check-config.ts
@@ -109,6 +109,7 @@
   }
 }
 
+/** A version lost in the final fault of a soak run counts as LOST instead of CONFIG. */
 function checkReadBack(facts: Facts, report: ReportViolation): void {
   for (const readBack of onlyOf(facts.records, 'readBack')) {
     const rule = facts.finalFaultAt !== null && facts.finalFaultAt < readBack.at ? 'LOST' : 'CONFIG';
--- a/standin-platform/events.ts
+++ b/standin-platform/events.ts
@@ -15,7 +15,7 @@
   const events: EventSeen[] = [];
   let pending = '';
 
-  function push(bytes: Buffer): number {
+  function parseChunk(bytes: Buffer): number {
     pending += bytes.toString('utf8');
     const messages = pending.split('\n\n');
     pending = messages.pop() ?? '';
@@ -25,7 +25,7 @@
   function seen(): readonly EventSeen[] {
     return events;
   }
-  return { push: push, seen };
+  return { push: parseChunk, seen };
 }
 
 function readEvent(text: string): EventSeen {
--- a/standin-platform/facts.ts
+++ b/standin-platform/facts.ts
@@ -70,7 +70,7 @@
   readonly visits: readonly Visit[];
 };
 
-/** A submitted configuration version; `acknowledgedAt` is Infinity if it was not acknowledged. */
+/** A valid version that was not rejected; `acknowledgedAt` is Infinity if its outcome is unclear. */
 export type Version = {
   readonly number: number;
   readonly document: unknown;
@@ -102,7 +102,7 @@
   readonly inTouch: (edge: string, at: number) => boolean;
   /** Whether the proxy ran and a majority of the core had been up since `from`, even if the core was unstable. */
   readonly hadMajorityContact: (edge: string, from: number, at: number) => boolean;
-  /** The routes of all accepted versions that match the request. */
+  /** The routes that match the request, one of each version that has one. */
   readonly mappings: (asked: Asked) => readonly ModelRoute[];
   /** Whether any version allows the request to run more than once. */
   readonly repeatable: (asked: Asked) => boolean;
--- a/standin-platform/node-process.ts
+++ b/standin-platform/node-process.ts
@@ -29,7 +29,7 @@
   readonly unexpectedExits: () => readonly ProcessExit[];
 };
 
-/** Creates the handle of a node process without starting it. Starts and signals are recorded as planned faults. */
+/** Creates the handle of a node process without starting it. Starts and signals but SIGHUP are recorded as faults. */
 export function createNodeProcess(spec: NodeSpec, records: Records): NodeProcess {
   let child: ChildProcess | null = null;
   let exited: Promise<void> = Promise.resolve();
@@ -64,10 +64,10 @@
   function signal(sig: 'SIGTERM' | 'SIGKILL' | 'SIGHUP' | 'SIGSTOP' | 'SIGCONT'): void {
     if (!child) return;
     if (sig === 'SIGTERM' || sig === 'SIGKILL') isStopRequested = true;
-    const fault = ({ SIGTERM: 'term', SIGKILL: 'kill', SIGSTOP: 'freeze', SIGCONT: 'thaw', SIGHUP: null } as const)[
-      sig
-    ];
-    if (fault) records.note({ what: 'planned', edge: spec.edge, core: spec.core, fault: fault });
+    const recordedFault = (
+      { SIGTERM: 'term', SIGKILL: 'kill', SIGSTOP: 'freeze', SIGCONT: 'thaw', SIGHUP: null } as const
+    )[sig];
+    if (recordedFault) records.note({ what: 'planned', edge: spec.edge, core: spec.core, fault: recordedFault });
     child.kill(sig);
   }
   function isRunning(): boolean {
--- a/standin-platform/scenarios.ts
+++ b/standin-platform/scenarios.ts
@@ -96,7 +96,7 @@
   for (const siteWorker of site.workers) siteWorker.worker.resetIdle();
   for (const siteWorker of site.workers) siteWorker.worker.fault(null);
 }
-async function drain(site: Site): Promise<void> {
+async function workerDrain(site: Site): Promise<void> {
   await site.asked(80);
   site.drainWorker(busiestWorker(site, LLM), null);
   site.drainWorker(busiestWorker(site, WEB), null);
@@ -130,22 +130,22 @@
   }
   return isLater;
 }
-async function race(site: Site): Promise<void> {
+async function concurrentChanges(site: Site): Promise<void> {
   await site.asked(30);
-  const resplit = { ...SMALL_SITE, mappings: SMALL_SITE.mappings.map(resplitExplain) };
+  const changedShares = { ...SMALL_SITE, mappings: SMALL_SITE.mappings.map(changeExplainShares) };
   const shorterDeadlines = { ...SMALL_SITE, mappings: SMALL_SITE.mappings.map(shortenDeadline) };
   await Promise.all([
-    site.operator.replace(configurationOf(resplit, 4), 1),
+    site.operator.replace(configurationOf(changedShares, 4), 1),
     site.operator.replace(configurationOf(shorterDeadlines, 6), 1),
   ]);
 }
-function resplitExplain(modelRoute: ModelRoute): ModelRoute {
+function changeExplainShares(modelRoute: ModelRoute): ModelRoute {
   return modelRoute.name === 'r-explain' ? { ...modelRoute, shares: [{ model: WEB, share: 100 }] } : modelRoute;
 }
 function shortenDeadline(modelRoute: ModelRoute): ModelRoute {
   return { ...modelRoute, deadlineMs: modelRoute.deadlineMs - 500 };
 }
-async function invalid(site: Site): Promise<void> {
+async function invalidConfigurations(site: Site): Promise<void> {
   await site.asked(20);
   const withUnknownModel = documentToWire({
     number: 5,
@@ -185,7 +185,7 @@
   node.process.signal('SIGKILL');
   await node.restart(true);
 }
-async function allKilled(site: Site): Promise<void> {
+async function allControllersKilled(site: Site): Promise<void> {
   await site.asked(30);
   await site.operator.replace(configurationOf(SMALL_SITE, 4), 1);
   for (const siteNode of site.nodes) if (siteNode.core) siteNode.process.signal('SIGKILL');
@@ -228,7 +228,7 @@
   node.process.signal('SIGCONT');
   await site.operator.replace(configurationOf(SMALL_SITE, 9), 4);
 }
-async function proxiesRolled(site: Site): Promise<void> {
+async function rollingProxyRestart(site: Site): Promise<void> {
   for (const siteNode of site.nodes) {
     if (siteNode.core) continue;
     await site.asked(60);
@@ -289,7 +289,7 @@
     forbidden: 'an arrival after the cutoff',
     forMs: 8_000,
     minServedShare: 0.99,
-    play: drain,
+    play: workerDrain,
   },
   {
     name: 'short-notice',
@@ -322,7 +322,7 @@
     forbidden: 'both changes acknowledged, or the rejected one in force',
     forMs: 6_000,
     minServedShare: 0.99,
-    play: race,
+    play: concurrentChanges,
   },
   {
     name: 'invalid',
@@ -330,7 +330,7 @@
     forbidden: 'one of them acknowledged or in force',
     forMs: 5_000,
     minServedShare: 0.99,
-    play: invalid,
+    play: invalidConfigurations,
   },
   {
     name: 'controller-killed',
@@ -370,7 +370,7 @@
     forbidden: 'an acknowledged configuration lost',
     forMs: 9_000,
     minServedShare: 0.9,
-    play: allKilled,
+    play: allControllersKilled,
   },
   {
     name: 'proxy-killed',
@@ -394,7 +394,7 @@
     forbidden: 'a truncated response',
     forMs: 12_000,
     minServedShare: 0.97,
-    play: proxiesRolled,
+    play: rollingProxyRestart,
   },
   {
     name: 'proxy-frozen',
--- a/standin-platform/site.test.ts
+++ b/standin-platform/site.test.ts
@@ -47,7 +47,7 @@
  * Resolves once workers have truncated this many responses to run-once requests. Counting sent requests is not enough:
  * a proxy that gets little CPU time may not have passed them on yet.
  */
-function truncatedResponses(s: Site, count: number): Promise<unknown> {
+function waitForTruncatedResponses(s: Site, count: number): Promise<unknown> {
   const visits = new Set<string>();
   let remaining = count;
   return s.records.until((rec) => {
@@ -64,10 +64,10 @@
   await s.records.until((r) => r.what === 'ran');
   for (const w of s.workers) w.worker.fault({ mode: 'lostAnswer', share: 0.6 });
   await s.asked(40);
-  await Promise.race([truncatedResponses(s, 3), traffic]);
+  await Promise.race([waitForTruncatedResponses(s, 3), traffic]);
   for (const w of s.workers) w.worker.fault({ mode: 'breakOff', share: 0.5 });
   await s.asked(20);
-  await Promise.race([truncatedResponses(s, 5), traffic]);
+  await Promise.race([waitForTruncatedResponses(s, 5), traffic]);
   for (const w of s.workers) w.worker.fault(null);
   s.drainWorker(llm, null);
   const rerouted = {
--- a/standin-platform/site.ts
+++ b/standin-platform/site.ts
@@ -306,7 +306,7 @@
         return false;
     return true;
   }
-  async function directoriesKnow(): Promise<boolean> {
+  async function directoriesReady(): Promise<boolean> {
     for (const siteNode of serving('registry')) {
       const reply = await ask(
         `${siteNode.ip}:${PORT.directory}`,
@@ -327,7 +327,7 @@
     while (clock.mono() < until && !isConfigured)
       isConfigured = (await operator.replace(configurationOf(shape, 1), 0)).outcome === 'acknowledged';
     while (isConfigured && clock.mono() < until) {
-      if ((await edgesReady()) && (await directoriesKnow())) return true;
+      if ((await edgesReady()) && (await directoriesReady())) return true;
       await delay(clock, 50);
     }
     return false;
--- a/standin-platform/soak/plan.ts
+++ b/standin-platform/soak/plan.ts
@@ -94,7 +94,7 @@
   return rng.next() < SHORT_DELAY_SHARE ? randomBetween(rng, 0, 1_000) : SYNC_MS + randomBetween(rng, 0, 2_000);
 }
 
-/** Keeps disk losses away from other controller faults: no other machine may be lost while one counts as lost. */
+/** Cancels disk losses that are too close to another fault: no other machine may be lost while one counts as lost. */
 function keepDiskLossesApart(steps: readonly Step[]): readonly Step[] {
   return steps.map((step, i) => {
     const isTooClose = step.afterMs < SYNC_MS || (steps[i + 1]?.afterMs ?? 0) < SYNC_MS;
--- a/standin-platform/soak/run.ts
+++ b/standin-platform/soak/run.ts
@@ -196,7 +196,7 @@
     this.site.list.trouble({ mode: 'none' });
   }
 
-  /** Submits a change of the newest version; true if acknowledged. After an unclear outcome reads that version first. */
+  /** Submits a change of the newest version; true if acknowledged. After an unclear outcome, reads it first. */
   private async configure(): Promise<boolean> {
     this.base ??= await this.readNumber();
     if (this.base === null) return false;
