--- a/src/sim/call-history.test.ts
+++ b/src/sim/call-history.test.ts
@@ -1,21 +1,21 @@
 import { expect, test } from '@jest/globals';
 import { createCallHistory } from './call-history.js';
 
-test('a history has what its callers saw: a call without an answer stays unclear, a read without one says nothing', () => {
+test('the history holds what callers saw: an unanswered change stays unclear, an unanswered read is left out', () => {
   let now = 0;
   const history = createCallHistory(() => now, { number: 0, content: 'c0' });
   const change = { node: 'h1', request: 'r', base: 0, number: null, content: 'c5' };
-  history.changeSent(change);
-  const sentAgain = history.changeSent(change);
-  history.readSent('h2');
-  const read = history.readSent('h3');
+  history.recordChange(change);
+  const recordAnswer = history.recordChange(change);
+  history.recordRead('h2');
+  const recordReadResult = history.recordRead('h3');
   now = 10;
-  sentAgain('confirmed', 5);
-  read(5, 'c5');
+  recordAnswer('confirmed', 5);
+  recordReadResult(5, 'c5');
   expect([history.size(), history.confirmed(), history.check()]).toEqual([3, 1, null]);
   now = 20;
-  const late = history.readSent('h2');
+  const recordLateRead = history.recordRead('h2');
   now = 21;
-  late(0, 'c0');
+  recordLateRead(0, 'c0');
   expect(history.check()?.kind).toBe('olderRead');
 });
--- a/src/sim/call-history.ts
+++ b/src/sim/call-history.ts
@@ -1,12 +1,13 @@
 /**
- * The calls of operators as their callers saw them: when each was sent, where to, when and how it was answered. Nothing
- * in here looks into a node. The simulated operators write it, `linearizability.ts` judges it.
+ * History of operator calls as seen by the callers: when and to which node each call was sent, and when and how it was
+ * answered. It contains nothing read from inside a node. The simulated operators record it and `linearizability.ts`
+ * checks it.
  */
 import { checkLinearizable } from './linearizability.js';
 import type { LinearizabilityViolation } from './linearizability.js';
 import type { ChangeAnswer, InitialConfiguration, OperatorCall } from './operator-calls.js';
 
-/** A change of the configuration as its operator means it; `number` is null where the core gives it. */
+/** A configuration change as sent by an operator. `number` is null if the controllers assign it. */
 export type SentChange = {
   readonly node: string;
   readonly request: string;
@@ -15,43 +16,43 @@
   readonly content: string;
 };
 
-/** To be called with the answer; a call that is never answered stays unclear. */
-export type AnswerNote = (answer: ChangeAnswer, number?: number) => void;
+/** Records the answer of a change. A change without a recorded answer stays `unclear`. */
+export type AnswerRecorder = (answer: ChangeAnswer, number?: number) => void;
 
-/** To be called with what was read; a read without an answer says nothing. */
-export type ReadNote = (number: number, content: string) => void;
+/** Records the result of a read. A read without a result is not part of the history. */
+export type ReadRecorder = (number: number, content: string) => void;
 
 export type CallHistory = {
-  readonly changeSent: (change: SentChange) => AnswerNote;
-  readonly readSent: (node: string) => ReadNote;
+  readonly recordChange: (change: SentChange) => AnswerRecorder;
+  readonly recordRead: (node: string) => ReadRecorder;
   readonly size: () => number;
   readonly confirmed: () => number;
-  /** What no order of the calls so far explains, or null. */
+  /** Returns a violation if no order of the calls so far is linearizable, otherwise null. */
   readonly check: () => LinearizabilityViolation | null;
 };
 
 export function createCallHistory(now: () => number, initial: InitialConfiguration): CallHistory {
   const calls: OperatorCall[] = [];
 
-  function changeSent(change: SentChange): AnswerNote {
+  function recordChange(change: SentChange): AnswerRecorder {
     const start = now();
-    const at = calls.push({ kind: 'change', start, end: Infinity, answer: 'unclear', ...change }) - 1;
-    function answered(answer: ChangeAnswer, number?: number): void {
-      calls[at] = { kind: 'change', start, end: now(), answer, ...change, number: number ?? change.number };
+    const index = calls.push({ kind: 'change', start, end: Infinity, answer: 'unclear', ...change }) - 1;
+    function recordAnswer(answer: ChangeAnswer, number?: number): void {
+      calls[index] = { kind: 'change', start, end: now(), answer, ...change, number: number ?? change.number };
     }
-    return answered;
+    return recordAnswer;
   }
-  function readSent(node: string): ReadNote {
+  function recordRead(node: string): ReadRecorder {
     const start = now();
-    function answered(number: number, content: string): void {
+    function recordAnswer(number: number, content: string): void {
       calls.push({ kind: 'read', start, end: now(), node, number, content });
     }
-    return answered;
+    return recordAnswer;
   }
   function size(): number {
     return calls.length;
   }
-  function confirmed(): number {
+  function confirmedCount(): number {
     let count = 0;
     for (const call of calls) if (call.kind === 'change' && call.answer === 'confirmed') count += 1;
     return count;
@@ -59,5 +60,5 @@
   function check(): LinearizabilityViolation | null {
     return checkLinearizable(initial, calls);
   }
-  return { changeSent, readSent, size, confirmed, check };
+  return { recordChange, recordRead, size, confirmed: confirmedCount, check };
 }
--- a/src/sim/chaos-operators.ts
+++ b/src/sim/chaos-operators.ts
@@ -1,7 +1,7 @@
 /**
- * The operators of a chaos run: they read the configuration, change it on what they read, race each other, give up
- * waiting and send again to another controller, evacuate zones and hand them back. All of their calls go into a history
- * that is judged for linearizability; what the watchers must know of an answer is told to them.
+ * Simulated operators of a chaos run. They read the configuration, change it based on the version they read, race with
+ * each other, time out and retry at another controller, and evacuate and restore zones. All of their calls are recorded
+ * in a history that is checked for linearizability, and the watchers are notified of the answers they need.
  */
 import type { HttpAnswer, HttpError } from '../transport/http.js';
 import type { Result } from '../base/result.js';
@@ -15,39 +15,39 @@
 
 export type Operators = {
   readonly amend: () => Promise<void>;
-  readonly crowd: () => void;
+  readonly raceChanges: () => void;
   readonly evacuate: (zone: string, ms: number) => void;
-  readonly firstAccepted: (until: number) => () => number | null;
-  readonly handAllBack: () => Promise<boolean>;
-  readonly evacuations: () => Readonly<Record<string, boolean>>;
+  readonly trackFirstConfirmed: (until: number) => () => number | null;
+  readonly restoreAllZones: () => Promise<boolean>;
+  readonly confirmedEvacuations: () => Readonly<Record<string, boolean>>;
   readonly history: CallHistory;
 };
 
-/** How often a change is sent while it has no clear answer. */
-const MAX_SENDINGS = 4;
-const RESEND_PAUSE_MS = 300;
-/** Share of sendings whose answer the operator doesn't wait for, and how long it waits at most then. */
-const IMPATIENT_SHARE = 0.15;
-const IMPATIENT_MS = 60;
-/** Share of confirmed changes that are sent once more. */
-const REPEATED_SHARE = 0.15;
+/** Maximum number of times a change is sent until it has a clear answer. */
+const MAX_ATTEMPTS = 4;
+const RETRY_DELAY_MS = 300;
+/** Share of attempts with a short timeout, which usually lose their answer, and the maximum of that timeout. */
+const SHORT_TIMEOUT_SHARE = 0.15;
+const MAX_SHORT_TIMEOUT_MS = 60;
+/** Share of confirmed changes that are sent a second time. */
+const DUPLICATE_SHARE = 0.15;
 
-export function versionOf(httpAnswer: HttpAnswer): number {
-  const second = httpAnswer.body as { readonly version?: unknown } | null;
-  return typeof second?.version === 'number' ? second.version : -1;
+export function versionOf(response: HttpAnswer): number {
+  const body = response.body as { readonly version?: unknown } | null;
+  return typeof body?.version === 'number' ? body.version : -1;
 }
-export function configurationOf(httpAnswer: HttpAnswer): unknown {
-  return (httpAnswer.body as { readonly configuration?: unknown } | null)?.configuration ?? null;
+export function configurationOf(response: HttpAnswer): unknown {
+  return (response.body as { readonly configuration?: unknown } | null)?.configuration ?? null;
 }
-/** What the operators change in a configuration, as the text that stands for its content in their history. */
-export function contentOf(httpAnswer: HttpAnswer): string {
-  const configuration = configurationOf(httpAnswer) as { readonly deployment?: { readonly lineLimit?: number } } | null;
+/** Returns the setting that operators change (`lineLimit`) as text. It represents the content in the call history. */
+export function contentOf(response: HttpAnswer): string {
+  const configuration = configurationOf(response) as { readonly deployment?: { readonly lineLimit?: number } } | null;
   return String(configuration?.deployment?.lineLimit ?? 'none');
 }
 
-function answerOf(got: Result<HttpAnswer, HttpError>): ChangeAnswer {
-  if (!got.ok) return 'unclear';
-  const { status } = got.value;
+function answerOf(result: Result<HttpAnswer, HttpError>): ChangeAnswer {
+  if (!result.ok) return 'unclear';
+  const { status } = result.value;
   if (status === 200 || status === 202) return 'confirmed';
   if (status === 409) return 'stale';
   return status === 400 || status === 422 ? 'invalid' : 'unclear';
@@ -56,10 +56,10 @@
 type Change = { readonly request: string; readonly base: number; readonly value: number };
 
 type ChangeSender = {
-  /** One sending of a change to any controller; true if it is confirmed. */
+  /** Sends a change once to a random controller and returns its answer. */
   readonly sendOnce: (change: Change) => Promise<ChangeAnswer>;
-  /** Sends until the answer is clear, and at times once more. */
-  readonly send: (change: Change) => Promise<void>;
+  /** Sends a change until its answer is clear, and sometimes once more after it is confirmed. */
+  readonly sendWithRetries: (change: Change) => Promise<void>;
 };
 
 function createChangeSender(
@@ -69,62 +69,62 @@
   anyController: () => number,
   rng: Rng,
 ): ChangeSender {
-  function tellWatchers({ base, value }: Change, answer: ChangeAnswer, reply: HttpAnswer): void {
+  function notifyWatchers({ base, value }: Change, answer: ChangeAnswer, response: HttpAnswer): void {
     if (answer === 'stale' || answer === 'invalid') watchers.refused(value);
     if (answer !== 'confirmed') return;
-    const version = versionOf(reply);
+    const version = versionOf(response);
     watchers.won(base, version);
-    if (reply.status === 200) watchers.acknowledged(version, value);
+    if (response.status === 200) watchers.acknowledged(version, value);
     else watchers.agreed(version, value);
   }
   async function sendOnce(change: Change): Promise<ChangeAnswer> {
     const { request, base, value } = change;
-    const at = anyController();
+    const controllerIndex = anyController();
     const body = { base, changes: [{ path: ['deployment', 'lineLimit'], value }], operation: request };
-    const limitMs = rng.next() < IMPATIENT_SHARE ? 1 + below(rng, IMPATIENT_MS) : undefined;
-    const noteAnswer = history.changeSent({
-      node: `controller ${at + 1}`,
+    const timeoutMs = rng.next() < SHORT_TIMEOUT_SHARE ? 1 + below(rng, MAX_SHORT_TIMEOUT_MS) : undefined;
+    const recordAnswer = history.recordChange({
+      node: `controller ${controllerIndex + 1}`,
       request,
       base,
       number: null,
       content: String(value),
     });
-    const reply = await fleet.operator(at, 'POST', '/v1/configuration/amend', body, limitMs);
-    const answer = answerOf(reply);
-    if (answer === 'unclear' || !reply.ok) return answer;
-    noteAnswer(answer, answer === 'confirmed' ? versionOf(reply.value) : undefined);
-    tellWatchers(change, answer, reply.value);
+    const response = await fleet.operator(controllerIndex, 'POST', '/v1/configuration/amend', body, timeoutMs);
+    const answer = answerOf(response);
+    if (answer === 'unclear' || !response.ok) return answer;
+    recordAnswer(answer, answer === 'confirmed' ? versionOf(response.value) : undefined);
+    notifyWatchers(change, answer, response.value);
     return answer;
   }
-  function pause(ms: number): Promise<void> {
-    function later(resolve: () => void): void {
+  function delay(ms: number): Promise<void> {
+    function schedule(resolve: () => void): void {
       fleet.world.at(ms, resolve);
     }
-    return new Promise(later);
+    return new Promise(schedule);
   }
-  async function send(change: Change): Promise<void> {
+  async function sendWithRetries(change: Change): Promise<void> {
     let answer: ChangeAnswer = 'unclear';
-    for (let sending = 1; sending <= MAX_SENDINGS && answer === 'unclear'; sending += 1) {
+    for (let attempt = 1; attempt <= MAX_ATTEMPTS && answer === 'unclear'; attempt += 1) {
       answer = await sendOnce(change);
-      if (answer === 'unclear') await pause(RESEND_PAUSE_MS * sending * (0.5 + rng.next()));
+      if (answer === 'unclear') await delay(RETRY_DELAY_MS * attempt * (0.5 + rng.next()));
     }
-    if (answer !== 'confirmed' || rng.next() >= REPEATED_SHARE) return;
-    await pause(below(rng, 5_000));
+    if (answer !== 'confirmed' || rng.next() >= DUPLICATE_SHARE) return;
+    await delay(below(rng, 5_000));
     await sendOnce(change);
   }
-  return { sendOnce, send };
+  return { sendOnce, sendWithRetries };
 }
 
-/** Call it once the fleet has its first configuration. */
+/** Creates the operators. To be called once the fleet has its first configuration. */
 export async function createOperators(fleet: SimFleet, watchers: Watchers, seed: number): Promise<Operators> {
   const { world } = fleet;
   const rng = createRng(seed * 17 + 3);
-  const known: Record<string, boolean> = {};
-  const inDoubt = new Map<string, number>();
+  const isEvacuatedByZone: Record<string, boolean> = {};
+  const unansweredOrders = new Map<string, number>();
   let serial = 100;
-  const first = await fleet.operator(0, 'GET', '/v1/configuration');
-  const initial = first.ok
-    ? { number: versionOf(first.value), content: contentOf(first.value) }
+  const initialRead = await fleet.operator(0, 'GET', '/v1/configuration');
+  const initial = initialRead.ok
+    ? { number: versionOf(initialRead.value), content: contentOf(initialRead.value) }
     : { number: -1, content: 'none' };
   const history = createCallHistory(world.now, initial);
   const sender = createChangeSender(fleet, watchers, history, anyController, createRng(seed * 13 + 5));
@@ -132,88 +132,97 @@
   function anyController(): number {
     return below(rng, fleet.controllers.length);
   }
-  function changeTo(base: number, value: number): Change {
+  function createChange(base: number, value: number): Change {
     return { request: `change-${value}`, base, value };
   }
-  async function newestBase(): Promise<number | null> {
-    const floor = watchers.newest();
-    const at = anyController();
-    const noteRead = history.readSent(`controller ${at + 1}`);
-    const read = await fleet.operator(at, 'GET', '/v1/configuration');
+  async function readNewestVersion(): Promise<number | null> {
+    const minVersion = watchers.newest();
+    const controllerIndex = anyController();
+    const recordRead = history.recordRead(`controller ${controllerIndex + 1}`);
+    const read = await fleet.operator(controllerIndex, 'GET', '/v1/configuration');
     if (!read.ok || read.value.status !== 200) return null;
     const base = versionOf(read.value);
-    noteRead(base, contentOf(read.value));
-    watchers.read(`controller ${at + 1}`, floor, base, configurationOf(read.value));
+    recordRead(base, contentOf(read.value));
+    watchers.read(`controller ${controllerIndex + 1}`, minVersion, base, configurationOf(read.value));
     return base;
   }
   async function amend(): Promise<void> {
-    const base = await newestBase();
+    const base = await readNewestVersion();
     serial += 1;
     const value = serial;
-    if (base !== null) await sender.send(changeTo(base, value));
+    if (base !== null) await sender.sendWithRetries(createChange(base, value));
   }
-  async function manyAt(): Promise<void> {
-    const base = await newestBase();
+  async function sendRacingChanges(): Promise<void> {
+    const base = await readNewestVersion();
     if (base === null) return;
     for (let i = 0; i < 6; i += 1) {
       serial += 1;
-      void sender.send(changeTo(i === 5 ? base - 1 : base, i % 2 === 1 ? -serial : serial));
+      void sender.sendWithRetries(createChange(i === 5 ? base - 1 : base, i % 2 === 1 ? -serial : serial));
     }
   }
-  function crowd(): void {
-    void manyAt();
+  function raceChanges(): void {
+    void sendRacingChanges();
   }
   function evacuate(zone: string, ms: number): void {
-    void act(zone, 'evacuate');
-    function back(): void {
+    void sendZoneOrder(zone, 'evacuate');
+    function restore(): void {
       watchers.restored(zone);
-      void act(zone, 'restore');
+      void sendZoneOrder(zone, 'restore');
     }
-    world.at(ms, back);
+    world.at(ms, restore);
   }
-  async function act(zone: string, what: 'evacuate' | 'restore'): Promise<void> {
-    delete known[zone];
-    inDoubt.set(zone, (inDoubt.get(zone) ?? 0) + 1);
-    const got = await fleet.operator(anyController(), 'POST', `/v1/zones/${zone}/${what}`, {});
-    if (!got.ok || got.value.status === 503) return;
-    inDoubt.set(zone, (inDoubt.get(zone) ?? 1) - 1);
-    if ((inDoubt.get(zone) ?? 0) > 0) return;
-    const { status } = got.value;
-    if (status === 200 && what === 'evacuate') watchers.evacuated(zone);
-    if (status === 200 || status === 202) known[zone] = what === 'evacuate';
+  async function sendZoneOrder(zone: string, action: 'evacuate' | 'restore'): Promise<void> {
+    delete isEvacuatedByZone[zone];
+    unansweredOrders.set(zone, (unansweredOrders.get(zone) ?? 0) + 1);
+    const result = await fleet.operator(anyController(), 'POST', `/v1/zones/${zone}/${action}`, {});
+    if (!result.ok || result.value.status === 503) return;
+    unansweredOrders.set(zone, (unansweredOrders.get(zone) ?? 1) - 1);
+    if ((unansweredOrders.get(zone) ?? 0) > 0) return;
+    const { status } = result.value;
+    if (status === 200 && action === 'evacuate') watchers.evacuated(zone);
+    if (status === 200 || status === 202) isEvacuatedByZone[zone] = action === 'evacuate';
   }
-  function firstAccepted(until: number): () => number | null {
-    let at: number | null = null;
-    async function again(): Promise<void> {
-      while (at === null && world.now() < until) {
-        const base = await newestBase();
+  function trackFirstConfirmed(until: number): () => number | null {
+    let confirmedAt: number | null = null;
+    async function sendUntilConfirmed(): Promise<void> {
+      while (confirmedAt === null && world.now() < until) {
+        const base = await readNewestVersion();
         serial += 1;
-        if (base !== null && (await sender.sendOnce(changeTo(base, serial))) === 'confirmed') at = world.now();
-        else await new Promise<void>(nextTry);
+        if (base !== null && (await sender.sendOnce(createChange(base, serial))) === 'confirmed')
+          confirmedAt = world.now();
+        else await new Promise<void>(scheduleRetry);
       }
     }
-    function nextTry(resolve: () => void): void {
+    function scheduleRetry(resolve: () => void): void {
       world.at(200, resolve);
     }
-    function told(): number | null {
-      return at;
+    function firstConfirmedAt(): number | null {
+      return confirmedAt;
     }
-    void again();
-    return told;
+    void sendUntilConfirmed();
+    return firstConfirmedAt;
   }
-  function evacuations(): Readonly<Record<string, boolean>> {
-    return known;
+  function confirmedEvacuations(): Readonly<Record<string, boolean>> {
+    return isEvacuatedByZone;
   }
-  async function handAllBack(): Promise<boolean> {
+  async function restoreAllZones(): Promise<boolean> {
     const read = await fleet.operator(0, 'GET', '/v1/configuration');
     const zones = read.ok ? (read.value.body as { readonly evacuated?: readonly string[] }).evacuated : undefined;
     for (const zone of zones ?? []) {
       watchers.restored(zone);
-      inDoubt.delete(zone);
-      await act(zone, 'restore');
-      if (known[zone] !== false) return false;
+      unansweredOrders.delete(zone);
+      await sendZoneOrder(zone, 'restore');
+      if (isEvacuatedByZone[zone] !== false) return false;
     }
     return zones !== undefined;
   }
-  return { amend, crowd, evacuate, firstAccepted, handAllBack, evacuations, history };
+  return {
+    amend,
+    raceChanges,
+    evacuate,
+    trackFirstConfirmed,
+    restoreAllZones,
+    confirmedEvacuations,
+    history,
+  };
 }
--- a/src/sim/chaos.test.ts
+++ b/src/sim/chaos.test.ts
@@ -5,7 +5,7 @@
 
 const cases: readonly (readonly [FaultName, number])[] = ALL_FAULTS.map((name, i) => [name, 200 + i]);
 
-test.each(cases)('%s, again and again, holds every rule (seed %i)', async (name, seed) => {
+test.each(cases)('repeated %s faults break no rule (seed %i)', async (name, seed) => {
   const end = await runChaos(seed, { faults: [name], seconds: 16, everyMs: 4_000 });
   expect(end.faults.length).toBeGreaterThan(1);
   expect(end.changesConfirmed).toBeGreaterThan(1);
--- a/src/sim/chaos.ts
+++ b/src/sim/chaos.ts
@@ -1,10 +1,14 @@
+/**
+ * A chaos run: a simulated fleet under load while random faults are injected and operators change the configuration,
+ * then one large outage and a check that the fleet recovers. A run is determined by its seed.
+ */
 import type { Broken } from '../standin/check.js';
 import { tagOf } from '../standin/caller.js';
 import { createClientOver } from '../client/client.js';
 import { below, createRng, pick } from '../transport/rng.js';
 import type { LogRoot } from '../transport/log.js';
-import { FAULTS, inZone, names, nodeNames } from './faults.js';
-import type { FaultAct, FaultName } from './faults.js';
+import { FAULTS, namesInZone, namesOf, nodeNames } from './faults.js';
+import type { FaultContext, FaultName } from './faults.js';
 import { configurationOf, contentOf, createOperators, versionOf } from './chaos-operators.js';
 import type { Operators } from './chaos-operators.js';
 import { createSimFleet } from './sim-fleet.js';
@@ -16,7 +20,8 @@
 import { checkMachines, createWatchers } from './watchers.js';
 import type { Watchers } from './watchers.js';
 
-export type ChaosEnd = {
+/** What a chaos run measured, and the rules that it broke. */
+export type ChaosResult = {
   readonly seed: number;
   readonly broken: readonly Broken[];
   readonly faults: readonly string[];
@@ -33,6 +38,7 @@
   readonly portrait: readonly string[];
 };
 
+/** Faults to draw from, length of the fault phase, and mean interval between two faults. */
 export type ChaosOptions = {
   readonly faults: readonly FaultName[];
   readonly seconds: number;
@@ -41,16 +47,18 @@
   readonly sabotage?: Sabotage;
 };
 
-const RECOVERY_MS = 12_000;
-const NEVER = -1;
+/** Maximum time to the first success of each kind of request after the outage. */
+const MAX_RECOVERY_MS = 12_000;
+const NOT_RECOVERED = -1;
 
+/** Plays one chaos run and checks all rules. */
 export async function runChaos(
   seed: number,
-  chaosOptions: ChaosOptions,
-  logsOf?: (now: () => number) => LogRoot,
-): Promise<ChaosEnd> {
-  const shape = SHAPES[chaosOptions.shape ?? 'small'];
-  const fleet = createSimFleet(seed, shape, logsOf?.(simNow), chaosOptions.sabotage);
+  options: ChaosOptions,
+  createLogs?: (now: () => number) => LogRoot,
+): Promise<ChaosResult> {
+  const shape = SHAPES[options.shape ?? 'small'];
+  const fleet = createSimFleet(seed, shape, createLogs?.(simNow), options.sabotage);
   function simNow(): number {
     return fleet.world.now();
   }
@@ -58,97 +66,111 @@
   const rng = createRng(seed * 31 + 7);
   const watchers = createWatchers(fleet);
   const faults: string[] = [];
-  function fault(rule: string, detail: string): void {
+  function reportViolation(rule: string, detail: string): void {
     fleet.violations.push({ rule, detail });
   }
-  function note(text: string): void {
+  function logFault(text: string): void {
     faults.push(`${(world.now() / 1_000).toFixed(1)} ${text}`);
   }
-  if (!(await fleet.start())) fault('start', 'the fleet did not start');
-  const ops = await createOperators(fleet, watchers, seed);
-  const command: FaultAct = { fleet, rng, note, evacuate: ops.evacuate, crowdOfOperators: ops.crowd };
-  const endAt = world.now() + chaosOptions.seconds * 1_000;
+  if (!(await fleet.start())) reportViolation('start', 'the fleet did not start');
+  const operators = await createOperators(fleet, watchers, seed);
+  const faultContext: FaultContext = {
+    fleet,
+    rng,
+    logFault,
+    evacuate: operators.evacuate,
+    raceChanges: operators.raceChanges,
+  };
+  const endAt = world.now() + options.seconds * 1_000;
 
-  function strike(): void {
+  function injectFaults(): void {
     if (world.now() >= endAt) return;
-    FAULTS[pick(rng, chaosOptions.faults)](command);
-    world.at(chaosOptions.everyMs * (0.5 + rng.next()), strike);
+    FAULTS[pick(rng, options.faults)](faultContext);
+    world.at(options.everyMs * (0.5 + rng.next()), injectFaults);
   }
-  world.at(1_000, strike);
+  world.at(1_000, injectFaults);
 
-  function amendLater(): void {
+  function amendRepeatedly(): void {
     if (world.now() >= endAt) return;
-    void ops.amend();
-    if (rng.next() < 0.3) void ops.amend();
-    world.at(2_500 + 2_000 * rng.next(), amendLater);
+    void operators.amend();
+    if (rng.next() < 0.3) void operators.amend();
+    world.at(2_500 + 2_000 * rng.next(), amendRepeatedly);
   }
-  world.at(1_500, amendLater);
+  world.at(1_500, amendRepeatedly);
 
-  const first: Readonly<Record<string, number>>[] = [];
-  function loadOn(
+  const faultPhaseTallies: Readonly<Record<string, number>>[] = [];
+  function startLoad(
     zone: string,
     seconds: number,
-    into: Readonly<Record<string, number>>[],
-    extra: Parameters<SimFleet['traffic']>[0] | object = {},
+    tallies: Readonly<Record<string, number>>[],
+    extraOptions: Parameters<SimFleet['traffic']>[0] | object = {},
   ): void {
-    void fleet.traffic({ zone, seconds, ...extra }).then(into.push.bind(into));
+    void fleet.traffic({ zone, seconds, ...extraOptions }).then(tallies.push.bind(tallies));
   }
-  for (const zone of fleet.zones) loadOn(zone, chaosOptions.seconds, first);
-  await world.advance(chaosOptions.seconds * 1_000 + 16_000, watchers.step);
-  bringBack(fleet);
+  for (const zone of fleet.zones) startLoad(zone, options.seconds, faultPhaseTallies);
+  await world.advance(options.seconds * 1_000 + 16_000, watchers.step);
+  recoverAll(fleet);
   await world.advance(8_000, watchers.step);
 
-  const disaster = strikeDisaster(
+  const disaster = injectDisaster(
     fleet,
     pick(rng, ['power', 'region', 'core', 'edges'] as const),
     pick(rng, fleet.zones),
   );
-  note(`last: ${disaster}`);
+  logFault(`final disaster: ${disaster}`);
   await world.advance(3_000 + below(rng, 3_000), watchers.step);
-  bringBack(fleet);
-  const backAt = world.now();
-  const last: Readonly<Record<string, number>>[] = [];
-  for (const zone of fleet.zones) loadOn(zone, 14, last, { name: `probe-${zone}`, patience: 0, runOnceShare: 0.5 });
-  const operatorAt = ops.firstAccepted(backAt + RECOVERY_MS);
+  recoverAll(fleet);
+  const recoveredAt = world.now();
+  const probeTallies: Readonly<Record<string, number>>[] = [];
+  for (const zone of fleet.zones)
+    startLoad(zone, 14, probeTallies, { name: `probe-${zone}`, patience: 0, runOnceShare: 0.5 });
+  const firstConfirmedAt = operators.trackFirstConfirmed(recoveredAt + MAX_RECOVERY_MS);
   await world.advance(14_000, watchers.step);
-  const recoveryMs: Record<string, number> = firstSuccesses(fleet, backAt);
-  recoveryMs['operator'] = operatorAt() === null ? NEVER : Math.round((operatorAt() as number) - backAt);
-  for (const [what, ms] of Object.entries(recoveryMs)) {
-    if (ms === NEVER || ms > RECOVERY_MS)
-      fault(
+  const recoveryMs: Record<string, number> = firstSuccesses(fleet, recoveredAt);
+  recoveryMs['operator'] =
+    firstConfirmedAt() === null ? NOT_RECOVERED : Math.round((firstConfirmedAt() as number) - recoveredAt);
+  for (const [probe, ms] of Object.entries(recoveryMs)) {
+    if (ms === NOT_RECOVERED || ms > MAX_RECOVERY_MS)
+      reportViolation(
         'serveAgain',
-        `${what}: ${ms === NEVER ? 'nothing' : `${ms} ms`} after the machines were back (${disaster})`,
+        `${probe}: ${ms === NOT_RECOVERED ? 'no success' : `success ${ms} ms`} after recovery (${disaster})`,
       );
   }
-  const calm: Readonly<Record<string, number>>[] = [];
-  for (const zone of fleet.zones) loadOn(zone, 5, calm);
+  const calmPhaseTallies: Readonly<Record<string, number>>[] = [];
+  for (const zone of fleet.zones) startLoad(zone, 5, calmPhaseTallies);
   await world.advance(20_000, watchers.step);
-  function allOver(): boolean {
+  function isLoadFinished(): boolean {
     return (
-      first.length === fleet.zones.length && calm.length === fleet.zones.length && last.length === fleet.zones.length
+      faultPhaseTallies.length === fleet.zones.length &&
+      calmPhaseTallies.length === fleet.zones.length &&
+      probeTallies.length === fleet.zones.length
     );
   }
-  if (!(await world.until(200_000, allOver, watchers.step))) fault('answered', 'a caller still waits');
+  if (!(await world.until(200_000, isLoadFinished, watchers.step)))
+    reportViolation('answered', 'a caller is still waiting for a response');
 
-  await readBack(fleet, watchers, ops, fault);
-  await repeatKeys(fleet, fault);
-  if (!(await ops.handAllBack())) fault('serveAgain', 'evacuated zones could not be handed back');
+  await checkReads(fleet, watchers, operators, reportViolation);
+  await checkRepeatedKeys(fleet, reportViolation);
+  if (!(await operators.restoreAllZones())) reportViolation('serveAgain', 'evacuated zones could not be restored');
   if (!(await world.until(60_000, fleet.allReady, watchers.step)))
-    fault('settles', `orders do not settle: ${ordersText(fleet)}`);
+    reportViolation('settles', `open orders do not become ready: ${ordersText(fleet)}`);
   await world.advance(15_000, watchers.step);
   checkMachines(fleet);
   watchers.end();
-  const unexplained = ops.history.check();
-  if (unexplained) fault('linearizable', `${unexplained.kind}: ${unexplained.detail}`);
+  const violation = operators.history.check();
+  if (violation) reportViolation('linearizable', `${violation.kind}: ${violation.detail}`);
 
-  const [asked, good] = sum(first);
-  const [lastAsked, lastGood] = sum(calm);
+  const [asked, good] = sumTallies(faultPhaseTallies);
+  const [lastAsked, lastGood] = sumTallies(calmPhaseTallies);
   if (lastAsked === 0 || lastGood < lastAsked * 0.97)
-    fault('serveAgain', `${lastGood} of ${lastAsked} succeeded after the faults: ${JSON.stringify(calm)}`);
+    reportViolation(
+      'serveAgain',
+      `${lastGood} of ${lastAsked} succeeded after the faults: ${JSON.stringify(calmPhaseTallies)}`,
+    );
   const portrait: string[] = [];
   for (let i = 0; i < fleet.controllers.length; i += 1) {
-    const got = await fleet.operator(i, 'GET', '/v1/status');
-    portrait.push(got.ok ? statusText(got.value.body) : `controller ${i + 1}: ${got.error.tag}`);
+    const result = await fleet.operator(i, 'GET', '/v1/status');
+    portrait.push(result.ok ? statusText(result.value.body) : `controller ${i + 1}: ${result.error.tag}`);
   }
   for (const simProxy of fleet.proxies)
     portrait.push(`${simProxy.name} ${JSON.stringify({ ...simProxy.proxy?.view(), configuration: undefined })}`);
@@ -165,19 +187,20 @@
     disaster,
     recoveryMs,
     watchedMs: watchers.watchedMs(),
-    operatorCalls: ops.history.size(),
-    changesConfirmed: ops.history.confirmed(),
+    operatorCalls: operators.history.size(),
+    changesConfirmed: operators.history.confirmed(),
     events: world.events(),
   };
 }
 
-function bringBack(fleet: SimFleet): void {
+/** Ends all faults: heals links and disks, resumes frozen hosts and starts stopped nodes and workers. */
+function recoverAll(fleet: SimFleet): void {
   const { world } = fleet;
   world.healAll();
   fleet.turbulence(CALM);
-  for (const n of [...fleet.controllers, ...fleet.proxies]) {
-    n.platter.failing = false;
-    n.platter.full = false;
+  for (const node of [...fleet.controllers, ...fleet.proxies]) {
+    node.platter.failing = false;
+    node.platter.full = false;
   }
   for (const host of world.hosts()) if (host.frozen) world.thaw(host);
   for (const name of nodeNames({ fleet })) if (!fleet.hostOf(name).running) void fleet.startNode(name);
@@ -209,86 +232,95 @@
     });
 }
 
-function wholeCore(fleet: SimFleet): boolean {
-  let whole = 0;
-  for (const simController of fleet.controllers) if (simController.controller?.claimsReady()) whole += 1;
-  return whole >= fleet.controllers.length - 1;
+/** Whether all controllers but at most one have rebuilt the claims, so that one may lose its disk. */
+function isWipeSafe(fleet: SimFleet): boolean {
+  let readyCount = 0;
+  for (const simController of fleet.controllers) if (simController.controller?.claimsReady()) readyCount += 1;
+  return readyCount >= fleet.controllers.length - 1;
 }
 
-function strikeDisaster(fleet: SimFleet, what: 'power' | 'region' | 'core' | 'edges', zone: string): string {
-  switch (what) {
+function injectDisaster(fleet: SimFleet, kind: 'power' | 'region' | 'core' | 'edges', zone: string): string {
+  switch (kind) {
     case 'power':
       for (const name of nodeNames({ fleet })) fleet.powerLoss(name);
       return 'all nodes lose power';
     case 'region':
-      for (const name of inZone(fleet, zone)) {
+      for (const name of namesInZone(fleet, zone)) {
         fleet.powerLoss(name);
-        if (wholeCore(fleet)) fleet.wipe(name);
+        if (isWipeSafe(fleet)) fleet.wipe(name);
       }
-      return `${zone} is lost, workers and disks too`;
+      return `${zone} loses power and disks, including its workers`;
     case 'core':
-      for (const name of names(fleet.controllers)) fleet.powerLoss(name);
+      for (const name of namesOf(fleet.controllers)) fleet.powerLoss(name);
       return 'all controllers lose power';
     case 'edges':
-      for (const name of names(fleet.proxies)) fleet.kill(name);
+      for (const name of namesOf(fleet.proxies)) fleet.kill(name);
       for (const simWorker of fleet.workers) if (simWorker.fixed) fleet.kill(simWorker.id);
       return 'all proxies and fixed workers are killed';
   }
 }
 
-function firstSuccesses(fleet: SimFleet, from: number): Record<string, number> {
-  const out: Record<string, number> = {};
-  for (const zone of fleet.zones) for (const kind of ['once', 'stream']) out[`${kind} ${zone}`] = NEVER;
-  for (const r of fleet.records) {
-    if (r['who'] !== 'caller' || r['result'] !== 'success' || !String(r['caller']).startsWith('probe-')) continue;
-    const what = `${r['repeatable'] === false ? 'once' : 'stream'} ${String(r['zone'])}`;
-    if (out[what] === NEVER) out[what] = Math.round((r['at'] as number) - from);
+function firstSuccesses(fleet: SimFleet, recoveredAt: number): Record<string, number> {
+  const firstSuccessMs: Record<string, number> = {};
+  for (const zone of fleet.zones)
+    for (const kind of ['once', 'stream']) firstSuccessMs[`${kind} ${zone}`] = NOT_RECOVERED;
+  for (const record of fleet.records) {
+    if (record['who'] !== 'caller' || record['result'] !== 'success' || !String(record['caller']).startsWith('probe-'))
+      continue;
+    const probe = `${record['repeatable'] === false ? 'once' : 'stream'} ${String(record['zone'])}`;
+    if (firstSuccessMs[probe] === NOT_RECOVERED)
+      firstSuccessMs[probe] = Math.round((record['at'] as number) - recoveredAt);
   }
-  return out;
+  return firstSuccessMs;
 }
 
-async function readBack(
+/** Reads the configuration and the evacuated zones at each controller and compares them with confirmed calls. */
+async function checkReads(
   fleet: SimFleet,
   watchers: Watchers,
-  ops: Operators,
-  fault: (rule: string, detail: string) => void,
+  operators: Operators,
+  reportViolation: (rule: string, detail: string) => void,
 ): Promise<void> {
   for (let i = 0; i < fleet.controllers.length; i += 1) {
-    const floor = watchers.newest();
-    const noteRead = ops.history.readSent(`controller ${i + 1}`);
+    const minVersion = watchers.newest();
+    const recordRead = operators.history.recordRead(`controller ${i + 1}`);
     const read = await fleet.operator(i, 'GET', '/v1/configuration');
     const status = read.ok ? read.value.status : 0;
     if (!read.ok || status !== 200) {
-      fault('serveAgain', `controller ${i + 1} answers no read (${status})`);
+      reportViolation('serveAgain', `controller ${i + 1} does not answer a read (${status})`);
       continue;
     }
-    watchers.read(`controller ${i + 1}`, floor, versionOf(read.value), configurationOf(read.value));
-    noteRead(versionOf(read.value), contentOf(read.value));
+    watchers.read(`controller ${i + 1}`, minVersion, versionOf(read.value), configurationOf(read.value));
+    recordRead(versionOf(read.value), contentOf(read.value));
     const evacuated = (read.value.body as { readonly evacuated: readonly string[] }).evacuated;
-    for (const [zone, begun] of Object.entries(ops.evacuations())) {
-      if (evacuated.includes(zone) !== begun)
-        fault('readBack', `controller ${i + 1} reads ${zone} as ${begun ? 'not ' : ''}evacuated`);
+    for (const [zone, isEvacuated] of Object.entries(operators.confirmedEvacuations())) {
+      if (evacuated.includes(zone) !== isEvacuated)
+        reportViolation('readBack', `controller ${i + 1} reads ${zone} as ${isEvacuated ? 'not ' : ''}evacuated`);
     }
   }
 }
 
-const KEYS_REPEATED = 30;
+const REPEATED_KEY_SAMPLES = 30;
 
-async function repeatKeys(fleet: SimFleet, fault: (rule: string, detail: string) => void): Promise<void> {
+/** Sends a sample of the answered run-once requests again: none of them may run a second time. */
+async function checkRepeatedKeys(
+  fleet: SimFleet,
+  reportViolation: (rule: string, detail: string) => void,
+): Promise<void> {
   const proc = fleet.world.begin(fleet.world.host('again', fleet.zones[0] as string));
   const client = createClientOver(
-    { proxies: fleet.proxies.map(httpOf) },
+    { proxies: fleet.proxies.map(httpAddressOf) },
     fleet.httpClientOf(proc),
     fleet.world.clockOf(proc),
   );
-  const answered: string[] = [];
-  for (const r of fleet.records)
-    if (r['who'] === 'caller' && r['repeatable'] === false && r['result'] === 'success')
-      answered.push(String(r['key']));
-  const step = Math.max(1, Math.floor(answered.length / KEYS_REPEATED));
-  const work: Promise<void>[] = [];
-  async function again(key: string): Promise<void> {
-    const got = await client.send({
+  const answeredKeys: string[] = [];
+  for (const record of fleet.records)
+    if (record['who'] === 'caller' && record['repeatable'] === false && record['result'] === 'success')
+      answeredKeys.push(String(record['key']));
+  const step = Math.max(1, Math.floor(answeredKeys.length / REPEATED_KEY_SAMPLES));
+  const resends: Promise<void>[] = [];
+  async function resend(key: string): Promise<void> {
+    const result = await client.send({
       model: fleet.shape.fixed.model,
       ...(fleet.shape.kind ? { kind: fleet.shape.kind } : {}),
       parts: [{ hash: 'again', tokens: 8 }],
@@ -296,22 +328,23 @@
       repeatable: false,
       key,
     });
-    const tag = got.ok ? 'success' : tagOf(got.error);
+    const tag = result.ok ? 'success' : tagOf(result.error);
     if (tag !== 'alreadyAnswered' && tag !== 'outcomeUnknown')
-      fault('runOnce', `${key} ran and was answered; sent again, it is told ${tag}`);
+      reportViolation('runOnce', `${key} ran and was answered, but a second request with it got ${tag}`);
   }
-  for (let i = 0; i < answered.length; i += step) work.push(again(answered[i] as string));
-  if ((await fleet.finish(Promise.all(work), 60_000)) === null) fault('answered', 'a repeated key got no answer');
+  for (let i = 0; i < answeredKeys.length; i += step) resends.push(resend(answeredKeys[i] as string));
+  if ((await fleet.finish(Promise.all(resends), 60_000)) === null)
+    reportViolation('answered', 'a request with a repeated key got no answer');
 }
-function httpOf(s: { readonly http: string }): string {
-  return s.http;
+function httpAddressOf(node: { readonly http: string }): string {
+  return node.http;
 }
 
-function sum(tallies: readonly Readonly<Record<string, number>>[]): [number, number] {
+function sumTallies(tallies: readonly Readonly<Record<string, number>>[]): [number, number] {
   let asked = 0;
   let good = 0;
-  for (const t of tallies) {
-    for (const [key, count] of Object.entries(t)) {
+  for (const tally of tallies) {
+    for (const [key, count] of Object.entries(tally)) {
       asked += count;
       if (key.endsWith('success')) good += count;
     }
@@ -320,8 +353,8 @@
 }
 
 function statusText(body: unknown): string {
-  const s = body as Readonly<Record<string, unknown>>;
-  const shown: string[] = [];
+  const status = body as Readonly<Record<string, unknown>>;
+  const fields: string[] = [];
   for (const key of [
     'name',
     'member',
@@ -336,16 +369,16 @@
     'zoneSets',
     'targets',
   ])
-    shown.push(`${key} ${JSON.stringify(s[key])}`);
-  return shown.join(' ');
+    fields.push(`${key} ${JSON.stringify(status[key])}`);
+  return fields.join(' ');
 }
 function ordersText(fleet: SimFleet): string {
-  const out: string[] = [];
+  const lines: string[] = [];
   for (const simController of fleet.controllers) {
-    const second = simController.controller?.ledger.controlState();
-    if (second)
-      for (const order of Object.values(second.orders)) out.push(`${order.kind} ${order.zone} ${order.status}`);
-    if (second) break;
+    const controlState = simController.controller?.ledger.controlState();
+    if (controlState)
+      for (const order of Object.values(controlState.orders)) lines.push(`${order.kind} ${order.zone} ${order.status}`);
+    if (controlState) break;
   }
-  return out.join('; ');
+  return lines.join('; ');
 }
--- a/src/sim/edge-day.test.ts
+++ b/src/sim/edge-day.test.ts
@@ -3,30 +3,30 @@
 import { runEdgeDay } from './edge-day.js';
 import type { EdgeDayOptions } from './edge-day.js';
 
-const BLOCKS = 20;
-const DAYS_A_BLOCK = 100;
+const BLOCK_COUNT = 20;
+const DAYS_PER_BLOCK = 100;
 
-test.each(Array.from({ length: BLOCKS }, (_, i) => i))(
-  'days of one proxy with troubled workers keep all rules, block %i',
+test.each(Array.from({ length: BLOCK_COUNT }, (_, i) => i))(
+  'days of one proxy with faulty workers break no rule, block %i',
   async (block) => {
-    for (let seed = block * DAYS_A_BLOCK; seed < (block + 1) * DAYS_A_BLOCK; seed += 1) {
+    for (let seed = block * DAYS_PER_BLOCK; seed < (block + 1) * DAYS_PER_BLOCK; seed += 1) {
       const { broken, open, held } = await runEdgeDay(seed, { createRelay });
       expect({ seed, broken, open, held }).toEqual({ seed, broken: [], open: 0, held: 0 });
     }
   },
 );
 
-test('without trouble every caller that stays is served', async () => {
+test('without faults every caller that stays connected is served', async () => {
   for (let seed = 0; seed < 30; seed += 1) {
-    const { broken, journal } = await runEdgeDay(seed, { createRelay, trouble: 0, freezes: false });
+    const { broken, journal } = await runEdgeDay(seed, { createRelay, faultShare: 0, mayFreeze: false });
     const unserved = journal.asked.filter(
-      (asked) => asked.leftAt === null && (asked.status !== 200 || asked.end !== 'whole'),
+      (request) => request.disconnectedAt === null && (request.status !== 200 || request.end !== 'whole'),
     );
     expect({ seed, broken, unserved }).toEqual({ seed, broken: [], unserved: [] });
   }
 });
 
-describe('a deliberate break is seen', () => {
+describe('a deliberate fault is detected', () => {
   async function rulesBroken(options: EdgeDayOptions): Promise<string[]> {
     const rules = new Set<string>();
     for (let seed = 0; seed < 200; seed += 1)
@@ -35,17 +35,17 @@
   }
 
   test.each([
-    ['a reset that is told as no connection', 'resetToldAsNotConnected', ['twice', 'refused']],
-    ["answers whose id isn't looked at", 'idsIgnored', ['mixed', 'twice', 'refused']],
-    ['a cut that is told as an end', 'cutToldAsEnd', ['mixed', 'order']],
+    ['a reset that is reported as a failed connection', 'resetToldAsNotConnected', ['twice', 'refused']],
+    ["responses whose id isn't checked", 'idsIgnored', ['mixed', 'twice', 'refused']],
+    ['a truncated response that is reported as complete', 'cutToldAsEnd', ['mixed', 'order']],
   ] as const)('%s', async (_what, sabotage, rules) => {
     expect(await rulesBroken({ createRelay, sabotage })).toEqual(expect.arrayContaining([...rules]));
   });
 
   test.each([
-    ['a send after a reset', 'resetWritten', { tag: 'repeat', resume: false }, ['twice']],
-    ['a refusal after a reset', 'resetWritten', { tag: 'refuse', retryAfterS: null }, ['refused']],
-    ['an answer that is begun and ended though it was cut', 'answerCut', { tag: 'passOn' }, ['order']],
+    ['a retry after a reset', 'resetWritten', { tag: 'repeat', resume: false }, ['twice']],
+    ['a rejection after a reset', 'resetWritten', { tag: 'refuse', retryAfterS: null }, ['refused']],
+    ['a truncated response that is passed on and ended as complete', 'answerCut', { tag: 'passOn' }, ['order']],
   ] as const)('%s', async (_what, outcome, decision, rules) => {
     jest.resetModules();
     const real = await import('../state/forwarding/attempt-outcome.js');
@@ -59,7 +59,7 @@
     jest.unstable_unmockModule('../state/forwarding/attempt-outcome.js');
   });
 
-  test('a proxy that goes on at once after a standstill', async () => {
+  test('a proxy that continues at once after a process pause', async () => {
     jest.resetModules();
     jest.unstable_mockModule('../state/forwarding/standstill.js', () => ({
       createStandstill: () => ({ observe: () => null }),
--- a/src/sim/edge-day.ts
+++ b/src/sim/edge-day.ts
@@ -1,6 +1,6 @@
 /**
- * A day of one proxy's opaque server: callers of all kinds, workers in all kinds of trouble, and a proxy
- * that is frozen now and then. By seed, without sockets; judged from what callers and workers noted.
+ * A simulated day of one proxy's opaque server: callers of all kinds, faulty workers, and a proxy process that may be
+ * paused once. It is determined by a seed, uses no sockets, and is checked against what callers and workers recorded.
  */
 import { OPEN_WORDS } from '../protocol/header-names.js';
 import { createAttemptBudget } from '../state/forwarding/attempt-budget.js';
@@ -16,39 +16,40 @@
 import type { ConnectionPool, OpaqueRequest } from '../transport/opaque-http.js';
 import { createRng } from '../transport/rng.js';
 import type { Relay, RelayDeps } from '../coordination/forwarding/relay.js';
-import { bodyOf, checkEdgeJournal } from './edge-journal.js';
-import type { Asked, AskedKind, BrokenRule, EdgeJournal } from './edge-journal.js';
+import { requestBodyOf, checkEdgeJournal } from './edge-journal.js';
+import type { CallerRequest, RequestKind, BrokenRule, EdgeJournal } from './edge-journal.js';
 import { createEdgeWorkers } from './edge-workers.js';
 import type { EdgeSabotage } from './edge-workers.js';
 import { createWorld } from './world.js';
 import type { Host } from './world.js';
 
 export type EdgeDayOptions = {
-  /** The relay under trial; a test may hand in one that was broken on purpose. */
+  /** Creates the relay under test; a test may pass one that is broken on purpose. */
   readonly createRelay: (deps: RelayDeps) => Relay;
   readonly requests?: number;
-  readonly trouble?: number;
+  /** Share of attempts that meet a faulty worker; 0.5 if not given. */
+  readonly faultShare?: number;
   readonly sabotage?: EdgeSabotage;
-  /** Whether the proxy may be frozen on the way. */
-  readonly freezes?: boolean;
+  /** Whether the proxy process may be paused during the day. */
+  readonly mayFreeze?: boolean;
 };
 
-export type EdgeDayEnd = {
+export type EdgeDayResult = {
   readonly broken: readonly BrokenRule[];
   readonly journal: EdgeJournal;
-  /** Requests that the relay still holds after all should be over. */
+  /** Requests that are still open at the relay after the end of the day. */
   readonly open: number;
-  /** Places at workers that are still held. */
+  /** Worker slots that are still reserved. */
   readonly held: number;
 };
 
-const KINDS: readonly AskedKind[] = ['once', 'repeatable', 'stream', 'resumable'];
+const REQUEST_KINDS: readonly RequestKind[] = ['once', 'repeatable', 'stream', 'resumable'];
 const DEADLINE_MS = 3_000;
-const ASK_WITHIN_MS = 4_000;
-const BOUNDS = { ratio: 0.5, slack: 12, windowMs: 60_000 };
-const READ_TIMEOUT_MS = 9_000;
+const ARRIVAL_WINDOW_MS = 4_000;
+const ATTEMPT_BUDGET = { ratio: 0.5, slack: 12, windowMs: 60_000 };
+const SETTLE_MS = 9_000;
 
-function routeOf(kind: AskedKind, attempts: number): RouteSettings {
+function routeOf(kind: RequestKind, attempts: number): RouteSettings {
   return {
     at: 0,
     host: 'a.example',
@@ -56,7 +57,7 @@
     kind: kind === 'resumable' ? 'stream' : kind,
     resumable: kind === 'resumable',
     pinned: false,
-    rank: KINDS.indexOf(kind),
+    rank: REQUEST_KINDS.indexOf(kind),
     deadlineMs: DEADLINE_MS,
     aimMs: 2_000,
     pauseMs: null,
@@ -67,12 +68,12 @@
   };
 }
 
-function workerEntry(count: number): WorkerEntry {
+function workerEntry(index: number): WorkerEntry {
   return {
-    id: `w${count}`,
+    id: `w${index}`,
     model: 'm',
-    address: `10.0.0.${count}:80`,
-    zone: `z${count % 2}`,
+    address: `10.0.0.${index}:80`,
+    zone: `z${index % 2}`,
     region: 'r',
     release: '',
     places: 4,
@@ -82,8 +83,8 @@
   };
 }
 
-/** Plays one day and judges it. */
-export async function runEdgeDay(seed: number, options: EdgeDayOptions): Promise<EdgeDayEnd> {
+/** Plays one day and checks its journal. */
+export async function runEdgeDay(seed: number, options: EdgeDayOptions): Promise<EdgeDayResult> {
   const world = createWorld(seed);
   const rng = createRng(seed ^ 0x5eed);
   const proc = world.begin(world.host('edge', 'z1'));
@@ -96,78 +97,79 @@
     rng,
     journal,
     sabotage: options.sabotage ?? 'none',
-    trouble: options.trouble ?? 0.5,
+    faultShare: options.faultShare ?? 0.5,
   });
-  const mappings: Record<string, RouteSettings> = {};
-  for (const kind of KINDS) for (const attempts of [1, 2, 3]) mappings[`${kind}${attempts}`] = routeOf(kind, attempts);
+  const routes: Record<string, RouteSettings> = {};
+  for (const kind of REQUEST_KINDS)
+    for (const attempts of [1, 2, 3]) routes[`${kind}${attempts}`] = routeOf(kind, attempts);
   const models = { m: { at: 0, probePath: '/h', maxConns: 100, coldS: 0, coldRateS: 0, engine: null } };
-  const table = createRouteTable({ number: 1, mappings, models, limits: DEFAULT_LIMITS });
-  const book = createWorkerRegistry(
+  const routeTable = createRouteTable({ number: 1, mappings: routes, models, limits: DEFAULT_LIMITS });
+  const registry = createWorkerRegistry(
     { name: 'edge', zone: 'z1', region: 'r', openConnections: (address) => connectionPool.idle(address) },
     EDGE_TUNING,
   );
-  book.applyList([1, 2, 3, 4].map(workerEntry), 0);
+  registry.applyList([1, 2, 3, 4].map(workerEntry), 0);
   const relay = options.createRelay({
     headerNames: OPEN_WORDS,
     tuning: EDGE_TUNING,
-    registry: book,
-    budget: createAttemptBudget(BOUNDS),
+    registry,
+    budget: createAttemptBudget(ATTEMPT_BUDGET),
     connectionPool,
     clock,
     rng,
     log: createQuietLog().component('edge'),
-    table: theTable,
-    closing: never,
-    stopTimes: nothing,
+    table: getRouteTable,
+    closing: alwaysFalse,
+    stopTimes: alwaysNull,
   });
   every(clock, 250, () => relay.turn());
-  function theTable(): RouteTable {
-    return table;
+  function getRouteTable(): RouteTable {
+    return routeTable;
   }
 
-  for (let i = 0; i < (options.requests ?? 12); i += 1) world.at(rng.next() * ASK_WITHIN_MS, ask);
-  const freezes = rng.next() < 0.4 && options.freezes !== false;
-  const freezeAt = rng.next() * ASK_WITHIN_MS;
-  if (freezes) world.at(freezeAt, freeze);
+  for (let i = 0; i < (options.requests ?? 12); i += 1) world.at(rng.next() * ARRIVAL_WINDOW_MS, sendRequest);
+  const isFrozenOnce = rng.next() < 0.4 && options.mayFreeze !== false;
+  const freezeAt = rng.next() * ARRIVAL_WINDOW_MS;
+  if (isFrozenOnce) world.at(freezeAt, freeze);
 
   function freeze(): void {
     world.freeze(proc.host);
   }
-  function ask(): void {
-    const asked = newAsked(journal.asked.length, rng.next);
-    journal.asked.push(asked);
-    const caller = createCaller(asked);
-    if (rng.next() < 0.2) world.at(rng.next() * 1_500, leave);
-    function arrives(): void {
-      asked.readAt = world.now();
-      relay.handle(caller.incoming);
+  function sendRequest(): void {
+    const request = drawRequest(journal.asked.length, rng.next);
+    journal.asked.push(request);
+    const caller = createCaller(request);
+    if (rng.next() < 0.2) world.at(rng.next() * 1_500, disconnect);
+    function arrive(): void {
+      request.readAt = world.now();
+      relay.handle(caller.request);
     }
-    function leave(): void {
-      if (asked.end !== 'none') return;
-      asked.leftAt = world.now();
-      world.run(proc, caller.left);
+    function disconnect(): void {
+      if (request.end !== 'none') return;
+      request.disconnectedAt = world.now();
+      world.run(proc, caller.disconnect);
     }
-    world.run(proc, arrives);
+    world.run(proc, arrive);
   }
 
-  if (freezes) {
+  if (isFrozenOnce) {
     await world.advance(freezeAt + 200 + rng.next() * 4_000);
     await thaw(proc.host);
   }
-  await world.advance(ASK_WITHIN_MS + READ_TIMEOUT_MS);
+  await world.advance(ARRIVAL_WINDOW_MS + SETTLE_MS);
   let held = 0;
-  for (const row of book.rows()) held += row.running;
-  return { broken: checkEdgeJournal(journal, BOUNDS), journal, open: relay.tally().open, held };
+  for (const row of registry.rows()) held += row.running;
+  return { broken: checkEdgeJournal(journal, ATTEMPT_BUDGET), journal, open: relay.tally().open, held };
 }
 
-function never(): boolean {
+function alwaysFalse(): boolean {
   return false;
 }
-function nothing(): null {
+function alwaysNull(): null {
   return null;
 }
 
-/** Runs what came while a host was frozen one by one, each with its microtasks, as an event loop does. */
+/** Resumes a paused host: runs the parked callbacks one by one, each with its microtasks, as an event loop does. */
 async function thaw(host: Host): Promise<void> {
   host.frozen = false;
   for (const callback of host.parked.splice(0)) {
@@ -176,16 +178,16 @@
   }
 }
 
-function newAsked(count: number, next: () => number): Asked {
-  const kind = KINDS[Math.floor(next() * KINDS.length)] as AskedKind;
+function drawRequest(index: number, next: () => number): CallerRequest {
+  const kind = REQUEST_KINDS[Math.floor(next() * REQUEST_KINDS.length)] as RequestKind;
   return {
-    id: `q${count}`,
+    id: `q${index}`,
     kind,
     readAt: 0,
     deadlineMs: Math.round(600 + next() * 2_400),
     attempts: 1 + Math.floor(next() * 3),
     events: 1 + Math.floor(next() * 6),
-    leftAt: null,
+    disconnectedAt: null,
     status: 0,
     seal: null,
     body: '',
@@ -193,60 +195,60 @@
   };
 }
 
-type Caller = { readonly incoming: OpaqueRequest; readonly left: () => void };
+type Caller = { readonly request: OpaqueRequest; readonly disconnect: () => void };
 
-/** A caller's connection: what the proxy writes into it becomes the caller's part of the journal. */
-function createCaller(asked: Asked): Caller {
-  const watchers: (() => void)[] = [];
+/** Creates a caller's connection. What the proxy writes to it is recorded in the caller's entry of the journal. */
+function createCaller(request: CallerRequest): Caller {
+  const disconnectListeners: (() => void)[] = [];
   const headers: Record<string, string> = {
     host: 'a.example',
-    [OPEN_WORDS.attemptId]: asked.id,
-    [OPEN_WORDS.deadline]: String(asked.deadlineMs),
-    'content-length': String(bodyOf(asked.id).length),
+    [OPEN_WORDS.attemptId]: request.id,
+    [OPEN_WORDS.deadline]: String(request.deadlineMs),
+    'content-length': String(requestBodyOf(request.id).length),
   };
-  let gone = false;
+  let isDisconnected = false;
 
   function get(name: string): string | null {
     return headers[name] ?? null;
   }
   function body(): ReturnType<OpaqueRequest['body']> {
-    return Promise.resolve({ ok: true, value: Buffer.from(bodyOf(asked.id)) });
+    return Promise.resolve({ ok: true, value: Buffer.from(requestBodyOf(request.id)) });
   }
   function isGone(): boolean {
-    return gone;
+    return isDisconnected;
   }
   function onGone(callback: () => void): void {
-    watchers.push(callback);
+    disconnectListeners.push(callback);
   }
   function head(status: number, raw: readonly string[]): void {
-    if (gone || asked.status !== 0) return;
-    asked.status = status;
-    const at = raw.indexOf(OPEN_WORDS.seal);
-    asked.seal = at < 0 ? null : (raw[at + 1] ?? null);
+    if (isDisconnected || request.status !== 0) return;
+    request.status = status;
+    const index = raw.indexOf(OPEN_WORDS.seal);
+    request.seal = index < 0 ? null : (raw[index + 1] ?? null);
   }
   function write(data: Buffer): void {
-    if (!gone && asked.end === 'none') asked.body += data.toString();
+    if (!isDisconnected && request.end === 'none') request.body += data.toString();
   }
   function end(): void {
-    if (!gone && asked.end === 'none') asked.end = 'whole';
+    if (!isDisconnected && request.end === 'none') request.end = 'whole';
   }
-  function cut(): void {
-    if (!gone && asked.end === 'none') asked.end = 'cut';
+  function abort(): void {
+    if (!isDisconnected && request.end === 'none') request.end = 'cut';
   }
   function begun(): boolean {
-    return asked.status !== 0;
+    return request.status !== 0;
   }
-  function left(): void {
-    gone = true;
-    for (const callback of watchers) callback();
+  function disconnect(): void {
+    isDisconnected = true;
+    for (const callback of disconnectListeners) callback();
   }
-  const incoming: OpaqueRequest = {
+  const opaqueRequest: OpaqueRequest = {
     method: 'POST',
-    target: `/${asked.kind}/${asked.attempts}/x`,
+    target: `/${request.kind}/${request.attempts}/x`,
     headers: Object.entries(headers).flat(),
     get,
     body,
-    answerer: { head, write, end, abort: cut, gone: isGone, begun, onGone },
+    answerer: { head, write, end, abort, gone: isGone, begun, onGone },
   };
-  return { incoming, left };
+  return { request: opaqueRequest, disconnect };
 }
--- a/src/sim/edge-journal.ts
+++ b/src/sim/edge-journal.ts
@@ -1,137 +1,141 @@
 /**
- * What callers and workers of a simulated edge saw on their own connections, and the rules that it must
- * keep. Nothing here comes from inside the proxy.
+ * What callers and workers of a simulated edge observed on their own connections, and the rules that these observations
+ * must satisfy. Nothing here is read from inside the proxy.
  */
 
-/** How often a request may run; see state/attempt-outcome.ts. */
-export type AskedKind = 'once' | 'repeatable' | 'stream' | 'resumable';
+/** How often a request may run; see state/forwarding/attempt-outcome.ts. */
+export type RequestKind = 'once' | 'repeatable' | 'stream' | 'resumable';
 
-/** A request as its caller knows it. */
-export type Asked = {
+/** A request as its caller sees it. */
+export type CallerRequest = {
   readonly id: string;
-  readonly kind: AskedKind;
+  readonly kind: RequestKind;
   readonly deadlineMs: number;
   readonly attempts: number;
   readonly events: number;
-  /** When the proxy read it; one that is frozen can't know how long it lay unread. */
+  /** When the proxy read the request. A paused proxy can't know how long the request was unread before. */
   readAt: number;
-  leftAt: number | null;
+  disconnectedAt: number | null;
   status: number;
   seal: string | null;
   body: string;
   end: 'none' | 'whole' | 'cut';
 };
 
-/** A request as it came to a worker, and what the worker did about it. */
+/** A request as it arrived at a worker, and what the worker did with it. */
 export type Arrival = {
   readonly id: string;
   readonly worker: string;
   readonly at: number;
-  readonly handedMs: number;
+  readonly remainingMs: number;
   readonly body: string;
-  /** The seal of the run, or null where it did not run. */
+  /** The seal (digest header) of the run, or null if the request did not run. */
   seal: string | null;
-  /** The status that the worker gave with its seal, or 0. */
+  /** The status that the worker sent with its seal, or 0. */
   status: number;
-  /** Body of the whole answer of a run that is no stream. */
-  whole: string;
+  /** Complete body of the response of a run that isn't a stream. */
+  fullBody: string;
 };
 
-export type EdgeJournal = { readonly asked: Asked[]; readonly arrivals: Arrival[] };
+export type EdgeJournal = { readonly asked: CallerRequest[]; readonly arrivals: Arrival[] };
 
-/** A rule that was broken, and where. */
+/** A broken rule, and where it was broken. */
 export type BrokenRule = { readonly rule: string; readonly detail: string };
 
-/** What the fleet shares for attempts beyond the first. */
-export type BudgetRule = { readonly ratio: number; readonly slack: number };
+/** Limit on further attempts: `ratio` of all requests plus `slack`. */
+export type AttemptBudgetLimit = { readonly ratio: number; readonly slack: number };
 
-const PROMISES: ReadonlySet<number> = new Set([503, 429, 408, 421]);
-/** How late a request may still reach a worker after its caller left. */
-const LEFT_SLACK_MS = 500;
-/** The way from the proxy to a worker. */
+/** Statuses with which the proxy states that the request did not run. */
+const NOT_EXECUTED_STATUSES: ReadonlySet<number> = new Set([503, 429, 408, 421]);
+/** How long after its caller disconnected a request may still arrive at a worker. */
+const DISCONNECT_SLACK_MS = 500;
+/** Allowance for the network delay from the proxy to a worker. */
 const DEADLINE_SLACK_MS = 10;
 
-/** The text of one event of a stream. */
+/** Returns the text of one event of a stream. */
 export function eventText(id: string, number: number): string {
   return `id: ${number}\ndata: ${id}/${number}\n\n`;
 }
 
-/** The body that a caller sends with a request. */
-export function bodyOf(id: string): string {
+/** Returns the body that a caller sends with a request. */
+export function requestBodyOf(id: string): string {
   return `body of ${id}`;
 }
 
-/** All rules that the journal shows as broken. */
-export function checkEdgeJournal(journal: EdgeJournal, budget: BudgetRule): BrokenRule[] {
+/** Returns all rules that the journal shows to be broken. */
+export function checkEdgeJournal(journal: EdgeJournal, budget: AttemptBudgetLimit): BrokenRule[] {
   const broken: BrokenRule[] = [];
   const byId = new Map<string, Arrival[]>();
   const known = new Set(journal.asked.map(idOf));
   for (const arrival of journal.arrivals) {
     byId.set(arrival.id, [...(byId.get(arrival.id) ?? []), arrival]);
-    if (!known.has(arrival.id) || arrival.body !== bodyOf(arrival.id))
+    if (!known.has(arrival.id) || arrival.body !== requestBodyOf(arrival.id))
       broken.push({ rule: 'unasked', detail: arrival.id });
   }
-  for (const asked of journal.asked) broken.push(...checkAsked(asked, byId.get(asked.id) ?? []));
-  const further = journal.arrivals.length - byId.size;
-  if (further > budget.ratio * journal.asked.length + budget.slack)
-    broken.push({ rule: 'budget', detail: `${further} further arrivals` });
+  for (const request of journal.asked) broken.push(...checkRequest(request, byId.get(request.id) ?? []));
+  const retryCount = journal.arrivals.length - byId.size;
+  if (retryCount > budget.ratio * journal.asked.length + budget.slack)
+    broken.push({ rule: 'budget', detail: `${retryCount} attempts beyond the first` });
   return broken;
 }
 
-function idOf(asked: Asked): string {
-  return asked.id;
+function idOf(request: CallerRequest): string {
+  return request.id;
 }
 function hasRun(arrival: Arrival): boolean {
   return arrival.seal !== null;
 }
 
-function checkAsked(asked: Asked, arrivals: readonly Arrival[]): BrokenRule[] {
+function checkRequest(request: CallerRequest, arrivals: readonly Arrival[]): BrokenRule[] {
   const broken: BrokenRule[] = [];
-  function note(rule: string, detail: string): void {
-    broken.push({ rule, detail: `${asked.id} (${asked.kind}): ${detail}` });
+  function report(rule: string, detail: string): void {
+    broken.push({ rule, detail: `${request.id} (${request.kind}): ${detail}` });
   }
   const runs = arrivals.filter(hasRun);
-  const repeatable = asked.kind === 'repeatable' || asked.kind === 'resumable';
-  if (!repeatable && runs.length > 1) note('twice', `ran ${runs.length} times`);
-  if (PROMISES.has(asked.status) && runs.length > 0) note('refused', `told ${asked.status}, ran ${runs.length} times`);
-  if (arrivals.length > asked.attempts) note('attempts', `${arrivals.length} sent, ${asked.attempts} allowed`);
-  if (asked.leftAt === null && asked.end === 'none') note('unanswered', `status ${asked.status}`);
-  for (const arrival of arrivals) checkTimes(asked, arrival, note);
-  checkAnswer(asked, runs, note);
+  const repeatable = request.kind === 'repeatable' || request.kind === 'resumable';
+  if (!repeatable && runs.length > 1) report('twice', `ran ${runs.length} times`);
+  if (NOT_EXECUTED_STATUSES.has(request.status) && runs.length > 0)
+    report('refused', `answered ${request.status}, ran ${runs.length} times`);
+  if (arrivals.length > request.attempts) report('attempts', `${arrivals.length} sent, ${request.attempts} allowed`);
+  if (request.disconnectedAt === null && request.end === 'none') report('unanswered', `status ${request.status}`);
+  for (const arrival of arrivals) checkTimes(request, arrival, report);
+  checkResponse(request, runs, report);
   return broken;
 }
 
-type Note = (rule: string, detail: string) => void;
+type Report = (rule: string, detail: string) => void;
 
-function checkTimes(asked: Asked, arrival: Arrival, note: Note): void {
-  const deadlineAt = asked.readAt + asked.deadlineMs + DEADLINE_SLACK_MS;
-  if (asked.leftAt !== null && arrival.at > asked.leftAt + LEFT_SLACK_MS)
-    note('gone', `arrived ${Math.round(arrival.at - asked.leftAt)} ms after its caller left`);
-  if (arrival.at > deadlineAt) note('late', `arrived ${Math.round(arrival.at - deadlineAt)} ms after its deadline`);
-  if (arrival.at + arrival.handedMs > deadlineAt) note('handed', `handed ${arrival.handedMs} ms`);
+function checkTimes(request: CallerRequest, arrival: Arrival, report: Report): void {
+  const deadlineAt = request.readAt + request.deadlineMs + DEADLINE_SLACK_MS;
+  if (request.disconnectedAt !== null && arrival.at > request.disconnectedAt + DISCONNECT_SLACK_MS)
+    report('gone', `arrived ${Math.round(arrival.at - request.disconnectedAt)} ms after its caller disconnected`);
+  if (arrival.at > deadlineAt) report('late', `arrived ${Math.round(arrival.at - deadlineAt)} ms after its deadline`);
+  if (arrival.at + arrival.remainingMs > deadlineAt)
+    report('handed', `arrived with ${arrival.remainingMs} ms remaining, more than its deadline allows`);
 }
 
-function checkAnswer(asked: Asked, runs: readonly Arrival[], note: Note): void {
-  if (asked.status === 0) return;
-  function isItsRun(one: Arrival): boolean {
-    return one.seal === asked.seal;
+function checkResponse(request: CallerRequest, runs: readonly Arrival[], report: Report): void {
+  if (request.status === 0) return;
+  function hasResponseSeal(arrival: Arrival): boolean {
+    return arrival.seal === request.seal;
   }
-  const run = runs.find(isItsRun);
-  const success = asked.status >= 200 && asked.status < 300;
-  if (asked.seal !== null && !run) note('mixed', `seal ${asked.seal} of another request`);
-  if (success && asked.seal === null) note('mixed', 'a success without a seal');
-  if (!success && run && run.status !== asked.status)
-    note('mixed', `the seal of a ${run.status} under a ${asked.status}`);
+  const run = runs.find(hasResponseSeal);
+  const success = request.status >= 200 && request.status < 300;
+  if (request.seal !== null && !run) report('mixed', `seal ${request.seal} of another request`);
+  if (success && request.seal === null) report('mixed', 'a success without a seal');
+  if (!success && run && run.status !== request.status)
+    report('mixed', `the seal of a ${run.status} under a ${request.status}`);
   if (!success) return;
-  if (asked.kind === 'stream' || asked.kind === 'resumable') checkEvents(asked, note);
-  else if (asked.end === 'whole' && run && asked.body !== run.whole) note('mixed', 'not the whole body of its worker');
+  if (request.kind === 'stream' || request.kind === 'resumable') checkEvents(request, report);
+  else if (request.end === 'whole' && run && request.body !== run.fullBody)
+    report('mixed', "not the complete body of its worker's response");
 }
 
-function checkEvents(asked: Asked, note: Note): void {
+function checkEvents(request: CallerRequest, report: Report): void {
   let expected = '';
   let count = 0;
-  while (expected.length < asked.body.length) expected += eventText(asked.id, (count += 1));
-  if (asked.body !== expected) note('order', `events ${JSON.stringify(asked.body.slice(-60))}`);
-  else if (asked.end === 'whole' && count !== asked.events)
-    note('order', `ended after ${count} of ${asked.events} events`);
+  while (expected.length < request.body.length) expected += eventText(request.id, (count += 1));
+  if (request.body !== expected) report('order', `events ${JSON.stringify(request.body.slice(-60))}`);
+  else if (request.end === 'whole' && count !== request.events)
+    report('order', `ended after ${count} of ${request.events} events`);
 }
--- a/src/sim/edge-workers.ts
+++ b/src/sim/edge-workers.ts
@@ -1,15 +1,15 @@
 /**
- * Stand-in workers of a simulated edge, and the connections to them: a twin of the connection pool whose
- * workers misbehave as they are told by chance. Each notes what came to it and what it ran.
+ * Stand-in workers of a simulated edge and the connections to them: a fake of the connection pool whose workers
+ * misbehave at random. Each worker records the requests that arrive and which of them it runs.
  */
 import type { HeaderNames } from '../protocol/header-names.js';
 import type { ConnectionPool, SendEvents, SendError, Sending, Sent } from '../transport/opaque-http.js';
 import type { Rng } from '../transport/rng.js';
 import { eventText } from './edge-journal.js';
-import type { Arrival, Asked, EdgeJournal } from './edge-journal.js';
+import type { Arrival, CallerRequest, EdgeJournal } from './edge-journal.js';
 import type { Proc, World } from './world.js';
 
-/** Deliberate breaks of the connections, by which the checker is seen to work. */
+/** Deliberate faults of the connections, used to test that the checker detects them. */
 export type EdgeSabotage = 'none' | 'resetToldAsNotConnected' | 'idsIgnored' | 'cutToldAsEnd';
 
 export type EdgeWorkersOptions = {
@@ -19,25 +19,25 @@
   readonly rng: Rng;
   readonly journal: EdgeJournal;
   readonly sabotage: EdgeSabotage;
-  /** Share of attempts that don't end as they should. */
-  readonly trouble: number;
+  /** Share of attempts at which the worker misbehaves. */
+  readonly faultShare: number;
 };
 
-type Head = { readonly status: number; readonly headers: Readonly<Record<string, string>> };
+type ResponseHead = { readonly status: number; readonly headers: Readonly<Record<string, string>> };
 
-/** One connection to a worker; `surplus` is an answer of an earlier request that lies unread in it. */
-type Connection = { readonly fresh: boolean; surplus: Head | null };
+/** A connection to a worker. `staleResponse` is an unread second response to an earlier request on it. */
+type Connection = { readonly isNew: boolean; staleResponse: ResponseHead | null };
 
-/** What one request meets at a worker. */
-type Visit = {
+/** One request at a worker and its response. */
+type Exchange = {
   readonly arrival: Arrival;
-  readonly asked: Asked;
+  readonly request: CallerRequest;
   readonly connection: Connection;
   readonly address: string;
   readonly events: SendEvents;
-  readonly from: number;
-  at: number;
-  left: boolean;
+  readonly lastEvent: number;
+  nextSendAt: number;
+  isAborted: boolean;
 };
 
 const BEHAVIOURS = [
@@ -63,291 +63,309 @@
 type Behaviour = (typeof BEHAVIOURS)[number] | 'serves';
 
 const CONNECT_MS = 4;
-const WAY_MS = 3;
-const WORK_MS = 60;
-const PAUSE_MS = 15;
-const REVIVES_AFTER_MS = 2_500;
-const REACHED_SHARE = 0.4;
+const NETWORK_DELAY_MS = 3;
+const PROCESSING_MS = 60;
+const CHUNK_DELAY_MS = 15;
+const UNREACHABLE_MS = 2_500;
+const PROBE_SUCCESS_SHARE = 0.4;
 
 export function createEdgeWorkers(options: EdgeWorkersOptions): ConnectionPool {
   const { world, proc, headerNames, rng, journal } = options;
   const idle = new Map<string, Connection[]>();
-  const dark = new Set<string>();
-  let seals = 0;
+  const unreachable = new Set<string>();
+  let sealCount = 0;
 
   function chance(share: number): boolean {
     return rng.next() < share;
   }
-  function soon(ms: number): number {
+  function jittered(ms: number): number {
     return ms * (0.5 + rng.next());
   }
-  function toProxy(ms: number, callback: () => void): void {
+  function runAtProxy(ms: number, callback: () => void): void {
     function deliver(): void {
       world.run(proc, callback);
     }
     world.at(ms, deliver);
   }
-  function fault(events: SendEvents, tag: SendError['tag']): void {
+  function failSend(events: SendEvents, tag: SendError['tag']): void {
     events.failed({ tag: options.sabotage === 'resetToldAsNotConnected' && tag === 'reset' ? 'notConnected' : tag });
   }
 
-  function send(what: Sending, events: SendEvents): Sent {
-    const sending = { over: false, visit: null as Visit | null };
-    const reused = !what.newConnection && chance(0.7) ? idle.get(what.address)?.pop() : undefined;
+  function send(sending: Sending, events: SendEvents): Sent {
+    const state = { isAborted: false, exchange: null as Exchange | null };
+    const reused = !sending.newConnection && chance(0.7) ? idle.get(sending.address)?.pop() : undefined;
     if (reused) write(reused);
-    else toProxy(soon(CONNECT_MS), dialled);
+    else runAtProxy(jittered(CONNECT_MS), finishConnect);
 
-    function dialled(): void {
-      if (sending.over) return;
-      if (chance(options.trouble * 0.1) || dark.has(what.address)) {
-        fault(events, 'notConnected');
+    function finishConnect(): void {
+      if (state.isAborted) return;
+      if (chance(options.faultShare * 0.1) || unreachable.has(sending.address)) {
+        failSend(events, 'notConnected');
         return;
       }
       events.connected?.(CONNECT_MS);
-      write({ fresh: true, surplus: null });
+      write({ isNew: true, staleResponse: null });
     }
     function write(connection: Connection): void {
-      if (chance(options.trouble * 0.05)) {
-        fault(events, 'resetUnwritten');
+      if (chance(options.faultShare * 0.05)) {
+        failSend(events, 'resetUnwritten');
         return;
       }
-      const headers = what.headers();
+      const headers = sending.headers();
       if (headers === null) {
-        rest(what.address, connection);
+        returnToPool(sending.address, connection);
         events.failed({ tag: 'withheld' });
         return;
       }
-      const partly = chance(options.trouble * 0.05);
+      const isPartlyWritten = chance(options.faultShare * 0.05);
       function arrive(): void {
-        if (!partly || chance(0.5))
-          sending.visit = visit(what, headers ?? [], connection, events, sending.over, partly);
+        if (!isPartlyWritten || chance(0.5))
+          state.exchange = startExchange(sending, headers ?? [], connection, events, state.isAborted, isPartlyWritten);
       }
-      world.at(soon(WAY_MS), arrive);
-      function reset(): void {
-        if (!sending.over) fault(events, 'resetPartlyWritten');
+      world.at(jittered(NETWORK_DELAY_MS), arrive);
+      function failPartlyWritten(): void {
+        if (!state.isAborted) failSend(events, 'resetPartlyWritten');
       }
-      if (partly) toProxy(soon(PAUSE_MS), reset);
+      if (isPartlyWritten) runAtProxy(jittered(CHUNK_DELAY_MS), failPartlyWritten);
     }
-    function cut(): void {
-      sending.over = true;
-      if (sending.visit) sending.visit.left = true;
+    function abort(): void {
+      state.isAborted = true;
+      if (state.exchange) state.exchange.isAborted = true;
     }
-    return { abort: cut };
+    return { abort };
   }
 
-  function visit(
-    what: Sending,
+  function startExchange(
+    sending: Sending,
     headers: readonly string[],
     connection: Connection,
     events: SendEvents,
-    left: boolean,
-    partly: boolean,
-  ): Visit | null {
-    const given = new Map<string, string>();
-    for (let i = 0; i + 1 < headers.length; i += 2) given.set(headers[i] as string, headers[i + 1] as string);
-    const id = given.get(headerNames.attemptId) ?? '';
-    const handedMs = Number(given.get(headerNames.deadline));
+    isAborted: boolean,
+    isPartlyWritten: boolean,
+  ): Exchange | null {
+    const headerValues = new Map<string, string>();
+    for (let i = 0; i + 1 < headers.length; i += 2) headerValues.set(headers[i] as string, headers[i + 1] as string);
+    const id = headerValues.get(headerNames.attemptId) ?? '';
+    const remainingMs = Number(headerValues.get(headerNames.deadline));
     const arrival: Arrival = {
       id,
-      worker: what.address,
+      worker: sending.address,
       at: world.now(),
-      handedMs,
-      body: what.body?.toString() ?? '',
+      remainingMs,
+      body: sending.body?.toString() ?? '',
       seal: null,
       status: 0,
-      whole: '',
+      fullBody: '',
     };
     journal.arrivals.push(arrival);
-    function isIt(one: Asked): boolean {
-      return one.id === id;
+    function hasId(candidate: CallerRequest): boolean {
+      return candidate.id === id;
     }
-    const asked = journal.asked.find(isIt);
-    if (!asked || left) return null;
-    const from = Number(given.get(headerNames.lastEvent) ?? 0);
-    const made: Visit = { arrival, asked, connection, address: what.address, events, from, at: 0, left: false };
-    if (partly) begin(made);
+    const request = journal.asked.find(hasId);
+    if (!request || isAborted) return null;
+    const lastEvent = Number(headerValues.get(headerNames.lastEvent) ?? 0);
+    const exchange: Exchange = {
+      arrival,
+      request,
+      connection,
+      address: sending.address,
+      events,
+      lastEvent,
+      nextSendAt: 0,
+      isAborted: false,
+    };
+    if (isPartlyWritten) startRun(exchange);
     else
       behave(
-        made,
-        chance(options.trouble) ? (BEHAVIOURS[Math.floor(rng.next() * BEHAVIOURS.length)] as Behaviour) : 'serves',
+        exchange,
+        chance(options.faultShare) ? (BEHAVIOURS[Math.floor(rng.next() * BEHAVIOURS.length)] as Behaviour) : 'serves',
       );
-    return made;
+    return exchange;
   }
 
-  function begin(visit: Visit): string {
-    visit.arrival.seal = `seal-${(seals += 1)}`;
-    visit.arrival.status = 200;
-    visit.arrival.whole = `${visit.arrival.seal} answers ${visit.arrival.id}`;
-    return visit.arrival.seal;
+  function startRun(exchange: Exchange): string {
+    exchange.arrival.seal = `seal-${(sealCount += 1)}`;
+    exchange.arrival.status = 200;
+    exchange.arrival.fullBody = `${exchange.arrival.seal} answers ${exchange.arrival.id}`;
+    return exchange.arrival.seal;
   }
 
-  /** Bytes of one visit come in order. A worker that was left speaks on now and then, as its bytes were under way. */
-  function say(visit: Visit, ms: number, callback: () => void): void {
-    visit.at = Math.max(visit.at, world.now()) + soon(ms);
-    toProxy(visit.at - world.now(), callback);
+  /**
+   * Delivers the bytes of one exchange in order. Some bytes are delivered even after the proxy aborted the exchange,
+   * like bytes that were already on the way.
+   */
+  function sendInOrder(exchange: Exchange, ms: number, callback: () => void): void {
+    exchange.nextSendAt = Math.max(exchange.nextSendAt, world.now()) + jittered(ms);
+    runAtProxy(exchange.nextSendAt - world.now(), callback);
   }
-  function head(visit: Visit, status: number, headers: Readonly<Record<string, string>>): void {
-    function tell(): void {
+  function sendHead(exchange: Exchange, status: number, headers: Readonly<Record<string, string>>): void {
+    function deliver(): void {
       function get(name: string): string | null {
-        if (options.sabotage === 'idsIgnored' && name === headerNames.attemptId) return visit.arrival.id;
+        if (options.sabotage === 'idsIgnored' && name === headerNames.attemptId) return exchange.arrival.id;
         return headers[name] ?? null;
       }
-      visit.events.head(status, Object.entries(headers).flat(), get);
+      exchange.events.head(status, Object.entries(headers).flat(), get);
     }
-    say(visit, WORK_MS, tell);
+    sendInOrder(exchange, PROCESSING_MS, deliver);
   }
-  function data(visit: Visit, text: string): void {
-    function tell(): void {
-      visit.events.data(Buffer.from(text));
+  function sendData(exchange: Exchange, text: string): void {
+    function deliver(): void {
+      exchange.events.data(Buffer.from(text));
     }
-    say(visit, PAUSE_MS, tell);
+    sendInOrder(exchange, CHUNK_DELAY_MS, deliver);
   }
-  function fail(visit: Visit, tag: 'reset' | 'garbled'): void {
-    function tell(): void {
-      if (visit.left) return;
-      if (options.sabotage === 'cutToldAsEnd') visit.events.end();
-      else fault(visit.events, tag);
+  function sendFailure(exchange: Exchange, tag: 'reset' | 'garbled'): void {
+    function deliver(): void {
+      if (exchange.isAborted) return;
+      if (options.sabotage === 'cutToldAsEnd') exchange.events.end();
+      else failSend(exchange.events, tag);
     }
-    say(visit, PAUSE_MS, tell);
+    sendInOrder(exchange, CHUNK_DELAY_MS, deliver);
   }
-  function end(visit: Visit): void {
-    function tell(): void {
-      if (visit.left) return;
-      visit.events.end();
-      const surplus = chance(options.trouble * 0.3) ? surplusOf(visit) : null;
-      rest(visit.address, { fresh: false, surplus });
+  function sendEnd(exchange: Exchange): void {
+    function deliver(): void {
+      if (exchange.isAborted) return;
+      exchange.events.end();
+      const staleResponse = chance(options.faultShare * 0.3) ? drawStaleResponse(exchange) : null;
+      returnToPool(exchange.address, { isNew: false, staleResponse });
     }
-    say(visit, PAUSE_MS, tell);
+    sendInOrder(exchange, CHUNK_DELAY_MS, deliver);
   }
-  function rest(address: string, connection: Connection): void {
-    idle.set(address, [...(idle.get(address) ?? []), { fresh: false, surplus: connection.surplus }]);
+  function returnToPool(address: string, connection: Connection): void {
+    idle.set(address, [...(idle.get(address) ?? []), { isNew: false, staleResponse: connection.staleResponse }]);
   }
-  /** A second answer to the request before, as it may lie unread when the connection is taken again. */
-  function surplusOf(visit: Visit): Head {
-    const mine = { [headerNames.attemptId]: visit.arrival.id };
-    if (chance(0.5)) return { status: 200, headers: { ...mine, [headerNames.seal]: visit.arrival.seal ?? 'none' } };
+  /** Draws a second response to the previous request, which may be unread when the connection is reused. */
+  function drawStaleResponse(exchange: Exchange): ResponseHead {
+    const ownId = { [headerNames.attemptId]: exchange.arrival.id };
+    if (chance(0.5)) return { status: 200, headers: { ...ownId, [headerNames.seal]: exchange.arrival.seal ?? 'none' } };
     return {
       status: chance(0.5) ? 421 : 503,
-      headers: chance(0.3) ? { [headerNames.notRun]: '1' } : { ...mine, [headerNames.notRun]: '1' },
+      headers: chance(0.3) ? { [headerNames.notRun]: '1' } : { ...ownId, [headerNames.notRun]: '1' },
     };
   }
 
-  function behave(visit: Visit, behaviour: Behaviour): void {
-    const mine = { [headerNames.attemptId]: visit.arrival.id };
-    const refusal = { ...mine, [headerNames.notRun]: '1' };
-    if (visit.connection.surplus) {
-      begin(visit);
-      head(visit, visit.connection.surplus.status, visit.connection.surplus.headers);
-      data(visit, 'the rest of another answer');
-      end(visit);
+  function behave(exchange: Exchange, behaviour: Behaviour): void {
+    const ownId = { [headerNames.attemptId]: exchange.arrival.id };
+    const notRunHeaders = { ...ownId, [headerNames.notRun]: '1' };
+    if (exchange.connection.staleResponse) {
+      startRun(exchange);
+      sendHead(exchange, exchange.connection.staleResponse.status, exchange.connection.staleResponse.headers);
+      sendData(exchange, 'the rest of another answer');
+      sendEnd(exchange);
       return;
     }
     switch (behaviour) {
       case 'refuses':
-        head(visit, chance(0.5) ? 503 : 429, refusal);
-        return end(visit);
+        sendHead(exchange, chance(0.5) ? 503 : 429, notRunHeaders);
+        return sendEnd(exchange);
       case 'refusesWithoutId':
-        head(visit, 503, { [headerNames.notRun]: '1' });
-        return end(visit);
+        sendHead(exchange, 503, { [headerNames.notRun]: '1' });
+        return sendEnd(exchange);
       case 'wrongWorker':
-        head(visit, 421, mine);
-        return end(visit);
+        sendHead(exchange, 421, ownId);
+        return sendEnd(exchange);
       case 'resetBeforeRun':
-        return fail(visit, 'reset');
+        return sendFailure(exchange, 'reset');
       case 'foreignRefusal':
-        begin(visit);
-        head(visit, chance(0.5) ? 421 : 503, { ...refusal, [headerNames.attemptId]: 'another' });
-        return end(visit);
+        startRun(exchange);
+        sendHead(exchange, chance(0.5) ? 421 : 503, { ...notRunHeaders, [headerNames.attemptId]: 'another' });
+        return sendEnd(exchange);
       case 'foreignAnswer':
-        begin(visit);
-        head(visit, 200, { [headerNames.attemptId]: 'another', [headerNames.seal]: 'seal-of-another' });
-        data(visit, 'an answer for another');
-        return end(visit);
+        startRun(exchange);
+        sendHead(exchange, 200, { [headerNames.attemptId]: 'another', [headerNames.seal]: 'seal-of-another' });
+        sendData(exchange, 'an answer for another');
+        return sendEnd(exchange);
       default:
-        runAs(visit, behaviour, { ...mine, [headerNames.seal]: begin(visit) });
+        respondAfterRun(exchange, behaviour, { ...ownId, [headerNames.seal]: startRun(exchange) });
     }
   }
 
-  function runAs(visit: Visit, behaviour: Behaviour, sealed: Readonly<Record<string, string>>): void {
-    const mine = { [headerNames.attemptId]: visit.arrival.id };
+  function respondAfterRun(
+    exchange: Exchange,
+    behaviour: Behaviour,
+    runHeaders: Readonly<Record<string, string>>,
+  ): void {
+    const ownId = { [headerNames.attemptId]: exchange.arrival.id };
     switch (behaviour) {
       case 'resetAfterRun':
-        return fail(visit, 'reset');
+        return sendFailure(exchange, 'reset');
       case 'garbage':
-        return fail(visit, 'garbled');
+        return sendFailure(exchange, 'garbled');
       case 'silent':
-        return goDark(visit);
+        return becomeUnreachable(exchange);
       case 'encoded':
-        head(visit, 200, { ...sealed, 'content-encoding': 'gzip' });
-        return end(visit);
+        sendHead(exchange, 200, { ...runHeaders, 'content-encoding': 'gzip' });
+        return sendEnd(exchange);
       case 'withoutSeal':
-        head(visit, 200, mine);
-        return end(visit);
+        sendHead(exchange, 200, ownId);
+        return sendEnd(exchange);
       case 'fails':
       case 'fails503':
-        visit.arrival.status = behaviour === 'fails' ? 500 : 503;
-        head(visit, visit.arrival.status, sealed);
-        data(visit, 'failed');
-        return end(visit);
+        exchange.arrival.status = behaviour === 'fails' ? 500 : 503;
+        sendHead(exchange, exchange.arrival.status, runHeaders);
+        sendData(exchange, 'failed');
+        return sendEnd(exchange);
       default:
-        if (visit.asked.kind === 'stream' || visit.asked.kind === 'resumable') stream(visit, behaviour, sealed);
-        else answer(visit, behaviour, sealed);
+        if (exchange.request.kind === 'stream' || exchange.request.kind === 'resumable')
+          sendStream(exchange, behaviour, runHeaders);
+        else sendResponse(exchange, behaviour, runHeaders);
     }
   }
 
-  function answer(visit: Visit, behaviour: Behaviour, sealed: Readonly<Record<string, string>>): void {
-    const { whole } = visit.arrival;
-    head(visit, 200, sealed);
-    data(visit, whole.slice(0, 9));
-    if (behaviour === 'cut' || behaviour === 'midEvent') return fail(visit, 'reset');
-    if (behaviour === 'silentMidway') return goDark(visit);
-    data(visit, whole.slice(9));
-    end(visit);
+  function sendResponse(exchange: Exchange, behaviour: Behaviour, runHeaders: Readonly<Record<string, string>>): void {
+    const { fullBody } = exchange.arrival;
+    sendHead(exchange, 200, runHeaders);
+    sendData(exchange, fullBody.slice(0, 9));
+    if (behaviour === 'cut' || behaviour === 'midEvent') return sendFailure(exchange, 'reset');
+    if (behaviour === 'silentMidway') return becomeUnreachable(exchange);
+    sendData(exchange, fullBody.slice(9));
+    sendEnd(exchange);
   }
 
-  function stream(visit: Visit, behaviour: Behaviour, sealed: Readonly<Record<string, string>>): void {
-    const breakAt = visit.from + 1 + Math.floor(rng.next() * Math.max(1, visit.asked.events - visit.from));
-    head(visit, 200, sealed);
-    for (let count = visit.from + 1; count <= visit.asked.events; count += 1) {
-      const text = eventText(visit.arrival.id, count);
+  function sendStream(exchange: Exchange, behaviour: Behaviour, runHeaders: Readonly<Record<string, string>>): void {
+    const faultAt =
+      exchange.lastEvent + 1 + Math.floor(rng.next() * Math.max(1, exchange.request.events - exchange.lastEvent));
+    sendHead(exchange, 200, runHeaders);
+    for (let count = exchange.lastEvent + 1; count <= exchange.request.events; count += 1) {
+      const text = eventText(exchange.arrival.id, count);
       const middle = Math.floor(rng.next() * text.length);
-      data(visit, text.slice(0, middle));
-      if (count === breakAt && behaviour === 'midEvent') return fail(visit, 'reset');
-      data(visit, text.slice(middle));
-      if (count !== breakAt) continue;
-      if (behaviour === 'cut') return fail(visit, 'reset');
-      if (behaviour === 'repeatsEvent') data(visit, text);
+      sendData(exchange, text.slice(0, middle));
+      if (count === faultAt && behaviour === 'midEvent') return sendFailure(exchange, 'reset');
+      sendData(exchange, text.slice(middle));
+      if (count !== faultAt) continue;
+      if (behaviour === 'cut') return sendFailure(exchange, 'reset');
+      if (behaviour === 'repeatsEvent') sendData(exchange, text);
       if (behaviour === 'silentMidway') {
-        goDark(visit);
-        visit.at = world.now() + REVIVES_AFTER_MS;
+        becomeUnreachable(exchange);
+        exchange.nextSendAt = world.now() + UNREACHABLE_MS;
       }
     }
-    end(visit);
+    sendEnd(exchange);
   }
 
-  /** The worker can't be reached for a while; its answer comes when it can. */
-  function goDark(visit: Visit): void {
-    dark.add(visit.address);
-    function light(): void {
-      dark.delete(visit.address);
+  /** Makes the worker unreachable for a while; the response of a stream continues after that. */
+  function becomeUnreachable(exchange: Exchange): void {
+    unreachable.add(exchange.address);
+    function becomeReachable(): void {
+      unreachable.delete(exchange.address);
     }
-    world.at(soon(REVIVES_AFTER_MS), light);
-    if (visit.asked.kind === 'once' || visit.asked.kind === 'repeatable') return;
-    visit.at = world.now() + REVIVES_AFTER_MS;
+    world.at(jittered(UNREACHABLE_MS), becomeReachable);
+    if (exchange.request.kind === 'once' || exchange.request.kind === 'repeatable') return;
+    exchange.nextSendAt = world.now() + UNREACHABLE_MS;
   }
 
   function check(address: string, waitMs: number, done: (reached: boolean) => void): void {
-    function told(): void {
-      done(!dark.has(address) || chance(REACHED_SHARE * 0.2));
+    function finishCheck(): void {
+      done(!unreachable.has(address) || chance(PROBE_SUCCESS_SHARE * 0.2));
     }
-    toProxy(dark.has(address) ? waitMs : soon(CONNECT_MS), told);
+    runAtProxy(unreachable.has(address) ? waitMs : jittered(CONNECT_MS), finishCheck);
   }
-  function idleAt(address: string): number {
+  function idleCount(address: string): number {
     return idle.get(address)?.length ?? 0;
   }
-  function none(): number {
+  function zero(): number {
     return 0;
   }
-  function nothing(): void {}
-  return { send, check, open: none, idle: idleAt, forget: nothing, made: none, stop: nothing };
+  function noop(): void {}
+  return { send, check, open: zero, idle: idleCount, forget: noop, made: zero, stop: noop };
 }
--- a/src/sim/faults.ts
+++ b/src/sim/faults.ts
@@ -1,328 +1,336 @@
+/** The faults of chaos runs. Each injects one fault, logs it, and schedules its end where it has one. */
 import { below, pick } from '../transport/rng.js';
 import type { Rng } from '../transport/rng.js';
 import type { SimFleet } from './sim-fleet.js';
 import { CALM } from './sim-wire.js';
 
-export type FaultAct = {
+/** What a fault needs: the fleet, the random numbers, the log of faults and the calls of operators. */
+export type FaultContext = {
   readonly fleet: SimFleet;
   readonly rng: Rng;
-  readonly note: (text: string) => void;
+  readonly logFault: (text: string) => void;
   readonly evacuate: (zone: string, ms: number) => void;
-  readonly crowdOfOperators: () => void;
+  readonly raceChanges: () => void;
 };
 
-function after(faultAct: FaultAct, ms: number, callback: () => void): void {
-  faultAct.fleet.world.at(ms, callback);
+function after(context: FaultContext, ms: number, callback: () => void): void {
+  context.fleet.world.at(ms, callback);
 }
 
-function bounce(faultAct: FaultAct, name: string, ms: number): void {
-  function back(): void {
-    if (!faultAct.fleet.hostOf(name).running) void faultAct.fleet.startNode(name);
+/** Starts a stopped node or worker again after `ms`. */
+function restartAfter(context: FaultContext, name: string, ms: number): void {
+  function restart(): void {
+    if (!context.fleet.hostOf(name).running) void context.fleet.startNode(name);
   }
-  after(faultAct, ms, back);
+  after(context, ms, restart);
 }
 
-export function inZone(fleet: SimFleet, zone: string): string[] {
-  const out: string[] = [];
-  for (const n of [...fleet.controllers, ...fleet.proxies]) if (n.host.zone === zone) out.push(n.name);
-  for (const simWorker of fleet.workers) if (simWorker.zone === zone) out.push(simWorker.id);
-  return out;
+/** Returns the names of all nodes and workers in a zone. */
+export function namesInZone(fleet: SimFleet, zone: string): string[] {
+  const found: string[] = [];
+  for (const node of [...fleet.controllers, ...fleet.proxies]) if (node.host.zone === zone) found.push(node.name);
+  for (const simWorker of fleet.workers) if (simWorker.zone === zone) found.push(simWorker.id);
+  return found;
 }
 
-function isUp(fleet: SimFleet, name: string): boolean {
+function isNodeUp(fleet: SimFleet, name: string): boolean {
   for (const node of fleet.controllers) if (node.name === name) return node.controller !== null;
   for (const simProxy of fleet.proxies) if (simProxy.name === name) return simProxy.proxy !== null;
   return true;
 }
 
-export function names(list: readonly { readonly name: string }[]): string[] {
+export function namesOf(list: readonly { readonly name: string }[]): string[] {
   const out: string[] = [];
   for (const item of list) out.push(item.name);
   return out;
 }
 
-export function nodeNames(first: { readonly fleet: SimFleet }): string[] {
-  return [...names(first.fleet.proxies), ...names(first.fleet.controllers)];
+/** Returns the names of all proxies and controllers. */
+export function nodeNames(context: { readonly fleet: SimFleet }): string[] {
+  return [...namesOf(context.fleet.proxies), ...namesOf(context.fleet.controllers)];
 }
 
-function runningHeads(faultAct: FaultAct): number {
+/** Counts the running controllers that are members and have rebuilt the claims. */
+function readyControllerCount(context: FaultContext): number {
   let count = 0;
-  for (const node of faultAct.fleet.controllers)
+  for (const node of context.fleet.controllers)
     if (node.host.running && node.controller?.ledger.isMember() && node.controller.claimsReady()) count += 1;
   return count;
 }
 
-function killWorker(faultAct: FaultAct): void {
-  const simWorker = pick(faultAct.rng, faultAct.fleet.workers);
-  faultAct.note(`kills ${simWorker.id}`);
-  faultAct.fleet.kill(simWorker.id);
-  bounce(faultAct, simWorker.id, 1_000 + below(faultAct.rng, 6_000));
-}
-function lab(faultAct: FaultAct, address: string, path: string, body: unknown): void {
-  void faultAct.fleet.call({ method: 'POST', address, path, body, timeoutMs: 2_000 });
-}
-function spell(faultAct: FaultAct, address: string, mode: string, ms: number): void {
-  lab(faultAct, address, '/lab/fault', { mode });
-  function back(): void {
-    lab(faultAct, address, '/lab/fault', { mode: 'none' });
+function killWorker(context: FaultContext): void {
+  const simWorker = pick(context.rng, context.fleet.workers);
+  context.logFault(`kills ${simWorker.id}`);
+  context.fleet.kill(simWorker.id);
+  restartAfter(context, simWorker.id, 1_000 + below(context.rng, 6_000));
+}
+function callLab(context: FaultContext, address: string, path: string, body: unknown): void {
+  void context.fleet.call({ method: 'POST', address, path, body, timeoutMs: 2_000 });
+}
+/** Sets a fault mode of a stand-in for `ms`. */
+function setLabFaultFor(context: FaultContext, address: string, mode: string, ms: number): void {
+  callLab(context, address, '/lab/fault', { mode });
+  function restore(): void {
+    callLab(context, address, '/lab/fault', { mode: 'none' });
   }
-  after(faultAct, ms, back);
-}
-function silenceWorker(faultAct: FaultAct): void {
-  const simWorker = pick(faultAct.rng, faultAct.fleet.workers);
-  faultAct.note(`silences ${simWorker.id}`);
-  spell(faultAct, simWorker.http, 'silent', 2_000 + below(faultAct.rng, 8_000));
-}
-function lyingWorker(faultAct: FaultAct): void {
-  const simWorker = pick(faultAct.rng, faultAct.fleet.workers);
-  const mode = pick(faultAct.rng, ['truncate', 'wrongSeal', 'swapPieces', 'refuse']);
-  faultAct.note(`${simWorker.id} does ${mode}`);
-  spell(faultAct, simWorker.http, mode, 3_000 + below(faultAct.rng, 4_000));
-}
-function coldWorker(faultAct: FaultAct): void {
-  const simWorker = pick(faultAct.rng, faultAct.fleet.workers);
-  faultAct.note(`${simWorker.id} goes cold`);
-  lab(faultAct, simWorker.http, '/lab/cold', {});
-}
-function reclaim(faultAct: FaultAct): void {
-  for (const machine of readySpot(faultAct)) {
-    if (faultAct.rng.next() < 0.5) continue;
-    const remainingMs = 500 + below(faultAct.rng, 4_000);
-    faultAct.note(`reclaims ${machine} within ${remainingMs}`);
-    lab(faultAct, faultAct.fleet.cloudAddress, '/lab/reclaim', { machine, remainingMs });
+  after(context, ms, restore);
+}
+function silenceWorker(context: FaultContext): void {
+  const simWorker = pick(context.rng, context.fleet.workers);
+  context.logFault(`${simWorker.id} stops responding`);
+  setLabFaultFor(context, simWorker.http, 'silent', 2_000 + below(context.rng, 8_000));
+}
+function lyingWorker(context: FaultContext): void {
+  const simWorker = pick(context.rng, context.fleet.workers);
+  const mode = pick(context.rng, ['truncate', 'wrongSeal', 'swapPieces', 'refuse']);
+  context.logFault(`${simWorker.id} misbehaves: ${mode}`);
+  setLabFaultFor(context, simWorker.http, mode, 3_000 + below(context.rng, 4_000));
+}
+function coldWorker(context: FaultContext): void {
+  const simWorker = pick(context.rng, context.fleet.workers);
+  context.logFault(`${simWorker.id} reloads its model`);
+  callLab(context, simWorker.http, '/lab/cold', {});
+}
+function reclaim(context: FaultContext): void {
+  for (const machine of readySpotMachines(context)) {
+    if (context.rng.next() < 0.5) continue;
+    const remainingMs = 500 + below(context.rng, 4_000);
+    context.logFault(`reclaims ${machine} within ${remainingMs} ms`);
+    callLab(context, context.fleet.cloudAddress, '/lab/reclaim', { machine, remainingMs });
     return;
   }
 }
-function dryZone(faultAct: FaultAct): void {
-  const zone = pick(faultAct.rng, faultAct.fleet.zones);
-  faultAct.note(`no spot in ${zone}`);
-  lab(faultAct, faultAct.fleet.cloudAddress, '/lab/zone', { zone, spot: false });
-  function back(): void {
-    lab(faultAct, faultAct.fleet.cloudAddress, '/lab/zone', { zone, spot: true });
+function dryZone(context: FaultContext): void {
+  const zone = pick(context.rng, context.fleet.zones);
+  context.logFault(`no spot capacity in ${zone}`);
+  callLab(context, context.fleet.cloudAddress, '/lab/zone', { zone, spot: false });
+  function restore(): void {
+    callLab(context, context.fleet.cloudAddress, '/lab/zone', { zone, spot: true });
   }
-  after(faultAct, 5_000 + below(faultAct.rng, 10_000), back);
-}
-function loseReplies(faultAct: FaultAct): void {
-  faultAct.note('cloud loses replies');
-  lab(faultAct, faultAct.fleet.cloudAddress, '/lab/lose', { replies: 1 + below(faultAct.rng, 3) });
-}
-function platformFault(faultAct: FaultAct): void {
-  const mode = pick(faultAct.rng, ['down', 'nonsense']);
-  faultAct.note(`platform ${mode}`);
-  spell(faultAct, faultAct.fleet.platformAddress, mode, 1_000 + below(faultAct.rng, 4_000));
-}
-function killHead(faultAct: FaultAct): void {
-  const name = pick(faultAct.rng, names(faultAct.fleet.controllers));
-  faultAct.note(`kills ${name}`);
-  faultAct.fleet.kill(name);
-  bounce(faultAct, name, 500 + below(faultAct.rng, 8_000));
-}
-function powerHead(faultAct: FaultAct): void {
-  const name = pick(faultAct.rng, names(faultAct.fleet.controllers));
-  faultAct.note(`${name} loses power`);
-  faultAct.fleet.powerLoss(name);
-  bounce(faultAct, name, 500 + below(faultAct.rng, 8_000));
-}
-function powerAllHeads(faultAct: FaultAct): void {
-  faultAct.note('all controllers lose power');
-  for (const name of names(faultAct.fleet.controllers)) {
-    faultAct.fleet.powerLoss(name);
-    bounce(faultAct, name, 500 + below(faultAct.rng, 3_000));
+  after(context, 5_000 + below(context.rng, 10_000), restore);
+}
+function loseReplies(context: FaultContext): void {
+  context.logFault('responses of the cloud are lost');
+  callLab(context, context.fleet.cloudAddress, '/lab/lose', { replies: 1 + below(context.rng, 3) });
+}
+function platformFault(context: FaultContext): void {
+  const mode = pick(context.rng, ['down', 'nonsense']);
+  context.logFault(`platform fault: ${mode}`);
+  setLabFaultFor(context, context.fleet.platformAddress, mode, 1_000 + below(context.rng, 4_000));
+}
+function killHead(context: FaultContext): void {
+  const name = pick(context.rng, namesOf(context.fleet.controllers));
+  context.logFault(`kills ${name}`);
+  context.fleet.kill(name);
+  restartAfter(context, name, 500 + below(context.rng, 8_000));
+}
+function powerHead(context: FaultContext): void {
+  const name = pick(context.rng, namesOf(context.fleet.controllers));
+  context.logFault(`${name} loses power`);
+  context.fleet.powerLoss(name);
+  restartAfter(context, name, 500 + below(context.rng, 8_000));
+}
+function powerAllHeads(context: FaultContext): void {
+  context.logFault('all controllers lose power');
+  for (const name of namesOf(context.fleet.controllers)) {
+    context.fleet.powerLoss(name);
+    restartAfter(context, name, 500 + below(context.rng, 3_000));
   }
 }
-function wipeHead(faultAct: FaultAct): void {
-  if (runningHeads(faultAct) < faultAct.fleet.controllers.length) return;
-  const name = pick(faultAct.rng, names(faultAct.fleet.controllers));
-  faultAct.note(`${name} loses its disk`);
-  faultAct.fleet.kill(name);
-  faultAct.fleet.wipe(name);
-  bounce(faultAct, name, 500 + below(faultAct.rng, 4_000));
-}
-function killProxy(faultAct: FaultAct): void {
-  const name = pick(faultAct.rng, names(faultAct.fleet.proxies));
-  faultAct.note(`kills ${name}`);
-  faultAct.fleet.kill(name);
-  bounce(faultAct, name, 200 + below(faultAct.rng, 5_000));
-}
-function killMany(faultAct: FaultAct): void {
-  faultAct.note('kills many');
-  for (const name of nodeNames(faultAct)) {
-    if (faultAct.rng.next() < 0.5) continue;
-    faultAct.fleet.kill(name);
-    bounce(faultAct, name, 500 + below(faultAct.rng, 3_000));
+function wipeHead(context: FaultContext): void {
+  if (readyControllerCount(context) < context.fleet.controllers.length) return;
+  const name = pick(context.rng, namesOf(context.fleet.controllers));
+  context.logFault(`${name} loses its disk`);
+  context.fleet.kill(name);
+  context.fleet.wipe(name);
+  restartAfter(context, name, 500 + below(context.rng, 4_000));
+}
+function killProxy(context: FaultContext): void {
+  const name = pick(context.rng, namesOf(context.fleet.proxies));
+  context.logFault(`kills ${name}`);
+  context.fleet.kill(name);
+  restartAfter(context, name, 200 + below(context.rng, 5_000));
+}
+function killMany(context: FaultContext): void {
+  context.logFault('kills about half of the proxies and controllers');
+  for (const name of nodeNames(context)) {
+    if (context.rng.next() < 0.5) continue;
+    context.fleet.kill(name);
+    restartAfter(context, name, 500 + below(context.rng, 3_000));
   }
 }
-function freeze(faultAct: FaultAct): void {
-  const name = pick(faultAct.rng, nodeNames(faultAct));
-  const host = faultAct.fleet.hostOf(name);
+function freeze(context: FaultContext): void {
+  const name = pick(context.rng, nodeNames(context));
+  const host = context.fleet.hostOf(name);
   if (!host.running || host.frozen) return;
-  faultAct.note(`freezes ${name}`);
-  faultAct.fleet.world.freeze(host);
+  context.logFault(`freezes ${name}`);
+  context.fleet.world.freeze(host);
   function thaw(): void {
-    faultAct.fleet.world.thaw(host);
+    context.fleet.world.thaw(host);
   }
-  after(faultAct, 500 + below(faultAct.rng, 9_000), thaw);
+  after(context, 500 + below(context.rng, 9_000), thaw);
 }
-function jumpClock(faultAct: FaultAct): void {
-  const name = pick(faultAct.rng, nodeNames(faultAct));
-  const ms = (faultAct.rng.next() < 0.5 ? -1 : 1) * (1_000 + below(faultAct.rng, 3_600_000));
-  faultAct.note(`${name}'s clock jumps ${ms}`);
-  faultAct.fleet.hostOf(name).wallOffset += ms;
+function jumpClock(context: FaultContext): void {
+  const name = pick(context.rng, nodeNames(context));
+  const ms = (context.rng.next() < 0.5 ? -1 : 1) * (1_000 + below(context.rng, 3_600_000));
+  context.logFault(`${name}'s clock jumps by ${ms} ms`);
+  context.fleet.hostOf(name).wallOffset += ms;
 }
-function cutRegion(faultAct: FaultAct): void {
-  const zone = pick(faultAct.rng, faultAct.fleet.zones);
+function cutRegion(context: FaultContext): void {
+  const zone = pick(context.rng, context.fleet.zones);
   const inside: string[] = [];
-  for (const host of faultAct.fleet.world.hosts()) if (host.zone === zone) inside.push(host.name);
-  faultAct.note(`cuts ${zone} off`);
-  faultAct.fleet.cutOff(inside);
-  after(faultAct, 1_000 + below(faultAct.rng, 9_000), faultAct.fleet.world.healAll);
-}
-function cutOne(faultAct: FaultAct): void {
-  const name = pick(faultAct.rng, nodeNames(faultAct));
-  faultAct.note(`cuts ${name} off`);
-  faultAct.fleet.cutOff([name]);
-  after(faultAct, 1_000 + below(faultAct.rng, 9_000), faultAct.fleet.world.healAll);
-}
-function oneWay(faultAct: FaultAct): void {
-  const all = nodeNames(faultAct);
-  const from = pick(faultAct.rng, all);
-  const to = pick(faultAct.rng, all);
-  faultAct.note(`${from} is not heard by ${to}`);
-  faultAct.fleet.world.cut(from, to);
-  after(faultAct, 1_000 + below(faultAct.rng, 9_000), faultAct.fleet.world.healAll);
-}
-function fullDisk(faultAct: FaultAct): void {
-  const node = pick(faultAct.rng, faultAct.fleet.controllers);
-  faultAct.note(`${node.name}'s disk fails writes`);
+  for (const host of context.fleet.world.hosts()) if (host.zone === zone) inside.push(host.name);
+  context.logFault(`partitions ${zone}`);
+  context.fleet.cutOff(inside);
+  after(context, 1_000 + below(context.rng, 9_000), context.fleet.world.healAll);
+}
+function cutOne(context: FaultContext): void {
+  const name = pick(context.rng, nodeNames(context));
+  context.logFault(`partitions ${name}`);
+  context.fleet.cutOff([name]);
+  after(context, 1_000 + below(context.rng, 9_000), context.fleet.world.healAll);
+}
+function oneWay(context: FaultContext): void {
+  const all = nodeNames(context);
+  const from = pick(context.rng, all);
+  const to = pick(context.rng, all);
+  context.logFault(`messages from ${from} to ${to} are lost`);
+  context.fleet.world.cut(from, to);
+  after(context, 1_000 + below(context.rng, 9_000), context.fleet.world.healAll);
+}
+function fullDisk(context: FaultContext): void {
+  const node = pick(context.rng, context.fleet.controllers);
+  context.logFault(`${node.name}'s disk fails writes`);
   node.platter.failing = true;
-  function back(): void {
+  function restore(): void {
     node.platter.failing = false;
   }
-  after(faultAct, 2_000 + below(faultAct.rng, 3_000), back);
+  after(context, 2_000 + below(context.rng, 3_000), restore);
   function restart(): void {
-    faultAct.fleet.kill(node.name);
-    bounce(faultAct, node.name, 200);
+    context.fleet.kill(node.name);
+    restartAfter(context, node.name, 200);
   }
-  after(faultAct, 5_100, restart);
+  after(context, 5_100, restart);
 }
-function evacuate(faultAct: FaultAct): void {
-  const zone = pick(faultAct.rng, faultAct.fleet.zones);
-  faultAct.note(`evacuates ${zone}`);
-  faultAct.evacuate(zone, 9_000 + below(faultAct.rng, 6_000));
+function evacuate(context: FaultContext): void {
+  const zone = pick(context.rng, context.fleet.zones);
+  context.logFault(`evacuates ${zone}`);
+  context.evacuate(zone, 9_000 + below(context.rng, 6_000));
 }
-function crowdOfOperators(faultAct: FaultAct): void {
-  faultAct.note('six operators at once, some of them wrong');
-  faultAct.crowdOfOperators();
+function crowdOfOperators(context: FaultContext): void {
+  context.logFault('six concurrent changes, some of them invalid or stale');
+  context.raceChanges();
 }
-function readySpot(faultAct: FaultAct): string[] {
+function readySpotMachines(context: FaultContext): string[] {
   const out: string[] = [];
-  for (const node of faultAct.fleet.controllers) {
+  for (const node of context.fleet.controllers) {
     for (const order of Object.values(node.controller?.ledger.controlState().orders ?? {}))
       if (order.kind === 'spot' && order.status === 'ready' && order.machine !== null) out.push(order.machine);
     if (out.length > 0) break;
   }
   return out;
 }
-function drainWorker(faultAct: FaultAct): void {
-  const machines = readySpot(faultAct);
+function drainWorker(context: FaultContext): void {
+  const machines = readySpotMachines(context);
   if (machines.length === 0) return;
-  const machine = pick(faultAct.rng, machines);
-  const remainingMs = 3_000 + below(faultAct.rng, 6_000);
-  faultAct.note(`drains ${machine} within ${remainingMs}`);
-  lab(faultAct, faultAct.fleet.platformAddress, '/lab/drain', { machine, remainingMs });
+  const machine = pick(context.rng, machines);
+  const remainingMs = 3_000 + below(context.rng, 6_000);
+  context.logFault(`drains ${machine} within ${remainingMs} ms`);
+  callLab(context, context.fleet.platformAddress, '/lab/drain', { machine, remainingMs });
 }
-function freezeWorker(faultAct: FaultAct): void {
-  const simWorker = pick(faultAct.rng, faultAct.fleet.workers);
+function freezeWorker(context: FaultContext): void {
+  const simWorker = pick(context.rng, context.fleet.workers);
   if (!simWorker.host.running || simWorker.host.frozen) return;
-  faultAct.note(`freezes ${simWorker.id}`);
-  faultAct.fleet.world.freeze(simWorker.host);
+  context.logFault(`freezes ${simWorker.id}`);
+  context.fleet.world.freeze(simWorker.host);
   function thaw(): void {
-    faultAct.fleet.world.thaw(simWorker.host);
+    context.fleet.world.thaw(simWorker.host);
   }
-  after(faultAct, 1_000 + below(faultAct.rng, 8_000), thaw);
+  after(context, 1_000 + below(context.rng, 8_000), thaw);
 }
-function stallWorker(faultAct: FaultAct): void {
-  const simWorker = pick(faultAct.rng, faultAct.fleet.workers);
-  faultAct.note(`${simWorker.id} stalls between pieces`);
-  spell(faultAct, simWorker.http, 'stall', 2_000 + below(faultAct.rng, 3_000));
+function stallWorker(context: FaultContext): void {
+  const simWorker = pick(context.rng, context.fleet.workers);
+  context.logFault(`${simWorker.id} stalls between pieces of a response`);
+  setLabFaultFor(context, simWorker.http, 'stall', 2_000 + below(context.rng, 3_000));
 }
-function replaceWorkers(faultAct: FaultAct): void {
-  faultAct.note('replaces the fixed workers one by one, at new addresses');
+function replaceWorkers(context: FaultContext): void {
+  context.logFault('replaces the fixed workers one by one, at new addresses');
   let ms = 0;
-  for (const simWorker of faultAct.fleet.workers) {
+  for (const simWorker of context.fleet.workers) {
     if (!simWorker.fixed) continue;
     function move(): void {
-      faultAct.fleet.moveWorker(simWorker.id);
+      context.fleet.moveWorker(simWorker.id);
     }
-    after(faultAct, ms, move);
+    after(context, ms, move);
     ms += 3_500;
   }
 }
-function regionLost(faultAct: FaultAct): void {
-  const zone = pick(faultAct.rng, faultAct.fleet.zones);
-  faultAct.note(`${zone} loses power, and comes back cold`);
-  const ms = 3_000 + below(faultAct.rng, 6_000);
-  for (const name of inZone(faultAct.fleet, zone)) {
-    faultAct.fleet.powerLoss(name);
-    bounce(faultAct, name, ms);
+function regionLost(context: FaultContext): void {
+  const zone = pick(context.rng, context.fleet.zones);
+  context.logFault(`${zone} loses power and its workers restart cold`);
+  const ms = 3_000 + below(context.rng, 6_000);
+  for (const name of namesInZone(context.fleet, zone)) {
+    context.fleet.powerLoss(name);
+    restartAfter(context, name, ms);
   }
 }
-function splitThree(faultAct: FaultAct): void {
-  faultAct.note('the core falls into three');
-  for (const node of faultAct.fleet.controllers)
-    for (const target of faultAct.fleet.controllers)
-      if (node !== target) faultAct.fleet.world.cut(node.name, target.name);
-  after(faultAct, 2_000 + below(faultAct.rng, 6_000), faultAct.fleet.world.healAll);
-}
-function moveHead(faultAct: FaultAct): void {
-  if (runningHeads(faultAct) < faultAct.fleet.controllers.length) return;
-  const at = below(faultAct.rng, faultAct.fleet.controllers.length);
-  faultAct.note(`controller-${at + 1} moves to a new address`);
-  faultAct.fleet.moveController(at);
-}
-function turbulence(faultAct: FaultAct): void {
-  faultAct.note('messages come twice, late and out of order');
-  faultAct.fleet.turbulence({ slow: 0.1, twice: 0.1, overtake: 0.1 });
+function splitThree(context: FaultContext): void {
+  context.logFault('partitions each controller from the others');
+  for (const node of context.fleet.controllers)
+    for (const target of context.fleet.controllers)
+      if (node !== target) context.fleet.world.cut(node.name, target.name);
+  after(context, 2_000 + below(context.rng, 6_000), context.fleet.world.healAll);
+}
+function moveHead(context: FaultContext): void {
+  if (readyControllerCount(context) < context.fleet.controllers.length) return;
+  const at = below(context.rng, context.fleet.controllers.length);
+  context.logFault(`controller-${at + 1} moves to a new address`);
+  context.fleet.moveController(at);
+}
+function turbulence(context: FaultContext): void {
+  context.logFault('messages are duplicated, delayed and reordered');
+  context.fleet.turbulence({ slow: 0.1, twice: 0.1, overtake: 0.1 });
   function calm(): void {
-    faultAct.fleet.turbulence(CALM);
+    context.fleet.turbulence(CALM);
   }
-  after(faultAct, 2_000 + below(faultAct.rng, 4_000), calm);
-}
-function noRoom(faultAct: FaultAct): void {
-  const n = pick(faultAct.rng, [...faultAct.fleet.controllers, ...faultAct.fleet.proxies]);
-  faultAct.note(`${n.name}'s disk has no room`);
-  n.platter.full = true;
-  if (faultAct.rng.next() < 0.5) {
-    faultAct.fleet.kill(n.name);
-    bounce(faultAct, n.name, 500);
+  after(context, 2_000 + below(context.rng, 4_000), calm);
+}
+function noRoom(context: FaultContext): void {
+  const node = pick(context.rng, [...context.fleet.controllers, ...context.fleet.proxies]);
+  context.logFault(`${node.name}'s disk is full`);
+  node.platter.full = true;
+  if (context.rng.next() < 0.5) {
+    context.fleet.kill(node.name);
+    restartAfter(context, node.name, 500);
   }
-  function room(): void {
-    n.platter.full = false;
-    if (faultAct.fleet.hostOf(n.name).running && !isUp(faultAct.fleet, n.name)) faultAct.fleet.kill(n.name);
-    bounce(faultAct, n.name, 100);
+  function freeSpace(): void {
+    node.platter.full = false;
+    if (context.fleet.hostOf(node.name).running && !isNodeUp(context.fleet, node.name)) context.fleet.kill(node.name);
+    restartAfter(context, node.name, 100);
   }
-  after(faultAct, 2_000 + below(faultAct.rng, 4_000), room);
-}
-function powerProxy(faultAct: FaultAct): void {
-  const name = pick(faultAct.rng, names(faultAct.fleet.proxies));
-  faultAct.note(`${name} loses power`);
-  faultAct.fleet.powerLoss(name);
-  bounce(faultAct, name, 500 + below(faultAct.rng, 4_000));
-}
-function outsideUnseen(faultAct: FaultAct): void {
-  const what = pick(faultAct.rng, ['platform', 'cloud']);
-  const blind: string[] = [];
-  for (const name of nodeNames(faultAct)) if (faultAct.rng.next() < 0.5) blind.push(name);
-  faultAct.note(`${blind.join()} can't reach the ${what}`);
-  for (const name of blind) faultAct.fleet.world.cut(name, what);
-  after(faultAct, 2_000 + below(faultAct.rng, 8_000), faultAct.fleet.world.healAll);
-}
-function crowd(faultAct: FaultAct): void {
-  const zone = pick(faultAct.rng, faultAct.fleet.zones);
-  faultAct.note(`a crowd in ${zone}`);
-  void faultAct.fleet.traffic({ zone, seconds: 3, perSecond: 60, name: `crowd-${zone}-${faultAct.fleet.world.now()}` });
+  after(context, 2_000 + below(context.rng, 4_000), freeSpace);
+}
+function powerProxy(context: FaultContext): void {
+  const name = pick(context.rng, namesOf(context.fleet.proxies));
+  context.logFault(`${name} loses power`);
+  context.fleet.powerLoss(name);
+  restartAfter(context, name, 500 + below(context.rng, 4_000));
+}
+function outsideUnseen(context: FaultContext): void {
+  const target = pick(context.rng, ['platform', 'cloud']);
+  const isolated: string[] = [];
+  for (const name of nodeNames(context)) if (context.rng.next() < 0.5) isolated.push(name);
+  context.logFault(`${isolated.join()} can't reach the ${target}`);
+  for (const name of isolated) context.fleet.world.cut(name, target);
+  after(context, 2_000 + below(context.rng, 8_000), context.fleet.world.healAll);
+}
+function crowd(context: FaultContext): void {
+  const zone = pick(context.rng, context.fleet.zones);
+  context.logFault(`load spike in ${zone}`);
+  void context.fleet.traffic({ zone, seconds: 3, perSecond: 60, name: `crowd-${zone}-${context.fleet.world.now()}` });
 }
 
+/** All faults by name. The names are options of runs and of the tools. */
 export const FAULTS = {
   killWorker,
   silenceWorker,
--- a/src/sim/linearizability.test.ts
+++ b/src/sim/linearizability.test.ts
@@ -7,13 +7,13 @@
 
 const INITIAL = { number: 0, content: 'c0' };
 
-function change(
+function changeCall(
   start: number,
   end: number,
   base: number,
   number: number,
   answer: ChangeAnswer,
-  over: Partial<ChangeCall> = {},
+  overrides: Partial<ChangeCall> = {},
 ): ChangeCall {
   return {
     kind: 'change',
@@ -25,151 +25,177 @@
     number,
     content: `c${number}`,
     answer,
-    ...over,
+    ...overrides,
   };
 }
-function read(start: number, end: number, number: number, content = `c${number}`): ReadCall {
+function readCall(start: number, end: number, number: number, content = `c${number}`): ReadCall {
   return { kind: 'read', start, end, node: 'h2', number, content };
 }
 
-describe('histories that one register explains', () => {
+describe('linearizable histories', () => {
   const cases: readonly (readonly [string, readonly OperatorCall[]])[] = [
-    ['none', []],
+    ['an empty history', []],
     [
       'changes and reads one after another',
-      [change(0, 1, 0, 5, 'confirmed'), read(2, 3, 5), change(4, 5, 5, 6, 'confirmed'), read(6, 7, 6)],
+      [changeCall(0, 1, 0, 5, 'confirmed'), readCall(2, 3, 5), changeCall(4, 5, 5, 6, 'confirmed'), readCall(6, 7, 6)],
     ],
     [
-      'a race with one winner, whichever answer came first',
-      [change(0, 9, 0, 5, 'confirmed'), change(0, 3, 0, 6, 'stale'), read(4, 10, 5)],
+      'concurrent changes with one winner, whichever answer came first',
+      [changeCall(0, 9, 0, 5, 'confirmed'), changeCall(0, 3, 0, 6, 'stale'), readCall(4, 10, 5)],
     ],
     [
-      'a change sent again, also after a newer one',
+      'a change that is retried, also after a newer one',
       [
-        change(0, 1, 0, 5, 'confirmed'),
-        change(2, 3, 5, 6, 'confirmed'),
-        change(4, 5, 0, 5, 'confirmed'),
-        read(6, 7, 6),
+        changeCall(0, 1, 0, 5, 'confirmed'),
+        changeCall(2, 3, 5, 6, 'confirmed'),
+        changeCall(4, 5, 0, 5, 'confirmed'),
+        readCall(6, 7, 6),
       ],
     ],
-    ['one without a clear answer that took effect', [change(0, 1, 0, 5, 'unclear'), read(2, 3, 0), read(4, 5, 5)]],
     [
-      'one without a clear answer that never did',
-      [change(0, 1, 0, 5, 'unclear'), change(2, 3, 0, 6, 'confirmed'), read(4, 5, 6), change(6, 7, 0, 5, 'stale')],
+      'a change without a clear answer that took effect',
+      [changeCall(0, 1, 0, 5, 'unclear'), readCall(2, 3, 0), readCall(4, 5, 5)],
     ],
     [
-      'one without a clear answer that is confirmed at its re-sending',
-      [change(0, 1, 0, 5, 'unclear'), change(2, 3, 5, 6, 'confirmed'), change(4, 5, 0, 5, 'confirmed')],
+      'a change without a clear answer that never took effect',
+      [
+        changeCall(0, 1, 0, 5, 'unclear'),
+        changeCall(2, 3, 0, 6, 'confirmed'),
+        readCall(4, 5, 6),
+        changeCall(6, 7, 0, 5, 'stale'),
+      ],
     ],
     [
-      'one whose number is told by a read alone',
+      'a change without a clear answer that is confirmed at its retry',
+      [changeCall(0, 1, 0, 5, 'unclear'), changeCall(2, 3, 5, 6, 'confirmed'), changeCall(4, 5, 0, 5, 'confirmed')],
+    ],
+    [
+      'a change whose number is known only from a read',
       [
-        change(0, 1, 0, 5, 'unclear', { number: null, content: 'x' }),
-        read(2, 3, 5, 'x'),
-        change(4, 5, 5, 6, 'confirmed'),
+        changeCall(0, 1, 0, 5, 'unclear', { number: null, content: 'x' }),
+        readCall(2, 3, 5, 'x'),
+        changeCall(4, 5, 5, 6, 'confirmed'),
       ],
     ],
     [
-      'two requests with the same base and result',
-      [change(0, 1, 0, 5, 'confirmed'), change(2, 3, 0, 5, 'confirmed', { request: 'other' })],
+      'two requests with the same base and content',
+      [changeCall(0, 1, 0, 5, 'confirmed'), changeCall(2, 3, 0, 5, 'confirmed', { request: 'other' })],
     ],
     [
-      '… of which the one whose request was not applied is late after a newer one',
+      'two requests with the same base and content, of which the unapplied one is stale after a newer change',
       [
-        change(0, 1, 0, 5, 'confirmed'),
-        change(2, 3, 5, 6, 'confirmed'),
-        change(4, 5, 0, 5, 'stale', { request: 'other' }),
+        changeCall(0, 1, 0, 5, 'confirmed'),
+        changeCall(2, 3, 5, 6, 'confirmed'),
+        changeCall(4, 5, 0, 5, 'stale', { request: 'other' }),
       ],
     ],
-    ['an invalid change', [change(0, 1, 0, 5, 'invalid'), read(2, 3, 0)]],
+    ['an invalid change', [changeCall(0, 1, 0, 5, 'invalid'), readCall(2, 3, 0)]],
     [
-      'reads at one time with a change, of either',
-      [change(0, 9, 0, 5, 'confirmed'), read(1, 2, 0), read(3, 4, 5), read(3, 9, 0)],
+      'reads concurrent with a change, of the old or the new content',
+      [changeCall(0, 9, 0, 5, 'confirmed'), readCall(1, 2, 0), readCall(3, 4, 5), readCall(3, 9, 0)],
     ],
   ];
   test.each(cases)('%s', (_name, history) => expect(checkLinearizable(INITIAL, history)).toBeNull());
 });
 
-describe('histories that no register explains', () => {
+describe('histories that are not linearizable', () => {
   const cases: readonly (readonly [string, ViolationKind, readonly OperatorCall[]])[] = [
-    ['two winners on one base', 'twoWinners', [change(0, 1, 0, 5, 'confirmed'), change(2, 3, 0, 6, 'confirmed')]],
     [
-      'two winners on one base at one time',
+      'two winners on one base',
+      'twoWinners',
+      [changeCall(0, 1, 0, 5, 'confirmed'), changeCall(2, 3, 0, 6, 'confirmed')],
+    ],
+    [
+      'two concurrent winners on one base',
       'twoWinners',
-      [change(0, 9, 0, 5, 'confirmed'), change(1, 8, 0, 6, 'confirmed')],
+      [changeCall(0, 9, 0, 5, 'confirmed'), changeCall(1, 8, 0, 6, 'confirmed')],
     ],
     [
       'two winners under one number',
       'twoContents',
-      [change(0, 9, 0, 5, 'confirmed'), change(1, 8, 0, 5, 'confirmed', { request: 'other', content: 'x' })],
+      [changeCall(0, 9, 0, 5, 'confirmed'), changeCall(1, 8, 0, 5, 'confirmed', { request: 'other', content: 'x' })],
     ],
     [
-      'a confirmed change that is refused when sent again',
+      'a confirmed change that is rejected when retried',
       'refusedAfterConfirmed',
-      [change(0, 1, 0, 5, 'confirmed'), change(2, 3, 0, 5, 'stale')],
+      [changeCall(0, 1, 0, 5, 'confirmed'), changeCall(2, 3, 0, 5, 'stale')],
     ],
     [
-      '… also after a newer one',
+      'a confirmed change that is rejected when retried after a newer one',
       'refusedAfterConfirmed',
-      [change(0, 1, 0, 5, 'confirmed'), change(2, 3, 5, 6, 'confirmed'), change(4, 5, 0, 5, 'stale')],
+      [changeCall(0, 1, 0, 5, 'confirmed'), changeCall(2, 3, 5, 6, 'confirmed'), changeCall(4, 5, 0, 5, 'stale')],
     ],
     [
-      '… also where it was confirmed as the same as another one',
+      'a change that is rejected after it was confirmed as the same as another one',
       'refusedAfterConfirmed',
       [
-        change(0, 1, 0, 5, 'confirmed'),
-        change(2, 3, 0, 5, 'confirmed', { request: 'other' }),
-        change(4, 5, 5, 6, 'confirmed'),
-        change(6, 7, 0, 5, 'stale', { request: 'other' }),
+        changeCall(0, 1, 0, 5, 'confirmed'),
+        changeCall(2, 3, 0, 5, 'confirmed', { request: 'other' }),
+        changeCall(4, 5, 5, 6, 'confirmed'),
+        changeCall(6, 7, 0, 5, 'stale', { request: 'other' }),
       ],
     ],
     [
-      'one refused though what is in force is its result',
+      'a change that is rejected although its content is in force',
       'unexplained',
-      [change(0, 1, 0, 5, 'confirmed'), change(2, 3, 0, 5, 'stale', { request: 'other' })],
+      [changeCall(0, 1, 0, 5, 'confirmed'), changeCall(2, 3, 0, 5, 'stale', { request: 'other' })],
+    ],
+    [
+      'a confirmed change that is answered as invalid when retried',
+      'refusedAfterConfirmed',
+      [changeCall(0, 1, 0, 5, 'confirmed'), changeCall(2, 3, 0, 5, 'invalid')],
     ],
-    ['… or called invalid', 'refusedAfterConfirmed', [change(0, 1, 0, 5, 'confirmed'), change(2, 3, 0, 5, 'invalid')]],
-    ['a confirmed change that is not read', 'olderRead', [change(0, 1, 0, 5, 'confirmed'), read(2, 3, 0)]],
-    ['reads that go back', 'olderRead', [change(0, 9, 0, 5, 'confirmed'), read(1, 2, 5), read(3, 4, 0)]],
+    ['a read that misses a confirmed change', 'olderRead', [changeCall(0, 1, 0, 5, 'confirmed'), readCall(2, 3, 0)]],
     [
-      '… of a change without a clear answer',
+      'reads that go back to an older content',
       'olderRead',
-      [change(0, 1, 0, 5, 'unclear'), read(2, 3, 5), read(4, 5, 0)],
+      [changeCall(0, 9, 0, 5, 'confirmed'), readCall(1, 2, 5), readCall(3, 4, 0)],
     ],
-    ['a change refused though it builds on what is in force', 'unexplained', [change(0, 1, 0, 5, 'stale')]],
-    ['a refused change that is read', 'unexplained', [change(0, 1, 0, 5, 'invalid'), read(2, 3, 5)]],
-    ['a change that is read before it was sent', 'unexplained', [read(0, 1, 5), change(2, 3, 0, 5, 'confirmed')]],
     [
-      'a change confirmed on top of another one that was lost',
+      'reads that go back before a change without a clear answer',
+      'olderRead',
+      [changeCall(0, 1, 0, 5, 'unclear'), readCall(2, 3, 5), readCall(4, 5, 0)],
+    ],
+    ['a change that is rejected although its base is in force', 'unexplained', [changeCall(0, 1, 0, 5, 'stale')]],
+    ['a rejected change that is read', 'unexplained', [changeCall(0, 1, 0, 5, 'invalid'), readCall(2, 3, 5)]],
+    [
+      'a change that is read before it was sent',
       'unexplained',
-      [change(0, 1, 0, 5, 'confirmed'), change(2, 3, 4, 6, 'confirmed')],
+      [readCall(0, 1, 5), changeCall(2, 3, 0, 5, 'confirmed')],
     ],
-    ['two contents under one number', 'twoContents', [change(0, 1, 0, 5, 'confirmed'), read(2, 3, 5, 'x')]],
     [
-      'one refused, and taken all the same later',
+      'a change confirmed on a base that was never in force',
+      'unexplained',
+      [changeCall(0, 1, 0, 5, 'confirmed'), changeCall(2, 3, 4, 6, 'confirmed')],
+    ],
+    ['two contents under one number', 'twoContents', [changeCall(0, 1, 0, 5, 'confirmed'), readCall(2, 3, 5, 'x')]],
+    [
+      'a change rejected as stale although its content is in force before and after',
       'unexplained',
       [
-        change(0, 1, 0, 5, 'unclear'),
-        change(0, 1, 0, 6, 'unclear'),
-        read(2, 3, 6),
-        change(4, 5, 0, 6, 'stale'),
-        read(6, 7, 6),
+        changeCall(0, 1, 0, 5, 'unclear'),
+        changeCall(0, 1, 0, 6, 'unclear'),
+        readCall(2, 3, 6),
+        changeCall(4, 5, 0, 6, 'stale'),
+        readCall(6, 7, 6),
       ],
     ],
   ];
   test.each(cases)('%s', (_name, kind, history) => expect(checkLinearizable(INITIAL, history)?.kind).toBe(kind));
 });
 
-/** All orders of all calls, with each unclear one left out or taken in: the definition itself, for a handful of calls. */
-function hasOrder(history: readonly OperatorCall[]): boolean {
+/** Tries all orders of all calls, with and without each unclear one, as the definition of linearizability says. */
+function hasValidOrder(history: readonly OperatorCall[]): boolean {
   const isRefused = (call: OperatorCall): call is ChangeCall =>
     call.kind === 'change' && (call.answer === 'stale' || call.answer === 'invalid');
-  const isTaken = (call: OperatorCall): call is ChangeCall => call.kind === 'change' && call.answer === 'confirmed';
+  const isConfirmed = (call: OperatorCall): call is ChangeCall => call.kind === 'change' && call.answer === 'confirmed';
   if (
     history
       .filter(isRefused)
       .some((refused) =>
-        history.filter(isTaken).some((taken) => taken.request === refused.request && taken.end < refused.start),
+        history
+          .filter(isConfirmed)
+          .some((confirmed) => confirmed.request === refused.request && confirmed.end < refused.start),
       )
   )
     return false;
@@ -179,23 +205,23 @@
     readonly number: number | null;
     readonly content: string;
   };
-  function next(left: readonly OperatorCall[], applied: readonly Applied[]): boolean {
-    const now = applied[applied.length - 1] ?? { ...INITIAL, request: '', base: -1 };
-    if (left.every((call) => call.kind === 'change' && call.answer === 'unclear')) return true;
-    for (const call of left) {
-      const isFirst = left.every(
+  function search(remaining: readonly OperatorCall[], applied: readonly Applied[]): boolean {
+    const current = applied[applied.length - 1] ?? { ...INITIAL, request: '', base: -1 };
+    if (remaining.every((call) => call.kind === 'change' && call.answer === 'unclear')) return true;
+    for (const call of remaining) {
+      const mayComeNext = remaining.every(
         (other) => other === call || (other.kind === 'change' && other.answer === 'unclear') || other.end >= call.start,
       );
-      if (!isFirst) continue;
-      const rest = left.filter((other) => other !== call);
+      if (!mayComeNext) continue;
+      const rest = remaining.filter((other) => other !== call);
       if (call.kind === 'read') {
-        if (call.number === now.number && call.content === now.content && next(rest, applied)) return true;
+        if (call.number === current.number && call.content === current.content && search(rest, applied)) return true;
         continue;
       }
       const isSame = (a: Applied): boolean =>
         a.number === call.number &&
         (a.request === call.request || (a.base === call.base && a.content === call.content));
-      const isIn = applied.some(isSame);
+      const isApplied = applied.some(isSame);
       const isShared = history.some(
         (other) =>
           other.kind === 'change' &&
@@ -203,104 +229,114 @@
           other.content === call.content &&
           other.request !== call.request,
       );
-      const isKnown = !isShared && applied.some((a) => a.request === call.request);
-      const may = !isIn && call.base === now.number;
-      if (call.answer === 'unclear' && next(rest, applied)) return true;
-      if (call.answer === 'confirmed' && isIn && next(rest, applied)) return true;
-      if ((call.answer === 'confirmed' || call.answer === 'unclear') && may && next(rest, [...applied, call]))
+      const isRequestApplied = !isShared && applied.some((a) => a.request === call.request);
+      const mayApply = !isApplied && call.base === current.number;
+      if (call.answer === 'unclear' && search(rest, applied)) return true;
+      if (call.answer === 'confirmed' && isApplied && search(rest, applied)) return true;
+      if ((call.answer === 'confirmed' || call.answer === 'unclear') && mayApply && search(rest, [...applied, call]))
         return true;
-      if (call.answer === 'stale' && !isKnown && !isSame(now) && call.base !== now.number && next(rest, applied))
+      if (
+        call.answer === 'stale' &&
+        !isRequestApplied &&
+        !isSame(current) &&
+        call.base !== current.number &&
+        search(rest, applied)
+      )
         return true;
-      if (call.answer === 'invalid' && !isKnown && next(rest, applied)) return true;
+      if (call.answer === 'invalid' && !isRequestApplied && search(rest, applied)) return true;
     }
     return false;
   }
-  return next(history, []);
+  return search(history, []);
 }
 
-function anyHistory(rng: Rng): OperatorCall[] {
+function drawHistory(rng: Rng): OperatorCall[] {
   const history: OperatorCall[] = [];
   for (let n = 2 + below(rng, 5); n > 0; n -= 1) {
     const start = below(rng, 12);
     const end = start + 1 + below(rng, 6);
     const number = below(rng, 4);
-    if (below(rng, 3) === 0) history.push(read(start, end, number));
+    if (below(rng, 3) === 0) history.push(readCall(start, end, number));
     else {
       const base = below(rng, number + 1);
       const answer = (['confirmed', 'confirmed', 'stale', 'invalid', 'unclear'] as const)[
         below(rng, 5)
       ] as ChangeAnswer;
       history.push(
-        change(start, end, base, number + 1, answer, { request: `r${number + 1}.${base}.${below(rng, 2)}` }),
+        changeCall(start, end, base, number + 1, answer, { request: `r${number + 1}.${base}.${below(rng, 2)}` }),
       );
     }
   }
   return history;
 }
 
-test('small histories of any kind are judged as by trying all orders', () => {
+test('on small random histories the checker agrees with trying all orders', () => {
   const rng = createRng(77);
   const seen = { linearizable: 0, not: 0 };
   for (let n = 0; n < 6_000; n += 1) {
-    const history = anyHistory(rng);
-    const expected = hasOrder(history);
+    const history = drawHistory(rng);
+    const expected = hasValidOrder(history);
     if (expected !== (checkLinearizable(INITIAL, history) === null)) expect(history).toBe(expected);
     seen[expected ? 'linearizable' : 'not'] += 1;
   }
   expect(Math.min(seen.linearizable, seen.not)).toBeGreaterThan(500);
 });
 
-/** A history of a real register: each call takes its moment at random between its start and its end. */
+/** Generates a history of a real register: each call takes effect at a random time between its start and its end. */
 function historyOfRegister(seed: number, length: number): OperatorCall[] {
   const rng = createRng(seed);
-  const log: OperatorCall[] = [];
+  const history: OperatorCall[] = [];
   const applied = new Map<string, number>();
-  const known: { readonly request: string; readonly base: number; readonly number: number }[] = [];
-  let now = 0;
-  let top = 0;
-  for (let at = 0; log.length < length; at += 1) {
+  const sentChanges: { readonly request: string; readonly base: number; readonly number: number }[] = [];
+  let currentNumber = 0;
+  let highestNumber = 0;
+  for (let at = 0; history.length < length; at += 1) {
     const start = at - rng.next() * 6;
     const end = at + rng.next() * 6;
     if (rng.next() < 0.3) {
-      log.push(read(start, end, now));
+      history.push(readCall(start, end, currentNumber));
       continue;
     }
-    const isAgain = known.length > 0 && rng.next() < 0.4;
-    const fresh = { request: `r${top + 1}`, base: rng.next() < 0.8 ? now : Math.max(0, now - 1), number: top + 1 };
-    const sent = isAgain ? (known[Math.max(0, known.length - 1 - below(rng, 6))] ?? fresh) : fresh;
-    if (!isAgain) {
-      top += 1;
-      known.push(sent);
+    const isResend = sentChanges.length > 0 && rng.next() < 0.4;
+    const newChange = {
+      request: `r${highestNumber + 1}`,
+      base: rng.next() < 0.8 ? currentNumber : Math.max(0, currentNumber - 1),
+      number: highestNumber + 1,
+    };
+    const sent = isResend ? (sentChanges[Math.max(0, sentChanges.length - 1 - below(rng, 6))] ?? newChange) : newChange;
+    if (!isResend) {
+      highestNumber += 1;
+      sentChanges.push(sent);
     }
-    const isIn = applied.has(sent.request);
-    const isTaken = !isIn && sent.base === now;
-    if (isTaken) {
+    const isApplied = applied.has(sent.request);
+    const isAppliedNow = !isApplied && sent.base === currentNumber;
+    if (isAppliedNow) {
       applied.set(sent.request, sent.number);
-      now = sent.number;
+      currentNumber = sent.number;
     }
-    const answer: ChangeAnswer = rng.next() < 0.25 ? 'unclear' : isIn || isTaken ? 'confirmed' : 'stale';
-    log.push(change(start, end, sent.base, sent.number, answer, { request: sent.request }));
+    const answer: ChangeAnswer = rng.next() < 0.25 ? 'unclear' : isApplied || isAppliedNow ? 'confirmed' : 'stale';
+    history.push(changeCall(start, end, sent.base, sent.number, answer, { request: sent.request }));
   }
-  return log;
+  return history;
 }
 
-test('long histories of a register with many unclear answers are explained, and soon', () => {
+test('long histories of a register with many unclear answers are found linearizable in reasonable time', () => {
   for (let seed = 1; seed <= 20; seed += 1)
     expect(checkLinearizable(INITIAL, historyOfRegister(seed, 1_500))).toBeNull();
 });
 
-test('a break in the middle of a long history is seen', () => {
+test('a violation in the middle of a long history is detected', () => {
   for (let seed = 1; seed <= 20; seed += 1) {
     const history = historyOfRegister(seed, 400);
     const winner = history.find(
       (call, i): call is ChangeCall => i > 150 && call.kind === 'change' && call.answer === 'confirmed',
     );
     if (!winner) throw new Error('no change was confirmed');
-    const lost: ReadCall = read(winner.end + 20, winner.end + 21, winner.base);
-    expect(checkLinearizable(INITIAL, [...history, lost])).not.toBeNull();
-    const second: ChangeCall = { ...winner, request: 'second', number: 9_999, content: 'c9999' };
-    expect(checkLinearizable(INITIAL, [...history, second])).not.toBeNull();
-    const refused: ChangeCall = { ...winner, start: winner.end + 1, end: winner.end + 2, answer: 'stale' };
-    expect(checkLinearizable(INITIAL, [...history, refused])).not.toBeNull();
+    const staleRead: ReadCall = readCall(winner.end + 20, winner.end + 21, winner.base);
+    expect(checkLinearizable(INITIAL, [...history, staleRead])).not.toBeNull();
+    const secondWinner: ChangeCall = { ...winner, request: 'second', number: 9_999, content: 'c9999' };
+    expect(checkLinearizable(INITIAL, [...history, secondWinner])).not.toBeNull();
+    const rejectedResend: ChangeCall = { ...winner, start: winner.end + 1, end: winner.end + 2, answer: 'stale' };
+    expect(checkLinearizable(INITIAL, [...history, rejectedResend])).not.toBeNull();
   }
 });
--- a/src/sim/linearizability.ts
+++ b/src/sim/linearizability.ts
@@ -1,24 +1,24 @@
 /**
- * Judges the calls of operators, as their callers saw them, against one compare-and-set register: the configuration.
- * A change names the number that it builds on and is applied only on that one; sent again, it is the same change. The
- * history is linearizable if each call can be given one moment between its start and its end so that a single register,
- * asked at these moments, gives the same answers. Calls without a clear answer may take effect at any time after their
- * start, or never.
+ * Checks that the operator calls, as seen by their callers, are linearizable with respect to one compare-and-set
+ * register: the configuration. A change names its base number and is applied only if the register has that number;
+ * a retry is the same change. The history is linearizable if each call can be assigned a linearization point between
+ * its start and its end such that a single register, called at these points, gives the same answers. Calls without a
+ * clear answer may take effect at any time after their start, or never.
  *
- * The search is the one of Wing and Gong with Lowe's just-in-time order: it goes through starts and ends by time and
- * keeps all registers that are still possible. A call that leaves the register as it is takes its moment as soon as its
- * answer fits, which loses no solution; only changes that apply make the search branch.
+ * The search is Wing and Gong's algorithm with Lowe's just-in-time linearization: it processes starts and ends by time
+ * and keeps all register states that are still possible. A call that leaves the register unchanged is linearized as
+ * soon as its answer is consistent, which loses no solution; only changes that apply make the search branch.
  */
 import { textOf } from './operator-calls.js';
 import type { ChangeCall, InitialConfiguration, OperatorCall } from './operator-calls.js';
 
-/** `unexplained` stands for all that has no plainer name. */
+/** Kind of a violation; `unexplained` covers all that have no more specific kind. */
 export type ViolationKind =
   'twoWinners' | 'refusedAfterConfirmed' | 'olderRead' | 'twoContents' | 'unexplained' | 'searchTooLarge';
 
 export type LinearizabilityViolation = { readonly kind: ViolationKind; readonly detail: string };
 
-/** A configuration that the register may hold, with all that led to it. Equal histories are one object. */
+/** A possible value of the register with all changes that led to it. Equal sequences of changes share one object. */
 type Version = {
   readonly id: number;
   readonly parent: Version | null;
@@ -28,50 +28,50 @@
   readonly content: string;
 };
 
-/** A register that is possible, and the calls with a clear answer that have not had their moment in it yet. */
-type Candidate = { readonly version: Version; readonly waiting: ReadonlySet<OperatorCall> };
+/** A possible state of the register, and the started calls with a clear answer that aren't linearized in it yet. */
+type Candidate = { readonly version: Version; readonly pending: ReadonlySet<OperatorCall> };
 
 type Event = { readonly at: number; readonly isEnd: boolean; readonly call: OperatorCall };
 
-/** Stands for the request of a change that was sent under several. */
+/** Placeholder for the request of a change that was sent under several requests. */
 const ANY_REQUEST = '';
 
-/** More registers than this at one time mean that the history is too unclear to be judged. */
+/** With more possible states than this at one time, the history has too many unclear answers to be checked. */
 const MAX_CANDIDATES = 50_000;
 
 type Search = {
   readonly versions: Map<string, Version>;
   readonly callIds: Map<OperatorCall, number>;
   readonly unclearByBase: Map<number, ChangeCall[]>;
-  /** Changes that were sent under several requests: which of them was applied can't be told, and is left open. */
-  readonly shared: ReadonlySet<string>;
+  /** Changes that were sent under several requests. Which request was applied is unknown and left undetermined. */
+  readonly sharedChanges: ReadonlySet<string>;
   candidates: Candidate[];
 };
 
-/** The first thing about a history that no order of its calls explains, or null. */
+/** Returns the first violation in a history, or null if the history is linearizable. */
 export function checkLinearizable(
   initial: InitialConfiguration,
   history: readonly OperatorCall[],
 ): LinearizabilityViolation | null {
-  const numbered = withNumbers(initial, history);
+  const numbered = withKnownNumbers(initial, history);
   if ('kind' in numbered) return numbered;
-  const refused = refusedAfterConfirmed(numbered.calls);
-  if (refused) return refused;
+  const violation = refusedAfterConfirmed(numbered.calls);
+  if (violation) return violation;
   const search = createSearch(initial, numbered.calls);
   for (const event of eventsOf(numbered.calls)) {
-    if (event.isEnd) search.candidates = afterEnd(search, event.call);
-    else started(search, event.call);
-    if (search.candidates.length === 0) return violationOf(initial, numbered.calls, event.call);
+    if (event.isEnd) search.candidates = onEnd(search, event.call);
+    else onStart(search, event.call);
+    if (search.candidates.length === 0) return classifyViolation(initial, numbered.calls, event.call);
     if (search.candidates.length > MAX_CANDIDATES)
       return {
         kind: 'searchTooLarge',
-        detail: `more than ${MAX_CANDIDATES} registers are possible at ${event.at.toFixed(0)}`,
+        detail: `more than ${MAX_CANDIDATES} states of the register are possible at ${event.at.toFixed(0)}`,
       };
   }
   return null;
 }
 
-/** A request that was confirmed, as its own change or as the same as another one, is never refused afterwards. */
+/** Finds a request that was rejected after it was confirmed, be it as its own change or as the same as another one. */
 function refusedAfterConfirmed(calls: readonly OperatorCall[]): LinearizabilityViolation | null {
   const confirmed = new Map<string, ChangeCall>();
   for (const call of calls) {
@@ -88,8 +88,8 @@
   return null;
 }
 
-/** Gives unclear changes the number that a read or an answer told for their content. */
-function withNumbers(
+/** Fills in the numbers of unclear changes from reads and answers with the same content. */
+function withKnownNumbers(
   initial: InitialConfiguration,
   history: readonly OperatorCall[],
 ): { readonly calls: OperatorCall[] } | LinearizabilityViolation {
@@ -102,7 +102,7 @@
     if (known !== undefined && known !== call.content)
       return {
         kind: 'twoContents',
-        detail: `number ${call.number} is told with the contents ${known} and ${call.content}`,
+        detail: `number ${call.number} was returned with the contents ${known} and ${call.content}`,
       };
     contents.set(call.number, call.content);
     numbers.set(call.content, call.number);
@@ -130,8 +130,8 @@
     versions: new Map(),
     callIds,
     unclearByBase: new Map(),
-    shared: sharedChanges(calls),
-    candidates: [{ version: first, waiting: new Set() }],
+    sharedChanges: findSharedChanges(calls),
+    candidates: [{ version: first, pending: new Set() }],
   };
 }
 
@@ -139,30 +139,30 @@
   return JSON.stringify([base, content]);
 }
 
-function sharedChanges(calls: readonly OperatorCall[]): Set<string> {
+function findSharedChanges(calls: readonly OperatorCall[]): Set<string> {
   const requests = new Map<string, string>();
-  const shared = new Set<string>();
+  const sharedKeys = new Set<string>();
   for (const call of calls) {
     if (call.kind !== 'change') continue;
     const key = changeKey(call);
     const known = requests.get(key);
-    if (known !== undefined && known !== call.request) shared.add(key);
+    if (known !== undefined && known !== call.request) sharedKeys.add(key);
     requests.set(key, call.request);
   }
-  return shared;
+  return sharedKeys;
 }
 
-/** Starts and ends by time; of those at one time the starts come first, which takes the calls for overlapping. */
+/** Returns starts and ends by time. Starts come before ends at the same time, so such calls count as overlapping. */
 function eventsOf(calls: readonly OperatorCall[]): Event[] {
   const events: Event[] = [];
   for (const call of calls) {
     events.push({ at: call.start, isEnd: false, call });
     if (!isUnclear(call)) events.push({ at: call.end, isEnd: true, call });
   }
-  return events.sort(earlier);
+  return events.sort(byTime);
 }
 
-function earlier(left: Event, right: Event): number {
+function byTime(left: Event, right: Event): number {
   return left.at - right.at || Number(left.isEnd) - Number(right.isEnd);
 }
 
@@ -170,71 +170,71 @@
   return call.kind === 'change' && call.answer === 'unclear';
 }
 
-function started(search: Search, call: OperatorCall): void {
+function onStart(search: Search, call: OperatorCall): void {
   if (isUnclear(call)) {
-    const others = search.unclearByBase.get(call.base);
-    if (others) others.push(call);
+    const sameBase = search.unclearByBase.get(call.base);
+    if (sameBase) sameBase.push(call);
     else search.unclearByBase.set(call.base, [call]);
     return;
   }
   const next: Candidate[] = [];
-  for (const { version, waiting } of search.candidates) next.push(settled(version, [...waiting, call]));
+  for (const { version, pending } of search.candidates) next.push(linearizeUnchanging(version, [...pending, call]));
   search.candidates = distinct(search, next);
 }
 
-/** All registers in which the call that ends here has had its moment. */
-function afterEnd(search: Search, call: OperatorCall): Candidate[] {
+/** Returns all possible states in which the call that ends here is linearized. */
+function onEnd(search: Search, call: OperatorCall): Candidate[] {
   const done: Candidate[] = [];
   const seen = new Set<string>();
-  const open = [...search.candidates];
-  while (open.length > 0 && done.length <= MAX_CANDIDATES) {
-    const candidate = open.pop() as Candidate;
+  const frontier = [...search.candidates];
+  while (frontier.length > 0 && done.length <= MAX_CANDIDATES) {
+    const candidate = frontier.pop() as Candidate;
     const key = keyOf(search, candidate);
     if (seen.has(key)) continue;
     seen.add(key);
-    if (candidate.waiting.has(call)) open.push(...successors(search, candidate));
+    if (candidate.pending.has(call)) frontier.push(...successors(search, candidate));
     else done.push(candidate);
   }
   return done;
 }
 
-/** The registers after one more change that builds on this one. */
+/** Returns the states after one more change that is based on this one. */
 function successors(search: Search, candidate: Candidate): Candidate[] {
-  const { version, waiting } = candidate;
+  const { version, pending } = candidate;
   if (version.number === null) return [];
   const next: Candidate[] = [];
-  for (const call of waiting) {
+  for (const call of pending) {
     if (call.kind !== 'change' || call.answer !== 'confirmed' || call.base !== version.number) continue;
-    next.push(settled(applied(search, version, call), waiting));
+    next.push(linearizeUnchanging(applyChange(search, version, call), pending));
   }
   for (const call of search.unclearByBase.get(version.number) ?? [])
-    next.push(settled(applied(search, version, call), waiting));
+    next.push(linearizeUnchanging(applyChange(search, version, call), pending));
   return next;
 }
 
-function applied(search: Search, parent: Version, call: ChangeCall): Version {
-  const request = search.shared.has(changeKey(call)) ? ANY_REQUEST : call.request;
+function applyChange(search: Search, parent: Version, call: ChangeCall): Version {
+  const request = search.sharedChanges.has(changeKey(call)) ? ANY_REQUEST : call.request;
   const key = JSON.stringify([parent.id, request, call.number, call.content]);
   const known = search.versions.get(key);
   if (known) return known;
   const { base, number, content } = call;
-  const made: Version = { id: search.versions.size + 1, parent, request, base, number, content };
-  search.versions.set(key, made);
-  return made;
+  const version: Version = { id: search.versions.size + 1, parent, request, base, number, content };
+  search.versions.set(key, version);
+  return version;
 }
 
-/** Gives their moment to all waiting calls whose answers fit the register and that leave it as it is. */
-function settled(version: Version, waiting: Iterable<OperatorCall>): Candidate {
-  const left = new Set<OperatorCall>();
-  for (const call of waiting) if (!fits(version, call)) left.add(call);
-  return { version, waiting: left };
+/** Linearizes all pending calls that leave the register unchanged and whose answers are consistent with it. */
+function linearizeUnchanging(version: Version, pending: Iterable<OperatorCall>): Candidate {
+  const stillPending = new Set<OperatorCall>();
+  for (const call of pending) if (!isConsistent(version, call)) stillPending.add(call);
+  return { version, pending: stillPending };
 }
 
-function fits(version: Version, call: OperatorCall): boolean {
+function isConsistent(version: Version, call: OperatorCall): boolean {
   if (call.kind === 'read')
     return version.content === call.content && (version.number === null || version.number === call.number);
-  if (call.answer === 'confirmed') return holds(version, call, isSameChange);
-  if (holds(version, call, isSameRequest)) return false;
+  if (call.answer === 'confirmed') return hasApplied(version, call, isSameChange);
+  if (hasApplied(version, call, isSameRequest)) return false;
   return call.answer === 'invalid' || (version.number !== call.base && !isSameChange(version, call));
 }
 
@@ -242,17 +242,21 @@
   return version.request === call.request;
 }
 
-/** Another request with the same base, number and result is the same change. */
+/** Another request with the same base, number and content is the same change. */
 function isSameChange(version: Version, call: ChangeCall): boolean {
   const isSame = isSameRequest(version, call) || (version.base === call.base && version.content === call.content);
   return isSame && (version.number === null || call.number === null || version.number === call.number);
 }
 
-/** Whether a change is in the history of a register. */
-function holds(version: Version, call: ChangeCall, isSame: (version: Version, call: ChangeCall) => boolean): boolean {
-  for (let at: Version | null = version; at?.parent; at = at.parent) {
-    if (isSame(at, call)) return true;
-    if (at.base < call.base) return false;
+/** Whether a change was applied on the way to this version. */
+function hasApplied(
+  version: Version,
+  call: ChangeCall,
+  isSame: (version: Version, call: ChangeCall) => boolean,
+): boolean {
+  for (let ancestor: Version | null = version; ancestor?.parent; ancestor = ancestor.parent) {
+    if (isSame(ancestor, call)) return true;
+    if (ancestor.base < call.base) return false;
   }
   return false;
 }
@@ -263,9 +267,9 @@
   return [...byKey.values()];
 }
 
-function keyOf(search: Search, { version, waiting }: Candidate): string {
+function keyOf(search: Search, { version, pending }: Candidate): string {
   const ids: number[] = [];
-  for (const call of waiting) ids.push(search.callIds.get(call) as number);
+  for (const call of pending) ids.push(search.callIds.get(call) as number);
   return `${version.id}:${ids.sort(ascending).join()}`;
 }
 
@@ -273,15 +277,15 @@
   return left - right;
 }
 
-/** Names what can't be explained, by the plainest reason that the calls before it give. */
-function violationOf(
+/** Classifies a violation at a call, by the most specific reason that the calls before it give. */
+function classifyViolation(
   initial: InitialConfiguration,
   calls: readonly OperatorCall[],
   call: OperatorCall,
 ): LinearizabilityViolation {
   const detail = textOf(call);
   if (call.kind === 'read') {
-    const newest = newestBefore(initial, calls, call);
+    const newest = newestKnownBefore(initial, calls, call);
     return call.number < newest
       ? { kind: 'olderRead', detail: `${detail}, but ${newest} was confirmed or read before it` }
       : { kind: 'unexplained', detail };
@@ -294,7 +298,7 @@
   return { kind: 'unexplained', detail };
 }
 
-function newestBefore(initial: InitialConfiguration, calls: readonly OperatorCall[], call: OperatorCall): number {
+function newestKnownBefore(initial: InitialConfiguration, calls: readonly OperatorCall[], call: OperatorCall): number {
   let newest = initial.number;
   for (const other of calls) {
     const isClear = other.kind === 'read' || other.answer === 'confirmed';
--- a/src/sim/mixtures-small.test.ts
+++ b/src/sim/mixtures-small.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from '@jest/globals';
-import { playMixture } from './mixtures.js';
+import { runMixedFaults } from './mixtures.js';
 
 const cases: readonly (readonly [number, number])[] = [
   [37, 2_200],
@@ -14,9 +14,9 @@
 ];
 
 test.each(cases)(
-  'mixed faults on the small shape, then a disaster, hold every rule (seed %i, every %i ms)',
+  'mixed faults on the small shape, then a disaster, break no rule (seed %i, every %i ms)',
   async (seed, everyMs) => {
-    const end = await playMixture('small', seed, everyMs);
+    const end = await runMixedFaults('small', seed, everyMs);
     expect(end.faults.length).toBeGreaterThan(5);
     expect(end.asked).toBeGreaterThan(200);
     expect(end.watchedMs).toBeGreaterThan(30_000);
--- a/src/sim/mixtures-telar.test.ts
+++ b/src/sim/mixtures-telar.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from '@jest/globals';
-import { playMixture } from './mixtures.js';
+import { runMixedFaults } from './mixtures.js';
 
 const cases: readonly (readonly [number, number])[] = [
   [103, 2_200],
@@ -11,9 +11,9 @@
 ];
 
 test.each(cases)(
-  'mixed faults on the telar shape, then a disaster, hold every rule (seed %i, every %i ms)',
+  'mixed faults on the telar shape, then a disaster, break no rule (seed %i, every %i ms)',
   async (seed, everyMs) => {
-    const end = await playMixture('telar', seed, everyMs);
+    const end = await runMixedFaults('telar', seed, everyMs);
     expect(end.faults.length).toBeGreaterThan(5);
     expect(end.asked).toBeGreaterThan(200);
     expect(end.watchedMs).toBeGreaterThan(30_000);
--- a/src/sim/racing-day.test.ts
+++ b/src/sim/racing-day.test.ts
@@ -7,7 +7,7 @@
   [3, 3],
   [4, 5],
 ] as const)(
-  'racing operators through the troubles of a day: their calls are those of one register (seed %i, %i controllers)',
+  'the calls of racing operators during faults are linearizable (seed %i, %i controllers)',
   async (seed, controllers) => {
     const end = await runRacingDay(seed, { controllers, seconds: 60 });
     expect(end.violation).toBeNull();
@@ -17,12 +17,12 @@
   },
 );
 
-test('controllers that read without a majority are seen', async () => {
+test('controllers that read without a majority are detected', async () => {
   const end = await runRacingDay(5, { controllers: 3, seconds: 60, sabotage: { readsWithoutMajority: true } });
   expect(end.violation).not.toBeNull();
 });
 
-test('a history of changes that isn’t kept is seen', async () => {
+test('controllers that don’t keep the history of changes are detected', async () => {
   const end = await runRacingDay(6, { controllers: 3, seconds: 60, sabotage: { forgetsChanges: true } });
   expect(end.violation).not.toBeNull();
 });
--- a/src/sim/racing-day.ts
+++ b/src/sim/racing-day.ts
@@ -1,9 +1,9 @@
 /**
- * A day of racing operators at a core alone: up to eight changes under way at once, many of them on one base, some with
- * one number for different contents, some sent by two operators; answers are lost, orders are sent again to any
- * controller, also while the first sending is under way and long after it was confirmed. Meanwhile controllers are cut
- * off, killed, frozen, replaced, lose power or their disk, and bursts of ordinary entries come between. All calls are
- * noted at the callers and judged for linearizability.
+ * A simulated day of racing operators, with controllers only. Eight operators send concurrent changes, many of them on
+ * the same base, some with the same number for different contents, some under two requests. Answers are lost, and
+ * changes are retried at any controller, also while the first attempt is in progress and long after it was confirmed.
+ * Meanwhile controllers are partitioned, killed, paused, replaced, or lose power or their disk, and bursts of ordinary
+ * log entries are proposed. All calls are recorded at the callers and checked for linearizability.
  */
 import { ok } from '../base/result.js';
 import { createConfigurationService } from '../coordination/configuration/configuration-service.js';
@@ -17,8 +17,8 @@
 import type { CallHistory } from './call-history.js';
 import type { LinearizabilityViolation } from './linearizability.js';
 import type { ChangeAnswer } from './operator-calls.js';
-import { strikeCore } from './racing-troubles.js';
-import { operateZone } from './racing-zones.js';
+import { injectCoreFault } from './racing-troubles.js';
+import { runZoneOrders } from './racing-zones.js';
 import { sabotageLedger } from './sabotage.js';
 import type { LedgerSabotage } from './sabotage.js';
 import { createSimCore } from './sim-core.js';
@@ -31,7 +31,7 @@
   readonly sabotage?: LedgerSabotage;
 };
 
-export type RacingDayEnd = {
+export type RacingDayResult = {
   readonly seed: number;
   readonly troubles: readonly string[];
   readonly calls: number;
@@ -41,15 +41,15 @@
   readonly broken: readonly string[];
 };
 
-const OPERATORS = 8;
-/** What a caller waits for an answer before it sends again elsewhere. */
-const PATIENCE_MS = 1_000;
-/** Share of sendings that are given up much sooner: their answer is lost. */
-const LOST_SHARE = 0.15;
-const MAX_SENDINGS = 6;
+const OPERATOR_COUNT = 8;
+/** How long a caller waits for an answer before it retries at another controller. */
+const RESPONSE_TIMEOUT_MS = 1_000;
+/** Share of attempts that are abandoned much sooner, so that their answer is lost. */
+const SHORT_TIMEOUT_SHARE = 0.15;
+const MAX_ATTEMPTS = 6;
 const ZONES = ['zone-a', 'zone-b'];
-const ENTRIES_OF_A_BURST = 1_100;
-const REGION_MS = 20;
+const ENTRIES_PER_BURST = 1_100;
+const REGION_DELAY_MS = 20;
 
 type Change = { readonly request: string; readonly base: number; readonly number: number; readonly content: string };
 
@@ -77,7 +77,7 @@
   return Object.keys(serving.models).join() || 'none';
 }
 
-/** The operators' interface of a controller, or null while it doesn't run. */
+/** Returns the operators' interface of a controller, or null if the controller isn't running. */
 function serviceOf(day: Day, name: string): ConfigurationService | null {
   const controller = day.core.node(name).controller;
   if (!controller) return null;
@@ -86,69 +86,69 @@
   return createConfigurationService({ ...controller, clock: day.clock, log: createQuietLog().component('operator') });
 }
 
-function anyNode(day: Day): string {
+function drawNode(day: Day): string {
   return day.running[below(day.rng, day.running.length)] as string;
 }
 
 async function readNewest(day: Day): Promise<number | null> {
-  const name = anyNode(day);
+  const name = drawNode(day);
   const service = serviceOf(day, name);
   if (!service) return null;
-  const noteRead = day.history.readSent(name);
-  const read = await within(day.clock, PATIENCE_MS, service.read());
+  const recordRead = day.history.recordRead(name);
+  const read = await within(day.clock, RESPONSE_TIMEOUT_MS, service.read());
   if (!read?.ok) return null;
-  noteRead(read.value.number, contentOf(read.value));
+  recordRead(read.value.number, contentOf(read.value));
   return read.value.number;
 }
 
 async function sendOnce(day: Day, change: Change): Promise<ChangeAnswer> {
-  const name = anyNode(day);
+  const name = drawNode(day);
   const { request, base, number, content } = change;
-  const noteAnswer = day.history.changeSent({ node: name, request, base, number, content });
+  const recordAnswer = day.history.recordChange({ node: name, request, base, number, content });
   const service = serviceOf(day, name);
   if (!service) return 'unclear';
   const answer = await within(
     day.clock,
-    patienceMs(day.rng),
-    day.rng.next() < 0.5 ? service.replace(base, servingOf(change), request) : amended(service, change),
+    drawTimeoutMs(day.rng),
+    day.rng.next() < 0.5 ? service.replace(base, servingOf(change), request) : amend(service, change),
   );
   if (!answer || (!answer.ok && (answer.error.tag === 'noMajority' || answer.error.tag === 'outcomeUnknown')))
     return 'unclear';
-  const told: ChangeAnswer = answer.ok ? 'confirmed' : answer.error.tag === 'stale' ? 'stale' : 'invalid';
-  noteAnswer(told);
-  return told;
+  const outcome: ChangeAnswer = answer.ok ? 'confirmed' : answer.error.tag === 'stale' ? 'stale' : 'invalid';
+  recordAnswer(outcome);
+  return outcome;
 }
 
-function amended(service: ConfigurationService, change: Change): ReturnType<ConfigurationService['amend']> {
+function amend(service: ConfigurationService, change: Change): ReturnType<ConfigurationService['amend']> {
   function edit(): ReturnType<typeof ok<unknown>> {
     return ok(servingOf(change));
   }
   return service.amend(change.base, edit, change.request);
 }
 
-function patienceMs(rng: Rng): number {
-  return rng.next() < LOST_SHARE ? 1 + below(rng, 120) : PATIENCE_MS;
+function drawTimeoutMs(rng: Rng): number {
+  return rng.next() < SHORT_TIMEOUT_SHARE ? 1 + below(rng, 120) : RESPONSE_TIMEOUT_MS;
 }
 
-/** Sends until the answer is clear, at times to a second controller while the first sending is still under way. */
+/** Sends a change until its answer is clear, sometimes to two controllers at once. */
 async function sendUntilClear(day: Day, change: Change): Promise<void> {
-  for (let sending = 1; sending <= MAX_SENDINGS; sending += 1) {
+  for (let attempt = 1; attempt <= MAX_ATTEMPTS; attempt += 1) {
     if (day.rng.next() < 0.1) void sendOnce(day, change);
     const answer = await sendOnce(day, change);
     if (answer === 'confirmed') day.confirmed.push(change);
     if (answer !== 'unclear') return;
-    await delay(day.clock, 50 + below(day.rng, 200 * sending));
+    await delay(day.clock, 50 + below(day.rng, 200 * attempt));
   }
 }
 
-/** A change on the newest configuration; at times with the result of one that another operator sends under its own request. */
+/** Creates a change on the given base. Concurrent changes of other operators may have the same base and number. */
 function nextChange(day: Day, base: number): Change {
   day.serial += 1;
   const number = base + 1 + below(day.rng, 2);
   return { request: `r-${day.serial}`, base, number, content: `content-${day.serial}` };
 }
 
-async function operate(day: Day): Promise<void> {
+async function runOperator(day: Day): Promise<void> {
   while (!day.isOver) {
     const base = await readNewest(day);
     if (base !== null) {
@@ -157,55 +157,56 @@
       if (day.rng.next() < 0.08) void sendUntilClear(day, twin);
       await sendUntilClear(day, change);
     }
-    const again = day.confirmed[day.confirmed.length - 1 - below(day.rng, 30)];
-    if (again && day.rng.next() < 0.3) await sendOnce(day, again);
+    const earlierChange = day.confirmed[day.confirmed.length - 1 - below(day.rng, 30)];
+    if (earlierChange && day.rng.next() < 0.3) await sendOnce(day, earlierChange);
     await delay(day.clock, below(day.rng, 1_200));
   }
 }
 
-async function ordinaryEntries(day: Day): Promise<void> {
+async function proposeEntryBursts(day: Day): Promise<void> {
   while (!day.isOver) {
     await delay(day.clock, 5_000 + below(day.rng, 15_000));
-    const ledger = day.core.node(anyNode(day)).controller?.ledger;
-    for (let count = 0; count < ENTRIES_OF_A_BURST; count += 1) {
+    const ledger = day.core.node(drawNode(day)).controller?.ledger;
+    for (let count = 0; count < ENTRIES_PER_BURST; count += 1) {
       void ledger?.propose({ cause: 'A racing day.', act: { tag: 'targetChanged', model: 'm', target: count } }, 1_500);
     }
   }
 }
 
-function zoneOrders(day: Day, zone: string): Promise<void> {
+function runZoneOperator(day: Day, zone: string): Promise<void> {
   const { core, clock, rng, running } = day;
   function isOver(): boolean {
     return day.isOver;
   }
-  function service(name: string): ConfigurationService | null {
+  function zoneServiceOf(name: string): ConfigurationService | null {
     return serviceOf(day, name);
   }
-  function patience(): number {
-    return patienceMs(rng);
+  function timeoutMs(): number {
+    return drawTimeoutMs(rng);
   }
-  function confirmed(): void {
+  function onConfirmed(): void {
     day.zoneOrders += 1;
   }
-  function broken(detail: string): void {
+  function reportViolation(detail: string): void {
     day.broken.push(detail);
   }
-  return operateZone({
+  return runZoneOrders({
     core,
     clock,
     rng,
     running,
     zone,
     isOver,
-    serviceOf: service,
-    patienceMs: patience,
-    confirmed,
-    broken,
+    serviceOf: zoneServiceOf,
+    drawTimeoutMs: timeoutMs,
+    onConfirmed,
+    reportViolation,
   });
 }
 
-export async function runRacingDay(seed: number, options: RacingDayOptions): Promise<RacingDayEnd> {
-  const core = createSimCore(seed, { controllers: options.controllers, seeds: 3, regionMs: REGION_MS });
+/** Plays one racing day and checks it. */
+export async function runRacingDay(seed: number, options: RacingDayOptions): Promise<RacingDayResult> {
+  const core = createSimCore(seed, { controllers: options.controllers, seeds: 3, regionMs: REGION_DELAY_MS });
   const { clock } = core.lab('operators');
   const history = createCallHistory(core.world.now, { number: 0, content: 'none' });
   const running = core.nodes.map(nameOf);
@@ -226,19 +227,20 @@
   const { broken } = day;
   const troubles: string[] = [];
   core.startAll();
-  if (!(await core.until(5_000, isWhole))) broken.push('the core did not come together');
-  for (let count = 0; count < OPERATORS; count += 1) void operate(day);
-  for (const zone of ZONES) void zoneOrders(day, zone);
-  void ordinaryEntries(day);
+  if (!(await core.until(5_000, isCoreComplete))) broken.push('the controllers did not form a complete group');
+  for (let count = 0; count < OPERATOR_COUNT; count += 1) void runOperator(day);
+  for (const zone of ZONES) void runZoneOperator(day, zone);
+  void proposeEntryBursts(day);
   const endAt = core.world.now() + options.seconds * 1_000;
   while (core.world.now() < endAt) {
     await core.world.advance(below(day.rng, 4_000));
-    troubles.push(await strikeCore(core, running, day.rng));
-    if (!(await core.until(15_000, isWhole))) broken.push(`not whole after: ${troubles[troubles.length - 1] ?? ''}`);
+    troubles.push(await injectCoreFault(core, running, day.rng));
+    if (!(await core.until(15_000, isCoreComplete)))
+      broken.push(`the group is not complete after: ${troubles[troubles.length - 1] ?? ''}`);
   }
   day.isOver = true;
   await core.world.advance(12_000);
-  for (const name of running) await readAtEnd(day, name, broken);
+  for (const name of running) await checkFinalRead(day, name, broken);
   return {
     seed,
     troubles,
@@ -249,17 +251,17 @@
     broken: [...broken, ...core.broken],
   };
 
-  function isWhole(): boolean {
+  function isCoreComplete(): boolean {
     return core.whole(running);
   }
 }
 
-async function readAtEnd(day: Day, name: string, broken: string[]): Promise<void> {
-  const noteRead = day.history.readSent(name);
+async function checkFinalRead(day: Day, name: string, broken: string[]): Promise<void> {
+  const recordRead = day.history.recordRead(name);
   const reading = serviceOf(day, name)?.read();
   const read = reading && (await day.core.finish(reading, 5_000));
-  if (read?.ok) noteRead(read.value.number, contentOf(read.value));
-  else broken.push(`${name} answers no read at the end`);
+  if (read?.ok) recordRead(read.value.number, contentOf(read.value));
+  else broken.push(`${name} does not answer the read at the end`);
 }
 
 function nameOf(node: { readonly name: string }): string {
--- a/src/sim/racing-troubles.ts
+++ b/src/sim/racing-troubles.ts
@@ -1,123 +1,126 @@
-/** One trouble at a time for a core whose operators go on: struck, kept up for a while and ended again. */
+/** Faults of controllers while operators continue: each is injected, lasts for a while and is ended again. */
 import { below } from '../transport/rng.js';
 import type { Rng } from '../transport/rng.js';
 import type { SimCore } from './sim-core.js';
 
-const LONGEST_MS = 7_000;
-/** A controller that is cut off for this long is what a day's worst cut looks like. */
-const LONG_CUT_MS = 20_000;
-const FLAPS = 6;
-const LONGEST_FLAP_MS = 2_500;
+const MAX_FAULT_MS = 7_000;
+/** Length of the long partitions: about the longest that a day of operation has. */
+const LONG_PARTITION_MS = 20_000;
+const FLAP_COUNT = 6;
+const MAX_FLAP_MS = 2_500;
 
-type Struck = { readonly core: SimCore; readonly running: string[]; readonly rng: Rng; readonly name: string };
-type Trouble = (struck: Struck) => Promise<string>;
+type FaultContext = { readonly core: SimCore; readonly running: string[]; readonly rng: Rng; readonly name: string };
+type Fault = (context: FaultContext) => Promise<string>;
 
-async function spell(struck: Struck): Promise<void> {
-  await struck.core.world.advance(200 + below(struck.rng, LONGEST_MS));
+async function waitOutFault(context: FaultContext): Promise<void> {
+  await context.core.world.advance(200 + below(context.rng, MAX_FAULT_MS));
 }
 
-async function kill(struck: Struck): Promise<string> {
-  struck.core.kill(struck.name);
-  await spell(struck);
-  struck.core.start(struck.name);
-  return `${struck.name} is killed`;
+async function kill(context: FaultContext): Promise<string> {
+  context.core.kill(context.name);
+  await waitOutFault(context);
+  context.core.start(context.name);
+  return `${context.name} is killed`;
 }
-async function losePower(struck: Struck): Promise<string> {
-  struck.core.powerLoss(struck.name);
-  await spell(struck);
-  struck.core.start(struck.name);
-  return `${struck.name} loses power`;
+async function losePower(context: FaultContext): Promise<string> {
+  context.core.powerLoss(context.name);
+  await waitOutFault(context);
+  context.core.start(context.name);
+  return `${context.name} loses power`;
 }
-async function freeze(struck: Struck): Promise<string> {
-  const host = struck.core.node(struck.name).host;
-  struck.core.world.freeze(host);
-  await spell(struck);
-  struck.core.world.thaw(host);
-  return `${struck.name} is frozen`;
+async function freeze(context: FaultContext): Promise<string> {
+  const host = context.core.node(context.name).host;
+  context.core.world.freeze(host);
+  await waitOutFault(context);
+  context.core.world.thaw(host);
+  return `${context.name} is frozen`;
 }
-async function cutOff(struck: Struck): Promise<string> {
-  struck.core.cutOff([struck.name]);
-  if (struck.rng.next() < 0.3) await struck.core.world.advance(LONG_CUT_MS);
-  else await spell(struck);
-  struck.core.world.healAll();
-  return `${struck.name} is cut off`;
+async function partition(context: FaultContext): Promise<string> {
+  context.core.cutOff([context.name]);
+  if (context.rng.next() < 0.3) await context.core.world.advance(LONG_PARTITION_MS);
+  else await waitOutFault(context);
+  context.core.world.healAll();
+  return `${context.name} is partitioned`;
 }
-/** A link that comes and goes: an order that was proposed before a cut is agreed or given up after it. */
-async function flap(struck: Struck): Promise<string> {
-  for (let count = 0; count < FLAPS; count += 1) {
-    struck.core.cutOff([struck.name]);
-    await struck.core.world.advance(100 + below(struck.rng, LONGEST_FLAP_MS));
-    struck.core.world.healAll();
-    await struck.core.world.advance(below(struck.rng, 500));
+/** Partitions a node repeatedly: an order that was proposed before a partition is committed or abandoned after it. */
+async function flap(context: FaultContext): Promise<string> {
+  for (let count = 0; count < FLAP_COUNT; count += 1) {
+    context.core.cutOff([context.name]);
+    await context.core.world.advance(100 + below(context.rng, MAX_FLAP_MS));
+    context.core.world.healAll();
+    await context.core.world.advance(below(context.rng, 500));
   }
-  return `${struck.name} comes and goes`;
+  return `${context.name} is partitioned repeatedly`;
 }
-async function cutOneWay(struck: Struck): Promise<string> {
-  const isOutward = struck.rng.next() < 0.5;
-  for (const other of struck.running) {
-    if (other === struck.name) continue;
-    struck.core.world.cut(isOutward ? struck.name : other, isOutward ? other : struck.name);
+async function partitionOneWay(context: FaultContext): Promise<string> {
+  const isOutward = context.rng.next() < 0.5;
+  for (const other of context.running) {
+    if (other === context.name) continue;
+    context.core.world.cut(isOutward ? context.name : other, isOutward ? other : context.name);
   }
-  await spell(struck);
-  struck.core.world.healAll();
-  return `${struck.name} is cut off one way, ${isOutward ? 'out' : 'in'}wards`;
+  await waitOutFault(context);
+  context.core.world.healAll();
+  return `${context.name} is partitioned one way, ${isOutward ? 'out' : 'in'}bound`;
 }
-async function loseDisk(struck: Struck): Promise<string> {
-  struck.core.powerLoss(struck.name);
-  struck.core.wipe(struck.name);
-  await spell(struck);
-  struck.core.start(struck.name);
-  return `${struck.name} loses its disk`;
+async function loseDisk(context: FaultContext): Promise<string> {
+  context.core.powerLoss(context.name);
+  context.core.wipe(context.name);
+  await waitOutFault(context);
+  context.core.start(context.name);
+  return `${context.name} loses its disk`;
 }
-async function losePowerEverywhere(struck: Struck): Promise<string> {
-  for (const name of struck.running) struck.core.powerLoss(name);
-  await spell(struck);
-  for (const name of struck.running) struck.core.start(name);
-  return 'all lose power';
+async function loseAllPower(context: FaultContext): Promise<string> {
+  for (const name of context.running) context.core.powerLoss(name);
+  await waitOutFault(context);
+  for (const name of context.running) context.core.start(name);
+  return 'all controllers lose power';
 }
-async function restartWhileCutOff(struck: Struck): Promise<string> {
-  struck.core.cutOff([struck.name]);
-  await spell(struck);
-  struck.core.kill(struck.name);
-  struck.core.start(struck.name);
-  await spell(struck);
-  struck.core.world.healAll();
-  return `${struck.name} is cut off and restarts meanwhile`;
+async function restartWhilePartitioned(context: FaultContext): Promise<string> {
+  context.core.cutOff([context.name]);
+  await waitOutFault(context);
+  context.core.kill(context.name);
+  context.core.start(context.name);
+  await waitOutFault(context);
+  context.core.world.healAll();
+  return `${context.name} is partitioned and restarts meanwhile`;
 }
-async function replace(struck: Struck): Promise<string> {
-  const next = struck.core.add(`n${struck.core.nodes.length}`).name;
-  struck.core.seeds(struck.running.slice(0, 3));
-  const isPlanned = struck.rng.next() < 0.5;
+async function replace(context: FaultContext): Promise<string> {
+  const replacement = context.core.add(`n${context.core.nodes.length}`).name;
+  context.core.seeds(context.running.slice(0, 3));
+  const isPlanned = context.rng.next() < 0.5;
   if (isPlanned) {
-    struck.core.start(next);
-    await struck.core.world.advance(1_500 + below(struck.rng, 3_000));
-    await struck.core.end(struck.name);
+    context.core.start(replacement);
+    await context.core.world.advance(1_500 + below(context.rng, 3_000));
+    await context.core.end(context.name);
   } else {
-    struck.core.powerLoss(struck.name);
-    await struck.core.world.advance(below(struck.rng, 3_000));
-    struck.core.start(next);
+    context.core.powerLoss(context.name);
+    await context.core.world.advance(below(context.rng, 3_000));
+    context.core.start(replacement);
   }
-  struck.running.splice(struck.running.indexOf(struck.name), 1, next);
-  return `${struck.name} is replaced by ${next}, ${isPlanned ? 'planned' : 'lost'}`;
+  context.running.splice(context.running.indexOf(context.name), 1, replacement);
+  return `${context.name} is replaced by ${replacement}, ${isPlanned ? 'planned' : 'after power loss'}`;
 }
 
-const TROUBLES: readonly Trouble[] = [
+const FAULTS: readonly Fault[] = [
   kill,
   losePower,
   freeze,
-  cutOff,
-  cutOff,
-  cutOneWay,
+  partition,
+  partition,
+  partitionOneWay,
   flap,
   loseDisk,
-  losePowerEverywhere,
-  restartWhileCutOff,
+  loseAllPower,
+  restartWhilePartitioned,
   replace,
 ];
 
-/** Strikes any of `running` and returns what it did, once the trouble is over; `running` then names those that run. */
-export function strikeCore(core: SimCore, running: string[], rng: Rng): Promise<string> {
+/**
+ * Injects a random fault at a random controller of `running` and returns its description once the fault is over. A
+ * replaced controller is also replaced in `running`.
+ */
+export function injectCoreFault(core: SimCore, running: string[], rng: Rng): Promise<string> {
   const name = running[below(rng, running.length)] as string;
-  const trouble = TROUBLES[below(rng, TROUBLES.length)] as Trouble;
-  return trouble({ core, running, rng, name });
+  const injectFault = FAULTS[below(rng, FAULTS.length)] as Fault;
+  return injectFault({ core, running, rng, name });
 }
--- a/src/sim/racing-zones.ts
+++ b/src/sim/racing-zones.ts
@@ -1,7 +1,7 @@
 /**
- * The operators of zones on a racing day: each evacuates its zone and hands it back in turn, sends an order again until
- * it is confirmed, and reads at any controller that the zone is as the last confirmed order says, until it sends the
- * next one. An order that was given up and acts late shows as a zone that reads otherwise.
+ * The zone operators of a racing day. Each alternately evacuates and restores its zone, retries an order until it is
+ * confirmed, and then checks by reads at random controllers that the zone is in the state of the confirmed order, until
+ * it sends the next one. An abandoned order that takes effect late shows as a read of the other state.
  */
 import type { Caller, ConfigurationService } from '../coordination/configuration/configuration-service.js';
 import { delay, within } from '../transport/clock.js';
@@ -18,57 +18,62 @@
   readonly zone: string;
   readonly isOver: () => boolean;
   readonly serviceOf: (name: string) => ConfigurationService | null;
-  readonly patienceMs: () => number;
-  /** Told once for each order that is confirmed. */
-  readonly confirmed: () => void;
-  readonly broken: (detail: string) => void;
+  readonly drawTimeoutMs: () => number;
+  /** Called once for each confirmed order. */
+  readonly onConfirmed: () => void;
+  readonly reportViolation: (detail: string) => void;
 };
 
-/** A caller waits this long for an answer, and so a sending is over well before its zone gets the next order. */
-const PATIENCE_MS = 1_000;
-const REST_MS = 3_000;
-const WAITS: Caller = { gone: () => false };
-/** Share of orders that go to two controllers at once. */
-const TWICE_SHARE = 0.4;
+/** How long a caller waits for an answer. An attempt is thus over well before the next order for its zone is sent. */
+const RESPONSE_TIMEOUT_MS = 1_000;
+const MAX_EXTRA_CHECK_MS = 3_000;
+const WAITING_CALLER: Caller = { gone: () => false };
+/** Share of attempts that are sent twice at once, each to a random controller. */
+const DUPLICATE_SHARE = 0.4;
 
-function anyNode(operator: ZoneOperator): string {
+function drawNode(operator: ZoneOperator): string {
   return operator.running[below(operator.rng, operator.running.length)] as string;
 }
 
-async function orderOnce(operator: ZoneOperator, begun: boolean): Promise<boolean> {
-  const service = operator.serviceOf(anyNode(operator));
+async function sendOrder(operator: ZoneOperator, isEvacuation: boolean): Promise<boolean> {
+  const service = operator.serviceOf(drawNode(operator));
   if (!service) return false;
-  const answer = await within(operator.clock, operator.patienceMs(), service.evacuate(operator.zone, begun, WAITS));
+  const answer = await within(
+    operator.clock,
+    operator.drawTimeoutMs(),
+    service.evacuate(operator.zone, isEvacuation, WAITING_CALLER),
+  );
   return answer?.ok === true;
 }
 
-async function orderUntilConfirmed(operator: ZoneOperator, begun: boolean): Promise<boolean> {
+async function sendUntilConfirmed(operator: ZoneOperator, isEvacuation: boolean): Promise<boolean> {
   while (!operator.isOver()) {
-    if (operator.rng.next() < TWICE_SHARE) void orderOnce(operator, begun);
-    if (await orderOnce(operator, begun)) return true;
+    if (operator.rng.next() < DUPLICATE_SHARE) void sendOrder(operator, isEvacuation);
+    if (await sendOrder(operator, isEvacuation)) return true;
     await delay(operator.clock, 100 + below(operator.rng, 400));
   }
   return false;
 }
 
-async function check(operator: ZoneOperator, begun: boolean): Promise<void> {
-  const name = anyNode(operator);
+async function checkZone(operator: ZoneOperator, isEvacuation: boolean): Promise<void> {
+  const name = drawNode(operator);
   const ledger = operator.core.node(name).controller?.ledger;
-  const isCommitted = ledger && (await within(operator.clock, PATIENCE_MS, ledger.linearizableRead(PATIENCE_MS)));
+  const isCommitted =
+    ledger && (await within(operator.clock, RESPONSE_TIMEOUT_MS, ledger.linearizableRead(RESPONSE_TIMEOUT_MS)));
   if (!ledger || !isCommitted) return;
   const isEvacuated = ledger.controlState().evacuated[operator.zone] !== undefined;
-  if (isEvacuated === begun) return;
+  if (isEvacuated === isEvacuation) return;
   const now = operator.core.world.now().toFixed(0);
-  operator.broken(`${name} reads ${operator.zone} as ${begun ? 'not ' : ''}evacuated at ${now}`);
+  operator.reportViolation(`${name} reads ${operator.zone} as ${isEvacuation ? 'not ' : ''}evacuated at ${now}`);
 }
 
-/** Goes on until the day is over. */
-export async function operateZone(operator: ZoneOperator): Promise<void> {
-  for (let begun = true; await orderUntilConfirmed(operator, begun); begun = !begun) {
-    operator.confirmed();
-    const restUntil = operator.clock.mono() + PATIENCE_MS + below(operator.rng, REST_MS);
-    while (operator.clock.mono() < restUntil) {
-      await check(operator, begun);
+/** Sends and checks orders for a zone until the day is over. */
+export async function runZoneOrders(operator: ZoneOperator): Promise<void> {
+  for (let isEvacuation = true; await sendUntilConfirmed(operator, isEvacuation); isEvacuation = !isEvacuation) {
+    operator.onConfirmed();
+    const checkUntil = operator.clock.mono() + RESPONSE_TIMEOUT_MS + below(operator.rng, MAX_EXTRA_CHECK_MS);
+    while (operator.clock.mono() < checkUntil) {
+      await checkZone(operator, isEvacuation);
       await delay(operator.clock, 50 + below(operator.rng, 400));
     }
   }
