--- a/src/sim/sabotage.test.ts
+++ b/src/sim/sabotage.test.ts
@@ -10,10 +10,10 @@
   return [...new Set(broken.map((b) => b.rule))];
 }
 
-describe('a deliberate break is seen', () => {
+describe('a deliberate fault is detected', () => {
   const cases: readonly (readonly [string, number, ChaosOptions, readonly string[]])[] = [
     [
-      'placement that ignores evacuations',
+      'worker selection that ignores evacuations',
       2,
       { faults: ['evacuate'], seconds: 20, everyMs: 9_000, sabotage: { withoutPolicy: 'evacuated' } },
       ['evacuated'],
@@ -36,7 +36,7 @@
       ['linearizable'],
     ],
     [
-      'no record of the changes that were applied',
+      'controllers that keep no record of applied changes',
       6,
       { faults: ['crowdOfOperators'], seconds: 30, everyMs: 4_000, sabotage: { forgetsChanges: true } },
       ['linearizable'],
@@ -58,7 +58,7 @@
     expect(rules(end.broken).filter((r) => expected.includes(r))).not.toEqual([]);
   });
 
-  test('a cloud whose list lags breaks nothing while it knows its keys', async () => {
+  test('a cloud whose list lags breaks no rule as long as it knows its idempotency keys', async () => {
     const end = await runChaos(4, {
       faults: ['loseReplies', 'reclaim'],
       seconds: 30,
@@ -68,8 +68,8 @@
     expect(end.broken).toEqual([]);
   });
 
-  test('placement that ignores homes', async () => {
-    async function ran(withoutPolicy: string): Promise<string[]> {
+  test('worker selection that ignores homes', async () => {
+    async function rulesBroken(withoutPolicy: string): Promise<string[]> {
       const fleet = createSimFleet(7, undefined, undefined, { withoutPolicy });
       expect(await fleet.start()).toBe(true);
       for (const w of fleet.workers) if (w.fixed && w.zone !== 'ro-1') fleet.kill(w.id);
@@ -79,12 +79,12 @@
       );
       return rules(fleet.check());
     }
-    expect(await ran('homes')).toEqual(['homes']);
-    expect(await ran('none')).toEqual([]);
+    expect(await rulesBroken('homes')).toEqual(['homes']);
+    expect(await rulesBroken('none')).toEqual([]);
   });
 
   test('an unbounded retry share', async () => {
-    async function ran(retryShare: number): Promise<string[]> {
+    async function rulesBroken(retryShare: number): Promise<string[]> {
       const configuration = { ...(SMALL.configuration as object), deployment: { nExtra: 1, rampS: 0, retryShare } };
       const fleet = createSimFleet(8, { ...SMALL, configuration });
       expect(await fleet.start()).toBe(true);
@@ -94,16 +94,16 @@
       createWatchers(fleet).end();
       return rules(fleet.check());
     }
-    expect(await ran(1)).toEqual(['retries']);
-    expect(await ran(0.2)).toEqual([]);
+    expect(await rulesBroken(1)).toEqual(['retries']);
+    expect(await rulesBroken(0.2)).toEqual([]);
   });
 
-  test('placement that ignores leaving', async () => {
-    async function ran(withoutPolicy: string): Promise<string[]> {
+  test('worker selection that ignores leaving workers', async () => {
+    async function rulesBroken(withoutPolicy: string): Promise<string[]> {
       const fleet = createSimFleet(6, undefined, undefined, { withoutPolicy });
       expect(await fleet.start()).toBe(true);
       const gateway = fleet.workers.find((w) => w.fixed && w.zone === 'hu-1');
-      const busy = fleet.traffic({ zone: 'hu-1', seconds: 9, runOnceShare: 1 });
+      const traffic = fleet.traffic({ zone: 'hu-1', seconds: 9, runOnceShare: 1 });
       await fleet.run(500);
       await fleet.call({
         method: 'POST',
@@ -112,11 +112,11 @@
         body: { remainingMs: 9_000 },
       });
       fleet.records.push({ who: 'cloud', event: 'reclaiming', machine: `${gateway?.id}-fixed`, at: fleet.world.now() });
-      await fleet.finish(busy, 30_000);
+      await fleet.finish(traffic, 30_000);
       return rules(fleet.check());
     }
-    expect(await ran('leaving')).toEqual(['leaving']);
-    expect(await ran('none')).toEqual([]);
+    expect(await rulesBroken('leaving')).toEqual(['leaving']);
+    expect(await rulesBroken('none')).toEqual([]);
   });
 
   type View = { slot: number; version: number; serving: boolean; partitioned: boolean; configuration: object };
@@ -126,18 +126,18 @@
     platter: { failing: boolean; full: boolean };
     proxy: { view: () => View };
   };
-  function watched(
+  function createFakeFleet(
     views: readonly View[],
     records: readonly Readonly<Record<string, unknown>>[] = [],
   ): { fleet: SimFleet; now: { at: number }; set: (i: number, v: View) => void } {
     const now = { at: 0 };
-    const held = [...views];
+    const currentViews = [...views];
     const platter = { failing: false, full: false };
-    const proxies = held.map((_, i): Node => ({
+    const proxies = currentViews.map((_, i): Node => ({
       name: `s${i}`,
       host: { running: true, frozen: false, zone: 'z', life: 1 },
       platter,
-      proxy: { view: () => held[i] as View },
+      proxy: { view: () => currentViews[i] as View },
     }));
     const controllers = [0, 1, 2].map((i) => ({
       name: `h${i}`,
@@ -156,75 +156,78 @@
       shape,
       hostOf: () => ({ life: 1 }),
     } as unknown as SimFleet;
-    return { fleet, now, set: (i, v) => void (held[i] = v) };
+    return { fleet, now, set: (i, v) => void (currentViews[i] = v) };
   }
-  const fresh: View = {
+  const upToDateView: View = {
     slot: 5,
     version: 4,
     serving: true,
     partitioned: false,
     configuration: { deployment: { lineLimit: 50 } },
   };
-  function over(w: { now: { at: number } }, watchers: { step: () => void }, ms: number): void {
-    for (const end = w.now.at + ms; w.now.at < end; w.now.at += 100) watchers.step();
+  function advance(fake: { now: { at: number } }, watchers: { step: () => void }, ms: number): void {
+    for (const end = fake.now.at + ms; fake.now.at < end; fake.now.at += 100) watchers.step();
   }
 
-  test('a proxy that slides back, or serves what an acknowledgement replaced, at once or later', () => {
-    const w = watched([fresh, fresh]);
-    const watchers = createWatchers(w.fleet);
+  test('a proxy that reverts to an older version, or serves what an acknowledged change replaced, now or later', () => {
+    const fake = createFakeFleet([upToDateView, upToDateView]);
+    const watchers = createWatchers(fake.fleet);
     watchers.step();
     watchers.acknowledged(4, 50);
-    over(w, watchers, 20_000);
-    expect(w.fleet.violations).toEqual([]);
-    w.set(0, { ...fresh, version: 3 });
+    advance(fake, watchers, 20_000);
+    expect(fake.fleet.violations).toEqual([]);
+    fake.set(0, { ...upToDateView, version: 3 });
     watchers.acknowledged(4, 50);
-    expect(rules(w.fleet.violations)).toEqual(['inForce']);
-    over(w, watchers, 200);
-    expect(rules(w.fleet.violations)).toEqual(['inForce', 'noOlderVersion']);
+    expect(rules(fake.fleet.violations)).toEqual(['inForce']);
+    advance(fake, watchers, 200);
+    expect(rules(fake.fleet.violations)).toEqual(['inForce', 'noOlderVersion']);
   });
 
-  test('a node that could hear of a change agreed without all, and does not within 3 s', () => {
-    const w = watched([fresh, { ...fresh, slot: 3, version: 2, configuration: {} }]);
-    const watchers = createWatchers(w.fleet);
-    over(w, watchers, 8_000);
+  test('a reachable node that does not learn within 3 s of a change that was agreed without all nodes', () => {
+    const fake = createFakeFleet([upToDateView, { ...upToDateView, slot: 3, version: 2, configuration: {} }]);
+    const watchers = createWatchers(fake.fleet);
+    advance(fake, watchers, 8_000);
     watchers.agreed(4, 50);
-    over(w, watchers, 2_900);
-    expect(w.fleet.violations).toEqual([]);
-    over(w, watchers, 500);
-    expect(rules(w.fleet.violations)).toEqual(['inForce']);
+    advance(fake, watchers, 2_900);
+    expect(fake.fleet.violations).toEqual([]);
+    advance(fake, watchers, 500);
+    expect(rules(fake.fleet.violations)).toEqual(['inForce']);
   });
 
-  test('a refused configuration in any node, or two under one version', () => {
-    const w = watched([fresh, fresh]);
-    const watchers = createWatchers(w.fleet);
+  test('a rejected configuration in any node, or two configurations under one version', () => {
+    const fake = createFakeFleet([upToDateView, upToDateView]);
+    const watchers = createWatchers(fake.fleet);
     watchers.refused(51);
     watchers.step();
-    expect(w.fleet.violations).toEqual([]);
-    w.set(1, { ...fresh, configuration: { deployment: { lineLimit: 51 } } });
-    over(w, watchers, 200);
-    expect(rules(w.fleet.violations)).toEqual(['oneContent', 'refusedSeen']);
+    expect(fake.fleet.violations).toEqual([]);
+    fake.set(1, { ...upToDateView, configuration: { deployment: { lineLimit: 51 } } });
+    advance(fake, watchers, 200);
+    expect(rules(fake.fleet.violations)).toEqual(['oneContent', 'refusedSeen']);
   });
 
-  test('two winners on one base, an acknowledged change that is lost or reads otherwise', () => {
-    const w = watched([]);
-    const watchers = createWatchers(w.fleet);
-    const whole = { deployment: { rampS: 3, lineLimit: 50 }, regions: { r: { models: { summary: {} } } } };
+  test('two winners on one base, an acknowledged change that is lost or read with another content', () => {
+    const fake = createFakeFleet([]);
+    const watchers = createWatchers(fake.fleet);
+    const completeConfiguration = {
+      deployment: { rampS: 3, lineLimit: 50 },
+      regions: { r: { models: { summary: {} } } },
+    };
     watchers.won(1, 2);
     watchers.won(1, 2);
     watchers.acknowledged(2, 50);
-    watchers.read('h', 2, 2, whole);
-    watchers.read('h', 2, 3, { ...whole, deployment: { rampS: 3, lineLimit: 7 } });
-    expect(w.fleet.violations).toEqual([]);
+    watchers.read('h', 2, 2, completeConfiguration);
+    watchers.read('h', 2, 3, { ...completeConfiguration, deployment: { rampS: 3, lineLimit: 7 } });
+    expect(fake.fleet.violations).toEqual([]);
     watchers.won(1, 3);
-    expect(rules(w.fleet.violations)).toEqual(['oneWinner']);
-    watchers.read('h', 2, 1, whole);
-    expect(w.fleet.violations.map((v) => v.rule)).toEqual(['oneWinner', 'readBack']);
+    expect(rules(fake.fleet.violations)).toEqual(['oneWinner']);
+    watchers.read('h', 2, 1, completeConfiguration);
+    expect(fake.fleet.violations.map((v) => v.rule)).toEqual(['oneWinner', 'readBack']);
     watchers.read('k', 2, 2, { deployment: { rampS: 3, lineLimit: 50 } });
-    expect(rules(w.fleet.violations)).toEqual(['oneWinner', 'readBack', 'oneContent']);
+    expect(rules(fake.fleet.violations)).toEqual(['oneWinner', 'readBack', 'oneContent']);
   });
 
-  test('a machine that no open order holds, or that nobody is known to have ordered', () => {
-    const w = watched(
+  test('a machine that belongs to no open order, or whose order has no known author', () => {
+    const fake = createFakeFleet(
       [],
       [
         { who: 'cloud', event: 'machine', machine: 'm1', key: 'o1' },
@@ -232,14 +235,14 @@
         { who: 'cloud', event: 'gone', machine: 'm2' },
       ],
     );
-    const closed = [{ id: 'o1', events: [{ author: 'h' }] }];
+    const closedOrders = [{ id: 'o1', events: [{ author: 'h' }] }];
     const controllers = [
       {
         name: 'h',
-        controller: { ledger: { controlState: () => ({ orders: {} }), closedOrders: { all: () => closed } } },
+        controller: { ledger: { controlState: () => ({ orders: {} }), closedOrders: { all: () => closedOrders } } },
       },
     ];
-    const fleet = { ...w.fleet, controllers } as unknown as SimFleet;
+    const fleet = { ...fake.fleet, controllers } as unknown as SimFleet;
     checkMachines(fleet);
     expect(fleet.violations.map((v) => v.detail)).toEqual([
       'machine m1 runs, but order o1 is not open for h',
@@ -247,9 +250,9 @@
     ]);
   });
 
-  test('a cold worker that is flooded, at any time of its ramp', () => {
+  test('a cold worker that gets too many requests, at any time of its ramp-up', () => {
     function run(at: number, running: number): string[] {
-      const arrived = {
+      const arrivalRecord = {
         who: 'worker',
         event: 'arrived',
         worker: 'w',
@@ -260,9 +263,12 @@
         at,
         running,
       };
-      const w = watched([fresh, fresh], [{ who: 'worker', event: 'ready', worker: 'w', at: 100 }, arrived]);
-      createWatchers(w.fleet).end();
-      return rules(w.fleet.violations);
+      const fake = createFakeFleet(
+        [upToDateView, upToDateView],
+        [{ who: 'worker', event: 'ready', worker: 'w', at: 100 }, arrivalRecord],
+      );
+      createWatchers(fake.fleet).end();
+      return rules(fake.fleet.violations);
     }
     expect([run(200, 2), run(1_600, 8), run(3_200, 40)]).toEqual([[], [], []]);
     expect([run(200, 3), run(1_600, 9)]).toEqual([['coldFlood'], ['coldFlood']]);
--- a/src/sim/sabotage.ts
+++ b/src/sim/sabotage.ts
@@ -1,11 +1,11 @@
-/** Deliberate breaks of a simulated fleet, each to see that a checker notices it. */
+/** Deliberate faults of a simulated fleet, used to test that the checkers detect them. */
 import type { Ledger } from '../coordination/consensus/ledger.js';
 
-/** Breaks in the ledger of a controller. */
+/** Faults in the ledger of a controller. */
 export type LedgerSabotage = {
-  /** Controllers answer from what they hold, without asking a majority how far it stands. */
+  /** Controllers answer reads from their local state, without asking a majority for the newest entry. */
   readonly readsWithoutMajority?: boolean;
-  /** No record is kept of the operators' changes that were applied. */
+  /** Controllers don't keep the record of operators' changes that were applied. */
   readonly forgetsChanges?: boolean;
 };
 
@@ -16,8 +16,9 @@
   readonly disksLie?: boolean;
 };
 
+/** Injects the given faults into a ledger. */
 export function sabotageLedger(ledger: Ledger, sabotage: LedgerSabotage): void {
-  function alwaysSettled(): Promise<boolean> {
+  function alwaysTrue(): Promise<boolean> {
     return Promise.resolve(true);
   }
   function forgetChanges(): void {
@@ -25,7 +26,7 @@
     state.operations = [];
     state.history.changes = [];
   }
-  if (sabotage.readsWithoutMajority) Object.assign(ledger, { linearizableRead: alwaysSettled });
+  if (sabotage.readsWithoutMajority) Object.assign(ledger, { linearizableRead: alwaysTrue });
   if (!sabotage.forgetsChanges) return;
   ledger.events.on('folded', forgetChanges);
   ledger.events.on('adopted', forgetChanges);
