--- a/src/sim/builders.ts
+++ b/src/sim/builders.ts
@@ -1,9 +1,9 @@
-/** Ordinary values of records that many tests need; each test gives what matters to it. */
+/** Builders of records with default values for tests; a test overrides only the fields that it depends on. */
 import type { RouteSettings } from '../state/configuration/serving.js';
 import type { WorkerEntry } from '../state/discovery/worker-entry.js';
 import type { MemberView } from '../state/membership/core-health.js';
 
-/** A member of the group that is in touch and holds everything. */
+/** Builds a group member that is in contact and has a complete log. */
 export function memberView(name: string, more: Partial<MemberView> = {}): MemberView {
   return {
     id: `${name}#i`,
@@ -18,7 +18,7 @@
   };
 }
 
-/** A worker of model `m` that serves, in a region named like its zone. */
+/** Builds a serving worker of model `m`, in a region that has the name of its zone. */
 export function workerEntry(id: string, zone: string, more: Partial<WorkerEntry> = {}): WorkerEntry {
   return {
     id,
@@ -35,7 +35,7 @@
   };
 }
 
-/** A route of streams to model `m`. */
+/** Builds a streaming route to model `m`. */
 export function routeSettings(more: Partial<RouteSettings> = {}): RouteSettings {
   return {
     at: 0,
--- a/src/sim/core-scenarios.ts
+++ b/src/sim/core-scenarios.ts
@@ -1,325 +1,399 @@
+/**
+ * Scenarios of the controllers: lost leases, power losses, partitions, replaced disks, moved controllers and racing
+ * operators.
+ */
 import { SMALL } from './shapes.js';
 import { createWatchers } from './watchers.js';
-import { amend, versionAt, versionOf, namesIn, servesAgain, share, statusOf, waitingOf } from './stage.js';
-import type { Stage } from './stage.js';
+import {
+  amendLineLimit,
+  readVersion,
+  versionOf,
+  hostNamesIn,
+  expectServesAgain,
+  outcomeShare,
+  statusOf,
+  unconfirmedProxies,
+} from './stage.js';
+import type { ScenarioContext } from './stage.js';
 
-export async function holderLost(stage: Stage): Promise<void> {
-  const { fleet } = stage;
-  const was = fleet.holder();
-  const busy = fleet.traffic({ zone: 'at-1', seconds: 15 });
-  fleet.kill(fleet.controllers[was]?.name ?? '');
+/** The controller that holds the scaler lease is killed. */
+export async function holderLost(context: ScenarioContext): Promise<void> {
+  const { fleet } = context;
+  const holder = fleet.holder();
+  const traffic = fleet.traffic({ zone: 'at-1', seconds: 15 });
+  fleet.kill(fleet.controllers[holder]?.name ?? '');
   const from = fleet.world.now();
-  function another(): boolean {
+  function hasNewHolder(): boolean {
     return fleet.holder() >= 0;
   }
-  const got = await fleet.until(20_000, another);
-  stage.told.recoverMs = Math.round(fleet.world.now() - from);
-  stage.expect('lease', got && stage.told.recoverMs < 12_000, `another holder after ${stage.told.recoverMs} ms`);
-  const t = await fleet.finish(busy, 60_000);
-  stage.told.facts['success share'] = share(t, 'success');
-  stage.expect('serves', share(t, 'success') === 1, JSON.stringify(t));
+  const wasReplaced = await fleet.until(20_000, hasNewHolder);
+  context.told.recoverMs = Math.round(fleet.world.now() - from);
+  context.expect(
+    'lease',
+    wasReplaced && context.told.recoverMs < 12_000,
+    `another holder after ${context.told.recoverMs} ms`,
+  );
+  const tally = await fleet.finish(traffic, 60_000);
+  context.told.facts['success share'] = outcomeShare(tally, 'success');
+  context.expect('serves', outcomeShare(tally, 'success') === 1, JSON.stringify(tally));
 }
 
-export async function holderFrozen(stage: Stage): Promise<void> {
-  const { fleet } = stage;
-  const was = fleet.holder();
-  const old = fleet.controllers[was];
-  const oldFence = old?.controller?.ledger.controlState().leases['scaler']?.fence ?? -1;
-  fleet.world.freeze(fleet.hostOf(old?.name ?? ''));
+/**
+ * The holder of the scaler lease is frozen until the lease is taken over; after the thaw it must not write with its old
+ * fence.
+ */
+export async function holderFrozen(context: ScenarioContext): Promise<void> {
+  const { fleet } = context;
+  const holder = fleet.holder();
+  const oldHolder = fleet.controllers[holder];
+  const oldFence = oldHolder?.controller?.ledger.controlState().leases['scaler']?.fence ?? -1;
+  fleet.world.freeze(fleet.hostOf(oldHolder?.name ?? ''));
   await fleet.run(12_000);
-  stage.expect('lease', fleet.holder() >= 0, 'no other took the duty');
-  const before = fleet.controllers[(was + 1) % 3]?.controller?.ledger.controlState().slot ?? 0;
-  fleet.world.thaw(fleet.hostOf(old?.name ?? ''));
+  context.expect('lease', fleet.holder() >= 0, 'no other controller took over the scaler role');
+  const before = fleet.controllers[(holder + 1) % 3]?.controller?.ledger.controlState().slot ?? 0;
+  fleet.world.thaw(fleet.hostOf(oldHolder?.name ?? ''));
   await fleet.run(4_000);
-  const batches = fleet.controllers[(was + 1) % 3]?.controller?.ledger.since(before + 1) ?? [];
-  let late = 0;
-  for (const second of batches) for (const event of second.batch.entries) if (event.fence === oldFence) late += 1;
-  stage.told.facts['entries with the old fence'] = late;
-  stage.expect('fence', late === 0, `${late} entries came with the old fence`);
-  stage.expect('fence', old?.controller?.holdsScaler() === false, 'the woken one still believes');
+  const batches = fleet.controllers[(holder + 1) % 3]?.controller?.ledger.since(before + 1) ?? [];
+  let staleEntries = 0;
+  for (const slotBatch of batches)
+    for (const entry of slotBatch.batch.entries) if (entry.fence === oldFence) staleEntries += 1;
+  context.told.facts['entries with the old fence'] = staleEntries;
+  context.expect('fence', staleEntries === 0, `${staleEntries} entries have the old fence`);
+  context.expect(
+    'fence',
+    oldHolder?.controller?.holdsScaler() === false,
+    'the thawed controller still considers itself the holder',
+  );
 }
 
-export async function allPowerLost(stage: Stage): Promise<void> {
-  const { fleet } = stage;
-  const busy = fleet.traffic({ zone: 'hu-1', seconds: 6 });
+/** All controllers and proxies lose power at once. */
+export async function allPowerLost(context: ScenarioContext): Promise<void> {
+  const { fleet } = context;
+  const traffic = fleet.traffic({ zone: 'hu-1', seconds: 6 });
   await fleet.run(3_000);
-  const base = await versionAt(fleet, 0);
-  const done = await amend(fleet, 1, base, 77);
+  const base = await readVersion(fleet, 0);
+  const response = await amendLineLimit(fleet, 1, base, 77);
   const nodes = [...fleet.controllers, ...fleet.proxies];
-  for (const n of nodes) fleet.powerLoss(n.name);
+  for (const node of nodes) fleet.powerLoss(node.name);
   await fleet.run(4_000);
-  for (const n of nodes) void fleet.startNode(n.name);
-  await servesAgain(stage, 12_000, 'hu-1');
-  await fleet.finish(busy, 200_000);
+  for (const node of nodes) void fleet.startNode(node.name);
+  await expectServesAgain(context, 12_000, 'hu-1');
+  await fleet.finish(traffic, 200_000);
   for (let i = 0; i < 3; i += 1)
-    stage.expect(
+    context.expect(
       'readBack',
-      (await versionAt(fleet, i)) === versionOf(done),
+      (await readVersion(fleet, i)) === versionOf(response),
       `controller ${i + 1} reads another version`,
     );
 }
 
-export async function regionLost(stage: Stage): Promise<void> {
-  const { fleet } = stage;
-  for (const name of namesIn(fleet, 'ro-1')) if (!name.startsWith('caller')) fleet.powerLoss(name);
-  await servesAgain(stage, 12_000, 'at-1');
-  const t = await fleet.finish(fleet.traffic({ zone: 'hu-1', seconds: 10 }), 60_000);
-  stage.told.facts['success share'] = share(t, 'success');
-  stage.expect('serves', share(t, 'success') > 0.99, JSON.stringify(t));
-  const base = await versionAt(fleet, 0);
-  const got = await amend(fleet, 0, base, 78);
-  stage.expect(
+/** One region loses power: the others serve, and a change waits only for its proxy. */
+export async function regionLost(context: ScenarioContext): Promise<void> {
+  const { fleet } = context;
+  for (const name of hostNamesIn(fleet, 'ro-1')) if (!name.startsWith('caller')) fleet.powerLoss(name);
+  await expectServesAgain(context, 12_000, 'at-1');
+  const tally = await fleet.finish(fleet.traffic({ zone: 'hu-1', seconds: 10 }), 60_000);
+  context.told.facts['success share'] = outcomeShare(tally, 'success');
+  context.expect('serves', outcomeShare(tally, 'success') > 0.99, JSON.stringify(tally));
+  const base = await readVersion(fleet, 0);
+  const response = await amendLineLimit(fleet, 0, base, 78);
+  context.expect(
     'majority',
-    statusOf(got) === 202 && waitingOf(got).join() === 'proxy-ro-1-1',
-    `answered ${statusOf(got)} waiting for ${waitingOf(got).join()}`,
+    statusOf(response) === 202 && unconfirmedProxies(response).join() === 'proxy-ro-1-1',
+    `answered ${statusOf(response)} waiting for ${unconfirmedProxies(response).join()}`,
   );
-  for (const name of namesIn(fleet, 'ro-1')) if (!name.startsWith('caller')) void fleet.startNode(name);
+  for (const name of hostNamesIn(fleet, 'ro-1')) if (!name.startsWith('caller')) void fleet.startNode(name);
   await fleet.run(8_000);
-  stage.expect(
+  context.expect(
     'noOlderVersion',
-    fleet.proxies[2]?.proxy?.view().version === versionOf(got),
+    fleet.proxies[2]?.proxy?.view().version === versionOf(response),
     'the region came back with an older version',
   );
 }
 
-export async function regionIsolated(stage: Stage): Promise<void> {
-  const { fleet } = stage;
-  fleet.cutOff([...namesIn(fleet, 'hu-1'), 'caller-inside']);
+/** One region is partitioned: it serves from its own workers, and only the majority can change the configuration. */
+export async function regionIsolated(context: ScenarioContext): Promise<void> {
+  const { fleet } = context;
+  fleet.cutOff([...hostNamesIn(fleet, 'hu-1'), 'caller-inside']);
   fleet.world.host('caller-inside', 'hu-1');
   await fleet.run(3_500);
-  const inside = await fleet.finish(
+  const insideTally = await fleet.finish(
     fleet.traffic({ zone: 'hu-1', seconds: 8, runOnceShare: 0, name: 'caller-inside' }),
     60_000,
   );
-  stage.told.facts['success share inside'] = share(inside, 'success');
-  stage.expect('partition', share(inside, 'success') > 0.9, JSON.stringify(inside));
-  stage.expect(
+  context.told.facts['success share inside'] = outcomeShare(insideTally, 'success');
+  context.expect('partition', outcomeShare(insideTally, 'success') > 0.9, JSON.stringify(insideTally));
+  context.expect(
     'partition',
     fleet.proxies[0]?.proxy?.view().partitioned === true,
     'the proxy does not know that it is partitioned',
   );
-  const base = await versionAt(fleet, 1);
-  const got = await amend(fleet, 1, base, 79);
-  stage.expect('majority', statusOf(got) === 202, `the majority answered ${statusOf(got)}`);
-  const alone = await fleet.operator(0, 'GET', '/v1/configuration');
-  stage.expect('majority', statusOf(alone) === 503, `the controller alone answered ${statusOf(alone)}`);
+  const base = await readVersion(fleet, 1);
+  const response = await amendLineLimit(fleet, 1, base, 79);
+  context.expect('majority', statusOf(response) === 202, `the majority answered ${statusOf(response)}`);
+  const isolatedResponse = await fleet.operator(0, 'GET', '/v1/configuration');
+  context.expect(
+    'majority',
+    statusOf(isolatedResponse) === 503,
+    `the controller alone answered ${statusOf(isolatedResponse)}`,
+  );
   const from = fleet.world.now();
   fleet.world.healAll();
   function caughtUp(): boolean {
-    return fleet.proxies[0]?.proxy?.view().version === versionOf(got);
+    return fleet.proxies[0]?.proxy?.view().version === versionOf(response);
   }
-  stage.expect('heals', await fleet.until(12_000, caughtUp), 'the proxy stayed behind');
-  stage.told.recoverMs = Math.round(fleet.world.now() - from);
+  context.expect('heals', await fleet.until(12_000, caughtUp), 'the proxy did not catch up');
+  context.told.recoverMs = Math.round(fleet.world.now() - from);
 }
 
-export async function oneWayLoss(stage: Stage): Promise<void> {
-  const { fleet } = stage;
+/** Two links fail in one direction only. */
+export async function oneWayLoss(context: ScenarioContext): Promise<void> {
+  const { fleet } = context;
   fleet.world.cut('controller-1', 'controller-2');
   fleet.world.cut('proxy-hu-1-1', 'controller-3');
-  const base = await versionAt(fleet, 1);
-  const got = await amend(fleet, 1, base, 80);
-  stage.expect('majority', statusOf(got) === 200 || statusOf(got) === 202, `answered ${statusOf(got)}`);
-  const t = await fleet.finish(fleet.traffic({ zone: 'hu-1', seconds: 8 }), 60_000);
-  stage.told.facts['success share'] = share(t, 'success');
-  stage.expect('serves', share(t, 'success') > 0.95, JSON.stringify(t));
+  const base = await readVersion(fleet, 1);
+  const response = await amendLineLimit(fleet, 1, base, 80);
+  context.expect(
+    'majority',
+    statusOf(response) === 200 || statusOf(response) === 202,
+    `answered ${statusOf(response)}`,
+  );
+  const tally = await fleet.finish(fleet.traffic({ zone: 'hu-1', seconds: 8 }), 60_000);
+  context.told.facts['success share'] = outcomeShare(tally, 'success');
+  context.expect('serves', outcomeShare(tally, 'success') > 0.95, JSON.stringify(tally));
 }
 
-export async function diskLost(stage: Stage): Promise<void> {
-  const { fleet } = stage;
-  const h = fleet.controllers[1];
-  const was = h?.controller?.ledger.self.incarnation;
+/** A controller loses its disk: it rejoins with a new incarnation and counts towards the majority again. */
+export async function diskLost(context: ScenarioContext): Promise<void> {
+  const { fleet } = context;
+  const simController = fleet.controllers[1];
+  const oldIncarnation = simController?.controller?.ledger.self.incarnation;
   fleet.kill('controller-2');
   fleet.wipe('controller-2');
   await fleet.run(500);
   const from = fleet.world.now();
   void fleet.startNode('controller-2');
-  function whole(): boolean {
-    return h?.controller?.ledger.isMember() === true && h.controller.claimsReady();
+  function hasRejoined(): boolean {
+    return simController?.controller?.ledger.isMember() === true && simController.controller.claimsReady();
   }
-  stage.expect('rejoin', await fleet.until(12_000, whole), 'it did not rejoin');
-  stage.told.recoverMs = Math.round(fleet.world.now() - from);
-  stage.expect('incarnation', h?.controller?.ledger.self.incarnation !== was, 'it votes as its old self');
+  context.expect('rejoin', await fleet.until(12_000, hasRejoined), 'it did not rejoin');
+  context.told.recoverMs = Math.round(fleet.world.now() - from);
+  context.expect(
+    'incarnation',
+    simController?.controller?.ledger.self.incarnation !== oldIncarnation,
+    'it votes with its old incarnation',
+  );
   fleet.kill('controller-3');
-  const got = await amend(fleet, 1, await versionAt(fleet, 1), 81);
-  stage.expect('majority', statusOf(got) === 200, `with the repaired one as half of the majority: ${statusOf(got)}`);
+  const response = await amendLineLimit(fleet, 1, await readVersion(fleet, 1), 81);
+  context.expect(
+    'majority',
+    statusOf(response) === 200,
+    `with the repaired controller as half of the majority, answered ${statusOf(response)}`,
+  );
 }
 
-export async function seedsSwapped(stage: Stage): Promise<void> {
-  const { fleet } = stage;
-  const busy = fleet.traffic({ zone: 'ro-1', seconds: 24, perSecond: 4 });
+/** All controllers move to new addresses, one after the other, and the seeds of later starts follow. */
+export async function seedsSwapped(context: ScenarioContext): Promise<void> {
+  const { fleet } = context;
+  const traffic = fleet.traffic({ zone: 'ro-1', seconds: 24, perSecond: 4 });
   for (let i = 0; i < 3; i += 1) {
     const from = fleet.world.now();
     fleet.moveController(i);
-    const h = fleet.controllers[i];
-    function arrived(): boolean {
-      const second = h?.controller?.ledger.controlState();
-      if (!second) return false;
-      for (const member of second.members) if (member.name === h?.name) return member.address === h.wire;
+    const simController = fleet.controllers[i];
+    function hasMoved(): boolean {
+      const controlState = simController?.controller?.ledger.controlState();
+      if (!controlState) return false;
+      for (const member of controlState.members)
+        if (member.name === simController?.name) return member.address === simController.wire;
       return false;
     }
-    stage.expect(
+    context.expect(
       'moved',
-      await fleet.until(12_000, arrived),
+      await fleet.until(12_000, hasMoved),
       `controller ${i + 1} did not come back at its new address`,
     );
-    stage.told.recoverMs = Math.max(stage.told.recoverMs ?? 0, Math.round(fleet.world.now() - from));
+    context.told.recoverMs = Math.max(context.told.recoverMs ?? 0, Math.round(fleet.world.now() - from));
     await fleet.run(2_500);
   }
-  const t = await fleet.finish(busy, 60_000);
-  stage.told.facts['success share'] = share(t, 'success');
-  stage.expect('serves', share(t, 'success') > 0.98, JSON.stringify(t));
-  const got = await amend(fleet, 0, await versionAt(fleet, 0), 82);
-  stage.expect('majority', statusOf(got) === 200, `after all seeds moved: ${statusOf(got)}`);
+  const tally = await fleet.finish(traffic, 60_000);
+  context.told.facts['success share'] = outcomeShare(tally, 'success');
+  context.expect('serves', outcomeShare(tally, 'success') > 0.98, JSON.stringify(tally));
+  const response = await amendLineLimit(fleet, 0, await readVersion(fleet, 0), 82);
+  context.expect('majority', statusOf(response) === 200, `after all seeds moved, answered ${statusOf(response)}`);
 }
 
-async function allMembersAtHome(stage: Stage, limitMs: number): Promise<void> {
-  const { fleet } = stage;
+/** Expects that each controller is a member again and knows the current address of every member. */
+async function expectMembersAtCurrentAddresses(context: ScenarioContext, limitMs: number): Promise<void> {
+  const { fleet } = context;
   const from = fleet.world.now();
-  function atHome(): boolean {
+  function areMembersAtCurrentAddresses(): boolean {
     for (const node of fleet.controllers) {
       const ledger = node.controller?.ledger;
       if (!ledger?.isMember() || !node.controller?.claimsReady()) return false;
       for (const member of ledger.controlState().members)
-        for (const target of fleet.controllers)
-          if (target.name === member.name && target.wire !== member.address) return false;
+        for (const simController of fleet.controllers)
+          if (simController.name === member.name && simController.wire !== member.address) return false;
     }
     return true;
   }
-  stage.expect('rejoin', await fleet.until(limitMs, atHome), 'the core did not come together');
-  stage.told.recoverMs = Math.round(fleet.world.now() - from);
-  const got = await amend(fleet, 1, await versionAt(fleet, 1), 83);
-  stage.expect('majority', statusOf(got) === 200, `answered ${statusOf(got)}`);
+  context.expect(
+    'rejoin',
+    await fleet.until(limitMs, areMembersAtCurrentAddresses),
+    'the controllers did not form one group',
+  );
+  context.told.recoverMs = Math.round(fleet.world.now() - from);
+  const response = await amendLineLimit(fleet, 1, await readVersion(fleet, 1), 83);
+  context.expect('majority', statusOf(response) === 200, `answered ${statusOf(response)}`);
 }
 
-export async function movedWhileOneLost(stage: Stage): Promise<void> {
-  const { fleet } = stage;
+/** A controller moves while another one is down and has lost its disk. */
+export async function movedWhileOneLost(context: ScenarioContext): Promise<void> {
+  const { fleet } = context;
   fleet.kill('controller-1');
   fleet.wipe('controller-1');
   await fleet.run(500);
   fleet.moveController(2);
   await fleet.run(3_000);
   void fleet.startNode('controller-1');
-  await allMembersAtHome(stage, 12_000);
+  await expectMembersAtCurrentAddresses(context, 12_000);
 }
 
-export async function twoMovedAtOnce(stage: Stage): Promise<void> {
-  const { fleet } = stage;
+/** Two controllers move at once while the third is down. */
+export async function twoMovedAtOnce(context: ScenarioContext): Promise<void> {
+  const { fleet } = context;
   fleet.moveController(1);
   fleet.moveController(2);
   fleet.kill('controller-1');
   await fleet.run(4_000);
   void fleet.startNode('controller-1');
-  await allMembersAtHome(stage, 12_000);
+  await expectMembersAtCurrentAddresses(context, 12_000);
 }
 
-export async function seedsStale(stage: Stage): Promise<void> {
-  const { fleet } = stage;
-  fleet.keepOldSeeds();
+/** All nodes restart with seed addresses that no controller uses any more. */
+export async function seedsStale(context: ScenarioContext): Promise<void> {
+  const { fleet } = context;
+  fleet.keepBootstrapSeeds();
   for (let i = 0; i < 3; i += 1) {
     fleet.moveController(i);
     await fleet.run(4_000);
   }
   const nodes = [...fleet.controllers, ...fleet.proxies];
-  for (const n of nodes) fleet.kill(n.name);
+  for (const node of nodes) fleet.kill(node.name);
   await fleet.run(1_000);
-  for (const n of nodes) void fleet.startNode(n.name);
+  for (const node of nodes) void fleet.startNode(node.name);
   const from = fleet.world.now();
-  const mark = fleet.records.length;
-  const t = await fleet.finish(fleet.traffic({ zone: 'ro-1', seconds: 12, runOnceShare: 1, patience: 0 }), 60_000);
-  let first = -1;
-  for (const r of fleet.records.slice(mark))
-    if (first < 0 && r['who'] === 'caller' && r['result'] === 'success') first = (r['at'] as number) - from;
-  stage.told.recoverMs = Math.round(first);
-  stage.expect(
+  const recordCount = fleet.records.length;
+  const tally = await fleet.finish(fleet.traffic({ zone: 'ro-1', seconds: 12, runOnceShare: 1, patience: 0 }), 60_000);
+  let firstSuccessMs = -1;
+  for (const record of fleet.records.slice(recordCount))
+    if (firstSuccessMs < 0 && record['who'] === 'caller' && record['result'] === 'success')
+      firstSuccessMs = (record['at'] as number) - from;
+  context.told.recoverMs = Math.round(firstSuccessMs);
+  context.expect(
     'serveAgain',
-    first >= 0 && first < 12_000 && share(t, 'success') > 0.5,
-    `card requests from ro-1: ${JSON.stringify(t)}`,
+    firstSuccessMs >= 0 && firstSuccessMs < 12_000 && outcomeShare(tally, 'success') > 0.5,
+    `card requests from ro-1: ${JSON.stringify(tally)}`,
   );
 }
 
-export async function operatorsRace(stage: Stage): Promise<void> {
-  const { fleet } = stage;
-  let wins = 0;
+/** Three operators change the same base version at once: one wins, the others get a conflict. */
+export async function operatorsRace(context: ScenarioContext): Promise<void> {
+  const { fleet } = context;
+  let totalWins = 0;
   for (let count = 0; count < 15; count += 1) {
-    const base = await versionAt(fleet, 0);
-    const both = await fleet.finish(
+    const base = await readVersion(fleet, 0);
+    const results = await fleet.finish(
       Promise.all([
-        amend(fleet, 0, base, 100 + count),
-        amend(fleet, 2, base, 200 + count),
-        amend(fleet, 1, base, 300 + count),
+        amendLineLimit(fleet, 0, base, 100 + count),
+        amendLineLimit(fleet, 2, base, 200 + count),
+        amendLineLimit(fleet, 1, base, 300 + count),
       ]),
       20_000,
     );
-    const won: number[] = [];
-    let told = 0;
-    for (const result of both ?? []) {
-      if (statusOf(result) === 200) won.push(versionOf(result));
-      else if (statusOf(result) === 409) told += 1;
+    const wonVersions: number[] = [];
+    let conflictCount = 0;
+    for (const result of results ?? []) {
+      if (statusOf(result) === 200) wonVersions.push(versionOf(result));
+      else if (statusOf(result) === 409) conflictCount += 1;
     }
-    stage.expect('oneWinner', won.length === 1 && told === 2, `${won.length} won, ${told} were told so`);
-    wins += won.length;
-    stage.expect('oneWinner', (await versionAt(fleet, 1)) === won[0], 'the winner is not in force');
+    context.expect(
+      'oneWinner',
+      wonVersions.length === 1 && conflictCount === 2,
+      `${wonVersions.length} won, ${conflictCount} got a conflict`,
+    );
+    totalWins += wonVersions.length;
+    context.expect('oneWinner', (await readVersion(fleet, 1)) === wonVersions[0], 'the winner is not in force');
   }
-  stage.told.facts['races won'] = wins;
+  context.told.facts['races won'] = totalWins;
 }
 
-export async function acknowledgementLost(stage: Stage): Promise<void> {
-  const { fleet } = stage;
-  const base = await versionAt(fleet, 0);
-  const first = await fleet.call({
+/** The acknowledgement of a change is lost: retries with the same operation id must not apply it again. */
+export async function acknowledgementLost(context: ScenarioContext): Promise<void> {
+  const { fleet } = context;
+  const base = await readVersion(fleet, 0);
+  const lostResponse = await fleet.call({
     method: 'POST',
     address: fleet.controllers[0]?.http ?? '',
     path: '/v1/configuration/amend',
     body: { base, changes: [{ path: ['deployment', 'lineLimit'], value: 90 }], operation: 'op-lost' },
     timeoutMs: 5,
   });
-  stage.expect('fault', !first.ok, 'the acknowledgement was not lost');
+  context.expect('fault', !lostResponse.ok, 'the acknowledgement was not lost');
   await fleet.run(1_000);
-  const again = await amend(fleet, 1, base, 90, 'op-lost');
-  const third = await amend(fleet, 2, base, 90, 'op-lost');
-  stage.expect(
+  const retry = await amendLineLimit(fleet, 1, base, 90, 'op-lost');
+  const secondRetry = await amendLineLimit(fleet, 2, base, 90, 'op-lost');
+  context.expect(
     'sameApply',
-    statusOf(again) === 200 && versionOf(again) === versionOf(third),
-    `${statusOf(again)} ${versionOf(again)} and ${versionOf(third)}`,
+    statusOf(retry) === 200 && versionOf(retry) === versionOf(secondRetry),
+    `${statusOf(retry)} ${versionOf(retry)} and ${versionOf(secondRetry)}`,
   );
-  stage.expect('sameApply', (await versionAt(fleet, 0)) === versionOf(again), 'applied twice');
+  context.expect('sameApply', (await readVersion(fleet, 0)) === versionOf(retry), 'applied twice');
 }
 
-export async function largeConfiguration(stage: Stage): Promise<void> {
-  const { fleet } = stage;
+/** A configuration with 5,000 mappings is replaced within 3 s, and a small change to it stays a small log entry. */
+export async function largeConfiguration(context: ScenarioContext): Promise<void> {
+  const { fleet } = context;
   const mappings: Record<string, unknown> = {};
   for (let i = 0; i < 5_000; i += 1) mappings[`route-${i}`] = { model: 'summary', kind: `kind-${i % 7}` };
-  const whole = { ...(SMALL.configuration as object), mappings };
-  const base = await versionAt(fleet, 0);
+  const newConfiguration = { ...(SMALL.configuration as object), mappings };
+  const base = await readVersion(fleet, 0);
   const from = fleet.world.now();
-  const got = await fleet.operator(0, 'POST', '/v1/configuration', { base, configuration: whole });
-  stage.expect(
+  const response = await fleet.operator(0, 'POST', '/v1/configuration', { base, configuration: newConfiguration });
+  context.expect(
     'inForce',
-    statusOf(got) === 200 && fleet.world.now() - from < 3_000,
-    `${statusOf(got)} after ${fleet.world.now() - from} ms`,
+    statusOf(response) === 200 && fleet.world.now() - from < 3_000,
+    `${statusOf(response)} after ${fleet.world.now() - from} ms`,
   );
-  stage.told.recoverMs = Math.round(fleet.world.now() - from);
-  const again = await fleet.operator(1, 'POST', '/v1/configuration', {
-    base: versionOf(got),
-    configuration: { ...whole, mappings: { ...mappings, 'route-17': { model: 'summary' } } },
+  context.told.recoverMs = Math.round(fleet.world.now() - from);
+  const secondResponse = await fleet.operator(1, 'POST', '/v1/configuration', {
+    base: versionOf(response),
+    configuration: { ...newConfiguration, mappings: { ...mappings, 'route-17': { model: 'summary' } } },
   });
-  stage.expect('inForce', statusOf(again) === 200, `the second answered ${statusOf(again)}`);
-  const batches = fleet.controllers[0]?.controller?.ledger.since(versionOf(again)) ?? [];
-  const size = JSON.stringify(batches[0] ?? '').length;
-  stage.told.facts['bytes of the difference'] = size;
-  stage.expect('difference', size < 2_000, `the difference takes ${size} bytes`);
+  context.expect(
+    'inForce',
+    statusOf(secondResponse) === 200,
+    `the second change was answered ${statusOf(secondResponse)}`,
+  );
+  const batches = fleet.controllers[0]?.controller?.ledger.since(versionOf(secondResponse)) ?? [];
+  const bytes = JSON.stringify(batches[0] ?? '').length;
+  context.told.facts['bytes of the difference'] = bytes;
+  context.expect('difference', bytes < 2_000, `the log entry of the difference has ${bytes} bytes`);
 }
 
-export async function acknowledgedInPart(stage: Stage): Promise<void> {
-  const { fleet } = stage;
-  const watchers = createWatchers(fleet);
-  const edge = fleet.proxies[1];
-  const name = edge?.name ?? '';
-  const states: readonly (readonly [string, () => void, () => void])[] = [
-    ['cut off', cut, fleet.world.healAll],
+/**
+ * A change is agreed while one proxy is partitioned, frozen, killed or without power: the response names that proxy,
+ * which applies the change within 8 s of its return.
+ */
+export async function acknowledgedInPart(context: ScenarioContext): Promise<void> {
+  const { fleet } = context;
+  const checker = createWatchers(fleet);
+  const simProxy = fleet.proxies[1];
+  const name = simProxy?.name ?? '';
+  const disturbances: readonly (readonly [string, () => void, () => void])[] = [
+    ['partitioned', cut, fleet.world.healAll],
     ['frozen', freeze, thaw],
     ['killed', kill, start],
-    ['powerless', power, start],
+    ['without power', losePower, start],
   ];
   function cut(): void {
     fleet.cutOff([name]);
@@ -333,44 +407,48 @@
   function kill(): void {
     fleet.kill(name);
   }
-  function power(): void {
+  function losePower(): void {
     fleet.powerLoss(name);
   }
   function start(): void {
     void fleet.startNode(name);
   }
-  const busy = fleet.traffic({ zone: 'at-1', seconds: 70, perSecond: 6 });
+  const traffic = fleet.traffic({ zone: 'at-1', seconds: 70, perSecond: 6 });
   let value = 500;
-  let slowest = 0;
-  for (const [what, begin, end] of states) {
-    const base = await versionAt(fleet, 0);
+  let slowestMs = 0;
+  for (const [label, begin, end] of disturbances) {
+    const base = await readVersion(fleet, 0);
     begin();
     value += 1;
-    const got = await amend(fleet, 0, base, value);
-    stage.expect(
+    const response = await amendLineLimit(fleet, 0, base, value);
+    context.expect(
       'inPart',
-      statusOf(got) === 202 && waitingOf(got).join() === name,
-      `${what}: answered ${statusOf(got)} waiting for ${waitingOf(got).join()}`,
+      statusOf(response) === 202 && unconfirmedProxies(response).join() === name,
+      `${label}: answered ${statusOf(response)} waiting for ${unconfirmedProxies(response).join()}`,
     );
-    watchers.agreed(versionOf(got), value);
-    await fleet.world.advance(6_000, watchers.step);
+    checker.agreed(versionOf(response), value);
+    await fleet.world.advance(6_000, checker.step);
     end();
     const from = fleet.world.now();
     function inForce(): boolean {
-      const value = edge?.proxy?.view();
-      return value !== undefined && value.serving && !value.partitioned && value.version >= versionOf(got);
+      const view = simProxy?.proxy?.view();
+      return view !== undefined && view.serving && !view.partitioned && view.version >= versionOf(response);
     }
-    stage.expect(
+    context.expect(
+      'inForce',
+      await fleet.world.until(8_000, inForce, checker.step),
+      `${label}: not in force 8 s after the proxy returned`,
+    );
+    slowestMs = Math.max(slowestMs, fleet.world.now() - from);
+    const secondResponse = await amendLineLimit(fleet, 2, versionOf(response), value + 100);
+    context.expect(
       'inForce',
-      await fleet.world.until(8_000, inForce, watchers.step),
-      `${what}: not in force 8 s after it was back`,
+      statusOf(secondResponse) === 200,
+      `${label}: after the proxy returned, answered ${statusOf(secondResponse)}`,
     );
-    slowest = Math.max(slowest, fleet.world.now() - from);
-    const whole = await amend(fleet, 2, versionOf(got), value + 100);
-    stage.expect('inForce', statusOf(whole) === 200, `${what}: once it is back, answered ${statusOf(whole)}`);
-    watchers.acknowledged(versionOf(whole), value + 100);
-    await fleet.world.advance(5_000, watchers.step);
+    checker.acknowledged(versionOf(secondResponse), value + 100);
+    await fleet.world.advance(5_000, checker.step);
   }
-  stage.told.recoverMs = Math.round(slowest);
-  await fleet.finish(busy, 200_000);
+  context.told.recoverMs = Math.round(slowestMs);
+  await fleet.finish(traffic, 200_000);
 }
--- a/src/sim/lag-scenarios.ts
+++ b/src/sim/lag-scenarios.ts
@@ -7,33 +7,41 @@
 import type { SimCore } from './sim-core.js';
 
 /**
- * Nodes that lag by many changes and orders, on narrow links: how long until they are whole. The tests
- * of catching up use it, and `tools/catch-up.mjs`, which prints the table of docs/measurements.md.
+ * Measures how long nodes that lag by many changes and orders take to catch up over narrow links. Used by the tests of
+ * catching up, and by `tools/catch-up.mjs`, which prints the table of docs/measurements.md.
  */
 export type Lag = { readonly orders: number; readonly changes: number };
 
-/** The links of a lagging node: one way between regions, bytes per round trip, and the line of an edge node. */
+/**
+ * Links of a lagging node: one-way delay between regions, window per round trip, and the link rate of a proxy at the
+ * edge.
+ */
 export type Links = { readonly regionMs: number; readonly windowBytes: number; readonly edgeBitsPerSecond: number };
 
+/** Links with a 64 KiB window and 7 Mbit/s at the edge. */
 export const NARROW: Links = { regionMs: 35, windowBytes: 65_536, edgeBitsPerSecond: 7_000_000 };
 
-/** Milliseconds until whole (null: not within the limit), and the bytes that all links carried in that time. */
-export type Caught = { readonly ms: number | null; readonly bytes: number; readonly stateBytes: number };
+/**
+ * Milliseconds until caught up (null: not within the limit), the bytes sent on all links meanwhile, and the size of the
+ * state.
+ */
+export type CatchUpResult = { readonly ms: number | null; readonly bytes: number; readonly stateBytes: number };
 
-const THREE = ['h1', 'h2', 'h3'];
-const LIMIT_MS = 60_000;
+const CONTROLLERS = ['h1', 'h2', 'h3'];
+const CATCH_UP_LIMIT_MS = 60_000;
 const ORDERS_AT_ONCE = 20;
 const EDGE_ZONE = 'zone-edge';
 const DISK_BYTES = 512 * 1_048_576;
 
+/** Starts three controllers on the given links and waits until they have formed a group. */
 export async function bootstrapped(seed: number, links: Links): Promise<SimCore> {
   const core = createSimCore(seed, { controllers: 3, seeds: 3, regionMs: links.regionMs, diskBytes: DISK_BYTES });
   core.rates.limitWindow(links.windowBytes);
   core.startAll();
-  function whole(): boolean {
-    return core.whole(THREE);
+  function isComplete(): boolean {
+    return core.whole(CONTROLLERS);
   }
-  await core.until(20_000, whole);
+  await core.until(20_000, isComplete);
   await core.world.advance(1_000);
   return core;
 }
@@ -42,7 +50,7 @@
   return core.node(name).controller?.ledger.controlState().slot ?? -1;
 }
 
-async function agree(
+async function propose(
   core: SimCore,
   cause: string,
   command: Parameters<NonNullable<ReturnType<SimCore['node']>['controller']>['ledger']['propose']>[0]['act'],
@@ -53,28 +61,28 @@
 
 type OrderStage = 'intended' | 'placed' | 'ready' | 'lost';
 
-const WHOLE_LIFE: readonly OrderStage[] = ['intended', 'placed', 'ready', 'lost'];
+const ORDER_STAGES: readonly OrderStage[] = ['intended', 'placed', 'ready', 'lost'];
 
-/** One step in the life of an order, with a cause as the scaler names it. */
-function stepOf(count: number, series: string, stage: OrderStage): Step {
-  const order = `${series}-${count}-7f3a9c`;
+/** One status change of an order, with a cause as the scaler writes it. */
+function stepOf(index: number, series: string, stage: OrderStage): Step {
+  const order = `${series}-${index}-7f3a9c`;
   switch (stage) {
     case 'intended':
       return {
-        cause: `Spot ${count % 7} of 9 (target 8 + extra 1).`,
+        cause: `Spot ${index % 7} of 9 (target 8 + extra 1).`,
         act: {
           tag: 'orderIntended',
           order,
           model: 'model-a',
-          zone: `zone-${count % 6}`,
+          zone: `zone-${index % 6}`,
           kind: 'spot',
           accelerator: 'any',
         },
       };
     case 'placed':
       return {
-        cause: `machine-${count} appeared in zone-${count % 6}.`,
-        act: { tag: 'orderPlaced', order, machine: `machine-${series}-${count}` },
+        cause: `machine-${index} appeared in zone-${index % 6}.`,
+        act: { tag: 'orderPlaced', order, machine: `machine-${series}-${index}` },
       };
     case 'ready':
       return { cause: 'The worker is listed as serving, and warm.', act: { tag: 'orderReady', order } };
@@ -83,40 +91,42 @@
   }
 }
 
-async function decide(core: SimCore, series: string, from: number, to: number, stage: OrderStage): Promise<void> {
+async function proposeSteps(core: SimCore, series: string, from: number, to: number, stage: OrderStage): Promise<void> {
   const steps: Step[] = [];
-  for (let count = from; count < to; count += 1) steps.push(stepOf(count, series, stage));
-  await agree(core, 'The scaler decided.', { tag: 'decided', steps });
+  for (let index = from; index < to; index += 1) steps.push(stepOf(index, series, stage));
+  await propose(core, 'The scaler decided.', { tag: 'decided', steps });
 }
 
-/** Orders that live and are closed, some at a time. */
+/** Takes this many orders through all stages until they are closed, 20 at a time. */
 export async function addOrders(core: SimCore, count: number): Promise<void> {
   const series = `order-${slotAt(core, 'h1')}`;
   for (let from = 0; from < count; from += ORDERS_AT_ONCE) {
-    for (const stage of WHOLE_LIFE) await decide(core, series, from, Math.min(count, from + ORDERS_AT_ONCE), stage);
+    for (const stage of ORDER_STAGES)
+      await proposeSteps(core, series, from, Math.min(count, from + ORDERS_AT_ONCE), stage);
   }
 }
 
-/** Takes a series of orders of its own through these stages. */
+/** Takes a separate series of orders through the given stages. */
 export async function stepOrders(core: SimCore, count: number, stages: readonly OrderStage[]): Promise<void> {
-  for (const stage of stages) await decide(core, 'stepped', 0, count, stage);
+  for (const stage of stages) await proposeSteps(core, 'stepped', 0, count, stage);
 }
 
+/** Agrees on this many configuration changes, one after the other. */
 export async function addChanges(core: SimCore, count: number): Promise<void> {
-  for (let total = 0; total < count; total += 1) {
+  for (let index = 0; index < count; index += 1) {
     const base = core.node('h1').controller?.ledger.controlState().version ?? 0;
-    await agree(core, `The operator changed 1 settings on version ${base}.`, {
+    await propose(core, `The operator changed 1 settings on version ${base}.`, {
       tag: 'configured',
       base,
-      changes: [{ path: ['deployment', `setting${total % 50}`], value: total }],
+      changes: [{ path: ['deployment', `setting${index % 50}`], value: index }],
     });
   }
 }
 
-async function timed(core: SimCore, isWhole: () => boolean): Promise<Caught> {
+async function measureCatchUp(core: SimCore, isCaughtUp: () => boolean): Promise<CatchUpResult> {
   const from = core.world.now();
   const sentBefore = core.sent().bytes;
-  const reached = await core.until(LIMIT_MS, isWhole);
+  const reached = await core.until(CATCH_UP_LIMIT_MS, isCaughtUp);
   const stateBytes = JSON.stringify(core.node('h1').controller?.ledger.controlState()).length;
   return {
     ms: reached ? Math.round(core.world.now() - from) : null,
@@ -125,27 +135,35 @@
   };
 }
 
-/** A controller that is stopped while the others agree; timed from its start until it holds all. */
-export async function controllerBehind(seed: number, lag: Lag, links = NARROW): Promise<Caught> {
+/** Stops a controller while the others agree; measures from its restart until it has applied the whole log. */
+export async function controllerBehind(seed: number, lag: Lag, links = NARROW): Promise<CatchUpResult> {
   const core = await bootstrapped(seed, links);
   core.kill('h3');
   await addOrders(core, lag.orders);
   await addChanges(core, lag.changes);
   core.start('h3');
-  function isWhole(): boolean {
+  function isCaughtUp(): boolean {
     return slotAt(core, 'h3') >= slotAt(core, 'h1');
   }
-  return timed(core, isWhole);
+  return measureCatchUp(core, isCaughtUp);
 }
 
-/** A proxy at the edge without a disk, told of nothing yet or cut off while the core agrees; timed until it serves with all of it. */
-export async function proxyBehind(seed: number, lag: Lag, blank: boolean, links = NARROW): Promise<Caught> {
+/**
+ * Runs a proxy at the edge without a disk, which starts blank or is partitioned while the core agrees; measures until
+ * it has caught up and is in contact again.
+ */
+export async function proxyBehind(
+  seed: number,
+  lag: Lag,
+  startsBlank: boolean,
+  links = NARROW,
+): Promise<CatchUpResult> {
   const core = await bootstrapped(seed, links);
   const names = ['edge'];
   core.world.host('edge', EDGE_ZONE);
   core.rates.limitHost('edge', links.edgeBitsPerSecond);
   for (const node of core.nodes) core.world.setDelay(node.host.zone, EDGE_ZONE, links.regionMs);
-  function begin(): Promise<Follower> {
+  function startFollower(): Promise<Follower> {
     const log = createQuietLog().component('edge');
     const { wire, clock } = core.labIn('edge', EDGE_ZONE);
     const seeds = core.nodes.map(wireOf);
@@ -161,22 +179,22 @@
   function wireOf(node: { readonly wire: string }): string {
     return node.wire;
   }
-  let follower = await begin();
+  let follower = await startFollower();
   await core.world.advance(5_000);
-  if (blank) core.world.kill(core.world.host('edge', EDGE_ZONE));
-  else for (const node of THREE) cutBoth(core, node, names);
+  if (startsBlank) core.world.kill(core.world.host('edge', EDGE_ZONE));
+  else for (const node of CONTROLLERS) cutBothWays(core, node, names);
   await addOrders(core, lag.orders);
   await addChanges(core, lag.changes);
   const target = slotAt(core, 'h1');
   core.world.healAll();
-  if (blank) follower = await begin();
-  function isWhole(): boolean {
+  if (startsBlank) follower = await startFollower();
+  function isCaughtUp(): boolean {
     return follower.controlState().slot >= target && follower.fresh() && !follower.partitioned();
   }
-  return timed(core, isWhole);
+  return measureCatchUp(core, isCaughtUp);
 }
 
-function cutBoth(core: SimCore, node: string, others: readonly string[]): void {
+function cutBothWays(core: SimCore, node: string, others: readonly string[]): void {
   for (const other of others) {
     core.world.cut(node, other);
     core.world.cut(other, node);
--- a/src/sim/link-rates.ts
+++ b/src/sim/link-rates.ts
@@ -1,41 +1,44 @@
 import type { Host } from './world.js';
 
 /**
- * How fast the simulated network carries bytes. Two limits, both off unless set: a window, which is
- * the number of bytes one connection may have under way in one direction per round trip between
- * zones (as a receive buffer bounds TCP), and a line rate for all that one host sends, and likewise
- * for all that it receives. Slow start and loss are not modelled.
+ * Bandwidth limits of the simulated network. There are two, both off by default: a window, which is the number of bytes
+ * that one connection may have in flight in one direction per round trip between zones (as a receive buffer limits
+ * TCP), and a link rate per host, applied separately to everything it sends and everything it receives. Slow start and
+ * loss are not modelled.
  */
 export type LinkRates = {
-  /** Bytes per round trip on each connection between two zones; 0 takes the limit away. */
+  /** Sets the bytes per round trip on each connection between two zones; 0 removes the limit. */
   readonly limitWindow: (bytes: number) => void;
-  /** Line rate of one host in each direction, in bits per second. */
+  /** Sets the link rate of one host in each direction, in bits per second. */
   readonly limitHost: (host: string, bitsPerSecond: number) => void;
-  /** Milliseconds that a frame waits and is in transmission, beside the delay of its way. */
-  readonly holdMs: (frame: SentFrame) => number;
+  /** Milliseconds that a frame is queued and transmitted, not counting the propagation delay. */
+  readonly rateDelayMs: (frame: SentFrame) => number;
 };
 
+/** A frame to transmit and the connection direction that it uses. */
 export type SentFrame = {
   readonly from: Host;
   readonly to: Host;
   readonly bytes: number;
   readonly now: number;
-  /** Delay of one way, in milliseconds. */
+  /** One-way propagation delay, in milliseconds. */
   readonly delayMs: number;
-  /** The sending direction of the connection; it remembers what is under way. */
-  readonly pipe: Pipe;
+  /** Window state of the sending direction of the connection. */
+  readonly sendWindow: SendWindow;
 };
 
-/** One direction of a connection: how many bytes of its window were free, and when that was counted. */
-export type Pipe = { free: number; countedAt: number };
+/** Window of one direction of a connection: the free bytes, and the simulated time at which they were computed. */
+export type SendWindow = { freeBytes: number; updatedAt: number };
 
-export function createPipe(): Pipe {
-  return { free: Infinity, countedAt: 0 };
+/** Creates an unused window. */
+export function createSendWindow(): SendWindow {
+  return { freeBytes: Infinity, updatedAt: 0 };
 }
 
-const BITS_IN_BYTE = 8;
-const MS_IN_SECOND = 1_000;
+const BITS_PER_BYTE = 8;
+const MS_PER_SECOND = 1_000;
 
+/** Creates link rates without any limit. */
 export function createLinkRates(): LinkRates {
   const rates = new Map<string, number>();
   const busyUntil = new Map<string, number>();
@@ -48,32 +51,35 @@
     rates.set(host, bitsPerSecond);
   }
 
-  /** A bucket of one window, filled at one window per round trip. It may go below zero: what is owed delays the frame. */
-  function windowMs(frame: SentFrame): number {
-    const { pipe, now } = frame;
+  /** A token bucket of one window, refilled by one window per round trip. A negative balance delays the frame. */
+  function windowDelayMs(frame: SentFrame): number {
+    const { sendWindow, now } = frame;
     if (windowBytes === 0 || frame.from.zone === frame.to.zone) return 0;
-    const perMs = windowBytes / (2 * frame.delayMs);
-    pipe.free = Math.min(windowBytes, pipe.free + (now - pipe.countedAt) * perMs) - frame.bytes;
-    pipe.countedAt = now;
-    return Math.max(0, -pipe.free / perMs);
+    const bytesPerMs = windowBytes / (2 * frame.delayMs);
+    sendWindow.freeBytes =
+      Math.min(windowBytes, sendWindow.freeBytes + (now - sendWindow.updatedAt) * bytesPerMs) - frame.bytes;
+    sendWindow.updatedAt = now;
+    return Math.max(0, -sendWindow.freeBytes / bytesPerMs);
   }
 
-  /** The end of the frame's transmission on one direction of a host's line, where it waits for those before it. */
-  function lineMs(host: Host, way: 'out' | 'in', bytes: number, at: number): number {
+  /**
+   * Time until the frame is transmitted on one direction of a host's link, after the frames that are queued before it.
+   */
+  function transmissionDelayMs(host: Host, direction: 'out' | 'in', bytes: number, at: number): number {
     const rate = rates.get(host.name);
     if (rate === undefined) return 0;
-    const key = `${host.name} ${way}`;
-    const begun = Math.max(at, busyUntil.get(key) ?? 0);
-    const ends = begun + (bytes * BITS_IN_BYTE * MS_IN_SECOND) / rate;
-    busyUntil.set(key, ends);
-    return ends - at;
+    const key = `${host.name} ${direction}`;
+    const startsAt = Math.max(at, busyUntil.get(key) ?? 0);
+    const endsAt = startsAt + (bytes * BITS_PER_BYTE * MS_PER_SECOND) / rate;
+    busyUntil.set(key, endsAt);
+    return endsAt - at;
   }
 
-  function holdMs(frame: SentFrame): number {
-    let held = windowMs(frame);
-    held += lineMs(frame.from, 'out', frame.bytes, frame.now + held);
-    held += lineMs(frame.to, 'in', frame.bytes, frame.now + held);
-    return held;
+  function rateDelayMs(frame: SentFrame): number {
+    let totalMs = windowDelayMs(frame);
+    totalMs += transmissionDelayMs(frame.from, 'out', frame.bytes, frame.now + totalMs);
+    totalMs += transmissionDelayMs(frame.to, 'in', frame.bytes, frame.now + totalMs);
+    return totalMs;
   }
-  return { limitWindow, limitHost, holdMs };
+  return { limitWindow, limitHost, rateDelayMs };
 }
--- a/src/sim/operator-calls.ts
+++ b/src/sim/operator-calls.ts
@@ -1,27 +1,32 @@
-/** The calls of operators, as their callers saw them: what was sent where and when, and how it was answered. */
+/** Operator calls as their callers saw them: what was sent, to which node and when, and the response. */
 
-/** What a caller was told about a change; `unclear` is a failure, a silence, or the word that it isn't known. */
+/** Response to a change; `unclear` stands for an error, a timeout, or a response that the outcome is unknown. */
 export type ChangeAnswer = 'confirmed' | 'stale' | 'invalid' | 'unclear';
 
-type Times = { readonly start: number; readonly end: number; readonly node: string };
+type CallInterval = { readonly start: number; readonly end: number; readonly node: string };
 
-export type ChangeCall = Times & {
+/** A call that changes the configuration. */
+export type ChangeCall = CallInterval & {
   readonly kind: 'change';
-  /** Calls with the same request are sendings of one change. */
+  /** Request id; calls with the same id are retries of one change. */
   readonly request: string;
   readonly base: number;
-  /** The number that it brings; null while no answer has told it. */
+  /** Version number that the change produced; null until a response contains it. */
   readonly number: number | null;
   readonly content: string;
   readonly answer: ChangeAnswer;
 };
 
-export type ReadCall = Times & { readonly kind: 'read'; readonly number: number; readonly content: string };
+/** A call that reads the configuration. */
+export type ReadCall = CallInterval & { readonly kind: 'read'; readonly number: number; readonly content: string };
 
+/** A change or a read. */
 export type OperatorCall = ChangeCall | ReadCall;
 
+/** The configuration before the first call. */
 export type InitialConfiguration = { readonly number: number; readonly content: string };
 
+/** Describes a call for a failure message. */
 export function textOf(call: OperatorCall): string {
   const when = `at ${call.node} from ${call.start.toFixed(0)} to ${call.end.toFixed(0)}`;
   if (call.kind === 'read') return `${call.number} (${call.content}) was read ${when}`;
--- a/src/sim/request-scenarios.ts
+++ b/src/sim/request-scenarios.ts
@@ -1,3 +1,4 @@
+/** Scenarios of requests: overload, moving callers, changed request sizes, unresponsive workers and frozen proxies. */
 import type { CallerTally } from '../standin/caller.js';
 import { bootstrapDigest } from '../standin/mark.js';
 import { PLACE_PATH, REQUESTS_PATH, ADMISSION_TOKEN_HEADER } from '../protocol/caller-wire.js';
@@ -8,72 +9,79 @@
 import { SIM_WALL } from './world.js';
 import type { SimFleet } from './sim-fleet.js';
 import { createWatchers } from './watchers.js';
-import { amend, versionAt, versionOf, share, statusOf } from './stage.js';
-import type { Stage } from './stage.js';
+import { amendLineLimit, readVersion, versionOf, outcomeShare, statusOf } from './stage.js';
+import type { ScenarioContext } from './stage.js';
 
-export async function crowd(stage: Stage): Promise<void> {
-  const { fleet } = stage;
-  const calm = await fleet.finish(fleet.traffic({ zone: 'hu-1', seconds: 5, runOnceShare: 0, perSecond: 20 }), 60_000);
-  const mark = fleet.records.length;
+/** Overload from all zones: throughput has to stay up, and rejections have to come early. */
+export async function crowd(context: ScenarioContext): Promise<void> {
+  const { fleet } = context;
+  const calmTally = await fleet.finish(
+    fleet.traffic({ zone: 'hu-1', seconds: 5, runOnceShare: 0, perSecond: 20 }),
+    60_000,
+  );
+  const recordCount = fleet.records.length;
   const from = fleet.world.now();
-  const many: Promise<CallerTally>[] = [];
+  const callers: Promise<CallerTally>[] = [];
   for (const zone of ['hu-1', 'at-1', 'ro-1'])
-    many.push(fleet.traffic({ zone, seconds: 10, runOnceShare: 0, perSecond: 90, name: `crowd-${zone}` }));
-  await fleet.finish(Promise.all(many), 300_000);
-  let good = 0;
-  let shedLate = 0;
-  let sheds = 0;
-  for (const r of fleet.records.slice(mark)) {
-    if (r['who'] !== 'caller') continue;
-    if (r['result'] === 'success') good += 1;
-    else if (String(r['result']).startsWith('shed')) {
-      sheds += 1;
-      if ((r['wholeMs'] as number) > 1_000) shedLate += 1;
+    callers.push(fleet.traffic({ zone, seconds: 10, runOnceShare: 0, perSecond: 90, name: `crowd-${zone}` }));
+  await fleet.finish(Promise.all(callers), 300_000);
+  let successes = 0;
+  let lateRejections = 0;
+  let rejections = 0;
+  for (const record of fleet.records.slice(recordCount)) {
+    if (record['who'] !== 'caller') continue;
+    if (record['result'] === 'success') successes += 1;
+    else if (String(record['result']).startsWith('shed')) {
+      rejections += 1;
+      if ((record['wholeMs'] as number) > 1_000) lateRejections += 1;
     }
   }
   const seconds = (fleet.world.now() - from) / 1_000;
-  stage.told.facts['success share when calm'] = share(calm, 'success');
-  stage.told.facts['goodput in the crowd, 1/s'] = Math.round(good / seconds);
-  stage.told.facts['sheds'] = sheds;
-  stage.expect('goodput', good / seconds > 25, `${good} in ${seconds.toFixed(1)} s`);
-  stage.expect('fault', sheds > 0, 'the crowd was no crowd');
-  stage.told.facts['share of sheds later than 1 s'] = sheds === 0 ? 0 : shedLate / sheds;
-  stage.expect('early', shedLate < sheds * 0.1, `${shedLate} of ${sheds} sheds came late`);
+  context.told.facts['success share when calm'] = outcomeShare(calmTally, 'success');
+  context.told.facts['goodput in the crowd, 1/s'] = Math.round(successes / seconds);
+  context.told.facts['sheds'] = rejections;
+  context.expect('goodput', successes / seconds > 25, `${successes} in ${seconds.toFixed(1)} s`);
+  context.expect('fault', rejections > 0, 'the load caused no rejection');
+  context.told.facts['share of sheds later than 1 s'] = rejections === 0 ? 0 : lateRejections / rejections;
+  context.expect('early', lateRejections < rejections * 0.1, `${lateRejections} of ${rejections} rejections came late`);
 }
 
-export async function coldReturn(stage: Stage): Promise<void> {
-  const { fleet } = stage;
-  const busy = fleet.traffic({ zone: 'hu-1', seconds: 15, runOnceShare: 0, perSecond: 10 });
+/** All workers become cold under load: none may receive more requests than its ramp allows. */
+export async function coldReturn(context: ScenarioContext): Promise<void> {
+  const { fleet } = context;
+  const traffic = fleet.traffic({ zone: 'hu-1', seconds: 15, runOnceShare: 0, perSecond: 10 });
   await fleet.run(2_000);
   for (const simWorker of fleet.workers)
     if (!simWorker.fixed) await fleet.call({ method: 'POST', address: simWorker.http, path: '/lab/cold', body: {} });
-  await fleet.finish(busy, 60_000);
+  await fleet.finish(traffic, 60_000);
   createWatchers(fleet).end();
 }
 
-export async function callersMove(stage: Stage): Promise<void> {
-  const { fleet } = stage;
-  const shares: number[] = [];
+/** Callers move from zone to zone. */
+export async function callersMove(context: ScenarioContext): Promise<void> {
+  const { fleet } = context;
+  const successShares: number[] = [];
   for (const zone of ['hu-1', 'ro-1', 'at-1', 'hu-1']) {
-    const t = await fleet.finish(
-      fleet.traffic({ zone, seconds: 5, perSecond: 15, name: `moving-${zone}-${shares.length}` }),
+    const tally = await fleet.finish(
+      fleet.traffic({ zone, seconds: 5, perSecond: 15, name: `moving-${zone}-${successShares.length}` }),
       60_000,
     );
-    shares.push(share(t, 'success'));
+    successShares.push(outcomeShare(tally, 'success'));
   }
-  stage.told.facts['success share'] = Math.min(...shares);
-  stage.expect('serves', Math.min(...shares) === 1, shares.join());
+  context.told.facts['success share'] = Math.min(...successShares);
+  context.expect('serves', Math.min(...successShares) === 1, successShares.join());
 }
 
-export async function swing(stage: Stage): Promise<void> {
-  const { fleet } = stage;
-  const shares: number[] = [];
+/** The load swings between long prompts with short outputs and short prompts with long outputs. */
+export async function swing(context: ScenarioContext): Promise<void> {
+  const { fleet } = context;
+  const successShares: number[] = [];
   for (const [historyTokens, outputTokens] of [
     [12_000, 8],
     [50, 400],
     [12_000, 8],
   ] as const) {
-    const t = await fleet.finish(
+    const tally = await fleet.finish(
       fleet.traffic({
         zone: 'hu-1',
         seconds: 8,
@@ -81,43 +89,49 @@
         runOnceShare: 0.3,
         historyTokens,
         outputTokens,
-        name: `swing-${shares.length}`,
+        name: `swing-${successShares.length}`,
       }),
       120_000,
     );
-    shares.push(share(t, 'success'));
+    successShares.push(outcomeShare(tally, 'success'));
   }
-  stage.told.facts['success share'] = Math.min(...shares);
-  stage.expect('serves', Math.min(...shares) > 0.98, shares.join());
+  context.told.facts['success share'] = Math.min(...successShares);
+  context.expect('serves', Math.min(...successShares) > 0.98, successShares.join());
 }
 
-type Sent = { readonly tag: string; readonly tookMs: number };
+type CallResult = { readonly tag: string; readonly tookMs: number };
 
-async function sendTo(fleet: SimFleet, zone: string, ask: ClientRequest, stream: boolean): Promise<Sent> {
+async function sendRequest(
+  fleet: SimFleet,
+  zone: string,
+  request: ClientRequest,
+  stream: boolean,
+): Promise<CallResult> {
   const { world } = fleet;
-  const proc = world.begin(world.host(`caller-${zone}-${world.now()}-${ask.parts[0]?.hash}`, zone));
-  const near: string[] = [];
-  for (const simProxy of fleet.proxies) if (simProxy.host.zone === zone) near.push(simProxy.http);
-  const client = createClientOver({ proxies: near, zone }, fleet.httpClientOf(proc), world.clockOf(proc));
+  const proc = world.begin(world.host(`caller-${zone}-${world.now()}-${request.parts[0]?.hash}`, zone));
+  const proxyAddresses: string[] = [];
+  for (const simProxy of fleet.proxies) if (simProxy.host.zone === zone) proxyAddresses.push(simProxy.http);
+  const client = createClientOver({ proxies: proxyAddresses, zone }, fleet.httpClientOf(proc), world.clockOf(proc));
   const from = world.now();
-  function over(tag: string): Sent {
+  function resultWith(tag: string): CallResult {
     return { tag, tookMs: world.now() - from };
   }
   if (!stream) {
-    const got = await client.send(ask);
-    return over(got.ok ? 'success' : tagOf(got.error));
+    const response = await client.send(request);
+    return resultWith(response.ok ? 'success' : tagOf(response.error));
   }
-  const got = await client.stream(ask);
-  if (!got.ok) return over(tagOf(got.error));
-  for await (const clientEvent of got.value.events)
-    if (clientEvent.tag !== 'piece') return over(clientEvent.tag === 'sealed' ? 'success' : tagOf(clientEvent.error));
-  return over('nothing');
+  const response = await client.stream(request);
+  if (!response.ok) return resultWith(tagOf(response.error));
+  for await (const clientEvent of response.value.events)
+    if (clientEvent.tag !== 'piece')
+      return resultWith(clientEvent.tag === 'sealed' ? 'success' : tagOf(clientEvent.error));
+  return resultWith('nothing');
 }
 
-function streamAsk(i: number): ClientRequest {
+function streamRequest(i: number): ClientRequest {
   return { model: 'summary', parts: [{ hash: `part-${i}`, tokens: 50 }], outputTokens: 4_000, repeatable: true };
 }
-function onceAsk(i: number): ClientRequest {
+function runOnceRequest(i: number): ClientRequest {
   return {
     model: 'card-gateway',
     kind: 'card',
@@ -128,71 +142,92 @@
   };
 }
 
-async function endsAfter(
-  stage: Stage,
-  cause: () => Promise<void>,
-  makes: readonly ((i: number) => ClientRequest)[],
-  mostMs: number,
-  told = makes.length === 1 ? ['cut'] : ['cut', 'outcomeUnknown'],
+/**
+ * Injects a fault while requests run, and expects that each of them ends within the time limit, with these tags and no
+ * others.
+ */
+async function expectEndsAfter(
+  context: ScenarioContext,
+  injectFault: () => Promise<void>,
+  requestMakers: readonly ((i: number) => ClientRequest)[],
+  maxWaitMs: number,
+  expectedTags = requestMakers.length === 1 ? ['cut'] : ['cut', 'outcomeUnknown'],
 ): Promise<void> {
-  const { fleet } = stage;
-  const sent: Promise<Sent>[] = [];
+  const { fleet } = context;
+  const pending: Promise<CallResult>[] = [];
   for (let i = 0; i < 6; i += 1)
-    for (const make of makes) sent.push(sendTo(fleet, 'hu-1', make(i), make === streamAsk));
+    for (const makeRequest of requestMakers)
+      pending.push(sendRequest(fleet, 'hu-1', makeRequest(i), makeRequest === streamRequest));
   await fleet.run(2_000);
   const from = fleet.world.now();
-  await cause();
-  const ends = (await fleet.finish(Promise.all(sent), 150_000)) ?? [];
-  stage.told.recoverMs = Math.round(fleet.world.now() - from);
+  await injectFault();
+  const results = (await fleet.finish(Promise.all(pending), 150_000)) ?? [];
+  context.told.recoverMs = Math.round(fleet.world.now() - from);
   for (const kind of ['cut', 'outcomeUnknown']) {
     let count = 0;
-    for (const sent of ends) if (sent.tag === kind) count += 1;
-    if (count > 0) stage.told.facts[`told ${kind}`] = count;
+    for (const result of results) if (result.tag === kind) count += 1;
+    if (count > 0) context.told.facts[`told ${kind}`] = count;
   }
   const tags = new Set<string>();
-  for (const sent of ends) tags.add(sent.tag);
-  stage.expect('honestEnd', ends.length > 0 && [...tags].sort().join() === told.join(), `told ${[...tags].join()}`);
-  stage.expect('honestEnd', stage.told.recoverMs <= mostMs, `callers waited ${stage.told.recoverMs} ms`);
+  for (const result of results) tags.add(result.tag);
+  context.expect(
+    'honestEnd',
+    results.length > 0 && [...tags].sort().join() === expectedTags.join(),
+    `requests ended with ${[...tags].join()}`,
+  );
+  context.expect('honestEnd', context.told.recoverMs <= maxWaitMs, `callers waited ${context.told.recoverMs} ms`);
 }
 
-export async function workersDark(stage: Stage): Promise<void> {
+/** All workers become unresponsive. */
+export async function workersDark(context: ScenarioContext): Promise<void> {
   async function freezeAll(): Promise<void> {
-    for (const simWorker of stage.fleet.workers) stage.fleet.world.freeze(simWorker.host);
+    for (const simWorker of context.fleet.workers) context.fleet.world.freeze(simWorker.host);
   }
-  await endsAfter(stage, freezeAll, [streamAsk, onceAsk], 6_000);
+  await expectEndsAfter(context, freezeAll, [streamRequest, runOnceRequest], 6_000);
 }
 
-export async function workersUnlisted(stage: Stage): Promise<void> {
+/** All workers disappear from the list of the platform. */
+export async function workersUnlisted(context: ScenarioContext): Promise<void> {
   async function hideAll(): Promise<void> {
-    for (const simWorker of stage.fleet.workers)
-      await stage.fleet.call({
+    for (const simWorker of context.fleet.workers)
+      await context.fleet.call({
         method: 'POST',
-        address: stage.fleet.platformAddress,
+        address: context.fleet.platformAddress,
         path: `/lab/workers/${simWorker.id}/hide`,
         body: { hidden: true },
       });
   }
-  await endsAfter(stage, hideAll, [streamAsk, onceAsk], 5_000);
+  await expectEndsAfter(context, hideAll, [streamRequest, runOnceRequest], 5_000);
 }
 
-export async function workersStall(stage: Stage): Promise<void> {
+/** All workers stop producing output but stay reachable. */
+export async function workersStall(context: ScenarioContext): Promise<void> {
   async function stallAll(): Promise<void> {
-    for (const simWorker of stage.fleet.workers)
-      await stage.fleet.call({ method: 'POST', address: simWorker.http, path: '/lab/fault', body: { mode: 'stall' } });
+    for (const simWorker of context.fleet.workers)
+      await context.fleet.call({
+        method: 'POST',
+        address: simWorker.http,
+        path: '/lab/fault',
+        body: { mode: 'stall' },
+      });
   }
-  await endsAfter(stage, stallAll, [streamAsk], 11_000);
+  await expectEndsAfter(context, stallAll, [streamRequest], 11_000);
 }
 
-export async function homesStale(stage: Stage): Promise<void> {
-  const { fleet } = stage;
+/**
+ * Placements from before a change of home regions, forged tickets, and tickets issued by a former process at the same
+ * address: none may get a request executed outside its home regions.
+ */
+export async function homesStale(context: ScenarioContext): Promise<void> {
+  const { fleet } = context;
   type Placement = {
     readonly ticket?: string;
     readonly requestId?: string;
     readonly address?: string;
     readonly proxy?: string;
   };
-  async function placedFor(at: number, homes?: readonly string[]): Promise<Placement> {
-    const got = await fleet.call({
+  async function placeRequest(at: number, homes?: readonly string[]): Promise<Placement> {
+    const response = await fleet.call({
       method: 'POST',
       address: fleet.proxies[at]?.http ?? '',
       path: PLACE_PATH,
@@ -206,7 +241,7 @@
         ...(homes ? { homes } : {}),
       },
     });
-    return got.ok ? (got.value.body as Placement) : {};
+    return response.ok ? (response.value.body as Placement) : {};
   }
   async function submit(
     placement: Placement,
@@ -215,127 +250,152 @@
     token = placement.ticket ?? '',
   ): Promise<string> {
     const hash = bootstrapDigest({ key: null, kind: null, homes }, 'stale');
-    const got = await fleet.call({
+    const response = await fleet.call({
       method: 'POST',
       address,
       path: REQUESTS_PATH,
       headers: { [ADMISSION_TOKEN_HEADER]: token },
       body: { requestId: placement.requestId, parts: [{ hash, tokens: 8 }], outputTokens: 8, stream: false },
     });
-    const error = got.ok
-      ? (got.value.body as { readonly error?: { readonly tag: string; readonly reason?: string } }).error
+    const error = response.ok
+      ? (response.value.body as { readonly error?: { readonly tag: string; readonly reason?: string } }).error
       : null;
-    return error ? `${error.tag} ${error.reason ?? ''}` : `${statusOf(got)}`;
+    return error ? `${error.tag} ${error.reason ?? ''}` : `${statusOf(response)}`;
   }
   const [inside, austria, outside] = fleet.proxies;
-  const stale = await placedFor(1, ['austria']);
-  stage.expect('fault', stale.proxy === austria?.name, `placed at ${stale.proxy}`);
+  const stale = await placeRequest(1, ['austria']);
+  context.expect('fault', stale.proxy === austria?.name, `placed at ${stale.proxy}`);
   const narrowed = await fleet.operator(0, 'POST', '/v1/configuration/amend', {
-    base: await versionAt(fleet, 0),
+    base: await readVersion(fleet, 0),
     changes: [{ path: ['regions', 'hungary', 'models', 'card-gateway', 'homes', 'card'], value: ['hungary'] }],
   });
-  stage.expect('acknowledged', statusOf(narrowed) === 200, `answered ${statusOf(narrowed)}`);
-  const late = await submit(stale, stale.address ?? '', ['hungary']);
-  stage.expect('homes', late === 'shed outsideHomes', `a place answer from before the homes changed is told ${late}`);
+  context.expect('acknowledged', statusOf(narrowed) === 200, `answered ${statusOf(narrowed)}`);
+  const staleOutcome = await submit(stale, stale.address ?? '', ['hungary']);
+  context.expect(
+    'homes',
+    staleOutcome === 'shed outsideHomes',
+    `a placement from before the homes changed was answered with ${staleOutcome}`,
+  );
 
-  const fresh = await placedFor(0);
-  stage.expect('fault', fresh.proxy === inside?.name, `placed at ${fresh.proxy}`);
-  const [body] = (fresh.ticket ?? '').split('.');
-  const read = JSON.parse(Buffer.from(body ?? '', 'base64url').toString()) as Record<string, unknown>;
-  const crafted = `${Buffer.from(JSON.stringify({ ...read, proxy: read['proxy'], bound: { mapping: null, kind: null, asked: null } })).toString('base64url')}.${(fresh.ticket ?? '').split('.')[1]}`;
-  for (const [what, token] of [
-    ['as it is', fresh.ticket ?? ''],
-    ['crafted', crafted],
+  const placement = await placeRequest(0);
+  context.expect('fault', placement.proxy === inside?.name, `placed at ${placement.proxy}`);
+  const [body] = (placement.ticket ?? '').split('.');
+  const ticketFields = JSON.parse(Buffer.from(body ?? '', 'base64url').toString()) as Record<string, unknown>;
+  const forgedToken = `${Buffer.from(JSON.stringify({ ...ticketFields, proxy: ticketFields['proxy'], bound: { mapping: null, kind: null, asked: null } })).toString('base64url')}.${(placement.ticket ?? '').split('.')[1]}`;
+  for (const [label, token] of [
+    ['unchanged', placement.ticket ?? ''],
+    ['forged', forgedToken],
   ] as const) {
-    const told = await submit(fresh, outside?.http ?? '', ['hungary'], token);
-    stage.expect('homes', told === 'shed ticketForeign', `a ticket ${what}, used outside its homes, is told ${told}`);
+    const outcome = await submit(placement, outside?.http ?? '', ['hungary'], token);
+    context.expect(
+      'homes',
+      outcome === 'shed ticketForeign',
+      `a ticket (${label}) used outside its home regions was answered with ${outcome}`,
+    );
   }
-  const told = await submit(fresh, fresh.address ?? '', ['hungary'], crafted);
-  stage.expect('homes', told === 'shed ticketForeign', `a crafted ticket at its own proxy is told ${told}`);
+  const outcome = await submit(placement, placement.address ?? '', ['hungary'], forgedToken);
+  context.expect(
+    'homes',
+    outcome === 'shed ticketForeign',
+    `a forged ticket at its own proxy was answered with ${outcome}`,
+  );
 
-  const moved = await placedFor(0);
+  const oldPlacement = await placeRequest(0);
   fleet.kill(inside?.name ?? '');
   void fleet.startNode(inside?.name ?? '');
   await fleet.run(3_000);
-  const after = await submit(moved, moved.address ?? '', ['hungary']);
-  stage.expect('homes', after === 'shed ticketForeign', `a ticket of the address's former holder is told ${after}`);
-  stage.expect(
+  const outcomeAfterRestart = await submit(oldPlacement, oldPlacement.address ?? '', ['hungary']);
+  context.expect(
+    'homes',
+    outcomeAfterRestart === 'shed ticketForeign',
+    `a ticket of the previous process at the address was answered with ${outcomeAfterRestart}`,
+  );
+  context.expect(
     'homes',
-    (await submit(await placedFor(1), inside?.http ?? '', ['hungary'])) === '200',
-    'the homes themselves serve no more',
+    (await submit(await placeRequest(1), inside?.http ?? '', ['hungary'])) === '200',
+    'the home regions no longer serve',
   );
 }
 
-export async function proxyFrozenMidway(stage: Stage): Promise<void> {
-  async function freezeEdges(): Promise<void> {
-    for (const simProxy of stage.fleet.proxies) stage.fleet.world.freeze(simProxy.host);
+/** All proxies are frozen while requests run: callers cannot know the outcome. */
+export async function proxyFrozenMidway(context: ScenarioContext): Promise<void> {
+  async function freezeProxies(): Promise<void> {
+    for (const simProxy of context.fleet.proxies) context.fleet.world.freeze(simProxy.host);
   }
-  await endsAfter(stage, freezeEdges, [streamAsk, onceAsk], 7_000, ['outcomeUnknown']);
+  await expectEndsAfter(context, freezeProxies, [streamRequest, runOnceRequest], 7_000, ['outcomeUnknown']);
 }
 
-export async function proxyFrozen(stage: Stage): Promise<void> {
-  const { fleet } = stage;
-  const watchers = createWatchers(fleet);
-  const edge = fleet.proxies[0];
-  const busy = fleet.traffic({ zone: 'hu-1', seconds: 24, perSecond: 10 });
+/**
+ * A proxy is frozen and partitioned from the controllers while a zone is evacuated and the configuration changes. After
+ * the thaw it may serve only once it has caught up.
+ */
+export async function proxyFrozen(context: ScenarioContext): Promise<void> {
+  const { fleet } = context;
+  const checker = createWatchers(fleet);
+  const simProxy = fleet.proxies[0];
+  const traffic = fleet.traffic({ zone: 'hu-1', seconds: 24, perSecond: 10 });
   await fleet.run(2_000);
-  fleet.world.freeze(fleet.hostOf(edge?.name ?? ''));
+  fleet.world.freeze(fleet.hostOf(simProxy?.name ?? ''));
   for (const simController of fleet.controllers)
-    for (const [address, second] of [
-      [simController.name, edge?.name ?? ''],
-      [edge?.name ?? '', simController.name],
+    for (const [fromName, toName] of [
+      [simController.name, simProxy?.name ?? ''],
+      [simProxy?.name ?? '', simController.name],
     ] as const)
-      fleet.world.cut(address, second);
+      fleet.world.cut(fromName, toName);
   await fleet.run(3_000);
-  const got = await fleet.operator(1, 'POST', '/v1/zones/hu-1/evacuate', {});
-  stage.expect('fault', statusOf(got) === 202, `answered ${statusOf(got)}, though one proxy stood still`);
-  watchers.evacuated('hu-1');
-  const set = await amend(fleet, 1, await versionAt(fleet, 1), 91);
+  const response = await fleet.operator(1, 'POST', '/v1/zones/hu-1/evacuate', {});
+  context.expect('fault', statusOf(response) === 202, `answered ${statusOf(response)}, although one proxy was frozen`);
+  checker.evacuated('hu-1');
+  const amended = await amendLineLimit(fleet, 1, await readVersion(fleet, 1), 91);
   await fleet.run(6_000);
-  for (let i = 0; i < 20; i += 1) void sendTo(fleet, 'hu-1', { ...streamAsk(900 + i), outputTokens: 8 }, true);
+  for (let i = 0; i < 20; i += 1) void sendRequest(fleet, 'hu-1', { ...streamRequest(900 + i), outputTokens: 8 }, true);
   await fleet.run(500);
-  fleet.world.thaw(fleet.hostOf(edge?.name ?? ''));
+  fleet.world.thaw(fleet.hostOf(simProxy?.name ?? ''));
   await fleet.run(3_000);
   const from = fleet.world.now();
   fleet.world.healAll();
-  function backAndServing(): boolean {
-    const value = edge?.proxy?.view();
-    return value !== undefined && value.serving && value.version >= versionOf(set);
+  function isServingAgain(): boolean {
+    const view = simProxy?.proxy?.view();
+    return view !== undefined && view.serving && view.version >= versionOf(amended);
   }
-  stage.expect('wakes', await fleet.until(12_000, backAndServing), 'it never served again');
-  stage.told.recoverMs = Math.round(fleet.world.now() - from);
-  await fleet.finish(busy, 200_000);
-  watchers.end();
+  context.expect('wakes', await fleet.until(12_000, isServingAgain), 'it did not serve again');
+  context.told.recoverMs = Math.round(fleet.world.now() - from);
+  await fleet.finish(traffic, 200_000);
+  checker.end();
 }
 
-export async function clockBackRestart(stage: Stage): Promise<void> {
-  const { fleet } = stage;
-  const edge = fleet.proxies[0];
+/**
+ * A proxy restarts several times with its wall clock set back by another hour, and its disk kept, full or wiped.
+ * Controllers have to accept its reports, and other proxies have to issue tickets for its new process.
+ */
+export async function clockBackRestart(context: ScenarioContext): Promise<void> {
+  const { fleet } = context;
+  const simProxy = fleet.proxies[0];
   for (const disk of ['kept', 'full', 'full', 'wiped']) {
-    fleet.kill(edge?.name ?? '');
-    if (disk === 'wiped') fleet.wipe(edge?.name ?? '');
-    if (edge) edge.platter.full = disk === 'full';
-    fleet.hostOf(edge?.name ?? '').wallOffset -= 3_600_000;
+    fleet.kill(simProxy?.name ?? '');
+    if (disk === 'wiped') fleet.wipe(simProxy?.name ?? '');
+    if (simProxy) simProxy.platter.full = disk === 'full';
+    fleet.hostOf(simProxy?.name ?? '').wallOffset -= 3_600_000;
     await fleet.run(300);
     const from = fleet.world.now();
-    void fleet.startNode(edge?.name ?? '');
+    void fleet.startNode(simProxy?.name ?? '');
     await fleet.run(4_000);
     for (let i = 0; i < 3; i += 1) {
       const status = await fleet.operator(i, 'GET', '/v1/status');
-      const told = status.ok
+      const reportAgeMs = status.ok
         ? (status.value.body as { readonly proxies: Record<string, { readonly heardMs: number | null }> }).proxies[
-            edge?.name ?? ''
+            simProxy?.name ?? ''
           ]?.heardMs
         : null;
-      stage.expect(
+      context.expect(
         'heard',
-        typeof told === 'number' && told < 1_500,
-        `controller ${i + 1} last took a report ${told} ms ago`,
+        typeof reportAgeMs === 'number' && reportAgeMs < 1_500,
+        `controller ${i + 1} last accepted a report ${reportAgeMs} ms ago`,
       );
     }
-    stage.told.recoverMs = Math.round(fleet.world.now() - from);
+    context.told.recoverMs = Math.round(fleet.world.now() - from);
     for (const at of [1, 2]) {
-      const placed = await fleet.call({
+      const placeResponse = await fleet.call({
         method: 'POST',
         address: fleet.proxies[at]?.http ?? '',
         path: '/v1/place',
@@ -348,18 +408,22 @@
           homes: ['hungary'],
         },
       });
-      const p = placed.ok
-        ? (placed.value.body as { readonly ticket?: string; readonly requestId?: string; readonly address?: string })
+      const placement = placeResponse.ok
+        ? (placeResponse.value.body as {
+            readonly ticket?: string;
+            readonly requestId?: string;
+            readonly address?: string;
+          })
         : {};
-      const sent = await fleet.call({
+      const submitResponse = await fleet.call({
         method: 'POST',
-        address: p.address ?? '',
+        address: placement.address ?? '',
         path: '/v1/requests',
-        headers: { 'x-millfield-ticket': p.ticket ?? '' },
-        body: { requestId: p.requestId, parts: [{ hash: 'a', tokens: 10 }], outputTokens: 8, stream: false },
+        headers: { 'x-millfield-ticket': placement.ticket ?? '' },
+        body: { requestId: placement.requestId, parts: [{ hash: 'a', tokens: 10 }], outputTokens: 8, stream: false },
       });
-      const foreign = sent.ok && sent.value.status === 409;
-      stage.expect('known', !foreign, `${fleet.proxies[at]?.name} still places at its former life`);
+      const isForeign = submitResponse.ok && submitResponse.value.status === 409;
+      context.expect('known', !isForeign, `${fleet.proxies[at]?.name} still issues tickets for its previous process`);
     }
   }
 }
--- a/src/sim/scenarios.ts
+++ b/src/sim/scenarios.ts
@@ -1,3 +1,4 @@
+/** All scenarios by name, and the function that runs one. */
 import type { Broken } from '../standin/check.js';
 import { createSimFleet } from './sim-fleet.js';
 import { SMALL } from './shapes.js';
@@ -40,8 +41,9 @@
   reclaimedMidStream,
   spotDrought,
 } from './worker-scenarios.js';
-import type { Play, Told } from './stage.js';
+import type { Scenario, ScenarioReport } from './stage.js';
 
+/** Result of a scenario. */
 export type ScenarioEnd = {
   readonly name: string;
   readonly seed: number;
@@ -50,6 +52,7 @@
   readonly broken: readonly Broken[];
 };
 
+/** Scenarios by the name that the tools accept. */
 export const SCENARIOS = {
   holderLost,
   holderFrozen,
@@ -83,18 +86,19 @@
   workersStall,
   proxyFrozen,
   clockBackRestart,
-} as const satisfies Record<string, Play>;
+} as const satisfies Record<string, Scenario>;
 
 export type ScenarioName = keyof typeof SCENARIOS;
 export const SCENARIO_NAMES = Object.keys(SCENARIOS) as ScenarioName[];
 
+/** Runs a scenario on a new fleet and checks all rules. */
 export async function playScenario(name: ScenarioName, seed: number, shape: FleetShape = SMALL): Promise<ScenarioEnd> {
   const fleet = createSimFleet(seed, name === 'largeConfiguration' ? { ...shape, ringFileBytes: 1_048_576 } : shape);
-  const told: Told = { recoverMs: null, facts: {} };
-  function expectRule(rule: string, held: boolean, detail: string): void {
-    if (!held) fleet.violations.push({ rule, detail });
+  const report: ScenarioReport = { recoverMs: null, facts: {} };
+  function expectRule(rule: string, isMet: boolean, detail: string): void {
+    if (!isMet) fleet.violations.push({ rule, detail });
   }
-  if (await fleet.start()) await SCENARIOS[name]({ fleet, told, expect: expectRule });
+  if (await fleet.start()) await SCENARIOS[name]({ fleet, told: report, expect: expectRule });
   else expectRule('start', false, 'the fleet did not start');
-  return { name, seed, recoverMs: told.recoverMs, facts: told.facts, broken: fleet.check() };
+  return { name, seed, recoverMs: report.recoverMs, facts: report.facts, broken: fleet.check() };
 }
--- a/src/sim/shapes.ts
+++ b/src/sim/shapes.ts
@@ -1,3 +1,8 @@
+/**
+ * Size and configuration of a simulated fleet. `zones` maps zones to regions, `delayMs` a pair of zones (`a|b`) to the
+ * one-way delay, `homesOfKind` a kind of request to the regions that may serve it. `fixed` is a model with a fixed
+ * number of workers per zone, which the scaler does not manage.
+ */
 export type FleetShape = {
   readonly zones: Readonly<Record<string, string>>;
   readonly delayMs: Readonly<Record<string, number>>;
@@ -29,6 +34,7 @@
 const KUTFO_ZONES = { 'hu-1': { region: 'hungary' }, 'at-1': { region: 'austria' }, 'ro-1': { region: 'romania' } };
 const CARD_GATEWAY = { scaled: false, rampS: 0, workerUsageLimit: 64, lineWaitMs: 1500, homes: { card: CARD_HOMES } };
 
+/** The smallest fleet, which most tests use. */
 export const SMALL: FleetShape = {
   ...KUTFO_NET,
   proxies: { 'hu-1': 1, 'at-1': 1, 'ro-1': 1 },
@@ -42,6 +48,7 @@
   },
 };
 
+/** Three zones with two proxies each, on the same network as `SMALL`. */
 export const KUTFO: FleetShape = {
   ...KUTFO_NET,
   proxies: { 'hu-1': 2, 'at-1': 2, 'ro-1': 2 },
@@ -59,6 +66,7 @@
   },
 };
 
+/** Three zones with seven proxies, without models that are bound to home regions. */
 export const TELAR: FleetShape = {
   zones: { 'bog-1': 'cundinamarca', 'med-1': 'antioquia', 'cal-1': 'valle' },
   delayMs: { 'bog-1|med-1': 5, 'bog-1|cal-1': 6, 'med-1|cal-1': 7 },
@@ -87,5 +95,6 @@
   },
 };
 
+/** Fleets by the name that the tools accept. */
 export const SHAPES = { small: SMALL, kutfo: KUTFO, telar: TELAR } as const;
 export type ShapeName = keyof typeof SHAPES;
--- a/src/sim/sim-core.ts
+++ b/src/sim/sim-core.ts
@@ -1,3 +1,4 @@
+/** A simulated group of controllers, with a network, disks and power losses under the control of the test. */
 import { startController } from '../coordination/controller.js';
 import type { WorkerListReader } from '../coordination/discovery/worker-list-feed.js';
 import type { Controller } from '../coordination/controller.js';
@@ -20,6 +21,7 @@
 import type { HttpClient } from '../transport/http.js';
 import type { Wire } from '../transport/wire.js';
 
+/** A controller of the group; `controller` is null while its process is stopped. */
 export type CoreNode = {
   readonly name: string;
   readonly host: Host;
@@ -29,6 +31,7 @@
   controller: Controller | null;
 };
 
+/** Options of a simulated core; `regionMs` is the one-way delay between two nodes. */
 export type CoreShape = {
   readonly controllers: number;
   readonly seeds: number;
@@ -40,39 +43,59 @@
   readonly claims?: boolean;
 };
 
+/**
+ * Result of a proposed evacuation (null: none within the time limit or node stopped), and the simulated time it took.
+ */
 export type Ordered = { readonly result: Result<Agreed, ProposeError> | null; readonly tookMs: number };
 
+/** Network access and clock of a process that the test runs itself. */
 export type Lab = { readonly wire: Wire; readonly clock: Clock; readonly httpClient: HttpClient };
 
+/** The simulated core. Nodes are named `h1`, `h2` and so on, each in a zone of its own, `zone-` and its name. */
 export type SimCore = {
   readonly world: World;
   readonly nodes: readonly CoreNode[];
   readonly node: (name: string) => CoreNode;
+  /** Adds a node without starting it. */
   readonly add: (name: string) => CoreNode;
+  /** Starts a process of the test on a host of this name, in the zone `zone-` and the name. */
   readonly lab: (name: string) => Lab;
+  /** Starts a process of the test on a host in the given zone. */
   readonly labIn: (name: string, zone: string) => Lab;
+  /** Sets the nodes that later starts use as seeds. */
   readonly seeds: (names: readonly string[]) => void;
   readonly start: (name: string) => void;
   readonly startAll: () => void;
   readonly kill: (name: string) => void;
+  /** Stops a controller gracefully, for at most 7 s, then ends its process. */
   readonly end: (name: string) => Promise<void>;
+  /** Kills a node and loses or truncates its unsynced writes. */
   readonly powerLoss: (name: string) => void;
+  /** Erases the disk of a node. */
   readonly wipe: (name: string) => void;
+  /** Partitions these nodes from all other nodes, in both directions. */
   readonly cutOff: (names: readonly string[]) => void;
+  /** Proposes the evacuation of a zone at one controller. */
   readonly order: (name: string, zone: string, waitMs?: number) => Promise<Ordered>;
+  /** Reads the evacuated zones at one controller with a linearizable read; null if the read fails. */
   readonly evacuatedAt: (name: string) => Promise<readonly string[] | null>;
   readonly members: (name: string) => readonly string[];
+  /** Whether each of these nodes is a member of a group that consists of exactly these nodes. */
   readonly whole: (names: readonly string[]) => boolean;
   readonly until: (limitMs: number, test: () => boolean) => Promise<boolean>;
+  /** Runs the simulation until a promise is settled; null after the time limit. */
   readonly finish: <T>(work: Promise<T>, limitMs: number) => Promise<T | null>;
+  /** Frames and bytes that all nodes have sent since the start. */
   readonly sent: () => { readonly frames: number; readonly bytes: number };
   readonly rates: LinkRates;
+  /** Violations of invariants that were found during the run. */
   readonly broken: string[];
 };
 
 const DISK_BYTES = 16 * 1_048_576;
-const STOP_MS = 7_000;
+const STOP_TIMEOUT_MS = 7_000;
 
+/** Creates a core whose nodes are not started yet. */
 export function createSimCore(
   seed: number,
   shape: CoreShape = { controllers: 3, seeds: 3, regionMs: 35 },
@@ -80,43 +103,43 @@
 ): SimCore {
   const world = createWorld(seed);
   const net = createSimNet(world);
-  const http = createSimHttp(world, ignored);
+  const http = createSimHttp(world, noop);
   const nodes: CoreNode[] = [];
-  const chosen = new Map<number, string>();
+  const batchBySlot = new Map<number, string>();
   const broken: string[] = [];
-  let ledger = '';
+  let ledgerName = '';
   let port = 7_000;
-  let procs = 0;
+  let processCount = 0;
   let seeds: readonly string[] = [];
-  function ignored(): void {}
+  function noop(): void {}
 
-  function address(): string {
+  function nextAddress(): string {
     port += 1;
     return `10.0.0.${port - 7_000}:${port}`;
   }
-  function add(name: string): CoreNode {
+  function addNode(name: string): CoreNode {
     const zone = `zone-${name}`;
-    const made: CoreNode = {
+    const added: CoreNode = {
       name,
       host: world.host(name, zone),
-      wire: address(),
+      wire: nextAddress(),
       platter: createPlatter(),
       bootstrap: false,
       controller: null,
     };
     for (const node of nodes) world.setDelay(node.host.zone, zone, shape.regionMs);
-    nodes.push(made);
-    return made;
+    nodes.push(added);
+    return added;
   }
-  for (let i = 1; i <= shape.controllers; i += 1) add(`h${i}`).bootstrap = true;
+  for (let i = 1; i <= shape.controllers; i += 1) addNode(`h${i}`).bootstrap = true;
   setSeeds(nodes.slice(0, shape.seeds).map(nameOf));
 
   function nameOf(node: CoreNode): string {
     return node.name;
   }
   function node(name: string): CoreNode {
-    return nodes.find(isIt) as CoreNode;
-    function isIt(node: CoreNode): boolean {
+    return nodes.find(hasName) as CoreNode;
+    function hasName(node: CoreNode): boolean {
       return node.name === name;
     }
   }
@@ -126,14 +149,14 @@
   function wireOf(name: string): string {
     return node(name).wire;
   }
-  function procRng(): Rng {
-    procs += 1;
-    return createRng(Math.imul(seed, 7_919) + procs * 104_729);
+  function nextProcessRng(): Rng {
+    processCount += 1;
+    return createRng(Math.imul(seed, 7_919) + processCount * 104_729);
   }
 
-  async function startOne(node: CoreNode): Promise<void> {
+  async function startNode(node: CoreNode): Promise<void> {
     const proc = world.begin(node.host);
-    const rng = procRng();
+    const rng = nextProcessRng();
     const deps = {
       clock: world.clockOf(proc),
       rng,
@@ -171,23 +194,23 @@
       return;
     }
     node.controller = started.value;
-    watch(node.name, started.value);
+    watchLedger(node.name, started.value);
   }
-  function watch(name: string, controller: Controller): void {
-    function folded(event: { readonly slot: number; readonly batch: unknown }): void {
+  function watchLedger(name: string, controller: Controller): void {
+    function onFolded(event: { readonly slot: number; readonly batch: unknown }): void {
       const text = JSON.stringify(event.batch);
-      const held = chosen.get(event.slot);
-      if (held === undefined) chosen.set(event.slot, text);
-      else if (held !== text) broken.push(`${name} folded another batch into slot ${event.slot}`);
-      oneLedger();
+      const known = batchBySlot.get(event.slot);
+      if (known === undefined) batchBySlot.set(event.slot, text);
+      else if (known !== text) broken.push(`${name} applied a different batch in slot ${event.slot}`);
+      checkSameLedger();
     }
-    function oneLedger(): void {
-      const own = controller.ledger.controlState().ledger;
-      if (ledger === '') ledger = own;
-      else if (ledger !== own) broken.push(`${name} follows a second ledger`);
+    function checkSameLedger(): void {
+      const ownLedgerName = controller.ledger.controlState().ledger;
+      if (ledgerName === '') ledgerName = ownLedgerName;
+      else if (ledgerName !== ownLedgerName) broken.push(`${name} follows a second ledger`);
     }
-    controller.ledger.events.on('folded', folded);
-    controller.ledger.events.on('adopted', oneLedger);
+    controller.ledger.events.on('folded', onFolded);
+    controller.ledger.events.on('adopted', checkSameLedger);
   }
 
   function lab(name: string): Lab {
@@ -198,20 +221,20 @@
     return { wire: net.wireOf(proc), clock: world.clockOf(proc), httpClient: http.httpClientOf(proc) };
   }
   function start(name: string): void {
-    void startOne(node(name));
+    void startNode(node(name));
   }
   function startAll(): void {
     for (const node of nodes) if (!node.host.running) start(node.name);
   }
   function kill(name: string): void {
-    const otherNode = node(name);
-    world.kill(otherNode.host);
-    otherNode.controller = null;
-    otherNode.bootstrap = false;
+    const killed = node(name);
+    world.kill(killed.host);
+    killed.controller = null;
+    killed.bootstrap = false;
   }
-  async function end(name: string): Promise<void> {
-    const stopping = node(name).controller?.stop(STOP_MS);
-    if (stopping) await finish(stopping, STOP_MS + 1_000);
+  async function stop(name: string): Promise<void> {
+    const stopping = node(name).controller?.stop(STOP_TIMEOUT_MS);
+    if (stopping) await runUntilSettled(stopping, STOP_TIMEOUT_MS + 1_000);
     kill(name);
   }
   function powerLoss(name: string): void {
@@ -222,54 +245,54 @@
   function wipe(name: string): void {
     loseDisk(node(name).platter);
   }
-  function cutOff(names: readonly string[]): void {
+  function isolate(names: readonly string[]): void {
     for (const node of nodes) {
       for (const otherNode of nodes)
         if (names.includes(node.name) !== names.includes(otherNode.name)) world.cut(node.name, otherNode.name);
     }
   }
 
-  async function finish<T>(work: Promise<T>, limitMs: number): Promise<T | null> {
-    const box: { value: T | null; done: boolean } = { value: null, done: false };
-    function settled(t: T): void {
-      box.value = t;
-      box.done = true;
+  async function runUntilSettled<T>(work: Promise<T>, limitMs: number): Promise<T | null> {
+    const outcome: { value: T | null; done: boolean } = { value: null, done: false };
+    function onSettled(value: T): void {
+      outcome.value = value;
+      outcome.done = true;
     }
-    void work.then(settled);
+    void work.then(onSettled);
     function isDone(): boolean {
-      return box.done;
+      return outcome.done;
     }
     await world.until(limitMs, isDone);
-    return box.value;
+    return outcome.value;
   }
 
   async function order(name: string, zone: string, waitMs = 1_500): Promise<Ordered> {
     const from = world.now();
-    const at = node(name).controller;
-    const work = at
-      ? at.ledger.propose(
+    const controller = node(name).controller;
+    const work = controller
+      ? controller.ledger.propose(
           { id: `order-${zone}`, cause: 'A test evacuates.', act: { tag: 'evacuation', zone, begun: true } },
           waitMs,
         )
       : null;
-    const result = work && (await finish(work, 30_000));
+    const result = work && (await runUntilSettled(work, 30_000));
     return { result, tookMs: Math.round(world.now() - from) };
   }
-  async function evacuatedAt(name: string): Promise<readonly string[] | null> {
-    const at = node(name).controller;
-    if (!at || !(await finish(at.ledger.linearizableRead(1_500), 30_000))) return null;
-    return Object.keys(at.ledger.controlState().evacuated).sort();
+  async function readEvacuatedZones(name: string): Promise<readonly string[] | null> {
+    const controller = node(name).controller;
+    if (!controller || !(await runUntilSettled(controller.ledger.linearizableRead(1_500), 30_000))) return null;
+    return Object.keys(controller.ledger.controlState().evacuated).sort();
   }
   function members(name: string): readonly string[] {
     return (node(name).controller?.ledger.controlState().members ?? []).map(nameOfMember).sort();
   }
-  function nameOfMember(m: { readonly name: string }): string {
-    return m.name;
+  function nameOfMember(member: { readonly name: string }): string {
+    return member.name;
   }
   function whole(names: readonly string[]): boolean {
     for (const name of names) {
-      const at = node(name).controller;
-      if (!at?.ledger.isMember() || members(name).join() !== [...names].sort().join()) return false;
+      const controller = node(name).controller;
+      if (!controller?.ledger.isMember() || members(name).join() !== [...names].sort().join()) return false;
     }
     return true;
   }
@@ -280,23 +303,23 @@
     world,
     nodes,
     node,
-    add,
+    add: addNode,
     lab,
     labIn,
     seeds: setSeeds,
     start,
     startAll,
     kill,
-    end,
+    end: stop,
     powerLoss,
     wipe,
-    cutOff,
+    cutOff: isolate,
     order,
-    evacuatedAt,
+    evacuatedAt: readEvacuatedZones,
     members,
     whole,
     until,
-    finish,
+    finish: runUntilSettled,
     sent: net.sent,
     rates: net.rates,
     broken,
--- a/src/sim/sim-disk.ts
+++ b/src/sim/sim-disk.ts
@@ -1,90 +1,101 @@
+/** A simulated disk: writes are lost, kept or truncated when power is lost before they are synced. */
 import { err, ok } from '../base/result.js';
 import type { Result } from '../base/result.js';
 import type { Disk, DiskError, DiskFile } from '../transport/disk.js';
 import { below } from '../transport/rng.js';
 import type { Proc, World } from './world.js';
 
-type Write = { readonly at: number; readonly data: Buffer };
-type File = { current: Buffer; synced: Buffer; unsynced: Write[] };
+type UnsyncedWrite = { readonly at: number; readonly data: Buffer };
+type FileState = { current: Buffer; synced: Buffer; unsynced: UnsyncedWrite[] };
 
-export type Platter = { readonly files: Map<string, File>; full: boolean; failing: boolean; lies: boolean };
+/**
+ * Content of a simulated disk. `full`: no file can be created or replaced; `failing`: writes and syncs fail with EIO;
+ * `lies`: syncs are acknowledged without making anything durable.
+ */
+export type Platter = { readonly files: Map<string, FileState>; full: boolean; failing: boolean; lies: boolean };
 
+/** Creates an empty disk. */
 export function createPlatter(): Platter {
   return { files: new Map(), full: false, failing: false, lies: false };
 }
 
-/** How many bytes, from its start, of a write that was not synced are on the disk after a loss of power. */
+/** Returns how many bytes from the start of an unsynced write survive a power loss. */
 export type WriteFate = (bytes: number, index: number) => number;
 
-/** Each write that was not synced is lost, kept, or kept in part. */
+/** Simulates a power loss: each unsynced write is lost, kept or truncated, at random. */
 export function losePower(platter: Platter, world: World): void {
-  function drawn(bytes: number): number {
+  function drawSurvivingBytes(bytes: number): number {
     const fate = below(world.rng, 3);
     if (fate === 0) return 0;
     return fate === 1 ? bytes : below(world.rng, bytes + 1);
   }
-  losePowerWith(platter, drawn);
+  losePowerWith(platter, drawSurvivingBytes);
 }
 
-/** The same with the fate of each write chosen by the test; writes are counted over all files. */
+/**
+ * Simulates a power loss with the surviving bytes of each write chosen by the test; `index` counts writes over all
+ * files.
+ */
 export function losePowerWith(platter: Platter, fate: WriteFate): void {
   let index = 0;
   for (const file of platter.files.values()) {
-    const kept = Buffer.from(file.synced);
+    const surviving = Buffer.from(file.synced);
     for (const write of file.unsynced) {
-      write.data.copy(kept, write.at, 0, fate(write.data.length, index));
+      write.data.copy(surviving, write.at, 0, fate(write.data.length, index));
       index += 1;
     }
-    file.current = kept;
-    file.synced = Buffer.from(kept);
+    file.current = surviving;
+    file.synced = Buffer.from(surviving);
     file.unsynced = [];
   }
 }
 
-/** A disk that takes so many writes, syncs and replacements, and then never answers again: the process stops there. */
+/** Wraps a disk that hangs after this many writes, syncs and replacements, as if the process stopped at that point. */
 export function stoppingDisk(disk: Disk, operations: number): { readonly disk: Disk; readonly used: () => number } {
-  let done = 0;
-  function guarded<T>(work: () => Promise<T>): Promise<T> {
-    done += 1;
-    return done > operations ? new Promise<T>(never) : work();
+  let operationCount = 0;
+  function hangAfterLimit<T>(work: () => Promise<T>): Promise<T> {
+    operationCount += 1;
+    return operationCount > operations ? new Promise<T>(neverSettle) : work();
   }
-  function never(): void {}
+  function neverSettle(): void {}
   async function preallocated(name: string, size: number): Promise<Result<DiskFile, DiskError>> {
     const opened = await disk.preallocated(name, size);
     if (!opened.ok) return opened;
     const file = opened.value;
     function write(at: number, data: Buffer): Promise<Result<null, DiskError>> {
-      function go(): Promise<Result<null, DiskError>> {
+      function run(): Promise<Result<null, DiskError>> {
         return file.write(at, data);
       }
-      return guarded(go);
+      return hangAfterLimit(run);
     }
     function sync(): Promise<Result<null, DiskError>> {
-      return guarded(file.sync);
+      return hangAfterLimit(file.sync);
     }
     return ok({ read: file.read, write, sync });
   }
   function replace(name: string, data: Buffer): Promise<Result<null, DiskError>> {
-    function go(): Promise<Result<null, DiskError>> {
+    function run(): Promise<Result<null, DiskError>> {
       return disk.replace(name, data);
     }
-    return guarded(go);
+    return hangAfterLimit(run);
   }
   function used(): number {
-    return Math.min(done, operations);
+    return Math.min(operationCount, operations);
   }
   return { disk: { ...disk, preallocated, replace }, used };
 }
 
+/** Erases all files. */
 export function loseDisk(platter: Platter): void {
   platter.files.clear();
 }
 
+/** Opens the simulated disk for a process. */
 export function simDisk(platter: Platter, proc: Proc, world: World): Disk {
   const clock = world.clockOf(proc);
 
-  function later<T>(work: () => T): Promise<T> {
-    function start(resolve: (t: T) => void): void {
+  function afterLatency<T>(work: () => T): Promise<T> {
+    function start(resolve: (value: T) => void): void {
       function done(): void {
         resolve(work());
       }
@@ -93,29 +104,29 @@
     return new Promise(start);
   }
 
-  function broken(file: string): Result<never, DiskError> {
+  function ioError(file: string): Result<never, DiskError> {
     return err({ tag: 'diskFailed', file, code: 'EIO' });
   }
 
-  function fileOf(name: string, file: File): DiskFile {
+  function fileOf(name: string, file: FileState): DiskFile {
     function read(length = file.current.length): Promise<Result<Buffer, DiskError>> {
       return Promise.resolve(ok(Buffer.from(file.current.subarray(0, length))));
     }
     function write(at: number, data: Buffer): Promise<Result<null, DiskError>> {
-      if (platter.failing) return Promise.resolve(broken(name));
+      if (platter.failing) return Promise.resolve(ioError(name));
       data.copy(file.current, at);
       file.unsynced.push({ at, data: Buffer.from(data) });
       return Promise.resolve(ok(null));
     }
     function sync(): Promise<Result<null, DiskError>> {
-      const covered = file.unsynced.length;
+      const writeCount = file.unsynced.length;
       function done(): Result<null, DiskError> {
-        if (platter.failing) return broken(name);
+        if (platter.failing) return ioError(name);
         if (platter.lies) return ok(null);
-        for (const write of file.unsynced.splice(0, covered)) write.data.copy(file.synced, write.at);
+        for (const write of file.unsynced.splice(0, writeCount)) write.data.copy(file.synced, write.at);
         return ok(null);
       }
-      return later(done);
+      return afterLatency(done);
     }
     return { read, write, sync };
   }
@@ -124,25 +135,25 @@
     return Promise.resolve(ok([...platter.files.keys()].sort()));
   }
   function preallocated(name: string, size: number): Promise<Result<DiskFile, DiskError>> {
-    const have = platter.files.get(name);
-    if (have && have.current.length >= size) return Promise.resolve(ok(fileOf(name, have)));
+    const existing = platter.files.get(name);
+    if (existing && existing.current.length >= size) return Promise.resolve(ok(fileOf(name, existing)));
     if (platter.full) return Promise.resolve(err({ tag: 'diskFull', file: name }));
-    const made: File = { current: Buffer.alloc(size), synced: Buffer.alloc(size), unsynced: [] };
-    platter.files.set(name, made);
-    return Promise.resolve(ok(fileOf(name, made)));
+    const created: FileState = { current: Buffer.alloc(size), synced: Buffer.alloc(size), unsynced: [] };
+    platter.files.set(name, created);
+    return Promise.resolve(ok(fileOf(name, created)));
   }
   function replace(name: string, data: Buffer): Promise<Result<null, DiskError>> {
     function done(): Result<null, DiskError> {
-      if (platter.failing) return broken(name);
+      if (platter.failing) return ioError(name);
       if (platter.full) return err({ tag: 'diskFull', file: name });
       platter.files.set(name, { current: Buffer.from(data), synced: Buffer.from(data), unsynced: [] });
       return ok(null);
     }
-    return later(done);
+    return afterLatency(done);
   }
   function load(name: string): Promise<Result<Buffer | null, DiskError>> {
-    const have = platter.files.get(name);
-    return Promise.resolve(ok(have ? Buffer.from(have.current) : null));
+    const existing = platter.files.get(name);
+    return Promise.resolve(ok(existing ? Buffer.from(existing.current) : null));
   }
   return { list, preallocated, replace, load };
 }
--- a/src/sim/sim-fleet.test.ts
+++ b/src/sim/sim-fleet.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, test } from '@jest/globals';
 import { createSimFleet } from './sim-fleet.js';
 
-describe('a calm fleet', () => {
+describe('a fleet without faults', () => {
   test.each([1, 2])('serves a mixed load without breaking a rule (seed %i)', async (seed) => {
     const fleet = createSimFleet(seed);
     expect(await fleet.start()).toBe(true);
@@ -19,13 +19,13 @@
   });
 
   test('the same seed gives the same run, record for record', async () => {
-    async function once(): Promise<string> {
+    async function runOnce(): Promise<string> {
       const fleet = createSimFleet(5);
       await fleet.start();
       await fleet.finish(fleet.traffic({ zone: 'hu-1', seconds: 4 }), 20_000);
       expect(fleet.records.length).toBeGreaterThan(50);
       return JSON.stringify(fleet.records);
     }
-    expect(await once()).toBe(await once());
+    expect(await runOnce()).toBe(await runOnce());
   });
 });
--- a/src/sim/sim-fleet.ts
+++ b/src/sim/sim-fleet.ts
@@ -1,3 +1,4 @@
+/** A simulated fleet: controllers, proxies, workers, the stand-ins of the cloud and the platform, and callers. */
 import { startStandinCloud } from '../standin/cloud.js';
 import { checkRecords } from '../standin/check.js';
 import type { Broken, CheckRules, Rec } from '../standin/check.js';
@@ -30,10 +31,11 @@
 import { SMALL } from './shapes.js';
 import type { FleetShape } from './shapes.js';
 import { createSimNet } from './sim-wire.js';
-import type { Turbulence } from './sim-wire.js';
+import type { FrameDisturbance } from './sim-wire.js';
 import { createWorld } from './world.js';
 import type { Host, Proc, World } from './world.js';
 
+/** A proxy; `proxy` is null while its process is stopped. */
 export type SimProxy = {
   readonly host: Host;
   proxy: Proxy | null;
@@ -41,6 +43,7 @@
   readonly http: string;
   readonly platter: Platter;
 };
+/** A controller; `controller` is null while its process is stopped. */
 export type SimController = {
   readonly host: Host;
   controller: Controller | null;
@@ -49,6 +52,7 @@
   wire: string;
   readonly platter: Platter;
 };
+/** A worker; `fixed` ones are not managed by the scaler. */
 export type SimWorker = {
   readonly host: Host;
   readonly id: string;
@@ -57,6 +61,9 @@
   readonly fixed: boolean;
 };
 
+/**
+ * The simulated fleet. Hosts of the test and of the stand-ins are in the zone `lab`, which partitions do not affect.
+ */
 export type SimFleet = {
   readonly world: World;
   readonly seed: number;
@@ -67,43 +74,60 @@
   readonly workers: readonly SimWorker[];
   readonly cloudAddress: string;
   readonly platformAddress: string;
+  /**
+   * Starts all nodes, bootstraps and configures the fleet, and waits until its workers are ready; false if one step
+   * fails.
+   */
   readonly start: () => Promise<boolean>;
   readonly startNode: (name: string) => Promise<void>;
   readonly kill: (name: string) => void;
+  /** Kills a node and loses or truncates its unsynced writes. */
   readonly powerLoss: (name: string) => void;
+  /** Erases the disk of a node. */
   readonly wipe: (name: string) => void;
-  readonly moveController: (at: number) => void;
+  /** Restarts a controller at new addresses. */
+  readonly moveController: (controllerIndex: number) => void;
+  /** Restarts a worker at a new address. */
   readonly moveWorker: (id: string) => void;
-  readonly keepOldSeeds: () => void;
-  readonly turbulence: (turbulence: Turbulence) => void;
+  /** Makes later starts use the addresses of the first controllers as seeds, even after controllers have moved. */
+  readonly keepBootstrapSeeds: () => void;
+  readonly turbulence: (newDisturbance: FrameDisturbance) => void;
   readonly shape: FleetShape;
   readonly zones: readonly string[];
+  /** Index of the controller that holds the scaler lease and is not frozen; -1 if there is none. */
   readonly holder: () => number;
   readonly hostOf: (name: string) => Host;
   readonly httpClientOf: (proc: Proc) => HttpClient;
+  /** Partitions these hosts from all others, in both directions. */
   readonly cutOff: (names: readonly string[]) => void;
   readonly call: (
-    c: Omit<HttpCall, 'timeoutMs'> & { readonly timeoutMs?: number },
+    httpCall: Omit<HttpCall, 'timeoutMs'> & { readonly timeoutMs?: number },
   ) => Promise<Result<HttpAnswer, HttpError>>;
+  /** Sends an operator request to the controller with this index. */
   readonly operator: (
-    at: number,
+    controllerIndex: number,
     method: 'GET' | 'POST' | 'DELETE',
     path: string,
     body?: unknown,
     timeoutMs?: number,
   ) => Promise<Result<HttpAnswer, HttpError>>;
+  /** Runs a caller that sends requests from a zone. */
   readonly traffic: (
-    s: Partial<CallerSettings> & { readonly zone: string; readonly seconds: number },
+    settings: Partial<CallerSettings> & { readonly zone: string; readonly seconds: number },
   ) => Promise<CallerTally>;
   readonly run: (ms: number) => Promise<void>;
   readonly until: (limitMs: number, test: () => boolean) => Promise<boolean>;
+  /** Runs the simulation until a promise is settled; null after the time limit. */
   readonly finish: <T>(work: Promise<T>, limitMs: number) => Promise<T | null>;
+  /** Checks the records against the rules and returns all violations so far. */
   readonly check: (rules?: Partial<CheckRules>) => Broken[];
+  /** Whether some controller knows of at least one order, and only of ready spot orders. */
   readonly allReady: () => boolean;
+  /** Frames, bytes and HTTP calls of all processes since the start. */
   readonly load: () => { readonly frames: number; readonly bytes: number; readonly calls: number };
 };
 
-function shapesOf(shape: FleetShape): ControllerShapes {
+function ringShapesOf(shape: FleetShape): ControllerShapes {
   const fileBytes = shape.ringFileBytes ?? 48 * 1024;
   return {
     ledger: { name: 'ledger', files: 4, fileBytes, snapshotBytes: Math.max(1_048_576, 4 * fileBytes) },
@@ -111,6 +135,7 @@
   };
 }
 
+/** Creates a fleet whose nodes are not started yet; `sabotage` adds faults that the checks have to find. */
 export function createSimFleet(
   seed: number,
   shape: FleetShape = SMALL,
@@ -119,24 +144,24 @@
 ): SimFleet {
   const world = createWorld(seed);
   const net = createSimNet(world);
-  const http = createSimHttp(world, noteBody);
+  const http = createSimHttp(world, recordBody);
   const records: Rec[] = [];
   const violations: Broken[] = [];
   const zones = Object.keys(shape.zones);
-  const chosen = new Map<number, string>();
+  const batchBySlot = new Map<number, string>();
   const starters = new Map<string, (proc: Proc) => Promise<void>>();
   let port = 10_000;
-  let procs = 0;
+  let processCount = 0;
   for (const [pair, ms] of Object.entries(shape.delayMs)) {
-    const [first, second] = pair.split('|');
-    world.setDelay(first as string, second as string, ms);
+    const [zoneA, zoneB] = pair.split('|');
+    world.setDelay(zoneA as string, zoneB as string, ms);
   }
 
-  function address(): string {
+  function nextAddress(): string {
     port += 1;
     return `10.0.0.1:${port}`;
   }
-  function noteBody(host: Host, path: string, body: unknown): void {
+  function recordBody(host: Host, path: string, body: unknown): void {
     if (path !== REQUESTS_PATH) return;
     const { parts } = body as { readonly parts?: unknown };
     if (!Array.isArray(parts)) return;
@@ -150,23 +175,23 @@
       mark: markIn(parts as { readonly hash: string }[]),
     });
   }
-  function procRng(): Rng {
-    procs += 1;
-    return createRng(Math.imul(seed, 7_919) + procs * 104_729);
+  function nextProcessRng(): Rng {
+    processCount += 1;
+    return createRng(Math.imul(seed, 7_919) + processCount * 104_729);
   }
-  function journal(): Journal {
-    function note(record: Rec): void {
+  function createJournal(): Journal {
+    function append(record: Rec): void {
       records.push({ ...record, at: world.now() });
     }
     function close(): Promise<void> {
       return Promise.resolve();
     }
-    return { record: note, close };
+    return { record: append, close };
   }
   function depsOf(proc: Proc, platter: Platter | null): NodeDeps {
     return {
       clock: world.clockOf(proc),
-      rng: procRng(),
+      rng: nextProcessRng(),
       wire: net.wireOf(proc),
       httpServer: http.httpServerOf(proc),
       httpClient: http.httpClientOf(proc),
@@ -179,48 +204,52 @@
 
   const policies: Policy[] = [];
   for (const policy of POLICIES) if (policy.name !== sabotage.withoutPolicy) policies.push(policy);
-  const platformAddress = address();
-  const cloudAddress = address();
-  const lab = world.host('lab', 'lab');
-  const labHttpClient = http.httpClientOf(world.begin(lab));
+  const platformAddress = nextAddress();
+  const cloudAddress = nextAddress();
+  const labHost = world.host('lab', 'lab');
+  const labHttpClient = http.httpClientOf(world.begin(labHost));
 
   const controllers: SimController[] = zones.map(controllerOf);
   const bootstrapSeeds = controllers.map(wireOf);
-  let seedsFollow = true;
-  function keepOldSeeds(): void {
-    seedsFollow = false;
+  let seedsFollowMoves = true;
+  function keepBootstrapSeeds(): void {
+    seedsFollowMoves = false;
   }
   const proxies: SimProxy[] = zones.flatMap(proxiesOf);
   const workers: SimWorker[] = zones.flatMap(workersOf);
 
-  function freshPlatter(): Platter {
-    const made = createPlatter();
-    made.lies = sabotage.disksLie === true;
-    return made;
+  function createFleetPlatter(): Platter {
+    const platter = createPlatter();
+    platter.lies = sabotage.disksLie === true;
+    return platter;
   }
   function controllerOf(zone: string, i: number): SimController {
     const name = `controller-${i + 1}`;
-    const made: SimController = {
+    const simController: SimController = {
       host: world.host(name, zone),
       controller: null,
       name,
-      http: address(),
-      wire: address(),
-      platter: freshPlatter(),
+      http: nextAddress(),
+      wire: nextAddress(),
+      platter: createFleetPlatter(),
     };
     async function start(proc: Proc): Promise<void> {
-      const deps = depsOf(proc, made.platter);
-      const started = await startController(identityOf(name, zone, made.wire, made.http, deps), deps, shapesOf(shape));
+      const deps = depsOf(proc, simController.platter);
+      const started = await startController(
+        identityOf(name, zone, simController.wire, simController.http, deps),
+        deps,
+        ringShapesOf(shape),
+      );
       if (!started.ok) {
         records.push({ who: 'sim', at: world.now(), event: 'startFailed', node: name, fault: started.error });
         return;
       }
-      made.controller = started.value;
+      simController.controller = started.value;
       sabotageLedger(started.value.ledger, sabotage);
       watchLedger(name, started.value);
     }
     starters.set(name, start);
-    return made;
+    return simController;
   }
   function wireOf(simController: SimController): string {
     return simController.wire;
@@ -236,57 +265,60 @@
       advertised: wire,
       httpListen: httpAddress,
       http: httpAddress,
-      seeds: seedsFollow ? controllers.map(wireOf) : bootstrapSeeds,
+      seeds: seedsFollowMoves ? controllers.map(wireOf) : bootstrapSeeds,
       platform: platformAddress,
       cloud: cloudAddress,
     };
   }
 
   function watchLedger(name: string, controller: Controller): void {
-    let last = controller.ledger.controlState().slot;
-    function folded(event: { readonly slot: number; readonly batch: { readonly id: string } }): void {
+    let lastSlot = controller.ledger.controlState().slot;
+    function onFolded(event: { readonly slot: number; readonly batch: { readonly id: string } }): void {
       const text = JSON.stringify(event.batch);
-      const held = chosen.get(event.slot);
-      if (held === undefined) chosen.set(event.slot, text);
-      else if (held !== text)
-        violations.push({ rule: 'oneLedger', detail: `${name} folded another batch into slot ${event.slot}` });
-      if (event.slot <= last)
-        violations.push({ rule: 'oneLedger', detail: `${name} went back from slot ${last} to ${event.slot}` });
-      last = event.slot;
+      const known = batchBySlot.get(event.slot);
+      if (known === undefined) batchBySlot.set(event.slot, text);
+      else if (known !== text)
+        violations.push({ rule: 'oneLedger', detail: `${name} applied a different batch in slot ${event.slot}` });
+      if (event.slot <= lastSlot)
+        violations.push({
+          rule: 'oneLedger',
+          detail: `${name} moved backwards from slot ${lastSlot} to ${event.slot}`,
+        });
+      lastSlot = event.slot;
     }
-    controller.ledger.events.on('folded', folded);
+    controller.ledger.events.on('folded', onFolded);
   }
 
   function proxiesOf(zone: string): SimProxy[] {
-    const out: SimProxy[] = [];
+    const simProxies: SimProxy[] = [];
     for (let i = 0; i < (shape.proxies[zone] ?? 0); i += 1) {
       const name = `proxy-${zone}-${i + 1}`;
-      const wire = address();
-      const made: SimProxy = {
+      const wire = nextAddress();
+      const simProxy: SimProxy = {
         host: world.host(name, zone),
         proxy: null,
         name,
-        http: address(),
+        http: nextAddress(),
         platter: createPlatter(),
       };
       async function start(proc: Proc): Promise<void> {
-        const deps = depsOf(proc, made.platter);
-        const started = await startProxy(identityOf(name, zone, wire, made.http, deps), deps);
-        made.proxy = started.ok ? started.value : null;
+        const deps = depsOf(proc, simProxy.platter);
+        const started = await startProxy(identityOf(name, zone, wire, simProxy.http, deps), deps);
+        simProxy.proxy = started.ok ? started.value : null;
       }
       starters.set(name, start);
-      out.push(made);
+      simProxies.push(simProxy);
     }
-    return out;
+    return simProxies;
   }
 
   function workersOf(zone: string): SimWorker[] {
-    const out: SimWorker[] = [];
-    const free = shape.machines[zone] ?? 0;
-    for (let i = 0; i < free + shape.fixed.perZone; i += 1) {
-      const fixed = i >= free;
-      const id = fixed ? `gateway-${zone}-${i - free + 1}` : `machine-${zone}-${i + 1}`;
-      const made: SimWorker = { host: world.host(id, zone), id, http: address(), zone, fixed };
+    const simWorkers: SimWorker[] = [];
+    const scalableCount = shape.machines[zone] ?? 0;
+    for (let i = 0; i < scalableCount + shape.fixed.perZone; i += 1) {
+      const fixed = i >= scalableCount;
+      const id = fixed ? `gateway-${zone}-${i - scalableCount + 1}` : `machine-${zone}-${i + 1}`;
+      const simWorker: SimWorker = { host: world.host(id, zone), id, http: nextAddress(), zone, fixed };
       async function start(proc: Proc): Promise<void> {
         const deps = depsOf(proc, null);
         await startStandinWorker(
@@ -294,23 +326,23 @@
             id,
             zone,
             region: shape.zones[zone] as string,
-            address: made.http,
+            address: simWorker.http,
             platform: platformAddress,
             cloud: cloudAddress,
             fixedModel: fixed ? shape.fixed.model : null,
             ...WORKER_DEFAULTS,
           },
-          { ...deps, journal: journal() },
+          { ...deps, journal: createJournal() },
         );
       }
       starters.set(id, start);
-      out.push(made);
+      simWorkers.push(simWorker);
     }
-    return out;
+    return simWorkers;
   }
 
   async function startPlatform(proc: Proc): Promise<void> {
-    await startStandinPlatform(platformAddress, world.clockOf(proc), http.httpServerOf(proc), journal());
+    await startStandinPlatform(platformAddress, world.clockOf(proc), http.httpServerOf(proc), createJournal());
   }
   async function startCloud(proc: Proc): Promise<void> {
     const deps = depsOf(proc, null);
@@ -322,7 +354,7 @@
         forgetsKeys: sabotage.cloudForgetsKeys === true,
         listLagMs: sabotage.listLagMs ?? 0,
       },
-      { ...deps, journal: journal() },
+      { ...deps, journal: createJournal() },
     );
   }
   starters.set('platform', startPlatform);
@@ -342,14 +374,14 @@
 
   function kill(name: string): void {
     world.kill(hostOf(name));
-    forget(name);
+    clearInstance(name);
   }
-  function forget(name: string): void {
+  function clearInstance(name: string): void {
     for (const simController of controllers) if (simController.name === name) simController.controller = null;
     for (const simProxy of proxies) if (simProxy.name === name) simProxy.proxy = null;
   }
   function platterOf(name: string): Platter | null {
-    for (const n of [...controllers, ...proxies]) if (n.name === name) return n.platter;
+    for (const node of [...controllers, ...proxies]) if (node.name === name) return node.platter;
     return null;
   }
   function powerLoss(name: string): void {
@@ -364,20 +396,20 @@
     if (platter) loseDisk(platter);
   }
 
-  function moveController(at: number): void {
-    const simController = controllers[at] as SimController;
+  function moveController(controllerIndex: number): void {
+    const simController = controllers[controllerIndex] as SimController;
     kill(simController.name);
-    simController.http = address();
-    simController.wire = address();
+    simController.http = nextAddress();
+    simController.wire = nextAddress();
     void startNode(simController.name);
   }
   function moveWorker(id: string): void {
-    const worker = workers.find(isIt);
+    const worker = workers.find(hasId);
     if (!worker) return;
     kill(id);
-    worker.http = address();
+    worker.http = nextAddress();
     void startNode(id);
-    function isIt(simWorker: SimWorker): boolean {
+    function hasId(simWorker: SimWorker): boolean {
       return simWorker.id === id;
     }
   }
@@ -389,27 +421,27 @@
     return -1;
   }
 
-  function cutOff(names: readonly string[]): void {
-    const inside = new Set(names);
+  function isolate(names: readonly string[]): void {
+    const isolated = new Set(names);
     for (const host of world.hosts()) {
       for (const otherHost of world.hosts()) {
         if (host.zone === 'lab' || otherHost.zone === 'lab') continue;
-        if (inside.has(host.name) !== inside.has(otherHost.name)) world.cut(host.name, otherHost.name);
+        if (isolated.has(host.name) !== isolated.has(otherHost.name)) world.cut(host.name, otherHost.name);
       }
     }
   }
 
   function call(
-    c: Omit<HttpCall, 'timeoutMs'> & { readonly timeoutMs?: number },
+    httpCall: Omit<HttpCall, 'timeoutMs'> & { readonly timeoutMs?: number },
   ): Promise<Result<HttpAnswer, HttpError>> {
-    return finish(labHttpClient.call({ timeoutMs: 12_000, ...c }), 13_000).then(orTimedOut);
+    return runUntilSettled(labHttpClient.call({ timeoutMs: 12_000, ...httpCall }), 13_000).then(resultOrTimeout);
   }
-  function orTimedOut(r: Result<HttpAnswer, HttpError> | null): Result<HttpAnswer, HttpError> {
-    return r ?? { ok: false, error: { tag: 'timedOut' } };
+  function resultOrTimeout(result: Result<HttpAnswer, HttpError> | null): Result<HttpAnswer, HttpError> {
+    return result ?? { ok: false, error: { tag: 'timedOut' } };
   }
 
   function operator(
-    at: number,
+    controllerIndex: number,
     method: 'GET' | 'POST' | 'DELETE',
     path: string,
     body?: unknown,
@@ -418,21 +450,21 @@
     const limit = timeoutMs === undefined ? {} : { timeoutMs };
     return call({
       method,
-      address: (controllers[at] as SimController).http,
+      address: (controllers[controllerIndex] as SimController).http,
       path,
       ...limit,
       ...(body === undefined ? {} : { body }),
     });
   }
 
-  async function finish<T>(work: Promise<T>, limitMs: number): Promise<T | null> {
+  async function runUntilSettled<T>(work: Promise<T>, limitMs: number): Promise<T | null> {
     let done = false;
     let value: T | null = null;
-    function settled(t: T): void {
+    function onSettled(settledValue: T): void {
       done = true;
-      value = t;
+      value = settledValue;
     }
-    void work.then(settled);
+    void work.then(onSettled);
     function isDone(): boolean {
       return done;
     }
@@ -446,29 +478,29 @@
     await world.advance(1_500);
     const bootstrapped = await operator(0, 'POST', '/v1/bootstrap', { members: controllers.map(wireOf) });
     if (!bootstrapped.ok || bootstrapped.value.status !== 200) return false;
-    const known = await world.until(20_000, allKnown);
+    const known = await world.until(20_000, allProxiesKnown);
     const applied = await operator(0, 'POST', '/v1/configuration', { base: 0, configuration: shape.configuration });
     if (!known || !applied.ok || applied.value.status !== 200) return false;
     return world.until(60_000, allReady);
   }
-  function nameOf(n: { readonly name: string }): string {
-    return n.name;
+  function nameOf(node: { readonly name: string }): string {
+    return node.name;
   }
   function idOf(simWorker: SimWorker): string {
     return simWorker.id;
   }
-  function allKnown(): boolean {
-    const second = controllers[0]?.controller?.ledger.controlState();
-    return second !== undefined && Object.keys(second.proxies).length === proxies.length;
+  function allProxiesKnown(): boolean {
+    const controlState = controllers[0]?.controller?.ledger.controlState();
+    return controlState !== undefined && Object.keys(controlState.proxies).length === proxies.length;
   }
 
   function allReady(): boolean {
     for (const simController of controllers) {
-      const second = simController.controller?.ledger.controlState();
-      if (!second) continue;
+      const controlState = simController.controller?.ledger.controlState();
+      if (!controlState) continue;
       let ready = 0;
       let open = 0;
-      for (const order of Object.values(second.orders)) {
+      for (const order of Object.values(controlState.orders)) {
         open += 1;
         if (order.kind === 'spot' && order.status === 'ready') ready += 1;
       }
@@ -478,17 +510,17 @@
   }
 
   function traffic(
-    s: Partial<CallerSettings> & { readonly zone: string; readonly seconds: number },
+    settings: Partial<CallerSettings> & { readonly zone: string; readonly seconds: number },
   ): Promise<CallerTally> {
-    const name = s.name ?? `caller-${s.zone}-${procs}`;
-    const proc = world.begin(world.host(name, s.zone));
-    const near: string[] = [];
-    for (const simProxy of proxies) if (simProxy.host.zone === s.zone) near.push(simProxy.http);
-    for (const simProxy of proxies) if (simProxy.host.zone !== s.zone) near.push(simProxy.http);
+    const name = settings.name ?? `caller-${settings.zone}-${processCount}`;
+    const proc = world.begin(world.host(name, settings.zone));
+    const proxyAddresses: string[] = [];
+    for (const simProxy of proxies) if (simProxy.host.zone === settings.zone) proxyAddresses.push(simProxy.http);
+    for (const simProxy of proxies) if (simProxy.host.zone !== settings.zone) proxyAddresses.push(simProxy.http);
     return runCaller(
       {
         name,
-        proxies: near,
+        proxies: proxyAddresses,
         runOnceModel: shape.fixed.model,
         streamModels: shape.streamModels,
         kind: shape.kind,
@@ -496,9 +528,14 @@
         runOnceShare: 0.4,
         prefixes: 6,
         patience: 3,
-        ...s,
+        ...settings,
+      },
+      {
+        clock: world.clockOf(proc),
+        rng: nextProcessRng(),
+        httpClient: http.httpClientOf(proc),
+        journal: createJournal(),
       },
-      { clock: world.clockOf(proc), rng: procRng(), httpClient: http.httpClientOf(proc), journal: journal() },
     );
   }
 
@@ -536,18 +573,18 @@
     wipe,
     moveController,
     moveWorker,
-    keepOldSeeds,
+    keepBootstrapSeeds,
     turbulence: net.disturb,
     holder,
     hostOf,
     httpClientOf: http.httpClientOf,
-    cutOff,
+    cutOff: isolate,
     call,
     operator,
     traffic,
     run,
     until,
-    finish,
+    finish: runUntilSettled,
     check,
     allReady,
     load,
--- a/src/sim/sim-http.ts
+++ b/src/sim/sim-http.ts
@@ -1,3 +1,4 @@
+/** Simulated HTTP between processes, with delays, partitions and killed servers. */
 import { err, ok } from '../base/result.js';
 import type { Result } from '../base/result.js';
 import type {
@@ -13,8 +14,9 @@
 import type { Address, Listener, WireError } from '../transport/wire.js';
 import type { Host, Proc, World } from './world.js';
 
-type Open = { readonly proc: Proc; readonly routes: readonly Route[] };
+type OpenServer = { readonly proc: Proc; readonly routes: readonly Route[] };
 
+/** HTTP servers and clients of processes; `calls` counts the calls of all clients. */
 export type SimHttp = {
   readonly httpServerOf: (proc: Proc) => HttpServer;
   readonly httpClientOf: (proc: Proc) => HttpClient;
@@ -23,58 +25,63 @@
 
 const CONNECT_MS = 1_000;
 
-function match(route: Route, method: string, path: string): Record<string, string> | null {
+function matchRoute(route: Route, method: string, path: string): Record<string, string> | null {
   if (route.method !== method) return null;
-  const first = route.path.split('/');
-  const second = path.split('/');
-  if (first.length !== second.length) return null;
+  const routeSegments = route.path.split('/');
+  const pathSegments = path.split('/');
+  if (routeSegments.length !== pathSegments.length) return null;
   const params: Record<string, string> = {};
-  for (let i = 0; i < first.length; i += 1) {
-    const want = first[i] as string;
-    if (want.startsWith(':')) params[want.slice(1)] = decodeURIComponent(second[i] as string);
-    else if (want !== second[i]) return null;
+  for (let i = 0; i < routeSegments.length; i += 1) {
+    const segment = routeSegments[i] as string;
+    if (segment.startsWith(':')) params[segment.slice(1)] = decodeURIComponent(pathSegments[i] as string);
+    else if (segment !== pathSegments[i]) return null;
   }
   return params;
 }
 
-function copied(value: unknown): unknown {
+function jsonCopy(value: unknown): unknown {
   return value === undefined ? undefined : (JSON.parse(JSON.stringify(value)) as unknown);
 }
 
-async function* nothing(): AsyncGenerator<Result<unknown, HttpError>> {}
+async function* noLines(): AsyncGenerator<Result<unknown, HttpError>> {}
 
-type Item = { readonly queue: Result<unknown, HttpError> | null };
+type ReceivedItem = { readonly result: Result<unknown, HttpError> | null };
 
-export type BodySeen = (host: Host, path: string, body: unknown) => void;
+/** Called when a server reads the body of a request. */
+export type OnBody = (host: Host, path: string, body: unknown) => void;
 
-export function createSimHttp(world: World, onBody: BodySeen): SimHttp {
-  const httpServers = new Map<Address, Open>();
-  const onDeath = new Map<Host, Set<() => void>>();
-  let made = 0;
+/**
+ * Creates the simulated HTTP transport. If a partition keeps a call from reaching its server, half of such calls fail
+ * as never sent and the other half time out.
+ */
+export function createSimHttp(world: World, onBody: OnBody): SimHttp {
+  const httpServers = new Map<Address, OpenServer>();
+  const killListeners = new Map<Host, Set<() => void>>();
+  let callCount = 0;
 
   function onKill(host: Host): void {
-    for (const [address, open] of httpServers) if (open.proc.host === host) httpServers.delete(address);
-    const fns = onDeath.get(host);
-    onDeath.delete(host);
-    for (const callback of fns ?? []) callback();
+    for (const [address, openServer] of httpServers) if (openServer.proc.host === host) httpServers.delete(address);
+    const listeners = killListeners.get(host);
+    killListeners.delete(host);
+    for (const callback of listeners ?? []) callback();
   }
   world.onKill(onKill);
 
-  function watchDeath(host: Host, callback: () => void): () => void {
-    const set = onDeath.get(host) ?? new Set();
-    set.add(callback);
-    onDeath.set(host, set);
-    function off(): void {
-      set.delete(callback);
+  function onHostKilled(host: Host, callback: () => void): () => void {
+    const listeners = killListeners.get(host) ?? new Set();
+    listeners.add(callback);
+    killListeners.set(host, listeners);
+    function unsubscribe(): void {
+      listeners.delete(callback);
     }
-    return off;
+    return unsubscribe;
   }
 
   function httpServerOf(proc: Proc): HttpServer {
     function open(address: Address, routes: readonly Route[]): Promise<Result<Listener, WireError>> {
       if (httpServers.has(address)) return Promise.resolve(err({ tag: 'addressInUse', address }));
       httpServers.set(address, { proc, routes });
-      world.own(address, proc.host);
+      world.registerAddress(address, proc.host);
       function close(): Promise<void> {
         httpServers.delete(address);
         return Promise.resolve();
@@ -86,7 +93,7 @@
 
   function httpClientOf(proc: Proc): HttpClient {
     function call(httpCall: HttpCall): Promise<Result<HttpAnswer, HttpError>> {
-      made += 1;
+      callCount += 1;
       function start(resolve: (result: Result<HttpAnswer, HttpError>) => void): void {
         exchange(proc, httpCall, resolve);
       }
@@ -96,86 +103,86 @@
   }
 
   function exchange(proc: Proc, call: HttpCall, resolve: (result: Result<HttpAnswer, HttpError>) => void): void {
-    let answered = false;
-    let over = false;
+    let isSettled = false;
+    let isOver = false;
     const target = world.ownerOf(call.address);
-    const deadline = world.at(Math.min(call.timeoutMs, 2 ** 31), expire);
-    let broke: ((httpError: HttpError) => void) | null = null;
-    call.signal?.addEventListener('abort', aborted);
-    function aborted(): void {
-      if (!answered) linearizableRead(err({ tag: 'broken' }));
+    const timeoutTimer = world.at(Math.min(call.timeoutMs, 2 ** 31), onTimeout);
+    let failStream: ((httpError: HttpError) => void) | null = null;
+    call.signal?.addEventListener('abort', onAbort);
+    function onAbort(): void {
+      if (!isSettled) settle(err({ tag: 'broken' }));
       else abandon();
     }
 
-    function linearizableRead(result: Result<HttpAnswer, HttpError>): void {
-      if (answered) return;
-      answered = true;
+    function settle(result: Result<HttpAnswer, HttpError>): void {
+      if (isSettled) return;
+      isSettled = true;
       if (!result.ok || !call.stream) finish();
-      world.run(proc, go);
-      function go(): void {
+      world.run(proc, deliver);
+      function deliver(): void {
         resolve(result);
       }
     }
     function finish(): void {
-      over = true;
-      deadline.cancel();
+      isOver = true;
+      timeoutTimer.cancel();
     }
-    function expire(): void {
-      if (answered) broke?.({ tag: 'timedOut' });
-      else linearizableRead(err({ tag: 'timedOut' }));
-      over = true;
+    function onTimeout(): void {
+      if (isSettled) failStream?.({ tag: 'timedOut' });
+      else settle(err({ tag: 'timedOut' }));
+      isOver = true;
     }
-    function neverSent(): void {
-      linearizableRead(err({ tag: 'neverSent' }));
+    function failNeverSent(): void {
+      settle(err({ tag: 'neverSent' }));
     }
     if (!target || !target.powered) {
-      world.at(Math.min(CONNECT_MS, call.timeoutMs), neverSent);
+      world.at(Math.min(CONNECT_MS, call.timeoutMs), failNeverSent);
       return;
     }
-    const there = target;
-    if (world.isCut(proc.host, there) || world.isCut(there, proc.host)) {
-      if (world.isCut(proc.host, there) && world.rng.next() < 0.5)
-        world.at(Math.min(CONNECT_MS, call.timeoutMs), neverSent);
-      else if (!world.isCut(proc.host, there)) world.at(world.delay(proc.host, there), arrive);
+    const targetHost = target;
+    if (world.isCut(proc.host, targetHost) || world.isCut(targetHost, proc.host)) {
+      if (world.isCut(proc.host, targetHost) && world.rng.next() < 0.5)
+        world.at(Math.min(CONNECT_MS, call.timeoutMs), failNeverSent);
+      else if (!world.isCut(proc.host, targetHost)) world.at(world.delay(proc.host, targetHost), onArrival);
       return;
     }
-    world.at(world.delay(proc.host, there), arrive);
+    world.at(world.delay(proc.host, targetHost), onArrival);
 
-    function arrive(): void {
+    function onArrival(): void {
       const httpServer = httpServers.get(call.address);
       if (!httpServer || !world.alive(httpServer.proc)) {
-        back(neverSent);
+        sendBack(failNeverSent);
         return;
       }
-      const off = watchDeath(there, died);
-      function died(): void {
-        if (!there.powered) return;
-        back(fail);
+      const unsubscribe = onHostKilled(targetHost, onServerKilled);
+      function onServerKilled(): void {
+        if (!targetHost.powered) return;
+        sendBack(failBroken);
       }
-      function fail(): void {
-        if (answered) broke?.({ tag: 'broken' });
-        else linearizableRead(err({ tag: 'broken' }));
+      function failBroken(): void {
+        if (isSettled) failStream?.({ tag: 'broken' });
+        else settle(err({ tag: 'broken' }));
       }
-      const open = httpServer;
-      const cameAt = world.now();
-      world.run(open.proc, serve);
+      const openServer = httpServer;
+      const arrivedAt = world.now();
+      world.run(openServer.proc, serve);
       function serve(): void {
-        void handle(open, off, cameAt);
+        void handle(openServer, unsubscribe, arrivedAt);
       }
     }
 
-    function back(callback: () => void): void {
-      if (world.isCut(there, proc.host)) return;
-      world.at(world.delay(there, proc.host), callback);
+    function sendBack(callback: () => void): void {
+      if (world.isCut(targetHost, proc.host)) return;
+      world.at(world.delay(targetHost, proc.host), callback);
     }
 
-    async function handle(httpServer: Open, off: () => void, cameAt: number): Promise<void> {
+    async function handle(httpServer: OpenServer, unsubscribe: () => void, arrivedAt: number): Promise<void> {
       const [path, search] = call.path.split('?') as [string, string | undefined];
       const query: Record<string, string> = {};
       for (const [key, value] of new URLSearchParams(search ?? '')) query[key] = value;
       let reply: HttpReply = { status: 404, body: { error: { tag: 'unknownPath' } } };
       for (const route of httpServer.routes) {
-        const params = match(route, call.method, path);
+        const params = matchRoute(route, call.method, path);
         if (!params) continue;
         const req: HttpRequest = {
           method: call.method,
@@ -183,42 +190,42 @@
           params,
           query,
           headers: { ...call.headers },
-          body: copied(call.body),
+          body: jsonCopy(call.body),
           gone,
-          cameAt,
+          cameAt: arrivedAt,
         };
-        const early = route.gate?.({ ...req, body: undefined });
-        if (!early) onBody(httpServer.proc.host, path, req.body);
-        reply = early ?? (await route.handle(req));
+        const earlyReply = route.gate?.({ ...req, body: undefined });
+        if (!earlyReply) onBody(httpServer.proc.host, path, req.body);
+        reply = earlyReply ?? (await route.handle(req));
         break;
       }
       if (!world.alive(httpServer.proc)) return;
       const lines = reply.lines;
-      const sent = reply.text ?? copied(reply.body) ?? null;
-      const given = reply;
+      const sent = reply.text ?? jsonCopy(reply.body) ?? null;
+      const finalReply = reply;
       if (!lines) {
-        off();
-        back(whole);
+        unsubscribe();
+        sendBack(settleComplete);
         return;
       }
-      const items: Item[] = [];
+      const items: ReceivedItem[] = [];
       let wake: (() => void) | null = null;
-      let lastAt = 0;
-      broke = breakOff;
-      function enqueue(item: Item): void {
+      let lastArrivalAt = 0;
+      failStream = endWithError;
+      function enqueue(item: ReceivedItem): void {
         items.push(item);
-        world.run(proc, poke);
+        world.run(proc, wakeReader);
       }
-      function poke(): void {
+      function wakeReader(): void {
         wake?.();
         wake = null;
       }
-      function breakOff(fault: HttpError): void {
-        over = true;
-        enqueue({ queue: err(fault) });
-        enqueue({ queue: null });
+      function endWithError(fault: HttpError): void {
+        isOver = true;
+        enqueue({ result: err(fault) });
+        enqueue({ result: null });
       }
-      async function* received(): AsyncGenerator<Result<unknown, HttpError>> {
+      async function* receivedLines(): AsyncGenerator<Result<unknown, HttpError>> {
         try {
           for (;;) {
             const item = items.shift();
@@ -226,9 +233,9 @@
               await new Promise<void>(waitForItem);
               continue;
             }
-            if (item.queue === null) return;
-            yield item.queue;
-            if (!item.queue.ok) return;
+            if (item.result === null) return;
+            yield item.result;
+            if (!item.result.ok) return;
           }
         } finally {
           finish();
@@ -237,44 +244,50 @@
       function waitForItem(resolveItem: () => void): void {
         wake = resolveItem;
       }
-      function post(item: Item): void {
-        if (world.isCut(there, proc.host)) return;
-        const at = Math.max(lastAt + 0.001, world.now() + world.delay(there, proc.host));
-        lastAt = at;
-        world.at(at - world.now(), arriveItem);
-        function arriveItem(): void {
-          if (!over) enqueue(item);
+      function sendItem(item: ReceivedItem): void {
+        if (world.isCut(targetHost, proc.host)) return;
+        const at = Math.max(lastArrivalAt + 0.001, world.now() + world.delay(targetHost, proc.host));
+        lastArrivalAt = at;
+        world.at(at - world.now(), onItemArrival);
+        function onItemArrival(): void {
+          if (!isOver) enqueue(item);
         }
       }
-      back(streaming);
+      sendBack(settleStreaming);
       for await (const line of lines) {
-        if (over) break;
-        post({ queue: ok(copied(line)) });
+        if (isOver) break;
+        sendItem({ result: ok(jsonCopy(line)) });
       }
-      off();
-      post({ queue: null });
-      function streaming(): void {
-        linearizableRead(
-          ok({ status: given.status, headers: given.headers ?? {}, body: null, lines: received(), abandon }),
+      unsubscribe();
+      sendItem({ result: null });
+      function settleStreaming(): void {
+        settle(
+          ok({
+            status: finalReply.status,
+            headers: finalReply.headers ?? {},
+            body: null,
+            lines: receivedLines(),
+            abandon,
+          }),
         );
       }
-      function whole(): void {
-        linearizableRead(
-          ok({ status: given.status, headers: given.headers ?? {}, body: sent, lines: nothing(), abandon }),
+      function settleComplete(): void {
+        settle(
+          ok({ status: finalReply.status, headers: finalReply.headers ?? {}, body: sent, lines: noLines(), abandon }),
         );
       }
     }
     function abandon(): void {
-      if (!over) broke?.({ tag: 'broken' });
+      if (!isOver) failStream?.({ tag: 'broken' });
       finish();
     }
     function gone(): boolean {
-      return over || !world.alive(proc);
+      return isOver || !world.alive(proc);
     }
   }
 
   function calls(): number {
-    return made;
+    return callCount;
   }
   return { httpServerOf, httpClientOf, calls };
 }
--- a/src/sim/sim-ledger.ts
+++ b/src/sim/sim-ledger.ts
@@ -1,3 +1,4 @@
+/** A replicated log without replicas, for tests of the services that use a log. */
 import { err, ok } from '../base/result.js';
 import type { Result } from '../base/result.js';
 import type { Ledger } from '../coordination/consensus/ledger.js';
@@ -10,26 +11,34 @@
 import { createWorld } from './world.js';
 import type { World } from './world.js';
 
+/** The shared log and its faults. */
 export type SimLedger = {
   readonly world: World;
   readonly clock: Clock;
   readonly controlState: ControlState;
   readonly entryBytes: readonly number[];
   readonly fold: (id: string, command: Command) => Agreed;
+  /** The log as a server sees it that is this many milliseconds away. */
   readonly ledgerAfter: (ms: number) => Pick<Ledger, 'controlState' | 'linearizableRead' | 'propose'>;
+  /** Makes linearizable reads fail after 60 s. */
   readonly cut: (on: boolean) => void;
+  /** Drops the acknowledgements of proposals, which are still applied. */
   readonly deaf: (on: boolean) => void;
+  /** Runs the simulation until a promise is settled; null after the time limit. */
   readonly run: <T>(work: Promise<T>, limitMs?: number) => Promise<T | null>;
 };
 
-// One agreed ledger that several servers share: a proposal takes its way there, is folded, and is answered after the way back.
+/**
+ * Creates a log that several servers share: a proposal is applied after a delay, and acknowledged after the same delay
+ * again.
+ */
 export function createSimLedger(seed: number): SimLedger {
   const world = createWorld(seed);
   const clock = world.clockOf(world.begin(world.host('core', 'a')));
   const controlState = emptyControlState();
   const entryBytes: number[] = [];
   let isCut = false;
-  let isDeaf = false;
+  let dropsReplies = false;
   let proposals = 0;
 
   function fold(id: string, command: Command): Agreed {
@@ -48,33 +57,33 @@
     await delay(clock, isCut ? 60_000 : 10);
     return !isCut;
   }
-  function ledgerAfter(ms: number): Pick<Ledger, 'controlState' | 'linearizableRead' | 'propose'> {
+  function ledgerWithDelay(ms: number): Pick<Ledger, 'controlState' | 'linearizableRead' | 'propose'> {
     async function propose(draft: Draft, waitMs: number): Promise<Result<Agreed, ProposeError>> {
       await delay(clock, ms);
       proposals += 1;
-      const done = fold(draft.id ?? `op-${proposals}`, draft.act);
-      await delay(clock, isDeaf ? waitMs : ms);
-      return isDeaf ? err({ tag: 'noMajority' }) : ok(done);
+      const committed = fold(draft.id ?? `op-${proposals}`, draft.act);
+      await delay(clock, dropsReplies ? waitMs : ms);
+      return dropsReplies ? err({ tag: 'noMajority' }) : ok(committed);
     }
     return { controlState: currentControlState, linearizableRead, propose };
   }
   function cut(on: boolean): void {
     isCut = on;
   }
-  function deaf(on: boolean): void {
-    isDeaf = on;
+  function dropReplies(on: boolean): void {
+    dropsReplies = on;
   }
   async function run<T>(work: Promise<T>, limitMs = 10_000): Promise<T | null> {
-    const got: T[] = [];
-    function settled(value: T): void {
-      got.push(value);
+    const results: T[] = [];
+    function onSettled(value: T): void {
+      results.push(value);
     }
     function isDone(): boolean {
-      return got.length > 0;
+      return results.length > 0;
     }
-    void work.then(settled);
+    void work.then(onSettled);
     await world.until(limitMs, isDone);
-    return got[0] ?? null;
+    return results[0] ?? null;
   }
-  return { world, clock, controlState, entryBytes, fold, ledgerAfter, cut, deaf, run };
+  return { world, clock, controlState, entryBytes, fold, ledgerAfter: ledgerWithDelay, cut, deaf: dropReplies, run };
 }
--- a/src/sim/sim-wire.ts
+++ b/src/sim/sim-wire.ts
@@ -1,139 +1,148 @@
+/** Simulated connections between processes: delays, partitions, and delayed, duplicated and reordered frames. */
 import { err, ok } from '../base/result.js';
 import type { Result } from '../base/result.js';
 import type { Address, Connection, ConnectionEvents, Listener, Wire, WireError } from '../transport/wire.js';
-import { createLinkRates, createPipe } from './link-rates.js';
-import type { LinkRates, Pipe } from './link-rates.js';
+import { createLinkRates, createSendWindow } from './link-rates.js';
+import type { LinkRates, SendWindow } from './link-rates.js';
 import type { Host, Proc, World } from './world.js';
 
-type End = {
+type Endpoint = {
   readonly proc: Proc;
   events: ConnectionEvents | null;
   closed: boolean;
-  lastAt: number;
-  readonly pipe: Pipe;
-  readonly early: unknown[];
-  readonly held: Held[];
+  lastArrivalAt: number;
+  readonly sendWindow: SendWindow;
+  readonly unreadFrames: unknown[];
+  readonly blockedFrames: BlockedFrame[];
 };
-type Held = { readonly body: string | null; readonly since: number };
-type Listening = { readonly proc: Proc; readonly onConnection: (connection: Connection) => void };
+type BlockedFrame = { readonly body: string | null; readonly since: number };
+type OpenListener = { readonly proc: Proc; readonly onConnection: (connection: Connection) => void };
 
-export type Turbulence = { readonly slow: number; readonly twice: number; readonly overtake: number };
+/** Probabilities that a frame is delayed by up to 400 ms, delivered twice, or may overtake earlier frames. */
+export type FrameDisturbance = { readonly slow: number; readonly twice: number; readonly overtake: number };
 
-export const CALM: Turbulence = { slow: 0, twice: 0, overtake: 0 };
-const SLOW_MS = 400;
+/** No disturbance of frames. */
+export const CALM: FrameDisturbance = { slow: 0, twice: 0, overtake: 0 };
+const MAX_EXTRA_DELAY_MS = 400;
 
+/** The simulated network; `sent` counts the frames and bytes of all processes. */
 export type SimNet = {
-  readonly disturb: (turbulence: Turbulence) => void;
+  readonly disturb: (newDisturbance: FrameDisturbance) => void;
   readonly rates: LinkRates;
   readonly wireOf: (proc: Proc) => Wire;
   readonly sent: () => { readonly frames: number; readonly bytes: number };
 };
 
 const DIAL_TIMEOUT_MS = 1_000;
-const HELD_MOST_MS = 6_000;
+const MAX_BLOCKED_MS = 6_000;
 
+/**
+ * Creates the network. Frames on a partitioned link wait until it heals; if one has then waited for more than 6 s, both
+ * ends of the connection are closed, as after a TCP timeout.
+ */
 export function createSimNet(world: World): SimNet {
-  const listeners = new Map<Address, Listening>();
-  const pairs = new Set<readonly [End, End]>();
+  const listeners = new Map<Address, OpenListener>();
+  const endpointPairs = new Set<readonly [Endpoint, Endpoint]>();
   const rates = createLinkRates();
   let frames = 0;
   let bytes = 0;
-  let air = CALM;
+  let disturbance = CALM;
 
-  function disturb(turbulence: Turbulence): void {
-    air = turbulence;
+  function setFrameDisturbance(newDisturbance: FrameDisturbance): void {
+    disturbance = newDisturbance;
   }
 
   function onKill(host: Host): void {
     for (const [address, listening] of listeners) if (listening.proc.host === host) listeners.delete(address);
-    for (const pair of [...pairs]) {
+    for (const pair of [...endpointPairs]) {
       const [end, farEnd] = pair;
       if (end.proc.host !== host && farEnd.proc.host !== host) continue;
-      const gone = end.proc.host === host ? end : farEnd;
-      const left = gone === end ? farEnd : end;
-      gone.closed = true;
-      if (host.powered) deliver(gone, left, null);
+      const killedEnd = end.proc.host === host ? end : farEnd;
+      const survivingEnd = killedEnd === end ? farEnd : end;
+      killedEnd.closed = true;
+      if (host.powered) deliver(killedEnd, survivingEnd, null);
     }
   }
   world.onKill(onKill);
 
   function onHeal(): void {
-    for (const [end, farEnd] of pairs) {
-      flush(end, farEnd);
-      flush(farEnd, end);
+    for (const [end, farEnd] of endpointPairs) {
+      sendBlocked(end, farEnd);
+      sendBlocked(farEnd, end);
     }
   }
   world.onHeal(onHeal);
 
-  function flush(from: End, to: End): void {
-    if (from.held.length === 0 || world.isCut(from.proc.host, to.proc.host)) return;
-    const held = from.held.splice(0);
-    const stale = held.some(tooOld);
-    if (stale) {
+  function sendBlocked(from: Endpoint, to: Endpoint): void {
+    if (from.blockedFrames.length === 0 || world.isCut(from.proc.host, to.proc.host)) return;
+    const blockedFrames = from.blockedFrames.splice(0);
+    const hasExpired = blockedFrames.some(isExpired);
+    if (hasExpired) {
       closeEnd(from);
       closeEnd(to);
       return;
     }
-    for (const frame of held) post(from, to, frame.body);
-    function tooOld(held: Held): boolean {
-      return world.now() - held.since > HELD_MOST_MS;
+    for (const frame of blockedFrames) transmit(from, to, frame.body);
+    function isExpired(frame: BlockedFrame): boolean {
+      return world.now() - frame.since > MAX_BLOCKED_MS;
     }
   }
 
-  function closeEnd(end: End): void {
+  function closeEnd(end: Endpoint): void {
     if (end.closed) return;
     end.closed = true;
-    world.run(end.proc, tell);
-    function tell(): void {
+    world.run(end.proc, notifyClosed);
+    function notifyClosed(): void {
       end.events?.closed();
     }
   }
 
-  function deliver(from: End, to: End, body: string | null): void {
-    if (world.isCut(from.proc.host, to.proc.host) || from.held.length > 0) {
-      from.held.push({ body, since: world.now() });
+  function deliver(from: Endpoint, to: Endpoint, body: string | null): void {
+    if (world.isCut(from.proc.host, to.proc.host) || from.blockedFrames.length > 0) {
+      from.blockedFrames.push({ body, since: world.now() });
       return;
     }
-    post(from, to, body);
+    transmit(from, to, body);
   }
 
-  function post(from: End, to: End, body: string | null): void {
-    const slow = air.slow > 0 && world.rng.next() < air.slow ? SLOW_MS * world.rng.next() : 0;
+  function transmit(from: Endpoint, to: Endpoint, body: string | null): void {
+    const extraDelayMs =
+      disturbance.slow > 0 && world.rng.next() < disturbance.slow ? MAX_EXTRA_DELAY_MS * world.rng.next() : 0;
     const delayMs = world.delay(from.proc.host, to.proc.host);
     const bytes = body === null ? 0 : body.length;
-    const hold = rates.holdMs({
+    const rateDelayMs = rates.rateDelayMs({
       from: from.proc.host,
       to: to.proc.host,
       bytes,
       now: world.now(),
       delayMs,
-      pipe: from.pipe,
+      sendWindow: from.sendWindow,
     });
-    const due = world.now() + hold + delayMs + slow;
-    const overtakes = body !== null && air.overtake > 0 && world.rng.next() < air.overtake;
-    const at = overtakes ? due : Math.max(from.lastAt + 0.001, due);
-    if (!overtakes) from.lastAt = at;
-    world.at(at - world.now(), arrive);
-    if (body !== null && air.twice > 0 && world.rng.next() < air.twice)
-      world.at(at - world.now() + SLOW_MS * world.rng.next(), arrive);
-    function arrive(): void {
+    const dueAt = world.now() + rateDelayMs + delayMs + extraDelayMs;
+    const overtakes = body !== null && disturbance.overtake > 0 && world.rng.next() < disturbance.overtake;
+    const at = overtakes ? dueAt : Math.max(from.lastArrivalAt + 0.001, dueAt);
+    if (!overtakes) from.lastArrivalAt = at;
+    world.at(at - world.now(), onArrival);
+    if (body !== null && disturbance.twice > 0 && world.rng.next() < disturbance.twice)
+      world.at(at - world.now() + MAX_EXTRA_DELAY_MS * world.rng.next(), onArrival);
+    function onArrival(): void {
       if (!world.alive(to.proc)) {
         if (to.proc.host.powered && body !== null) deliver(to, from, null);
         return;
       }
-      world.run(to.proc, take);
+      world.run(to.proc, receive);
     }
-    function take(): void {
+    function receive(): void {
       if (to.closed) return;
       if (body === null) {
         to.closed = true;
         to.events?.closed();
       } else if (to.events) to.events.frame(JSON.parse(body) as unknown);
-      else to.early.push(JSON.parse(body));
+      else to.unreadFrames.push(JSON.parse(body));
     }
   }
 
-  function connectionOf(own: End, other: End, peer: string): Connection {
+  function connectionOf(own: Endpoint, other: Endpoint, peer: string): Connection {
     function send(body: unknown): void {
       if (own.closed || !world.alive(own.proc)) return;
       const text = JSON.stringify(body);
@@ -153,13 +162,21 @@
         events.closed();
         return;
       }
-      for (const body of own.early.splice(0)) events.frame(body);
+      for (const body of own.unreadFrames.splice(0)) events.frame(body);
     }
     return { peer, send, close, attach };
   }
 
-  function endOf(proc: Proc): End {
-    return { proc, events: null, closed: false, lastAt: 0, pipe: createPipe(), early: [], held: [] };
+  function endOf(proc: Proc): Endpoint {
+    return {
+      proc,
+      events: null,
+      closed: false,
+      lastArrivalAt: 0,
+      sendWindow: createSendWindow(),
+      unreadFrames: [],
+      blockedFrames: [],
+    };
   }
 
   function wireOf(proc: Proc): Wire {
@@ -169,7 +186,7 @@
     ): Promise<Result<Listener, WireError>> {
       if (listeners.has(address)) return Promise.resolve(err({ tag: 'addressInUse', address }));
       listeners.set(address, { proc, onConnection });
-      world.own(address, proc.host);
+      world.registerAddress(address, proc.host);
       function close(): Promise<void> {
         listeners.delete(address);
         return Promise.resolve();
@@ -181,35 +198,35 @@
       function start(resolve: (result: Result<Connection, WireError>) => void): void {
         const target = world.ownerOf(address);
         function fail(): void {
-          world.run(proc, failed);
+          world.run(proc, settleUnreachable);
         }
-        function failed(): void {
+        function settleUnreachable(): void {
           resolve(err({ tag: 'unreachable', address }));
         }
         if (!target || !target.powered || world.isCut(proc.host, target) || world.isCut(target, proc.host)) {
           world.at(DIAL_TIMEOUT_MS, fail);
           return;
         }
-        const there = target;
-        world.at(2 * world.delay(proc.host, there), arrive);
-        function arrive(): void {
-          const l = listeners.get(address);
-          if (!l || !world.alive(l.proc)) {
+        const targetHost = target;
+        world.at(2 * world.delay(proc.host, targetHost), onArrival);
+        function onArrival(): void {
+          const listener = listeners.get(address);
+          if (!listener || !world.alive(listener.proc)) {
             fail();
             return;
           }
-          const ours = endOf(proc);
-          const theirs = endOf(l.proc);
-          pairs.add([ours, theirs]);
-          function accept(): void {
-            l?.onConnection(connectionOf(theirs, ours, proc.host.name));
+          const localEnd = endOf(proc);
+          const remoteEnd = endOf(listener.proc);
+          endpointPairs.add([localEnd, remoteEnd]);
+          function onAccepted(): void {
+            listener?.onConnection(connectionOf(remoteEnd, localEnd, proc.host.name));
           }
-          world.run(l.proc, accept);
-          function connected(): void {
-            resolve(ok(connectionOf(ours, theirs, address)));
+          world.run(listener.proc, onAccepted);
+          function onConnected(): void {
+            resolve(ok(connectionOf(localEnd, remoteEnd, address)));
           }
-          world.run(proc, connected);
-          sweep();
+          world.run(proc, onConnected);
+          removeClosedPairs();
         }
       }
       return new Promise(start);
@@ -217,12 +234,12 @@
     return { listen, dial };
   }
 
-  function sweep(): void {
-    if (pairs.size < 2_000) return;
-    for (const pair of pairs) if (pair[0].closed && pair[1].closed) pairs.delete(pair);
+  function removeClosedPairs(): void {
+    if (endpointPairs.size < 2_000) return;
+    for (const pair of endpointPairs) if (pair[0].closed && pair[1].closed) endpointPairs.delete(pair);
   }
   function sent(): { readonly frames: number; readonly bytes: number } {
     return { frames, bytes };
   }
-  return { wireOf, sent, disturb, rates };
+  return { wireOf, sent, disturb: setFrameDisturbance, rates };
 }
--- a/src/sim/stored-data.ts
+++ b/src/sim/stored-data.ts
@@ -1,6 +1,6 @@
 /**
- * What controllers and a proxy keep on their disks, written and read back in the simulator. A fixture of such disks, made
- * by an earlier version, is opened by `stored-data.test.ts`: what was stored stays readable.
+ * Writes and reads back the disk contents of controllers and a proxy in the simulator. `stored-data.test.ts` opens a
+ * fixture of such disks that an earlier version wrote, so that stored data stays readable.
  */
 import { createClaims } from '../coordination/idempotency/claims.js';
 import { createFollower } from '../coordination/distribution/follower.js';
@@ -20,33 +20,36 @@
 import type { Platter } from './sim-disk.js';
 import { createWorld } from './world.js';
 
-/** Files of one disk by name, their bytes in base64. */
+/** Files of one disk by name, with their bytes in base64. */
 export type StoredFiles = Readonly<Record<string, string>>;
 
-/** Disks by the name of their node. */
+/** Disks by node name. */
 export type StoredDisks = Readonly<Record<string, StoredFiles>>;
 
 const DISK_BYTES = 16 * 1_048_576;
-const CLAIMED_HOUR = 500_000;
-const CLAIMS = 300;
+const CLAIM_HOUR = 500_000;
+const CLAIM_COUNT = 300;
 const BULK_ROUNDS = 8;
 const BULK_ENTRIES = 120;
-const LONG_CAUSE = 900;
+const CAUSE_LENGTH = 900;
 const PROXY = 'p1';
 const WAIT_MS = 60_000;
 
-function drop(): void {}
+function noop(): void {}
 
-/** Plays a small core that is changed, evacuates a zone, replaces a machine and holds claims, and gives its disks. */
+/**
+ * Runs a small core through configuration changes, claims, a snapshot, the replacement of a controller and the
+ * evacuation of a zone, and returns the disks.
+ */
 export async function writeStoredData(seed: number): Promise<StoredDisks> {
   const core = createSimCore(seed, { controllers: 3, seeds: 3, regionMs: 5, claims: true, diskBytes: DISK_BYTES });
   core.startAll();
   await core.until(WAIT_MS, () => core.whole(['h1', 'h2', 'h3']));
   const proxyDisk = createPlatter();
-  const proxy = await startProxyCopy(core, proxyDisk);
-  await change(core);
-  await claim(core);
-  await bulk(core);
+  const proxy = await startFollower(core, proxyDisk);
+  await changeConfiguration(core);
+  await addClaims(core);
+  await fillRing(core);
   core.add('h4');
   core.powerLoss('h2');
   core.wipe('h2');
@@ -60,7 +63,7 @@
   return disks;
 }
 
-async function startProxyCopy(core: SimCore, platter: Platter): Promise<{ readonly stop: () => void }> {
+async function startFollower(core: SimCore, platter: Platter): Promise<{ readonly stop: () => void }> {
   const lab = core.lab(PROXY);
   const world = core.world;
   const log = createQuietLog().component(PROXY);
@@ -72,10 +75,10 @@
     createFollower(self, seeds, peers, lab.clock, simDisk(platter, proc, world), log),
     WAIT_MS,
   );
-  return made ?? { stop: drop };
+  return made ?? { stop: noop };
 }
 
-async function change(core: SimCore): Promise<void> {
+async function changeConfiguration(core: SimCore): Promise<void> {
   const ledger = core.node('h1').controller?.ledger;
   if (!ledger) return;
   for (let number = 1; number <= 3; number += 1) {
@@ -112,14 +115,14 @@
   await core.finish(ledger.propose({ cause: 'It failed.', act: { tag: 'orderFailed', order: 'o1' } }, 5_000), WAIT_MS);
 }
 
-async function claim(core: SimCore): Promise<void> {
+async function addClaims(core: SimCore): Promise<void> {
   const lab = core.lab('c1');
   const peers = createPeers(lab.wire, lab.clock, createQuietLog().component('c1'));
   const state = core.node('h1').controller?.ledger.controlState();
   if (!state) return;
   const claims = [];
-  for (let i = 0; i < CLAIMS; i += 1)
-    claims.push({ key: `key-${i}`, by: 'first', born: (CLAIMED_HOUR + (i % 3)) * HOUR_MS });
+  for (let i = 0; i < CLAIM_COUNT; i += 1)
+    claims.push({ key: `key-${i}`, by: 'first', born: (CLAIM_HOUR + (i % 3)) * HOUR_MS });
   for (const member of state.members)
     await core.finish(
       peers.call(
@@ -131,8 +134,8 @@
     );
 }
 
-/** More entries than the ring holds, so that a snapshot is written. */
-async function bulk(core: SimCore): Promise<void> {
+/** Proposes more entries than the ring can hold, so that a snapshot is written. */
+async function fillRing(core: SimCore): Promise<void> {
   const ledger = core.node('h3').controller?.ledger;
   if (!ledger) return;
   for (let round = 0; round < BULK_ROUNDS; round += 1) {
@@ -141,7 +144,7 @@
       work.push(
         ledger.propose(
           {
-            cause: `Entry ${round}.${i} `.padEnd(LONG_CAUSE, '.'),
+            cause: `Entry ${round}.${i} `.padEnd(CAUSE_LENGTH, '.'),
             act: { tag: 'proxyKnown', name: `p-${i}`, zone: `zone-${round}`, region: 'region-1' },
           },
           5_000,
@@ -157,7 +160,7 @@
   return files;
 }
 
-/** The disk that these files make. */
+/** Builds a disk from stored files. */
 export function platterOf(files: StoredFiles): Platter {
   const platter = createPlatter();
   for (const [name, text] of Object.entries(files)) {
@@ -167,33 +170,33 @@
   return platter;
 }
 
-/** All that one node reads from its disk, as plain values. */
+/** Returns everything that a node reads from its disk, as plain values. */
 export async function readStoredData(name: string, files: StoredFiles): Promise<unknown> {
   const world = createWorld(1);
   const proc = world.begin(world.host(name, 'zone'));
   const disk = simDisk(platterOf(files), proc, world);
   const log = createQuietLog().component(name);
   async function finish<T>(work: Promise<T>): Promise<T> {
-    const box: { value: T | null; done: boolean } = { value: null, done: false };
+    const outcome: { value: T | null; done: boolean } = { value: null, done: false };
     void work.then((value) => {
-      box.value = value;
-      box.done = true;
+      outcome.value = value;
+      outcome.done = true;
     });
-    await world.until(WAIT_MS, () => box.done);
-    return box.value as T;
+    await world.until(WAIT_MS, () => outcome.done);
+    return outcome.value as T;
   }
   if (name === PROXY) return finish(loadControlState(disk, log));
   const shapes = shapesFor(DISK_BYTES);
   const identity = await finish(openIdentity(disk, createRng(1), null));
   const incarnation = await finish(nextIncarnation(disk, log));
-  const store = await finish(openStore(disk, shapes.ledger, drop, drop));
+  const store = await finish(openStore(disk, shapes.ledger, noop, noop));
   if (!store.ok || !identity.ok) return { store, identity };
   const state = store.value.controlState();
   const own = state.members.find((member) => member.incarnation === identity.value.incarnation);
   const claims = await finish(
     createClaims(
       { controlState: () => state, isMember: () => true, self: own } as never,
-      { on: drop, call: () => Promise.resolve({ ok: false }) } as never,
+      { on: noop, call: () => Promise.resolve({ ok: false }) } as never,
       disk,
       shapes.claims,
       world.clockOf(proc),
--- a/src/sim/world.ts
+++ b/src/sim/world.ts
@@ -1,3 +1,4 @@
+/** Discrete event simulation of hosts and processes, with a clock, a network topology and process pauses. */
 import { Heap } from 'mnemonist';
 import type { Clock, Timer } from '../transport/clock.js';
 import { turnOver } from '../transport/clock.js';
@@ -5,8 +6,17 @@
 import type { Rng } from '../transport/rng.js';
 import type { Address } from '../transport/wire.js';
 
-type Event = { readonly at: number; readonly seq: number; readonly callback: () => void; off: boolean };
+type ScheduledEvent = {
+  readonly at: number;
+  readonly seq: number;
+  readonly callback: () => void;
+  isCancelled: boolean;
+};
 
+/**
+ * A simulated machine. `life` counts the processes that ran on it; `frozen` pauses the process, whose callbacks wait in
+ * `parked`; `wallOffset` shifts its wall clock, in milliseconds.
+ */
 export type Host = {
   readonly name: string;
   readonly zone: string;
@@ -18,79 +28,103 @@
   readonly parked: (() => void)[];
 };
 
+/** One process on a host; it is alive until the host is killed or starts another process. */
 export type Proc = { readonly host: Host; readonly life: number };
 
+/** The simulation. Callbacks with the same due time run in the order in which they were scheduled. */
 export type World = {
   readonly rng: Rng;
   readonly now: () => number;
+  /** Schedules a callback after a delay in milliseconds. */
   readonly at: (ms: number, callback: () => void) => Timer;
+  /** Returns the host of this name and creates it if needed. */
   readonly host: (name: string, zone: string) => Host;
   readonly hosts: () => readonly Host[];
+  /** Starts a new process on a host; any process before it is no longer alive. */
   readonly begin: (host: Host) => Proc;
   readonly alive: (proc: Proc) => boolean;
   readonly clockOf: (proc: Proc) => Clock;
+  /** Runs a callback in a process: not at all if the process is dead, and after the thaw if it is frozen. */
   readonly run: (proc: Proc, callback: () => void) => void;
   readonly kill: (host: Host) => void;
   readonly freeze: (host: Host) => void;
   readonly thaw: (host: Host) => void;
-  readonly own: (address: Address, host: Host) => void;
+  /** Records which host an address belongs to. */
+  readonly registerAddress: (address: Address, host: Host) => void;
   readonly ownerOf: (address: Address) => Host | null;
+  /** Cuts the link from one host to another, in this direction only. */
   readonly cut: (from: string, to: string) => void;
   readonly heal: (from: string, to: string) => void;
   readonly healAll: () => void;
   readonly isCut: (from: Host, to: Host) => boolean;
+  /** Whether a link from or to this host is cut. */
   readonly isTouched: (name: string) => boolean;
   readonly onHeal: (callback: () => void) => void;
   readonly onKill: (callback: (host: Host) => void) => void;
   readonly setDelay: (zoneA: string, zoneB: string, ms: number) => void;
+  /** Draws the one-way delay of a frame between two hosts, in milliseconds. */
   readonly delay: (from: Host, to: Host) => number;
-  readonly advance: (ms: number, everyStep?: () => void) => Promise<void>;
-  readonly until: (limitMs: number, test: () => boolean, everyStep?: () => void) => Promise<boolean>;
+  /** Runs the simulation for this many milliseconds. */
+  readonly advance: (ms: number, afterStep?: () => void) => Promise<void>;
+  /** Runs the simulation until the test passes; false after the time limit. */
+  readonly until: (limitMs: number, test: () => boolean, afterStep?: () => void) => Promise<boolean>;
+  /** Number of events handled so far. */
   readonly events: () => number;
 };
 
+/** Wall clock time at the start of a simulation, in milliseconds since the epoch. */
 export const SIM_WALL = 1_800_000_000_000;
 const SAME_ZONE_MS = 0.3;
 
-function earlier(left: Event, right: Event): number {
+function compareEvents(left: ScheduledEvent, right: ScheduledEvent): number {
   return left.at - right.at || left.seq - right.seq;
 }
 
+/** Creates a simulation with a seeded random number generator. */
 export function createWorld(seed: number): World {
   const rng = createRng(seed);
-  const heap = new Heap<Event>(earlier);
+  const heap = new Heap<ScheduledEvent>(compareEvents);
   const hosts = new Map<string, Host>();
   const owners = new Map<Address, Host>();
   const cuts = new Set<string>();
   const delays = new Map<string, number>();
-  const healers: (() => void)[] = [];
-  const killers: ((host: Host) => void)[] = [];
+  const healListeners: (() => void)[] = [];
+  const killListeners: ((host: Host) => void)[] = [];
   let time = 0;
   let seq = 0;
-  let handled = 0;
+  let handledEvents = 0;
 
   function now(): number {
     return time;
   }
   function at(ms: number, callback: () => void): Timer {
-    const event: Event = { at: time + Math.max(0, ms), seq: (seq += 1), callback, off: false };
+    const event: ScheduledEvent = { at: time + Math.max(0, ms), seq: (seq += 1), callback, isCancelled: false };
     heap.push(event);
     function cancel(): void {
-      event.off = true;
+      event.isCancelled = true;
     }
     return { cancel };
   }
   function host(name: string, zone: string): Host {
-    const have = hosts.get(name);
-    if (have) return have;
-    const made: Host = { name, zone, life: 0, running: false, frozen: false, powered: true, wallOffset: 0, parked: [] };
-    hosts.set(name, made);
-    return made;
+    const existing = hosts.get(name);
+    if (existing) return existing;
+    const created: Host = {
+      name,
+      zone,
+      life: 0,
+      running: false,
+      frozen: false,
+      powered: true,
+      wallOffset: 0,
+      parked: [],
+    };
+    hosts.set(name, created);
+    return created;
   }
   function allHosts(): readonly Host[] {
     return [...hosts.values()];
   }
-  function begin(host: Host): Proc {
+  function startProcess(host: Host): Proc {
     host.life += 1;
     host.running = true;
     host.frozen = false;
@@ -104,11 +138,11 @@
   function run(proc: Proc, callback: () => void): void {
     if (!alive(proc)) return;
     if (proc.host.frozen) {
-      proc.host.parked.push(later);
+      proc.host.parked.push(runIfAlive);
       return;
     }
     callback();
-    function later(): void {
+    function runIfAlive(): void {
       if (alive(proc)) callback();
     }
   }
@@ -123,14 +157,14 @@
       function fire(): void {
         run(proc, fired);
       }
-      let off = false;
+      let isCancelled = false;
       function fired(): void {
-        if (!off) callback();
+        if (!isCancelled) callback();
       }
-      const inner = at(ms, fire);
+      const scheduled = at(ms, fire);
       function cancel(): void {
-        off = true;
-        inner.cancel();
+        isCancelled = true;
+        scheduled.cancel();
       }
       return { cancel };
     }
@@ -141,17 +175,17 @@
     host.running = false;
     host.frozen = false;
     host.parked.length = 0;
-    for (const callback of killers) callback(host);
+    for (const callback of killListeners) callback(host);
   }
   function freeze(host: Host): void {
     host.frozen = true;
   }
   function thaw(host: Host): void {
     host.frozen = false;
-    const waiting = host.parked.splice(0);
-    for (const callback of waiting) callback();
+    const callbacks = host.parked.splice(0);
+    for (const callback of callbacks) callback();
   }
-  function own(address: Address, host: Host): void {
+  function registerAddress(address: Address, host: Host): void {
     owners.set(address, host);
   }
   function ownerOf(address: Address): Host | null {
@@ -162,11 +196,11 @@
   }
   function heal(from: string, to: string): void {
     cuts.delete(`${from}>${to}`);
-    for (const callback of healers) callback();
+    for (const callback of healListeners) callback();
   }
   function healAll(): void {
     cuts.clear();
-    for (const callback of healers) callback();
+    for (const callback of healListeners) callback();
   }
   function isCut(from: Host, to: Host): boolean {
     return cuts.has(`${from.name}>${to.name}`);
@@ -176,9 +210,9 @@
     for (const pair of cuts) if (pair.startsWith(`${name}>`) || pair.endsWith(`>${name}`)) return true;
     return false;
   }
-  function setDelay(address: string, second: string, ms: number): void {
-    delays.set(`${address}|${second}`, ms);
-    delays.set(`${second}|${address}`, ms);
+  function setDelay(zoneA: string, zoneB: string, ms: number): void {
+    delays.set(`${zoneA}|${zoneB}`, ms);
+    delays.set(`${zoneB}|${zoneA}`, ms);
   }
   function delay(from: Host, to: Host): number {
     const base = from.zone === to.zone ? SAME_ZONE_MS : (delays.get(`${from.zone}|${to.zone}`) ?? 1);
@@ -190,35 +224,35 @@
     if (!next || next.at > limit) return false;
     heap.pop();
     time = next.at;
-    if (next.off) return true;
-    handled += 1;
+    if (next.isCancelled) return true;
+    handledEvents += 1;
     next.callback();
     await turnOver();
     return true;
   }
-  async function advance(ms: number, everyStep?: () => void): Promise<void> {
+  async function advance(ms: number, afterStep?: () => void): Promise<void> {
     const end = time + ms;
     await turnOver();
-    while (await step(end)) everyStep?.();
+    while (await step(end)) afterStep?.();
     time = end;
   }
-  async function until(limitMs: number, test: () => boolean, everyStep?: () => void): Promise<boolean> {
+  async function until(limitMs: number, test: () => boolean, afterStep?: () => void): Promise<boolean> {
     const end = time + limitMs;
     await turnOver();
     while (!test()) {
       if (!(await step(end))) return test();
-      everyStep?.();
+      afterStep?.();
     }
     return true;
   }
   function events(): number {
-    return handled;
+    return handledEvents;
   }
   function onHeal(callback: () => void): void {
-    healers.push(callback);
+    healListeners.push(callback);
   }
   function onKill(callback: (host: Host) => void): void {
-    killers.push(callback);
+    killListeners.push(callback);
   }
   return {
     rng,
@@ -226,14 +260,14 @@
     at,
     host,
     hosts: allHosts,
-    begin,
+    begin: startProcess,
     alive,
     clockOf,
     run,
     kill,
     freeze,
     thaw,
-    own,
+    registerAddress,
     ownerOf,
     cut,
     heal,
