--- a/src/coordination/configuration/configuration-service.test.ts
+++ b/src/coordination/configuration/configuration-service.test.ts
@@ -36,7 +36,7 @@
 function createSharedLedger() {
   const sim = createSimLedger(5);
   const serviceAfter = (ms: number): ConfigurationService =>
-    createConfigurationService({ ledger: sim.ledgerAfter(ms), clock: sim.clock, ...COMMON_DEPS });
+    createConfigurationService({ ledger: sim.ledgerWithDelay(ms), clock: sim.clock, ...COMMON_DEPS });
   const currentServing = (): Serving => sim.controlState.configuration.serving as Serving;
   return { ...sim, serviceAfter, currentServing };
 }
@@ -70,7 +70,7 @@
     const sim = createSharedLedger();
     const most = { configuration: JSON.stringify(createServing(8, 40)).length + 200, change: Infinity };
     const service = createConfigurationService({
-      ledger: sim.ledgerAfter(5),
+      ledger: sim.ledgerWithDelay(5),
       clock: sim.clock,
       ...COMMON_DEPS,
       most,
@@ -89,7 +89,7 @@
     const sim = createSharedLedger();
     const most = { configuration: Infinity, change: 10_000 };
     const service = createConfigurationService({
-      ledger: sim.ledgerAfter(5),
+      ledger: sim.ledgerWithDelay(5),
       clock: sim.clock,
       ...COMMON_DEPS,
       most,
@@ -285,7 +285,7 @@
       const sim = createSharedLedger();
       await sim.run(sim.serviceAfter(5).replace(0, createServing(7), 'a'));
       const slowService = createConfigurationService({
-        ledger: sim.ledgerAfter(700),
+        ledger: sim.ledgerWithDelay(700),
         clock: sim.clock,
         ...COMMON_DEPS,
         agreementTimeoutMs: 300,
@@ -348,9 +348,9 @@
     expect(await sim.run(service.read(), 1_000)).toEqual(err({ tag: 'noMajority' }));
     expect(await sim.run(service.evacuate('z', true, WAITING_CALLER), 1_000)).toEqual(err({ tag: 'noMajority' }));
     sim.cut(false);
-    sim.deaf(true);
+    sim.dropReplies(true);
     expect(await sim.run(service.replace(0, createServing(7), 'a'))).toEqual(err({ tag: 'noMajority' }));
-    sim.deaf(false);
+    sim.dropReplies(false);
     expect(await sim.run(service.replace(0, createServing(7), 'a'))).toEqual(TAKEN(7));
     expect(sim.controlState.slot).toBe(0);
   });
@@ -394,8 +394,8 @@
   test('an order is not proposed by a process that was paused while it read from a majority', async () => {
     const sim = createSharedLedger();
     const pausedHost = sim.world.host('frozen', 'a');
-    const clock = sim.world.clockOf(sim.world.begin(pausedHost));
-    const ledgerWithDelay = { ...sim.ledgerAfter(5), linearizableRead: () => delay(clock, 10).then(() => true) };
+    const clock = sim.world.clockOf(sim.world.startProcess(pausedHost));
+    const ledgerWithDelay = { ...sim.ledgerWithDelay(5), linearizableRead: () => delay(clock, 10).then(() => true) };
     const call = createConfigurationService({ ledger: ledgerWithDelay, clock, ...COMMON_DEPS }).evacuate(
       'z',
       true,
@@ -415,10 +415,10 @@
   test('an order that may have been waiting unread during a process pause is rejected; one sent a second later is accepted', async () => {
     const sim = createSharedLedger();
     const frozen = sim.world.host('frozen', 'a');
-    const clock = sim.world.clockOf(sim.world.begin(frozen));
+    const clock = sim.world.clockOf(sim.world.startProcess(frozen));
     const processPause = watchProcessPauses(clock, CALLER_TIMEOUT_MS);
     const resumedService = createConfigurationService({
-      ledger: sim.ledgerAfter(5),
+      ledger: sim.ledgerWithDelay(5),
       clock,
       ...COMMON_DEPS,
       processPause,
--- a/src/coordination/configuration/operator-identity.test.ts
+++ b/src/coordination/configuration/operator-identity.test.ts
@@ -38,18 +38,18 @@
     return createConfigurationService({ ...controller, clock, log: createQuietLog().component('operator') });
   }
   function replace(node: string, base: number, number: number, digest = `${base}-${number}`): Promise<unknown> {
-    return core.finish(serviceOf(node).replace(base, createServing(number), digest), 10_000);
+    return core.runUntilSettled(serviceOf(node).replace(base, createServing(number), digest), 10_000);
   }
   async function ordinaryEntries(node: string): Promise<void> {
     const ledger = core.node(node).controller?.ledger;
     const all = Array.from({ length: ORDINARY_ENTRIES }, async (_, target) =>
       ledger?.propose({ cause: 'A test.', act: { tag: 'targetChanged', model: 'm', target } }, 9_000),
     );
-    const agreed = await core.finish(Promise.all(all), 10_000);
+    const agreed = await core.runUntilSettled(Promise.all(all), 10_000);
     expect(agreed?.every((result) => result?.ok)).toBe(true);
   }
   async function numberAt(node: string): Promise<number> {
-    const read = await core.finish(serviceOf(node).read(), 10_000);
+    const read = await core.runUntilSettled(serviceOf(node).read(), 10_000);
     return read?.ok ? read.value.number : -1;
   }
   return { core, operator: { replace, ordinaryEntries, numberAt } };
@@ -90,7 +90,7 @@
     const command = { tag: 'targetChanged' as const, model: `${n}-`.repeat(40), target: n };
     const cause = 'x'.repeat(1_000);
     const steps = Array.from({ length: 90 }, () => ({ cause, act: command }));
-    await core.finish(
+    await core.runUntilSettled(
       Promise.resolve(ledger?.propose({ cause: 'A test.', act: { tag: 'decided', steps } }, 1_500)),
       5_000,
     );
@@ -122,7 +122,7 @@
     await submitTwoChanges(operator);
     core.powerLoss('h3');
     await operator.ordinaryEntries('h2');
-    const successor = core.add('h4').name;
+    const successor = core.addNode('h4').name;
     core.seeds(['h1', 'h2']);
     core.start(successor);
     const members = ['h1', 'h2', successor];
@@ -145,7 +145,7 @@
   core.startAll();
   expect(await core.until(4_000, () => core.whole(CONTROLLERS))).toBe(true);
   async function post(node: string, path: string, body: object): Promise<OperatorResponse> {
-    const response = await core.finish(
+    const response = await core.runUntilSettled(
       httpClient.call({ method: 'POST', address: `${core.node(node).wire}0`, path, body, timeoutMs: 8_000 }),
       10_000,
     );
@@ -163,7 +163,7 @@
   const all = Array.from({ length: ORDINARY_ENTRIES }, async (_, target) =>
     ledger?.propose({ cause: 'A test.', act: { tag: 'targetChanged', model: 'm', target } }, 9_000),
   );
-  expect((await core.finish(Promise.all(all), 10_000))?.every((result) => result?.ok)).toBe(true);
+  expect((await core.runUntilSettled(Promise.all(all), 10_000))?.every((result) => result?.ok)).toBe(true);
 }
 
 test('a change with an operation id is recognised after ordinary entries; another id on the same version is stale', async () => {
--- a/src/coordination/consensus/catch-up.test.ts
+++ b/src/coordination/consensus/catch-up.test.ts
@@ -4,9 +4,9 @@
   addOrders,
   bootstrapped,
   controllerBehind,
-  NARROW,
+  NARROW_LINKS,
   proxyBehind,
-  stepOrders,
+  advanceOrders,
 } from '../../sim/lag-scenarios.js';
 import type { SimCore } from '../../sim/sim-core.js';
 import { foldBatch, isControlState } from '../../state/consensus/control-state.js';
@@ -38,7 +38,7 @@
 
 /** Builds a state of about 3 MB whose slots are no longer kept, so that a lagging controller needs a snapshot. */
 async function coreWithLargeState(seed: number): Promise<SimCore> {
-  const core = await bootstrapped(seed, NARROW);
+  const core = await bootstrapped(seed, NARROW_LINKS);
   core.kill('h3');
   core.rates.limitWindow(0);
   for (let n = 0; n < 8; n += 1) {
@@ -49,9 +49,9 @@
       base,
       changes: [{ path: ['deployment', `large${n}`], value: `${n}`.repeat(400_000) }],
     };
-    await core.finish(Promise.resolve(ledger?.propose({ cause: 'A test.', act: command }, 5_000)), 20_000);
+    await core.runUntilSettled(Promise.resolve(ledger?.propose({ cause: 'A test.', act: command }, 5_000)), 20_000);
   }
-  core.rates.limitWindow(NARROW.windowBytes);
+  core.rates.limitWindow(NARROW_LINKS.windowBytes);
   return core;
 }
 
@@ -60,7 +60,7 @@
     const ledger = core.node(at).controller?.ledger;
     const base = ledger?.controlState().version ?? 0;
     const command = { tag: 'configured' as const, base, changes: [{ path: ['deployment', 'small'], value: n }] };
-    await core.finish(Promise.resolve(ledger?.propose({ cause: 'A test.', act: command }, 1_500)), 3_000);
+    await core.runUntilSettled(Promise.resolve(ledger?.propose({ cause: 'A test.', act: command }, 1_500)), 3_000);
     await core.world.advance(100);
   }
 }
@@ -118,7 +118,7 @@
   test.each([1, 2, 3])(
     'a controller that lost its disk gets them (who ordered what and why) from the others again (seed %i)',
     async (seed) => {
-      const core = await bootstrapped(seed, NARROW);
+      const core = await bootstrapped(seed, NARROW_LINKS);
       await addOrders(core, 600);
       const expectedOrders = closedOrdersAt(core, 'h1');
       expect(expectedOrders.length).toBeGreaterThan(300_000);
@@ -150,7 +150,7 @@
   test.each([1, 2, 3])(
     'survive a power loss of all controllers, then the loss of two disks one after the other (seed %i)',
     async (seed) => {
-      const core = await bootstrapped(seed, NARROW);
+      const core = await bootstrapped(seed, NARROW_LINKS);
       await addOrders(core, 100);
       const expectedOrders = closedOrdersAt(core, 'h1');
       for (const name of ['h1', 'h2', 'h3']) core.powerLoss(name);
@@ -172,10 +172,10 @@
 
 describe('the state sent to a proxy', () => {
   test('applies later entries like the complete state: the same members, configuration, zones, machines', async () => {
-    const core = await bootstrapped(4, NARROW);
+    const core = await bootstrapped(4, NARROW_LINKS);
     await addOrders(core, 40);
     await addChanges(core, 5);
-    await stepOrders(core, 12, ['intended', 'placed']);
+    await advanceOrders(core, 12, ['intended', 'placed']);
     await addChanges(core, 1);
     const before = core.node('h1').controller?.ledger.since(1) ?? [];
     const fullState = structuredClone(core.node('h1').controller?.ledger.controlState() as ControlState);
@@ -183,7 +183,7 @@
     expect(isControlState(proxyCopy)).toBe(true);
     const from = fullState.slot + 1;
     expect(JSON.stringify(proxyCopy).length).toBeLessThan(JSON.stringify(fullState).length - 12 * 200);
-    await stepOrders(core, 12, ['ready', 'lost']);
+    await advanceOrders(core, 12, ['ready', 'lost']);
     await addOrders(core, 30);
     await addChanges(core, 3);
     const later = core.node('h1').controller?.ledger.since(from) ?? [];
--- a/src/coordination/consensus/core-chaos.test.ts
+++ b/src/coordination/consensus/core-chaos.test.ts
@@ -35,7 +35,7 @@
   if (faultKind === 0) core.kill(name);
   else if (faultKind === 1) core.powerLoss(name);
   else if (faultKind === 2) core.world.freeze(host);
-  else if (faultKind === 3) core.cutOff([name]);
+  else if (faultKind === 3) core.isolate([name]);
   else if (faultKind === 4) {
     core.powerLoss(name);
     core.wipe(name);
@@ -43,14 +43,14 @@
     for (const n of run.running) core.powerLoss(n);
     if (rng.next() < 0.5) core.wipe(name);
   } else {
-    const newName = core.add(`n${run.serial}`).name;
+    const newName = core.addNode(`n${run.serial}`).name;
     core.seeds(run.running.slice(0, 3));
     const startsFirst = rng.next() < 0.5;
     if (startsFirst) {
       core.start(newName);
       await core.world.advance(1_500 + randomInt(rng, 3_000));
     }
-    if (rng.next() < 0.5) await core.end(name);
+    if (rng.next() < 0.5) await core.stop(name);
     else core.powerLoss(name);
     run.running.splice(index, 1);
     if (!startsFirst) {
@@ -85,7 +85,7 @@
         await placeOrder(run, 2_000);
         await injectFault(run);
         for (const name of run.running)
-          expect(await core.evacuatedAt(name)).toEqual(expect.arrayContaining(run.acknowledged));
+          expect(await core.readEvacuatedZones(name)).toEqual(expect.arrayContaining(run.acknowledged));
       }
       expect(core.broken).toEqual([]);
     },
--- a/src/coordination/consensus/cut-off.test.ts
+++ b/src/coordination/consensus/cut-off.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, test } from '@jest/globals';
-import { watchBeats } from '../../sim/beat-watch.js';
-import type { BeatWatch } from '../../sim/beat-watch.js';
+import { checkHeartbeats } from '../../sim/heartbeat-checker.js';
+import type { HeartbeatChecker } from '../../sim/heartbeat-checker.js';
 import { createSimCore } from '../../sim/sim-core.js';
 import type { SimCore } from '../../sim/sim-core.js';
 import { randomInt } from '../../transport/rng.js';
@@ -16,7 +16,7 @@
 type Scenario = {
   readonly core: SimCore;
   readonly names: string[];
-  readonly watches: Map<string, BeatWatch>;
+  readonly watches: Map<string, HeartbeatChecker>;
   readonly zones: string[];
 };
 
@@ -25,8 +25,8 @@
   const names = core.nodes.map((n) => n.name);
   core.startAll();
   expect(await core.until(6_000, () => core.whole(names))).toBe(true);
-  const watches = new Map<string, BeatWatch>();
-  for (const name of names) watches.set(name, await watchBeats(core, name));
+  const watches = new Map<string, HeartbeatChecker>();
+  for (const name of names) watches.set(name, await checkHeartbeats(core, name));
   await core.world.advance(1_500);
   return { core, names, watches, zones: [] };
 }
@@ -51,7 +51,7 @@
 
 async function readZones(scenario: Scenario, at: string): Promise<readonly string[] | null> {
   const before = [...scenario.zones];
-  const read = await scenario.core.evacuatedAt(at);
+  const read = await scenario.core.readEvacuatedZones(at);
   if (read !== null) expect(read).toEqual(expect.arrayContaining(before));
   return read;
 }
@@ -133,7 +133,7 @@
         [first, 'h4', second],
         [second, 'h5', 'h4'],
       ] as const) {
-        scenario.core.add(replacement);
+        scenario.core.addNode(replacement);
         partition(scenario, [isolated], [replacement], 'both');
         scenario.core.seeds([remaining]);
         scenario.core.start(replacement);
@@ -145,7 +145,7 @@
               scenario.core.node(replacement).controller?.ledger.isMember() === true,
           ),
         ).toBe(true);
-        await scenario.core.end(replaced);
+        await scenario.core.stop(replaced);
         scenario.names.splice(scenario.names.indexOf(replaced), 1, replacement);
         await runTraffic(scenario, [remaining, replacement], 4_000);
       }
@@ -182,7 +182,7 @@
       const others = scenario.names.filter((name) => name !== isolated);
       partition(scenario, [isolated], others, 'both');
       await runTraffic(scenario, others, 1_000);
-      scenario.core.add('h4');
+      scenario.core.addNode('h4');
       partition(scenario, ['h4'], others, 'both');
       scenario.core.seeds([isolated]);
       scenario.core.start('h4');
--- a/src/coordination/consensus/damaged-ring.test.ts
+++ b/src/coordination/consensus/damaged-ring.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, test } from '@jest/globals';
 import { createSimCore } from '../../sim/sim-core.js';
-import type { CoreShape, SimCore } from '../../sim/sim-core.js';
-import { createPlatter, losePowerWith, simDisk, stoppingDisk } from '../../sim/sim-disk.js';
+import type { SimCoreOptions, SimCore } from '../../sim/sim-core.js';
+import { createPlatter, losePowerWith, createSimDisk, createHangingDisk } from '../../sim/sim-disk.js';
 import type { Platter } from '../../sim/sim-disk.js';
 import { createWorld } from '../../sim/world.js';
 import { formatFields } from '../../transport/log-line.js';
@@ -12,7 +12,7 @@
 
 const THREE = ['h1', 'h2', 'h3'];
 const SEEDS = [1, 2, 3, 4, 5, 6];
-const SHAPE: CoreShape = { controllers: 3, seeds: 3, regionMs: 35 };
+const SHAPE: SimCoreOptions = { controllers: 3, seeds: 3, regionMs: 35 };
 
 function createRecordingLog(): { readonly logs: LogRoot; readonly lines: string[] } {
   const lines: string[] = [];
@@ -20,7 +20,7 @@
   return { logs: { component: () => ({ info: record, warn: record, error: record }) }, lines };
 }
 
-async function bootstrapped(seed: number, shape: CoreShape, logs: LogRoot): Promise<SimCore> {
+async function bootstrapped(seed: number, shape: SimCoreOptions, logs: LogRoot): Promise<SimCore> {
   const core = createSimCore(seed, shape, logs);
   core.startAll();
   expect(await core.until(4_000, () => core.whole(THREE))).toBe(true);
@@ -53,7 +53,7 @@
       expect(lines.find((line) => line.includes('log damaged'))).toContain(`h2#${incarnation(core, 'h2')}`);
       core.kill('h1');
       expect((await core.order('h2', 'd', 4_000)).result?.ok).toBe(true);
-      expect(await core.evacuatedAt('h3')).toEqual(['a', 'b', 'c', 'd']);
+      expect(await core.readEvacuatedZones('h3')).toEqual(['a', 'b', 'c', 'd']);
       core.powerLoss('h2');
       core.start('h2');
       expect(await core.until(4_000, () => core.node('h2').controller?.ledger.isMember() === true)).toBe(true);
@@ -94,7 +94,7 @@
       return (value as { readonly v: T } | null)?.v ?? null;
     }
     function freshDisk(platter: Platter) {
-      return simDisk(platter, world.begin(world.host('h', 'z')), world);
+      return createSimDisk(platter, world.startProcess(world.host('h', 'z')), world);
     }
     async function createDamagedPlatter(): Promise<Platter> {
       const platter = createPlatter();
@@ -106,7 +106,7 @@
       return platter;
     }
     async function openOnStoppingDisk(platter: Platter, operations: number) {
-      const { disk, used } = stoppingDisk(freshDisk(platter), operations);
+      const { disk, used } = createHangingDisk(freshDisk(platter), operations);
       const log = createQuietLog().component('x');
       const renew = async () => (await disk.replace('identity', Buffer.from('new'))).ok;
       const ended = await within(
@@ -146,12 +146,12 @@
     const before = incarnation(core, 'h3');
     core.powerLoss('h3');
     core.wipe('h3');
-    for (const gone of ['g1', 'g2']) core.add(gone);
+    for (const gone of ['g1', 'g2']) core.addNode(gone);
     core.seeds(['g1', 'g2']);
     core.start('h3');
     expect(await core.until(12_000, () => core.whole(THREE))).toBe(true);
     expect(incarnation(core, 'h3')).not.toBe(before);
-    expect(await core.evacuatedAt('h3')).toEqual(['a']);
+    expect(await core.readEvacuatedZones('h3')).toEqual(['a']);
     expect(lines.filter((line) => line.includes('no seed reachable')).length).toBe(1);
     expect(core.broken).toEqual([]);
   });
--- a/src/coordination/consensus/latency.test.ts
+++ b/src/coordination/consensus/latency.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, test } from '@jest/globals';
 import { createSimCore } from '../../sim/sim-core.js';
-import type { Ordered, SimCore } from '../../sim/sim-core.js';
+import type { EvacuationResult, SimCore } from '../../sim/sim-core.js';
 
 const FAILURES = ['killed', 'without power', 'frozen', 'partitioned'] as const;
 const THREE = ['h1', 'h2', 'h3'];
@@ -18,20 +18,20 @@
   if (failure === 'killed') core.kill(name);
   else if (failure === 'without power') core.powerLoss(name);
   else if (failure === 'frozen') core.world.freeze(core.node(name).host);
-  else core.cutOff([name]);
+  else core.isolate([name]);
 }
 function recover(core: SimCore, failure: (typeof FAILURES)[number], name: string): void {
   if (failure === 'frozen') core.world.thaw(core.node(name).host);
   else if (failure === 'partitioned') core.world.healAll();
   else core.start(name);
 }
-function expectAppliedInTime(response: Ordered): void {
+function expectAppliedInTime(response: EvacuationResult): void {
   expect(response.result).toMatchObject({ ok: true, value: { outcome: { tag: 'applied' } } });
   expect(response.tookMs).toBeLessThan(1_000);
 }
 async function expectReadInTime(core: SimCore, name: string, zones: readonly string[]): Promise<void> {
   const from = core.world.now();
-  expect(await core.evacuatedAt(name)).toEqual([...zones].sort());
+  expect(await core.readEvacuatedZones(name)).toEqual([...zones].sort());
   expect(core.world.now() - from).toBeLessThan(1_000);
 }
 
@@ -85,7 +85,7 @@
   test.each([0, 1, 2])('two of five (seed %i)', async (seed) => {
     const core = await bootstrapped(700 + seed, FIVE);
     const victims = [FIVE[seed] as string, FIVE[seed + 2] as string];
-    if (failure === 'partitioned') core.cutOff(victims);
+    if (failure === 'partitioned') core.isolate(victims);
     else for (const v of victims) injectFailure(core, failure, v);
     for (const name of FIVE) if (!victims.includes(name)) expectAppliedInTime(await core.order(name, name));
     expect(core.broken).toEqual([]);
@@ -109,7 +109,7 @@
           );
         all.push(Promise.resolve(proposal).then((r) => (durationsMs.push(core.world.now() - from), r)));
       }
-      expect(await core.finish(Promise.all(all), 5_000)).toEqual(
+      expect(await core.runUntilSettled(Promise.all(all), 5_000)).toEqual(
         THREE.map(() => expect.objectContaining({ ok: true })),
       );
       expect(Math.max(...durationsMs)).toBeLessThan(1_000);
@@ -124,7 +124,7 @@
     const from = core.world.now();
     const endTimesMs: number[] = [];
     const all = [0, 1, 2, 3].map(async (n) => {
-      await core.finish(Promise.resolve(), 1);
+      await core.runUntilSettled(Promise.resolve(), 1);
       const response = await core
         .node('h1')
         .controller?.ledger.propose(
@@ -134,7 +134,7 @@
       endTimesMs.push(core.world.now() - from);
       return response?.ok;
     });
-    expect(await core.finish(Promise.all(all), 10_000)).toEqual([false, false, false, false]);
+    expect(await core.runUntilSettled(Promise.all(all), 10_000)).toEqual([false, false, false, false]);
     expect(Math.max(...endTimesMs)).toBeLessThanOrEqual(1_600);
   });
 });
--- a/src/coordination/consensus/ledger.test.ts
+++ b/src/coordination/consensus/ledger.test.ts
@@ -17,7 +17,7 @@
     base,
     changes: [{ path: ['deployment', 'note'], value: 'x'.repeat(bytes) }],
   };
-  return core.finish(Promise.resolve(ledger?.propose({ cause: 'A test.', act: command }, 1_500)), 5_000);
+  return core.runUntilSettled(Promise.resolve(ledger?.propose({ cause: 'A test.', act: command }, 1_500)), 5_000);
 }
 
 test('an order too large for a record is rejected, and does not affect later ones', async () => {
@@ -44,7 +44,7 @@
       ),
     ),
   );
-  const response = await core.finish(Promise.all(all), 5_000);
+  const response = await core.runUntilSettled(Promise.all(all), 5_000);
   expect(response?.map((r) => r?.ok)).toEqual([true, true, true]);
 });
 
--- a/src/coordination/consensus/partition.test.ts
+++ b/src/coordination/consensus/partition.test.ts
@@ -45,7 +45,7 @@
   test.each(SEEDS)('a read is never older than what was confirmed before it (seed %i)', async (seed) => {
     const core = await bootstrapped(seed, FIVE);
     partitionBetween(core, ['h1', 'h3'], ['h2', 'h4', 'h5']);
-    core.add('h6');
+    core.addNode('h6');
     partitionBetween(core, ['h1', 'h3'], ['h6']);
     core.seeds(['h2', 'h4', 'h5']);
     core.start('h6');
@@ -58,13 +58,13 @@
     await expectConfirmed(core, 'h2', 'new', 2_000);
     healBetween(core, stale, 'h5');
     for (let n = 0; n < 6; n += 1) {
-      const read = await core.evacuatedAt(stale);
+      const read = await core.readEvacuatedZones(stale);
       if (read !== null) expect(read).toContain('new');
       await core.world.advance(250);
     }
     core.world.healAll();
     expect(await core.until(8_000, () => core.whole(['h1', 'h2', 'h3', 'h4', 'h5', 'h6']))).toBe(true);
-    for (const n of core.nodes) expect(await core.evacuatedAt(n.name)).toEqual(['new']);
+    for (const n of core.nodes) expect(await core.readEvacuatedZones(n.name)).toEqual(['new']);
     expect(core.broken).toEqual([]);
   });
 });
@@ -80,7 +80,7 @@
       const isolated = names[seed % names.length] as string;
       const others = names.filter((name) => name !== isolated);
       await expectConfirmed(core, isolated, 'before', 1_500);
-      core.cutOff([isolated]);
+      core.isolate([isolated]);
       const abandoned: string[] = [];
       const from = core.world.now();
       for (let n = 0; core.world.now() - from < 20_000; n += 1) {
@@ -88,7 +88,7 @@
         await expectConfirmed(core, others[n % others.length] as string, `during-${n}`, 1_500);
         const rejected = await pendingOrder;
         expect([rejected.result?.ok, rejected.tookMs < 1_600]).toEqual([false, true]);
-        expect(await core.evacuatedAt(isolated)).toBeNull();
+        expect(await core.readEvacuatedZones(isolated)).toBeNull();
         abandoned.push(`alone-${n}`);
         await core.world.advance(core.world.rng.next() * 2_000);
       }
@@ -98,10 +98,14 @@
       await Promise.all(first);
       const reads = new Set<string>();
       for (const name of names)
-        reads.add((await core.evacuatedAt(name))?.filter((zone) => abandoned.includes(zone)).join() ?? 'refused');
+        reads.add(
+          (await core.readEvacuatedZones(name))?.filter((zone) => abandoned.includes(zone)).join() ?? 'refused',
+        );
       await core.world.advance(6_000);
       for (const name of names)
-        reads.add((await core.evacuatedAt(name))?.filter((zone) => abandoned.includes(zone)).join() ?? 'refused');
+        reads.add(
+          (await core.readEvacuatedZones(name))?.filter((zone) => abandoned.includes(zone)).join() ?? 'refused',
+        );
       expect(reads.size).toBe(1);
       expect(core.broken).toEqual([]);
     },
@@ -111,8 +115,8 @@
     'a member replaced or removed meanwhile accepts orders and reads as soon as it is back (seed %i)',
     async (seed) => {
       const core = await bootstrapped(seed, ['h1', 'h2', 'h3']);
-      core.cutOff(['h2']);
-      core.add('h4');
+      core.isolate(['h2']);
+      core.addNode('h4');
       partitionBetween(core, ['h2'], ['h4']);
       core.start('h4');
       expect(await core.until(8_000, () => core.whole(['h1', 'h3', 'h4']))).toBe(true);
@@ -121,7 +125,7 @@
       core.world.healAll();
       await core.world.advance(core.world.rng.next() * 1_500);
       await expectConfirmed(core, 'h2', 'returned', 2_500);
-      expect(await core.evacuatedAt('h2')).toEqual(['during', 'returned']);
+      expect(await core.readEvacuatedZones('h2')).toEqual(['during', 'returned']);
       expect(await core.until(8_000, () => core.whole(['h1', 'h2', 'h3', 'h4']))).toBe(true);
       expect(core.broken).toEqual([]);
     },
@@ -178,7 +182,7 @@
       const core = await createCoreWithLease(seed, ['h1', 'h2', 'h3']);
       const holder = holders(core)[0] as string;
       const others = ['h1', 'h2', 'h3'].filter((name) => name !== holder);
-      core.add('h4');
+      core.addNode('h4');
       partitionBetween(core, ['h4'], ['h1', 'h2', 'h3']);
       core.start('h4');
       partitionBetween(core, [holder], others.slice(1));
--- a/src/coordination/consensus/snapshots.test.ts
+++ b/src/coordination/consensus/snapshots.test.ts
@@ -31,7 +31,7 @@
  */
 function createTransfer() {
   const world = createWorld(1);
-  const clock = world.clockOf(world.begin(world.host('n', 'z')));
+  const clock = world.clockOf(world.startProcess(world.host('n', 'z')));
   const senders = new Map<string, RequestHandler>();
   const requests: string[] = [];
   const hooks: { beforeRequest: (to: string, m: MessageOf<'snapshotAsk'>) => void } = {
@@ -175,7 +175,9 @@
     const delayedResponses: Promise<Message>[] = [];
     senders.set('a', (m) => {
       if (m.part < 2) return originalHandler(m);
-      const delayed = delay(world.clockOf(world.begin(world.host('late', 'z'))), 5_000).then(() => originalHandler(m));
+      const delayed = delay(world.clockOf(world.startProcess(world.host('late', 'z'))), 5_000).then(() =>
+        originalHandler(m),
+      );
       delayedResponses.push(delayed);
       return delayed;
     });
--- a/src/coordination/consensus/store.test.ts
+++ b/src/coordination/consensus/store.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, test } from '@jest/globals';
-import { createPlatter, losePowerWith, simDisk, stoppingDisk } from '../../sim/sim-disk.js';
-import type { Platter, WriteFate } from '../../sim/sim-disk.js';
+import { createPlatter, losePowerWith, createSimDisk, createHangingDisk } from '../../sim/sim-disk.js';
+import type { Platter, SurvivingBytes } from '../../sim/sim-disk.js';
 import { createWorld } from '../../sim/world.js';
 import { compareBallots } from '../../state/consensus/ballot.js';
 import type { Ballot } from '../../state/consensus/ballot.js';
@@ -101,7 +101,10 @@
   script: readonly (readonly StoreCommand[])[],
 ): Promise<ScriptRun> {
   const world = createWorld(1);
-  const stopping = stoppingDisk(simDisk(platter, world.begin(world.host('h', 'z')), world), operations);
+  const stopping = createHangingDisk(
+    createSimDisk(platter, world.startProcess(world.host('h', 'z')), world),
+    operations,
+  );
   const answered: Acknowledged = { promised: new Map(), accepted: new Map(), learned: -1 };
   const opened: { store: Store | null; error: string | null; ended: boolean } = {
     store: null,
@@ -132,7 +135,7 @@
   return { store: opened.store, error: opened.error, used: stopping.used(), answered };
 }
 
-const WRITE_FATES: Readonly<Record<string, WriteFate>> = {
+const WRITE_FATES: Readonly<Record<string, SurvivingBytes>> = {
   'none kept': () => 0,
   'all kept': (bytes) => bytes,
   'halves kept': (bytes) => Math.floor(bytes / 2),
@@ -202,7 +205,7 @@
     for (let stopAfter = 0; stopAfter <= used; stopAfter += 1) {
       const platter = createPlatter();
       const { answered } = await runScript(platter, stopAfter, SCRIPT);
-      losePowerWith(platter, WRITE_FATES[fate] as WriteFate);
+      losePowerWith(platter, WRITE_FATES[fate] as SurvivingBytes);
       await expectNothingLost(`stopped after ${stopAfter}`, platter, answered);
     }
   });
@@ -214,12 +217,12 @@
       for (let stopAfter = 0; stopAfter <= used; stopAfter += 1) {
         const first = createPlatter();
         const { answered } = await runScript(first, stopAfter, SCRIPT);
-        losePowerWith(first, WRITE_FATES['halves kept'] as WriteFate);
+        losePowerWith(first, WRITE_FATES['halves kept'] as SurvivingBytes);
         const operationsToOpen = (await runScript(copyOf(first), Infinity, [])).used;
         for (let secondStopAfter = 0; secondStopAfter <= operationsToOpen; secondStopAfter += 1) {
           const platter = copyOf(first);
           await runScript(platter, secondStopAfter, []);
-          losePowerWith(platter, WRITE_FATES[fate] as WriteFate);
+          losePowerWith(platter, WRITE_FATES[fate] as SurvivingBytes);
           await expectNothingLost(`stopped after ${stopAfter}, then ${secondStopAfter}`, platter, answered);
         }
       }
--- a/src/coordination/discovery/directory.test.ts
+++ b/src/coordination/discovery/directory.test.ts
@@ -127,7 +127,7 @@
 
   async function addressesFrom(host: string, callerRegion: string, controllerRegion: string): Promise<string> {
     const world = createWorld(3);
-    const clock = world.clockOf(world.begin(world.host('core', 'a')));
+    const clock = world.clockOf(world.startProcess(world.host('core', 'a')));
     const reports = new Map<string, Report>();
     for (const region of ['north', 'south', 'west']) {
       for (const n of [1, 2]) {
--- a/src/coordination/distribution/fleet-load-relay.test.ts
+++ b/src/coordination/distribution/fleet-load-relay.test.ts
@@ -26,7 +26,7 @@
     { name: 'c2', incarnation: 1, address: 'c2:1' },
   ];
   const ledger = { self: members[0], controlState: () => ({ members }) } as unknown as Ledger;
-  const clock = world.clockOf(world.begin(world.host('c1', 'z')));
+  const clock = world.clockOf(world.startProcess(world.host('c1', 'z')));
   const relay = createFleetLoadRelay(ledger, peers, clock, createRng(1));
   function createProxy(name: string): { readonly peer: Peer; readonly report: (rows: LoadRows) => void } {
     let count = 0;
--- a/src/coordination/distribution/follower.test.ts
+++ b/src/coordination/distribution/follower.test.ts
@@ -13,7 +13,7 @@
 async function createFixture() {
   const world = createWorld(3);
   const host = world.host('edge', 'z1');
-  const clock = world.clockOf(world.begin(host));
+  const clock = world.clockOf(world.startProcess(host));
   const handlers = new Map<MessageKind, (m: never, peer: Peer) => unknown>();
   const sentMessages: Message[] = [];
   let offered: Snapshot | null = null;
--- a/src/coordination/distribution/following.test.ts
+++ b/src/coordination/distribution/following.test.ts
@@ -80,7 +80,7 @@
     killed: (core, controller) => core.kill(controller),
     unpowered: (core, controller) => core.powerLoss(controller),
     frozen: (core, controller) => core.world.freeze(core.node(controller).host),
-    'partitioned from the core': (core, controller) => core.cutOff([controller]),
+    'partitioned from the core': (core, controller) => core.isolate([controller]),
     'unable to receive from its followers': (core, controller, proxies) =>
       proxies.forEach((proxy) => core.world.cut(proxy, controller)),
     'unable to send to its followers': (core, controller, proxies) =>
@@ -135,7 +135,7 @@
     'a proxy that starts next to a controller that is behind serves only once it has all changes (seed %i)',
     async (seed) => {
       const core = await startCore(300 + seed, 3);
-      core.cutOff(['h1']);
+      core.isolate(['h1']);
       await core.world.advance(100);
       expect((await core.order('h2', 'unseen')).result?.ok).toBe(true);
       const started = [await startProxy(core, 'young', 'zone-h1'), await startProxy(core, 'younger', 'zone-h1')];
--- a/src/coordination/forwarding/dispatcher.test.ts
+++ b/src/coordination/forwarding/dispatcher.test.ts
@@ -26,7 +26,7 @@
 /** Creates a dispatcher with two workers that respond with `replies` in turn, and with claims granted after `claimMs`. */
 function createFixture(replies: readonly Reply[], claimMs = 0, firstReply = 0) {
   const world = createWorld(3);
-  const clock = world.clockOf(world.begin(world.host('edge', 'z1')));
+  const clock = world.clockOf(world.startProcess(world.host('edge', 'z1')));
   const calls: HttpCall[] = [];
   const claims: string[] = [];
   const rows = [0, 1].map(
--- a/src/coordination/forwarding/relay.test.ts
+++ b/src/coordination/forwarding/relay.test.ts
@@ -76,7 +76,7 @@
   bounds: BudgetBounds = { ratio: 0.2, slack: 50, windowMs: 10_000 },
 ) {
   const world = createWorld(7);
-  const proc = world.begin(world.host('edge', 'z1'));
+  const proc = world.startProcess(world.host('edge', 'z1'));
   const clock = world.clockOf(proc);
   const sent: RecordedSend[] = [];
   const checks: { address: string; done: (reached: boolean) => void }[] = [];
@@ -181,7 +181,7 @@
   /** Unfreezes the process and runs what arrived meanwhile, each callback with its microtasks, as an event loop does. */
   async function unfreeze(): Promise<void> {
     proc.host.frozen = false;
-    for (const fn of proc.host.parked.splice(0)) {
+    for (const fn of proc.host.deferredCallbacks.splice(0)) {
       fn();
       await yieldToEventLoop();
     }
--- a/src/coordination/http-servers.test.ts
+++ b/src/coordination/http-servers.test.ts
@@ -1,6 +1,6 @@
 import { beforeAll, describe, expect, test } from '@jest/globals';
 import { runKey } from '../state/idempotency/run-key.js';
-import { SIM_WALL } from '../sim/world.js';
+import { SIM_START_WALL_MS } from '../sim/world.js';
 import { createSimFleet } from '../sim/sim-fleet.js';
 import type { SimFleet } from '../sim/sim-fleet.js';
 
@@ -127,11 +127,11 @@
     });
   });
 
-  const KEY = runKey('k-1', SIM_WALL);
+  const KEY = runKey('k-1', SIM_START_WALL_MS);
 
   test('a key must contain its creation time, and be at most one day old', async () => {
     const notRepeatable = { model: 'card-gateway', kind: 'card', repeatable: false };
-    const now = SIM_WALL + fleet.world.now();
+    const now = SIM_START_WALL_MS + fleet.world.now();
     const sendWithKey = async (key: string): Promise<unknown[]> => {
       const response = await send(await place(notRepeatable), { key });
       return [response.status, (response.body as { error?: { tag: string } }).error?.tag ?? 'ran'];
--- a/src/coordination/idempotency/claims.test.ts
+++ b/src/coordination/idempotency/claims.test.ts
@@ -4,7 +4,7 @@
 import type { ControlState } from '../../state/consensus/control-state.js';
 import type { Member } from '../../state/consensus/entry.js';
 import { HOUR_MS } from '../../state/idempotency/claim-table.js';
-import { createPlatter, loseDisk, losePower, simDisk } from '../../sim/sim-disk.js';
+import { createPlatter, eraseDisk, losePower, createSimDisk } from '../../sim/sim-disk.js';
 import type { Platter } from '../../sim/sim-disk.js';
 import { createWorld } from '../../sim/world.js';
 import type { World } from '../../sim/world.js';
@@ -49,14 +49,14 @@
 }
 async function startVoter(env: TestEnv, index: number, platter: Platter): Promise<Voter> {
   const self = env.controlState.members[index] as Member;
-  const proc = env.world.begin(env.world.host(self.name, 'z'));
+  const proc = env.world.startProcess(env.world.host(self.name, 'z'));
   const ledger = { controlState: () => env.controlState, isMember: () => true, self } as unknown as Ledger;
   const opened = await waitFor(
     env,
     createClaims(
       ledger,
       fakePeers(env, self.address),
-      simDisk(platter, proc, env.world),
+      createSimDisk(platter, proc, env.world),
       SHAPE,
       env.world.clockOf(proc),
       createQuietLog().component(''),
@@ -143,7 +143,7 @@
         await waitFor(env, Promise.resolve(env.handlers.get(h)?.get('claim')?.({ ...claim(env, '', ''), claims })));
     }
     env.world.kill(env.world.host('h1', 'z'));
-    loseDisk(platters[0] as Platter);
+    eraseDisk(platters[0] as Platter);
     env.controlState.members = env.controlState.members.map((m) => (m.name === 'h1' ? { ...m, incarnation: 'i2' } : m));
     const voter = await startVoter(env, 0, platters[0] as Platter);
     expect(voteTag(await voter.call(claim(env, 'k2-77', 't2')))).toBe('cannotVote');
@@ -186,7 +186,7 @@
 test('a lost release is sent again until it is acknowledged, and then the key is free', async () => {
   const env = createTestEnv();
   for (const index of [0, 1, 2]) await startVoter(env, index, createPlatter());
-  const proc = env.world.begin(env.world.host('proxy', 'z'));
+  const proc = env.world.startProcess(env.world.host('proxy', 'z'));
   const client = createClaimClient(() => env.controlState, fakePeers(env, 'proxy'), env.world.clockOf(proc));
   let responsesLost = 0;
   env.network.drops = (m) => m.kind === 'claimEnds' && env.world.now() < 20_000;
--- a/src/coordination/leases/lease.test.ts
+++ b/src/coordination/leases/lease.test.ts
@@ -40,7 +40,7 @@
   }
   for (const m of controlState.members) {
     const host = world.host(m.name, m.name);
-    const proc = world.begin(host);
+    const proc = world.startProcess(host);
     const clock = world.clockOf(proc);
     const peers = createPeers(net.wireOf(proc), clock, createQuietLog().component(''));
     void peers.open(m.address);
--- a/src/coordination/membership/core-health-watch.test.ts
+++ b/src/coordination/membership/core-health-watch.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, test } from '@jest/globals';
 import type { CoreHealthReport } from './core-health-watch.js';
 import { createSimCore } from '../../sim/sim-core.js';
-import type { CoreShape, SimCore } from '../../sim/sim-core.js';
+import type { SimCoreOptions, SimCore } from '../../sim/sim-core.js';
 import { createQuietLog } from '../../transport/log.js';
 import { createEvents } from '../../base/events.js';
 import { createWorld } from '../../sim/world.js';
@@ -40,7 +40,7 @@
 async function createBootstrappedCore(
   seed: number,
   names: readonly string[],
-  shape: Partial<CoreShape> = {},
+  shape: Partial<SimCoreOptions> = {},
 ): Promise<TestSetup> {
   const lines: string[] = [];
   const core = createSimCore(
@@ -59,7 +59,7 @@
   name: string,
   path: string,
 ): Promise<{ readonly status: number; readonly body: unknown }> {
-  const response = await setup.core.finish(
+  const response = await setup.core.runUntilSettled(
     setup.httpClient.call({ method: 'GET', address: `${setup.core.node(name).wire}0`, path, timeoutMs: 3_000 }),
     4_000,
   );
@@ -145,7 +145,7 @@
     'a fourth member joined: still one; one dead: none; the dead one removed: one again (seed %i)',
     async (seed) => {
       const setup = await createBootstrappedCore(seed, THREE);
-      setup.core.add('h4');
+      setup.core.addNode('h4');
       setup.core.start('h4');
       expect(await setup.core.until(6_000, () => setup.core.whole([...THREE, 'h4']))).toBe(true);
       await setup.core.world.advance(4_000);
@@ -163,7 +163,7 @@
     const setup = await createBootstrappedCore(seed, THREE);
     setup.core.powerLoss('h2');
     await setup.core.world.advance(4_000);
-    setup.core.add('h4');
+    setup.core.addNode('h4');
     setup.core.start('h4');
     expect(await setup.core.until(6_000, () => setup.core.whole(['h1', 'h3', 'h4']))).toBe(true);
     await setup.core.world.advance(4_000);
@@ -174,7 +174,7 @@
     'a member that has joined counts only from the time at which it is complete (seed %i)',
     async (seed) => {
       const setup = await createBootstrappedCore(seed, THREE);
-      setup.core.add('h4');
+      setup.core.addNode('h4');
       setup.core.start('h4');
       let prematureCount = 0;
       for (let n = 0; n < 300; n += 1) {
@@ -201,7 +201,7 @@
   };
   function createWatchFixture(slot: number): WatchFixture {
     const world = createWorld(1);
-    const clock = world.clockOf(world.begin(world.host('h1', 'z')));
+    const clock = world.clockOf(world.startProcess(world.host('h1', 'z')));
     const events = createEvents<LedgerEvents>();
     const controlState = { ...emptyControlState(), members, slot };
     const ledger = {
@@ -306,7 +306,7 @@
     'both directions cut: within 2.2 s, while the others still know it; after healing it knows it again (seed %i)',
     async (seed) => {
       const setup = await createBootstrappedCore(seed, THREE);
-      setup.core.cutOff(['h1']);
+      setup.core.isolate(['h1']);
       await setup.core.world.advance(EVALUATION_MS);
       await expectFigures(setup, ['h1'], unknownFigures);
       await expectFigures(setup, ['h2', 'h3'], [3, 2, 2, 0, 'noSpareLoss']);
@@ -330,7 +330,7 @@
 
   test.each(SEEDS)('restarted while it is partitioned (seed %i)', async (seed) => {
     const setup = await createBootstrappedCore(seed, THREE);
-    setup.core.cutOff(['h1']);
+    setup.core.isolate(['h1']);
     await setup.core.world.advance(500);
     setup.core.kill('h1');
     setup.core.start('h1');
@@ -385,7 +385,7 @@
 
   test('a partitioned controller logs once that the number is unknown', async () => {
     const setup = await createBootstrappedCore(6, THREE);
-    setup.core.cutOff(['h1']);
+    setup.core.isolate(['h1']);
     await setup.core.world.advance(30_000);
     expect(setup.lines.filter((l) => l.includes('no majority'))).toEqual([
       'warn no majority of controllers reachable, tolerated losses unknown group=ledger members=3 inTouch=1 holdingAll=unknown quorumSize=2 spareLosses=unknown lacking=h2:silent,h3:silent',
@@ -412,7 +412,7 @@
       spare_losses: '1',
     };
     expect(await gauges(setup, 'h1')).toEqual(healthyGauges);
-    setup.core.cutOff(['h1']);
+    setup.core.isolate(['h1']);
     await setup.core.world.advance(EVALUATION_MS);
     for (let n = 0; n < 2; n += 1)
       expect(await gauges(setup, 'h1')).toEqual({ known: '0', members: '3', quorum_size: '2', in_touch: '1' });
--- a/src/coordination/membership/failure-detector.test.ts
+++ b/src/coordination/membership/failure-detector.test.ts
@@ -29,7 +29,7 @@
   let runCount = 0;
   async function startNode(name: string, at: number): Promise<void> {
     const region = `r${at % REGIONS}`;
-    const proc = world.begin(world.host(name, region));
+    const proc = world.startProcess(world.host(name, region));
     const log = createQuietLog().component('members');
     const clock = world.clockOf(proc);
     const peers = createPeers(net.wireOf(proc), clock, log);
--- a/src/coordination/membership/group-leave.test.ts
+++ b/src/coordination/membership/group-leave.test.ts
@@ -14,7 +14,7 @@
 }
 async function createCoreOfFour(seed: number): Promise<SimCore> {
   const core = await createCoreOfThree(seed);
-  core.add('h4');
+  core.addNode('h4');
   core.start('h4');
   expect(await core.until(6_000, () => core.whole(['h1', 'h2', 'h3', 'h4']))).toBe(true);
   return core;
@@ -31,7 +31,7 @@
     'does not join again while it hands over to members that it cannot reach (seed %i)',
     async (seed) => {
       const core = await createCoreOfFour(seed);
-      const leaving = core.end('h2');
+      const leaving = core.stop('h2');
       expect(await core.until(1_000, () => core.members('h1').length === 3)).toBe(true);
       cutBothWays(core, 'h2', 'h3');
       cutBothWays(core, 'h2', 'h4');
@@ -45,8 +45,8 @@
   // Guards against a leave that is abandoned because no majority responds for a while.
   test.each(SEEDS)('leaves a group of four even if no majority responds for 2.5 s (seed %i)', async (seed) => {
     const core = await createCoreOfFour(seed);
-    core.cutOff(['h1', 'h2']);
-    const leaving = core.end('h2');
+    core.isolate(['h1', 'h2']);
+    const leaving = core.stop('h2');
     await core.world.advance(2_500);
     core.world.healAll();
     await leaving;
@@ -58,11 +58,11 @@
   // odd, while a fourth is about to be admitted.
   test.each(SEEDS)('makes room for a fourth that is being admitted (seed %i)', async (seed) => {
     const core = await createCoreOfThree(seed);
-    core.add('h4');
+    core.addNode('h4');
     core.start('h4');
     expect(await core.until(4_000, () => core.members('h4').length === 3)).toBe(true);
     await core.world.advance(15 * seed);
-    await core.end('h2');
+    await core.stop('h2');
     expect(await core.until(REMOVAL_TIMEOUT_MS, () => core.whole(['h1', 'h3', 'h4']))).toBe(true);
     core.powerLoss('h3');
     expect((await core.order('h1', 'a')).result).toMatchObject({ ok: true });
@@ -73,11 +73,11 @@
   // admitted.
   test.each(SEEDS)('while it is being admitted itself, does not remain a member (seed %i)', async (seed) => {
     const core = await createCoreOfThree(seed);
-    core.add('h4');
+    core.addNode('h4');
     core.start('h4');
     expect(await core.until(4_000, () => core.members('h4').length === 3)).toBe(true);
     await core.world.advance(15 * seed);
-    await core.end('h4');
+    await core.stop('h4');
     await core.world.advance(500);
     expect(core.members('h1')).toEqual(['h1', 'h2', 'h3']);
     expect(core.broken).toEqual([]);
@@ -88,7 +88,7 @@
     core.startAll();
     expect(await core.until(4_000, () => core.whole(['h1']))).toBe(true);
     const startedAt = core.world.now();
-    await core.end('h1');
+    await core.stop('h1');
     expect(core.world.now() - startedAt).toBeLessThan(100);
   });
 
@@ -96,7 +96,7 @@
     const core = await createCoreOfFour(1);
     core.powerLoss('h3');
     const startedAt = core.world.now();
-    await core.end('h2');
+    await core.stop('h2');
     expect(core.world.now() - startedAt).toBeLessThan(500);
     expect(core.members('h1')).toEqual(['h1', 'h3', 'h4']);
   });
--- a/src/coordination/membership/membership-changes.test.ts
+++ b/src/coordination/membership/membership-changes.test.ts
@@ -35,7 +35,7 @@
     async (seed) => {
       const core = await createBootstrappedCore(seed, ['h1', 'h2', 'h3', 'h4', 'h5'], FIVE);
       await expectOrderApplied(core, 'h5', 'a');
-      for (const n of core.nodes) expect(await core.evacuatedAt(n.name)).toEqual(['a']);
+      for (const n of core.nodes) expect(await core.readEvacuatedZones(n.name)).toEqual(['a']);
       expect(core.broken).toEqual([]);
     },
   );
@@ -45,12 +45,12 @@
     await expectOrderApplied(core, 'h1', 'a');
     core.powerLoss('h2');
     await core.world.advance(core.world.rng.next() * 4_000);
-    core.add('h4');
+    core.addNode('h4');
     core.start('h4');
     expect(await core.until(5_000, () => core.whole(['h1', 'h3', 'h4']))).toBe(true);
     core.kill('h1');
     await expectOrderApplied(core, 'h4', 'b');
-    expect(await core.evacuatedAt('h3')).toEqual(['a', 'b']);
+    expect(await core.readEvacuatedZones('h3')).toEqual(['a', 'b']);
     expect(core.broken).toEqual([]);
   });
 
@@ -58,15 +58,15 @@
     'a planned replacement: the new machine joins, then the old one is shut down (seed %i)',
     async (seed) => {
       const core = await createBootstrappedCore(seed, ['h1', 'h2', 'h3']);
-      core.add('h4');
+      core.addNode('h4');
       core.start('h4');
       expect(await core.until(4_000, () => core.whole(['h1', 'h2', 'h3', 'h4']))).toBe(true);
       await expectOrderApplied(core, 'h4', 'a');
-      await core.end('h2');
+      await core.stop('h2');
       expect(await core.until(500, () => core.whole(['h1', 'h3', 'h4']))).toBe(true);
       core.kill('h3');
       await expectOrderApplied(core, 'h1', 'b');
-      expect(await core.evacuatedAt('h4')).toEqual(['a', 'b']);
+      expect(await core.readEvacuatedZones('h4')).toEqual(['a', 'b']);
       expect(core.broken).toEqual([]);
     },
   );
@@ -75,7 +75,7 @@
     'of four, a member that dies without announcing it is removed after 3 s; three are never reduced (seed %i)',
     async (seed) => {
       const core = await createBootstrappedCore(seed, ['h1', 'h2', 'h3']);
-      core.add('h4');
+      core.addNode('h4');
       core.start('h4');
       expect(await core.until(4_000, () => core.whole(['h1', 'h2', 'h3', 'h4']))).toBe(true);
       await core.world.advance(8_000);
@@ -97,8 +97,8 @@
     async (seed) => {
       const core = await createBootstrappedCore(seed, ['h1', 'h2', 'h3']);
       const previousIncarnation = incarnationOf(core, 'h2');
-      core.cutOff(['h2']);
-      core.add('h4');
+      core.isolate(['h2']);
+      core.addNode('h4');
       core.world.cut('h4', 'h2');
       core.world.cut('h2', 'h4');
       core.start('h4');
@@ -110,7 +110,7 @@
       core.world.healAll();
       expect(await core.until(8_000, () => core.whole(['h1', 'h2', 'h3', 'h4']))).toBe(true);
       expect(incarnationOf(core, 'h2')).not.toBe(previousIncarnation);
-      expect(await core.evacuatedAt('h2')).toEqual(['a']);
+      expect(await core.readEvacuatedZones('h2')).toEqual(['a']);
       expect(core.broken).toEqual([]);
     },
   );
@@ -120,7 +120,7 @@
     async (seed) => {
       const core = await createBootstrappedCore(seed, ['h1', 'h2', 'h3']);
       await expectOrderApplied(core, 'h1', 'a');
-      core.add('h4');
+      core.addNode('h4');
       core.start('h4');
       expect(await core.until(4_000, () => core.members('h4').length === 3)).toBe(true);
       await core.world.advance(60);
@@ -134,7 +134,7 @@
       core.powerLoss('h2');
       await core.world.advance(100);
       await expectOrderApplied(core, 'h1', 'b');
-      expect(await core.evacuatedAt('h4')).toEqual(['a', 'b']);
+      expect(await core.readEvacuatedZones('h4')).toEqual(['a', 'b']);
       expect(core.broken).toEqual([]);
     },
   );
@@ -146,7 +146,7 @@
       await expectOrderApplied(core, 'h1', 'a');
       const lab = core.lab('lab');
       const peers = createPeers(lab.wire, lab.clock, createQuietLog().component('lab'));
-      core.add('h4');
+      core.addNode('h4');
       for (const name of ['h1', 'h2', 'h3']) {
         core.world.cut(name, 'h4');
         core.world.cut('h4', name);
@@ -154,7 +154,7 @@
       core.start('h4');
       await core.world.advance(500);
       for (const ledger of [core.node('h1').controller?.ledger.controlState().ledger ?? '', 'ledger-x']) {
-        const response = await core.finish(
+        const response = await core.runUntilSettled(
           peers.call(
             core.node('h4').wire,
             { kind: 'prepare', ledger, slot: 1, ballot: { round: 9, by: 'lab' } },
@@ -193,7 +193,7 @@
       isApplied = (await core.order(['h1', 'h2', 'h3'][n % 3] as string, 'b')).result?.ok === true;
     expect(isApplied).toBe(true);
     expect(await core.until(4_000, () => core.whole(['h1', 'h2', 'h3']))).toBe(true);
-    for (const n of core.nodes) expect(await core.evacuatedAt(n.name)).toEqual(['a', 'b']);
+    for (const n of core.nodes) expect(await core.readEvacuatedZones(n.name)).toEqual(['a', 'b']);
     expect(core.broken).toEqual([]);
   });
 
@@ -215,7 +215,7 @@
     }
     expect(isApplied).toBe(true);
     expect(await core.until(6_000, () => core.whole(all))).toBe(true);
-    for (const n of core.nodes) expect(await core.evacuatedAt(n.name)).toEqual(['a', 'b']);
+    for (const n of core.nodes) expect(await core.readEvacuatedZones(n.name)).toEqual(['a', 'b']);
     expect(core.broken).toEqual([]);
   });
 });
--- a/src/coordination/membership/power-loss-during-repair.test.ts
+++ b/src/coordination/membership/power-loss-during-repair.test.ts
@@ -26,7 +26,7 @@
 }
 
 async function expectOrdersAt(core: SimCore, names: readonly string[], zones: readonly string[]): Promise<void> {
-  for (const name of names) expect(await core.evacuatedAt(name)).toEqual(zones);
+  for (const name of names) expect(await core.readEvacuatedZones(name)).toEqual(zones);
 }
 
 // Guards against a repair that loses confirmed orders if power fails during it. Power is lost at some 40 moments, a few
@@ -38,7 +38,7 @@
     await expectOrderConfirmed(core, 'h1', 'a');
     core.powerLoss('h2');
     await core.world.advance(3_000);
-    core.add('h4');
+    core.addNode('h4');
     core.start('h4');
     await core.world.advance(15 * moment);
     core.powerLoss('h4');
@@ -59,7 +59,7 @@
       await expectOrderConfirmed(core, 'h1', 'a');
       core.powerLoss('h2');
       await core.world.advance(3_000);
-      core.add('h4');
+      core.addNode('h4');
       core.start('h4');
       await core.world.advance(500 + 8 * moment);
       for (const name of ['h1', 'h3', 'h4']) core.powerLoss(name);
@@ -79,7 +79,7 @@
     'of one or all remaining members of four that are removing a dead one (moment %i)',
     async (moment) => {
       const core = await createBootstrappedCore(300 + moment, ['h1', 'h2', 'h3']);
-      core.add('h4');
+      core.addNode('h4');
       core.start('h4');
       expect(await core.until(6_000, () => core.whole(['h1', 'h2', 'h3', 'h4']))).toBe(true);
       await expectOrderConfirmed(core, 'h4', 'a');
--- a/src/coordination/membership/second-loss.test.ts
+++ b/src/coordination/membership/second-loss.test.ts
@@ -23,18 +23,18 @@
     'two machines replaced at once and both old ones shut down: the next loss is tolerated (seed %i)',
     async (seed) => {
       const core = await createBootstrappedCore(seed, ['h1', 'h2', 'h3']);
-      core.add('h4');
-      core.add('h5');
+      core.addNode('h4');
+      core.addNode('h5');
       core.start('h4');
       core.start('h5');
       expect(await core.until(6_000, () => core.whole(['h1', 'h2', 'h3', 'h4', 'h5']))).toBe(true);
       await expectOrderConfirmed(core, 'h4', 'a');
-      await Promise.all([core.end('h2'), core.end('h3')]);
+      await Promise.all([core.stop('h2'), core.stop('h3')]);
       await core.world.advance(8_000);
       core.powerLoss(['h1', 'h4', 'h5'][seed % 3] as string);
       const remaining = ['h1', 'h4', 'h5'].filter((name) => core.node(name).controller !== null);
       await expectOrderConfirmed(core, remaining[0] as string, 'b');
-      for (const name of remaining) expect(await core.evacuatedAt(name)).toEqual(['a', 'b']);
+      for (const name of remaining) expect(await core.readEvacuatedZones(name)).toEqual(['a', 'b']);
       expect(core.broken).toEqual([]);
     },
   );
@@ -59,7 +59,7 @@
       core.start('h2');
       await core.world.advance(1_000);
       await expectOrderConfirmed(core, 'h2', 'd');
-      for (const name of ['h1', 'h2']) expect(await core.evacuatedAt(name)).toEqual(['a', 'b', 'c', 'd']);
+      for (const name of ['h1', 'h2']) expect(await core.readEvacuatedZones(name)).toEqual(['a', 'b', 'c', 'd']);
       expect(core.broken).toEqual([]);
     },
   );
@@ -75,7 +75,7 @@
       core.powerLoss(['h1', 'h3', 'h4'][seed % 3] as string);
       const remaining = ['h1', 'h3', 'h4'].filter((name) => core.node(name).controller !== null);
       await expectOrderConfirmed(core, remaining[0] as string, 'b');
-      for (const name of remaining) expect(await core.evacuatedAt(name)).toEqual(['a', 'b']);
+      for (const name of remaining) expect(await core.readEvacuatedZones(name)).toEqual(['a', 'b']);
       for (const name of ['h2', 'h5']) core.start(name);
       for (const n of core.nodes) if (!n.host.running) core.start(n.name);
       expect(await core.until(12_000, () => core.whole(['h1', 'h2', 'h3', 'h4', 'h5']))).toBe(true);
@@ -104,18 +104,19 @@
     'a leaving member stops once the others know that; a loss right after it is tolerated (seed %i)',
     async (seed) => {
       const core = await createBootstrappedCore(seed, ['h1', 'h2', 'h3']);
-      core.add('h4');
+      core.addNode('h4');
       core.start('h4');
       expect(await core.until(6_000, () => core.whole(['h1', 'h2', 'h3', 'h4']))).toBe(true);
       await expectOrderConfirmed(core, 'h4', 'a');
       const leavingLedger = core.node('h4').controller?.ledger;
       leavingLedger?.events.on('folded', () => {
-        if (!leavingLedger.isMember()) core.cutOff(['h4']);
+        if (!leavingLedger.isMember()) core.isolate(['h4']);
       });
-      await core.end('h4');
+      await core.stop('h4');
       core.powerLoss(seed % 2 === 0 ? 'h1' : 'h2');
       await expectOrderConfirmed(core, seed % 2 === 0 ? 'h2' : 'h1', 'b');
-      for (const name of [seed % 2 === 0 ? 'h2' : 'h1', 'h3']) expect(await core.evacuatedAt(name)).toEqual(['a', 'b']);
+      for (const name of [seed % 2 === 0 ? 'h2' : 'h1', 'h3'])
+        expect(await core.readEvacuatedZones(name)).toEqual(['a', 'b']);
       expect(core.broken).toEqual([]);
     },
   );
@@ -135,7 +136,7 @@
 
   async function createCoreOfFour(seed: number): Promise<SimCore> {
     const core = await createBootstrappedCore(seed, ['h1', 'h2', 'h3']);
-    core.add('h4');
+    core.addNode('h4');
     core.start('h4');
     expect(await core.until(6_000, () => core.whole(['h1', 'h2', 'h3', 'h4']))).toBe(true);
     await core.world.advance(2_000);
@@ -158,7 +159,7 @@
     await core.until(1_000, () => core.node(b).controller !== null);
     await expectOrderConfirmed(core, second, 'c');
     expect(await core.until(8_000, () => core.whole([first, second, b]))).toBe(true);
-    expect(await core.evacuatedAt(b)).toEqual(expect.arrayContaining(['a', 'c']));
+    expect(await core.readEvacuatedZones(b)).toEqual(expect.arrayContaining(['a', 'c']));
     expect(core.broken).toEqual([]);
   });
 
@@ -169,7 +170,7 @@
     expect(await core.until(REMOVAL_TIMEOUT_MS, () => core.whole([first, second, b]))).toBe(true);
     core.powerLoss(b);
     await expectOrderConfirmed(core, first, 'b');
-    expect(await core.evacuatedAt(second)).toEqual(['b']);
+    expect(await core.readEvacuatedZones(second)).toEqual(['b']);
     expect(core.broken).toEqual([]);
   });
 
@@ -177,10 +178,10 @@
     const core = await createCoreOfFour(100 + PAIRS.findIndex(([x, y]) => x === a && y === b));
     const [first, second] = otherTwo(a, b);
     await expectOrderConfirmed(core, a, 'a');
-    await core.end(a);
+    await core.stop(a);
     core.powerLoss(b);
     await expectOrderConfirmed(core, first, 'b');
-    expect(await core.evacuatedAt(second)).toEqual(['a', 'b']);
+    expect(await core.readEvacuatedZones(second)).toEqual(['a', 'b']);
     expect(core.broken).toEqual([]);
   });
 
@@ -194,7 +195,7 @@
       ]);
       const lost = [a, b].filter((name) => name !== 'h4');
       for (const name of lost) core.powerLoss(name);
-      core.add('h4');
+      core.addNode('h4');
       core.start('h4');
       await core.world.advance(8_000);
       const isMember = core.node('h4').controller?.ledger.isMember();
@@ -227,6 +228,6 @@
     core.start('h2');
     expect(await core.until(1_000, () => core.node('h2').controller !== null)).toBe(true);
     await expectOrderConfirmed(core, 'h2', 'b');
-    expect(await core.evacuatedAt('h2')).toEqual(['a', 'b']);
+    expect(await core.readEvacuatedZones('h2')).toEqual(['a', 'b']);
   },
 );
--- a/src/coordination/membership/self-bootstrap.test.ts
+++ b/src/coordination/membership/self-bootstrap.test.ts
@@ -19,7 +19,7 @@
       core.startAll();
       expect(await core.until(2_000, () => core.whole(THREE))).toBe(true);
       expect((await core.order('h2', 'a')).result).toMatchObject({ ok: true, value: { outcome: { tag: 'applied' } } });
-      expect(await core.evacuatedAt('h3')).toEqual(['a']);
+      expect(await core.readEvacuatedZones('h3')).toEqual(['a']);
       expect(core.broken).toEqual([]);
     },
   );
--- a/src/coordination/messaging/silent-peers.test.ts
+++ b/src/coordination/messaging/silent-peers.test.ts
@@ -34,7 +34,7 @@
   const peersOfHosts: Peers[] = [];
   const seen: Peer[] = [];
   for (const host of [near, far]) {
-    const proc = world.begin(host);
+    const proc = world.startProcess(host);
     const clock = world.clockOf(proc);
     const peers = createPeers(net.wireOf(proc), clock, createQuietLog().component(''));
     peers.on('memberStatusAsk', async (_m, peer) => {
--- a/src/coordination/opened-memory.test.ts
+++ b/src/coordination/opened-memory.test.ts
@@ -2,7 +2,7 @@
 import { setFlagsFromString } from 'node:v8';
 import { runInNewContext } from 'node:vm';
 import type { Result } from '../base/result.js';
-import { createPlatter, simDisk } from '../sim/sim-disk.js';
+import { createPlatter, createSimDisk } from '../sim/sim-disk.js';
 import { createWorld } from '../sim/world.js';
 import { emptyControlState } from '../state/consensus/control-state.js';
 import { yieldToEventLoop } from '../transport/clock.js';
@@ -40,7 +40,7 @@
  */
 async function bytesRetainedByOpening(snapshot: Buffer, open: Opener): Promise<number> {
   const world = createWorld(1);
-  const disk = simDisk(createPlatter(), world.begin(world.host('h', 'z')), world);
+  const disk = createSimDisk(createPlatter(), world.startProcess(world.host('h', 'z')), world);
   const openedValues: unknown[] = [];
   let written = false;
   async function writeSnapshot(): Promise<void> {
@@ -85,7 +85,7 @@
   test('by the claims', async () => {
     const header = { readyFor: '', uptime: 0, forgotten: [], PADDING };
     const world = createWorld(1);
-    const clock = world.clockOf(world.begin(world.host('c', 'z')));
+    const clock = world.clockOf(world.startProcess(world.host('c', 'z')));
     const ledger = { controlState: emptyControlState, isMember: () => false } as unknown as Ledger;
     const peers = { on: () => undefined } as unknown as Peers;
     const retainedBytes = await bytesRetainedByOpening(Buffer.from(`${JSON.stringify(header)}\n`), async (disk) => {
--- a/src/coordination/partitioned-controller-lists.test.ts
+++ b/src/coordination/partitioned-controller-lists.test.ts
@@ -42,7 +42,7 @@
     'a proxy that reaches only this controller is partitioned within 2.5 s, and never ready after a restart (seed %i)',
     async (seed) => {
       const fleet = await startFleet(530 + seed);
-      fleet.cutOff([CONTROLLER_UNDER_TEST, PROXY]);
+      fleet.isolate([CONTROLLER_UNDER_TEST, PROXY]);
       await fleet.run(2_600);
       for (let n = 0; n < 40; n += 1) {
         expect(proxyView(fleet)?.partitioned).toBe(true);
@@ -87,7 +87,7 @@
 
   const PARTITIONS: readonly [string, (fleet: SimFleet) => void][] = [
     ['from the other controllers', (fleet) => partitionFromOthers(fleet)],
-    ['from all nodes', (fleet) => fleet.cutOff([CONTROLLER_UNDER_TEST])],
+    ['from all nodes', (fleet) => fleet.isolate([CONTROLLER_UNDER_TEST])],
   ];
   // No proxy follows a partitioned controller, so it has no contact with any proxy in either case.
   test.each(PARTITIONS.flatMap(([what, partition]) => [1, 2, 3].map((n) => [what, n, partition] as const)))(
@@ -112,7 +112,7 @@
     'from all nodes, and restarted meanwhile: it lists no proxy until it is in contact (seed %i)',
     async (seed) => {
       const { fleet } = await startWithDirectory(560 + seed);
-      fleet.cutOff([CONTROLLER_UNDER_TEST]);
+      fleet.isolate([CONTROLLER_UNDER_TEST]);
       fleet.kill(CONTROLLER_UNDER_TEST);
       void fleet.startNode(CONTROLLER_UNDER_TEST);
       expect(await fleet.until(3_000, () => fleet.controllers[0]?.controller !== null)).toBe(true);
@@ -184,7 +184,7 @@
     const lab = core.lab('proxy');
     const peers = createPeers(lab.wire, lab.clock, createQuietLog().component('peers'));
     async function fetchList(): Promise<{ readonly ids: readonly string[]; readonly ageMs: number } | null> {
-      const response = await core.finish(
+      const response = await core.runUntilSettled(
         peers.call(core.node('h1').wire, { kind: 'listFollow', number: null }, 400),
         1_000,
       );
@@ -196,7 +196,7 @@
   const FAULTS: Readonly<
     Record<string, { readonly begin: (core: SimCore) => void; readonly end: (core: SimCore) => void }>
   > = {
-    'partitioned both ways': { begin: (c) => c.cutOff(['h1']), end: (c) => c.world.healAll() },
+    'partitioned both ways': { begin: (c) => c.isolate(['h1']), end: (c) => c.world.healAll() },
     'unable to send to the others': {
       begin: (c) => ['h2', 'h3'].forEach((n) => c.world.cut('h1', n)),
       end: (c) => c.world.healAll(),
@@ -248,7 +248,7 @@
     async (seed) => {
       const { core, fetchList, unreachable } = await startCore(610 + seed);
       unreachable.add('h1');
-      core.cutOff(['h1']);
+      core.isolate(['h1']);
       core.kill('h1');
       core.start('h1');
       expect(await core.until(3_000, () => core.node('h1').controller !== null)).toBe(true);
--- a/src/coordination/partitioned-controller.test.ts
+++ b/src/coordination/partitioned-controller.test.ts
@@ -69,7 +69,7 @@
 }
 const FAULTS: Readonly<Record<string, Fault>> = {
   'partitioned from the other controllers': { begin: (f) => partitionFromOthers(f, true, true), end: heal },
-  'partitioned from all nodes': { begin: (f) => f.cutOff([CONTROLLER_UNDER_TEST]), end: heal },
+  'partitioned from all nodes': { begin: (f) => f.isolate([CONTROLLER_UNDER_TEST]), end: heal },
   'unable to send to the other controllers': { begin: (f) => partitionFromOthers(f, true, false), end: heal },
   'unable to receive from the other controllers': { begin: (f) => partitionFromOthers(f, false, true), end: heal },
   'partitioned and restarted meanwhile': { begin: partitionAndRestart, end: heal },
@@ -92,7 +92,7 @@
   const fleet = createSimFleet(seed);
   expect(await fleet.start()).toBe(true);
   await fleet.run(4_000);
-  const proc = fleet.world.begin(fleet.world.host('desk', 'lab'));
+  const proc = fleet.world.startProcess(fleet.world.host('desk', 'lab'));
   const httpClient = fleet.httpClientOf(proc);
   const responses: RecordedResponse[] = [];
   function send(call: Call): void {
@@ -245,9 +245,12 @@
       log: createQuietLog().component('operator'),
     });
     const startedAt = harness.fleet.world.now();
-    const read = await harness.fleet.finish(service.read(), 10_000);
+    const read = await harness.fleet.runUntilSettled(service.read(), 10_000);
     expect(harness.fleet.world.now() - startedAt).toBeLessThanOrEqual(1_000);
-    const evacuation = await harness.fleet.finish(service.evacuate('at-1', true, { gone: () => false }), 10_000);
+    const evacuation = await harness.fleet.runUntilSettled(
+      service.evacuate('at-1', true, { gone: () => false }),
+      10_000,
+    );
     expect([read, evacuation]).toEqual([
       { ok: false, error: { tag: 'noMajority' } },
       { ok: false, error: { tag: 'noMajority' } },
--- a/src/coordination/proxy/opaque-proxy.test.ts
+++ b/src/coordination/proxy/opaque-proxy.test.ts
@@ -107,7 +107,7 @@
       }),
     },
   );
-  const result = await core.finish(started, 5_000);
+  const result = await core.runUntilSettled(started, 5_000);
   if (!result?.ok) throw new Error('the proxy did not start');
   const proxy = result.value;
   notifyListChanged();
@@ -161,7 +161,7 @@
       },
       2_000,
     );
-    expect((await core.finish(proposal, 10_000))?.ok).toBe(true);
+    expect((await core.runUntilSettled(proposal, 10_000))?.ok).toBe(true);
   }
   return {
     core,
--- a/src/coordination/scaling/list-scaler.test.ts
+++ b/src/coordination/scaling/list-scaler.test.ts
@@ -51,7 +51,7 @@
     { path: ['deployment'], value: deployment },
   ];
   const first = core.node('h1').controller?.ledger;
-  await core.finish(
+  await core.runUntilSettled(
     first?.propose({ cause: 'An operator.', act: { tag: 'configured', base: 0, changes } }, 3_000) ??
       Promise.resolve(null),
     5_000,
@@ -143,13 +143,13 @@
       ['h1', 'h2', 'h3'].map((n) => `${d.core.node(n).wire}0`),
       d.core.lab('inspect').httpClient,
     );
-    const orders = ordersText((await d.core.finish(inspect.request(ordersRequest('m')), 5_000))?.body);
+    const orders = ordersText((await d.core.runUntilSettled(inspect.request(ordersRequest('m')), 5_000))?.body);
     expect(orders).toMatch(
       new RegExp(
         `found-w1 m spot in b: lost, machine w1\\n.*placed +by ${at}.* \\(fence ${fence}\\): Stood in the list.*\\n.*\\n.*lost +by ${at}.* \\(fence ${fence}\\): Taken away at short notice: \\d+ ms were left`,
       ),
     );
-    const ledger = ledgerText((await d.core.finish(inspect.request(ledgerRequest('0')), 5_000))?.body);
+    const ledger = ledgerText((await d.core.runUntilSettled(inspect.request(ledgerRequest('0')), 5_000))?.body);
     expect(ledger).toMatch(/zonesMoved +A spot worker was lost in b\./);
     expect(ledger).toMatch(/zonesMoved +A launch became ready in b\./);
   });
@@ -166,7 +166,7 @@
         const { slot } = controlState(d.core);
         if (fault === 'kill') d.core.kill(previousHolder);
         if (fault === 'freeze') d.core.world.freeze(host);
-        if (fault === 'cut') d.core.cutOff([previousHolder]);
+        if (fault === 'cut') d.core.isolate([previousHolder]);
         changeWorker(d, 'w1', null);
         changeWorker(d, 'w2', { leaving: true });
         expect(await d.core.until(25_000, () => scalerHolders(d.core).some((n) => n !== previousHolder))).toBe(true);
@@ -202,7 +202,7 @@
     expect(await d.core.until(25_000, () => scalerHolders(d.core).some((n) => n !== previousHolder))).toBe(true);
     d.core.world.thaw(d.core.node(previousHolder).host);
     const steps: ScalerStep[] = [{ cause: 'late', act: { tag: 'targetChanged', model: 'm', target: 50 } }];
-    const response = await d.core.finish(
+    const response = await d.core.runUntilSettled(
       previousLedger?.propose({ cause: 'late', act: { tag: 'decided', steps }, fence }, 3_000) ?? Promise.resolve(null),
       10_000,
     );
@@ -260,7 +260,7 @@
         await d.core.world.advance(500);
       }
     }
-    await d.core.finish(
+    await d.core.runUntilSettled(
       d.core
         .node('h1')
         .controller?.ledger.propose(
--- a/src/coordination/scaling/worker-list-role.test.ts
+++ b/src/coordination/scaling/worker-list-role.test.ts
@@ -52,7 +52,7 @@
     listings: [{ at: -10_000, entries: [1, 2, 3, 4, 5, 6].map((n) => worker(n)) }],
     host: world.host('platform', 'z0'),
   };
-  world.begin(platform.host);
+  world.startProcess(platform.host);
   const calls: { at: number; by: string; good: boolean }[] = [];
   const scenario: Scenario = {
     world,
@@ -99,7 +99,7 @@
     return peers;
   }
   function startController(h: ControllerNode): void {
-    const proc = world.begin(h.host);
+    const proc = world.startProcess(h.host);
     const startedAt = world.now();
     const worldClock = world.clockOf(proc);
     const clock: Clock = { ...worldClock, mono: () => worldClock.mono() - startedAt };
@@ -114,7 +114,7 @@
     });
   }
   function startProxy(e: ProxyNode): void {
-    const proc = world.begin(e.host);
+    const proc = world.startProcess(e.host);
     const nearestFirst = [...scenario.controllers].sort(
       (a, b) => Number(a.host.zone !== e.host.zone) - Number(b.host.zone !== e.host.zone),
     );
@@ -374,7 +374,7 @@
   test('duplicated, delayed and reordered messages neither restore an older list nor block updates', async () => {
     for (let seed = 20; seed < 24; seed += 1) {
       const scenario = await startScenario(seed);
-      scenario.net.disturb({ slow: 0.3, twice: 0.3, overtake: 0.3 });
+      scenario.net.setFrameDisturbance({ delayProbability: 0.3, duplicateProbability: 0.3, reorderProbability: 0.3 });
       const releases = [1, 1, 1];
       const regressions: string[] = [];
       for (const e of scenario.proxyNodes) {
--- a/src/operator/core-report.test.ts
+++ b/src/operator/core-report.test.ts
@@ -109,7 +109,7 @@
 
   test('one address is enough to reach all controllers; the table shows members, losses and statuses', async () => {
     const { sim, createClient } = await bootstrapCore(1);
-    const report = await sim.finish(requestCoreReport(createClient(['h2'])), 20_000);
+    const report = await sim.runUntilSettled(requestCoreReport(createClient(['h2'])), 20_000);
     expect(report?.ledger).toMatchObject({ members: 3, agreeing: 3, spareLosses: 1, warning: null });
     const lines = coreText(report as NonNullable<typeof report>).split('\n');
     expect(lines[0]).toBe('ledger  bears 1 further loss, by the word of 3 of 3 members (majority 2)');
@@ -120,7 +120,7 @@
     const { sim, createClient } = await bootstrapCore(2);
     sim.kill('h3');
     await sim.world.advance(4_000);
-    const report = await sim.finish(requestCoreReport(createClient(MEMBERS)), 20_000);
+    const report = await sim.runUntilSettled(requestCoreReport(createClient(MEMBERS)), 20_000);
     expect(report?.ledger).toMatchObject({ agreeing: 2, spareLosses: 0, warning: 'noSpareLoss' });
     const text = coreText(report as NonNullable<typeof report>);
     expect(text).toContain(
@@ -133,14 +133,14 @@
 
   test('a partitioned controller, requested alone, leads to the others; with those unreachable the losses are unknown', async () => {
     const { sim, createClient } = await bootstrapCore(3);
-    sim.cutOff(['h1']);
+    sim.isolate(['h1']);
     await sim.world.advance(4_000);
-    expect((await sim.finish(requestCoreReport(createClient(['h1'])), 20_000))?.ledger).toMatchObject({
+    expect((await sim.runUntilSettled(requestCoreReport(createClient(['h1'])), 20_000))?.ledger).toMatchObject({
       agreeing: 2,
       spareLosses: 0,
     });
     for (const name of ['h2', 'h3']) sim.world.cut(name, 'operator');
-    const isolatedReport = await sim.finish(requestCoreReport(createClient(['h1'])), 20_000);
+    const isolatedReport = await sim.runUntilSettled(requestCoreReport(createClient(['h1'])), 20_000);
     expect(isolatedReport?.ledger).toMatchObject({ agreeing: 0, spareLosses: null, warning: 'noMajority' });
     expect(coreText(isolatedReport as NonNullable<typeof isolatedReport>)).toContain('bears unknown further losses');
   });
@@ -148,6 +148,6 @@
   test('without any response, nothing is reported', async () => {
     const { sim, createClient } = await bootstrapCore(4);
     for (const name of MEMBERS) sim.kill(name);
-    expect(await sim.finish(requestCoreReport(createClient(MEMBERS)), 20_000)).toBeNull();
+    expect(await sim.runUntilSettled(requestCoreReport(createClient(MEMBERS)), 20_000)).toBeNull();
   });
 });
--- a/src/operator/latency-targets.test.ts
+++ b/src/operator/latency-targets.test.ts
@@ -96,7 +96,7 @@
     return rows && Object.fromEntries(rows.map((r) => [r.name, r]));
   }
   async function runTraffic(fleet: SimFleet, seconds: number, perSecond: number): Promise<void> {
-    await fleet.finish(
+    await fleet.runUntilSettled(
       Promise.all(
         fleet.zones.map((zone) =>
           fleet.traffic({ zone, seconds, perSecond, name: `aims-${zone}-${fleet.world.now()}` }),
--- a/src/runbook/core-runbooks.test.ts
+++ b/src/runbook/core-runbooks.test.ts
@@ -28,7 +28,7 @@
   const fleet = createSimFleet(seed);
   expect(await fleet.start()).toBe(true);
   await fleet.run(4_000);
-  const proc = fleet.world.begin(fleet.world.host('operator', 'lab'));
+  const proc = fleet.world.startProcess(fleet.world.host('operator', 'lab'));
   return {
     fleet,
     clock: fleet.world.clockOf(proc),
@@ -60,7 +60,7 @@
   async function record(entry: StepRecord): Promise<void> {
     records.push(entry);
   }
-  const end = await testFleet.fleet.finish(
+  const end = await testFleet.fleet.runUntilSettled(
     runRunbook(runbook, {
       core,
       clock: testFleet.clock,
@@ -91,7 +91,7 @@
     const testFleet = await startTestFleet(32);
     testFleet.fleet.kill('controller-3');
     await testFleet.fleet.run(3_000);
-    const unmet = await testFleet.fleet.finish(
+    const unmet = await testFleet.fleet.runUntilSettled(
       findUnmetPrecondition(beforeCoreWork, testFleet.core(ALL_CONTROLLERS), testFleet.clock),
       60_000,
     );
@@ -120,7 +120,7 @@
 
   test('the only named controller is partitioned: the other members are queried, and their reports count', async () => {
     const testFleet = await startTestFleet(34);
-    testFleet.fleet.cutOff(['controller-1']);
+    testFleet.fleet.isolate(['controller-1']);
     await testFleet.fleet.run(3_000);
     const result = await execute(testFleet, beforeCoreWork, testFleet.core([0]));
     expect(result.end).toMatchObject({
--- a/src/runbook/run.test.ts
+++ b/src/runbook/run.test.ts
@@ -24,8 +24,11 @@
   expect(await fleet.start()).toBe(true);
   return fleet;
 }
-function coreOf(fleet: SimFleet): { readonly core: CoreClient; readonly proc: ReturnType<SimFleet['world']['begin']> } {
-  const proc = fleet.world.begin(fleet.world.host('operator', 'lab'));
+function coreOf(fleet: SimFleet): {
+  readonly core: CoreClient;
+  readonly proc: ReturnType<SimFleet['world']['startProcess']>;
+} {
+  const proc = fleet.world.startProcess(fleet.world.host('operator', 'lab'));
   return {
     proc,
     core: createCoreClient(
@@ -52,7 +55,7 @@
     confirm: async (step) => confirm(step),
     record: async (entry) => void records.push(entry),
   });
-  return { end: await fleet.finish(run, 900_000), records };
+  return { end: await fleet.runUntilSettled(run, 900_000), records };
 }
 const confirmAll: Confirm = () => true;
 
@@ -181,11 +184,11 @@
     fleet.kill('proxy-ro-1-1');
     await fleet.run(5_000);
     const runbook = loadRunbook('evacuate-and-hand-back', { zone: 'hu-1' });
-    const unmet = await fleet.finish(
+    const unmet = await fleet.runUntilSettled(
       findUnmetPrecondition(
         runbook,
         coreOf(fleet).core,
-        fleet.world.clockOf(fleet.world.begin(fleet.world.host('looker', 'lab'))),
+        fleet.world.clockOf(fleet.world.startProcess(fleet.world.host('looker', 'lab'))),
       ),
       20_000,
     );
--- a/src/sim/call-history.ts
+++ b/src/sim/call-history.ts
@@ -5,7 +5,7 @@
  */
 import { checkLinearizable } from './linearizability.js';
 import type { LinearizabilityViolation } from './linearizability.js';
-import type { ChangeAnswer, InitialConfiguration, OperatorCall } from './operator-calls.js';
+import type { ChangeOutcome, InitialConfiguration, OperatorCall } from './operator-calls.js';
 
 /** A configuration change as sent by an operator. `number` is null if the controllers assign it. */
 export type SentChange = {
@@ -17,7 +17,7 @@
 };
 
 /** Records the answer of a change. A change without a recorded answer stays `unclear`. */
-export type AnswerRecorder = (answer: ChangeAnswer, number?: number) => void;
+export type AnswerRecorder = (answer: ChangeOutcome, number?: number) => void;
 
 /** Records the result of a read. A read without a result is not part of the history. */
 export type ReadRecorder = (number: number, content: string) => void;
@@ -37,7 +37,7 @@
   function recordChange(change: SentChange): AnswerRecorder {
     const start = now();
     const index = calls.push({ kind: 'change', start, end: Infinity, answer: 'unclear', ...change }) - 1;
-    function recordAnswer(answer: ChangeAnswer, number?: number): void {
+    function recordAnswer(answer: ChangeOutcome, number?: number): void {
       calls[index] = { kind: 'change', start, end: now(), answer, ...change, number: number ?? change.number };
     }
     return recordAnswer;
--- a/src/sim/chaos-operators.ts
+++ b/src/sim/chaos-operators.ts
@@ -9,9 +9,9 @@
 import type { Rng } from '../transport/rng.js';
 import { createCallHistory } from './call-history.js';
 import type { CallHistory } from './call-history.js';
-import type { ChangeAnswer } from './operator-calls.js';
+import type { ChangeOutcome } from './operator-calls.js';
 import type { SimFleet } from './sim-fleet.js';
-import type { Watchers } from './watchers.js';
+import type { InvariantChecker } from './invariant-checker.js';
 
 export type Operators = {
   readonly amend: () => Promise<void>;
@@ -45,7 +45,7 @@
   return String(configuration?.deployment?.lineLimit ?? 'none');
 }
 
-function answerOf(result: Result<HttpAnswer, HttpError>): ChangeAnswer {
+function answerOf(result: Result<HttpAnswer, HttpError>): ChangeOutcome {
   if (!result.ok) return 'unclear';
   const { status } = result.value;
   if (status === 200 || status === 202) return 'confirmed';
@@ -57,19 +57,19 @@
 
 type ChangeSender = {
   /** Sends a change once to a random controller and returns its answer. */
-  readonly sendOnce: (change: Change) => Promise<ChangeAnswer>;
+  readonly sendOnce: (change: Change) => Promise<ChangeOutcome>;
   /** Sends a change until its answer is clear, and sometimes once more after it is confirmed. */
   readonly sendWithRetries: (change: Change) => Promise<void>;
 };
 
 function createChangeSender(
   fleet: SimFleet,
-  watchers: Watchers,
+  watchers: InvariantChecker,
   history: CallHistory,
   anyController: () => number,
   rng: Rng,
 ): ChangeSender {
-  function notifyWatchers({ base, value }: Change, answer: ChangeAnswer, response: HttpAnswer): void {
+  function notifyWatchers({ base, value }: Change, answer: ChangeOutcome, response: HttpAnswer): void {
     if (answer === 'stale' || answer === 'invalid') watchers.refused(value);
     if (answer !== 'confirmed') return;
     const version = versionOf(response);
@@ -77,7 +77,7 @@
     if (response.status === 200) watchers.acknowledged(version, value);
     else watchers.agreed(version, value);
   }
-  async function sendOnce(change: Change): Promise<ChangeAnswer> {
+  async function sendOnce(change: Change): Promise<ChangeOutcome> {
     const { request, base, value } = change;
     const controllerIndex = anyController();
     const body = { base, changes: [{ path: ['deployment', 'lineLimit'], value }], operation: request };
@@ -103,7 +103,7 @@
     return new Promise(schedule);
   }
   async function sendWithRetries(change: Change): Promise<void> {
-    let answer: ChangeAnswer = 'unclear';
+    let answer: ChangeOutcome = 'unclear';
     for (let attempt = 1; attempt <= MAX_ATTEMPTS && answer === 'unclear'; attempt += 1) {
       answer = await sendOnce(change);
       if (answer === 'unclear') await delay(RETRY_DELAY_MS * attempt * (0.5 + rng.next()));
@@ -116,7 +116,7 @@
 }
 
 /** Creates the operators. To be called once the fleet has its first configuration. */
-export async function createOperators(fleet: SimFleet, watchers: Watchers, seed: number): Promise<Operators> {
+export async function createOperators(fleet: SimFleet, watchers: InvariantChecker, seed: number): Promise<Operators> {
   const { world } = fleet;
   const rng = createRng(seed * 17 + 3);
   const isEvacuatedByZone: Record<string, boolean> = {};
@@ -136,7 +136,7 @@
     return { request: `change-${value}`, base, value };
   }
   async function readNewestVersion(): Promise<number | null> {
-    const minVersion = watchers.newest();
+    const minVersion = watchers.newestAcknowledged();
     const controllerIndex = anyController();
     const recordRead = history.recordRead(`controller ${controllerIndex + 1}`);
     const read = await fleet.operator(controllerIndex, 'GET', '/v1/configuration');
--- a/src/sim/chaos.ts
+++ b/src/sim/chaos.ts
@@ -16,9 +16,9 @@
 import type { Sabotage } from './sabotage.js';
 import { SHAPES } from './shapes.js';
 import type { ShapeName } from './shapes.js';
-import { CALM } from './sim-wire.js';
-import { checkMachines, createWatchers } from './watchers.js';
-import type { Watchers } from './watchers.js';
+import { NO_DISTURBANCE } from './sim-wire.js';
+import { checkMachines, createInvariantChecker } from './invariant-checker.js';
+import type { InvariantChecker } from './invariant-checker.js';
 
 /** What a chaos run measured, and the rules that it broke. */
 export type ChaosResult = {
@@ -64,7 +64,7 @@
   }
   const { world } = fleet;
   const rng = createRng(seed * 31 + 7);
-  const watchers = createWatchers(fleet);
+  const watchers = createInvariantChecker(fleet);
   const faults: string[] = [];
   function reportViolation(rule: string, detail: string): void {
     fleet.violations.push({ rule, detail });
@@ -156,7 +156,7 @@
     reportViolation('settles', `open orders do not become ready: ${ordersText(fleet)}`);
   await world.advance(15_000, watchers.step);
   checkMachines(fleet);
-  watchers.end();
+  watchers.checkRecords();
   const violation = operators.history.check();
   if (violation) reportViolation('linearizable', `${violation.kind}: ${violation.detail}`);
 
@@ -197,7 +197,7 @@
 function recoverAll(fleet: SimFleet): void {
   const { world } = fleet;
   world.healAll();
-  fleet.turbulence(CALM);
+  fleet.setFrameDisturbance(NO_DISTURBANCE);
   for (const node of [...fleet.controllers, ...fleet.proxies]) {
     node.platter.failing = false;
     node.platter.full = false;
@@ -277,12 +277,12 @@
 /** Reads the configuration and the evacuated zones at each controller and compares them with confirmed calls. */
 async function checkReads(
   fleet: SimFleet,
-  watchers: Watchers,
+  watchers: InvariantChecker,
   operators: Operators,
   reportViolation: (rule: string, detail: string) => void,
 ): Promise<void> {
   for (let i = 0; i < fleet.controllers.length; i += 1) {
-    const minVersion = watchers.newest();
+    const minVersion = watchers.newestAcknowledged();
     const recordRead = operators.history.recordRead(`controller ${i + 1}`);
     const read = await fleet.operator(i, 'GET', '/v1/configuration');
     const status = read.ok ? read.value.status : 0;
@@ -307,7 +307,7 @@
   fleet: SimFleet,
   reportViolation: (rule: string, detail: string) => void,
 ): Promise<void> {
-  const proc = fleet.world.begin(fleet.world.host('again', fleet.zones[0] as string));
+  const proc = fleet.world.startProcess(fleet.world.host('again', fleet.zones[0] as string));
   const client = createClientOver(
     { proxies: fleet.proxies.map(httpAddressOf) },
     fleet.httpClientOf(proc),
@@ -333,7 +333,7 @@
       reportViolation('runOnce', `${key} ran and was answered, but a second request with it got ${tag}`);
   }
   for (let i = 0; i < answeredKeys.length; i += step) resends.push(resend(answeredKeys[i] as string));
-  if ((await fleet.finish(Promise.all(resends), 60_000)) === null)
+  if ((await fleet.runUntilSettled(Promise.all(resends), 60_000)) === null)
     reportViolation('answered', 'a request with a repeated key got no answer');
 }
 function httpAddressOf(node: { readonly http: string }): string {
--- a/src/sim/core-scenarios.ts
+++ b/src/sim/core-scenarios.ts
@@ -3,7 +3,7 @@
  * operators.
  */
 import { SMALL } from './shapes.js';
-import { createWatchers } from './watchers.js';
+import { createInvariantChecker } from './invariant-checker.js';
 import {
   amendLineLimit,
   readVersion,
@@ -13,8 +13,8 @@
   outcomeShare,
   statusOf,
   unconfirmedProxies,
-} from './stage.js';
-import type { ScenarioContext } from './stage.js';
+} from './scenario-context.js';
+import type { ScenarioContext } from './scenario-context.js';
 
 /** The controller that holds the scaler lease is killed. */
 export async function holderLost(context: ScenarioContext): Promise<void> {
@@ -33,7 +33,7 @@
     wasReplaced && context.told.recoverMs < 12_000,
     `another holder after ${context.told.recoverMs} ms`,
   );
-  const tally = await fleet.finish(traffic, 60_000);
+  const tally = await fleet.runUntilSettled(traffic, 60_000);
   context.told.facts['success share'] = outcomeShare(tally, 'success');
   context.expect('serves', outcomeShare(tally, 'success') === 1, JSON.stringify(tally));
 }
@@ -78,7 +78,7 @@
   await fleet.run(4_000);
   for (const node of nodes) void fleet.startNode(node.name);
   await expectServesAgain(context, 12_000, 'hu-1');
-  await fleet.finish(traffic, 200_000);
+  await fleet.runUntilSettled(traffic, 200_000);
   for (let i = 0; i < 3; i += 1)
     context.expect(
       'readBack',
@@ -92,7 +92,7 @@
   const { fleet } = context;
   for (const name of hostNamesIn(fleet, 'ro-1')) if (!name.startsWith('caller')) fleet.powerLoss(name);
   await expectServesAgain(context, 12_000, 'at-1');
-  const tally = await fleet.finish(fleet.traffic({ zone: 'hu-1', seconds: 10 }), 60_000);
+  const tally = await fleet.runUntilSettled(fleet.traffic({ zone: 'hu-1', seconds: 10 }), 60_000);
   context.told.facts['success share'] = outcomeShare(tally, 'success');
   context.expect('serves', outcomeShare(tally, 'success') > 0.99, JSON.stringify(tally));
   const base = await readVersion(fleet, 0);
@@ -114,10 +114,10 @@
 /** One region is partitioned: it serves from its own workers, and only the majority can change the configuration. */
 export async function regionIsolated(context: ScenarioContext): Promise<void> {
   const { fleet } = context;
-  fleet.cutOff([...hostNamesIn(fleet, 'hu-1'), 'caller-inside']);
+  fleet.isolate([...hostNamesIn(fleet, 'hu-1'), 'caller-inside']);
   fleet.world.host('caller-inside', 'hu-1');
   await fleet.run(3_500);
-  const insideTally = await fleet.finish(
+  const insideTally = await fleet.runUntilSettled(
     fleet.traffic({ zone: 'hu-1', seconds: 8, runOnceShare: 0, name: 'caller-inside' }),
     60_000,
   );
@@ -158,7 +158,7 @@
     statusOf(response) === 200 || statusOf(response) === 202,
     `answered ${statusOf(response)}`,
   );
-  const tally = await fleet.finish(fleet.traffic({ zone: 'hu-1', seconds: 8 }), 60_000);
+  const tally = await fleet.runUntilSettled(fleet.traffic({ zone: 'hu-1', seconds: 8 }), 60_000);
   context.told.facts['success share'] = outcomeShare(tally, 'success');
   context.expect('serves', outcomeShare(tally, 'success') > 0.95, JSON.stringify(tally));
 }
@@ -215,7 +215,7 @@
     context.told.recoverMs = Math.max(context.told.recoverMs ?? 0, Math.round(fleet.world.now() - from));
     await fleet.run(2_500);
   }
-  const tally = await fleet.finish(traffic, 60_000);
+  const tally = await fleet.runUntilSettled(traffic, 60_000);
   context.told.facts['success share'] = outcomeShare(tally, 'success');
   context.expect('serves', outcomeShare(tally, 'success') > 0.98, JSON.stringify(tally));
   const response = await amendLineLimit(fleet, 0, await readVersion(fleet, 0), 82);
@@ -283,7 +283,7 @@
   for (const node of nodes) void fleet.startNode(node.name);
   const from = fleet.world.now();
   const recordCount = fleet.records.length;
-  const tally = await fleet.finish(
+  const tally = await fleet.runUntilSettled(
     fleet.traffic({ zone: 'ro-1', seconds: 12, runOnceShare: 1, maxRetries: 0 }),
     60_000,
   );
@@ -305,7 +305,7 @@
   let totalWins = 0;
   for (let count = 0; count < 15; count += 1) {
     const base = await readVersion(fleet, 0);
-    const results = await fleet.finish(
+    const results = await fleet.runUntilSettled(
       Promise.all([
         amendLineLimit(fleet, 0, base, 100 + count),
         amendLineLimit(fleet, 2, base, 200 + count),
@@ -389,7 +389,7 @@
  */
 export async function acknowledgedInPart(context: ScenarioContext): Promise<void> {
   const { fleet } = context;
-  const checker = createWatchers(fleet);
+  const checker = createInvariantChecker(fleet);
   const simProxy = fleet.proxies[1];
   const name = simProxy?.name ?? '';
   const disturbances: readonly (readonly [string, () => void, () => void])[] = [
@@ -399,7 +399,7 @@
     ['without power', losePower, start],
   ];
   function cut(): void {
-    fleet.cutOff([name]);
+    fleet.isolate([name]);
   }
   function freeze(): void {
     fleet.world.freeze(fleet.hostOf(name));
@@ -453,5 +453,5 @@
     await fleet.world.advance(5_000, checker.step);
   }
   context.told.recoverMs = Math.round(slowestMs);
-  await fleet.finish(traffic, 200_000);
+  await fleet.runUntilSettled(traffic, 200_000);
 }
--- a/src/sim/edge-day.ts
+++ b/src/sim/edge-day.ts
@@ -87,7 +87,7 @@
 export async function runEdgeDay(seed: number, options: EdgeDayOptions): Promise<EdgeDayResult> {
   const world = createWorld(seed);
   const rng = createRng(seed ^ 0x5eed);
-  const proc = world.begin(world.host('edge', 'z1'));
+  const proc = world.startProcess(world.host('edge', 'z1'));
   const clock = world.clockOf(proc);
   const journal: EdgeJournal = { asked: [], arrivals: [] };
   const connectionPool: ConnectionPool = createEdgeWorkers({
@@ -172,7 +172,7 @@
 /** Resumes a paused host: runs the parked callbacks one by one, each with its microtasks, as an event loop does. */
 async function thaw(host: Host): Promise<void> {
   host.frozen = false;
-  for (const callback of host.parked.splice(0)) {
+  for (const callback of host.deferredCallbacks.splice(0)) {
     callback();
     await yieldToEventLoop();
   }
--- a/src/sim/faults.ts
+++ b/src/sim/faults.ts
@@ -2,7 +2,7 @@
 import { randomInt, pick } from '../transport/rng.js';
 import type { Rng } from '../transport/rng.js';
 import type { SimFleet } from './sim-fleet.js';
-import { CALM } from './sim-wire.js';
+import { NO_DISTURBANCE } from './sim-wire.js';
 
 /** What a fault needs: the fleet, the random numbers, the log of faults and the calls of operators. */
 export type FaultContext = {
@@ -181,13 +181,13 @@
   const inside: string[] = [];
   for (const host of context.fleet.world.hosts()) if (host.zone === zone) inside.push(host.name);
   context.logFault(`partitions ${zone}`);
-  context.fleet.cutOff(inside);
+  context.fleet.isolate(inside);
   after(context, 1_000 + randomInt(context.rng, 9_000), context.fleet.world.healAll);
 }
 function cutOne(context: FaultContext): void {
   const name = pick(context.rng, nodeNames(context));
   context.logFault(`partitions ${name}`);
-  context.fleet.cutOff([name]);
+  context.fleet.isolate([name]);
   after(context, 1_000 + randomInt(context.rng, 9_000), context.fleet.world.healAll);
 }
 function oneWay(context: FaultContext): void {
@@ -289,9 +289,9 @@
 }
 function turbulence(context: FaultContext): void {
   context.logFault('messages are duplicated, delayed and reordered');
-  context.fleet.turbulence({ slow: 0.1, twice: 0.1, overtake: 0.1 });
+  context.fleet.setFrameDisturbance({ delayProbability: 0.1, duplicateProbability: 0.1, reorderProbability: 0.1 });
   function calm(): void {
-    context.fleet.turbulence(CALM);
+    context.fleet.setFrameDisturbance(NO_DISTURBANCE);
   }
   after(context, 2_000 + randomInt(context.rng, 4_000), calm);
 }
--- a/src/sim/beat-watch.ts
+++ b/src/sim/heartbeat-checker.ts
@@ -8,7 +8,7 @@
  * that its sender holds every slot that was confirmed anywhere before the follower sent `n`. Violations go to
  * `core.broken`.
  */
-export type BeatWatch = {
+export type HeartbeatChecker = {
   /** Records that `slot` was confirmed to an operator at the current simulated time. */
   readonly confirmed: (slot: number) => void;
   /** Simulated time at which the newest echoed nonce was sent; null before the first echo. */
@@ -22,7 +22,7 @@
 const CONNECT_TIMEOUT_MS = 2_000;
 
 /** Starts a follower of the given controller that sends it a nonce every 100 ms. */
-export async function watchBeats(core: SimCore, controllerName: string): Promise<BeatWatch> {
+export async function checkHeartbeats(core: SimCore, controllerName: string): Promise<HeartbeatChecker> {
   const name = `follower-of-${controllerName}`;
   const lab = core.lab(name);
   const peers = createPeers(lab.wire, lab.clock, createQuietLog().component(name));
@@ -45,7 +45,7 @@
     return null;
   }
   peers.on('beat', onHeartbeat);
-  const link = await core.finish(peers.connect(core.node(controllerName).wire), CONNECT_TIMEOUT_MS);
+  const link = await core.runUntilSettled(peers.connect(core.node(controllerName).wire), CONNECT_TIMEOUT_MS);
 
   function sendNonce(): void {
     if (stopped || !link?.ok) return;
--- a/src/sim/holder-steps.test.ts
+++ b/src/sim/holder-steps.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, test } from '@jest/globals';
 import { createSimFleet } from './sim-fleet.js';
 import type { SimFleet } from './sim-fleet.js';
-import { checkMachines, createWatchers } from './watchers.js';
+import { checkMachines, createInvariantChecker } from './invariant-checker.js';
 
 const STEPS = [
   'orderLost',
@@ -64,7 +64,7 @@
       expect(await fleet.until(90_000, () => fleet.allReady())).toBe(true);
       await fleet.run(15_000);
       checkMachines(fleet);
-      createWatchers(fleet).end();
+      createInvariantChecker(fleet).checkRecords();
       expect(fleet.check()).toEqual([]);
       const openOrders = Object.values(fleet.controllers[0]?.controller?.ledger.controlState().orders ?? {});
       expect(openOrders.map((order) => [order.kind, order.status])).toEqual([
--- a/src/sim/watchers.ts
+++ b/src/sim/invariant-checker.ts
@@ -6,7 +6,7 @@
  * Checks invariants of a fleet. A change is identified by its version and by the value that it sets for `lineLimit`,
  * which is different for each change of a test.
  */
-export type Watchers = {
+export type InvariantChecker = {
   /** Called after simulation events; observes all nodes every 50 ms. */
   readonly step: () => void;
   /** Records that the change to this value was refused: no node may hold it. */
@@ -17,7 +17,7 @@
   readonly agreed: (version: number, value: number) => void;
   /** Records a change that all proxies confirmed: from now on no proxy may serve an older version. */
   readonly acknowledged: (version: number, value: number) => void;
-  readonly newest: () => number;
+  readonly newestAcknowledged: () => number;
   /** Checks a configuration that was read at a node; `floor` is the newest version acknowledged before the read. */
   readonly read: (nodeName: string, floor: number, version: number, configuration: unknown) => void;
   /**
@@ -26,7 +26,7 @@
   readonly evacuated: (zone: string) => void;
   readonly restored: (zone: string) => void;
   /** Checks the records of the whole run: machines per order, evacuations, the ramp of new workers, and retries. */
-  readonly end: () => void;
+  readonly checkRecords: () => void;
   /** Simulated time that undisturbed nodes were observed after an agreed change, summed over the nodes. */
   readonly watchedMs: () => number;
 };
@@ -61,7 +61,7 @@
 type VersionAt = { readonly version: number; readonly at: number };
 
 /** Creates the checks; violations are added to those of the fleet. */
-export function createWatchers(fleet: SimFleet): Watchers {
+export function createInvariantChecker(fleet: SimFleet): InvariantChecker {
   const { world, violations, records } = fleet;
   const lastSeen = new Map<string, { slot: number; version: number; life: number }>();
   const disturbedAt = new Map<string, number>();
@@ -341,11 +341,11 @@
     won,
     agreed,
     acknowledged,
-    newest: newestAcknowledgedVersion,
+    newestAcknowledged: newestAcknowledgedVersion,
     read,
     evacuated,
     restored,
-    end: checkRecords,
+    checkRecords: checkRecords,
     watchedMs,
   };
 }
--- a/src/sim/lag-scenarios.ts
+++ b/src/sim/lag-scenarios.ts
@@ -19,7 +19,7 @@
 export type Links = { readonly regionMs: number; readonly windowBytes: number; readonly edgeBitsPerSecond: number };
 
 /** Links with a 64 KiB window and 7 Mbit/s at the edge. */
-export const NARROW: Links = { regionMs: 35, windowBytes: 65_536, edgeBitsPerSecond: 7_000_000 };
+export const NARROW_LINKS: Links = { regionMs: 35, windowBytes: 65_536, edgeBitsPerSecond: 7_000_000 };
 
 /**
  * Milliseconds until caught up (null: not within the limit), the bytes sent on all links meanwhile, and the size of the
@@ -56,7 +56,7 @@
   command: Parameters<NonNullable<ReturnType<SimCore['node']>['controller']>['ledger']['propose']>[0]['act'],
 ): Promise<void> {
   const ledger = core.node('h1').controller?.ledger;
-  if (ledger) await core.finish(ledger.propose({ cause, act: command }, 5_000), 30_000);
+  if (ledger) await core.runUntilSettled(ledger.propose({ cause, act: command }, 5_000), 30_000);
 }
 
 type OrderStage = 'intended' | 'placed' | 'ready' | 'lost';
@@ -107,7 +107,7 @@
 }
 
 /** Takes a separate series of orders through the given stages. */
-export async function stepOrders(core: SimCore, count: number, stages: readonly OrderStage[]): Promise<void> {
+export async function advanceOrders(core: SimCore, count: number, stages: readonly OrderStage[]): Promise<void> {
   for (const stage of stages) await proposeSteps(core, 'stepped', 0, count, stage);
 }
 
@@ -136,7 +136,7 @@
 }
 
 /** Stops a controller while the others agree; measures from its restart until it has applied the whole log. */
-export async function controllerBehind(seed: number, lag: Lag, links = NARROW): Promise<CatchUpResult> {
+export async function controllerBehind(seed: number, lag: Lag, links = NARROW_LINKS): Promise<CatchUpResult> {
   const core = await bootstrapped(seed, links);
   core.kill('h3');
   await addOrders(core, lag.orders);
@@ -156,7 +156,7 @@
   seed: number,
   lag: Lag,
   startsBlank: boolean,
-  links = NARROW,
+  links = NARROW_LINKS,
 ): Promise<CatchUpResult> {
   const core = await bootstrapped(seed, links);
   const names = ['edge'];
--- a/src/sim/linearizability.test.ts
+++ b/src/sim/linearizability.test.ts
@@ -3,7 +3,7 @@
 import type { Rng } from '../transport/rng.js';
 import { checkLinearizable } from './linearizability.js';
 import type { ViolationKind } from './linearizability.js';
-import type { ChangeAnswer, ChangeCall, OperatorCall, ReadCall } from './operator-calls.js';
+import type { ChangeOutcome, ChangeCall, OperatorCall, ReadCall } from './operator-calls.js';
 
 const INITIAL = { number: 0, content: 'c0' };
 
@@ -12,7 +12,7 @@
   end: number,
   base: number,
   number: number,
-  answer: ChangeAnswer,
+  answer: ChangeOutcome,
   overrides: Partial<ChangeCall> = {},
 ): ChangeCall {
   return {
@@ -261,7 +261,7 @@
       const base = randomInt(rng, number + 1);
       const answer = (['confirmed', 'confirmed', 'stale', 'invalid', 'unclear'] as const)[
         randomInt(rng, 5)
-      ] as ChangeAnswer;
+      ] as ChangeOutcome;
       history.push(
         changeCall(start, end, base, number + 1, answer, { request: `r${number + 1}.${base}.${randomInt(rng, 2)}` }),
       );
@@ -316,7 +316,7 @@
       applied.set(sent.request, sent.number);
       currentNumber = sent.number;
     }
-    const answer: ChangeAnswer = rng.next() < 0.25 ? 'unclear' : isApplied || isAppliedNow ? 'confirmed' : 'stale';
+    const answer: ChangeOutcome = rng.next() < 0.25 ? 'unclear' : isApplied || isAppliedNow ? 'confirmed' : 'stale';
     history.push(changeCall(start, end, sent.base, sent.number, answer, { request: sent.request }));
   }
   return history;
--- a/src/sim/linearizability.ts
+++ b/src/sim/linearizability.ts
@@ -9,7 +9,7 @@
  * and keeps all register states that are still possible. A call that leaves the register unchanged is linearized as
  * soon as its answer is consistent, which loses no solution; only changes that apply make the search branch.
  */
-import { textOf } from './operator-calls.js';
+import { describeCall } from './operator-calls.js';
 import type { ChangeCall, InitialConfiguration, OperatorCall } from './operator-calls.js';
 
 /** Kind of a violation; `unexplained` covers all that have no more specific kind. */
@@ -83,7 +83,7 @@
     if (call.kind !== 'change' || (call.answer !== 'stale' && call.answer !== 'invalid')) continue;
     const before = confirmed.get(call.request);
     if (before && before.end < call.start)
-      return { kind: 'refusedAfterConfirmed', detail: `${textOf(call)}, but ${textOf(before)}` };
+      return { kind: 'refusedAfterConfirmed', detail: `${describeCall(call)}, but ${describeCall(before)}` };
   }
   return null;
 }
@@ -283,7 +283,7 @@
   calls: readonly OperatorCall[],
   call: OperatorCall,
 ): LinearizabilityViolation {
-  const detail = textOf(call);
+  const detail = describeCall(call);
   if (call.kind === 'read') {
     const newest = newestKnownBefore(initial, calls, call);
     return call.number < newest
@@ -293,7 +293,7 @@
   for (const other of calls) {
     if (other === call || other.kind !== 'change' || other.answer !== 'confirmed' || other.base !== call.base) continue;
     if (call.answer === 'confirmed' && other.request !== call.request)
-      return { kind: 'twoWinners', detail: `${detail}, and ${textOf(other)}` };
+      return { kind: 'twoWinners', detail: `${detail}, and ${describeCall(other)}` };
   }
   return { kind: 'unexplained', detail };
 }
--- a/src/sim/model/apply-command.ts
+++ b/src/sim/model/apply-command.ts
@@ -86,7 +86,7 @@
 /** Takes away all that disturbs: cuts, frozen machines, lost and late frames. */
 export function calm(group: ModelGroup): void {
   group.lostShare = 0;
-  group.net.disturb({ slow: 0, twice: 0, overtake: 0 });
+  group.net.setFrameDisturbance({ delayProbability: 0, duplicateProbability: 0, reorderProbability: 0 });
   group.world.healAll();
   for (const node of group.nodes) {
     node.strikeIn = null;
@@ -130,7 +130,11 @@
       return group.world.healAll();
     case 'disturb':
       group.lostShare = command.lost;
-      return group.net.disturb({ slow: command.slow, twice: command.twice, overtake: command.overtake });
+      return group.net.setFrameDisturbance({
+        delayProbability: command.slow,
+        duplicateProbability: command.twice,
+        reorderProbability: command.overtake,
+      });
     case 'join':
       return join(group);
     case 'leave':
--- a/src/sim/model/model-group.ts
+++ b/src/sim/model/model-group.ts
@@ -14,7 +14,7 @@
 import { createMeters } from '../../transport/meters.js';
 import { createRng, newId } from '../../transport/rng.js';
 import type { Rng } from '../../transport/rng.js';
-import { createPlatter, loseDisk, losePower, simDisk } from '../sim-disk.js';
+import { createPlatter, eraseDisk, losePower, createSimDisk } from '../sim-disk.js';
 import { createSimHttp } from '../sim-http.js';
 import { createSimNet } from '../sim-wire.js';
 import type { SimNet } from '../sim-wire.js';
@@ -90,7 +90,7 @@
     const zone = `zone-${name}`;
     const address = `10.0.0.${nodes.length + 1}:7000`;
     const platter = createPlatter();
-    platter.lies = sabotage.disksLie === true;
+    platter.ignoresSyncs = sabotage.disksLie === true;
     const node: ModelNode = {
       name,
       host: world.host(name, zone),
@@ -140,7 +140,7 @@
       wire: watchWire(net.wireOf(proc), facts.votes, losesFrame, isOn),
       httpServer: http.httpServerOf(proc),
       httpClient: http.httpClientOf(proc),
-      disk: watchDisk(simDisk(node.platter, proc, world), { isOn, strike }),
+      disk: watchDisk(createSimDisk(node.platter, proc, world), { isOn, strike }),
       logs: LOGS,
       policies: POLICIES,
       meters: createMeters,
@@ -166,7 +166,7 @@
   }
 
   async function startNode(node: ModelNode): Promise<void> {
-    const proc = world.begin(node.host);
+    const proc = world.startProcess(node.host);
     const rng = processRng();
     seeds = currentSeeds();
     const deps = depsOf(node, proc, rng);
@@ -218,7 +218,7 @@
     losePowerOf(node);
     const identity = identityOn(node);
     const kept = node.platter.files.get(IDENTITY_FILE);
-    loseDisk(node.platter);
+    eraseDisk(node.platter);
     if (identity !== null) facts.votes.onDisconnected(identity);
     if (sabotage.keepsIdentity && kept) node.platter.files.set(IDENTITY_FILE, kept);
   }
--- a/src/sim/operator-calls.ts
+++ b/src/sim/operator-calls.ts
@@ -1,7 +1,7 @@
 /** Operator calls as their callers saw them: what was sent, to which node and when, and the response. */
 
 /** Response to a change; `unclear` stands for an error, a timeout, or a response that the outcome is unknown. */
-export type ChangeAnswer = 'confirmed' | 'stale' | 'invalid' | 'unclear';
+export type ChangeOutcome = 'confirmed' | 'stale' | 'invalid' | 'unclear';
 
 type CallInterval = { readonly start: number; readonly end: number; readonly node: string };
 
@@ -14,7 +14,7 @@
   /** Version number that the change produced; null until a response contains it. */
   readonly number: number | null;
   readonly content: string;
-  readonly answer: ChangeAnswer;
+  readonly answer: ChangeOutcome;
 };
 
 /** A call that reads the configuration. */
@@ -27,7 +27,7 @@
 export type InitialConfiguration = { readonly number: number; readonly content: string };
 
 /** Describes a call for a failure message. */
-export function textOf(call: OperatorCall): string {
+export function describeCall(call: OperatorCall): string {
   const when = `at ${call.node} from ${call.start.toFixed(0)} to ${call.end.toFixed(0)}`;
   if (call.kind === 'read') return `${call.number} (${call.content}) was read ${when}`;
   return `change ${call.request} (${call.content}) from ${call.base} to ${call.number ?? '?'} was answered ${call.answer} ${when}`;
--- a/src/sim/racing-day.ts
+++ b/src/sim/racing-day.ts
@@ -16,7 +16,7 @@
 import { createCallHistory } from './call-history.js';
 import type { CallHistory } from './call-history.js';
 import type { LinearizabilityViolation } from './linearizability.js';
-import type { ChangeAnswer } from './operator-calls.js';
+import type { ChangeOutcome } from './operator-calls.js';
 import { injectCoreFault } from './racing-troubles.js';
 import { runZoneOrders } from './racing-zones.js';
 import { sabotageLedger } from './sabotage.js';
@@ -101,7 +101,7 @@
   return read.value.number;
 }
 
-async function sendOnce(day: Day, change: Change): Promise<ChangeAnswer> {
+async function sendOnce(day: Day, change: Change): Promise<ChangeOutcome> {
   const name = drawNode(day);
   const { request, base, number, content } = change;
   const recordAnswer = day.history.recordChange({ node: name, request, base, number, content });
@@ -114,7 +114,7 @@
   );
   if (!answer || (!answer.ok && (answer.error.tag === 'noMajority' || answer.error.tag === 'outcomeUnknown')))
     return 'unclear';
-  const outcome: ChangeAnswer = answer.ok ? 'confirmed' : answer.error.tag === 'stale' ? 'stale' : 'invalid';
+  const outcome: ChangeOutcome = answer.ok ? 'confirmed' : answer.error.tag === 'stale' ? 'stale' : 'invalid';
   recordAnswer(outcome);
   return outcome;
 }
@@ -259,7 +259,7 @@
 async function checkFinalRead(day: Day, name: string, broken: string[]): Promise<void> {
   const recordRead = day.history.recordRead(name);
   const reading = serviceOf(day, name)?.read();
-  const read = reading && (await day.core.finish(reading, 5_000));
+  const read = reading && (await day.core.runUntilSettled(reading, 5_000));
   if (read?.ok) recordRead(read.value.number, contentOf(read.value));
   else broken.push(`${name} does not answer the read at the end`);
 }
--- a/src/sim/racing-troubles.ts
+++ b/src/sim/racing-troubles.ts
@@ -36,7 +36,7 @@
   return `${context.name} is frozen`;
 }
 async function partition(context: FaultContext): Promise<string> {
-  context.core.cutOff([context.name]);
+  context.core.isolate([context.name]);
   if (context.rng.next() < 0.3) await context.core.world.advance(LONG_PARTITION_MS);
   else await waitOutFault(context);
   context.core.world.healAll();
@@ -45,7 +45,7 @@
 /** Partitions a node repeatedly: an order that was proposed before a partition is committed or abandoned after it. */
 async function flap(context: FaultContext): Promise<string> {
   for (let count = 0; count < FLAP_COUNT; count += 1) {
-    context.core.cutOff([context.name]);
+    context.core.isolate([context.name]);
     await context.core.world.advance(100 + randomInt(context.rng, MAX_FLAP_MS));
     context.core.world.healAll();
     await context.core.world.advance(randomInt(context.rng, 500));
@@ -76,7 +76,7 @@
   return 'all controllers lose power';
 }
 async function restartWhilePartitioned(context: FaultContext): Promise<string> {
-  context.core.cutOff([context.name]);
+  context.core.isolate([context.name]);
   await waitOutFault(context);
   context.core.kill(context.name);
   context.core.start(context.name);
@@ -85,13 +85,13 @@
   return `${context.name} is partitioned and restarts meanwhile`;
 }
 async function replace(context: FaultContext): Promise<string> {
-  const replacement = context.core.add(`n${context.core.nodes.length}`).name;
+  const replacement = context.core.addNode(`n${context.core.nodes.length}`).name;
   context.core.seeds(context.running.slice(0, 3));
   const isPlanned = context.rng.next() < 0.5;
   if (isPlanned) {
     context.core.start(replacement);
     await context.core.world.advance(1_500 + randomInt(context.rng, 3_000));
-    await context.core.end(context.name);
+    await context.core.stop(context.name);
   } else {
     context.core.powerLoss(context.name);
     await context.core.world.advance(randomInt(context.rng, 3_000));
--- a/src/sim/request-scenarios.ts
+++ b/src/sim/request-scenarios.ts
@@ -6,16 +6,16 @@
 import { createClientOver } from '../client/client.js';
 import type { ClientRequest } from '../client/client.js';
 import { runKey } from '../state/idempotency/run-key.js';
-import { SIM_WALL } from './world.js';
+import { SIM_START_WALL_MS } from './world.js';
 import type { SimFleet } from './sim-fleet.js';
-import { createWatchers } from './watchers.js';
-import { amendLineLimit, readVersion, versionOf, outcomeShare, statusOf } from './stage.js';
-import type { ScenarioContext } from './stage.js';
+import { createInvariantChecker } from './invariant-checker.js';
+import { amendLineLimit, readVersion, versionOf, outcomeShare, statusOf } from './scenario-context.js';
+import type { ScenarioContext } from './scenario-context.js';
 
 /** Overload from all zones: throughput has to stay up, and rejections have to come early. */
 export async function crowd(context: ScenarioContext): Promise<void> {
   const { fleet } = context;
-  const calmTally = await fleet.finish(
+  const calmTally = await fleet.runUntilSettled(
     fleet.traffic({ zone: 'hu-1', seconds: 5, runOnceShare: 0, perSecond: 20 }),
     60_000,
   );
@@ -24,7 +24,7 @@
   const callers: Promise<CallerCounts>[] = [];
   for (const zone of ['hu-1', 'at-1', 'ro-1'])
     callers.push(fleet.traffic({ zone, seconds: 10, runOnceShare: 0, perSecond: 90, name: `crowd-${zone}` }));
-  await fleet.finish(Promise.all(callers), 300_000);
+  await fleet.runUntilSettled(Promise.all(callers), 300_000);
   let successes = 0;
   let lateRejections = 0;
   let rejections = 0;
@@ -53,8 +53,8 @@
   await fleet.run(2_000);
   for (const simWorker of fleet.workers)
     if (!simWorker.fixed) await fleet.call({ method: 'POST', address: simWorker.http, path: '/lab/cold', body: {} });
-  await fleet.finish(traffic, 60_000);
-  createWatchers(fleet).end();
+  await fleet.runUntilSettled(traffic, 60_000);
+  createInvariantChecker(fleet).checkRecords();
 }
 
 /** Callers move from zone to zone. */
@@ -62,7 +62,7 @@
   const { fleet } = context;
   const successShares: number[] = [];
   for (const zone of ['hu-1', 'ro-1', 'at-1', 'hu-1']) {
-    const tally = await fleet.finish(
+    const tally = await fleet.runUntilSettled(
       fleet.traffic({ zone, seconds: 5, perSecond: 15, name: `moving-${zone}-${successShares.length}` }),
       60_000,
     );
@@ -81,7 +81,7 @@
     [50, 400],
     [12_000, 8],
   ] as const) {
-    const tally = await fleet.finish(
+    const tally = await fleet.runUntilSettled(
       fleet.traffic({
         zone: 'hu-1',
         seconds: 8,
@@ -108,7 +108,7 @@
   stream: boolean,
 ): Promise<CallResult> {
   const { world } = fleet;
-  const proc = world.begin(world.host(`caller-${zone}-${world.now()}-${request.parts[0]?.hash}`, zone));
+  const proc = world.startProcess(world.host(`caller-${zone}-${world.now()}-${request.parts[0]?.hash}`, zone));
   const proxyAddresses: string[] = [];
   for (const simProxy of fleet.proxies) if (simProxy.host.zone === zone) proxyAddresses.push(simProxy.http);
   const client = createClientOver({ proxies: proxyAddresses, zone }, fleet.httpClientOf(proc), world.clockOf(proc));
@@ -138,7 +138,7 @@
     parts: [{ hash: `card-${i}`, tokens: 8 }],
     outputTokens: 4_000,
     repeatable: false,
-    key: runKey(`dark-${i}`, SIM_WALL),
+    key: runKey(`dark-${i}`, SIM_START_WALL_MS),
   };
 }
 
@@ -161,7 +161,7 @@
   await fleet.run(2_000);
   const from = fleet.world.now();
   await injectFault();
-  const results = (await fleet.finish(Promise.all(pending), 150_000)) ?? [];
+  const results = (await fleet.runUntilSettled(Promise.all(pending), 150_000)) ?? [];
   context.told.recoverMs = Math.round(fleet.world.now() - from);
   for (const kind of ['cut', 'outcomeUnknown']) {
     let count = 0;
@@ -331,7 +331,7 @@
  */
 export async function proxyFrozen(context: ScenarioContext): Promise<void> {
   const { fleet } = context;
-  const checker = createWatchers(fleet);
+  const checker = createInvariantChecker(fleet);
   const simProxy = fleet.proxies[0];
   const traffic = fleet.traffic({ zone: 'hu-1', seconds: 24, perSecond: 10 });
   await fleet.run(2_000);
@@ -360,8 +360,8 @@
   }
   context.expect('wakes', await fleet.until(12_000, isServingAgain), 'it did not serve again');
   context.told.recoverMs = Math.round(fleet.world.now() - from);
-  await fleet.finish(traffic, 200_000);
-  checker.end();
+  await fleet.runUntilSettled(traffic, 200_000);
+  checker.checkRecords();
 }
 
 /**
--- a/src/sim/sabotage.test.ts
+++ b/src/sim/sabotage.test.ts
@@ -4,7 +4,7 @@
 import { createSimFleet } from './sim-fleet.js';
 import { SMALL } from './shapes.js';
 import type { SimFleet } from './sim-fleet.js';
-import { checkMachines, createWatchers } from './watchers.js';
+import { checkMachines, createInvariantChecker } from './invariant-checker.js';
 
 function rules(broken: readonly { readonly rule: string }[]): string[] {
   return [...new Set(broken.map((b) => b.rule))];
@@ -73,7 +73,7 @@
       const fleet = createSimFleet(7, undefined, undefined, { withoutPolicy });
       expect(await fleet.start()).toBe(true);
       for (const w of fleet.workers) if (w.fixed && w.zone !== 'ro-1') fleet.kill(w.id);
-      const tally = await fleet.finish(fleet.traffic({ zone: 'ro-1', seconds: 8, runOnceShare: 1 }), 60_000);
+      const tally = await fleet.runUntilSettled(fleet.traffic({ zone: 'ro-1', seconds: 8, runOnceShare: 1 }), 60_000);
       expect(Object.keys(tally ?? {}).some((k) => k.includes(withoutPolicy === 'none' ? 'shed' : 'success'))).toBe(
         true,
       );
@@ -90,8 +90,8 @@
       expect(await fleet.start()).toBe(true);
       for (const w of fleet.workers)
         await fleet.call({ method: 'POST', address: w.http, path: '/lab/fault', body: { mode: 'refuse' } });
-      await fleet.finish(fleet.traffic({ zone: 'hu-1', seconds: 20, perSecond: 10, runOnceShare: 0 }), 60_000);
-      createWatchers(fleet).end();
+      await fleet.runUntilSettled(fleet.traffic({ zone: 'hu-1', seconds: 20, perSecond: 10, runOnceShare: 0 }), 60_000);
+      createInvariantChecker(fleet).checkRecords();
       return rules(fleet.check());
     }
     expect(await rulesBroken(1)).toEqual(['retries']);
@@ -112,7 +112,7 @@
         body: { remainingMs: 9_000 },
       });
       fleet.records.push({ who: 'cloud', event: 'reclaiming', machine: `${gateway?.id}-fixed`, at: fleet.world.now() });
-      await fleet.finish(traffic, 30_000);
+      await fleet.runUntilSettled(traffic, 30_000);
       return rules(fleet.check());
     }
     expect(await rulesBroken('leaving')).toEqual(['leaving']);
@@ -171,7 +171,7 @@
 
   test('a proxy that reverts to an older version, or serves what an acknowledged change replaced, now or later', () => {
     const fake = createFakeFleet([upToDateView, upToDateView]);
-    const watchers = createWatchers(fake.fleet);
+    const watchers = createInvariantChecker(fake.fleet);
     watchers.step();
     watchers.acknowledged(4, 50);
     advance(fake, watchers, 20_000);
@@ -185,7 +185,7 @@
 
   test('a reachable node that does not learn within 3 s of a change that was agreed without all nodes', () => {
     const fake = createFakeFleet([upToDateView, { ...upToDateView, slot: 3, version: 2, configuration: {} }]);
-    const watchers = createWatchers(fake.fleet);
+    const watchers = createInvariantChecker(fake.fleet);
     advance(fake, watchers, 8_000);
     watchers.agreed(4, 50);
     advance(fake, watchers, 2_900);
@@ -196,7 +196,7 @@
 
   test('a rejected configuration in any node, or two configurations under one version', () => {
     const fake = createFakeFleet([upToDateView, upToDateView]);
-    const watchers = createWatchers(fake.fleet);
+    const watchers = createInvariantChecker(fake.fleet);
     watchers.refused(51);
     watchers.step();
     expect(fake.fleet.violations).toEqual([]);
@@ -207,7 +207,7 @@
 
   test('two winners on one base, an acknowledged change that is lost or read with another content', () => {
     const fake = createFakeFleet([]);
-    const watchers = createWatchers(fake.fleet);
+    const watchers = createInvariantChecker(fake.fleet);
     const completeConfiguration = {
       deployment: { rampS: 3, lineLimit: 50 },
       regions: { r: { models: { summary: {} } } },
@@ -267,7 +267,7 @@
         [upToDateView, upToDateView],
         [{ who: 'worker', event: 'ready', worker: 'w', at: 100 }, arrivalRecord],
       );
-      createWatchers(fake.fleet).end();
+      createInvariantChecker(fake.fleet).checkRecords();
       return rules(fake.fleet.violations);
     }
     expect([run(200, 2), run(1_600, 8), run(3_200, 40)]).toEqual([[], [], []]);
--- a/src/sim/stage.ts
+++ b/src/sim/scenario-context.ts
@@ -89,7 +89,7 @@
   const at = firstSuccess();
   context.told.recoverMs = at === null ? null : Math.round(at - from);
   context.expect('serveAgain', at !== null && at - from <= limitMs, `first success after ${context.told.recoverMs} ms`);
-  await fleet.finish(probe, 200_000);
+  await fleet.runUntilSettled(probe, 200_000);
 }
 
 /** Names of all hosts in a zone. */
--- a/src/sim/scenarios.ts
+++ b/src/sim/scenarios.ts
@@ -41,7 +41,7 @@
   reclaimedMidStream,
   spotDrought,
 } from './worker-scenarios.js';
-import type { Scenario, ScenarioReport } from './stage.js';
+import type { Scenario, ScenarioReport } from './scenario-context.js';
 
 /** Result of a scenario. */
 export type ScenarioEnd = {
--- a/src/sim/sim-core.ts
+++ b/src/sim/sim-core.ts
@@ -10,7 +10,7 @@
 import { createMeters } from '../transport/meters.js';
 import { createRng, newId } from '../transport/rng.js';
 import type { Rng } from '../transport/rng.js';
-import { createPlatter, loseDisk, losePower, simDisk } from './sim-disk.js';
+import { createPlatter, eraseDisk, losePower, createSimDisk } from './sim-disk.js';
 import type { Platter } from './sim-disk.js';
 import { createSimHttp } from './sim-http.js';
 import { createSimNet } from './sim-wire.js';
@@ -32,7 +32,7 @@
 };
 
 /** Options of a simulated core; `regionMs` is the one-way delay between two nodes. */
-export type CoreShape = {
+export type SimCoreOptions = {
   readonly controllers: number;
   readonly seeds: number;
   readonly regionMs: number;
@@ -46,7 +46,10 @@
 /**
  * Result of a proposed evacuation (null: none within the time limit or node stopped), and the simulated time it took.
  */
-export type Ordered = { readonly result: Result<CommittedEntry, ProposeError> | null; readonly tookMs: number };
+export type EvacuationResult = {
+  readonly result: Result<CommittedEntry, ProposeError> | null;
+  readonly tookMs: number;
+};
 
 /** Network access and clock of a process that the test runs itself. */
 export type Lab = { readonly wire: Wire; readonly clock: Clock; readonly httpClient: HttpClient };
@@ -57,7 +60,7 @@
   readonly nodes: readonly CoreNode[];
   readonly node: (name: string) => CoreNode;
   /** Adds a node without starting it. */
-  readonly add: (name: string) => CoreNode;
+  readonly addNode: (name: string) => CoreNode;
   /** Starts a process of the test on a host of this name, in the zone `zone-` and the name. */
   readonly lab: (name: string) => Lab;
   /** Starts a process of the test on a host in the given zone. */
@@ -68,23 +71,23 @@
   readonly startAll: () => void;
   readonly kill: (name: string) => void;
   /** Stops a controller gracefully, for at most 7 s, then ends its process. */
-  readonly end: (name: string) => Promise<void>;
+  readonly stop: (name: string) => Promise<void>;
   /** Kills a node and loses or truncates its unsynced writes. */
   readonly powerLoss: (name: string) => void;
   /** Erases the disk of a node. */
   readonly wipe: (name: string) => void;
   /** Partitions these nodes from all other nodes, in both directions. */
-  readonly cutOff: (names: readonly string[]) => void;
+  readonly isolate: (names: readonly string[]) => void;
   /** Proposes the evacuation of a zone at one controller. */
-  readonly order: (name: string, zone: string, waitMs?: number) => Promise<Ordered>;
+  readonly order: (name: string, zone: string, waitMs?: number) => Promise<EvacuationResult>;
   /** Reads the evacuated zones at one controller with a linearizable read; null if the read fails. */
-  readonly evacuatedAt: (name: string) => Promise<readonly string[] | null>;
+  readonly readEvacuatedZones: (name: string) => Promise<readonly string[] | null>;
   readonly members: (name: string) => readonly string[];
   /** Whether each of these nodes is a member of a group that consists of exactly these nodes. */
   readonly whole: (names: readonly string[]) => boolean;
   readonly until: (limitMs: number, test: () => boolean) => Promise<boolean>;
   /** Runs the simulation until a promise is settled; null after the time limit. */
-  readonly finish: <T>(work: Promise<T>, limitMs: number) => Promise<T | null>;
+  readonly runUntilSettled: <T>(work: Promise<T>, limitMs: number) => Promise<T | null>;
   /** Frames and bytes that all nodes have sent since the start. */
   readonly sent: () => { readonly frames: number; readonly bytes: number };
   readonly rates: LinkRates;
@@ -98,7 +101,7 @@
 /** Creates a core whose nodes are not started yet. */
 export function createSimCore(
   seed: number,
-  shape: CoreShape = { controllers: 3, seeds: 3, regionMs: 35 },
+  shape: SimCoreOptions = { controllers: 3, seeds: 3, regionMs: 35 },
   logs: LogRoot = createQuietLog(),
 ): SimCore {
   const world = createWorld(seed);
@@ -155,7 +158,7 @@
   }
 
   async function startNode(node: CoreNode): Promise<void> {
-    const proc = world.begin(node.host);
+    const proc = world.startProcess(node.host);
     const rng = nextProcessRng();
     const deps = {
       clock: world.clockOf(proc),
@@ -163,7 +166,7 @@
       wire: net.wireOf(proc),
       httpServer: http.httpServerOf(proc),
       httpClient: http.httpClientOf(proc),
-      disk: simDisk(node.platter, proc, world),
+      disk: createSimDisk(node.platter, proc, world),
       logs,
       policies: POLICIES,
       meters: createMeters,
@@ -217,7 +220,7 @@
     return labIn(name, `zone-${name}`);
   }
   function labIn(name: string, zone: string): Lab {
-    const proc = world.begin(world.host(name, zone));
+    const proc = world.startProcess(world.host(name, zone));
     return { wire: net.wireOf(proc), clock: world.clockOf(proc), httpClient: http.httpClientOf(proc) };
   }
   function start(name: string): void {
@@ -243,7 +246,7 @@
     losePower(node(name).platter, world);
   }
   function wipe(name: string): void {
-    loseDisk(node(name).platter);
+    eraseDisk(node(name).platter);
   }
   function isolate(names: readonly string[]): void {
     for (const node of nodes) {
@@ -266,7 +269,7 @@
     return outcome.value;
   }
 
-  async function order(name: string, zone: string, waitMs = 1_500): Promise<Ordered> {
+  async function order(name: string, zone: string, waitMs = 1_500): Promise<EvacuationResult> {
     const from = world.now();
     const controller = node(name).controller;
     const work = controller
@@ -303,23 +306,23 @@
     world,
     nodes,
     node,
-    add: addNode,
+    addNode: addNode,
     lab,
     labIn,
     seeds: setSeeds,
     start,
     startAll,
     kill,
-    end: stop,
+    stop: stop,
     powerLoss,
     wipe,
-    cutOff: isolate,
+    isolate: isolate,
     order,
-    evacuatedAt: readEvacuatedZones,
+    readEvacuatedZones: readEvacuatedZones,
     members,
     whole,
     until,
-    finish: runUntilSettled,
+    runUntilSettled: runUntilSettled,
     sent: net.sent,
     rates: net.rates,
     broken,
--- a/src/sim/sim-disk.ts
+++ b/src/sim/sim-disk.ts
@@ -12,15 +12,20 @@
  * Content of a simulated disk. `full`: no file can be created or replaced; `failing`: writes and syncs fail with EIO;
  * `lies`: syncs are acknowledged without making anything durable.
  */
-export type Platter = { readonly files: Map<string, FileState>; full: boolean; failing: boolean; lies: boolean };
+export type Platter = {
+  readonly files: Map<string, FileState>;
+  full: boolean;
+  failing: boolean;
+  ignoresSyncs: boolean;
+};
 
 /** Creates an empty disk. */
 export function createPlatter(): Platter {
-  return { files: new Map(), full: false, failing: false, lies: false };
+  return { files: new Map(), full: false, failing: false, ignoresSyncs: false };
 }
 
 /** Returns how many bytes from the start of an unsynced write survive a power loss. */
-export type WriteFate = (bytes: number, index: number) => number;
+export type SurvivingBytes = (bytes: number, index: number) => number;
 
 /** Simulates a power loss: each unsynced write is lost, kept or truncated, at random. */
 export function losePower(platter: Platter, world: World): void {
@@ -36,7 +41,7 @@
  * Simulates a power loss with the surviving bytes of each write chosen by the test; `index` counts writes over all
  * files.
  */
-export function losePowerWith(platter: Platter, fate: WriteFate): void {
+export function losePowerWith(platter: Platter, fate: SurvivingBytes): void {
   let index = 0;
   for (const file of platter.files.values()) {
     const surviving = Buffer.from(file.synced);
@@ -51,7 +56,10 @@
 }
 
 /** Wraps a disk that hangs after this many writes, syncs and replacements, as if the process stopped at that point. */
-export function stoppingDisk(disk: Disk, operations: number): { readonly disk: Disk; readonly used: () => number } {
+export function createHangingDisk(
+  disk: Disk,
+  operations: number,
+): { readonly disk: Disk; readonly used: () => number } {
   let operationCount = 0;
   function hangAfterLimit<T>(work: () => Promise<T>): Promise<T> {
     operationCount += 1;
@@ -86,12 +94,12 @@
 }
 
 /** Erases all files. */
-export function loseDisk(platter: Platter): void {
+export function eraseDisk(platter: Platter): void {
   platter.files.clear();
 }
 
 /** Opens the simulated disk for a process. */
-export function simDisk(platter: Platter, proc: Proc, world: World): Disk {
+export function createSimDisk(platter: Platter, proc: Proc, world: World): Disk {
   const clock = world.clockOf(proc);
 
   function afterLatency<T>(work: () => T): Promise<T> {
@@ -122,7 +130,7 @@
       const writeCount = file.unsynced.length;
       function done(): Result<null, DiskError> {
         if (platter.failing) return ioError(name);
-        if (platter.lies) return ok(null);
+        if (platter.ignoresSyncs) return ok(null);
         for (const write of file.unsynced.splice(0, writeCount)) write.data.copy(file.synced, write.at);
         return ok(null);
       }
--- a/src/sim/sim-fleet.test.ts
+++ b/src/sim/sim-fleet.test.ts
@@ -5,7 +5,7 @@
   test.each([1, 2])('serves a mixed load without breaking a rule (seed %i)', async (seed) => {
     const fleet = createSimFleet(seed);
     expect(await fleet.start()).toBe(true);
-    const tallies = await fleet.finish(
+    const tallies = await fleet.runUntilSettled(
       Promise.all(['hu-1', 'at-1', 'ro-1'].map((zone) => fleet.traffic({ zone, seconds: 10 }))),
       40_000,
     );
@@ -22,7 +22,7 @@
     async function runOnce(): Promise<string> {
       const fleet = createSimFleet(5);
       await fleet.start();
-      await fleet.finish(fleet.traffic({ zone: 'hu-1', seconds: 4 }), 20_000);
+      await fleet.runUntilSettled(fleet.traffic({ zone: 'hu-1', seconds: 4 }), 20_000);
       expect(fleet.records.length).toBeGreaterThan(50);
       return JSON.stringify(fleet.records);
     }
--- a/src/sim/sim-fleet.ts
+++ b/src/sim/sim-fleet.ts
@@ -23,7 +23,7 @@
 import { createMeters } from '../transport/meters.js';
 import { createRng, newId } from '../transport/rng.js';
 import type { Rng } from '../transport/rng.js';
-import { createPlatter, loseDisk, losePower, simDisk } from './sim-disk.js';
+import { createPlatter, eraseDisk, losePower, createSimDisk } from './sim-disk.js';
 import type { Platter } from './sim-disk.js';
 import { sabotageLedger } from './sabotage.js';
 import type { Sabotage } from './sabotage.js';
@@ -91,7 +91,7 @@
   readonly moveWorker: (id: string) => void;
   /** Makes later starts use the addresses of the first controllers as seeds, even after controllers have moved. */
   readonly keepBootstrapSeeds: () => void;
-  readonly turbulence: (newDisturbance: FrameDisturbance) => void;
+  readonly setFrameDisturbance: (newDisturbance: FrameDisturbance) => void;
   readonly shape: FleetShape;
   readonly zones: readonly string[];
   /** Index of the controller that holds the scaler lease and is not frozen; -1 if there is none. */
@@ -99,7 +99,7 @@
   readonly hostOf: (name: string) => Host;
   readonly httpClientOf: (proc: Proc) => HttpClient;
   /** Partitions these hosts from all others, in both directions. */
-  readonly cutOff: (names: readonly string[]) => void;
+  readonly isolate: (names: readonly string[]) => void;
   readonly call: (
     httpCall: Omit<HttpCall, 'timeoutMs'> & { readonly timeoutMs?: number },
   ) => Promise<Result<HttpAnswer, HttpError>>;
@@ -118,7 +118,7 @@
   readonly run: (ms: number) => Promise<void>;
   readonly until: (limitMs: number, test: () => boolean) => Promise<boolean>;
   /** Runs the simulation until a promise is settled; null after the time limit. */
-  readonly finish: <T>(work: Promise<T>, limitMs: number) => Promise<T | null>;
+  readonly runUntilSettled: <T>(work: Promise<T>, limitMs: number) => Promise<T | null>;
   /** Checks the records against the rules and returns all violations so far. */
   readonly check: (rules?: Partial<CheckRules>) => RuleViolation[];
   /** Whether some controller knows of at least one order, and only of ready spot orders. */
@@ -195,7 +195,7 @@
       wire: net.wireOf(proc),
       httpServer: http.httpServerOf(proc),
       httpClient: http.httpClientOf(proc),
-      disk: platter ? simDisk(platter, proc, world) : null,
+      disk: platter ? createSimDisk(platter, proc, world) : null,
       logs,
       policies,
       meters: createMeters,
@@ -207,7 +207,7 @@
   const platformAddress = nextAddress();
   const cloudAddress = nextAddress();
   const labHost = world.host('lab', 'lab');
-  const labHttpClient = http.httpClientOf(world.begin(labHost));
+  const labHttpClient = http.httpClientOf(world.startProcess(labHost));
 
   const controllers: SimController[] = zones.map(controllerOf);
   const bootstrapSeeds = controllers.map(wireOf);
@@ -220,7 +220,7 @@
 
   function createFleetPlatter(): Platter {
     const platter = createPlatter();
-    platter.lies = sabotage.disksLie === true;
+    platter.ignoresSyncs = sabotage.disksLie === true;
     return platter;
   }
   function controllerOf(zone: string, i: number): SimController {
@@ -369,7 +369,7 @@
   async function startNode(name: string): Promise<void> {
     const starter = starters.get(name);
     if (!starter) return;
-    await starter(world.begin(hostOf(name)));
+    await starter(world.startProcess(hostOf(name)));
   }
 
   function kill(name: string): void {
@@ -393,7 +393,7 @@
   }
   function wipe(name: string): void {
     const platter = platterOf(name);
-    if (platter) loseDisk(platter);
+    if (platter) eraseDisk(platter);
   }
 
   function moveController(controllerIndex: number): void {
@@ -513,7 +513,7 @@
     settings: Partial<CallerSettings> & { readonly zone: string; readonly seconds: number },
   ): Promise<CallerCounts> {
     const name = settings.name ?? `caller-${settings.zone}-${processCount}`;
-    const proc = world.begin(world.host(name, settings.zone));
+    const proc = world.startProcess(world.host(name, settings.zone));
     const proxyAddresses: string[] = [];
     for (const simProxy of proxies) if (simProxy.host.zone === settings.zone) proxyAddresses.push(simProxy.http);
     for (const simProxy of proxies) if (simProxy.host.zone !== settings.zone) proxyAddresses.push(simProxy.http);
@@ -574,17 +574,17 @@
     moveController,
     moveWorker,
     keepBootstrapSeeds,
-    turbulence: net.disturb,
+    setFrameDisturbance: net.setFrameDisturbance,
     holder,
     hostOf,
     httpClientOf: http.httpClientOf,
-    cutOff: isolate,
+    isolate: isolate,
     call,
     operator,
     traffic,
     run,
     until,
-    finish: runUntilSettled,
+    runUntilSettled: runUntilSettled,
     check,
     allReady,
     load,
--- a/src/sim/sim-ledger.ts
+++ b/src/sim/sim-ledger.ts
@@ -19,11 +19,11 @@
   readonly entryBytes: readonly number[];
   readonly fold: (id: string, command: Command) => CommittedEntry;
   /** The log as a server sees it that is this many milliseconds away. */
-  readonly ledgerAfter: (ms: number) => Pick<Ledger, 'controlState' | 'linearizableRead' | 'propose'>;
+  readonly ledgerWithDelay: (ms: number) => Pick<Ledger, 'controlState' | 'linearizableRead' | 'propose'>;
   /** Makes linearizable reads fail after 60 s. */
   readonly cut: (on: boolean) => void;
   /** Drops the acknowledgements of proposals, which are still applied. */
-  readonly deaf: (on: boolean) => void;
+  readonly dropReplies: (on: boolean) => void;
   /** Runs the simulation until a promise is settled; null after the time limit. */
   readonly run: <T>(work: Promise<T>, limitMs?: number) => Promise<T | null>;
 };
@@ -34,7 +34,7 @@
  */
 export function createSimLedger(seed: number): SimLedger {
   const world = createWorld(seed);
-  const clock = world.clockOf(world.begin(world.host('core', 'a')));
+  const clock = world.clockOf(world.startProcess(world.host('core', 'a')));
   const controlState = emptyControlState();
   const entryBytes: number[] = [];
   let isCut = false;
@@ -85,5 +85,15 @@
     await world.until(limitMs, isDone);
     return results[0] ?? null;
   }
-  return { world, clock, controlState, entryBytes, fold, ledgerAfter: ledgerWithDelay, cut, deaf: dropReplies, run };
+  return {
+    world,
+    clock,
+    controlState,
+    entryBytes,
+    fold,
+    ledgerWithDelay: ledgerWithDelay,
+    cut,
+    dropReplies: dropReplies,
+    run,
+  };
 }
--- a/src/sim/sim-wire.ts
+++ b/src/sim/sim-wire.ts
@@ -19,15 +19,19 @@
 type OpenListener = { readonly proc: Proc; readonly onConnection: (connection: Connection) => void };
 
 /** Probabilities that a frame is delayed by up to 400 ms, delivered twice, or may overtake earlier frames. */
-export type FrameDisturbance = { readonly slow: number; readonly twice: number; readonly overtake: number };
+export type FrameDisturbance = {
+  readonly delayProbability: number;
+  readonly duplicateProbability: number;
+  readonly reorderProbability: number;
+};
 
 /** No disturbance of frames. */
-export const CALM: FrameDisturbance = { slow: 0, twice: 0, overtake: 0 };
+export const NO_DISTURBANCE: FrameDisturbance = { delayProbability: 0, duplicateProbability: 0, reorderProbability: 0 };
 const MAX_EXTRA_DELAY_MS = 400;
 
 /** The simulated network; `sent` counts the frames and bytes of all processes. */
 export type SimNet = {
-  readonly disturb: (newDisturbance: FrameDisturbance) => void;
+  readonly setFrameDisturbance: (newDisturbance: FrameDisturbance) => void;
   readonly rates: LinkRates;
   readonly wireOf: (proc: Proc) => Wire;
   readonly sent: () => { readonly frames: number; readonly bytes: number };
@@ -46,7 +50,7 @@
   const rates = createLinkRates();
   let frames = 0;
   let bytes = 0;
-  let disturbance = CALM;
+  let disturbance = NO_DISTURBANCE;
 
   function setFrameDisturbance(newDisturbance: FrameDisturbance): void {
     disturbance = newDisturbance;
@@ -107,7 +111,9 @@
 
   function transmit(from: Endpoint, to: Endpoint, body: string | null): void {
     const extraDelayMs =
-      disturbance.slow > 0 && world.rng.next() < disturbance.slow ? MAX_EXTRA_DELAY_MS * world.rng.next() : 0;
+      disturbance.delayProbability > 0 && world.rng.next() < disturbance.delayProbability
+        ? MAX_EXTRA_DELAY_MS * world.rng.next()
+        : 0;
     const delayMs = world.delay(from.proc.host, to.proc.host);
     const bytes = body === null ? 0 : body.length;
     const rateDelayMs = rates.rateDelayMs({
@@ -119,11 +125,12 @@
       sendWindow: from.sendWindow,
     });
     const dueAt = world.now() + rateDelayMs + delayMs + extraDelayMs;
-    const overtakes = body !== null && disturbance.overtake > 0 && world.rng.next() < disturbance.overtake;
+    const overtakes =
+      body !== null && disturbance.reorderProbability > 0 && world.rng.next() < disturbance.reorderProbability;
     const at = overtakes ? dueAt : Math.max(from.lastArrivalAt + 0.001, dueAt);
     if (!overtakes) from.lastArrivalAt = at;
     world.at(at - world.now(), onArrival);
-    if (body !== null && disturbance.twice > 0 && world.rng.next() < disturbance.twice)
+    if (body !== null && disturbance.duplicateProbability > 0 && world.rng.next() < disturbance.duplicateProbability)
       world.at(at - world.now() + MAX_EXTRA_DELAY_MS * world.rng.next(), onArrival);
     function onArrival(): void {
       if (!world.alive(to.proc)) {
@@ -241,5 +248,5 @@
   function sent(): { readonly frames: number; readonly bytes: number } {
     return { frames, bytes };
   }
-  return { wireOf, sent, disturb: setFrameDisturbance, rates };
+  return { wireOf, sent, setFrameDisturbance: setFrameDisturbance, rates };
 }
--- a/src/sim/stored-data.ts
+++ b/src/sim/stored-data.ts
@@ -16,7 +16,7 @@
 import { createRng } from '../transport/rng.js';
 import { createSimCore } from './sim-core.js';
 import type { SimCore } from './sim-core.js';
-import { createPlatter, simDisk } from './sim-disk.js';
+import { createPlatter, createSimDisk } from './sim-disk.js';
 import type { Platter } from './sim-disk.js';
 import { createWorld } from './world.js';
 
@@ -50,7 +50,7 @@
   await changeConfiguration(core);
   await addClaims(core);
   await fillRing(core);
-  core.add('h4');
+  core.addNode('h4');
   core.powerLoss('h2');
   core.wipe('h2');
   core.start('h4');
@@ -68,11 +68,11 @@
   const world = core.world;
   const log = createQuietLog().component(PROXY);
   const peers = createPeers(lab.wire, lab.clock, log);
-  const proc = world.begin(world.host(`${PROXY}-disk`, `zone-${PROXY}`));
+  const proc = world.startProcess(world.host(`${PROXY}-disk`, `zone-${PROXY}`));
   const self = { name: PROXY, zone: `zone-${PROXY}`, region: `zone-${PROXY}` };
   const seeds = core.nodes.map((node) => node.wire);
-  const made = await core.finish(
-    createFollower(self, seeds, peers, lab.clock, simDisk(platter, proc, world), log),
+  const made = await core.runUntilSettled(
+    createFollower(self, seeds, peers, lab.clock, createSimDisk(platter, proc, world), log),
     WAIT_MS,
   );
   return made ?? { stop: noop };
@@ -84,7 +84,7 @@
   for (let number = 1; number <= 3; number += 1) {
     const base = ledger.controlState().version;
     const changes = [{ path: ['zones', `zone-${number}`], value: { region: 'region-1' } }];
-    await core.finish(
+    await core.runUntilSettled(
       ledger.propose(
         {
           id: `change-${number}`,
@@ -102,7 +102,7 @@
     );
   }
   await core.order('h2', 'zone-1', 5_000);
-  await core.finish(
+  await core.runUntilSettled(
     ledger.propose(
       {
         cause: 'An order.',
@@ -112,7 +112,10 @@
     ),
     WAIT_MS,
   );
-  await core.finish(ledger.propose({ cause: 'It failed.', act: { tag: 'orderFailed', order: 'o1' } }, 5_000), WAIT_MS);
+  await core.runUntilSettled(
+    ledger.propose({ cause: 'It failed.', act: { tag: 'orderFailed', order: 'o1' } }, 5_000),
+    WAIT_MS,
+  );
 }
 
 async function addClaims(core: SimCore): Promise<void> {
@@ -124,7 +127,7 @@
   for (let i = 0; i < CLAIM_COUNT; i += 1)
     claims.push({ key: `key-${i}`, by: 'first', born: (CLAIM_HOUR + (i % 3)) * HOUR_MS });
   for (const member of state.members)
-    await core.finish(
+    await core.runUntilSettled(
       peers.call(
         member.address,
         { kind: 'claim', ledger: state.ledger, members: membersDigest(state.members), claims },
@@ -150,7 +153,7 @@
           5_000,
         ),
       );
-    await core.finish(Promise.all(work), WAIT_MS);
+    await core.runUntilSettled(Promise.all(work), WAIT_MS);
   }
 }
 
@@ -173,8 +176,8 @@
 /** Returns everything that a node reads from its disk, as plain values. */
 export async function readStoredData(name: string, files: StoredFiles): Promise<unknown> {
   const world = createWorld(1);
-  const proc = world.begin(world.host(name, 'zone'));
-  const disk = simDisk(platterOf(files), proc, world);
+  const proc = world.startProcess(world.host(name, 'zone'));
+  const disk = createSimDisk(platterOf(files), proc, world);
   const log = createQuietLog().component(name);
   async function finish<T>(work: Promise<T>): Promise<T> {
     const outcome: { value: T | null; done: boolean } = { value: null, done: false };
--- a/src/sim/worker-scenarios.ts
+++ b/src/sim/worker-scenarios.ts
@@ -3,14 +3,14 @@
  * counts.
  */
 import { SMALL } from './shapes.js';
-import { createWatchers } from './watchers.js';
-import { readVersion, reclaimAllMachines, outcomeShare, statusOf } from './stage.js';
-import type { ScenarioContext } from './stage.js';
+import { createInvariantChecker } from './invariant-checker.js';
+import { readVersion, reclaimAllMachines, outcomeShare, statusOf } from './scenario-context.js';
+import type { ScenarioContext } from './scenario-context.js';
 
 /** A zone is evacuated under load, then restored. */
 export async function evacuation(context: ScenarioContext): Promise<void> {
   const { fleet } = context;
-  const checker = createWatchers(fleet);
+  const checker = createInvariantChecker(fleet);
   const traffic = fleet.traffic({ zone: 'hu-1', seconds: 25 });
   await fleet.run(2_000);
   const from = fleet.world.now();
@@ -29,16 +29,16 @@
     statusOf(await fleet.operator(0, 'POST', '/v1/zones/hu-1/restore', {})) === 200,
     'the zone was not restored',
   );
-  const tally = await fleet.finish(traffic, 60_000);
+  const tally = await fleet.runUntilSettled(traffic, 60_000);
   context.told.facts['success share'] = outcomeShare(tally, 'success');
   context.expect('serves', outcomeShare(tally, 'success') > 0.98, JSON.stringify(tally));
-  await fleet.finish(fleet.traffic({ zone: 'hu-1', seconds: 4, runOnceShare: 1 }), 30_000);
+  await fleet.runUntilSettled(fleet.traffic({ zone: 'hu-1', seconds: 4, runOnceShare: 1 }), 30_000);
   let arrivals = 0;
   for (const record of fleet.records)
     if (record['event'] === 'arrived' && record['zone'] === 'hu-1' && (record['at'] as number) > from + 13_000)
       arrivals += 1;
   context.expect('handedBack', arrivals > 0, 'no request reached the zone after it was restored');
-  checker.end();
+  checker.checkRecords();
 }
 
 /**
@@ -52,7 +52,7 @@
   const from = fleet.world.now();
   context.expect('replaced', await fleet.until(30_000, isReplaced), 'the machines were not replaced');
   context.told.recoverMs = Math.round(fleet.world.now() - from);
-  const tally = await fleet.finish(traffic, 200_000);
+  const tally = await fleet.runUntilSettled(traffic, 200_000);
   context.told.facts['streams cut, told as such'] =
     (tally?.['stream cut'] ?? 0) + (tally?.['stream workerFailed'] ?? 0);
   context.expect('fault', Number(context.told.facts['streams cut, told as such']) > 0, 'no stream was running');
@@ -77,7 +77,7 @@
   context.expect('fallback', await fleet.until(20_000, isCovered), `${readyCount('onDemand')} fallback workers`);
   context.told.recoverMs = Math.round(fleet.world.now() - from);
   await fleet.run(500);
-  const tally = await fleet.finish(fleet.traffic({ zone: 'hu-1', seconds: 8, runOnceShare: 0 }), 60_000);
+  const tally = await fleet.runUntilSettled(fleet.traffic({ zone: 'hu-1', seconds: 8, runOnceShare: 0 }), 60_000);
   context.told.facts['success share'] = outcomeShare(tally, 'success');
   context.expect('serves', outcomeShare(tally, 'success') > 0.98, JSON.stringify(tally));
   for (const zone of Object.keys(SMALL.zones))
@@ -162,7 +162,7 @@
     body: { remainingMs: 9_000 },
   });
   context.expect('fault', statusOf(response) === 200, `answered ${statusOf(response)}`);
-  const tally = await fleet.finish(traffic, 60_000);
+  const tally = await fleet.runUntilSettled(traffic, 60_000);
   let lastArrivalAt = from;
   for (const record of fleet.records)
     if (record['event'] === 'arrived' && record['worker'] === 'gateway-hu-1-1')
--- a/src/sim/world.ts
+++ b/src/sim/world.ts
@@ -25,7 +25,7 @@
   frozen: boolean;
   powered: boolean;
   wallOffset: number;
-  readonly parked: (() => void)[];
+  readonly deferredCallbacks: (() => void)[];
 };
 
 /** One process on a host; it is alive until the host is killed or starts another process. */
@@ -41,7 +41,7 @@
   readonly host: (name: string, zone: string) => Host;
   readonly hosts: () => readonly Host[];
   /** Starts a new process on a host; any process before it is no longer alive. */
-  readonly begin: (host: Host) => Proc;
+  readonly startProcess: (host: Host) => Proc;
   readonly alive: (proc: Proc) => boolean;
   readonly clockOf: (proc: Proc) => Clock;
   /** Runs a callback in a process: not at all if the process is dead, and after the thaw if it is frozen. */
@@ -73,7 +73,7 @@
 };
 
 /** Wall clock time at the start of a simulation, in milliseconds since the epoch. */
-export const SIM_WALL = 1_800_000_000_000;
+export const SIM_START_WALL_MS = 1_800_000_000_000;
 const SAME_ZONE_MS = 0.3;
 
 function compareEvents(left: ScheduledEvent, right: ScheduledEvent): number {
@@ -116,7 +116,7 @@
       frozen: false,
       powered: true,
       wallOffset: 0,
-      parked: [],
+      deferredCallbacks: [],
     };
     hosts.set(name, created);
     return created;
@@ -129,7 +129,7 @@
     host.running = true;
     host.frozen = false;
     host.powered = true;
-    host.parked.length = 0;
+    host.deferredCallbacks.length = 0;
     return { host, life: host.life };
   }
   function alive(proc: Proc): boolean {
@@ -138,7 +138,7 @@
   function run(proc: Proc, callback: () => void): void {
     if (!alive(proc)) return;
     if (proc.host.frozen) {
-      proc.host.parked.push(runIfAlive);
+      proc.host.deferredCallbacks.push(runIfAlive);
       return;
     }
     callback();
@@ -151,7 +151,7 @@
       return time;
     }
     function wall(): number {
-      return SIM_WALL + time + proc.host.wallOffset;
+      return SIM_START_WALL_MS + time + proc.host.wallOffset;
     }
     function timer(ms: number, callback: () => void): Timer {
       function fire(): void {
@@ -174,7 +174,7 @@
     if (!host.running) return;
     host.running = false;
     host.frozen = false;
-    host.parked.length = 0;
+    host.deferredCallbacks.length = 0;
     for (const callback of killListeners) callback(host);
   }
   function freeze(host: Host): void {
@@ -182,7 +182,7 @@
   }
   function thaw(host: Host): void {
     host.frozen = false;
-    const callbacks = host.parked.splice(0);
+    const callbacks = host.deferredCallbacks.splice(0);
     for (const callback of callbacks) callback();
   }
   function registerAddress(address: Address, host: Host): void {
@@ -260,7 +260,7 @@
     at,
     host,
     hosts: allHosts,
-    begin: startProcess,
+    startProcess: startProcess,
     alive,
     clockOf,
     run,
--- a/src/transport/http-connections.test.ts
+++ b/src/transport/http-connections.test.ts
@@ -27,7 +27,7 @@
 async function startServer(): Promise<TestServer> {
   const world = createWorld(1);
   const server = createServer();
-  const connections = new HttpConnections(server, world.clockOf(world.begin(world.host('server', 'zone'))));
+  const connections = new HttpConnections(server, world.clockOf(world.startProcess(world.host('server', 'zone'))));
   const requests: { req: IncomingMessage; res: ServerResponse }[] = [];
   server.on('request', (req: IncomingMessage, res: ServerResponse) => requests.push({ req, res }));
   await new Promise<void>((done) => server.listen(0, '127.0.0.1', done));
--- a/src/transport/ring.test.ts
+++ b/src/transport/ring.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, test } from '@jest/globals';
-import { createPlatter, losePower, simDisk } from '../sim/sim-disk.js';
+import { createPlatter, losePower, createSimDisk } from '../sim/sim-disk.js';
 import type { Platter } from '../sim/sim-disk.js';
 import { createWorld } from '../sim/world.js';
 import type { World } from '../sim/world.js';
@@ -16,7 +16,10 @@
   return (value as unknown as { v: T }).v;
 }
 function open(world: World, platter: Platter): Promise<Result<OpenedRing, RingError>> {
-  return advanceUntilDone(world, openRing(simDisk(platter, world.begin(world.host('h', 'z')), world), shape));
+  return advanceUntilDone(
+    world,
+    openRing(createSimDisk(platter, world.startProcess(world.host('h', 'z')), world), shape),
+  );
 }
 async function openOrThrow(world: World, platter: Platter): Promise<OpenedRing> {
   const response = await open(world, platter);
--- a/src/transport/stop-signal.test.ts
+++ b/src/transport/stop-signal.test.ts
@@ -29,7 +29,7 @@
 
 test('a process exits once its stop is complete', async () => {
   const world = createWorld(1);
-  const clock = world.clockOf(world.begin(world.host('node', 'zone')));
+  const clock = world.clockOf(world.startProcess(world.host('node', 'zone')));
   const exit = mockedExit();
   await stopAndExit(log, clock, WITHIN_MS, () => Promise.resolve());
   expect(exit).toHaveBeenCalledWith(0);
@@ -39,7 +39,7 @@
 // Guards against a process that runs until it is killed because a promise that its stop awaits was rejected.
 test('a process exits also if its stop fails', async () => {
   const world = createWorld(1);
-  const clock = world.clockOf(world.begin(world.host('node', 'zone')));
+  const clock = world.clockOf(world.startProcess(world.host('node', 'zone')));
   const exit = mockedExit();
   await stopAndExit(log, clock, WITHIN_MS, () => Promise.reject(new Error('no disk')));
   expect(exit).toHaveBeenCalledWith(0);
@@ -48,7 +48,7 @@
 
 test('a process exits in time also if its stop never completes', async () => {
   const world = createWorld(1);
-  const clock = world.clockOf(world.begin(world.host('node', 'zone')));
+  const clock = world.clockOf(world.startProcess(world.host('node', 'zone')));
   const exit = mockedExit();
   const ended = stopAndExit(log, clock, WITHIN_MS, () => new Promise(() => undefined));
   await world.advance(WITHIN_MS - 10);
@@ -65,7 +65,7 @@
   ['has started', true],
 ])('a process that received a stop signal and %s', async (_what, hasStarted) => {
   const world = createWorld(1);
-  const clock = world.clockOf(world.begin(world.host('node', 'zone')));
+  const clock = world.clockOf(world.startProcess(world.host('node', 'zone')));
   const exit = mockedExit();
   const signal = awaitStopSignal();
   const started = exitIfStartHangs(log, clock, signal, WITHIN_MS);
--- a/standin-platform/caller.test.ts
+++ b/standin-platform/caller.test.ts
@@ -5,7 +5,7 @@
 import { afterEach, beforeEach, describe, expect, test } from '@jest/globals';
 import { createClock } from '../src/transport/clock.js';
 import { createRng } from '../src/transport/rng.js';
-import { judge } from './check.js';
+import { checkRules } from './check.js';
 import { documentToWire, MAPPING_DEFAULTS, MODEL_DEFAULTS } from './document.js';
 import { createCaller, REQUEST_DEFAULTS } from './caller.js';
 import type { Caller, CallerSpec, RequestSpec } from './caller.js';
@@ -120,7 +120,7 @@
       Array.from({ length: 30 }, (_, i) => caller.call(requestSpec(kinds[i % 3] ?? 'once', { chunked: i % 2 === 0 }))),
     );
     expect(results.every((t) => t.succeeded && t.tries === 1)).toBe(true);
-    expect(judge(records.all())).toEqual([]);
+    expect(checkRules(records.all())).toEqual([]);
     expect(recordsOfType(records.all(), 'ran')).toHaveLength(30);
     expect(directoryRequests).toEqual(['/millfield/resolve?name=caller.example&region=r&zone=z']);
   });
@@ -214,7 +214,7 @@
     edgeAddresses.push(await listen(server));
     const caller = await createTestCaller({ keepConnections: false });
     await caller.call(requestSpec('once'));
-    const texts = judge(records.all()).map((v) => v.text);
+    const texts = checkRules(records.all()).map((v) => v.text);
     expect(texts.some((t) => t.endsWith('sent a success where no request is waiting'))).toBe(true);
     expect(texts.some((t) => t.endsWith('got a success without a seal'))).toBe(true);
   });
@@ -225,6 +225,6 @@
     worker.fault({ mode: 'surplus', share: 1 });
     const caller = await createTestCaller();
     for (let i = 0; i < 3; i += 1) await caller.call(requestSpec('once'));
-    expect(judge(records.all()).map((v) => v.rule)).toContain('MIXED');
+    expect(checkRules(records.all()).map((v) => v.rule)).toContain('MIXED');
   });
 });
--- a/standin-platform/check.test.ts
+++ b/standin-platform/check.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, test } from '@jest/globals';
-import { brokenRules, judge } from './check.js';
+import { brokenRules, checkRules } from './check.js';
 import { documentToWire, MAPPING_DEFAULTS, MODEL_DEFAULTS } from './document.js';
 import type { ModelRoute } from './document.js';
 import { BOUNDS } from './facts.js';
@@ -285,7 +285,7 @@
     ],
   ];
   test.each(validRecords)('report nothing for %s', (_what, records) => {
-    expect(judge(records)).toEqual([]);
+    expect(checkRules(records)).toEqual([]);
   });
 
   const violations: readonly (readonly [string, string, readonly JournalRecord[]])[] = [
@@ -616,7 +616,7 @@
     ],
   ];
   test.each(violations)('report %s: %s', (rule, _what, records) => {
-    expect(brokenRules(judge(records))).toContain(rule);
+    expect(brokenRules(checkRules(records))).toContain(rule);
   });
 
   test('skip a proxy that was not in contact with the core', () => {
@@ -630,8 +630,8 @@
       finished(),
       answered(),
     ];
-    expect(brokenRules(judge(late))).toEqual(['DRAIN']);
-    expect(judge([...late, killed])).toEqual([]);
-    expect(brokenRules(judge([...late, killed], { ...BOUNDS, contactMs: 500 }))).toEqual(['DRAIN']);
+    expect(brokenRules(checkRules(late))).toEqual(['DRAIN']);
+    expect(checkRules([...late, killed])).toEqual([]);
+    expect(brokenRules(checkRules([...late, killed], { ...BOUNDS, contactMs: 500 }))).toEqual(['DRAIN']);
   });
 });
--- a/standin-platform/check.ts
+++ b/standin-platform/check.ts
@@ -35,7 +35,7 @@
 ] as const;
 
 /** Checks all rules and returns the violations. */
-export function judge(records: readonly JournalRecord[], bounds: Bounds = BOUNDS): readonly RuleViolation[] {
+export function checkRules(records: readonly JournalRecord[], bounds: Bounds = BOUNDS): readonly RuleViolation[] {
   const facts = collectFacts(records, bounds);
   const violations: RuleViolation[] = [];
   function report(rule: string, text: string): void {
--- a/standin-platform/events.ts
+++ b/standin-platform/events.ts
@@ -3,7 +3,7 @@
 import type { EventSeen } from './records.js';
 
 /** Formats one server-sent event as a stand-in worker sends it. */
-export function eventText(eventSeen: EventSeen): string {
+export function formatEvent(eventSeen: EventSeen): string {
   return `id: ${eventSeen.id}\ndata: ${JSON.stringify({ run: eventSeen.run, n: eventSeen.n, of: eventSeen.of })}\n\n`;
 }
 
--- a/standin-platform/operator.test.ts
+++ b/standin-platform/operator.test.ts
@@ -4,7 +4,7 @@
 import { afterEach, beforeEach, describe, expect, test } from '@jest/globals';
 import { createClock } from '../src/transport/clock.js';
 import { createRng } from '../src/transport/rng.js';
-import { judge } from './check.js';
+import { checkRules } from './check.js';
 import { applyAmendment, documentToWire, MAPPING_DEFAULTS, MODEL_DEFAULTS } from './document.js';
 import { createOperator } from './operator.js';
 import type { Operator } from './operator.js';
@@ -137,10 +137,10 @@
     };
     await operator.amend(configDocument(7), amendment, 7);
     expect(await operator.read(1_000)).toMatchObject({ generation: 9, routeSet: [{ name: 'r2' }] });
-    expect(judge(records.all())).toEqual([]);
+    expect(checkRules(records.all())).toEqual([]);
     stored = configDocument(7);
     await operator.read(1_000);
-    expect(judge(records.all()).map((v) => v.rule)).toEqual(['CONFIG']);
+    expect(checkRules(records.all()).map((v) => v.rule)).toEqual(['CONFIG']);
   });
 
   test('records an order without a conclusive response as unclear', async () => {
--- a/standin-platform/report.ts
+++ b/standin-platform/report.ts
@@ -1,5 +1,5 @@
 /** Summarizes a run for people: what was served, how requests failed, and which rules were violated. */
-import { judge } from './check.js';
+import { checkRules } from './check.js';
 import { BOUNDS } from './facts.js';
 import type { Bounds, RuleViolation } from './facts.js';
 import { recordsOfType } from './records.js';
@@ -19,7 +19,7 @@
 /** Checks the records of a run and summarizes them. */
 export function reportOf(site: Site, counts: ReadonlyMap<string, RequestCount>, bounds: Bounds = BOUNDS): SiteReport {
   const records = site.records.all();
-  const violations = judge(records, bounds);
+  const violations = checkRules(records, bounds);
   const lines: string[] = [];
   let served = 0;
   let asked = 0;
--- a/standin-platform/worker.ts
+++ b/standin-platform/worker.ts
@@ -11,7 +11,7 @@
 import { delay } from '../src/transport/clock.js';
 import { randomInt } from '../src/transport/rng.js';
 import { API_PATH, HEADER, USAGE } from '../platform/words.js';
-import { eventText } from './events.js';
+import { formatEvent } from './events.js';
 import { digestBody, header, sha256Hex, tokenCounts } from './incoming.js';
 import { createPrefixMemory } from './prefix-memory.js';
 import type { EventSeen, Finished } from './records.js';
@@ -437,7 +437,9 @@
       if (clock.mono() >= job.deadlineAt || eventNumber === truncateAt) return truncateResponse(job, seal, '');
       const event: EventSeen = { id: eventNumber * engine.tokensPerEvent, run: seal, n: eventNumber, of: eventCount };
       const text =
-        weights === announcedWeights ? eventText(event) : `${HEADER.weightVersions}: ${weights}\n${eventText(event)}`;
+        weights === announcedWeights
+          ? formatEvent(event)
+          : `${HEADER.weightVersions}: ${weights}\n${formatEvent(event)}`;
       announcedWeights = weights;
       hash.update(text);
       job.res.write(text);
