--- a/eslint.config.js
+++ b/eslint.config.js
@@ -3,50 +3,57 @@
 import { DOCUMENTED } from './tools/lint/documented.mjs';
 import { moduleComment } from './tools/lint/module-comment.mjs';
 
-const NAMED = 'Free functions are declarations: function name() {}. An arrow function is a callback.';
+const FUNCTION_STYLE = 'Declare a top-level function as function name() {}. Use arrow functions only as callbacks.';
 
 const restrictedSyntax = [
-  { selector: 'Program > VariableDeclaration > VariableDeclarator > ArrowFunctionExpression', message: NAMED },
-  { selector: ':not(MethodDefinition, Property) > FunctionExpression', message: NAMED },
-  { selector: 'ThrowStatement', message: 'Failures are values: return a tagged error.' },
+  { selector: 'Program > VariableDeclaration > VariableDeclarator > ArrowFunctionExpression', message: FUNCTION_STYLE },
+  { selector: ':not(MethodDefinition, Property) > FunctionExpression', message: FUNCTION_STYLE },
+  { selector: 'ThrowStatement', message: 'Do not throw; return a tagged error.' },
 ];
 
 const noCatch = {
   selector: 'TryStatement[handler!=null]',
-  message: 'Exceptions are caught at library edges: in transport, programs, or base/parsed-json.',
+  message: 'Exceptions may be caught only where a library is called: in transport, programs or base/parsed-json.',
 };
 
-const outsideOnly = ['node:fs', 'node:fs/promises', 'node:net', 'node:http', 'express', 'got'];
+const ioModules = ['node:fs', 'node:fs/promises', 'node:net', 'node:http', 'express', 'got'];
 
-function noneOf(...folders) {
-  return { patterns: [{ group: folders.map((f) => `**/${f}/**`), message: 'Imports go downwards only.' }] };
+function forbidImportsOf(...folders) {
+  return {
+    patterns: [
+      {
+        group: folders.map((folder) => `**/${folder}/**`),
+        message: 'A layer may import only from the layers below it.',
+      },
+    ],
+  };
 }
 
-function layer(folder, ...above) {
-  const edge = folder === 'transport' || folder === 'base';
-  const paths = folder === 'transport' ? [] : outsideOnly;
+function layer(folder, ...forbiddenFolders) {
+  const mayCatch = folder === 'transport' || folder === 'base';
+  const paths = folder === 'transport' ? [] : ioModules;
   return {
     files: [`src/${folder}/**/*.ts`],
     ignores: ['**/*.test.ts'],
     rules: {
-      'no-restricted-syntax': ['error', ...restrictedSyntax, ...(edge ? [] : [noCatch])],
-      'no-restricted-imports': ['error', { paths, ...noneOf(...above) }],
+      'no-restricted-syntax': ['error', ...restrictedSyntax, ...(mayCatch ? [] : [noCatch])],
+      'no-restricted-imports': ['error', { paths, ...forbidImportsOf(...forbiddenFolders) }],
     },
   };
 }
 
-const TOP = ['standin-platform', 'programs', 'standin', 'sim', 'client', 'runbook', 'operator'];
+const TOP_LAYERS = ['standin-platform', 'programs', 'standin', 'sim', 'client', 'runbook', 'operator'];
 
 const typeChecked = {
   files: ['src/**/*.ts', 'platform/**/*.ts', 'standin-platform/**/*.ts'],
   extends: [tseslint.configs.recommendedTypeChecked],
   languageOptions: { parserOptions: { projectService: true, tsconfigRootDir: import.meta.dirname } },
-  // Handlers of an asynchronous interface are declared async also where they have nothing to
-  // wait for: an exception then is a rejected promise, never thrown at the caller.
+  // Handlers of an asynchronous interface are declared async even if they await nothing: an exception then becomes a
+  // rejected promise and is never thrown to the caller.
   rules: { '@typescript-eslint/require-await': 'off' },
 };
 
-const documented = {
+const documentedFiles = {
   files: DOCUMENTED,
   ignores: ['**/*.test.ts'],
   plugins: { jsdoc, local: { rules: { 'module-comment': moduleComment } } },
@@ -76,7 +83,7 @@
       eqeqeq: 'error',
       '@typescript-eslint/no-unused-vars': ['error', { argsIgnorePattern: '^_' }],
       'prefer-const': 'error',
-      'no-restricted-imports': ['error', { paths: outsideOnly }],
+      'no-restricted-imports': ['error', { paths: ioModules }],
       'no-restricted-globals': ['error', 'setTimeout', 'setInterval', 'setImmediate', 'Date', 'performance'],
       'no-restricted-properties': ['error', { object: 'Math', property: 'random' }],
     },
@@ -85,16 +92,16 @@
     files: ['src/transport/**/*.ts', 'src/programs/**/*.ts', 'platform/**/*.ts', 'standin-platform/**/*.ts'],
     rules: { 'no-restricted-imports': 'off', 'no-restricted-globals': 'off', 'no-restricted-properties': 'off' },
   },
-  layer('base', ...TOP, 'coordination', 'state', 'protocol', 'transport'),
-  layer('transport', ...TOP, 'coordination', 'state', 'protocol'),
-  layer('protocol', ...TOP, 'coordination', 'transport'),
-  layer('state', ...TOP, 'coordination', 'protocol', 'transport'),
-  layer('coordination', ...TOP),
-  // The adapter is what is deployed; the stand-in of the platform plays against it and is not.
+  layer('base', ...TOP_LAYERS, 'coordination', 'state', 'protocol', 'transport'),
+  layer('transport', ...TOP_LAYERS, 'coordination', 'state', 'protocol'),
+  layer('protocol', ...TOP_LAYERS, 'coordination', 'transport'),
+  layer('state', ...TOP_LAYERS, 'coordination', 'protocol', 'transport'),
+  layer('coordination', ...TOP_LAYERS),
+  // The adapter is deployed and must not depend on the stand-in of the platform, which is not deployed.
   {
     files: ['platform/**/*.ts'],
     ignores: ['**/*.test.ts'],
-    rules: { 'no-restricted-imports': ['error', noneOf('standin-platform')] },
+    rules: { 'no-restricted-imports': ['error', forbidImportsOf('standin-platform')] },
   },
   {
     files: ['src/**/*.test.ts', 'platform/**/*.test.ts', 'standin-platform/**/*.test.ts'],
@@ -104,5 +111,5 @@
       'no-restricted-globals': ['error', 'setTimeout', 'setInterval'],
     },
   },
-  documented,
+  documentedFiles,
 );
--- a/tools/bench.mjs
+++ b/tools/bench.mjs
@@ -4,7 +4,7 @@
 import { performance } from 'node:perf_hooks';
 import { createClient } from '../dist/client/client.js';
 import { playScenario } from '../dist/sim/scenarios.js';
-import { leave, leaveWhenCut, onLeave, ROOT, runNode, stopFleet } from './children.mjs';
+import { installShutdownHandlers, onShutdown, ROOT, runNodeScript, shutdown, stopFleet } from './children.mjs';
 import { callerFigures, quantile, spread } from './figures.mjs';
 import { SHAPES } from './shapes.mjs';
 
@@ -17,7 +17,10 @@
 
 async function fleet(args, extra = {}) {
   const env = { ...process.env, FLEET_FOLDER: FOLDER, FLEET_PORT: '23000', ...extra };
-  const code = await runNode(join(ROOT, 'tools/fleet.mjs'), args, { env, stdio: ['ignore', 'ignore', 'inherit'] });
+  const code = await runNodeScript(join(ROOT, 'tools/fleet.mjs'), args, {
+    env,
+    stdio: ['ignore', 'ignore', 'inherit'],
+  });
   if (code !== 0) throw new Error(`fleet ${args.join(' ')} left with ${code}`);
 }
 
@@ -81,9 +84,9 @@
   }
 }
 
-leaveWhenCut();
+installShutdownHandlers();
 let up = false;
-onLeave(() => (up ? stopFleet(FOLDER) : null));
+onShutdown(() => (up ? stopFleet(FOLDER) : null));
 const runs = { with: [], without: [] };
 for (let i = 0; i < Number(runsText); i += 1) {
   for (const kind of i % 2 === 0 ? ['with', 'without'] : ['without', 'with'])
@@ -121,4 +124,4 @@
   for (let seed = 1; seed <= Number(runsText); seed += 1) ends.push(await playScenario(name, seed));
   process.stdout.write(`${`recovery, simulated: ${name}, ms`.padEnd(52)} ${spread(ends.map((e) => e.recoverMs))}\n`);
 }
-await leave(0);
+await shutdown(0);
--- a/tools/children.test.mjs
+++ b/tools/children.test.mjs
@@ -7,36 +7,36 @@
 import { createInterface } from 'node:readline';
 import { pathToFileURL } from 'node:url';
 
-const FOREVER = 'setInterval(() => {}, 1000)';
-const DEAF = `process.on('SIGTERM', () => {}); process.on('SIGINT', () => {}); process.stdout.write('up\\n'); ${FOREVER}`;
+const RUN_FOREVER = 'setInterval(() => {}, 1000)';
+const IGNORE_SIGNALS = `process.on('SIGTERM', () => {}); process.on('SIGINT', () => {}); process.stdout.write('up\\n'); ${RUN_FOREVER}`;
 let folder = '';
-let tool = '';
-let left = '';
-const seen = [];
+let toolPath = '';
+let cleanupMarker = '';
+const startedPids = [];
 
 beforeAll(() => {
   folder = mkdtempSync(join(tmpdir(), 'millfield-'));
-  tool = join(folder, 'tool.mjs');
-  left = join(folder, 'left');
+  toolPath = join(folder, 'tool.mjs');
+  cleanupMarker = join(folder, 'cleaned-up');
   writeFileSync(
-    tool,
+    toolPath,
     `import { writeFileSync } from 'node:fs';
-import { leave, leaveWhenCut, onLeave, startChild } from ${JSON.stringify(pathToFileURL(resolve('tools/children.mjs')).href)};
-leaveWhenCut(200);
-onLeave(() => writeFileSync(${JSON.stringify(left)}, 'left'));
-const plain = startChild(process.execPath, ['-e', ${JSON.stringify(FOREVER)}]);
-const deaf = startChild(process.execPath, ['-e', ${JSON.stringify(DEAF)}], { stdio: ['ignore', 'pipe', 'ignore'] });
-deaf.stdout.once('data', () => {
-  process.stdout.write([process.pid, plain.pid, deaf.pid].join(' ') + '\\n');
-  if (process.argv[2] === 'ends') void leave(0);
+import { installShutdownHandlers, onShutdown, shutdown, startChild } from ${JSON.stringify(pathToFileURL(resolve('tools/children.mjs')).href)};
+installShutdownHandlers(200);
+onShutdown(() => writeFileSync(${JSON.stringify(cleanupMarker)}, 'cleaned up'));
+const ordinary = startChild(process.execPath, ['-e', ${JSON.stringify(RUN_FOREVER)}]);
+const ignoring = startChild(process.execPath, ['-e', ${JSON.stringify(IGNORE_SIGNALS)}], { stdio: ['ignore', 'pipe', 'ignore'] });
+ignoring.stdout.once('data', () => {
+  process.stdout.write([process.pid, ordinary.pid, ignoring.pid].join(' ') + '\\n');
+  if (process.argv[2] === 'ends') void shutdown(0);
   if (process.argv[2] === 'fails') throw new Error('on purpose');
-  setInterval(() => process.stdout.write('still at it\\n'), 20);
+  setInterval(() => process.stdout.write('working\\n'), 20);
 });
 `,
   );
 });
 afterEach(() => {
-  for (const pid of running(seen.splice(0))) process.kill(pid, 'SIGKILL');
+  for (const pid of running(startedPids.splice(0))) process.kill(pid, 'SIGKILL');
 });
 afterAll(() => rmSync(folder, { recursive: true, force: true }));
 
@@ -49,39 +49,42 @@
     }
   });
 }
-function taken() {
-  const text = readFileSync(left, 'utf8');
-  rmSync(left);
+function takeCleanupMarker() {
+  const text = readFileSync(cleanupMarker, 'utf8');
+  rmSync(cleanupMarker);
   return text;
 }
 function pidsOf(line) {
   const pids = line.split(' ').map(Number);
   expect(pids).toHaveLength(3);
-  seen.push(...pids);
+  startedPids.push(...pids);
   return pids;
 }
 
-describe('a tool with children, one of them deaf to SIGTERM', () => {
-  test.each(['SIGINT', 'SIGTERM', 'SIGHUP'])('leaves none of them running on %s, and cleans up', async (sig) => {
-    const child = spawn(process.execPath, [tool], { stdio: ['ignore', 'pipe', 'inherit'] });
-    const exit = once(child, 'exit');
-    const [line] = await once(createInterface(child.stdout), 'line');
-    const pids = pidsOf(line);
-    expect(running(pids)).toEqual(pids);
-    child.kill(sig);
-    expect((await exit)[0]).toBeGreaterThan(128);
-    expect(running(pids)).toEqual([]);
-    expect(taken()).toBe('left');
-  });
+describe('a tool with two child processes, one of which ignores SIGTERM', () => {
+  test.each(['SIGINT', 'SIGTERM', 'SIGHUP'])(
+    'stops all of them on %s and runs its shutdown callbacks',
+    async (signal) => {
+      const child = spawn(process.execPath, [toolPath], { stdio: ['ignore', 'pipe', 'inherit'] });
+      const exit = once(child, 'exit');
+      const [line] = await once(createInterface(child.stdout), 'line');
+      const pids = pidsOf(line);
+      expect(running(pids)).toEqual(pids);
+      child.kill(signal);
+      expect((await exit)[0]).toBeGreaterThan(128);
+      expect(running(pids)).toEqual([]);
+      expect(takeCleanupMarker()).toBe('cleaned up');
+    },
+  );
 
-  test('leaves none of them running when its output is cut off', () => {
-    const line = execFileSync('sh', ['-c', `"${process.execPath}" "${tool}" | head -n 1`], { encoding: 'utf8' });
+  test('stops all of them when its output pipe is closed', () => {
+    const line = execFileSync('sh', ['-c', `"${process.execPath}" "${toolPath}" | head -n 1`], { encoding: 'utf8' });
     expect(running(pidsOf(line.trim()))).toEqual([]);
-    expect(taken()).toBe('left');
+    expect(takeCleanupMarker()).toBe('cleaned up');
   });
 
-  test('leaves none of them running when the shell between npm and it is killed', async () => {
-    const shell = spawn('sh', ['-c', `"${process.execPath}" "${tool}"; true`], {
+  test('stops all of them when the shell between npm and the tool is killed', async () => {
+    const shell = spawn('sh', ['-c', `"${process.execPath}" "${toolPath}"; true`], {
       stdio: ['ignore', 'pipe', 'inherit'],
       env: { ...process.env, npm_lifecycle_event: 'demo' },
     });
@@ -93,18 +96,18 @@
     await closed;
     const [, ...children] = pids;
     expect(running(children)).toEqual([]);
-    expect(taken()).toBe('left');
+    expect(takeCleanupMarker()).toBe('cleaned up');
   });
 
   test.each([
     ['ends', 0],
     ['fails', 1],
-  ])('leaves none of them running when it %s', async (how, code) => {
-    const child = spawn(process.execPath, [tool, how], { stdio: ['ignore', 'pipe', 'ignore'] });
+  ])('stops all of them when it %s', async (mode, code) => {
+    const child = spawn(process.execPath, [toolPath, mode], { stdio: ['ignore', 'pipe', 'ignore'] });
     const exit = once(child, 'exit');
     const [line] = await once(createInterface(child.stdout), 'line');
     expect((await exit)[0]).toBe(code);
     expect(running(pidsOf(line))).toEqual([]);
-    expect(taken()).toBe('left');
+    expect(takeCleanupMarker()).toBe('cleaned up');
   });
 });
--- a/tools/demo.mjs
+++ b/tools/demo.mjs
@@ -3,7 +3,16 @@
 import { existsSync, readdirSync, readFileSync, statSync } from 'node:fs';
 import { createServer } from 'node:net';
 import { join } from 'node:path';
-import { BIN, leave, leaveWhenCut, onLeave, ROOT, runNode, runs, stopFleet } from './children.mjs';
+import {
+  BIN,
+  installShutdownHandlers,
+  isRunning,
+  onShutdown,
+  ROOT,
+  runNodeScript,
+  shutdown,
+  stopFleet,
+} from './children.mjs';
 import { callerFigures } from './figures.mjs';
 import { install } from './installed.mjs';
 import { SHAPES } from './shapes.mjs';
@@ -37,7 +46,7 @@
   if (isBuilt()) return true;
   process.stdout.write('Building.\n');
   return (
-    (await runNode(join(ROOT, 'node_modules/typescript/bin/tsc'), ['-p', 'tsconfig.build.json'], {
+    (await runNodeScript(join(ROOT, 'node_modules/typescript/bin/tsc'), ['-p', 'tsconfig.build.json'], {
       cwd: ROOT,
       stdio: 'inherit',
     })) === 0
@@ -57,7 +66,7 @@
     if (free.every(Boolean)) return base;
   }
   process.stderr.write('no free ports between 27000 and 32000\n');
-  return leave(1);
+  return shutdown(1);
 }
 
 function journals(prefix = '') {
@@ -106,23 +115,23 @@
   }
 }
 
-leaveWhenCut();
-if (!(await install()) || !(await build())) await leave(1);
+installShutdownHandlers();
+if (!(await install()) || !(await build())) await shutdown(1);
 const began = performance.now();
 setTimeout(() => {
   process.stderr.write(`not done within ${LONGEST_MS / 1_000} s\n`);
-  void leave(1);
+  void shutdown(1);
 }, LONGEST_MS).unref();
 
 const env = { ...process.env, FLEET_FOLDER: FOLDER, FLEET_PORT: process.env.FLEET_PORT ?? String(await freeBase()) };
 function fleet(...args) {
-  return runNode(join(ROOT, 'tools/fleet.mjs'), args, { env, stdio: ['ignore', 'ignore', 'inherit'] });
+  return runNodeScript(join(ROOT, 'tools/fleet.mjs'), args, { env, stdio: ['ignore', 'ignore', 'inherit'] });
 }
 process.stdout.write(
   `Starting ${shapeName}'s fleet on loopback from port ${env.FLEET_PORT}; its logs and journals are in ${FOLDER}.\n`,
 );
-if ((await fleet('start', shapeName)) !== 0) await leave(1);
-onLeave(() => stopFleet(FOLDER));
+if ((await fleet('start', shapeName)) !== 0) await shutdown(1);
+onShutdown(() => stopFleet(FOLDER));
 const { nodes } = JSON.parse(readFileSync(join(FOLDER, 'fleet.json'), 'utf8'));
 process.stdout.write(`${nodes.length} processes serve after ${((performance.now() - began) / 1_000).toFixed(1)} s.\n`);
 
@@ -144,8 +153,8 @@
 ];
 process.stdout.write(`\n${rows.map(([what, value]) => `${what.padEnd(28)} ${value}`).join('\n')}\n`);
 for (const b of check.broken.slice(0, 10)) process.stdout.write(`  ${b.rule}: ${b.detail}\n`);
-const left = nodes.filter(runs).map((n) => n.name);
+const left = nodes.filter(isRunning).map((n) => n.name);
 process.stdout.write(
   `${left.length === 0 ? `All ${nodes.length} processes ended` : `Still running: ${left.join(', ')}`}; ${((performance.now() - began) / 1_000).toFixed(0)} s in all.\n`,
 );
-await leave(held && loaded === 0 && left.length === 0 && f.success > 0 ? 0 : 1);
+await shutdown(held && loaded === 0 && left.length === 0 && f.success > 0 ? 0 : 1);
--- a/tools/digests.mjs
+++ b/tools/digests.mjs
@@ -1,8 +1,9 @@
 #!/usr/bin/env node
 /**
- * One digest for each simulated run of a fixed list of seeds: `node tools/digests.mjs [FILE]`. A digest covers numbers
- * and outcomes only, never names, so that it is equal before and after a renaming. With FILE, compares with that file
- * and exits with 1 where a digest differs; without it, prints them.
+ * Computes a digest of each simulated run of a fixed list of seeds: `node tools/digests.mjs [FILE]`. A digest covers only
+ * numbers and outcomes, never names, so that it stays equal when identifiers are renamed. If FILE exists, the digests are
+ * compared with it, and the exit code is 1 if any differs. If it does not exist, they are written to it. Without FILE
+ * they are printed.
  */
 import { createHash } from 'node:crypto';
 import { existsSync, readFileSync, writeFileSync } from 'node:fs';
@@ -13,10 +14,10 @@
 const CHAOS_SECONDS = 15;
 const CHAOS_EVERY_MS = 2_500;
 
-function sha(values) {
+function digestOf(values) {
   return createHash('sha256').update(JSON.stringify(values)).digest('hex').slice(0, 16);
 }
-function span(from, to) {
+function range(from, to) {
   return Array.from({ length: to - from + 1 }, (_, i) => from + i);
 }
 
@@ -64,39 +65,39 @@
 }
 
 const RUNS = { model: modelRun, racing: racingRun, edge: edgeRuns, soak: soakRun };
-const SEEDS = { model: span(1, 60), racing: span(1, 4), edge: span(0, 9), soak: span(1, 6) };
+const SEEDS = { model: range(1, 60), racing: range(1, 4), edge: range(0, 9), soak: range(1, 6) };
 
-async function work({ tasks }) {
-  for (const [kind, seed] of tasks) parentPort.postMessage([`${kind} ${seed}`, sha(await RUNS[kind](seed))]);
+async function runTasks({ tasks }) {
+  for (const [kind, seed] of tasks) parentPort.postMessage([`${kind} ${seed}`, digestOf(await RUNS[kind](seed))]);
 }
 
 async function main() {
   const tasks = Object.entries(SEEDS).flatMap(([kind, seeds]) => seeds.map((seed) => [kind, seed]));
   tasks.sort(([a], [b]) => Object.keys(SEEDS).indexOf(b) - Object.keys(SEEDS).indexOf(a));
   const digests = {};
-  function thread(n) {
-    return new Promise((done, fail) => {
+  function startThread(threadIndex) {
+    return new Promise((done, reject) => {
       const worker = new Worker(new URL(import.meta.url), {
-        workerData: { tasks: tasks.filter((_, i) => i % THREADS === n) },
+        workerData: { tasks: tasks.filter((_, i) => i % THREADS === threadIndex) },
       });
       worker.on('message', ([name, digest]) => (digests[name] = digest));
-      worker.on('error', fail);
+      worker.on('error', reject);
       worker.on('exit', done);
     });
   }
-  await Promise.all(span(0, THREADS - 1).map(thread));
+  await Promise.all(range(0, THREADS - 1).map(startThread));
   const [file] = process.argv.slice(2);
   if (file && existsSync(file)) {
-    const before = JSON.parse(readFileSync(file, 'utf8'));
-    const moved = Object.keys(before).filter((name) => before[name] !== digests[name]);
-    for (const name of moved) process.stdout.write(`moved: ${name}\n`);
+    const expected = JSON.parse(readFileSync(file, 'utf8'));
+    const changed = Object.keys(expected).filter((name) => expected[name] !== digests[name]);
+    for (const name of changed) process.stdout.write(`changed: ${name}\n`);
     process.stdout.write(
-      `${Object.keys(before).length - moved.length} of ${Object.keys(before).length} digests are equal\n`,
+      `${Object.keys(expected).length - changed.length} of ${Object.keys(expected).length} digests are equal\n`,
     );
-    process.exitCode = moved.length === 0 ? 0 : 1;
+    process.exitCode = changed.length === 0 ? 0 : 1;
   } else if (file) writeFileSync(file, `${JSON.stringify(digests, null, 1)}\n`);
   else process.stdout.write(`${JSON.stringify(digests, null, 1)}\n`);
 }
 
 if (isMainThread) await main();
-else await work(workerData);
+else await runTasks(workerData);
--- a/tools/experiment.mjs
+++ b/tools/experiment.mjs
@@ -3,7 +3,7 @@
 import { mkdirSync, existsSync, readFileSync, renameSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { parseArgs } from 'node:util';
-import { leave, leaveWhenCut } from './children.mjs';
+import { installShutdownHandlers, shutdown } from './children.mjs';
 import { PlanError, readPlan, runsOf } from './experiment/plan.mjs';
 import { benchPlayer, playOnEngine } from './experiment/play.mjs';
 import { pairedDifferences, plotOf, tableOf } from './experiment/results.mjs';
@@ -80,12 +80,12 @@
   return results;
 }
 
-leaveWhenCut();
+installShutdownHandlers();
 try {
-  await leave(await main());
+  await shutdown(await main());
 } catch (error) {
   if (!(error instanceof PlanError) && error.code !== 'ENOENT' && !error.code?.startsWith('ERR_PARSE_ARGS'))
     throw error;
   process.stderr.write(`${error.message}\n`);
-  await leave(error instanceof PlanError ? EXIT.badPlan : EXIT.usage);
+  await shutdown(error instanceof PlanError ? EXIT.badPlan : EXIT.usage);
 }
--- a/tools/fleet.mjs
+++ b/tools/fleet.mjs
@@ -4,15 +4,15 @@
 import { join, resolve } from 'node:path';
 import { setTimeout as sleep } from 'node:timers/promises';
 import {
-  alive,
   BIN,
-  isOurs,
-  leave,
-  leaveWhenCut,
-  onLeave,
+  installShutdownHandlers,
+  isAlive,
+  isRunning,
+  matchesCommandLine,
+  onShutdown,
   ROOT,
-  runNode,
-  runs,
+  runNodeScript,
+  shutdown,
   startChild,
   stopNodes,
 } from './children.mjs';
@@ -223,19 +223,19 @@
 }
 
 function admin(state, args) {
-  return runNode(BIN, ['admin', ...args, '--core', state.core]);
+  return runNodeScript(BIN, ['admin', ...args, '--core', state.core]);
 }
 
 async function start() {
   const shape = SHAPES[shapeName];
   if (!shape) usage(`shape: expected one of ${Object.keys(SHAPES).join(', ')}; found ${shapeName}`);
-  if (existsSync(statePath()) && loadState().nodes.some(runs)) usage('a fleet is running; stop it first');
+  if (existsSync(statePath()) && loadState().nodes.some(isRunning)) usage('a fleet is running; stop it first');
   if (!existsSync(BIN)) usage('build first: npm run build');
   rmSync(FOLDER, { recursive: true, force: true });
   for (const d of ['logs', 'settings', 'journals', 'data']) mkdirSync(join(FOLDER, d), { recursive: true });
   const state = plan(shape);
   let whole = false;
-  onLeave(() => (whole ? null : stopNodes(state.nodes)));
+  onShutdown(() => (whole ? null : stopNodes(state.nodes)));
   saveSwitches({ cuts: [], fullDisks: [] });
   writeFileSync(state.labFile, JSON.stringify(state.lab));
   for (const node of state.nodes) {
@@ -250,8 +250,8 @@
     30,
     async () => (await Promise.all(heads.map((h) => get(h.http, '/v1/status')))).length === heads.length,
   );
-  if (!up) await leave(1);
-  if ((await admin(state, ['bootstrap', '--members', state.members])) !== 0) await leave(1);
+  if (!up) await shutdown(1);
+  if ((await admin(state, ['bootstrap', '--members', state.members])) !== 0) await shutdown(1);
   const first = heads[0].http;
   await until(
     'proxies',
@@ -282,13 +282,13 @@
 function signal(name, sig) {
   const state = loadState();
   const node = nodeNamed(state, name);
-  if (alive(node.pid) && isOurs(node)) process.kill(node.pid, sig);
+  if (isAlive(node.pid) && matchesCommandLine(node)) process.kill(node.pid, sig);
 }
 
 function restart(name, wipe) {
   const state = loadState();
   const node = nodeNamed(state, name);
-  if (alive(node.pid)) usage(`${name} still runs`);
+  if (isAlive(node.pid)) usage(`${name} still runs`);
   if (wipe) rmSync(join(FOLDER, 'data', name), { recursive: true, force: true });
   node.pid = launch(node);
   saveState(state);
@@ -297,7 +297,7 @@
 function move(name) {
   const state = loadState();
   const node = nodeNamed(state, name);
-  if (alive(node.pid)) usage(`${name} still runs`);
+  if (isAlive(node.pid)) usage(`${name} still runs`);
   const settings = JSON.parse(readFileSync(node.file, 'utf8'));
   const taken = state.nodes
     .flatMap((n) => [n.http, n.listen])
@@ -373,17 +373,17 @@
   const shape = SHAPES[state.shape];
   const args = ['standin', 'check', join(FOLDER, 'journals')];
   if (shape.homes) args.push('--homes', `${shape.kind}=${shape.homes.join('+')}`);
-  await leave(await runNode(BIN, args));
+  await shutdown(await runNodeScript(BIN, args));
 }
 
 function status() {
   for (const n of loadState().nodes)
     process.stdout.write(
-      `${n.name.padEnd(20)} ${String(n.pid).padEnd(8)} ${n.pid && alive(n.pid) ? 'runs' : 'gone'}\n`,
+      `${n.name.padEnd(20)} ${String(n.pid).padEnd(8)} ${n.pid && isAlive(n.pid) ? 'runs' : 'gone'}\n`,
     );
 }
 
-leaveWhenCut(2_000);
+installShutdownHandlers(2_000);
 if (verb === 'start') await start();
 else if (verb === 'stop') await stopNodes(loadState().nodes);
 else if (verb === 'status') status();
--- a/tools/installed.mjs
+++ b/tools/installed.mjs
@@ -2,14 +2,14 @@
 import { join } from 'node:path';
 import { ROOT, run } from './children.mjs';
 
-const LOCK = join(ROOT, 'package-lock.json');
-const DONE = join(ROOT, 'node_modules/.package-lock.json');
+const LOCK_FILE = join(ROOT, 'package-lock.json');
+const INSTALLED_LOCK_FILE = join(ROOT, 'node_modules/.package-lock.json');
 
 export function isInstalled() {
-  return existsSync(DONE) && statSync(DONE).mtimeMs >= statSync(LOCK).mtimeMs;
+  return existsSync(INSTALLED_LOCK_FILE) && statSync(INSTALLED_LOCK_FILE).mtimeMs >= statSync(LOCK_FILE).mtimeMs;
 }
 
-/** Installs the locked packages where they are missing or older than the lock. */
+/** Installs the packages of the lock file if they are missing or older than that file. */
 export async function install() {
   if (isInstalled()) return true;
   process.stdout.write('Installing the packages of package-lock.json.\n');
--- a/tools/known-red.mjs
+++ b/tools/known-red.mjs
@@ -4,27 +4,30 @@
 
 export const HEADER = 'test, cause, issue';
 
-/** Lines `test, cause, issue`, apart by tabs; a test is `path: full name`. Returns faults as texts. */
-export function readKnownRed(text) {
+/**
+ * Parses KNOWN-RED.txt: a header line, then one entry a line with a test, its cause and its issue, separated by tabs. A
+ * test is written as `path: full name`. Returns the entries by test, and a message for each malformed line.
+ */
+export function parseKnownRed(text) {
   const [header, ...lines] = text.split('\n').filter((l) => l.trim() !== '');
-  const faults = header === HEADER ? [] : [`the first line should be ${JSON.stringify(HEADER)}`];
+  const errors = header === HEADER ? [] : [`the first line should be ${JSON.stringify(HEADER)}`];
   const known = new Map();
   for (const line of lines) {
-    const [test, cause, issue, ...more] = line.split('\t').map((part) => part.trim());
-    if (!test || !cause || !issue || more.length > 0)
-      faults.push(`not a test, a cause and an issue, apart by tabs: ${JSON.stringify(line)}`);
-    else if (known.has(test)) faults.push(`named twice: ${test}`);
+    const [test, cause, issue, ...extraFields] = line.split('\t').map((part) => part.trim());
+    if (!test || !cause || !issue || extraFields.length > 0)
+      errors.push(`expected a test, a cause and an issue, separated by tabs: ${JSON.stringify(line)}`);
+    else if (known.has(test)) errors.push(`duplicate entry: ${test}`);
     else known.set(test, { cause, issue });
   }
-  return { known, faults };
+  return { known, errors };
 }
 
-export function knownRed() {
-  return readKnownRed(readFileSync(join(ROOT, 'KNOWN-RED.txt'), 'utf8'));
+export function loadKnownRed() {
+  return parseKnownRed(readFileSync(join(ROOT, 'KNOWN-RED.txt'), 'utf8'));
 }
 
-/** One report of several runs of jest, as if they had been one. */
-export function joined(reports) {
+/** Merges the reports of several jest runs into one. */
+export function mergeReports(reports) {
   function sum(key) {
     return reports.reduce((total, report) => total + (report[key] ?? 0), 0);
   }
@@ -38,41 +41,53 @@
   };
 }
 
-/** Weighs what jest wrote with `--json` against the known red tests. */
-export function weigh(report, known, root = ROOT) {
-  const found = { red: [], green: [], failed: [], broken: [], unseen: [] };
+/**
+ * Sorts the results of a report that jest wrote with `--json`: known tests that failed, passed or did not run, other
+ * tests that failed, and suites that failed without a failed test, which could not run.
+ */
+export function classifyResults(report, known, root = ROOT) {
+  const results = { knownFailures: [], knownPasses: [], newFailures: [], brokenSuites: [], notRun: [] };
   const seen = new Set();
   for (const suite of report.testResults) {
     const path = relative(root, suite.name);
-    if (suite.status === 'failed' && suite.assertionResults.every((a) => a.status !== 'failed'))
-      found.broken.push(path);
-    for (const a of suite.assertionResults) {
-      const test = `${path}: ${a.fullName}`;
+    if (suite.status === 'failed' && suite.assertionResults.every((assertion) => assertion.status !== 'failed'))
+      results.brokenSuites.push(path);
+    for (const assertion of suite.assertionResults) {
+      const test = `${path}: ${assertion.fullName}`;
       if (known.has(test)) {
         seen.add(test);
-        if (a.status === 'failed') found.red.push(test);
-        if (a.status === 'passed') found.green.push(test);
-      } else if (a.status === 'failed') found.failed.push(test);
+        if (assertion.status === 'failed') results.knownFailures.push(test);
+        if (assertion.status === 'passed') results.knownPasses.push(test);
+      } else if (assertion.status === 'failed') results.newFailures.push(test);
     }
   }
-  for (const test of known.keys()) if (!seen.has(test)) found.unseen.push(test);
-  return found;
+  for (const test of known.keys()) if (!seen.has(test)) results.notRun.push(test);
+  return results;
 }
 
-export function verdictOf(found, report, code) {
-  const onlyKnown = found.red.length > 0 && report.numFailedTests === found.red.length && found.failed.length === 0;
-  const excused =
-    onlyKnown && found.broken.length === 0 && report.numRuntimeErrorTestSuites === 0 && !report.wasInterrupted;
-  return code === 0 || excused ? 0 : code;
+/** Returns 0 if jest passed, or if known red tests are all that failed; otherwise the exit code of jest. */
+export function exitCodeOf(results, report, code) {
+  const failedTestsAreKnown =
+    results.knownFailures.length > 0 &&
+    report.numFailedTests === results.knownFailures.length &&
+    results.newFailures.length === 0;
+  const isOnlyKnownFailures =
+    failedTestsAreKnown &&
+    results.brokenSuites.length === 0 &&
+    report.numRuntimeErrorTestSuites === 0 &&
+    !report.wasInterrupted;
+  return code === 0 || isOnlyKnownFailures ? 0 : code;
 }
 
-export function tell(found, known) {
-  const out = [];
-  const why = (test) => `${known.get(test).cause} (${known.get(test).issue})`;
-  for (const test of found.red) out.push(`Known red, passed over: ${test}: ${why(test)}`);
-  for (const test of found.green) out.push(`Listed in KNOWN-RED.txt, yet it passes; take its line out: ${test}`);
-  for (const test of found.unseen) out.push(`Listed in KNOWN-RED.txt, not among the tests that ran: ${test}`);
-  for (const test of found.failed) out.push(`Failed: ${test}`);
-  for (const path of found.broken) out.push(`Could not run: ${path}`);
-  return out;
+/** Returns the lines that CI prints about known red tests, other failed tests and suites that could not run. */
+export function describeResults(results, known) {
+  const lines = [];
+  const causeOf = (test) => `${known.get(test).cause} (${known.get(test).issue})`;
+  for (const test of results.knownFailures) lines.push(`Known red, passed over: ${test}: ${causeOf(test)}`);
+  for (const test of results.knownPasses)
+    lines.push(`Listed in KNOWN-RED.txt, yet it passes; take its line out: ${test}`);
+  for (const test of results.notRun) lines.push(`Listed in KNOWN-RED.txt, not among the tests that ran: ${test}`);
+  for (const test of results.newFailures) lines.push(`Failed: ${test}`);
+  for (const path of results.brokenSuites) lines.push(`Could not run: ${path}`);
+  return lines;
 }
--- a/tools/lint/documented.mjs
+++ b/tools/lint/documented.mjs
@@ -1,6 +1,6 @@
 /**
- * The folders in which each module and each exported item must have a doc comment. The list grows until it is all of
- * src/ and platform/; nothing is taken out.
+ * The files in which each module and each exported item must have a doc comment. The list is extended until it covers
+ * all of src/ and platform/; entries are never removed.
  */
 export const DOCUMENTED = [
   'src/{base,protocol,state,coordination,transport,client,operator,programs,runbook}/**/*.ts',
--- a/tools/lint/module-comment.mjs
+++ b/tools/lint/module-comment.mjs
@@ -1,16 +1,16 @@
 /**
- * A lint rule: a module opens with a doc comment that says what it owns, who calls it and
- * what it promises. The comment stands before the first statement (the imports), and is
- * told apart from that of the first declaration by the blank line or import after it.
+ * A lint rule: a module starts with a doc comment that says what it owns, who calls it and what it guarantees. The
+ * comment precedes the first statement. An import or a blank line after it distinguishes it from the doc comment of the
+ * first declaration.
  */
 
-/** The rule, as eslint takes it. */
+/** The rule in the format of eslint. */
 export const moduleComment = {
   meta: {
     type: 'suggestion',
-    docs: { description: 'a module opens with a doc comment' },
+    docs: { description: 'a module starts with a doc comment' },
     messages: {
-      missing: 'A module opens with a doc comment of its own: what it owns, who calls it, what it promises.',
+      missing: 'A module starts with a doc comment of its own: what it owns, who calls it and what it guarantees.',
     },
     schema: [],
   },
--- a/tools/real-time-tests.mjs
+++ b/tools/real-time-tests.mjs
@@ -1,6 +1,6 @@
 /**
- * Finds the test files whose verdict hangs on real time: they use processes, sockets or the machine's clock. All
- * others run in simulated time, or none, and may share the machine with as many as it has cores.
+ * Finds the test files whose outcome depends on real time: they use processes, sockets or the system clock. All other
+ * tests use simulated time or no time at all, and may run in parallel, one on each core.
  */
 import { readdirSync, readFileSync } from 'node:fs';
 import { join } from 'node:path';
@@ -8,28 +8,28 @@
 
 const FOLDERS = ['src', 'platform', 'standin-platform', 'tools'];
 const TEST_FILE = /\.test\.(ts|mjs)$/;
-const REAL_MODULES = /from 'node:(child_process|http|net)'/;
-const REAL_FACTORIES =
+const REAL_TIME_IMPORTS = /from 'node:(child_process|http|net)'/;
+const REAL_TIME_FACTORIES =
   /\bcreate(Clock|TcpWire|GotHttpClient|ExpressHttpServer|OpaqueHttpServer|ConnectionPool|ListReader)\(/;
 
-/** Whether a test with this text uses processes, sockets or the machine's clock itself. */
+/** Returns whether the source of a test uses processes, sockets or the system clock directly. */
 export function usesRealTime(text) {
-  return REAL_MODULES.test(text) || REAL_FACTORIES.test(text);
+  return REAL_TIME_IMPORTS.test(text) || REAL_TIME_FACTORIES.test(text);
 }
 
-/** Paths from the root, sorted, of all tests in real time. */
+/** Returns the sorted paths of all real-time tests, relative to the root. */
 export function realTimeTests(root = ROOT) {
-  const found = [];
+  const paths = [];
   for (const folder of FOLDERS) {
     for (const file of readdirSync(join(root, folder), { recursive: true, encoding: 'utf8' })) {
       const path = join(folder, file);
-      if (TEST_FILE.test(path) && usesRealTime(readFileSync(join(root, path), 'utf8'))) found.push(path);
+      if (TEST_FILE.test(path) && usesRealTime(readFileSync(join(root, path), 'utf8'))) paths.push(path);
     }
   }
-  return found.sort();
+  return paths.sort();
 }
 
-/** A pattern for jest that fits this path alone. */
-export function patternOf(path) {
+/** Returns a jest path pattern that matches only this path. */
+export function exactPathPattern(path) {
   return `/${path.replaceAll('.', '\\.')}$`;
 }
--- a/tools/real-time-tests.test.mjs
+++ b/tools/real-time-tests.test.mjs
@@ -1,14 +1,14 @@
 import { describe, expect, test } from '@jest/globals';
-import { patternOf, realTimeTests, usesRealTime } from './real-time-tests.mjs';
+import { exactPathPattern, realTimeTests, usesRealTime } from './real-time-tests.mjs';
 
-describe('tests in real time', () => {
+describe('real-time tests', () => {
   test.each([
     ['a process', "import { spawn } from 'node:child_process';"],
     ['a socket', "import { createServer } from 'node:net';"],
     ['a server', "import { request } from 'node:http';"],
-    ["the machine's clock", 'const clock = createClock();'],
+    ['the system clock', 'const clock = createClock();'],
     ['a connection pool', 'const pool = createConnectionPool(clock);'],
-  ])('one with %s is found', (_what, text) => {
+  ])('a test that uses %s is found', (_what, text) => {
     expect(usesRealTime(`import { test } from '@jest/globals';\n${text}\n`)).toBe(true);
   });
 
@@ -16,11 +16,11 @@
     ['a simulated clock', 'const clock = world.clockOf(proc);'],
     ['files', "import { readFileSync } from 'node:fs';"],
     ['a type of the network', "import type { Wire } from '../transport/wire.js';"],
-  ])('one with %s is not', (_what, text) => {
+  ])('a test that uses only %s is not found', (_what, text) => {
     expect(usesRealTime(text)).toBe(false);
   });
 
-  test('those of this project are found, those of the simulator are not', () => {
+  test('the real-time tests of this project are found, and no test of the simulator', () => {
     const found = realTimeTests();
     expect(found).toEqual(
       expect.arrayContaining([
@@ -37,8 +37,8 @@
     expect(found.filter((path) => path.startsWith('src/sim/'))).toEqual([]);
   });
 
-  test('a pattern fits its own path alone', () => {
-    const pattern = new RegExp(patternOf('src/a.test.ts'));
+  test('a pattern matches only its own path', () => {
+    const pattern = new RegExp(exactPathPattern('src/a.test.ts'));
     expect(pattern.test('/repo/src/a.test.ts')).toBe(true);
     expect(['/repo/src/ba.test.ts', '/repo/src/aXtest.ts', '/repo/src/a.test.tsx'].some((p) => pattern.test(p))).toBe(
       false,
--- a/tools/runbooks.mjs
+++ b/tools/runbooks.mjs
@@ -3,7 +3,16 @@
 import { join } from 'node:path';
 import { setTimeout as sleep } from 'node:timers/promises';
 import { parse } from 'yaml';
-import { BIN, leave, leaveWhenCut, onLeave, ROOT, runNode, startChild, stopFleet } from './children.mjs';
+import {
+  BIN,
+  installShutdownHandlers,
+  onShutdown,
+  ROOT,
+  runNodeScript,
+  shutdown,
+  startChild,
+  stopFleet,
+} from './children.mjs';
 
 const FOLDER = join(ROOT, '.fleet-runbooks');
 const env = { ...process.env, FLEET_FOLDER: FOLDER, FLEET_PORT: '25000' };
@@ -11,7 +20,7 @@
 const results = [];
 
 function run(file, args, stdio = ['ignore', 'ignore', 'inherit']) {
-  return runNode(file, args, { env, stdio });
+  return runNodeScript(file, args, { env, stdio });
 }
 function fleet(...args) {
   return run(join(ROOT, 'tools/fleet.mjs'), args);
@@ -139,9 +148,9 @@
   return steps(record).length;
 }
 
-leaveWhenCut();
-if ((await fleet('start', 'kutfo')) !== 0) await leave(1);
-onLeave(() => stopFleet(FOLDER));
+installShutdownHandlers();
+if ((await fleet('start', 'kutfo')) !== 0) await shutdown(1);
+onShutdown(() => stopFleet(FOLDER));
 for (const [name, play] of plays) {
   if (only && only !== name) continue;
   const record = join(FOLDER, `${name}.jsonl`);
@@ -184,7 +193,7 @@
 );
 for (const [name, end, before, twice, s] of results)
   process.stdout.write(`| ${name} | ${end} | ${before} | ${twice} | ${s} | ${unmet[name]} |\n`);
-await leave(
+await shutdown(
   results.every((r) => r[1] === 'done' && r[2] > 0 && r[3] === 0) &&
     Object.values(unmet).every((u) => u.startsWith('refused'))
     ? 0
--- a/tools/trial.mjs
+++ b/tools/trial.mjs
@@ -2,7 +2,7 @@
 import { readdirSync, readFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { setTimeout as sleep } from 'node:timers/promises';
-import { BIN, leave, leaveWhenCut, onLeave, ROOT, runNode, stopFleet } from './children.mjs';
+import { BIN, installShutdownHandlers, onShutdown, ROOT, runNodeScript, shutdown, stopFleet } from './children.mjs';
 import { quantile } from './figures.mjs';
 import { SHAPES } from './shapes.mjs';
 
@@ -18,7 +18,7 @@
 let failures = 0;
 
 function fleet(...args) {
-  return runNode(join(ROOT, 'tools/fleet.mjs'), args);
+  return runNodeScript(join(ROOT, 'tools/fleet.mjs'), args);
 }
 function state() {
   return JSON.parse(readFileSync(join(FOLDER, 'fleet.json'), 'utf8'));
@@ -36,7 +36,7 @@
   return get(node(name).http, '/v1/status');
 }
 function admin(...args) {
-  return runNode(BIN, ['admin', ...args, '--core', state().core], { stdio: ['ignore', 'ignore', 'inherit'] });
+  return runNodeScript(BIN, ['admin', ...args, '--core', state().core], { stdio: ['ignore', 'ignore', 'inherit'] });
 }
 async function version() {
   for (const h of nodesOf('controller')) {
@@ -270,9 +270,9 @@
   },
 };
 
-leaveWhenCut();
-if ((await fleet('start', shape)) !== 0) await leave(1);
-onLeave(() => stopFleet(FOLDER));
+installShutdownHandlers();
+if ((await fleet('start', shape)) !== 0) await shutdown(1);
+onShutdown(() => stopFleet(FOLDER));
 const load = fleet('load', shape, String(SECONDS), '6');
 await sleep(8_000);
 const began = Date.now();
@@ -304,4 +304,4 @@
     ? 'Every rule held.'
     : `broken: check left with ${verdict}, ${failures} expectations failed`,
 );
-await leave(verdict === 0 && failures === 0 ? 0 : 1);
+await shutdown(verdict === 0 && failures === 0 ? 0 : 1);
