--- a/tools/catch-up.mjs
+++ b/tools/catch-up.mjs
@@ -1,4 +1,5 @@
-// Prints how long lagging nodes take to be whole on narrow links, in the simulator: npm run build && node tools/catch-up.mjs
+// Measures how long lagging nodes take to catch up over slow links in the simulator.
+// Run it with: npm run build && node tools/catch-up.mjs
 import { controllerBehind, proxyBehind } from '../dist/sim/lag-scenarios.js';
 
 const SEEDS = [1, 2, 3];
@@ -10,7 +11,7 @@
   { orders: 2_000, changes: 100 },
   { orders: 2_000, changes: 1_000 },
 ];
-const WAYS = {
+const MEASUREMENTS = {
   controller: (seed, lag) => controllerBehind(seed, lag),
   'proxy cut off': (seed, lag) => proxyBehind(seed, lag, false),
   'proxy begun anew': (seed, lag) => proxyBehind(seed, lag, true),
@@ -18,11 +19,13 @@
 
 console.log('| node | orders | changes | whole after, ms (seeds 1..3) | bytes on all links | state, bytes |');
 console.log('| --- | --- | --- | --- | --- | --- |');
-for (const [name, measure] of Object.entries(WAYS)) {
+for (const [name, measure] of Object.entries(MEASUREMENTS)) {
   for (const lag of LAGS) {
-    const ends = [];
-    for (const seed of SEEDS) ends.push(await measure(seed, lag));
-    const ms = ends.map((e) => (e.ms === null ? 'never' : e.ms)).join(' / ');
-    console.log(`| ${name} | ${lag.orders} | ${lag.changes} | ${ms} | ${ends[1].bytes} | ${ends[1].stateBytes} |`);
+    const results = [];
+    for (const seed of SEEDS) results.push(await measure(seed, lag));
+    const ms = results.map((result) => (result.ms === null ? 'never' : result.ms)).join(' / ');
+    console.log(
+      `| ${name} | ${lag.orders} | ${lag.changes} | ${ms} | ${results[1].bytes} | ${results[1].stateBytes} |`,
+    );
   }
 }
--- a/tools/claims.mjs
+++ b/tools/claims.mjs
@@ -1,4 +1,5 @@
 #!/usr/bin/env node
+/** Measures the run-once claims of a controller: memory, disk, throughput, reload at start and rebuild from a peer. */
 import { mkdtempSync, rmSync, statSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -14,7 +15,7 @@
 
 const keys = Number(process.argv[2] ?? 1_400_000);
 if (!(keys >= 1_000)) {
-  process.stderr.write('use: node tools/claims.mjs [keys]\n');
+  process.stderr.write('usage: node tools/claims.mjs [keys]\n');
   process.exit(2);
 }
 const folder = mkdtempSync(join(tmpdir(), 'millfield-claims-'));
@@ -24,18 +25,18 @@
 controlState.claimants = [memberId(controlState.members[1])];
 const handlers = { h1: new Map(), h2: new Map() };
 
-async function open(at) {
-  const self = controlState.members[at];
-  const own = handlers[self.name];
-  async function call(to, m) {
-    const got = await handlers[to].get(m.kind)?.(JSON.parse(JSON.stringify(m)));
-    return got
-      ? { ok: true, value: JSON.parse(JSON.stringify(got)) }
+async function openClaims(memberIndex) {
+  const self = controlState.members[memberIndex];
+  const ownHandlers = handlers[self.name];
+  async function call(to, message) {
+    const response = await handlers[to].get(message.kind)?.(JSON.parse(JSON.stringify(message)));
+    return response
+      ? { ok: true, value: JSON.parse(JSON.stringify(response)) }
       : { ok: false, fault: { tag: 'peerSilent', address: to } };
   }
-  const peers = { on: (kind, fn) => own.set(kind, fn), call };
+  const peers = { on: (kind, fn) => ownHandlers.set(kind, fn), call };
   const ledger = { controlState: () => controlState, isMember: () => true, self };
-  const made = await createClaims(
+  const created = await createClaims(
     ledger,
     peers,
     createFolderDisk(join(folder, self.name)),
@@ -43,44 +44,44 @@
     createClock(),
     createQuietLog().part(''),
   );
-  if (!made.ok) throw new Error(made.error.tag);
-  return made.value;
+  if (!created.ok) throw new Error(created.error.tag);
+  return created.value;
 }
-function row(name, value) {
+function printRow(name, value) {
   process.stdout.write(`| ${name} | ${value} |\n`);
 }
 
 const before = process.memoryUsage();
-const held = await open(1);
-const born = 500_000 * HOUR_MS;
+const claimTable = await openClaims(1);
+const firstBornMs = 500_000 * HOUR_MS;
 const batch = 400;
-const took = [];
-const started = performance.now();
-for (let n = 0; n < keys; n += batch) {
+const durationsMs = [];
+const startedAt = performance.now();
+for (let firstIndex = 0; firstIndex < keys; firstIndex += batch) {
   const claims = Array.from({ length: batch }, (_, i) => ({
-    key: runKey(`auth-${n + i}`, born + Math.floor(((n + i) / keys) * 24 * HOUR_MS)),
-    by: `ticket-${n + i}`,
-    born: born + Math.floor(((n + i) / keys) * 24 * HOUR_MS),
+    key: runKey(`auth-${firstIndex + i}`, firstBornMs + Math.floor(((firstIndex + i) / keys) * 24 * HOUR_MS)),
+    by: `ticket-${firstIndex + i}`,
+    born: firstBornMs + Math.floor(((firstIndex + i) / keys) * 24 * HOUR_MS),
   }));
   const from = performance.now();
-  const got = await handlers.h2.get('claim')({
+  const response = await handlers.h2.get('claim')({
     kind: 'claim',
     ledger: 'bench',
     members: membersDigest(controlState.members),
     claims,
   });
-  took.push(performance.now() - from);
-  if (got.kind !== 'claimAnswer' || got.answers.some((a) => a.tag !== 'claimed'))
+  durationsMs.push(performance.now() - from);
+  if (response.kind !== 'claimAnswer' || response.answers.some((a) => a.tag !== 'claimed'))
     throw new Error('a claim was not granted');
 }
-const all = (performance.now() - started) / 1_000;
+const elapsedS = (performance.now() - startedAt) / 1_000;
 globalThis.gc?.();
 const after = process.memoryUsage();
-took.sort((a, b) => a - b);
-row('keys held', held.size());
-row('memory beside an empty process, MiB', ((after.rss - before.rss) / 2 ** 20).toFixed(0));
-row('of it buffers of the table, MiB', ((after.arrayBuffers - before.arrayBuffers) / 2 ** 20).toFixed(0));
-row(
+durationsMs.sort((a, b) => a - b);
+printRow('keys held', claimTable.size());
+printRow('memory beside an empty process, MiB', ((after.rss - before.rss) / 2 ** 20).toFixed(0));
+printRow('of it buffers of the table, MiB', ((after.arrayBuffers - before.arrayBuffers) / 2 ** 20).toFixed(0));
+printRow(
   'disk set aside, MiB',
   (
     [
@@ -92,26 +93,30 @@
       'claims-5',
       'claims-snapshot-0',
       'claims-snapshot-1',
-    ].reduce((n, f) => n + statSync(join(folder, 'h2', f)).size, 0) /
+    ].reduce((total, file) => total + statSync(join(folder, 'h2', file)).size, 0) /
     2 ** 20
   ).toFixed(0),
 );
-row(`claims a second, in batches of ${batch}`, (keys / all).toFixed(0));
-row(
+printRow(`claims a second, in batches of ${batch}`, (keys / elapsedS).toFixed(0));
+printRow(
   'batch, p50 / p99 / longest (a snapshot), ms',
-  [0.5, 0.99, 0.9999].map((q) => took[Math.min(took.length - 1, Math.floor(q * took.length))].toFixed(1)).join(' / '),
+  [0.5, 0.99, 0.9999]
+    .map((fraction) =>
+      durationsMs[Math.min(durationsMs.length - 1, Math.floor(fraction * durationsMs.length))].toFixed(1),
+    )
+    .join(' / '),
 );
-held.stop();
+claimTable.stop();
 let from = performance.now();
-const again = await open(1);
-row('read back at start, ms', (performance.now() - from).toFixed(0));
-if (again.size() !== held.size()) throw new Error('not all was read back');
+const reopened = await openClaims(1);
+printRow('read back at start, ms', (performance.now() - from).toFixed(0));
+if (reopened.size() !== claimTable.size()) throw new Error('not all claims were read back');
 from = performance.now();
-const blank = await open(0);
-while (!blank.ready()) await new Promise((done) => setTimeout(done, 20));
-row('rebuilt from another by one without a disk, ms (1 s of it waiting)', (performance.now() - from).toFixed(0));
-if (blank.size() !== held.size()) throw new Error('not all was rebuilt');
-again.stop();
-blank.stop();
+const rebuilt = await openClaims(0);
+while (!rebuilt.ready()) await new Promise((resolve) => setTimeout(resolve, 20));
+printRow('rebuilt from another by one without a disk, ms (1 s of it waiting)', (performance.now() - from).toFixed(0));
+if (rebuilt.size() !== claimTable.size()) throw new Error('not all claims were rebuilt');
+reopened.stop();
+rebuilt.stop();
 rmSync(folder, { recursive: true, force: true });
 process.exit(0);
--- a/tools/digests.mjs
+++ b/tools/digests.mjs
@@ -1,9 +1,9 @@
 #!/usr/bin/env node
 /**
- * Computes a digest of each simulated run of a fixed list of seeds: `node tools/digests.mjs [FILE]`. A digest covers only
- * numbers and outcomes, never names, so that it stays equal when identifiers are renamed. If FILE exists, the digests are
- * compared with it, and the exit code is 1 if any differs. If it does not exist, they are written to it. Without FILE
- * they are printed.
+ * Computes a digest of each simulated run of a fixed list of seeds: `node tools/digests.mjs [FILE]`. A digest covers
+ * only numbers and outcomes, never names, so that it stays equal when identifiers are renamed. If FILE exists, the
+ * digests are compared with it, and the exit code is 1 if any differs. If it does not exist, they are written to it.
+ * Without FILE they are printed.
  */
 import { createHash } from 'node:crypto';
 import { existsSync, readFileSync, writeFileSync } from 'node:fs';
--- a/tools/fleet.mjs
+++ b/tools/fleet.mjs
@@ -1,4 +1,8 @@
 #!/usr/bin/env node
+/**
+ * Starts, stops and disturbs a fleet of real processes on loopback: proxies, controllers and stand-ins of the workers,
+ * the platform and the cloud. The environment variables FLEET_FOLDER and FLEET_PORT set its folder and its first port.
+ */
 import { spawn } from 'node:child_process';
 import { existsSync, mkdirSync, openSync, readFileSync, renameSync, rmSync, writeFileSync } from 'node:fs';
 import { join, resolve } from 'node:path';
@@ -18,13 +22,13 @@
 } from './children.mjs';
 import { SHAPES } from './shapes.mjs';
 
-const [, , verb, shapeName = 'kutfo', ...rest] = process.argv;
+const [, , command, firstArg = 'kutfo', ...otherArgs] = process.argv;
 const FOLDER = resolve(process.env.FLEET_FOLDER ?? join(ROOT, '.fleet'));
-const BASE = Number(process.env.FLEET_PORT ?? 21000);
+const BASE_PORT = Number(process.env.FLEET_PORT ?? 21000);
 
-function usage(text) {
+function usage(message) {
   process.stderr.write(
-    `${text}\nuse: node tools/fleet.mjs start|stop|status|load|kill|restart|freeze|thaw|move|cut|fill|heal|reclaim|check [shape|name] [...]\n`,
+    `${message}\nusage: node tools/fleet.mjs start|stop|status|load|kill|restart|freeze|thaw|move|cut|fill|heal|reclaim|check [shape|name] [...]\n`,
   );
   process.exit(2);
 }
@@ -33,7 +37,7 @@
   return join(FOLDER, 'fleet.json');
 }
 function loadState() {
-  if (!existsSync(statePath())) usage(`no fleet in ${FOLDER}`);
+  if (!existsSync(statePath())) usage(`found no fleet in ${FOLDER}`);
   return JSON.parse(readFileSync(statePath(), 'utf8'));
 }
 function saveState(state) {
@@ -43,27 +47,27 @@
 function loadSwitches() {
   return JSON.parse(readFileSync(join(FOLDER, 'switches.json'), 'utf8'));
 }
-function saveSwitches(s) {
-  writeFileSync(join(FOLDER, 'switches.json.new'), JSON.stringify(s));
+function saveSwitches(switches) {
+  writeFileSync(join(FOLDER, 'switches.json.new'), JSON.stringify(switches));
   renameSync(join(FOLDER, 'switches.json.new'), join(FOLDER, 'switches.json'));
 }
-function cut(from, to) {
-  const s = loadSwitches();
-  saveSwitches({ ...s, cuts: [...s.cuts, `${from}>${to}`] });
+function cutLink(from, to) {
+  const switches = loadSwitches();
+  saveSwitches({ ...switches, cuts: [...switches.cuts, `${from}>${to}`] });
 }
-function fill(name) {
-  const s = loadSwitches();
-  saveSwitches({ ...s, fullDisks: [...s.fullDisks, name] });
+function fillDisk(name) {
+  const switches = loadSwitches();
+  saveSwitches({ ...switches, fullDisks: [...switches.fullDisks, name] });
 }
 
-function launch(node) {
+function launchNode(node) {
   const out = openSync(join(FOLDER, 'logs', `${node.name}.log`), 'a');
   const child = spawn(process.execPath, [BIN, ...node.args], { stdio: ['ignore', out, out], detached: true });
   child.unref();
   return child.pid;
 }
 
-function plan(shape) {
+function planFleet(shape) {
   const nodes = [];
   const lab = {
     zones: {},
@@ -71,52 +75,52 @@
     switches: join(FOLDER, 'switches.json'),
     ...(process.env.FLEET_WITHOUT ? { withoutPolicy: process.env.FLEET_WITHOUT } : {}),
   };
-  let port = BASE;
-  function address(zone) {
+  let port = BASE_PORT;
+  function allocateAddress(zone) {
     port += 1;
-    const a = `127.0.0.1:${port}`;
-    if (zone) lab.zones[a] = zone;
-    return a;
+    const allocated = `127.0.0.1:${port}`;
+    if (zone) lab.zones[allocated] = zone;
+    return allocated;
   }
-  const platform = address(null);
-  const cloud = address(null);
+  const platform = allocateAddress(null);
+  const cloud = allocateAddress(null);
   const zones = Object.keys(shape.zones);
-  const heads = zones.map((zone, i) => ({
+  const controllers = zones.map((zone, i) => ({
     name: `controller-${i + 1}`,
     zone,
-    listen: address(zone),
-    http: address(zone),
+    listen: allocateAddress(zone),
+    http: allocateAddress(zone),
   }));
   const proxies = zones.flatMap((zone) =>
     Array.from({ length: shape.proxies[zone] }, (_, i) => ({
       name: `proxy-${zone}-${i + 1}`,
       zone,
-      listen: address(zone),
-      http: address(zone),
+      listen: allocateAddress(zone),
+      http: allocateAddress(zone),
     })),
   );
   const workers = zones.flatMap((zone) => [
     ...Array.from({ length: shape.machines[zone] }, (_, i) => ({
       name: `machine-${zone}-${i + 1}`,
       zone,
-      http: address(zone),
+      http: allocateAddress(zone),
       model: null,
     })),
     ...Array.from({ length: shape.fixed.perZone[zone] }, (_, i) => ({
       name: `gateway-${zone}-${i + 1}`,
       zone,
-      http: address(zone),
+      http: allocateAddress(zone),
       model: shape.fixed.model,
     })),
   ]);
   const labFile = join(FOLDER, 'lab.json');
-  const seeds = heads.map((h) => h.listen);
+  const seeds = controllers.map((controller) => controller.listen);
   nodes.push({
     name: 'platform',
     args: ['standin', 'platform', '--http', platform, '--journal', join(FOLDER, 'journals', 'platform.jsonl')],
   });
   const prices = Object.entries(shape.prices)
-    .map(([z, [s, o]]) => `${z}=${s}/${o}`)
+    .map(([zone, [spot, onDemand]]) => `${zone}=${spot}/${onDemand}`)
     .join(',');
   nodes.push({
     name: 'cloud',
@@ -133,143 +137,148 @@
       join(FOLDER, 'journals', 'cloud.jsonl'),
     ],
   });
-  for (const h of [...heads, ...proxies]) {
-    const core = heads.includes(h);
-    const file = join(FOLDER, 'settings', `${h.name}.json`);
+  for (const node of [...controllers, ...proxies]) {
+    const isController = controllers.includes(node);
+    const file = join(FOLDER, 'settings', `${node.name}.json`);
     const settings = {
-      name: h.name,
-      zone: h.zone,
-      region: shape.zones[h.zone],
-      listen: h.listen,
-      http: h.http,
+      name: node.name,
+      zone: node.zone,
+      region: shape.zones[node.zone],
+      listen: node.listen,
+      http: node.http,
       seeds,
       platform,
       cloud,
-      dataFolder: join(FOLDER, 'data', h.name),
+      dataFolder: join(FOLDER, 'data', node.name),
       lab,
     };
     nodes.push({
-      name: h.name,
-      role: core ? 'controller' : 'proxy',
-      zone: h.zone,
-      http: h.http,
-      listen: h.listen,
+      name: node.name,
+      role: isController ? 'controller' : 'proxy',
+      zone: node.zone,
+      http: node.http,
+      listen: node.listen,
       settings,
       file,
-      args: [core ? 'controller' : 'proxy', '--settings', file],
+      args: [isController ? 'controller' : 'proxy', '--settings', file],
     });
   }
-  for (const w of workers) {
+  for (const worker of workers) {
     nodes.push({
-      name: w.name,
+      name: worker.name,
       role: 'worker',
-      zone: w.zone,
-      http: w.http,
+      zone: worker.zone,
+      http: worker.http,
       args: [
         'standin',
         'worker',
         '--id',
-        w.name,
+        worker.name,
         '--zone',
-        w.zone,
+        worker.zone,
         '--region',
-        shape.zones[w.zone],
+        shape.zones[worker.zone],
         '--http',
-        w.http,
+        worker.http,
         '--platform',
         platform,
         '--cloud',
         cloud,
         '--journal',
-        join(FOLDER, 'journals', `${w.name}.jsonl`),
-        ...(w.model ? ['--model', w.model] : []),
+        join(FOLDER, 'journals', `${worker.name}.jsonl`),
+        ...(worker.model ? ['--model', worker.model] : []),
       ],
     });
   }
   return {
-    shape: shapeName,
+    shape: firstArg,
     nodes,
     lab,
     labFile,
     platform,
     cloud,
-    core: heads.map((h) => h.http).join(','),
+    core: controllers.map((controller) => controller.http).join(','),
     members: seeds.join(','),
-    proxies: proxies.map((s) => s.http).join(','),
+    proxies: proxies.map((proxy) => proxy.http).join(','),
   };
 }
 
-async function until(what, seconds, test) {
-  for (let i = 0; i < seconds * 5; i += 1) {
-    if (await test().catch(() => false)) return true;
+async function waitFor(description, timeoutS, condition) {
+  for (let i = 0; i < timeoutS * 5; i += 1) {
+    if (await condition().catch(() => false)) return true;
     await sleep(200);
   }
-  process.stderr.write(`gave up waiting for ${what}\n`);
+  process.stderr.write(`timed out waiting for ${description}\n`);
   return false;
 }
 
 async function get(address, path) {
-  const res = await fetch(`http://${address}${path}`, { signal: AbortSignal.timeout(2000) });
-  return res.json();
+  const response = await fetch(`http://${address}${path}`, { signal: AbortSignal.timeout(2000) });
+  return response.json();
 }
 async function post(address, path, body) {
-  const res = await fetch(`http://${address}${path}`, {
+  const response = await fetch(`http://${address}${path}`, {
     method: 'POST',
     headers: { 'content-type': 'application/json' },
     body: JSON.stringify(body),
     signal: AbortSignal.timeout(15000),
   });
-  return { status: res.status, body: await res.json().catch(() => null) };
+  return { status: response.status, body: await response.json().catch(() => null) };
 }
 
-function admin(state, args) {
+function runAdmin(state, args) {
   return runNodeScript(BIN, ['admin', ...args, '--core', state.core]);
 }
 
-async function start() {
-  const shape = SHAPES[shapeName];
-  if (!shape) usage(`shape: expected one of ${Object.keys(SHAPES).join(', ')}; found ${shapeName}`);
-  if (existsSync(statePath()) && loadState().nodes.some(isRunning)) usage('a fleet is running; stop it first');
-  if (!existsSync(BIN)) usage('build first: npm run build');
+async function startFleet() {
+  const shape = SHAPES[firstArg];
+  if (!shape) usage(`shape: expected one of ${Object.keys(SHAPES).join(', ')}; found ${firstArg}`);
+  if (existsSync(statePath()) && loadState().nodes.some(isRunning)) usage('a fleet is already running; stop it first');
+  if (!existsSync(BIN)) usage('the program is not built; run: npm run build');
   rmSync(FOLDER, { recursive: true, force: true });
-  for (const d of ['logs', 'settings', 'journals', 'data']) mkdirSync(join(FOLDER, d), { recursive: true });
-  const state = plan(shape);
-  let whole = false;
-  onShutdown(() => (whole ? null : stopNodes(state.nodes)));
+  for (const folderName of ['logs', 'settings', 'journals', 'data'])
+    mkdirSync(join(FOLDER, folderName), { recursive: true });
+  const state = planFleet(shape);
+  let isComplete = false;
+  onShutdown(() => (isComplete ? null : stopNodes(state.nodes)));
   saveSwitches({ cuts: [], fullDisks: [] });
   writeFileSync(state.labFile, JSON.stringify(state.lab));
   for (const node of state.nodes) {
     if (node.settings) writeFileSync(node.file, JSON.stringify(node.settings, null, 2));
     delete node.settings;
-    node.pid = launch(node);
+    node.pid = launchNode(node);
     saveState(state);
   }
-  const heads = state.nodes.filter((n) => n.role === 'controller');
-  const up = await until(
+  const controllers = state.nodes.filter((n) => n.role === 'controller');
+  const areControllersUp = await waitFor(
     'controllers',
     30,
-    async () => (await Promise.all(heads.map((h) => get(h.http, '/v1/status')))).length === heads.length,
+    async () =>
+      (await Promise.all(controllers.map((controller) => get(controller.http, '/v1/status')))).length ===
+      controllers.length,
   );
-  if (!up) await shutdown(1);
-  if ((await admin(state, ['bootstrap', '--members', state.members])) !== 0) await shutdown(1);
-  const first = heads[0].http;
-  await until(
+  if (!areControllersUp) await shutdown(1);
+  if ((await runAdmin(state, ['bootstrap', '--members', state.members])) !== 0) await shutdown(1);
+  const firstController = controllers[0].http;
+  await waitFor(
     'proxies',
     20,
     async () =>
-      Object.keys((await get(first, '/v1/status')).proxies).length ===
+      Object.keys((await get(firstController, '/v1/status')).proxies).length ===
       state.nodes.filter((n) => n.role === 'proxy').length,
   );
-  if ((await admin(state, ['apply', join(ROOT, shape.configuration)])) !== 0)
+  if ((await runAdmin(state, ['apply', join(ROOT, shape.configuration)])) !== 0)
     process.stderr.write('the configuration was not confirmed\n');
-  const ready = await until('workers', 60, async () => {
-    const { orders } = await get(first, '/v1/orders');
-    const open = orders.filter((o) => ['intended', 'placed', 'ready'].includes(o.status) && o.kind === 'spot');
-    return open.length > 0 && open.every((o) => o.status === 'ready');
+  const ready = await waitFor('workers', 60, async () => {
+    const { orders } = await get(firstController, '/v1/orders');
+    const activeOrders = orders.filter(
+      (order) => ['intended', 'placed', 'ready'].includes(order.status) && order.kind === 'spot',
+    );
+    return activeOrders.length > 0 && activeOrders.every((order) => order.status === 'ready');
   });
-  whole = true;
+  isComplete = true;
   process.stdout.write(
-    `${ready ? 'The fleet serves' : 'The fleet is up'}; core ${state.core}; proxies ${state.proxies}\n`,
+    `${ready ? 'The fleet is serving' : 'The fleet is running, but not all workers are ready'}; core ${state.core}; proxies ${state.proxies}\n`,
   );
 }
 
@@ -279,51 +288,51 @@
   return node;
 }
 
-function signal(name, sig) {
+function sendSignal(name, signal) {
   const state = loadState();
   const node = nodeNamed(state, name);
-  if (isAlive(node.pid) && matchesCommandLine(node)) process.kill(node.pid, sig);
+  if (isAlive(node.pid) && matchesCommandLine(node)) process.kill(node.pid, signal);
 }
 
-function restart(name, wipe) {
+function restartNode(name, wipe) {
   const state = loadState();
   const node = nodeNamed(state, name);
-  if (isAlive(node.pid)) usage(`${name} still runs`);
+  if (isAlive(node.pid)) usage(`${name} is still running`);
   if (wipe) rmSync(join(FOLDER, 'data', name), { recursive: true, force: true });
-  node.pid = launch(node);
+  node.pid = launchNode(node);
   saveState(state);
 }
 
-function move(name) {
+function moveNode(name) {
   const state = loadState();
   const node = nodeNamed(state, name);
-  if (isAlive(node.pid)) usage(`${name} still runs`);
+  if (isAlive(node.pid)) usage(`${name} is still running`);
   const settings = JSON.parse(readFileSync(node.file, 'utf8'));
-  const taken = state.nodes
+  const usedPorts = state.nodes
     .flatMap((n) => [n.http, n.listen])
     .filter(Boolean)
-    .map((a) => Number(a.split(':')[1]));
-  const port = Math.max(state.lastPort ?? 0, ...taken) + 1;
-  const was = settings.http;
+    .map((address) => Number(address.split(':')[1]));
+  const port = Math.max(state.lastPort ?? 0, ...usedPorts) + 1;
+  const previousHttp = settings.http;
   settings.listen = `127.0.0.1:${port}`;
   settings.http = `127.0.0.1:${port + 1}`;
-  for (const a of [settings.listen, settings.http]) settings.lab.zones[a] = node.zone;
+  for (const address of [settings.listen, settings.http]) settings.lab.zones[address] = node.zone;
   writeFileSync(node.file, JSON.stringify(settings, null, 2));
   Object.assign(node, { listen: settings.listen, http: settings.http });
-  Object.assign(state, { lastPort: port + 1, core: state.core.replace(was, settings.http) });
-  node.pid = launch(node);
+  Object.assign(state, { lastPort: port + 1, core: state.core.replace(previousHttp, settings.http) });
+  node.pid = launchNode(node);
   saveState(state);
 }
 
-async function load() {
+async function runLoad() {
   const state = loadState();
   const shape = SHAPES[state.shape];
-  const [seconds = '20', rate = '6'] = rest;
+  const [seconds = '20', rate = '6'] = otherArgs;
   const zones = Object.keys(shape.zones);
-  const runs = zones.map(
+  const callers = zones.map(
     (zone) =>
-      new Promise((done) => {
-        const near = state.nodes
+      new Promise((resolveResult) => {
+        const nearestProxiesFirst = state.nodes
           .filter((n) => n.role === 'proxy')
           .sort((a, b) => Number(b.zone === zone) - Number(a.zone === zone));
         const args = [
@@ -336,7 +345,7 @@
           '--lab',
           state.labFile,
           '--proxies',
-          near.map((n) => n.http).join(','),
+          nearestProxiesFirst.map((n) => n.http).join(','),
           '--once',
           shape.fixed.model,
           '--models',
@@ -351,24 +360,24 @@
         if (shape.homes) args.push('--kind', shape.kind);
         const child = startChild(process.execPath, [BIN, ...args], { stdio: ['ignore', 'pipe', 'inherit'] });
         let out = '';
-        child.stdout.on('data', (d) => (out += d));
-        child.on('exit', () => done([zone, out.trim()]));
+        child.stdout.on('data', (chunk) => (out += chunk));
+        child.on('exit', () => resolveResult([zone, out.trim()]));
       }),
   );
-  for (const [zone, out] of await Promise.all(runs)) process.stdout.write(`${zone} ${out}\n`);
+  for (const [zone, out] of await Promise.all(callers)) process.stdout.write(`${zone} ${out}\n`);
 }
 
-async function reclaim(count, remainingMs) {
+async function reclaimMachines(count, remainingMs) {
   const state = loadState();
   const { machines } = await get(state.cloud, '/lab/machines');
-  const spot = machines.filter((m) => m.state === 'running' && m.kind === 'spot').slice(0, Number(count));
-  for (const m of spot) {
-    const got = await post(state.cloud, '/lab/reclaim', { machine: m.id, remainingMs: Number(remainingMs) });
-    process.stdout.write(`reclaims ${m.id} in ${m.zone}: ${got.status}\n`);
+  const spotMachines = machines.filter((m) => m.state === 'running' && m.kind === 'spot').slice(0, Number(count));
+  for (const m of spotMachines) {
+    const response = await post(state.cloud, '/lab/reclaim', { machine: m.id, remainingMs: Number(remainingMs) });
+    process.stdout.write(`reclaiming ${m.id} in ${m.zone}: status ${response.status}\n`);
   }
 }
 
-async function check() {
+async function checkJournals() {
   const state = loadState();
   const shape = SHAPES[state.shape];
   const args = ['standin', 'check', join(FOLDER, 'journals')];
@@ -376,26 +385,26 @@
   await shutdown(await runNodeScript(BIN, args));
 }
 
-function status() {
+function printStatus() {
   for (const n of loadState().nodes)
     process.stdout.write(
-      `${n.name.padEnd(20)} ${String(n.pid).padEnd(8)} ${n.pid && isAlive(n.pid) ? 'runs' : 'gone'}\n`,
+      `${n.name.padEnd(20)} ${String(n.pid).padEnd(8)} ${n.pid && isAlive(n.pid) ? 'running' : 'stopped'}\n`,
     );
 }
 
 installShutdownHandlers(2_000);
-if (verb === 'start') await start();
-else if (verb === 'stop') await stopNodes(loadState().nodes);
-else if (verb === 'status') status();
-else if (verb === 'load') await load();
-else if (verb === 'kill') signal(shapeName, 'SIGKILL');
-else if (verb === 'freeze') signal(shapeName, 'SIGSTOP');
-else if (verb === 'thaw') signal(shapeName, 'SIGCONT');
-else if (verb === 'restart') restart(shapeName, rest.includes('--wipe'));
-else if (verb === 'reclaim') await reclaim(shapeName === 'kutfo' ? 1 : shapeName, rest[0] ?? 5000);
-else if (verb === 'cut') cut(shapeName, rest[0]);
-else if (verb === 'fill') fill(shapeName);
-else if (verb === 'heal') saveSwitches({ cuts: [], fullDisks: [] });
-else if (verb === 'move') move(shapeName);
-else if (verb === 'check') await check();
-else usage(`verb: found ${verb}`);
+if (command === 'start') await startFleet();
+else if (command === 'stop') await stopNodes(loadState().nodes);
+else if (command === 'status') printStatus();
+else if (command === 'load') await runLoad();
+else if (command === 'kill') sendSignal(firstArg, 'SIGKILL');
+else if (command === 'freeze') sendSignal(firstArg, 'SIGSTOP');
+else if (command === 'thaw') sendSignal(firstArg, 'SIGCONT');
+else if (command === 'restart') restartNode(firstArg, otherArgs.includes('--wipe'));
+else if (command === 'reclaim') await reclaimMachines(firstArg === 'kutfo' ? 1 : firstArg, otherArgs[0] ?? 5000);
+else if (command === 'cut') cutLink(firstArg, otherArgs[0]);
+else if (command === 'fill') fillDisk(firstArg);
+else if (command === 'heal') saveSwitches({ cuts: [], fullDisks: [] });
+else if (command === 'move') moveNode(firstArg);
+else if (command === 'check') await checkJournals();
+else usage(`unknown command: ${command}`);
--- a/tools/recovery.mjs
+++ b/tools/recovery.mjs
@@ -1,24 +1,28 @@
 #!/usr/bin/env node
+/** Plays simulated failure scenarios over several seeds and prints the recovery times and broken rules. */
 import { playScenario, SCENARIO_NAMES } from '../dist/sim/scenarios.js';
 import { spread } from './figures.mjs';
 
-const [, , only, count = '5'] = process.argv;
-if (only !== undefined && only !== 'all' && !SCENARIO_NAMES.includes(only)) {
-  process.stderr.write(`scenario: expected all or one of ${SCENARIO_NAMES.join(', ')}; found ${only}\n`);
+const [, , scenario, count = '5'] = process.argv;
+if (scenario !== undefined && scenario !== 'all' && !SCENARIO_NAMES.includes(scenario)) {
+  process.stderr.write(`scenario: expected all or one of ${SCENARIO_NAMES.join(', ')}; found ${scenario}\n`);
   process.exit(2);
 }
-let bad = 0;
-for (const name of only === undefined || only === 'all' ? SCENARIO_NAMES : [only]) {
-  const ends = [];
-  for (let seed = 1; seed <= Number(count); seed += 1) ends.push(await playScenario(name, seed));
-  const broken = ends.flatMap((e) => e.broken.map((b) => `seed ${e.seed} ${b.rule}: ${b.detail}`));
-  bad += broken.length;
-  const facts = Object.keys(ends[0].facts).map(
-    (k) => `${k} ${typeof ends[0].facts[k] === 'number' ? spread(ends.map((e) => e.facts[k])) : ends[0].facts[k]}`,
+let violationCount = 0;
+for (const name of scenario === undefined || scenario === 'all' ? SCENARIO_NAMES : [scenario]) {
+  const results = [];
+  for (let seed = 1; seed <= Number(count); seed += 1) results.push(await playScenario(name, seed));
+  const violations = results.flatMap((result) =>
+    result.broken.map((violation) => `seed ${result.seed} ${violation.rule}: ${violation.detail}`),
+  );
+  violationCount += violations.length;
+  const facts = Object.keys(results[0].facts).map(
+    (key) =>
+      `${key} ${typeof results[0].facts[key] === 'number' ? spread(results.map((result) => result.facts[key])) : results[0].facts[key]}`,
   );
   process.stdout.write(
-    `${name.padEnd(22)} recover ms ${spread(ends.map((e) => e.recoverMs)).padEnd(26)} ${facts.join('; ')}\n`,
+    `${name.padEnd(22)} recover ms ${spread(results.map((result) => result.recoverMs)).padEnd(26)} ${facts.join('; ')}\n`,
   );
-  for (const line of broken.slice(0, 5)) process.stdout.write(`  ${line}\n`);
+  for (const line of violations.slice(0, 5)) process.stdout.write(`  ${line}\n`);
 }
-process.exit(bad > 0 ? 1 : 0);
+process.exit(violationCount > 0 ? 1 : 0);
--- a/tools/shapes.mjs
+++ b/tools/shapes.mjs
@@ -1,3 +1,4 @@
+/** Two deployments on loopback for the tools: zones, delays between them, process counts, prices and models. */
 export const SHAPES = {
   kutfo: {
     zones: { 'hu-1': 'hungary', 'at-1': 'austria', 'ro-1': 'romania' },
--- a/tools/soak.mjs
+++ b/tools/soak.mjs
@@ -1,4 +1,5 @@
 #!/usr/bin/env node
+/** Runs simulated chaos over a range of seeds on worker threads and prints which runs broke a rule. */
 import { availableParallelism } from 'node:os';
 import { isMainThread, parentPort, Worker, workerData } from 'node:worker_threads';
 import { runChaos } from '../dist/sim/chaos.js';
@@ -6,25 +7,25 @@
 import { SHAPES } from '../dist/sim/shapes.js';
 import { spread } from './figures.mjs';
 
-function usage(text) {
+function usage(message) {
   process.stderr.write(
-    `${text}\nuse: npm run soak -- --seeds A..B [--shape ${Object.keys(SHAPES).join('|')}|all] [--seconds N] [--every MS] [--faults a,b] [--threads N]\n`,
+    `${message}\nusage: npm run soak -- --seeds A..B [--shape ${Object.keys(SHAPES).join('|')}|all] [--seconds N] [--every MS] [--faults a,b] [--threads N]\n`,
   );
   process.exit(2);
 }
 
-async function play({ seeds, shapes, faults, seconds, everyMs }) {
+async function runSeeds({ seeds, shapes, faults, seconds, everyMs }) {
   for (const seed of seeds) {
     const shape = shapes[seed % shapes.length];
-    const end = await runChaos(seed, { faults, seconds, everyMs, shape });
-    if (end.faults.length === 0) end.broken.push({ rule: 'noFault', detail: 'the run caused no fault' });
-    parentPort.postMessage({ ...end, shape });
+    const result = await runChaos(seed, { faults, seconds, everyMs, shape });
+    if (result.faults.length === 0) result.broken.push({ rule: 'noFault', detail: 'the run injected no fault' });
+    parentPort.postMessage({ ...result, shape });
   }
 }
 
-function options() {
+function parseOptions() {
   const args = process.argv.slice(2);
-  const o = {
+  const values = {
     '--seeds': '',
     '--shape': 'all',
     '--seconds': '40',
@@ -33,76 +34,77 @@
     '--threads': String(Math.max(1, availableParallelism() - 1)),
   };
   for (let i = 0; i < args.length; i += 2) {
-    if (!(args[i] in o) || args[i + 1] === undefined)
-      usage(`flag: expected one of ${Object.keys(o).join(', ')} with a value; found ${args[i]}`);
-    o[args[i]] = args[i + 1];
+    if (!(args[i] in values) || args[i + 1] === undefined)
+      usage(`flag: expected one of ${Object.keys(values).join(', ')} with a value; found ${args[i]}`);
+    values[args[i]] = args[i + 1];
   }
-  const range = /^(\d+)\.\.(\d+)$/.exec(o['--seeds']);
-  if (!range || Number(range[1]) > Number(range[2])) usage(`--seeds: expected A..B; found ${o['--seeds']}`);
-  const shapes = o['--shape'] === 'all' ? Object.keys(SHAPES) : [o['--shape']];
-  for (const s of shapes)
-    if (!(s in SHAPES)) usage(`--shape: expected all or one of ${Object.keys(SHAPES).join(', ')}; found ${s}`);
-  const faults = o['--faults'].split(',');
-  for (const f of faults)
-    if (!ALL_FAULTS.includes(f)) usage(`--faults: expected some of ${ALL_FAULTS.join(', ')}; found ${f}`);
-  const threads = Number(o['--threads']);
-  if (!(threads >= 1)) usage(`--threads: expected a number from 1; found ${o['--threads']}`);
+  const range = /^(\d+)\.\.(\d+)$/.exec(values['--seeds']);
+  if (!range || Number(range[1]) > Number(range[2])) usage(`--seeds: expected A..B; found ${values['--seeds']}`);
+  const shapes = values['--shape'] === 'all' ? Object.keys(SHAPES) : [values['--shape']];
+  for (const shape of shapes)
+    if (!(shape in SHAPES)) usage(`--shape: expected all or one of ${Object.keys(SHAPES).join(', ')}; found ${shape}`);
+  const faults = values['--faults'].split(',');
+  for (const fault of faults)
+    if (!ALL_FAULTS.includes(fault)) usage(`--faults: expected some of ${ALL_FAULTS.join(', ')}; found ${fault}`);
+  const threads = Number(values['--threads']);
+  if (!(threads >= 1)) usage(`--threads: expected a number of at least 1; found ${values['--threads']}`);
   return {
     from: Number(range[1]),
     to: Number(range[2]),
     shapes,
     faults,
     threads,
-    seconds: Number(o['--seconds']),
-    everyMs: Number(o['--every']),
+    seconds: Number(values['--seconds']),
+    everyMs: Number(values['--every']),
   };
 }
 
 async function main() {
-  const o = options();
-  const ends = [];
-  function told(end) {
-    ends.push(end);
-    const mark = end.broken.length === 0 ? 'held' : 'BROKEN';
+  const values = parseOptions();
+  const results = [];
+  function onResult(result) {
+    results.push(result);
+    const verdict = result.broken.length === 0 ? 'held' : 'BROKEN';
     process.stdout.write(
-      `seed ${end.seed} ${end.shape} ${mark}: ${end.faults.length} faults, ${end.good}/${end.asked} good, after ${end.lastGood}/${end.lastAsked}, back in ${Math.max(...Object.values(end.recoveryMs))} ms (${end.disaster})\n`,
+      `seed ${result.seed} ${result.shape} ${verdict}: ${result.faults.length} faults, ${result.good}/${result.asked} good, after ${result.lastGood}/${result.lastAsked}, recovered in ${Math.max(...Object.values(result.recoveryMs))} ms (${result.disaster})\n`,
     );
-    if (end.broken.length === 0) return;
-    for (const b of end.broken.slice(0, 12)) process.stdout.write(`  ${b.rule}: ${b.detail}\n`);
-    for (const p of end.portrait) process.stdout.write(`  ${p}\n`);
-    for (const f of end.faults) process.stdout.write(`    ${f}\n`);
+    if (result.broken.length === 0) return;
+    for (const violation of result.broken.slice(0, 12))
+      process.stdout.write(`  ${violation.rule}: ${violation.detail}\n`);
+    for (const line of result.portrait) process.stdout.write(`  ${line}\n`);
+    for (const fault of result.faults) process.stdout.write(`    ${fault}\n`);
   }
   await Promise.all(
-    Array.from({ length: o.threads }, (_, t) => {
+    Array.from({ length: values.threads }, (_, threadIndex) => {
       const seeds = [];
-      for (let s = o.from + t; s <= o.to; s += o.threads) seeds.push(s);
-      return new Promise((done, fail) => {
-        const worker = new Worker(new URL(import.meta.url), { workerData: { ...o, seeds } });
-        worker.on('message', told);
-        worker.on('error', fail);
-        worker.on('exit', done);
+      for (let seed = values.from + threadIndex; seed <= values.to; seed += values.threads) seeds.push(seed);
+      return new Promise((resolve, reject) => {
+        const worker = new Worker(new URL(import.meta.url), { workerData: { ...values, seeds } });
+        worker.on('message', onResult);
+        worker.on('error', reject);
+        worker.on('exit', resolve);
       });
     }),
   );
-  const held = ends.filter((e) => e.broken.length === 0).length;
-  process.stdout.write(`${held} of ${ends.length} seeds held.\n`);
-  for (const shape of o.shapes) {
-    const of = ends.filter((e) => e.shape === shape);
-    if (of.length === 0) continue;
+  const heldCount = results.filter((result) => result.broken.length === 0).length;
+  process.stdout.write(`${heldCount} of ${results.length} seeds held.\n`);
+  for (const shape of values.shapes) {
+    const shapeResults = results.filter((result) => result.shape === shape);
+    if (shapeResults.length === 0) continue;
     for (const kind of ['once', 'stream', 'operator']) {
-      const ms = of.flatMap((e) =>
-        Object.entries(e.recoveryMs)
+      const recoveryMs = shapeResults.flatMap((result) =>
+        Object.entries(result.recoveryMs)
           .filter(([k]) => k.startsWith(kind))
           .map(([, v]) => v),
       );
-      process.stdout.write(`${shape} ${kind}: back after ms ${spread(ms)}\n`);
+      process.stdout.write(`${shape} ${kind}: recovered after ms ${spread(recoveryMs)}\n`);
     }
     process.stdout.write(
-      `${shape} in force: ${(of.reduce((n, e) => n + e.watchedMs, 0) / 1000).toFixed(0)} s of nodes watched\n`,
+      `${shape} in force: ${(shapeResults.reduce((n, result) => n + result.watchedMs, 0) / 1000).toFixed(0)} s of node time observed\n`,
     );
   }
-  process.exit(held === ends.length ? 0 : 1);
+  process.exit(heldCount === results.length ? 0 : 1);
 }
 
 if (isMainThread) await main();
-else await play(workerData);
+else await runSeeds(workerData);
--- a/tools/stored-data.mjs
+++ b/tools/stored-data.mjs
@@ -1,5 +1,8 @@
 #!/usr/bin/env node
-/** Writes a fixture of data folders as this version keeps them, and what is read from them: `node tools/stored-data.mjs FILE`. */
+/**
+ * Writes a fixture with data folders as this version stores them, and the data read back from them:
+ * `node tools/stored-data.mjs FILE`.
+ */
 import { writeFileSync } from 'node:fs';
 import { gzipSync } from 'node:zlib';
 import { readStoredData, writeStoredData } from '../dist/sim/stored-data.js';
@@ -8,7 +11,7 @@
 
 const [file] = process.argv.slice(2);
 if (!file) {
-  process.stderr.write('use: node tools/stored-data.mjs FILE.json.gz\n');
+  process.stderr.write('usage: node tools/stored-data.mjs FILE.json.gz\n');
   process.exit(2);
 }
 const disks = await writeStoredData(SEED);
--- a/tools/tests.mjs
+++ b/tools/tests.mjs
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
 /**
- * Runs all checks of CI: types, format, lint, unused code and the tests: `node tools/tests.mjs [JEST_ARG...]`. With
- * arguments, jest gets just these. Failures of tests that are listed in KNOWN-RED.txt are printed and don't fail the run.
+ * Runs all checks of CI: types, format, lint, unused code and the tests: `node tools/tests.mjs [JEST_ARG...]`. Given
+ * arguments, it runs jest once, with these. Failures of tests listed in KNOWN-RED.txt are printed but don't fail the run.
  */
 import { existsSync, mkdtempSync, readFileSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
