--- a/tools/capacity/children.mjs
+++ b/tools/capacity/children.mjs
@@ -3,18 +3,22 @@
 import { join } from 'node:path';
 import { setTimeout as sleep } from 'node:timers/promises';
 
-const TICKS_A_SECOND = 100;
-const MEMORY_LIMIT = 8 * 1024 ** 3;
-const PROCESSES_LIMIT = 100;
+const CLOCK_TICKS_PER_SECOND = 100;
+const MEMORY_LIMIT_BYTES = 8 * 1024 ** 3;
+const MAX_PROCESSES = 100;
 
+/**
+ * Starts the processes of a run and stops them when it ends or this process exits. Their number and their total memory
+ * are limited.
+ */
 export function createChildren(bin, folder, profile) {
   const running = new Map();
-  let ending = null;
+  let endPromise = null;
 
   function start(child) {
-    if (running.size >= PROCESSES_LIMIT) throw new Error(`more than ${PROCESSES_LIMIT} processes`);
+    if (running.size >= MAX_PROCESSES) throw new Error(`more than ${MAX_PROCESSES} processes`);
     const out = openSync(join(folder, `${child.name}.log`), 'a');
-    const flags = profile
+    const profileFlags = profile
       ? [
           '--cpu-prof',
           `--cpu-prof-dir=${folder}`,
@@ -23,68 +27,72 @@
           '1000',
         ]
       : [];
-    const small = child.role === 'controller' ? [] : ['--max-old-space-size=320', '--max-semi-space-size=8'];
-    const proc = spawn(process.execPath, [...flags, ...small, bin, ...child.args], { stdio: ['pipe', out, out] });
+    const heapFlags = child.role === 'controller' ? [] : ['--max-old-space-size=320', '--max-semi-space-size=8'];
+    const proc = spawn(process.execPath, [...profileFlags, ...heapFlags, bin, ...child.args], {
+      stdio: ['pipe', out, out],
+    });
     proc.stdin.on('error', () => {});
-    const held = { ...child, proc, pid: proc.pid, gone: false };
+    const entry = { ...child, proc, pid: proc.pid, gone: false };
     proc.on('exit', () => {
-      held.gone = true;
+      entry.gone = true;
       running.delete(child.name);
     });
-    running.set(child.name, held);
-    return held;
+    running.set(child.name, entry);
+    return entry;
   }
 
-  function tell(child, line) {
+  function sendLine(child, line) {
     if (!child.gone) child.proc.stdin.write(`${line}\n`);
   }
 
-  function end() {
-    ending ??= endAll();
-    return ending;
+  function stopAll() {
+    endPromise ??= terminateAll();
+    return endPromise;
   }
-  async function endAll() {
-    const left = [...running.values()];
-    for (const c of left) c.proc.kill('SIGTERM');
-    for (let i = 0; i < 100 && left.some((c) => !c.gone); i += 1) await sleep(100);
-    for (const c of left) if (!c.gone) c.proc.kill('SIGKILL');
-    for (let i = 0; i < 20 && left.some((c) => !c.gone); i += 1) await sleep(100);
+  async function terminateAll() {
+    const remaining = [...running.values()];
+    for (const c of remaining) c.proc.kill('SIGTERM');
+    for (let i = 0; i < 100 && remaining.some((c) => !c.gone); i += 1) await sleep(100);
+    for (const c of remaining) if (!c.gone) c.proc.kill('SIGKILL');
+    for (let i = 0; i < 20 && remaining.some((c) => !c.gone); i += 1) await sleep(100);
   }
-  function endAtOnce() {
+  function killAll() {
     for (const c of running.values()) c.proc.kill('SIGKILL');
   }
-  process.on('exit', endAtOnce);
+  process.on('exit', killAll);
 
-  function memory() {
-    let all = 0;
-    for (const c of running.values()) all += procOf(c.pid)?.own ?? 0;
-    return all;
+  function totalMemory() {
+    let total = 0;
+    for (const c of running.values()) total += readProcessStats(c.pid)?.own ?? 0;
+    return total;
   }
-  function withinMemory() {
-    return memory() < MEMORY_LIMIT;
+  function isWithinMemoryLimit() {
+    return totalMemory() < MEMORY_LIMIT_BYTES;
   }
-  return { start, tell, end, memory, withinMemory, running };
+  return { start, sendLine, stopAll, totalMemory, isWithinMemoryLimit, running };
 }
 
-export function procOf(pid) {
+/** Reads processor time and memory of a process from /proc; null if it has ended. */
+export function readProcessStats(pid) {
   try {
     const stat = readFileSync(`/proc/${pid}/stat`, 'utf8')
       .replace(/^.*\) /, '')
       .split(' ');
     const status = readFileSync(`/proc/${pid}/status`, 'utf8');
-    const kb = (key) => Number(new RegExp(`^${key}:\\s+(\\d+)`, 'm').exec(status)?.[1] ?? 0) * 1024;
+    const bytesOf = (key) => Number(new RegExp(`^${key}:\\s+(\\d+)`, 'm').exec(status)?.[1] ?? 0) * 1024;
     return {
-      cpuS: (Number(stat[11]) + Number(stat[12])) / TICKS_A_SECOND,
-      rss: kb('VmRSS'),
-      own: kb('RssAnon'),
-      peak: kb('VmHWM'),
+      cpuS: (Number(stat[11]) + Number(stat[12])) / CLOCK_TICKS_PER_SECOND,
+      rss: bytesOf('VmRSS'),
+      own: bytesOf('RssAnon'),
+      peak: bytesOf('VmHWM'),
     };
   } catch {
     return null;
   }
 }
 
-export function tallyOf(child) {
+/** Reads the message counters that a child writes to its tally file; null if they cannot be read. */
+export function readTally(child) {
   try {
     return JSON.parse(readFileSync(child.tally, 'utf8'));
   } catch {
--- a/tools/capacity/figures.mjs
+++ b/tools/capacity/figures.mjs
@@ -1,3 +1,4 @@
+/** The kinds of messages and calls that each duty sends. */
 export const DUTIES = {
   probing: ['probe', 'probeFor', 'probeAnswer'],
   following: ['follow', 'attend', 'unfollow', 'changes', 'followed', 'confirmed', 'beat'],
@@ -27,28 +28,29 @@
   workers: ['GET:/v1/health'],
   scaler: ['POST:/v1/machines', 'GET:/v1/machines', 'GET:/v1/prices'],
 };
-const DUTY_OF = new Map(Object.entries(DUTIES).flatMap(([duty, kinds]) => kinds.map((k) => [k, duty])));
+const DUTY_OF = new Map(Object.entries(DUTIES).flatMap(([duty, kinds]) => kinds.map((kind) => [kind, duty])));
 
 export function dutyOf(kind) {
   return DUTY_OF.get(kind) ?? (kind.startsWith('list') ? 'list' : kind.includes('/v1/') ? 'scaler' : 'other');
 }
 
-function minus(a, b) {
+function countersSince(earlier, later) {
   const out = {};
-  for (const [key, row] of Object.entries(b ?? {})) {
-    const was = a?.[key] ?? { n: 0, bytes: 0 };
-    out[key] = { n: row.n - was.n, bytes: row.bytes - was.bytes };
+  for (const [key, row] of Object.entries(later ?? {})) {
+    const previous = earlier?.[key] ?? { n: 0, bytes: 0 };
+    out[key] = { n: row.n - previous.n, bytes: row.bytes - previous.bytes };
   }
   return out;
 }
 
-function duty(table, role, name) {
+function dutyRow(table, role, name) {
   table[role] ??= {};
   table[role][name] ??= { messages: 0, bytes: 0, sent: 0, received: 0, inZone: 0, betweenZones: 0, betweenRegions: 0 };
   return table[role][name];
 }
 
-export function between(a, b) {
+/** Computes messages, bytes, processor time and connections per role, process and second between two snapshots. */
+export function figuresBetween(earlier, later) {
   const counts = {};
   const rss = {};
   const roles = {};
@@ -56,23 +58,23 @@
   const connections = {};
   const dialled = {};
   const kinds = {};
-  const s = (b.at - a.at) / 1000;
-  for (const now of b.parts) {
-    const was = a.parts.find((p) => p.name === now.name);
-    if (!was?.proc || !now.proc) continue;
+  const s = (later.at - earlier.at) / 1000;
+  for (const now of later.parts) {
+    const previous = earlier.parts.find((p) => p.name === now.name);
+    if (!previous?.proc || !now.proc) continue;
     counts[now.role] = (counts[now.role] ?? 0) + now.count;
     rss[now.role] ??= [];
     rss[now.role].push({
       rss: now.proc.rss,
       heap: now.tally?.heapUsed ?? null,
       count: now.count,
-      cpuMsS: Number(((1000 * (now.proc.cpuS - was.proc.cpuS)) / s).toFixed(2)),
+      cpuMsS: Number(((1000 * (now.proc.cpuS - previous.proc.cpuS)) / s).toFixed(2)),
     });
     roles[now.role] ??= { cpuS: 0, procs: [] };
-    roles[now.role].cpuS += now.proc.cpuS - was.proc.cpuS;
-    roles[now.role].procs.push(Number(((1000 * (now.proc.cpuS - was.proc.cpuS)) / s / now.count).toFixed(3)));
-    const span = (now.tally.at - was.tally.at) / 1000;
-    for (const [key, d] of Object.entries(minus(was.tally.rows, now.tally.rows))) {
+    roles[now.role].cpuS += now.proc.cpuS - previous.proc.cpuS;
+    roles[now.role].procs.push(Number(((1000 * (now.proc.cpuS - previous.proc.cpuS)) / s / now.count).toFixed(3)));
+    const span = (now.tally.at - previous.tally.at) / 1000;
+    for (const [key, d] of Object.entries(countersSince(previous.tally.rows, now.tally.rows))) {
       const [own, peer, distance, way, kind] = key.split(' ');
       if (way === 'connections') {
         if (kind === 'open')
@@ -89,7 +91,7 @@
         kinds[name] ??= [0, 0];
         kinds[name][0] += d.n / span;
         kinds[name][1] += d.bytes / span;
-        const row = duty(duties, role, dutyOf(kind));
+        const row = dutyRow(duties, role, dutyOf(kind));
         row.messages += d.n / span;
         row.bytes += d.bytes / span;
         row[sends ? 'sent' : 'received'] += d.bytes / span;
@@ -122,7 +124,7 @@
   }
   for (const [name, row] of Object.entries(kinds))
     kinds[name] = row.map((x) => Number((x / (counts[name.split(' ')[0]] ?? 1)).toFixed(3)));
-  return { kinds, seconds: Number(s.toFixed(2)), fromNs: a.ns, toNs: b.ns, roles: out };
+  return { kinds, seconds: Number(s.toFixed(2)), fromNs: earlier.ns, toNs: later.ns, roles: out };
 }
 
 export function perNode(window) {
@@ -130,23 +132,23 @@
   return { nodeBytesS: s.bytesS, nodeMessagesS: s.messagesS, nodeCpuMsS: s.cpuMsS };
 }
 
-// The straight line of least squares, with the spread of its slope.
-export function slopeOf(points) {
+/** Fits a straight line by least squares; returns it with the standard errors of its slope and of its values. */
+export function fitLine(points) {
   const n = points.length;
   if (n < 2) return null;
-  const mx = points.reduce((a, p) => a + p[0], 0) / n;
-  const my = points.reduce((a, p) => a + p[1], 0) / n;
-  const sxx = points.reduce((a, p) => a + (p[0] - mx) ** 2, 0);
+  const meanX = points.reduce((sum, p) => sum + p[0], 0) / n;
+  const meanY = points.reduce((sum, p) => sum + p[1], 0) / n;
+  const sxx = points.reduce((sum, p) => sum + (p[0] - meanX) ** 2, 0);
   if (sxx === 0) return null;
-  const slope = points.reduce((a, p) => a + (p[0] - mx) * (p[1] - my), 0) / sxx;
-  const base = my - slope * mx;
-  const rest = points.reduce((a, p) => a + (p[1] - base - slope * p[0]) ** 2, 0);
-  const spread = n > 2 ? Math.sqrt(rest / (n - 2) / sxx) : null;
-  function at(x) {
-    return base + slope * x;
+  const slope = points.reduce((sum, p) => sum + (p[0] - meanX) * (p[1] - meanY), 0) / sxx;
+  const intercept = meanY - slope * meanX;
+  const residualSquares = points.reduce((sum, p) => sum + (p[1] - intercept - slope * p[0]) ** 2, 0);
+  const standardError = n > 2 ? Math.sqrt(residualSquares / (n - 2) / sxx) : null;
+  function valueAt(x) {
+    return intercept + slope * x;
   }
-  function errorAt(x) {
-    return n > 2 ? Math.sqrt((rest / (n - 2)) * (1 / n + (x - mx) ** 2 / sxx)) : null;
+  function standardErrorAt(x) {
+    return n > 2 ? Math.sqrt((residualSquares / (n - 2)) * (1 / n + (x - meanX) ** 2 / sxx)) : null;
   }
-  return { slope, base, spread, n, at, errorAt };
+  return { slope, intercept, standardError, n, valueAt, standardErrorAt };
 }
--- a/tools/capacity/plan.mjs
+++ b/tools/capacity/plan.mjs
@@ -1,62 +1,63 @@
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 
-export const REGIONS = 7;
-export const ZONES_A_REGION = 2;
-const TENANTS = 870;
-const MODELS = 12;
+export const REGION_COUNT = 7;
+export const ZONES_PER_REGION = 2;
+const DEFAULT_TENANTS = 870;
+const MODEL_COUNT = 12;
 
-function zonesOf() {
+function listZones() {
   const out = [];
-  for (let z = 0; z < ZONES_A_REGION; z += 1)
-    for (let r = 1; r <= REGIONS; r += 1) out.push({ zone: `r${r}-${'ab'[z]}`, region: `r${r}` });
+  for (let z = 0; z < ZONES_PER_REGION; z += 1)
+    for (let r = 1; r <= REGION_COUNT; r += 1) out.push({ zone: `r${r}-${'ab'[z]}`, region: `r${r}` });
   return out;
 }
 
-function configurationOf(zones, workers, tenants) {
+function buildConfiguration(zones, workers, tenants) {
   const models = {};
-  const target = Math.max(1, Math.floor((workers * 0.9) / MODELS));
-  for (let i = 1; i <= MODELS; i += 1) models[`model-${i}`] = { minTarget: target, maxTarget: target + 2 };
+  const target = Math.max(1, Math.floor((workers * 0.9) / MODEL_COUNT));
+  for (let i = 1; i <= MODEL_COUNT; i += 1) models[`model-${i}`] = { minTarget: target, maxTarget: target + 2 };
   const mappings = {};
   for (let i = 1; i <= tenants; i += 1)
-    mappings[`tenant-${i}`] = { model: `model-${1 + (i % MODELS)}`, kind: `kind-${i % 7}` };
+    mappings[`tenant-${i}`] = { model: `model-${1 + (i % MODEL_COUNT)}`, kind: `kind-${i % 7}` };
   const zoneTable = Object.fromEntries(zones.map((z) => [z.zone, { region: z.region }]));
   return { zones: zoneTable, deployment: { nExtra: 0 }, regions: { r1: { models } }, mappings };
 }
 
-export function planOf({ folder, nodes, workers, controllers, port, wholeProbes, tenants = TENANTS }) {
+/** Assigns addresses to all nodes of a run, writes the files that its processes read, returns their command lines. */
+export function createPlan({ folder, nodes, workers, controllers, port, wholeProbes, tenants = DEFAULT_TENANTS }) {
   mkdirSync(folder, { recursive: true });
-  const zones = zonesOf();
-  const places = {};
-  let next = port;
-  function address(role, at) {
-    next += 1;
-    const a = `127.0.0.1:${next}`;
-    places[a] = { role, zone: at.zone, region: at.region };
+  const zones = listZones();
+  const locations = {};
+  let nextPort = port;
+  function allocateAddress(role, at) {
+    nextPort += 1;
+    const a = `127.0.0.1:${nextPort}`;
+    locations[a] = { role, zone: at.zone, region: at.region };
     return a;
   }
-  const outsideAt = { zone: 'outside', region: 'outside' };
-  const platform = address('platform', outsideAt);
-  const cloud = address('cloud', outsideAt);
-  const heads = [];
+  const outsideLocation = { zone: 'outside', region: 'outside' };
+  const platform = allocateAddress('platform', outsideLocation);
+  const cloud = allocateAddress('cloud', outsideLocation);
+  const controllerNodes = [];
   for (let i = 0; i < controllers; i += 1) {
     const at = zones[i % zones.length];
-    heads.push({
+    controllerNodes.push({
       name: `controller-${i + 1}`,
       ...at,
-      listen: address('controller', at),
-      http: address('controller', at),
+      listen: allocateAddress('controller', at),
+      http: allocateAddress('controller', at),
     });
   }
-  const seeds = heads.map((h) => h.listen);
-  const parts = zones.map((at) => ({ at, proxies: [] }));
+  const seeds = controllerNodes.map((h) => h.listen);
+  const proxiesByZone = zones.map((at) => ({ at, proxies: [] }));
   for (let i = 0; i < nodes; i += 1) {
-    const { at, proxies } = parts[i % parts.length];
+    const { at, proxies } = proxiesByZone[i % proxiesByZone.length];
     proxies.push({
       name: `proxy-${at.zone}-${proxies.length + 1}`,
       ...at,
-      listen: address('proxy', at),
-      http: address('proxy', at),
+      listen: allocateAddress('proxy', at),
+      http: allocateAddress('proxy', at),
       seeds,
       platform,
       cloud,
@@ -65,14 +66,14 @@
   const machines = [];
   for (let i = 0; i < workers; i += 1) {
     const at = zones[i % zones.length];
-    machines.push({ id: `machine-${at.zone}-${i + 1}`, ...at, http: address('worker', at) });
+    machines.push({ id: `machine-${at.zone}-${i + 1}`, ...at, http: allocateAddress('worker', at) });
   }
-  const placesFile = join(folder, 'places.json');
-  writeFileSync(placesFile, JSON.stringify(places));
-  function tally(name) {
-    return { file: join(folder, `${name}.tally.json`), places: placesFile };
+  const locationsFile = join(folder, 'places.json');
+  writeFileSync(locationsFile, JSON.stringify(locations));
+  function tallyOptions(name) {
+    return { file: join(folder, `${name}.tally.json`), places: locationsFile };
   }
-  function written(name, value) {
+  function writeJson(name, value) {
     const file = join(folder, `${name}.json`);
     writeFileSync(file, JSON.stringify(value));
     return file;
@@ -82,22 +83,22 @@
   children.push({
     name: 'outside',
     role: 'outside',
-    at: outsideAt,
+    at: outsideLocation,
     count: 1,
-    tally: tally('outside').file,
+    tally: tallyOptions('outside').file,
     args: [
       'standin',
       'hollow',
       '--plan',
-      written('outside', {
-        tally: tally('outside'),
+      writeJson('outside', {
+        tally: tallyOptions('outside'),
         wholeProbes,
         proxies: [],
         outside: { platform, cloud, prices, workers: machines },
       }),
     ],
   });
-  for (const h of heads) {
+  for (const h of controllerNodes) {
     const settings = {
       ...h,
       seeds,
@@ -105,19 +106,19 @@
       cloud,
       dataFolder: join(folder, h.name),
       logLevel: 'warn',
-      lab: { zones: {}, delayMs: {}, tally: tally(h.name) },
+      lab: { zones: {}, delayMs: {}, tally: tallyOptions(h.name) },
     };
     children.push({
       name: h.name,
       role: 'controller',
       at: h,
       count: 1,
-      tally: tally(h.name).file,
-      args: ['controller', '--settings', written(h.name, settings)],
+      tally: tallyOptions(h.name).file,
+      args: ['controller', '--settings', writeJson(h.name, settings)],
     });
   }
   const hollow = [];
-  for (const p of parts) {
+  for (const p of proxiesByZone) {
     if (p.proxies.length === 0) continue;
     const name = `proxies-${p.at.zone}`;
     hollow.push({
@@ -125,21 +126,26 @@
       role: 'proxy',
       at: p.at,
       count: p.proxies.length,
-      tally: tally(name).file,
-      args: ['standin', 'hollow', '--plan', written(name, { tally: tally(name), wholeProbes, proxies: p.proxies })],
+      tally: tallyOptions(name).file,
+      args: [
+        'standin',
+        'hollow',
+        '--plan',
+        writeJson(name, { tally: tallyOptions(name), wholeProbes, proxies: p.proxies }),
+      ],
     });
   }
-  const ordered = Math.floor(0.97 * MODELS * Math.max(1, Math.floor((workers * 0.9) / MODELS)));
+  const expectedOrders = Math.floor(0.97 * MODEL_COUNT * Math.max(1, Math.floor((workers * 0.9) / MODEL_COUNT)));
   return {
     folder,
-    ordered,
+    expectedOrders,
     zones,
-    heads,
+    controllerNodes,
     seeds,
     children,
     hollow,
     platform,
     cloud,
-    configuration: configurationOf(zones, workers, tenants),
+    configuration: buildConfiguration(zones, workers, tenants),
   };
 }
--- a/tools/capacity/plots.mjs
+++ b/tools/capacity/plots.mjs
@@ -3,32 +3,35 @@
 import { parse, View } from 'vega';
 import { compile } from 'vega-lite';
 
-export function records(folder) {
+/** Reads all records of capacity runs in a folder. */
+export function readRecords(folder) {
   const out = [];
   for (const file of readdirSync(folder).sort())
     if (/^capacity-.*\.json$/.test(file)) out.push({ file, ...JSON.parse(readFileSync(join(folder, file), 'utf8')) });
   return out;
 }
 
-function which(r) {
+function versionOf(r) {
   return r.name.startsWith('before') ? 'before' : 'now';
 }
-function role(r, name) {
+function figuresOfRole(r, name) {
   return r.quiet.roles[name];
 }
 function bytesOf(r, name, duties) {
   let sum = 0;
-  for (const [duty, d] of Object.entries(role(r, name).duties)) if (duties.includes(duty)) sum += d.bytes;
+  for (const [duty, d] of Object.entries(figuresOfRole(r, name).duties)) if (duties.includes(duty)) sum += d.bytes;
   return sum;
 }
 function memoryOf(r, name) {
-  const rows = role(r, name).rss;
+  const rows = figuresOfRole(r, name).rss;
   return rows.reduce((n, p) => n + p.rss, 0) / rows.length / 1e6;
 }
 function points(all, x, y) {
   return all.flatMap((r) => {
     const value = y(r);
-    return value === null || value === undefined || Number.isNaN(value) ? [] : [{ x: x(r), y: value, run: which(r) }];
+    return value === null || value === undefined || Number.isNaN(value)
+      ? []
+      : [{ x: x(r), y: value, run: versionOf(r) }];
   });
 }
 function series(all, x, parts) {
@@ -37,14 +40,14 @@
 const nodes = (r) => r.options.nodes;
 const workers = (r) => r.options.workers;
 
-const CONTROL = ['probing', 'following', 'reporting', 'counts'];
+const CONTROL_DUTIES = ['probing', 'following', 'reporting', 'counts'];
 
 export const PLOTS = {
   'proxy-bytes': {
     title: 'A proxy: bytes a second for probing, following, reporting and counts',
     x: 'nodes',
     y: 'bytes a second',
-    of: (all) => points(all, nodes, (r) => bytesOf(r, 'proxy', CONTROL)),
+    of: (all) => points(all, nodes, (r) => bytesOf(r, 'proxy', CONTROL_DUTIES)),
     limit: 5_000,
   },
   'proxy-duties': {
@@ -53,16 +56,16 @@
     y: 'bytes a second',
     of: (all) =>
       series(
-        all.filter((r) => which(r) === 'now'),
+        all.filter((r) => versionOf(r) === 'now'),
         nodes,
-        Object.fromEntries([...CONTROL, 'list', 'workers'].map((d) => [d, (r) => bytesOf(r, 'proxy', [d])])),
+        Object.fromEntries([...CONTROL_DUTIES, 'list', 'workers'].map((d) => [d, (r) => bytesOf(r, 'proxy', [d])])),
       ),
   },
   'proxy-processor': {
     title: 'A proxy: processor time',
     x: 'nodes',
     y: 'ms a second',
-    of: (all) => points(all, nodes, (r) => role(r, 'proxy').cpuMsS),
+    of: (all) => points(all, nodes, (r) => figuresOfRole(r, 'proxy').cpuMsS),
     limit: 10,
   },
   'proxy-list': {
@@ -75,13 +78,13 @@
     title: 'A controller: bytes a second',
     x: 'nodes',
     y: 'bytes a second',
-    of: (all) => points(all, nodes, (r) => role(r, 'controller').bytesS),
+    of: (all) => points(all, nodes, (r) => figuresOfRole(r, 'controller').bytesS),
   },
   'controller-processor': {
     title: 'A controller: processor time',
     x: 'nodes',
     y: 'ms a second',
-    of: (all) => points(all, nodes, (r) => role(r, 'controller').cpuMsS),
+    of: (all) => points(all, nodes, (r) => figuresOfRole(r, 'controller').cpuMsS),
   },
   'controller-memory': {
     title: 'A controller: memory resident',
@@ -95,16 +98,17 @@
     y: 'ms',
     of: (all) =>
       all.flatMap((r) =>
-        r.changes.filter((c) => c.inForceMs !== null).map((c) => ({ x: nodes(r), y: c.inForceMs, run: which(r) })),
+        r.changes.filter((c) => c.inForceMs !== null).map((c) => ({ x: nodes(r), y: c.inForceMs, run: versionOf(r) })),
       ),
     limit: 8_000,
     log: true,
   },
 };
 
-export async function plot(all, folder) {
+/** Writes each plot as an SVG file into the folder and returns the names of the plots. */
+export async function drawPlots(all, folder) {
   mkdirSync(folder, { recursive: true });
-  const made = [];
+  const drawn = [];
   for (const [name, p] of Object.entries(PLOTS)) {
     const values = p.of(all);
     const xs = { field: 'x', type: 'quantitative', title: p.x };
@@ -136,7 +140,7 @@
     }).spec;
     const svg = await new View(parse(spec), { renderer: 'none' }).toSVG();
     writeFileSync(join(folder, `${name}.svg`), `${svg}\n`);
-    made.push(name);
+    drawn.push(name);
   }
-  return made;
+  return drawn;
 }
--- a/tools/capacity/profile.mjs
+++ b/tools/capacity/profile.mjs
@@ -1,7 +1,7 @@
 import { readFileSync } from 'node:fs';
 import { join } from 'node:path';
 
-const FILES = [
+const DUTY_BY_FILE = [
   [/standin\/(tally|hollow)\.js|programs\/(tally-file|hollow)\.js/, () => 'measuring'],
   [/members\/membership\.js|state\/members\.js/, () => 'probing'],
   [/edge\/worker-watch\.js/, (f) => (/probe/i.test(f) ? 'workers' : 'list')],
@@ -18,7 +18,7 @@
   [/ledger\/(ledger|store)\.js|transport\/(ring|disk)\.js|state\/(control state|acceptor|entry)\.js/, () => 'ledger'],
   [/edge\/|state\//, () => 'edge'],
 ];
-const OUTER = [
+const DUTY_BY_OUTER_FILE = [
   [/transport\/wire\.js|members\/peers\.js|protocol\/messages\.js/, 'wire'],
   [
     /transport\/(caller|server)\.js|node_modules\/(got|express|body-parser|keyv|cacheable|responselike|http-|@szmarczak|@sindresorhus|router|finalhandler|send)|node:(_http|http)|undici/,
@@ -27,41 +27,42 @@
 ];
 
 function dutyOfStack(nodes, parent, id) {
-  let outer = null;
-  for (let at = id; at !== undefined; at = parent.get(at)) {
-    const { url, functionName } = nodes.get(at).callFrame;
+  let outerDuty = null;
+  for (let nodeId = id; nodeId !== undefined; nodeId = parent.get(nodeId)) {
+    const { url, functionName } = nodes.get(nodeId).callFrame;
     if (functionName === '(garbage collector)') return 'collecting';
     if (functionName === '(program)') return 'kernel and runtime';
     if (functionName === '(idle)') return null;
-    for (const [test, name] of FILES) if (test.test(url)) return name(functionName);
-    if (outer === null) for (const [test, name] of OUTER) if (test.test(url)) outer = name;
+    for (const [test, name] of DUTY_BY_FILE) if (test.test(url)) return name(functionName);
+    if (outerDuty === null) for (const [test, name] of DUTY_BY_OUTER_FILE) if (test.test(url)) outerDuty = name;
   }
-  return outer ?? 'kernel and runtime';
+  return outerDuty ?? 'kernel and runtime';
 }
 
+/** Computes processor time per duty, second and process of each role from the CPU profiles in a folder. */
 export function dutyShares(folder, parts, fromNs, toNs) {
   const roles = {};
   for (const p of parts) {
-    let prof;
+    let profile;
     try {
-      prof = JSON.parse(readFileSync(join(folder, `${p.name}.cpuprofile`), 'utf8'));
+      profile = JSON.parse(readFileSync(join(folder, `${p.name}.cpuprofile`), 'utf8'));
     } catch {
       continue;
     }
-    const nodes = new Map(prof.nodes.map((n) => [n.id, n]));
+    const nodes = new Map(profile.nodes.map((n) => [n.id, n]));
     const parent = new Map();
-    for (const n of prof.nodes) for (const c of n.children ?? []) parent.set(c, n.id);
-    const known = new Map();
+    for (const n of profile.nodes) for (const c of n.children ?? []) parent.set(c, n.id);
+    const dutyById = new Map();
     roles[p.role] ??= { count: 0, ms: {} };
     roles[p.role].count += p.count;
-    let at = prof.startTime;
-    for (let i = 0; i < prof.samples.length; i += 1) {
-      at += prof.timeDeltas[i];
-      if (at * 1000 < fromNs || at * 1000 > toNs) continue;
-      const id = prof.samples[i];
-      if (!known.has(id)) known.set(id, dutyOfStack(nodes, parent, id));
-      const duty = known.get(id);
-      if (duty !== null) roles[p.role].ms[duty] = (roles[p.role].ms[duty] ?? 0) + prof.timeDeltas[i] / 1000;
+    let time = profile.startTime;
+    for (let i = 0; i < profile.samples.length; i += 1) {
+      time += profile.timeDeltas[i];
+      if (time * 1000 < fromNs || time * 1000 > toNs) continue;
+      const id = profile.samples[i];
+      if (!dutyById.has(id)) dutyById.set(id, dutyOfStack(nodes, parent, id));
+      const duty = dutyById.get(id);
+      if (duty !== null) roles[p.role].ms[duty] = (roles[p.role].ms[duty] ?? 0) + profile.timeDeltas[i] / 1000;
     }
   }
   const s = (toNs - fromNs) / 1e9;
--- a/tools/capacity/run.mjs
+++ b/tools/capacity/run.mjs
@@ -1,29 +1,30 @@
 import { mkdirSync, rmSync } from 'node:fs';
 import { setTimeout as sleep } from 'node:timers/promises';
-import { createChildren, procOf, tallyOf } from './children.mjs';
-import { between, perNode } from './figures.mjs';
-import { planOf } from './plan.mjs';
+import { createChildren, readProcessStats, readTally } from './children.mjs';
+import { figuresBetween, perNode } from './figures.mjs';
+import { createPlan } from './plan.mjs';
 import { dutyShares } from './profile.mjs';
 
-async function ask(address, path, body, waitMs = 12_000) {
-  const init =
+async function sendRequest(address, path, body, timeoutMs = 12_000) {
+  const requestInit =
     body === undefined
       ? {}
       : { method: 'POST', headers: { 'content-type': 'application/json' }, body: JSON.stringify(body) };
-  const res = await fetch(`http://${address}${path}`, { ...init, signal: AbortSignal.timeout(waitMs) });
+  const res = await fetch(`http://${address}${path}`, { ...requestInit, signal: AbortSignal.timeout(timeoutMs) });
   return { status: res.status, body: await res.json().catch(() => null) };
 }
 
-async function until(what, seconds, test) {
+async function waitFor(description, seconds, condition) {
   const from = performance.now();
   while (performance.now() - from < seconds * 1000) {
-    if (await Promise.resolve(test()).catch(() => false)) return (performance.now() - from) / 1000;
+    if (await Promise.resolve(condition()).catch(() => false)) return (performance.now() - from) / 1000;
     await sleep(100);
   }
-  throw new Error(`${what}: not within ${seconds} s`);
+  throw new Error(`timed out after ${seconds} s waiting for ${description}`);
 }
 
-export async function runOnce(options, say) {
+/** Makes one capacity run: starts a fleet, measures it at rest, under changes and failures; returns the record. */
+export async function runOnce(options, log) {
   const {
     nodes,
     workers,
@@ -43,52 +44,57 @@
   } = options;
   rmSync(folder, { recursive: true, force: true });
   mkdirSync(folder, { recursive: true });
-  const plan = planOf({ folder, nodes, workers, controllers, port, wholeProbes, tenants });
+  const plan = createPlan({ folder, nodes, workers, controllers, port, wholeProbes, tenants });
   const children = createChildren(bin, folder, profile);
-  function interrupted() {
-    children.end().then(() => process.exit(130));
+  function onInterrupt() {
+    children.stopAll().then(() => process.exit(130));
   }
-  process.on('SIGINT', interrupted);
-  process.on('SIGTERM', interrupted);
-  const watch = setInterval(() => {
-    if (children.withinMemory()) return;
-    process.stderr.write('the fleet passed 8 GB; it is ended\n');
-    children.end().then(() => process.exit(1));
+  process.on('SIGINT', onInterrupt);
+  process.on('SIGTERM', onInterrupt);
+  const memoryCheckTimer = setInterval(() => {
+    if (children.isWithinMemoryLimit()) return;
+    process.stderr.write('the fleet exceeded its memory limit of 8 GB; stopping it\n');
+    children.stopAll().then(() => process.exit(1));
   }, 1_000);
   try {
-    return await played();
+    return await measure();
   } finally {
-    clearInterval(watch);
-    await children.end();
-    process.off('SIGINT', interrupted);
-    process.off('SIGTERM', interrupted);
+    clearInterval(memoryCheckTimer);
+    await children.stopAll();
+    process.off('SIGINT', onInterrupt);
+    process.off('SIGTERM', onInterrupt);
     if (!profile) rmSync(folder, { recursive: true, force: true });
   }
 
-  async function played() {
+  async function measure() {
     const parts = plan.children.map((c) => children.start(c));
-    const heads = plan.heads;
-    const head = heads[0].http;
-    await until('controllers', 40, async () =>
-      (await Promise.all(heads.map((h) => ask(h.http, '/v1/status')))).every((r) => r.status === 200),
+    const controllerNodes = plan.controllerNodes;
+    const firstController = controllerNodes[0].http;
+    await waitFor('controllers', 40, async () =>
+      (await Promise.all(controllerNodes.map((h) => sendRequest(h.http, '/v1/status')))).every((r) => r.status === 200),
     );
-    const bootstrapped = await ask(head, '/v1/bootstrap', { members: plan.seeds });
-    if (bootstrapped.status !== 200) throw new Error(`bootstrap answered ${bootstrapped.status}`);
-    const applied = await ask(head, '/v1/configuration', { base: 0, configuration: plan.configuration });
+    const bootstrapped = await sendRequest(firstController, '/v1/bootstrap', { members: plan.seeds });
+    if (bootstrapped.status !== 200) throw new Error(`bootstrap failed with status ${bootstrapped.status}`);
+    const applied = await sendRequest(firstController, '/v1/configuration', {
+      base: 0,
+      configuration: plan.configuration,
+    });
     if (applied.status !== 200)
-      throw new Error(`the configuration was answered ${applied.status} ${JSON.stringify(applied.body).slice(0, 300)}`);
+      throw new Error(
+        `the configuration was rejected with status ${applied.status}: ${JSON.stringify(applied.body).slice(0, 300)}`,
+      );
     const startedAt = performance.now();
     for (const h of plan.hollow) parts.push(children.start(h));
-    const edges = parts.filter((p) => p.role === 'proxy');
-    const serving = () => edges.reduce((n, p) => n + (tallyOf(p)?.extra?.serving ?? 0), 0);
-    const starting = setInterval(() => say(`${serving()} proxies serve`), 5_000);
-    const servingS = await until('all proxies serving', 120, () => serving() === nodes).finally(() =>
-      clearInterval(starting),
+    const proxyProcesses = parts.filter((p) => p.role === 'proxy');
+    const countServing = () => proxyProcesses.reduce((n, p) => n + (readTally(p)?.extra?.serving ?? 0), 0);
+    const progressTimer = setInterval(() => log(`${countServing()} proxies are serving`), 5_000);
+    const servingS = await waitFor('all proxies to serve', 120, () => countServing() === nodes).finally(() =>
+      clearInterval(progressTimer),
     );
-    say(`${nodes} proxies serve after ${((performance.now() - startedAt) / 1000).toFixed(1)} s`);
-    const ordered = await until('workers', 60, async () => {
-      const { orders } = (await ask(head, '/v1/orders')).body;
-      return orders.filter((o) => o.status === 'ready').length >= plan.ordered;
+    log(`${nodes} proxies are serving after ${((performance.now() - startedAt) / 1000).toFixed(1)} s`);
+    const readyS = await waitFor('workers', 60, async () => {
+      const { orders } = (await sendRequest(firstController, '/v1/orders')).body;
+      return orders.filter((o) => o.status === 'ready').length >= plan.expectedOrders;
     }).catch(() => null);
     await sleep(settle * 1000);
 
@@ -99,37 +105,48 @@
         load: null,
         parts: parts
           .filter((p) => !p.gone)
-          .map((p) => ({ name: p.name, role: p.role, count: p.count, proc: procOf(p.pid), tally: tallyOf(p) })),
+          .map((p) => ({
+            name: p.name,
+            role: p.role,
+            count: p.count,
+            proc: readProcessStats(p.pid),
+            tally: readTally(p),
+          })),
       };
     }
-    async function windowOf(s, during = async () => {}) {
+    async function measureWindow(s, during = async () => {}) {
       await sleep(300);
       const a = snapshot();
-      const due = sleep(s * 1000);
+      const windowEnd = sleep(s * 1000);
       await during();
-      await due;
+      await windowEnd;
       await sleep(300);
       const b = snapshot();
-      return between(a, b);
+      return figuresBetween(a, b);
     }
-    async function versionNow() {
-      return (await ask(head, '/v1/configuration')).body.version;
+    async function readVersion() {
+      return (await sendRequest(firstController, '/v1/configuration')).body.version;
     }
     let value = 100;
-    async function change(at, base) {
+    async function amendConfiguration(at, base) {
       value = value >= 9_000 ? 101 : value + 1;
       const from = hostMs();
-      const got = await ask(heads[at % heads.length].http, '/v1/configuration/amend', {
+      const response = await sendRequest(controllerNodes[at % controllerNodes.length].http, '/v1/configuration/amend', {
         base,
         changes: [{ path: ['deployment', 'lineLimit'], value }],
       });
-      return { status: got.status, version: got.body?.version ?? null, from, ackMs: Math.round(hostMs() - from) };
+      return {
+        status: response.status,
+        version: response.body?.version ?? null,
+        from,
+        ackMs: Math.round(hostMs() - from),
+      };
     }
-    function inForceMs(c, left = edges) {
+    function inForceMs(c, processes = proxyProcesses) {
       let last = 0;
-      for (const p of left) {
+      for (const p of processes) {
         if (p.gone) continue;
-        const t = tallyOf(p);
+        const t = readTally(p);
         const at = Object.entries(t?.extra?.inForceAt ?? {})
           .filter(([e]) => Number(e) >= c.version)
           .map(([, ms]) => ms - t.at + t.hostMs);
@@ -138,73 +155,75 @@
       }
       return Math.round(last - c.from);
     }
-    async function changed(list, n, pauseMs) {
-      let base = await versionNow();
+    async function makeChanges(list, n, pauseMs) {
+      let base = await readVersion();
       for (let i = 0; i < n; i += 1) {
-        const c = await change(i, base);
+        const c = await amendConfiguration(i, base);
         list.push(c);
-        base = c.version ?? (await versionNow());
+        base = c.version ?? (await readVersion());
         if (pauseMs > 0) await sleep(pauseMs);
       }
     }
 
-    const quiet = await windowOf(seconds);
-    say(
+    const quiet = await measureWindow(seconds);
+    log(
       `quiet: ${(quiet.roles.proxy.bytesS / 1000).toFixed(1)} KB, ${quiet.roles.proxy.messagesS.toFixed(1)} messages and ${quiet.roles.proxy.cpuMsS.toFixed(1)} ms a proxy and second; controller ${(quiet.roles.controller.bytesS / 1000).toFixed(0)} KB, ${quiet.roles.controller.cpuMsS.toFixed(0)} ms`,
     );
 
-    const single = [];
+    const singleChanges = [];
     const withChanges =
-      changes > 0 ? await windowOf(Math.max(4, changes * 0.6), () => changed(single, changes, 400)) : null;
+      changes > 0
+        ? await measureWindow(Math.max(4, changes * 0.6), () => makeChanges(singleChanges, changes, 400))
+        : null;
     await sleep(600);
-    for (const c of single) c.inForceMs = inForceMs(c);
-    const row = [];
-    const burstFrom = performance.now();
-    const withBurst = burst > 0 ? await windowOf(2, () => changed(row, burst, 0)) : null;
-    const burstS = (performance.now() - burstFrom) / 1000;
+    for (const c of singleChanges) c.inForceMs = inForceMs(c);
+    const burstChanges = [];
+    const burstStartedAt = performance.now();
+    const withBurst = burst > 0 ? await measureWindow(2, () => makeChanges(burstChanges, burst, 0)) : null;
+    const burstS = (performance.now() - burstStartedAt) / 1000;
     await sleep(800);
-    for (const c of row) c.inForceMs = inForceMs(c);
+    for (const c of burstChanges) c.inForceMs = inForceMs(c);
     if (changes > 0)
-      say(
-        `changes in force: ${spreadOf(single.map((c) => c.inForceMs))} ms one by one, ${spreadOf(row.map((c) => c.inForceMs))} ms of ${burst} at once`,
+      log(
+        `changes in force: ${formatSpread(singleChanges.map((c) => c.inForceMs))} ms one by one, ${formatSpread(burstChanges.map((c) => c.inForceMs))} ms of ${burst} at once`,
       );
 
     let withRestarts = null;
     if (restarts > 0) {
-      withRestarts = await windowOf(Math.max(8, restarts / edges.length + 6), async () => {
-        for (const p of edges) children.tell(p, `restart ${Math.ceil(restarts / edges.length)}`);
+      withRestarts = await measureWindow(Math.max(8, restarts / proxyProcesses.length + 6), async () => {
+        for (const p of proxyProcesses) children.sendLine(p, `restart ${Math.ceil(restarts / proxyProcesses.length)}`);
       });
-      withRestarts.restarted = Math.ceil(restarts / edges.length) * edges.length;
+      withRestarts.restarted = Math.ceil(restarts / proxyProcesses.length) * proxyProcesses.length;
     }
 
     let lost = null;
     if (zoneLoss) {
       const zone = plan.zones[1].zone;
-      const gone = parts.filter((p) => p.at.zone === zone && !p.gone);
-      const names = new Set();
-      const fleet = await windowOf(12, async () => {
+      const killed = parts.filter((p) => p.at.zone === zone && !p.gone);
+      const deadNames = new Set();
+      const window = await measureWindow(12, async () => {
         const from = performance.now();
-        for (const p of gone) p.proc.kill('SIGKILL');
-        const c = await change(0, await versionNow());
+        for (const p of killed) p.proc.kill('SIGKILL');
+        const c = await amendConfiguration(0, await readVersion());
         await sleep(3_000);
         lost = {
           zone,
-          proxies: gone.filter((p) => p.role === 'proxy').reduce((n, p) => n + p.count, 0),
-          controllers: gone.filter((p) => p.role === 'controller').length,
+          proxies: killed.filter((p) => p.role === 'proxy').reduce((n, p) => n + p.count, 0),
+          controllers: killed.filter((p) => p.role === 'controller').length,
           change: { status: c.status, ackMs: c.ackMs, inForceMs: inForceMs(c) },
         };
-        const dead = await until('the lost ones known as dead', 30, async () => {
-          const { nodes: seen } = (await ask(head, '/v1/status')).body;
-          for (const n of seen) if (n.zone === zone && n.status === 'dead') names.add(n.name);
+        const allDeadAfterS = await waitFor('the detection of the lost nodes as dead', 30, async () => {
+          const { nodes: seen } = (await sendRequest(firstController, '/v1/status')).body;
+          for (const n of seen) if (n.zone === zone && n.status === 'dead') deadNames.add(n.name);
           return seen.filter((n) => n.zone === zone).every((n) => n.status === 'dead');
         }).catch(() => null);
-        lost.allDeadS = dead === null ? null : (performance.now() - from) / 1000;
+        lost.allDeadS = allDeadAfterS === null ? null : (performance.now() - from) / 1000;
       });
-      lost.window = fleet;
-      lost.stillServing = serving();
+      lost.window = window;
+      lost.stillServing = countServing();
     }
-    const memoryMost = children.memory();
-    await children.end();
+    const memoryAtEnd = children.totalMemory();
+    await children.stopAll();
     const shares = profile ? dutyShares(folder, parts, quiet.fromNs, quiet.toNs) : null;
     return {
       options: {
@@ -222,13 +241,13 @@
         wholeProbes,
       },
       startedS: servingS,
-      orderedS: ordered,
-      memoryMost,
+      orderedS: readyS,
+      memoryMost: memoryAtEnd,
       processes: parts.length,
       quiet,
-      changes: single.map(short),
+      changes: singleChanges.map(summaryOf),
       withChanges,
-      burst: row.map(short),
+      burst: burstChanges.map(summaryOf),
       burstS,
       withBurst,
       withRestarts,
@@ -242,10 +261,10 @@
 function hostMs() {
   return Number(process.hrtime.bigint()) / 1e6;
 }
-function short(c) {
+function summaryOf(c) {
   return { status: c.status, ackMs: c.ackMs, inForceMs: c.inForceMs };
 }
-function spreadOf(xs) {
+function formatSpread(xs) {
   const sorted = xs.filter((x) => x !== null).sort((a, b) => a - b);
   if (sorted.length === 0) return 'none';
   return `${sorted[0]} / ${sorted[Math.floor((sorted.length - 1) / 2)]} / ${sorted[sorted.length - 1]}`;
--- a/tools/capacity/slopes.mjs
+++ b/tools/capacity/slopes.mjs
@@ -1,14 +1,15 @@
-import { slopeOf } from './figures.mjs';
+import { fitLine } from './figures.mjs';
 
-export const DESIGN = { nodes: 350, workers: 600, controllers: 9 };
+/** The fleet size that the system is designed for. */
+export const DESIGN_SIZE = { nodes: 350, workers: 600, controllers: 9 };
 
 function sum(duties, names, key) {
   return names.reduce((n, d) => n + (duties[d]?.[key] ?? 0), 0);
 }
 
 const MEASURES = [];
-function measure(role, what, unit, over, of) {
-  MEASURES.push({ role, what, unit, over, of });
+function addMeasure(role, label, unit, over, valueOf) {
+  MEASURES.push({ role, what: label, unit, over, of: valueOf });
 }
 for (const role of ['proxy', 'controller']) {
   const duties =
@@ -22,48 +23,51 @@
         : d === 'ledger' || d === 'leases'
           ? 'controllers'
           : 'nodes';
-    measure(role, `${d}: messages`, '/s', over, (r) => r.quiet.roles[role].duties[d]?.messages ?? 0);
-    measure(role, `${d}: bytes`, 'B/s', over, (r) => r.quiet.roles[role].duties[d]?.bytes ?? 0);
+    addMeasure(role, `${d}: messages`, '/s', over, (r) => r.quiet.roles[role].duties[d]?.messages ?? 0);
+    addMeasure(role, `${d}: bytes`, 'B/s', over, (r) => r.quiet.roles[role].duties[d]?.bytes ?? 0);
   }
-  measure(role, 'all: bytes between regions', 'B/s', 'nodes', (r) =>
+  addMeasure(role, 'all: bytes between regions', 'B/s', 'nodes', (r) =>
     sum(r.quiet.roles[role].duties, duties, 'betweenRegions'),
   );
-  measure(role, 'all: bytes between zones of a region', 'B/s', 'nodes', (r) =>
+  addMeasure(role, 'all: bytes between zones of a region', 'B/s', 'nodes', (r) =>
     sum(r.quiet.roles[role].duties, duties, 'betweenZones'),
   );
-  measure(role, 'all: bytes inside a zone', 'B/s', 'nodes', (r) => sum(r.quiet.roles[role].duties, duties, 'inZone'));
-  measure(role, 'processor time', 'ms/s', 'nodes', (r) => r.quiet.roles[role].cpuMsS);
-  measure(role, 'connections open', '', 'nodes', (r) => r.quiet.roles[role].connections);
-  measure(role, 'connections dialled', '/s', 'nodes', (r) => r.quiet.roles[role].dialsS);
+  addMeasure(role, 'all: bytes inside a zone', 'B/s', 'nodes', (r) =>
+    sum(r.quiet.roles[role].duties, duties, 'inZone'),
+  );
+  addMeasure(role, 'processor time', 'ms/s', 'nodes', (r) => r.quiet.roles[role].cpuMsS);
+  addMeasure(role, 'connections open', '', 'nodes', (r) => r.quiet.roles[role].connections);
+  addMeasure(role, 'connections dialled', '/s', 'nodes', (r) => r.quiet.roles[role].dialsS);
 }
-measure(
+addMeasure(
   'controller',
   'memory resident',
   'MB',
   'nodes',
   (r) => r.quiet.roles.controller.rss.reduce((n, p) => n + p.rss, 0) / r.quiet.roles.controller.rss.length / 1e6,
 );
-measure('fleet', 'change in force, median of one by one', 'ms', 'nodes', (r) =>
-  middle(r.changes.map((c) => c.inForceMs)),
+addMeasure('fleet', 'change in force, median of one by one', 'ms', 'nodes', (r) =>
+  median(r.changes.map((c) => c.inForceMs)),
 );
-measure('fleet', 'change in force, longest of a burst', 'ms', 'nodes', (r) =>
+addMeasure('fleet', 'change in force, longest of a burst', 'ms', 'nodes', (r) =>
   Math.max(...r.burst.map((c) => c.inForceMs ?? NaN)),
 );
 
-function middle(xs) {
+function median(xs) {
   const sorted = xs.filter((x) => x !== null).sort((a, b) => a - b);
   return sorted[Math.floor((sorted.length - 1) / 2)] ?? NaN;
 }
 
-const BY_PROCESS = [
+const MEASURES_BY_PROCESS = [
   { what: 'processor time of a process, by its proxies', unit: 'ms/s', of: (p) => p.cpuMsS },
   { what: 'memory resident of a process, by its proxies', unit: 'MB', of: (p) => p.rss / 1e6 },
 ];
 
-export function slopes(all) {
+/** Fits a line to each measure over the recorded runs and evaluates it at the design size. */
+export function computeSlopes(all) {
   const out = [];
-  for (const m of BY_PROCESS) {
-    const line = slopeOf(
+  for (const m of MEASURES_BY_PROCESS) {
+    const line = fitLine(
       all.flatMap((r) => r.quiet.roles.proxy.rss.filter((p) => p.cpuMsS !== undefined).map((p) => [p.count, m.of(p)])),
     );
     if (line)
@@ -72,9 +76,9 @@
         what: m.what,
         unit: m.unit,
         over: 'proxies in a process',
-        base: line.base,
+        base: line.intercept,
         slope: line.slope,
-        spread: line.spread,
+        spread: line.standardError,
         runs: all.length,
         atDesign: null,
         errorAtDesign: null,
@@ -83,41 +87,42 @@
   }
   for (const m of MEASURES) {
     const points = all.map((r) => [r.options[m.over], m.of(r)]).filter(([, y]) => Number.isFinite(y));
-    const line = slopeOf(points);
+    const line = fitLine(points);
     if (!line) continue;
-    const at = DESIGN[m.over];
-    const measured = points.filter(([x]) => x === at).map(([, y]) => y);
+    const designSize = DESIGN_SIZE[m.over];
+    const measurements = points.filter(([x]) => x === designSize).map(([, y]) => y);
     out.push({
       role: m.role,
       what: m.what,
       unit: m.unit,
       over: m.over,
-      base: line.base,
+      base: line.intercept,
       slope: line.slope,
-      spread: line.spread,
+      spread: line.standardError,
       runs: line.n,
-      atDesign: line.at(at),
-      errorAtDesign: line.errorAt(at),
-      measuredAtDesign: measured,
+      atDesign: line.valueAt(designSize),
+      errorAtDesign: line.standardErrorAt(designSize),
+      measuredAtDesign: measurements,
     });
   }
   return out;
 }
 
-function show(x) {
+function formatNumber(x) {
   if (x === null || x === undefined) return '—';
   const abs = Math.abs(x);
   return abs >= 100 ? x.toFixed(0) : abs >= 1 ? x.toFixed(2) : abs === 0 ? '0' : x.toPrecision(2);
 }
 
-export function slopeTable(rows) {
+/** Formats the fitted lines as a table in Markdown. */
+export function formatSlopeTable(rows) {
   const lines = [
     '| role | what | over | at none | slope for each | spread of the slope | runs | at the design size by the slope | measured at it |',
     '| --- | --- | --- | --- | --- | --- | --- | --- | --- |',
   ];
   for (const r of rows)
     lines.push(
-      `| ${r.role} | ${r.what}${r.unit ? `, ${r.unit}` : ''} | ${r.over} | ${show(r.base)} | ${show(r.slope)} | ${r.spread === null ? '—' : `± ${show(r.spread)}`} | ${r.runs} | ${show(r.atDesign)} | ${r.measuredAtDesign.length === 0 ? '—' : r.measuredAtDesign.map(show).join(', ')} |`,
+      `| ${r.role} | ${r.what}${r.unit ? `, ${r.unit}` : ''} | ${r.over} | ${formatNumber(r.base)} | ${formatNumber(r.slope)} | ${r.spread === null ? '—' : `± ${formatNumber(r.spread)}`} | ${r.runs} | ${formatNumber(r.atDesign)} | ${r.measuredAtDesign.length === 0 ? '—' : r.measuredAtDesign.map(formatNumber).join(', ')} |`,
     );
   return lines.join('\n');
 }
--- a/tools/experiment.mjs
+++ b/tools/experiment.mjs
@@ -1,17 +1,17 @@
 #!/usr/bin/env node
-// Plays a plan of paired trials and compares its candidates; docs/experiments.md.
+// Runs a plan of paired trials and compares its candidates; see docs/experiments.md.
 import { mkdirSync, existsSync, readFileSync, renameSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { parseArgs } from 'node:util';
 import { installShutdownHandlers, shutdown } from './children.mjs';
-import { PlanError, readPlan, runsOf } from './experiment/plan.mjs';
-import { benchPlayer, playOnEngine } from './experiment/play.mjs';
-import { pairedDifferences, plotOf, tableOf } from './experiment/results.mjs';
+import { listRuns, parsePlan, PlanError } from './experiment/plan.mjs';
+import { createBenchRunner, runOnEngine } from './experiment/play.mjs';
+import { drawPlot, formatTable, pairedDifferences } from './experiment/results.mjs';
 
-const USAGE = 'use: node tools/experiment.mjs PLAN.toml --out FOLDER [--bench PROGRAM]\n';
+const USAGE = 'usage: node tools/experiment.mjs PLAN.toml --out FOLDER [--bench PROGRAM]\n';
 const EXIT = { usage: 64, badPlan: 65, failedRuns: 1 };
 
-function written(path, text) {
+function writeAtomically(path, text) {
   writeFileSync(`${path}.part`, text);
   renameSync(`${path}.part`, path);
 }
@@ -25,32 +25,32 @@
     process.stderr.write(USAGE);
     return EXIT.usage;
   }
-  const plan = readPlan(readFileSync(positionals[0], 'utf8'));
+  const plan = parsePlan(readFileSync(positionals[0], 'utf8'));
   if (plan.backend === 'bench' && !values.bench) throw new PlanError(['backend: the bench needs --bench PROGRAM']);
   mkdirSync(values.out, { recursive: true });
-  const play = plan.backend === 'bench' ? benchPlayer(values.bench, values.out, plan) : playOnEngine;
-  const failed = await playAll(plan, values.out, play);
-  const results = resultsOf(plan, values.out);
-  const table = tableOf(plan, pairedDifferences(plan, results));
-  written(join(values.out, `${plan.name}.md`), table);
-  written(join(values.out, `${plan.name}.svg`), await plotOf(plan, results));
+  const play = plan.backend === 'bench' ? createBenchRunner(values.bench, values.out, plan) : runOnEngine;
+  const failures = await runAll(plan, values.out, play);
+  const results = readResults(plan, values.out);
+  const table = formatTable(plan, pairedDifferences(plan, results));
+  writeAtomically(join(values.out, `${plan.name}.md`), table);
+  writeAtomically(join(values.out, `${plan.name}.svg`), await drawPlot(plan, results));
   process.stdout.write(`\n${table}`);
-  for (const message of failed) process.stderr.write(`failed: ${message}\n`);
-  return failed.length > 0 ? EXIT.failedRuns : 0;
+  for (const message of failures) process.stderr.write(`failed: ${message}\n`);
+  return failures.length > 0 ? EXIT.failedRuns : 0;
 }
 
-function fileOf(out, run) {
+function resultPath(out, run) {
   return join(out, `${run.key}.json`);
 }
 
-/** Plays what has no result yet, in the plan's order, `jobs` at once. */
-async function playAll(plan, out, play) {
-  const runs = runsOf(plan);
-  const left = runs.filter((run) => !existsSync(fileOf(out, run)));
-  const failed = [];
-  let done = runs.length - left.length;
+/** Makes the runs that have no result yet in the order of the plan, `jobs` at a time; returns the error messages. */
+async function runAll(plan, out, play) {
+  const runs = listRuns(plan);
+  const remaining = runs.filter((run) => !existsSync(resultPath(out, run)));
+  const failures = [];
+  let done = runs.length - remaining.length;
   async function worker() {
-    for (let run = left.shift(); run; run = left.shift()) {
+    for (let run = remaining.shift(); run; run = remaining.shift()) {
       try {
         const figures = await play(run);
         const result = {
@@ -61,22 +61,22 @@
           seed: run.seed,
           figures,
         };
-        written(fileOf(out, run), `${JSON.stringify(result, null, 2)}\n`);
+        writeAtomically(resultPath(out, run), `${JSON.stringify(result, null, 2)}\n`);
       } catch (error) {
-        failed.push(`${run.key}: ${error.message}`);
+        failures.push(`${run.key}: ${error.message}`);
       }
       done += 1;
       process.stderr.write(`${done} of ${runs.length}: ${run.key}\n`);
     }
   }
   await Promise.all(Array.from({ length: plan.jobs }, worker));
-  return failed;
+  return failures;
 }
 
-function resultsOf(plan, out) {
+function readResults(plan, out) {
   const results = new Map();
-  for (const run of runsOf(plan))
-    if (existsSync(fileOf(out, run))) results.set(run.key, JSON.parse(readFileSync(fileOf(out, run), 'utf8')));
+  for (const run of listRuns(plan))
+    if (existsSync(resultPath(out, run))) results.set(run.key, JSON.parse(readFileSync(resultPath(out, run), 'utf8')));
   return results;
 }
 
--- a/tools/experiment.test.mjs
+++ b/tools/experiment.test.mjs
@@ -24,17 +24,17 @@
 seeds = [3, 14]
 `;
 
-function played(text, ...more) {
+function runExperiment(text, ...extraArgs) {
   const path = join(folder, 'plan.toml');
   writeFileSync(path, text);
-  return spawnSync(process.execPath, ['tools/experiment.mjs', path, '--out', join(folder, 'out'), ...more], {
+  return spawnSync(process.execPath, ['tools/experiment.mjs', path, '--out', join(folder, 'out'), ...extraArgs], {
     cwd: ROOT,
     encoding: 'utf8',
   });
 }
 
-test('pairs are played, compared, and not played again after an interruption', () => {
-  const first = played(PLAN);
+test('pairs are run and compared, and runs with a result are not repeated after an interruption', () => {
+  const first = runExperiment(PLAN);
   expect(first.status).toBe(0);
   expect(first.stdout).toMatch(/\| no-affinity \| 2 \| worth \| [+-]0\.\d{4} \| 0\.\d{4} \|/);
   const out = join(folder, 'out');
@@ -47,18 +47,18 @@
     'small.svg',
   ]);
   expect(readFileSync(join(out, 'small.svg'), 'utf8')).toMatch(/^<svg/);
-  const kept = join(out, 'now_drawn_drawn_3.json');
-  const result = JSON.parse(readFileSync(kept, 'utf8'));
-  writeFileSync(kept, JSON.stringify({ ...result, figures: { ...result.figures, worth: 0.123 } }));
+  const keptResultPath = join(out, 'now_drawn_drawn_3.json');
+  const result = JSON.parse(readFileSync(keptResultPath, 'utf8'));
+  writeFileSync(keptResultPath, JSON.stringify({ ...result, figures: { ...result.figures, worth: 0.123 } }));
   unlinkSync(join(out, 'now_drawn_drawn_14.json'));
-  const again = played(PLAN);
-  expect(again.status).toBe(0);
-  expect(JSON.parse(readFileSync(kept, 'utf8')).figures.worth).toBe(0.123);
-  expect(again.stderr.trim().split('\n')).toEqual(['4 of 4: now_drawn_drawn_14']);
+  const second = runExperiment(PLAN);
+  expect(second.status).toBe(0);
+  expect(JSON.parse(readFileSync(keptResultPath, 'utf8')).figures.worth).toBe(0.123);
+  expect(second.stderr.trim().split('\n')).toEqual(['4 of 4: now_drawn_drawn_14']);
 });
 
-test('a plan with faults is refused with all of them, each with its place, and nothing is played', () => {
-  const bad = played(`
+test('an invalid plan is rejected with all its errors and their locations, and nothing is run', () => {
+  const rejected = runExperiment(`
 name = "two words"
 jobs = 40
 colour = "red"
@@ -71,8 +71,8 @@
 name = "s"
 seeds = [0]
 `);
-  expect(bad.status).toBe(65);
-  expect(bad.stderr.trim().split('\n').sort()).toEqual(
+  expect(rejected.status).toBe(65);
+  expect(rejected.stderr.trim().split('\n').sort()).toEqual(
     [
       'name: expected a name of letters, digits and hyphens',
       'backend: expected one of engine, bench, it is missing',
@@ -84,8 +84,8 @@
       'colour: unknown field',
     ].sort(),
   );
-  expect(played('name = ').stderr).toMatch(/^not TOML: /);
-  expect(played(PLAN.replace('"engine"', '"bench"').replace('seeds', 'path = "x.toml"\nseeds')).stderr).toBe(
+  expect(runExperiment('name = ').stderr).toMatch(/^not TOML: /);
+  expect(runExperiment(PLAN.replace('"engine"', '"bench"').replace('seeds', 'path = "x.toml"\nseeds')).stderr).toBe(
     'backend: the bench needs --bench PROGRAM\n',
   );
 });
--- a/tools/experiment/play.mjs
+++ b/tools/experiment/play.mjs
@@ -8,19 +8,21 @@
 import { figuresOfBench, figuresOfEngine } from './results.mjs';
 
 const TUNING_FILE = 'src/state/forwarding/edge-tuning.ts';
-const RUN_LIMIT_S = 900;
+const RUN_TIMEOUT_S = 900;
 
-/** Plays on the engine model, in this process; the candidates' commits are not looked at. */
-export function playOnEngine({ candidate, seed }) {
+/** Makes a run on the engine model, in this process; the commits of the candidates are ignored. */
+export function runOnEngine({ candidate, seed }) {
   const tuning = { ...EDGE_TUNING, ...candidate.tuning };
   return Promise.resolve(figuresOfEngine(playEngineDay(drawDeployment(seed), { seed, tuning })));
 }
 
-/** Makes a player on the bench at `bench`: each candidate gets a clone of its own below `folder`. */
-export function benchPlayer(bench, folder, plan) {
-  const trees = new Map(plan.candidates.map((candidate) => [candidate.name, cloneOf(candidate, folder)]));
-  return async function play({ key, candidate, site, day, seed }) {
-    const tree = trees.get(candidate.name);
+/** Returns a function that makes a run with the program `bench`; each candidate gets its own clone below `folder`. */
+export function createBenchRunner(bench, folder, plan) {
+  const cloneByCandidate = new Map(
+    plan.candidates.map((candidate) => [candidate.name, createClone(candidate, folder)]),
+  );
+  return async function runOnBench({ key, candidate, site, day, seed }) {
+    const clone = cloneByCandidate.get(candidate.name);
     const report = join(folder, `${key}.report.json`);
     const why = `${plan.why || plan.name}: trial, candidate ${candidate.name}`;
     const args = [
@@ -35,45 +37,45 @@
       '--why',
       why,
     ];
-    const code = await run('timeout', [String(RUN_LIMIT_S), bench, ...args], { cwd: tree, stdio: 'ignore' });
-    keepJournal(tree);
-    if (!existsSync(report)) throw new Error(`${key}: the bench ended with ${code} and wrote no report`);
+    const code = await run('timeout', [String(RUN_TIMEOUT_S), bench, ...args], { cwd: clone, stdio: 'ignore' });
+    copyJournal(clone);
+    if (!existsSync(report)) throw new Error(`${key}: the bench exited with code ${code} and wrote no report`);
     return figuresOfBench(JSON.parse(readFileSync(report, 'utf8')));
   };
 }
 
-function cloneOf(candidate, folder) {
-  const tree = join(folder, 'trees', candidate.name);
-  if (existsSync(tree)) return tree;
+function createClone(candidate, folder) {
+  const clone = join(folder, 'trees', candidate.name);
+  if (existsSync(clone)) return clone;
   mkdirSync(join(folder, 'trees'), { recursive: true });
-  execFileSync('git', ['clone', '--quiet', ROOT, tree]);
-  execFileSync('git', ['checkout', '--quiet', '--detach', revisionOf(candidate)], { cwd: tree });
-  cpSync(join(ROOT, 'node_modules'), join(tree, 'node_modules'), { recursive: true });
-  const path = join(tree, TUNING_FILE);
+  execFileSync('git', ['clone', '--quiet', ROOT, clone]);
+  execFileSync('git', ['checkout', '--quiet', '--detach', resolveRevision(candidate)], { cwd: clone });
+  cpSync(join(ROOT, 'node_modules'), join(clone, 'node_modules'), { recursive: true });
+  const path = join(clone, TUNING_FILE);
   writeFileSync(path, withTuning(readFileSync(path, 'utf8'), candidate.tuning));
-  return tree;
+  return clone;
 }
 
-function revisionOf({ commit }) {
+function resolveRevision({ commit }) {
   return execFileSync('git', ['rev-parse', `${commit}^{commit}`], { cwd: ROOT, encoding: 'utf8' }).trim();
 }
 
-/** The tuning record's source with other values in some fields. */
+/** Returns the source of the tuning record with these values replaced. */
 export function withTuning(source, tuning) {
-  let out = source;
+  let patched = source;
   for (const [field, value] of Object.entries(tuning)) {
     const line = new RegExp(`^  ${field}: [^;\\n]+,$`, 'm');
-    if (!line.test(out)) throw new Error(`${TUNING_FILE} has no value of ${field}`);
-    out = out.replace(line, `  ${field}: ${JSON.stringify(value)},`);
+    if (!line.test(patched)) throw new Error(`${TUNING_FILE} has no value of ${field}`);
+    patched = patched.replace(line, `  ${field}: ${JSON.stringify(value)},`);
   }
-  return out;
+  return patched;
 }
 
-/** Entries that the bench wrote in a clone are kept with the repository's others. */
-function keepJournal(tree) {
+/** Copies the journal entries that the bench wrote in a clone to the journal of this repository. */
+function copyJournal(clone) {
   for (const [from, to] of [
-    [join(tree, 'journal'), join(ROOT, 'journal')],
-    [join(tree, 'journal/blobs'), join(ROOT, 'journal/blobs')],
+    [join(clone, 'journal'), join(ROOT, 'journal')],
+    [join(clone, 'journal/blobs'), join(ROOT, 'journal/blobs')],
   ]) {
     if (!existsSync(from)) continue;
     mkdirSync(to, { recursive: true });
--- a/tools/experiment/results.mjs
+++ b/tools/experiment/results.mjs
@@ -2,7 +2,7 @@
 import { parse, View } from 'vega';
 import { compile } from 'vega-lite';
 
-/** The figures of one run of the engine model. */
+/** Returns the figures of one run of the engine model. */
 export function figuresOfEngine(result) {
   return {
     worth: result.worth,
@@ -15,7 +15,7 @@
   };
 }
 
-/** The figures of one report of the bench. */
+/** Returns the figures of one report of the bench. */
 export function figuresOfBench(report) {
   const { n, late, refused, failed } = report.all;
   const figures = { worth: report.G, late: late / n, refused: refused / n, failed: failed / n };
@@ -26,7 +26,7 @@
   return figures;
 }
 
-/** Differences of each candidate to the first one, over runs of the same site, day and seed. */
+/** Returns the differences of each candidate to the first one, over runs of the same site, day and seed. */
 export function pairedDifferences(plan, results) {
   const [first, ...others] = plan.candidates;
   return others.map((candidate) => {
@@ -36,27 +36,27 @@
       const base = results.get([first.name, run.site, run.day, run.seed].join('_'));
       if (base) pairs.push({ key, base: base.figures, figures: run.figures });
     }
-    return { candidate: candidate.name, pairs: pairs.length, figures: differencesOf(pairs) };
+    return { candidate: candidate.name, pairs: pairs.length, figures: summarizeDifferences(pairs) };
   });
 }
 
-function differencesOf(pairs) {
+function summarizeDifferences(pairs) {
   const names = new Set(pairs.flatMap(({ base, figures }) => [...Object.keys(base), ...Object.keys(figures)]));
-  const out = {};
+  const summary = {};
   for (const name of names) {
     const differences = pairs.map(({ base, figures }) => (figures[name] ?? 0) - (base[name] ?? 0));
-    out[name] = {
+    summary[name] = {
       mean: mean(differences),
       standardError:
         differences.length < 2 ? null : sampleStandardDeviation(differences) / Math.sqrt(differences.length),
       least: Math.min(...differences),
     };
   }
-  return out;
+  return summary;
 }
 
-/** The comparison as a table in Markdown: worth first, then how the loss is split. */
-export function tableOf(plan, differences) {
+/** Formats the comparison as a table in Markdown: worth first, then the parts of the loss. */
+export function formatTable(plan, differences) {
   const lines = [
     `Differences to \`${plan.candidates[0].name}\`: mean, standard error, least.`,
     '',
@@ -64,16 +64,16 @@
     '| --- | --- | --- | --- | --- | --- |',
   ];
   for (const { candidate, pairs, figures } of differences)
-    for (const [name, { mean: middle, standardError, least }] of Object.entries(figures))
-      if (name === 'worth' || Math.abs(middle) >= 0.0005)
+    for (const [name, { mean: meanDifference, standardError, least }] of Object.entries(figures))
+      if (name === 'worth' || Math.abs(meanDifference) >= 0.0005)
         lines.push(
-          `| ${candidate} | ${pairs} | ${name} | ${signed(middle)} | ${standardError === null ? '' : standardError.toFixed(4)} | ${signed(least)} |`,
+          `| ${candidate} | ${pairs} | ${name} | ${formatSigned(meanDifference)} | ${standardError === null ? '' : standardError.toFixed(4)} | ${formatSigned(least)} |`,
         );
   return `${lines.join('\n')}\n`;
 }
 
-/** Worth of every run, by candidate, as an SVG. */
-export async function plotOf(plan, results) {
+/** Draws the worth of every run, by candidate, as an SVG. */
+export async function drawPlot(plan, results) {
   const values = [...results.values()].map(({ candidate, site, day, figures }) => ({
     candidate,
     place: `${site} ${day}`,
@@ -102,6 +102,6 @@
   return new View(parse(compile(spec).spec), { renderer: 'none' }).toSVG();
 }
 
-function signed(value) {
+function formatSigned(value) {
   return `${value < 0 ? '' : '+'}${value.toFixed(4)}`;
 }
--- a/tools/site.mjs
+++ b/tools/site.mjs
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** Plays scenarios or seeded soak runs against a site of real processes on this machine: `node tools/site.mjs --list`. */
+/** Plays scenarios or seeded soak runs on a site of real processes on this machine: `node tools/site.mjs --list`. */
 import { build } from 'esbuild';
 import { mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
--- a/tools/tests.mjs
+++ b/tools/tests.mjs
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
 /**
  * Runs all checks of CI: types, format, lint, unused code and the tests: `node tools/tests.mjs [JEST_ARG...]`. Given
- * arguments, it runs jest once, with these. Failures of tests listed in KNOWN-RED.txt are printed but don't fail the run.
+ * arguments, it runs jest once, with these. Failures of tests listed in KNOWN-RED.txt are printed but don't fail CI.
  */
 import { existsSync, mkdtempSync, readFileSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
--- a/tools/trial.mjs
+++ b/tools/trial.mjs
@@ -1,4 +1,8 @@
 #!/usr/bin/env node
+/**
+ * Injects failures into a fleet of real processes under load, one kind after the other; checks what must hold during
+ * each and measures the time to recover.
+ */
 import { readdirSync, readFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { setTimeout as sleep } from 'node:timers/promises';
@@ -7,70 +11,70 @@
 import { SHAPES } from './shapes.mjs';
 
 const FOLDER = process.env.FLEET_FOLDER ?? join(ROOT, '.fleet');
-const shape = process.argv[2] ?? 'kutfo';
-if (!SHAPES[shape]) {
-  process.stderr.write(`use: node tools/trial.mjs ${Object.keys(SHAPES).join('|')}\n`);
+const shapeName = process.argv[2] ?? 'kutfo';
+if (!SHAPES[shapeName]) {
+  process.stderr.write(`usage: node tools/trial.mjs ${Object.keys(SHAPES).join('|')}\n`);
   process.exit(2);
 }
-const SECONDS = 185;
-const zones = Object.keys(SHAPES[shape].zones);
-const rows = [];
+const LOAD_S = 185;
+const zones = Object.keys(SHAPES[shapeName].zones);
+const recoveryTimes = [];
 let failures = 0;
 
-function fleet(...args) {
+function runFleetCommand(...args) {
   return runNodeScript(join(ROOT, 'tools/fleet.mjs'), args);
 }
-function state() {
+function readState() {
   return JSON.parse(readFileSync(join(FOLDER, 'fleet.json'), 'utf8'));
 }
-function node(name) {
-  return state().nodes.find((n) => n.name === name);
+function nodeNamed(name) {
+  return readState().nodes.find((n) => n.name === name);
 }
 function nodesOf(role, zone) {
-  return state().nodes.filter((n) => n.role === role && (zone === undefined || n.zone === zone));
+  return readState().nodes.filter((n) => n.role === role && (zone === undefined || n.zone === zone));
 }
 async function get(address, path) {
   return (await fetch(`http://${address}${path}`, { signal: AbortSignal.timeout(2500) })).json();
 }
-function status(name) {
-  return get(node(name).http, '/v1/status');
+function statusOf(name) {
+  return get(nodeNamed(name).http, '/v1/status');
 }
-function admin(...args) {
-  return runNodeScript(BIN, ['admin', ...args, '--core', state().core], { stdio: ['ignore', 'ignore', 'inherit'] });
+function runAdmin(...args) {
+  return runNodeScript(BIN, ['admin', ...args, '--core', readState().core], { stdio: ['ignore', 'ignore', 'inherit'] });
 }
-async function version() {
-  for (const h of nodesOf('controller')) {
-    const read = await get(h.http, '/v1/configuration').catch(() => null);
-    if (read?.configuration) return read.version;
+async function readVersion() {
+  for (const controller of nodesOf('controller')) {
+    const response = await get(controller.http, '/v1/configuration').catch(() => null);
+    if (response?.configuration) return response.version;
   }
   return null;
 }
-async function holder() {
-  for (const n of nodesOf('controller')) if ((await status(n.name).catch(() => null))?.holdsScaler) return n.name;
+async function findScalerHolder() {
+  for (const n of nodesOf('controller')) if ((await statusOf(n.name).catch(() => null))?.holdsScaler) return n.name;
   return null;
 }
-function say(text) {
+function log(text) {
   process.stdout.write(`${new Date().toISOString()} ${text}\n`);
 }
-function expect(what, held, told = '') {
-  say(`${what}: ${held ? 'yes' : 'NO'} ${told}`);
-  if (!held) failures += 1;
+function expect(description, isMet, detail = '') {
+  log(`${description}: ${isMet ? 'yes' : 'NO'} ${detail}`);
+  if (!isMet) failures += 1;
 }
-async function until(what, seconds, test) {
+async function measureUntil(description, timeoutS, condition) {
   const from = performance.now();
-  while (performance.now() - from < seconds * 1000) {
-    if (await test().catch(() => false)) {
+  while (performance.now() - from < timeoutS * 1000) {
+    if (await condition().catch(() => false)) {
       const ms = Math.round(performance.now() - from);
-      rows.push([what, ms]);
-      say(`${what}: ${ms} ms`);
+      recoveryTimes.push([description, ms]);
+      log(`${description}: ${ms} ms`);
       return;
     }
     await sleep(50);
   }
-  say(`${what}: NOT within ${seconds} s`);
+  log(`${description}: NOT within ${timeoutS} s`);
   failures += 1;
 }
-function journals(prefix) {
+function readJournals(prefix) {
   const folder = join(FOLDER, 'journals');
   return readdirSync(folder)
     .filter((f) => f.startsWith(prefix))
@@ -81,227 +85,238 @@
         .map((l) => JSON.parse(l)),
     );
 }
-const serves = (name) => async () => (await status(name)).fresh;
-async function returned(name) {
-  const s = await status(name);
+const isServing = (name) => async () => (await statusOf(name)).fresh;
+async function hasRejoined(name) {
+  const s = await statusOf(name);
   return s.isMember && s.claimsReady && s.writable && s.quorate;
 }
 
 const phases = {
   async holderFrozen() {
-    const was = await holder();
-    const fence = (await status(was)).leases.scaler.fence;
-    await fleet('freeze', was);
-    await until('holder frozen: another holds the duty', 20, async () => ![null, was].includes(await holder()));
-    await fleet('thaw', was);
+    const previousHolder = await findScalerHolder();
+    const fence = (await statusOf(previousHolder)).leases.scaler.fence;
+    await runFleetCommand('freeze', previousHolder);
+    await measureUntil(
+      'holder frozen: another holds the duty',
+      20,
+      async () => ![null, previousHolder].includes(await findScalerHolder()),
+    );
+    await runFleetCommand('thaw', previousHolder);
     await sleep(3_000);
-    const s = await status(was);
-    expect('the woken one knows that it lost the duty', s.leases.scaler.fence > fence && !s.holdsScaler);
+    const s = await statusOf(previousHolder);
+    expect('the resumed holder knows that it lost the singleton role', s.leases.scaler.fence > fence && !s.holdsScaler);
   },
   async diskLost() {
-    const before = (await status('controller-2')).member;
-    await fleet('kill', 'controller-2');
+    const before = (await statusOf('controller-2')).member;
+    await runFleetCommand('kill', 'controller-2');
     await sleep(500);
-    await fleet('restart', 'controller-2', '--wipe');
-    await until('controller with its data folder wiped: member with whole claims', 20, () => returned('controller-2'));
-    expect('it came back as a new incarnation', (await status('controller-2')).member !== before);
+    await runFleetCommand('restart', 'controller-2', '--wipe');
+    await measureUntil('controller with its data folder wiped: member with whole claims', 20, () =>
+      hasRejoined('controller-2'),
+    );
+    expect('it rejoined as a new incarnation', (await statusOf('controller-2')).member !== before);
   },
-  async edges() {
-    const edges = nodesOf('proxy');
-    await fleet('kill', edges[0].name);
-    await fleet('freeze', edges[2].name);
+  async proxies() {
+    const proxies = nodesOf('proxy');
+    await runFleetCommand('kill', proxies[0].name);
+    await runFleetCommand('freeze', proxies[2].name);
     await sleep(7_000);
-    expect('a frozen edge does not answer', !(await status(edges[2].name).catch(() => null)));
-    await fleet('restart', edges[0].name);
-    await until('proxy killed and restarted: serves', 12, serves(edges[0].name));
-    await fleet('thaw', edges[2].name);
-    await until('proxy frozen 7 s and woken: serves', 12, serves(edges[2].name));
+    expect('a frozen proxy does not respond', !(await statusOf(proxies[2].name).catch(() => null)));
+    await runFleetCommand('restart', proxies[0].name);
+    await measureUntil('proxy killed and restarted: serves', 12, isServing(proxies[0].name));
+    await runFleetCommand('thaw', proxies[2].name);
+    await measureUntil('proxy frozen 7 s and woken: serves', 12, isServing(proxies[2].name));
   },
   async evacuation() {
     const zone = zones[0];
-    expect('evacuation acknowledged', (await admin('evacuate', zone)) === 0);
+    expect('evacuation acknowledged', (await runAdmin('evacuate', zone)) === 0);
     const from = Date.now() + 5_000;
     await sleep(10_000);
     const to = Date.now();
-    expect('handed back', (await admin('restore', zone)) === 0);
-    const late = journals('').filter(
+    expect('restore acknowledged', (await runAdmin('restore', zone)) === 0);
+    const lateArrivals = readJournals('').filter(
       (r) => r.who === 'worker' && r.event === 'arrived' && r.zone === zone && r.at > from && r.at < to,
     );
-    expect('nothing reached the evacuated zone', late.length === 0, `${late.length} did`);
+    expect('no request reached the evacuated zone', lateArrivals.length === 0, `${lateArrivals.length} did`);
   },
   async race() {
-    const wins = [];
+    const exitCodes = [];
     for (let n = 0; n < 4; n += 1) {
-      const base = String(await version());
+      const base = String(await readVersion());
       const codes = await Promise.all([
-        admin('set', '/deployment/lineLimit', String(70 + n), '--base', base),
-        admin('set', '/deployment/lineLimit', String(90 + n), '--base', base),
+        runAdmin('set', '/deployment/lineLimit', String(70 + n), '--base', base),
+        runAdmin('set', '/deployment/lineLimit', String(90 + n), '--base', base),
       ]);
-      wins.push([...codes].sort().join());
+      exitCodes.push([...codes].sort().join());
     }
     expect(
-      'of two operators on one base exactly one wins, four times',
-      wins.every((w) => w === '0,5'),
-      wins.join(' '),
+      'of two concurrent changes on the same base exactly one succeeds, four times',
+      exitCodes.every((w) => w === '0,5'),
+      exitCodes.join(' '),
     );
   },
   async reclaim() {
-    await fleet('reclaim', '3', '400');
+    await runFleetCommand('reclaim', '3', '400');
     await sleep(6_000);
-    const told = journals('caller-').filter((r) => r.result === 'cut' || r.result === 'workerFailed').length;
+    const failedStreams = readJournals('caller-').filter(
+      (r) => r.result === 'cut' || r.result === 'workerFailed',
+    ).length;
     expect(
       'machines were reclaimed',
-      journals('cloud').some((r) => r.event === 'reclaiming'),
-      `${told} streams told of it so far`,
+      readJournals('cloud').some((r) => r.event === 'reclaiming'),
+      `${failedStreams} streams failed because of it so far`,
     );
   },
   async isolated() {
     const zone = zones[2];
-    const inside = nodesOf('proxy', zone)[0].name;
+    const isolatedProxy = nodesOf('proxy', zone)[0].name;
     for (const z of zones.slice(0, 2))
       for (const [a, b] of [
         [z, zone],
         [zone, z],
       ])
-        await fleet('cut', a, b);
-    await until('region isolated: its proxy knows', 10, async () => (await status(inside)).partitioned);
-    const base = await version();
+        await runFleetCommand('cut', a, b);
+    await measureUntil('region isolated: its proxy knows', 10, async () => (await statusOf(isolatedProxy)).partitioned);
+    const base = await readVersion();
     expect(
-      'a change is agreed, not confirmed by all',
-      (await admin('set', '/deployment/lineLimit', '111', '--base', String(base))) === 6,
+      'a change is agreed but not confirmed by all nodes',
+      (await runAdmin('set', '/deployment/lineLimit', '111', '--base', String(base))) === 6,
     );
     await sleep(4_000);
-    const marks = journals(`caller-${zone}`).filter((r) => r.at > Date.now() - 4_000);
+    const recentRequests = readJournals(`caller-${zone}`).filter((r) => r.at > Date.now() - 4_000);
     expect(
-      'it serves its own',
-      marks.some((r) => r.result === 'success'),
-      `${marks.length} asked`,
+      'the isolated region serves its own callers',
+      recentRequests.some((r) => r.result === 'success'),
+      `${recentRequests.length} requests`,
     );
-    await fleet('heal');
-    await until(
+    await runFleetCommand('heal');
+    await measureUntil(
       'region isolated, then healed: it holds the newest',
       10,
-      async () => (await status(inside)).version > base,
+      async () => (await statusOf(isolatedProxy)).version > base,
     );
   },
   async oneWay() {
-    await fleet('cut', zones[1], zones[0]);
+    await runFleetCommand('cut', zones[1], zones[0]);
     await sleep(5_000);
-    const seen = journals('caller-').filter((r) => r.at > Date.now() - 4_000);
-    const good = seen.filter((r) => r.result === 'success').length;
+    const recentRequests = readJournals('caller-').filter((r) => r.at > Date.now() - 4_000);
+    const succeeded = recentRequests.filter((r) => r.result === 'success').length;
     expect(
-      'with one way between two regions lost, callers are served',
-      good > seen.length * 0.8,
-      `${good} of ${seen.length}`,
+      'callers are served while one direction between two regions is cut',
+      succeeded > recentRequests.length * 0.8,
+      `${succeeded} of ${recentRequests.length}`,
     );
-    await fleet('heal');
+    await runFleetCommand('heal');
     await sleep(2_000);
   },
   async moved() {
-    for (const h of nodesOf('controller')) {
-      await fleet('kill', h.name);
+    for (const controller of nodesOf('controller')) {
+      await runFleetCommand('kill', controller.name);
       await sleep(300);
-      await fleet('move', h.name);
-      await until(`${h.name} at a new address: member there`, 15, async () => {
-        const { members } = await status(h.name);
-        return members.find((m) => m.name === h.name)?.address === node(h.name).listen && (await returned(h.name));
+      await runFleetCommand('move', controller.name);
+      await measureUntil(`${controller.name} at a new address: member there`, 15, async () => {
+        const { members } = await statusOf(controller.name);
+        return (
+          members.find((m) => m.name === controller.name)?.address === nodeNamed(controller.name).listen &&
+          (await hasRejoined(controller.name))
+        );
       });
-      expect('it moved', node(h.name).listen !== h.listen);
+      expect('its address changed', nodeNamed(controller.name).listen !== controller.listen);
     }
   },
   async fullDisk() {
-    await fleet('fill', 'controller-1');
+    await runFleetCommand('fill', 'controller-1');
     await sleep(500);
     expect(
-      'a change is agreed without the full one',
-      [0, 6].includes(await admin('set', '/deployment/lineLimit', '112')),
+      'a change is agreed without the controller whose disk is full',
+      [0, 6].includes(await runAdmin('set', '/deployment/lineLimit', '112')),
     );
-    await until(
+    await measureUntil(
       'controller without room: says that it cannot write',
       10,
-      async () => (await status('controller-1')).writable === false,
+      async () => (await statusOf('controller-1')).writable === false,
     );
-    await fleet('heal');
-    await fleet('kill', 'controller-1');
+    await runFleetCommand('heal');
+    await runFleetCommand('kill', 'controller-1');
     await sleep(300);
-    await fleet('restart', 'controller-1');
-    await until('room made, restarted: whole again', 15, () => returned('controller-1'));
+    await runFleetCommand('restart', 'controller-1');
+    await measureUntil('room made, restarted: whole again', 15, () => hasRejoined('controller-1'));
   },
   async regionLost() {
     const zone = zones[1];
-    const gone = state().nodes.filter((n) => n.zone === zone);
-    for (const n of gone) await fleet('kill', n.name);
+    const lostNodes = readState().nodes.filter((n) => n.zone === zone);
+    for (const n of lostNodes) await runFleetCommand('kill', n.name);
     await sleep(4_000);
-    for (const n of gone) await fleet('restart', n.name);
+    for (const n of lostNodes) await runFleetCommand('restart', n.name);
     const from = Date.now();
-    await until('region lost and back cold: its proxy serves', 12, serves(nodesOf('proxy', zone)[0].name));
-    await until('… its controller is whole', 12, () => returned(nodesOf('controller', zone)[0].name));
-    await until('… a worker of it answers a request', 12, async () =>
-      journals('').some((r) => r.who === 'worker' && r.zone === zone && r.event === 'end' && r.at > from),
+    await measureUntil('region lost and back cold: its proxy serves', 12, isServing(nodesOf('proxy', zone)[0].name));
+    await measureUntil('… its controller is whole', 12, () => hasRejoined(nodesOf('controller', zone)[0].name));
+    await measureUntil('… a worker of it answers a request', 12, async () =>
+      readJournals('').some((r) => r.who === 'worker' && r.zone === zone && r.event === 'end' && r.at > from),
     );
   },
   async allKilled() {
-    const before = await version();
+    const before = await readVersion();
     const nodes = [...nodesOf('controller'), ...nodesOf('proxy')];
-    for (const n of nodes) await fleet('kill', n.name);
+    for (const n of nodes) await runFleetCommand('kill', n.name);
     await sleep(1_000);
-    for (const n of nodes) await fleet('restart', n.name);
-    const back = Date.now();
+    for (const n of nodes) await runFleetCommand('restart', n.name);
+    const restartedAt = Date.now();
     for (const zone of zones)
-      await until(
+      await measureUntil(
         `all killed: the edge of zone ${zones.indexOf(zone) + 1} serves, from the last restart`,
         12,
-        serves(nodesOf('proxy', zone)[0].name),
+        isServing(nodesOf('proxy', zone)[0].name),
       );
-    await until('… the configuration reads back', 12, async () => (await version()) === before);
+    await measureUntil('… the configuration reads back', 12, async () => (await readVersion()) === before);
     for (const zone of zones) {
       for (const once of [true, false]) {
-        await until(
+        await measureUntil(
           `… a ${once ? 'run-once request' : 'stream'} of zone ${zones.indexOf(zone) + 1} succeeded`,
           12,
           async () =>
-            journals(`caller-${zone}`).some(
-              (r) => r.result === 'success' && r.repeatable === !once && r.at - r.wholeMs > back,
+            readJournals(`caller-${zone}`).some(
+              (r) => r.result === 'success' && r.repeatable === !once && r.at - r.wholeMs > restartedAt,
             ),
         );
       }
     }
-    expect('… an operator change is accepted', (await admin('set', '/deployment/lineLimit', '113')) === 0);
+    expect('… an operator change is accepted', (await runAdmin('set', '/deployment/lineLimit', '113')) === 0);
   },
 };
 
 installShutdownHandlers();
-if ((await fleet('start', shape)) !== 0) await shutdown(1);
+if ((await runFleetCommand('start', shapeName)) !== 0) await shutdown(1);
 onShutdown(() => stopFleet(FOLDER));
-const load = fleet('load', shape, String(SECONDS), '6');
+const loadRun = runFleetCommand('load', shapeName, String(LOAD_S), '6');
 await sleep(8_000);
-const began = Date.now();
-for (const [name, play] of Object.entries(phases)) {
-  say(`— ${name}`);
-  await play().catch((e) => expect(`${name} ran`, false, String(e)));
+const faultsStartedAt = Date.now();
+for (const [name, runPhase] of Object.entries(phases)) {
+  log(`— ${name}`);
+  await runPhase().catch((e) => expect(`${name} ran`, false, String(e)));
   await sleep(2_500);
 }
-if (Date.now() - began > (SECONDS - 8) * 1_000)
-  expect('the load lasted as long as the faults', false, `${Date.now() - began} ms of faults`);
-await load;
+if (Date.now() - faultsStartedAt > (LOAD_S - 8) * 1_000)
+  expect('the load ran until the last fault', false, `${Date.now() - faultsStartedAt} ms of faults`);
+await loadRun;
 await sleep(3_000);
-const verdict = await fleet('check');
-const callers = journals('caller-');
-const tally = {};
-for (const r of callers) tally[r.result] = (tally[r.result] ?? 0) + 1;
-await fleet('stop');
+const checkExitCode = await runFleetCommand('check');
+const requests = readJournals('caller-');
+const countsByResult = {};
+for (const r of requests) countsByResult[r.result] = (countsByResult[r.result] ?? 0) + 1;
+await runFleetCommand('stop');
 process.stdout.write(
-  `\n| ${shape} | ms |\n| --- | --- |\n${rows.map(([what, ms]) => `| ${what} | ${ms} |`).join('\n')}\n\n`,
+  `\n| ${shapeName} | ms |\n| --- | --- |\n${recoveryTimes.map(([description, ms]) => `| ${description} | ${ms} |`).join('\n')}\n\n`,
 );
 process.stdout.write(
-  `${callers.length} requests: ${JSON.stringify(tally)}; longest wait of one not served ${quantile(
-    callers.filter((r) => r.result !== 'success').map((r) => r.wholeMs),
+  `${requests.length} requests: ${JSON.stringify(countsByResult)}; longest wait of a failed request ${quantile(
+    requests.filter((r) => r.result !== 'success').map((r) => r.wholeMs),
     1,
   )} ms\n`,
 );
-say(
-  verdict === 0 && failures === 0
+log(
+  checkExitCode === 0 && failures === 0
     ? 'Every rule held.'
-    : `broken: check left with ${verdict}, ${failures} expectations failed`,
+    : `FAILED: the check exited with code ${checkExitCode}, ${failures} expectations not met`,
 );
-await shutdown(verdict === 0 && failures === 0 ? 0 : 1);
+await shutdown(checkExitCode === 0 && failures === 0 ? 0 : 1);
