--- a/examples/embed.mjs
+++ b/examples/embed.mjs
@@ -27,7 +27,8 @@
 else {
   for await (const event of summary.value.events) {
     if (event.tag === 'piece') process.stdout.write(event.text);
-    else console.log(event.tag === 'sealed' ? '\nwhole and sealed' : `\nbroken off: ${JSON.stringify(event.error)}`);
+    else
+      console.log(event.tag === 'sealed' ? '\ncomplete and verified' : `\ntruncated: ${JSON.stringify(event.error)}`);
   }
 }
 process.exit(0);
--- a/tools/bench.mjs
+++ b/tools/bench.mjs
@@ -30,8 +30,8 @@
 
 function readJournals() {
   const folder = join(FOLDER, 'journals');
-  return readdirSync(folder).flatMap((f) =>
-    readFileSync(join(folder, f), 'utf8')
+  return readdirSync(folder).flatMap((fileName) =>
+    readFileSync(join(folder, fileName), 'utf8')
       .split('\n')
       .filter(Boolean)
       .map((l) => JSON.parse(l)),
--- a/tools/capacity/figures.mjs
+++ b/tools/capacity/figures.mjs
@@ -58,44 +58,47 @@
   const connections = {};
   const dialled = {};
   const kinds = {};
-  const s = (later.at - earlier.at) / 1000;
-  for (const now of later.parts) {
-    const previous = earlier.parts.find((p) => p.name === now.name);
-    if (!previous?.proc || !now.proc) continue;
-    counts[now.role] = (counts[now.role] ?? 0) + now.count;
-    rss[now.role] ??= [];
-    rss[now.role].push({
-      rss: now.proc.rss,
-      heap: now.tally?.heapUsed ?? null,
-      count: now.count,
-      cpuMsS: Number(((1000 * (now.proc.cpuS - previous.proc.cpuS)) / s).toFixed(2)),
+  const elapsedS = (later.at - earlier.at) / 1000;
+  for (const current of later.parts) {
+    const previous = earlier.parts.find((p) => p.name === current.name);
+    if (!previous?.proc || !current.proc) continue;
+    counts[current.role] = (counts[current.role] ?? 0) + current.count;
+    rss[current.role] ??= [];
+    rss[current.role].push({
+      rss: current.proc.rss,
+      heap: current.tally?.heapUsed ?? null,
+      count: current.count,
+      cpuMsS: Number(((1000 * (current.proc.cpuS - previous.proc.cpuS)) / elapsedS).toFixed(2)),
     });
-    roles[now.role] ??= { cpuS: 0, procs: [] };
-    roles[now.role].cpuS += now.proc.cpuS - previous.proc.cpuS;
-    roles[now.role].procs.push(Number(((1000 * (now.proc.cpuS - previous.proc.cpuS)) / s / now.count).toFixed(3)));
-    const span = (now.tally.at - previous.tally.at) / 1000;
-    for (const [key, d] of Object.entries(countersSince(previous.tally.rows, now.tally.rows))) {
-      const [own, peer, distance, way, kind] = key.split(' ');
-      if (way === 'connections') {
+    roles[current.role] ??= { cpuS: 0, procs: [] };
+    roles[current.role].cpuS += current.proc.cpuS - previous.proc.cpuS;
+    roles[current.role].procs.push(
+      Number(((1000 * (current.proc.cpuS - previous.proc.cpuS)) / elapsedS / current.count).toFixed(3)),
+    );
+    const tallyElapsedS = (current.tally.at - previous.tally.at) / 1000;
+    for (const [key, delta] of Object.entries(countersSince(previous.tally.rows, current.tally.rows))) {
+      const [ownRole, peerRole, distance, direction, kind] = key.split(' ');
+      if (direction === 'connections') {
         if (kind === 'open')
-          for (const role of [own, peer]) connections[role] = (connections[role] ?? 0) + now.tally.rows[key].n;
-        else for (const role of [own, peer]) dialled[role] = (dialled[role] ?? 0) + d.n / span;
+          for (const role of [ownRole, peerRole])
+            connections[role] = (connections[role] ?? 0) + current.tally.rows[key].n;
+        else for (const role of [ownRole, peerRole]) dialled[role] = (dialled[role] ?? 0) + delta.n / tallyElapsedS;
         continue;
       }
-      if (d.n === 0) continue;
-      for (const [role, sends] of [
-        [own, way === 'out'],
-        [peer, way === 'in'],
+      if (delta.n === 0) continue;
+      for (const [role, isSender] of [
+        [ownRole, direction === 'out'],
+        [peerRole, direction === 'in'],
       ]) {
         const name = `${role} ${kind}`;
         kinds[name] ??= [0, 0];
-        kinds[name][0] += d.n / span;
-        kinds[name][1] += d.bytes / span;
+        kinds[name][0] += delta.n / tallyElapsedS;
+        kinds[name][1] += delta.bytes / tallyElapsedS;
         const row = dutyRow(duties, role, dutyOf(kind));
-        row.messages += d.n / span;
-        row.bytes += d.bytes / span;
-        row[sends ? 'sent' : 'received'] += d.bytes / span;
-        row[distance] += d.bytes / span;
+        row.messages += delta.n / tallyElapsedS;
+        row.bytes += delta.bytes / tallyElapsedS;
+        row[isSender ? 'sent' : 'received'] += delta.bytes / tallyElapsedS;
+        row[distance] += delta.bytes / tallyElapsedS;
       }
     }
   }
@@ -112,7 +115,7 @@
     const sum = (key) => Object.values(table).reduce((x, row) => x + row[key], 0);
     out[role] = {
       count: counts[role] ?? null,
-      cpuMsS: (1000 * r.cpuS) / s / n,
+      cpuMsS: (1000 * r.cpuS) / elapsedS / n,
       procs: r.procs,
       messagesS: sum('messages'),
       bytesS: sum('bytes'),
@@ -124,12 +127,12 @@
   }
   for (const [name, row] of Object.entries(kinds))
     kinds[name] = row.map((x) => Number((x / (counts[name.split(' ')[0]] ?? 1)).toFixed(3)));
-  return { kinds, seconds: Number(s.toFixed(2)), fromNs: earlier.ns, toNs: later.ns, roles: out };
+  return { kinds, seconds: Number(elapsedS.toFixed(2)), fromNs: earlier.ns, toNs: later.ns, roles: out };
 }
 
 export function perNode(window) {
-  const s = window.roles.proxy;
-  return { nodeBytesS: s.bytesS, nodeMessagesS: s.messagesS, nodeCpuMsS: s.cpuMsS };
+  const proxyFigures = window.roles.proxy;
+  return { nodeBytesS: proxyFigures.bytesS, nodeMessagesS: proxyFigures.messagesS, nodeCpuMsS: proxyFigures.cpuMsS };
 }
 
 /** Fits a straight line by least squares; returns it with the standard errors of its slope and of its values. */
--- a/tools/capacity/plan.mjs
+++ b/tools/capacity/plan.mjs
@@ -32,9 +32,9 @@
   let nextPort = port;
   function allocateAddress(role, at) {
     nextPort += 1;
-    const a = `127.0.0.1:${nextPort}`;
-    locations[a] = { role, zone: at.zone, region: at.region };
-    return a;
+    const address = `127.0.0.1:${nextPort}`;
+    locations[address] = { role, zone: at.zone, region: at.region };
+    return address;
   }
   const outsideLocation = { zone: 'outside', region: 'outside' };
   const platform = allocateAddress('platform', outsideLocation);
@@ -49,7 +49,7 @@
       http: allocateAddress('controller', at),
     });
   }
-  const seeds = controllerNodes.map((h) => h.listen);
+  const seeds = controllerNodes.map((controller) => controller.listen);
   const proxiesByZone = zones.map((at) => ({ at, proxies: [] }));
   for (let i = 0; i < nodes; i += 1) {
     const { at, proxies } = proxiesByZone[i % proxiesByZone.length];
@@ -98,23 +98,23 @@
       }),
     ],
   });
-  for (const h of controllerNodes) {
+  for (const controller of controllerNodes) {
     const settings = {
-      ...h,
+      ...controller,
       seeds,
       platform,
       cloud,
-      dataFolder: join(folder, h.name),
+      dataFolder: join(folder, controller.name),
       logLevel: 'warn',
-      lab: { zones: {}, delayMs: {}, tally: tallyOptions(h.name) },
+      lab: { zones: {}, delayMs: {}, tally: tallyOptions(controller.name) },
     };
     children.push({
-      name: h.name,
+      name: controller.name,
       role: 'controller',
-      at: h,
+      at: controller,
       count: 1,
-      tally: tallyOptions(h.name).file,
-      args: ['controller', '--settings', writeJson(h.name, settings)],
+      tally: tallyOptions(controller.name).file,
+      args: ['controller', '--settings', writeJson(controller.name, settings)],
     });
   }
   const hollow = [];
--- a/tools/capacity/plots.mjs
+++ b/tools/capacity/plots.mjs
@@ -26,16 +26,16 @@
   const rows = figuresOfRole(r, name).rss;
   return rows.reduce((n, p) => n + p.rss, 0) / rows.length / 1e6;
 }
-function points(all, x, y) {
-  return all.flatMap((r) => {
+function points(records, x, y) {
+  return records.flatMap((r) => {
     const value = y(r);
     return value === null || value === undefined || Number.isNaN(value)
       ? []
       : [{ x: x(r), y: value, run: versionOf(r) }];
   });
 }
-function series(all, x, parts) {
-  return all.flatMap((r) => Object.entries(parts).flatMap(([name, y]) => [{ x: x(r), y: y(r), run: name }]));
+function series(records, x, parts) {
+  return records.flatMap((r) => Object.entries(parts).flatMap(([name, y]) => [{ x: x(r), y: y(r), run: name }]));
 }
 const nodes = (r) => r.options.nodes;
 const workers = (r) => r.options.workers;
@@ -47,16 +47,16 @@
     title: 'A proxy: bytes a second for probing, following, reporting and counts',
     x: 'nodes',
     y: 'bytes a second',
-    of: (all) => points(all, nodes, (r) => bytesOf(r, 'proxy', CONTROL_DUTIES)),
+    of: (records) => points(records, nodes, (r) => bytesOf(r, 'proxy', CONTROL_DUTIES)),
     limit: 5_000,
   },
   'proxy-duties': {
     title: 'A proxy now: bytes a second by duty',
     x: 'nodes',
     y: 'bytes a second',
-    of: (all) =>
+    of: (records) =>
       series(
-        all.filter((r) => versionOf(r) === 'now'),
+        records.filter((r) => versionOf(r) === 'now'),
         nodes,
         Object.fromEntries([...CONTROL_DUTIES, 'list', 'workers'].map((d) => [d, (r) => bytesOf(r, 'proxy', [d])])),
       ),
@@ -65,39 +65,39 @@
     title: 'A proxy: processor time',
     x: 'nodes',
     y: 'ms a second',
-    of: (all) => points(all, nodes, (r) => figuresOfRole(r, 'proxy').cpuMsS),
+    of: (records) => points(records, nodes, (r) => figuresOfRole(r, 'proxy').cpuMsS),
     limit: 10,
   },
   'proxy-list': {
     title: "A proxy: bytes a second for reading the platform's list itself",
     x: 'workers',
     y: 'bytes a second',
-    of: (all) => points(all, workers, (r) => bytesOf(r, 'proxy', ['list'])),
+    of: (records) => points(records, workers, (r) => bytesOf(r, 'proxy', ['list'])),
   },
   'controller-bytes': {
     title: 'A controller: bytes a second',
     x: 'nodes',
     y: 'bytes a second',
-    of: (all) => points(all, nodes, (r) => figuresOfRole(r, 'controller').bytesS),
+    of: (records) => points(records, nodes, (r) => figuresOfRole(r, 'controller').bytesS),
   },
   'controller-processor': {
     title: 'A controller: processor time',
     x: 'nodes',
     y: 'ms a second',
-    of: (all) => points(all, nodes, (r) => figuresOfRole(r, 'controller').cpuMsS),
+    of: (records) => points(records, nodes, (r) => figuresOfRole(r, 'controller').cpuMsS),
   },
   'controller-memory': {
     title: 'A controller: memory resident',
     x: 'nodes',
     y: 'MB',
-    of: (all) => points(all, nodes, (r) => memoryOf(r, 'controller')),
+    of: (records) => points(records, nodes, (r) => memoryOf(r, 'controller')),
   },
   'in-force': {
     title: 'A change one by one, until in force everywhere',
     x: 'nodes',
     y: 'ms',
-    of: (all) =>
-      all.flatMap((r) =>
+    of: (records) =>
+      records.flatMap((r) =>
         r.changes.filter((c) => c.inForceMs !== null).map((c) => ({ x: nodes(r), y: c.inForceMs, run: versionOf(r) })),
       ),
     limit: 8_000,
@@ -106,11 +106,11 @@
 };
 
 /** Writes each plot as an SVG file into the folder and returns the names of the plots. */
-export async function drawPlots(all, folder) {
+export async function drawPlots(records, folder) {
   mkdirSync(folder, { recursive: true });
   const drawn = [];
   for (const [name, p] of Object.entries(PLOTS)) {
-    const values = p.of(all);
+    const values = p.of(records);
     const xs = { field: 'x', type: 'quantitative', title: p.x };
     const ys = { field: 'y', type: 'quantitative', title: p.y, ...(p.log ? { scale: { type: 'log' } } : {}) };
     const layer = [
--- a/tools/capacity/profile.mjs
+++ b/tools/capacity/profile.mjs
@@ -40,9 +40,9 @@
 }
 
 /** Computes processor time per duty, second and process of each role from the CPU profiles in a folder. */
-export function dutyShares(folder, parts, fromNs, toNs) {
+export function dutyShares(folder, processes, fromNs, toNs) {
   const roles = {};
-  for (const p of parts) {
+  for (const p of processes) {
     let profile;
     try {
       profile = JSON.parse(readFileSync(join(folder, `${p.name}.cpuprofile`), 'utf8'));
--- a/tools/capacity/run.mjs
+++ b/tools/capacity/run.mjs
@@ -15,12 +15,12 @@
 }
 
 async function waitFor(description, seconds, condition) {
-  const from = performance.now();
-  while (performance.now() - from < seconds * 1000) {
-    if (await Promise.resolve(condition()).catch(() => false)) return (performance.now() - from) / 1000;
+  const startedAt = performance.now();
+  while (performance.now() - startedAt < seconds * 1000) {
+    if (await Promise.resolve(condition()).catch(() => false)) return (performance.now() - startedAt) / 1000;
     await sleep(100);
   }
-  throw new Error(`timed out after ${seconds} s waiting for ${description}`);
+  throw new Error(`${description}: timed out after ${seconds} s`);
 }
 
 /** Makes one capacity run: starts a fleet, measures it at rest, under changes and failures; returns the record. */
@@ -67,11 +67,13 @@
   }
 
   async function measure() {
-    const parts = plan.children.map((c) => children.start(c));
+    const processes = plan.children.map((child) => children.start(child));
     const controllerNodes = plan.controllerNodes;
     const firstController = controllerNodes[0].http;
     await waitFor('controllers', 40, async () =>
-      (await Promise.all(controllerNodes.map((h) => sendRequest(h.http, '/v1/status')))).every((r) => r.status === 200),
+      (await Promise.all(controllerNodes.map((node) => sendRequest(node.http, '/v1/status')))).every(
+        (r) => r.status === 200,
+      ),
     );
     const bootstrapped = await sendRequest(firstController, '/v1/bootstrap', { members: plan.seeds });
     if (bootstrapped.status !== 200) throw new Error(`bootstrap failed with status ${bootstrapped.status}`);
@@ -84,11 +86,11 @@
         `the configuration was rejected with status ${applied.status}: ${JSON.stringify(applied.body).slice(0, 300)}`,
       );
     const startedAt = performance.now();
-    for (const h of plan.hollow) parts.push(children.start(h));
-    const proxyProcesses = parts.filter((p) => p.role === 'proxy');
+    for (const child of plan.hollow) processes.push(children.start(child));
+    const proxyProcesses = processes.filter((p) => p.role === 'proxy');
     const countServing = () => proxyProcesses.reduce((n, p) => n + (readTally(p)?.extra?.serving ?? 0), 0);
     const progressTimer = setInterval(() => log(`${countServing()} proxies are serving`), 5_000);
-    const servingS = await waitFor('all proxies to serve', 120, () => countServing() === nodes).finally(() =>
+    const servingS = await waitFor('all proxies serving', 120, () => countServing() === nodes).finally(() =>
       clearInterval(progressTimer),
     );
     log(`${nodes} proxies are serving after ${((performance.now() - startedAt) / 1000).toFixed(1)} s`);
@@ -103,7 +105,7 @@
         at: performance.now(),
         ns: Number(process.hrtime.bigint()),
         load: null,
-        parts: parts
+        parts: processes
           .filter((p) => !p.gone)
           .map((p) => ({
             name: p.name,
@@ -114,53 +116,57 @@
           })),
       };
     }
-    async function measureWindow(s, during = async () => {}) {
+    async function measureWindow(durationS, during = async () => {}) {
       await sleep(300);
-      const a = snapshot();
-      const windowEnd = sleep(s * 1000);
+      const before = snapshot();
+      const windowEnd = sleep(durationS * 1000);
       await during();
       await windowEnd;
       await sleep(300);
-      const b = snapshot();
-      return figuresBetween(a, b);
+      const after = snapshot();
+      return figuresBetween(before, after);
     }
     async function readVersion() {
       return (await sendRequest(firstController, '/v1/configuration')).body.version;
     }
     let value = 100;
-    async function amendConfiguration(at, base) {
+    async function amendConfiguration(controllerIndex, base) {
       value = value >= 9_000 ? 101 : value + 1;
-      const from = hostMs();
-      const response = await sendRequest(controllerNodes[at % controllerNodes.length].http, '/v1/configuration/amend', {
-        base,
-        changes: [{ path: ['deployment', 'lineLimit'], value }],
-      });
+      const startedAt = hostMs();
+      const response = await sendRequest(
+        controllerNodes[controllerIndex % controllerNodes.length].http,
+        '/v1/configuration/amend',
+        {
+          base,
+          changes: [{ path: ['deployment', 'lineLimit'], value }],
+        },
+      );
       return {
         status: response.status,
         version: response.body?.version ?? null,
-        from,
-        ackMs: Math.round(hostMs() - from),
+        from: startedAt,
+        ackMs: Math.round(hostMs() - startedAt),
       };
     }
-    function inForceMs(c, processes = proxyProcesses) {
+    function inForceMs(change, observers = proxyProcesses) {
       let last = 0;
-      for (const p of processes) {
+      for (const p of observers) {
         if (p.gone) continue;
-        const t = readTally(p);
-        const at = Object.entries(t?.extra?.inForceAt ?? {})
-          .filter(([e]) => Number(e) >= c.version)
-          .map(([, ms]) => ms - t.at + t.hostMs);
-        if (at.length === 0) return null;
-        last = Math.max(last, Math.min(...at));
+        const tally = readTally(p);
+        const appliedTimes = Object.entries(tally?.extra?.inForceAt ?? {})
+          .filter(([e]) => Number(e) >= change.version)
+          .map(([, ms]) => ms - tally.at + tally.hostMs);
+        if (appliedTimes.length === 0) return null;
+        last = Math.max(last, Math.min(...appliedTimes));
       }
-      return Math.round(last - c.from);
+      return Math.round(last - change.from);
     }
     async function makeChanges(list, n, pauseMs) {
       let base = await readVersion();
       for (let i = 0; i < n; i += 1) {
-        const c = await amendConfiguration(i, base);
-        list.push(c);
-        base = c.version ?? (await readVersion());
+        const change = await amendConfiguration(i, base);
+        list.push(change);
+        base = change.version ?? (await readVersion());
         if (pauseMs > 0) await sleep(pauseMs);
       }
     }
@@ -176,16 +182,16 @@
         ? await measureWindow(Math.max(4, changes * 0.6), () => makeChanges(singleChanges, changes, 400))
         : null;
     await sleep(600);
-    for (const c of singleChanges) c.inForceMs = inForceMs(c);
+    for (const change of singleChanges) change.inForceMs = inForceMs(change);
     const burstChanges = [];
     const burstStartedAt = performance.now();
     const withBurst = burst > 0 ? await measureWindow(2, () => makeChanges(burstChanges, burst, 0)) : null;
     const burstS = (performance.now() - burstStartedAt) / 1000;
     await sleep(800);
-    for (const c of burstChanges) c.inForceMs = inForceMs(c);
+    for (const change of burstChanges) change.inForceMs = inForceMs(change);
     if (changes > 0)
       log(
-        `changes in force: ${formatSpread(singleChanges.map((c) => c.inForceMs))} ms one by one, ${formatSpread(burstChanges.map((c) => c.inForceMs))} ms of ${burst} at once`,
+        `changes in force: ${formatSpread(singleChanges.map((change) => change.inForceMs))} ms one by one, ${formatSpread(burstChanges.map((change) => change.inForceMs))} ms of ${burst} at once`,
       );
 
     let withRestarts = null;
@@ -199,32 +205,32 @@
     let lost = null;
     if (zoneLoss) {
       const zone = plan.zones[1].zone;
-      const killed = parts.filter((p) => p.at.zone === zone && !p.gone);
+      const killed = processes.filter((p) => p.at.zone === zone && !p.gone);
       const deadNames = new Set();
       const window = await measureWindow(12, async () => {
-        const from = performance.now();
+        const startedAt = performance.now();
         for (const p of killed) p.proc.kill('SIGKILL');
-        const c = await amendConfiguration(0, await readVersion());
+        const change = await amendConfiguration(0, await readVersion());
         await sleep(3_000);
         lost = {
           zone,
           proxies: killed.filter((p) => p.role === 'proxy').reduce((n, p) => n + p.count, 0),
           controllers: killed.filter((p) => p.role === 'controller').length,
-          change: { status: c.status, ackMs: c.ackMs, inForceMs: inForceMs(c) },
+          change: { status: change.status, ackMs: change.ackMs, inForceMs: inForceMs(change) },
         };
-        const allDeadAfterS = await waitFor('the detection of the lost nodes as dead', 30, async () => {
+        const allDeadAfterS = await waitFor('all lost nodes detected as dead', 30, async () => {
           const { nodes: seen } = (await sendRequest(firstController, '/v1/status')).body;
           for (const n of seen) if (n.zone === zone && n.status === 'dead') deadNames.add(n.name);
           return seen.filter((n) => n.zone === zone).every((n) => n.status === 'dead');
         }).catch(() => null);
-        lost.allDeadS = allDeadAfterS === null ? null : (performance.now() - from) / 1000;
+        lost.allDeadS = allDeadAfterS === null ? null : (performance.now() - startedAt) / 1000;
       });
       lost.window = window;
       lost.stillServing = countServing();
     }
     const memoryAtEnd = children.totalMemory();
     await children.stopAll();
-    const shares = profile ? dutyShares(folder, parts, quiet.fromNs, quiet.toNs) : null;
+    const shares = profile ? dutyShares(folder, processes, quiet.fromNs, quiet.toNs) : null;
     return {
       options: {
         nodes,
@@ -243,7 +249,7 @@
       startedS: servingS,
       orderedS: readyS,
       memoryMost: memoryAtEnd,
-      processes: parts.length,
+      processes: processes.length,
       quiet,
       changes: singleChanges.map(summaryOf),
       withChanges,
@@ -261,11 +267,11 @@
 function hostMs() {
   return Number(process.hrtime.bigint()) / 1e6;
 }
-function summaryOf(c) {
-  return { status: c.status, ackMs: c.ackMs, inForceMs: c.inForceMs };
+function summaryOf(change) {
+  return { status: change.status, ackMs: change.ackMs, inForceMs: change.inForceMs };
 }
-function formatSpread(xs) {
-  const sorted = xs.filter((x) => x !== null).sort((a, b) => a - b);
+function formatSpread(values) {
+  const sorted = values.filter((x) => x !== null).sort((a, b) => a - b);
   if (sorted.length === 0) return 'none';
   return `${sorted[0]} / ${sorted[Math.floor((sorted.length - 1) / 2)]} / ${sorted[sorted.length - 1]}`;
 }
--- a/tools/capacity/slopes.mjs
+++ b/tools/capacity/slopes.mjs
@@ -4,7 +4,7 @@
 export const DESIGN_SIZE = { nodes: 350, workers: 600, controllers: 9 };
 
 function sum(duties, names, key) {
-  return names.reduce((n, d) => n + (duties[d]?.[key] ?? 0), 0);
+  return names.reduce((n, duty) => n + (duties[duty]?.[key] ?? 0), 0);
 }
 
 const MEASURES = [];
@@ -16,15 +16,15 @@
     role === 'proxy'
       ? ['probing', 'following', 'reporting', 'counts', 'list', 'workers']
       : ['probing', 'following', 'reporting', 'counts', 'ledger', 'leases', 'list', 'scaler'];
-  for (const d of duties) {
+  for (const duty of duties) {
     const over =
-      d === 'list' || d === 'workers' || d === 'scaler'
+      duty === 'list' || duty === 'workers' || duty === 'scaler'
         ? 'workers'
-        : d === 'ledger' || d === 'leases'
+        : duty === 'ledger' || duty === 'leases'
           ? 'controllers'
           : 'nodes';
-    addMeasure(role, `${d}: messages`, '/s', over, (r) => r.quiet.roles[role].duties[d]?.messages ?? 0);
-    addMeasure(role, `${d}: bytes`, 'B/s', over, (r) => r.quiet.roles[role].duties[d]?.bytes ?? 0);
+    addMeasure(role, `${duty}: messages`, '/s', over, (r) => r.quiet.roles[role].duties[duty]?.messages ?? 0);
+    addMeasure(role, `${duty}: bytes`, 'B/s', over, (r) => r.quiet.roles[role].duties[duty]?.bytes ?? 0);
   }
   addMeasure(role, 'all: bytes between regions', 'B/s', 'nodes', (r) =>
     sum(r.quiet.roles[role].duties, duties, 'betweenRegions'),
@@ -53,8 +53,8 @@
   Math.max(...r.burst.map((c) => c.inForceMs ?? NaN)),
 );
 
-function median(xs) {
-  const sorted = xs.filter((x) => x !== null).sort((a, b) => a - b);
+function median(values) {
+  const sorted = values.filter((value) => value !== null).sort((a, b) => a - b);
   return sorted[Math.floor((sorted.length - 1) / 2)] ?? NaN;
 }
 
@@ -64,38 +64,40 @@
 ];
 
 /** Fits a line to each measure over the recorded runs and evaluates it at the design size. */
-export function computeSlopes(all) {
+export function computeSlopes(records) {
   const out = [];
-  for (const m of MEASURES_BY_PROCESS) {
+  for (const measure of MEASURES_BY_PROCESS) {
     const line = fitLine(
-      all.flatMap((r) => r.quiet.roles.proxy.rss.filter((p) => p.cpuMsS !== undefined).map((p) => [p.count, m.of(p)])),
+      records.flatMap((r) =>
+        r.quiet.roles.proxy.rss.filter((p) => p.cpuMsS !== undefined).map((p) => [p.count, measure.of(p)]),
+      ),
     );
     if (line)
       out.push({
         role: 'proxy',
-        what: m.what,
-        unit: m.unit,
+        what: measure.what,
+        unit: measure.unit,
         over: 'proxies in a process',
         base: line.intercept,
         slope: line.slope,
         spread: line.standardError,
-        runs: all.length,
+        runs: records.length,
         atDesign: null,
         errorAtDesign: null,
         measuredAtDesign: [],
       });
   }
-  for (const m of MEASURES) {
-    const points = all.map((r) => [r.options[m.over], m.of(r)]).filter(([, y]) => Number.isFinite(y));
+  for (const measure of MEASURES) {
+    const points = records.map((r) => [r.options[measure.over], measure.of(r)]).filter(([, y]) => Number.isFinite(y));
     const line = fitLine(points);
     if (!line) continue;
-    const designSize = DESIGN_SIZE[m.over];
-    const measurements = points.filter(([x]) => x === designSize).map(([, y]) => y);
+    const designSize = DESIGN_SIZE[measure.over];
+    const measurements = points.filter(([size]) => size === designSize).map(([, y]) => y);
     out.push({
-      role: m.role,
-      what: m.what,
-      unit: m.unit,
-      over: m.over,
+      role: measure.role,
+      what: measure.what,
+      unit: measure.unit,
+      over: measure.over,
       base: line.intercept,
       slope: line.slope,
       spread: line.standardError,
@@ -108,10 +110,10 @@
   return out;
 }
 
-function formatNumber(x) {
-  if (x === null || x === undefined) return '—';
-  const abs = Math.abs(x);
-  return abs >= 100 ? x.toFixed(0) : abs >= 1 ? x.toFixed(2) : abs === 0 ? '0' : x.toPrecision(2);
+function formatNumber(value) {
+  if (value === null || value === undefined) return '—';
+  const abs = Math.abs(value);
+  return abs >= 100 ? value.toFixed(0) : abs >= 1 ? value.toFixed(2) : abs === 0 ? '0' : value.toPrecision(2);
 }
 
 /** Formats the fitted lines as a table in Markdown. */
--- a/tools/claims.mjs
+++ b/tools/claims.mjs
@@ -51,7 +51,7 @@
   process.stdout.write(`| ${name} | ${value} |\n`);
 }
 
-const before = process.memoryUsage();
+const memoryBefore = process.memoryUsage();
 const claimTable = await openClaims(1);
 const firstBornMs = 500_000 * HOUR_MS;
 const batch = 400;
@@ -71,16 +71,19 @@
     claims,
   });
   durationsMs.push(performance.now() - from);
-  if (response.kind !== 'claimAnswer' || response.answers.some((a) => a.tag !== 'claimed'))
+  if (response.kind !== 'claimAnswer' || response.answers.some((answer) => answer.tag !== 'claimed'))
     throw new Error('a claim was not granted');
 }
 const elapsedS = (performance.now() - startedAt) / 1_000;
 globalThis.gc?.();
-const after = process.memoryUsage();
+const memoryAfter = process.memoryUsage();
 durationsMs.sort((a, b) => a - b);
 printRow('keys held', claimTable.size());
-printRow('memory beside an empty process, MiB', ((after.rss - before.rss) / 2 ** 20).toFixed(0));
-printRow('of it buffers of the table, MiB', ((after.arrayBuffers - before.arrayBuffers) / 2 ** 20).toFixed(0));
+printRow('memory beside an empty process, MiB', ((memoryAfter.rss - memoryBefore.rss) / 2 ** 20).toFixed(0));
+printRow(
+  'of it buffers of the table, MiB',
+  ((memoryAfter.arrayBuffers - memoryBefore.arrayBuffers) / 2 ** 20).toFixed(0),
+);
 printRow(
   'disk set aside, MiB',
   (
--- a/tools/clean-build.sh
+++ b/tools/clean-build.sh
@@ -1,7 +1,6 @@
 #!/usr/bin/env bash
-# Runs the build line of deploy/system.toml as a machine would that has nothing but the
-# system packages listed there: missing ones are installed, and the PATH of the build
-# holds only their programs, the shell and env.
+# Runs the build command of deploy/system.toml as on a machine that has only the system packages listed there. Missing
+# packages are installed; the PATH of the build contains only their programs, sh and env.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -29,4 +28,4 @@
 done
 
 PATH="$programs" sh -c "$(deploy_value build | sed 's/^"//; s/"$//')"
-echo "Built with the programs of: ${packages[*]}"
+echo "Built with only the programs of these packages: ${packages[*]}"
--- a/tools/soak.mjs
+++ b/tools/soak.mjs
@@ -100,7 +100,7 @@
       process.stdout.write(`${shape} ${kind}: recovered after ms ${spread(recoveryMs)}\n`);
     }
     process.stdout.write(
-      `${shape} in force: ${(shapeResults.reduce((n, result) => n + result.watchedMs, 0) / 1000).toFixed(0)} s of node time observed\n`,
+      `${shape} in force: ${(shapeResults.reduce((total, result) => total + result.watchedMs, 0) / 1000).toFixed(0)} s of node time observed\n`,
     );
   }
   process.exit(heldCount === results.length ? 0 : 1);
--- a/tools/trial.mjs
+++ b/tools/trial.mjs
@@ -61,10 +61,10 @@
   if (!isMet) failures += 1;
 }
 async function measureUntil(description, timeoutS, condition) {
-  const from = performance.now();
-  while (performance.now() - from < timeoutS * 1000) {
+  const startedAt = performance.now();
+  while (performance.now() - startedAt < timeoutS * 1000) {
     if (await condition().catch(() => false)) {
-      const ms = Math.round(performance.now() - from);
+      const ms = Math.round(performance.now() - startedAt);
       recoveryTimes.push([description, ms]);
       log(`${description}: ${ms} ms`);
       return;
@@ -77,12 +77,12 @@
 function readJournals(prefix) {
   const folder = join(FOLDER, 'journals');
   return readdirSync(folder)
-    .filter((f) => f.startsWith(prefix))
-    .flatMap((f) =>
-      readFileSync(join(folder, f), 'utf8')
+    .filter((fileName) => fileName.startsWith(prefix))
+    .flatMap((fileName) =>
+      readFileSync(join(folder, fileName), 'utf8')
         .split('\n')
         .slice(0, -1)
-        .map((l) => JSON.parse(l)),
+        .map((line) => JSON.parse(line)),
     );
 }
 const isServing = (name) => async () => (await statusOf(name)).fresh;
@@ -130,12 +130,12 @@
   async evacuation() {
     const zone = zones[0];
     expect('evacuation acknowledged', (await runAdmin('evacuate', zone)) === 0);
-    const from = Date.now() + 5_000;
+    const deadline = Date.now() + 5_000;
     await sleep(10_000);
-    const to = Date.now();
+    const restoredAt = Date.now();
     expect('restore acknowledged', (await runAdmin('restore', zone)) === 0);
     const lateArrivals = readJournals('').filter(
-      (r) => r.who === 'worker' && r.event === 'arrived' && r.zone === zone && r.at > from && r.at < to,
+      (r) => r.who === 'worker' && r.event === 'arrived' && r.zone === zone && r.at > deadline && r.at < restoredAt,
     );
     expect('no request reached the evacuated zone', lateArrivals.length === 0, `${lateArrivals.length} did`);
   },
@@ -248,11 +248,11 @@
     for (const n of lostNodes) await runFleetCommand('kill', n.name);
     await sleep(4_000);
     for (const n of lostNodes) await runFleetCommand('restart', n.name);
-    const from = Date.now();
+    const startedAt = Date.now();
     await measureUntil('region lost and back cold: its proxy serves', 12, isServing(nodesOf('proxy', zone)[0].name));
     await measureUntil('… its controller is whole', 12, () => hasRejoined(nodesOf('controller', zone)[0].name));
     await measureUntil('… a worker of it answers a request', 12, async () =>
-      readJournals('').some((r) => r.who === 'worker' && r.zone === zone && r.event === 'end' && r.at > from),
+      readJournals('').some((r) => r.who === 'worker' && r.zone === zone && r.event === 'end' && r.at > startedAt),
     );
   },
   async allKilled() {
