--- a/tools/bench.mjs
+++ b/tools/bench.mjs
@@ -19,7 +19,7 @@
   process.exit(2);
 }
 
-async function fleet(args, extraEnv = {}) {
+async function runFleetCommand(args, extraEnv = {}) {
   const env = { ...process.env, FLEET_FOLDER: FOLDER, FLEET_PORT: '23000', ...extraEnv };
   const code = await runNodeScript(join(ROOT, 'tools/fleet.mjs'), args, {
     env,
@@ -34,7 +34,7 @@
     readFileSync(join(folder, fileName), 'utf8')
       .split('\n')
       .filter(Boolean)
-      .map((l) => JSON.parse(l)),
+      .map((line) => JSON.parse(line)),
   );
 }
 
@@ -74,16 +74,16 @@
 }
 
 async function runOnce(withoutPolicy) {
-  await fleet(['start', shapeName], withoutPolicy ? { FLEET_WITHOUT: withoutPolicy } : {});
+  await runFleetCommand(['start', shapeName], withoutPolicy ? { FLEET_WITHOUT: withoutPolicy } : {});
   isFleetUp = true;
   try {
     const state = JSON.parse(readFileSync(join(FOLDER, 'fleet.json'), 'utf8'));
-    await fleet(['load', shapeName, secondsText, rate]);
+    await runFleetCommand(['load', shapeName, secondsText, rate]);
     const figures = callerFigures(readJournals());
     const claim = await measureClaimCost(state, SHAPES[shapeName]);
     return { ...figures, claimOnce: claim.once, claimAgain: claim.again, inForce: await measureChangeInForce(state) };
   } finally {
-    await fleet(['stop']);
+    await runFleetCommand(['stop']);
     isFleetUp = false;
   }
 }
@@ -126,6 +126,8 @@
 for (const name of ['allPowerLost', 'holderLost', 'diskLost', 'regionIsolated', 'reclaimedMidStream']) {
   const results = [];
   for (let seed = 1; seed <= Number(runsText); seed += 1) results.push(await playScenario(name, seed));
-  process.stdout.write(`${`recovery, simulated: ${name}, ms`.padEnd(52)} ${spread(results.map((e) => e.recoverMs))}\n`);
+  process.stdout.write(
+    `${`recovery, simulated: ${name}, ms`.padEnd(52)} ${spread(results.map((result) => result.recoverMs))}\n`,
+  );
 }
 await shutdown(0);
--- a/tools/capacity/children.mjs
+++ b/tools/capacity/children.mjs
@@ -32,9 +32,9 @@
       stdio: ['pipe', out, out],
     });
     proc.stdin.on('error', () => {});
-    const entry = { ...child, proc, pid: proc.pid, gone: false };
+    const entry = { ...child, proc, pid: proc.pid, hasExited: false };
     proc.on('exit', () => {
-      entry.gone = true;
+      entry.hasExited = true;
       running.delete(child.name);
     });
     running.set(child.name, entry);
@@ -42,7 +42,7 @@
   }
 
   function sendLine(child, line) {
-    if (!child.gone) child.proc.stdin.write(`${line}\n`);
+    if (!child.hasExited) child.proc.stdin.write(`${line}\n`);
   }
 
   function stopAll() {
@@ -52,9 +52,9 @@
   async function terminateAll() {
     const remaining = [...running.values()];
     for (const c of remaining) c.proc.kill('SIGTERM');
-    for (let i = 0; i < 100 && remaining.some((c) => !c.gone); i += 1) await sleep(100);
-    for (const c of remaining) if (!c.gone) c.proc.kill('SIGKILL');
-    for (let i = 0; i < 20 && remaining.some((c) => !c.gone); i += 1) await sleep(100);
+    for (let i = 0; i < 100 && remaining.some((c) => !c.hasExited); i += 1) await sleep(100);
+    for (const c of remaining) if (!c.hasExited) c.proc.kill('SIGKILL');
+    for (let i = 0; i < 20 && remaining.some((c) => !c.hasExited); i += 1) await sleep(100);
   }
   function killAll() {
     for (const c of running.values()) c.proc.kill('SIGKILL');
@@ -63,7 +63,7 @@
 
   function totalMemory() {
     let total = 0;
-    for (const c of running.values()) total += readProcessStats(c.pid)?.own ?? 0;
+    for (const c of running.values()) total += readProcessStats(c.pid)?.anonymous ?? 0;
     return total;
   }
   function isWithinMemoryLimit() {
@@ -83,7 +83,7 @@
     return {
       cpuS: (Number(stat[11]) + Number(stat[12])) / CLOCK_TICKS_PER_SECOND,
       rss: bytesOf('VmRSS'),
-      own: bytesOf('RssAnon'),
+      anonymous: bytesOf('RssAnon'),
       peak: bytesOf('VmHWM'),
     };
   } catch {
--- a/tools/capacity/run.mjs
+++ b/tools/capacity/run.mjs
@@ -106,7 +106,7 @@
         ns: Number(process.hrtime.bigint()),
         load: null,
         parts: processes
-          .filter((p) => !p.gone)
+          .filter((p) => !p.hasExited)
           .map((p) => ({
             name: p.name,
             role: p.role,
@@ -149,23 +149,23 @@
       };
     }
     function inForceMs(change, observers = proxyProcesses) {
-      let last = 0;
+      let latestMs = 0;
       for (const p of observers) {
-        if (p.gone) continue;
+        if (p.hasExited) continue;
         const tally = readTally(p);
         const appliedTimes = Object.entries(tally?.extra?.inForceAt ?? {})
           .filter(([e]) => Number(e) >= change.version)
           .map(([, ms]) => ms - tally.at + tally.hostMs);
         if (appliedTimes.length === 0) return null;
-        last = Math.max(last, Math.min(...appliedTimes));
+        latestMs = Math.max(latestMs, Math.min(...appliedTimes));
       }
-      return Math.round(last - change.from);
+      return Math.round(latestMs - change.from);
     }
-    async function makeChanges(list, n, pauseMs) {
+    async function makeChanges(changeList, n, pauseMs) {
       let base = await readVersion();
       for (let i = 0; i < n; i += 1) {
         const change = await amendConfiguration(i, base);
-        list.push(change);
+        changeList.push(change);
         base = change.version ?? (await readVersion());
         if (pauseMs > 0) await sleep(pauseMs);
       }
@@ -205,7 +205,7 @@
     let lost = null;
     if (zoneLoss) {
       const zone = plan.zones[1].zone;
-      const killed = processes.filter((p) => p.at.zone === zone && !p.gone);
+      const killed = processes.filter((p) => p.at.zone === zone && !p.hasExited);
       const deadNames = new Set();
       const window = await measureWindow(12, async () => {
         const startedAt = performance.now();
--- a/tools/demo.mjs
+++ b/tools/demo.mjs
@@ -54,7 +54,7 @@
   );
 }
 
-function isFree(port) {
+function isPortFree(port) {
   return new Promise((resolve) => {
     const server = createServer();
     server.once('error', () => resolve(false));
@@ -63,7 +63,7 @@
 }
 async function findFreeBasePort() {
   for (let basePort = 27_000; basePort < 32_000; basePort += PORT_COUNT) {
-    const free = await Promise.all(Array.from({ length: PORT_COUNT }, (_, i) => isFree(basePort + i)));
+    const free = await Promise.all(Array.from({ length: PORT_COUNT }, (_, i) => isPortFree(basePort + i)));
     if (free.every(Boolean)) return basePort;
   }
   process.stderr.write('found no block of 100 free ports between 27000 and 32000\n');
@@ -89,7 +89,7 @@
   return value === null ? 'none' : `${Math.round(value)} ms`;
 }
 
-function showProgress() {
+function startProgress() {
   const startedAt = performance.now();
   const timer = setInterval(printProgress, 1_000);
   function printProgress() {
@@ -129,23 +129,23 @@
   FLEET_FOLDER: FOLDER,
   FLEET_PORT: process.env.FLEET_PORT ?? String(await findFreeBasePort()),
 };
-function fleet(...args) {
+function runFleetCommand(...args) {
   return runNodeScript(join(ROOT, 'tools/fleet.mjs'), args, { env, stdio: ['ignore', 'ignore', 'inherit'] });
 }
 process.stdout.write(
   `Starting the fleet ${shapeName} on loopback from port ${env.FLEET_PORT}; its logs and journals are in ${FOLDER}.\n`,
 );
-if ((await fleet('start', shapeName)) !== 0) await shutdown(1);
+if ((await runFleetCommand('start', shapeName)) !== 0) await shutdown(1);
 onShutdown(() => stopFleet(FOLDER));
 const { nodes } = JSON.parse(readFileSync(join(FOLDER, 'fleet.json'), 'utf8'));
 process.stdout.write(
   `${nodes.length} processes are serving after ${((performance.now() - startedAt) / 1_000).toFixed(1)} s.\n`,
 );
 
-const stopProgress = showProgress();
-const loadExitCode = await fleet('load', shapeName, String(seconds), rateText);
+const stopProgress = startProgress();
+const loadExitCode = await runFleetCommand('load', shapeName, String(seconds), rateText);
 stopProgress();
-await fleet('stop');
+await runFleetCommand('stop');
 const check = checkJournals();
 const figures = callerFigures(readJournals());
 const rulesHeld = check.code === 0 && check.broken.length === 0;
--- a/tools/experiment.mjs
+++ b/tools/experiment.mjs
@@ -28,8 +28,8 @@
   const plan = parsePlan(readFileSync(positionals[0], 'utf8'));
   if (plan.backend === 'bench' && !values.bench) throw new PlanError(['backend: the bench needs --bench PROGRAM']);
   mkdirSync(values.out, { recursive: true });
-  const play = plan.backend === 'bench' ? createBenchRunner(values.bench, values.out, plan) : runOnEngine;
-  const failures = await runAll(plan, values.out, play);
+  const runTrial = plan.backend === 'bench' ? createBenchRunner(values.bench, values.out, plan) : runOnEngine;
+  const failures = await runAll(plan, values.out, runTrial);
   const results = readResults(plan, values.out);
   const table = formatTable(plan, pairedDifferences(plan, results));
   writeAtomically(join(values.out, `${plan.name}.md`), table);
@@ -44,15 +44,15 @@
 }
 
 /** Makes the runs that have no result yet in the order of the plan, `jobs` at a time; returns the error messages. */
-async function runAll(plan, out, play) {
+async function runAll(plan, out, runTrial) {
   const runs = listRuns(plan);
   const remaining = runs.filter((run) => !existsSync(resultPath(out, run)));
   const failures = [];
-  let done = runs.length - remaining.length;
+  let completedCount = runs.length - remaining.length;
   async function worker() {
     for (let run = remaining.shift(); run; run = remaining.shift()) {
       try {
-        const figures = await play(run);
+        const figures = await runTrial(run);
         const result = {
           candidate: run.candidate.name,
           tuning: run.candidate.tuning,
@@ -65,8 +65,8 @@
       } catch (error) {
         failures.push(`${run.key}: ${error.message}`);
       }
-      done += 1;
-      process.stderr.write(`${done} of ${runs.length}: ${run.key}\n`);
+      completedCount += 1;
+      process.stderr.write(`${completedCount} of ${runs.length}: ${run.key}\n`);
     }
   }
   await Promise.all(Array.from({ length: plan.jobs }, worker));
--- a/tools/replay.mjs
+++ b/tools/replay.mjs
@@ -12,7 +12,7 @@
 function printRow(trace, buyer, rule, label) {
   const results = Array.from({ length: seeds }, (_, i) => replay(makeTrace(trace, i + 1, hours), buyer, rule));
   process.stdout.write(
-    `| ${trace} | ${label} | ${spread(results.map((e) => e.cost))} | ${spread(results.map((e) => e.availability))} | ${spread(results.map((e) => e.preemptions))} |\n`,
+    `| ${trace} | ${label} | ${spread(results.map((result) => result.cost))} | ${spread(results.map((result) => result.availability))} | ${spread(results.map((result) => result.preemptions))} |\n`,
   );
 }
 process.stdout.write(
@@ -31,6 +31,6 @@
     replay(makeTrace('calm', i + 1, hours), 'skyserve', { target: 2, nExtra: 2, holdS, hours, demand: dayOf(i + 1) }),
   );
   process.stdout.write(
-    `| ${holdS} s | ${spread(results.map((e) => e.cost))} | ${spread(results.map((e) => e.availability))} | ${spread(results.map((e) => e.launches))} |\n`,
+    `| ${holdS} s | ${spread(results.map((result) => result.cost))} | ${spread(results.map((result) => result.availability))} | ${spread(results.map((result) => result.launches))} |\n`,
   );
 }
--- a/tools/runbooks.mjs
+++ b/tools/runbooks.mjs
@@ -141,7 +141,7 @@
     ? readFileSync(record, 'utf8')
         .split('\n')
         .filter(Boolean)
-        .map((l) => JSON.parse(l))
+        .map((line) => JSON.parse(line))
     : [];
 }
 async function runInterrupted(args, record) {
@@ -206,7 +206,7 @@
   );
 await shutdown(
   results.every((r) => r[1] === 'done' && r[2] > 0 && r[3] === 0) &&
-    Object.values(resultsWithoutMajority).every((u) => u.startsWith('refused'))
+    Object.values(resultsWithoutMajority).every((outcome) => outcome.startsWith('refused'))
     ? 0
     : 1,
 );
--- a/tools/site-soak.mjs
+++ b/tools/site-soak.mjs
@@ -79,11 +79,11 @@
 
 /** Plays each seed in a child process of its own, in ascending order of the seeds. */
 async function runSeeds(options) {
-  let next = options.from;
+  let nextSeed = options.from;
   let failed = 0;
   async function runNextSeeds() {
-    while (next <= options.to) {
-      const seed = next++;
+    while (nextSeed <= options.to) {
+      const seed = nextSeed++;
       const childArgs = ['--seeds', `${seed}..${seed}`, '--built', '--only', options.only.join(',')];
       for (const name of ['seconds', 'rate', 'edges', 'out']) childArgs.push(`--${name}`, options[name]);
       if ((await run(process.execPath, [join(ROOT, 'tools/site.mjs'), 'soak', ...childArgs])) !== 0) failed += 1;
