--- a/src/coordination/consensus/snapshots.test.ts
+++ b/src/coordination/consensus/snapshots.test.ts
@@ -45,7 +45,7 @@
       if (kind === 'snapshotAsk') senders.set(address, handler as RequestHandler);
     };
     const sender = createSnapshotSender({
-      peers: { on: on },
+      peers: { on },
       clock,
       log,
       controlState: () => state,
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -157,7 +157,7 @@
       seeds: nodeIdentity.seeds,
       knownAddresses: knownControllers,
       bootstrapMembers: storedIdentity.bootstrapMembers,
-      renewIncarnation: renewIncarnation,
+      renewIncarnation,
       wasMember: storedIdentity.wasMember,
       recordMembership: recordMember,
       keepsClaims: nodeIdentity.claims !== false,
@@ -167,7 +167,7 @@
     disk,
     shape: shapes.ledger,
     log,
-    renewIncarnation: renewIncarnation,
+    renewIncarnation,
     memberId: ownId,
   });
   if (!openedLedger.ok) return openedLedger;
@@ -182,7 +182,7 @@
           disk,
           shape: shapes.claims,
           log,
-          renewIncarnation: renewIncarnation,
+          renewIncarnation,
           memberId: ownId,
         });
   if (!claims.ok) {
--- a/src/sim/invariant-checker.ts
+++ b/src/sim/invariant-checker.ts
@@ -345,7 +345,7 @@
     read,
     evacuated,
     restored,
-    checkRecords: checkRecords,
+    checkRecords,
     watchedMs,
   };
 }
--- a/src/sim/sim-http.ts
+++ b/src/sim/sim-http.ts
@@ -192,7 +192,7 @@
           headers: { ...call.headers },
           body: jsonCopy(call.body),
           gone,
-          arrivedAt: arrivedAt,
+          arrivedAt,
         };
         const earlyReply = route.earlyReply?.({ ...req, body: undefined });
         if (!earlyReply) onBody(httpServer.proc.host, path, req.body);
--- a/src/sim/sim-ledger.ts
+++ b/src/sim/sim-ledger.ts
@@ -91,9 +91,9 @@
     controlState,
     entryBytes,
     fold,
-    ledgerWithDelay: ledgerWithDelay,
+    ledgerWithDelay,
     cut,
-    dropReplies: dropReplies,
+    dropReplies,
     run,
   };
 }
--- a/src/sim/sim-wire.ts
+++ b/src/sim/sim-wire.ts
@@ -248,5 +248,5 @@
   function sent(): { readonly frames: number; readonly bytes: number } {
     return { frames, bytes };
   }
-  return { wireOf, sent, setFrameDisturbance: setFrameDisturbance, rates };
+  return { wireOf, sent, setFrameDisturbance, rates };
 }
--- a/src/sim/world.ts
+++ b/src/sim/world.ts
@@ -260,7 +260,7 @@
     at,
     host,
     hosts: allHosts,
-    startProcess: startProcess,
+    startProcess,
     alive,
     clockOf,
     run,
--- a/src/transport/connection-pool.test.ts
+++ b/src/transport/connection-pool.test.ts
@@ -387,7 +387,7 @@
   const events: string[] = [];
   const attempt = pool.send(
     {
-      address: address,
+      address,
       method: 'POST',
       target: '/first',
       headers: () => ['Host', 'h'],
--- a/standin-platform/caller.ts
+++ b/standin-platform/caller.ts
@@ -313,7 +313,7 @@
   function getInFlightCount(): number {
     return inFlightCount;
   }
-  return { call, callEdge: callEdge, resolved: resolveAddresses, inFlight: getInFlightCount, close };
+  return { call, callEdge, resolved: resolveAddresses, inFlight: getInFlightCount, close };
 }
 
 /** Tells whether the platform allows another attempt after this result. */
--- a/standin-platform/contact.ts
+++ b/standin-platform/contact.ts
@@ -90,5 +90,5 @@
   function inTouchWithMajority(edge: string, from: number, at: number): boolean {
     return isStable(edge, at) && !overlapsAny(majorityLost, from, at);
   }
-  return { inTouch, inTouchWithMajority: inTouchWithMajority };
+  return { inTouch, inTouchWithMajority };
 }
--- a/standin-platform/list.ts
+++ b/standin-platform/list.ts
@@ -155,5 +155,5 @@
   function getRequestCount(): number {
     return requestCount;
   }
-  return { address, publish: publish, remove: remove, setFault: setFault, requestCount: getRequestCount, stop };
+  return { address, publish, remove, setFault, requestCount: getRequestCount, stop };
 }
--- a/standin-platform/operator.ts
+++ b/standin-platform/operator.ts
@@ -132,5 +132,5 @@
     records.add({ what: 'readBack', document: reply?.body ?? null });
     return reply?.body ?? null;
   }
-  return { replace, amend, replaceRaw: replaceRaw, evacuate, read };
+  return { replace, amend, replaceRaw, evacuate, read };
 }
--- a/standin-platform/records.ts
+++ b/standin-platform/records.ts
@@ -231,7 +231,7 @@
     }
     return new Promise<JournalRecord>(register);
   }
-  return { add: add, all, of: ofType, until: waitFor };
+  return { add, all, of: ofType, until: waitFor };
 }
 
 /** Returns the records with this value of `what`. */
--- a/standin-platform/worker.ts
+++ b/standin-platform/worker.ts
@@ -327,7 +327,7 @@
 
   function recordRan(job: Omit<QueuedRequest, 'admit'>): string {
     const seal = sealOf(job);
-    records.add({ what: 'ran', visit: job.id, attempt: job.attempt, digest: job.digest, seal: seal });
+    records.add({ what: 'ran', visit: job.id, attempt: job.attempt, digest: job.digest, seal });
     return seal;
   }
   function recordFinished(
@@ -340,7 +340,7 @@
     records.add({
       what: 'finished',
       visit: job.id,
-      seal: seal,
+      seal,
       status,
       digest,
       end: end === 'dropped' && job.incarnation !== incarnation ? 'crashed' : end,
@@ -559,12 +559,12 @@
     drain,
     crash,
     end,
-    setUnresponsive: setUnresponsive,
+    setUnresponsive,
     startColdPeriod,
     fault: setFault,
     setAlwaysHealthy,
     loadWeights,
-    resetIdleConnections: resetIdleConnections,
+    resetIdleConnections,
     running: getActiveCount,
   };
 }
