--- a/src/sim/sim-core.ts
+++ b/src/sim/sim-core.ts
@@ -170,7 +170,7 @@
       logs,
       policies: POLICIES,
       meters: createMeters,
-      listReader: shape.listReader?.(world.clockOf(proc), node.host) ?? null,
+      workerListReader: shape.listReader?.(world.clockOf(proc), node.host) ?? null,
     };
     const identity = {
       name: node.name,
--- a/src/standin/cloud.ts
+++ b/src/standin/cloud.ts
@@ -18,8 +18,8 @@
 import type { Address, WireError } from '../transport/wire.js';
 
 /**
- * Addresses and prices. With `ignoresIdempotencyKeys` an order that is sent again rents a second machine; a machine is listed
- * `listLagMs` after its order.
+ * Addresses and prices. With `ignoresIdempotencyKeys` an order that is sent again rents a second machine; a machine is
+ * listed `listLagMs` after its order.
  */
 export type CloudSettings = {
   readonly address: Address;
