--- a/src/coordination/forwarding/relay.ts
+++ b/src/coordination/forwarding/relay.ts
@@ -1,6 +1,6 @@
 /**
  * Forwards requests of the opaque HTTP server: matches the route, waits for a worker, sends the request, forwards the
- * response, and retries at another worker if `decide` allows it. A run-once request is sent again only if nothing was
+ * response, and retries at another worker if `decideAfterAttempt` allows it. A run-once request is sent again only if nothing was
  * written, or if its worker stated under the id of the attempt that it did not run it (docs/repeats.md).
  */
 import { describeError } from '../../base/describe-error.js';
@@ -31,7 +31,7 @@
 import { createWorkerQueue } from './worker-queue.js';
 import type { ReservedWorker, WorkerQueue } from './worker-queue.js';
 
-/** Dependencies of the relay; `table` returns null until the routes are known. */
+/** Dependencies of the relay; `routeTable` returns null until the routes are known. */
 export type RelayDeps = {
   readonly headerNames: HeaderNames;
   readonly tuning: EdgeTuning;
--- a/src/runbook/run.ts
+++ b/src/runbook/run.ts
@@ -39,7 +39,7 @@
   | { readonly tag: 'done' | 'wouldDo' }
   | { readonly tag: 'stopped'; readonly step: Step; readonly outcome: StepOutcome; readonly seen: string };
 
-/** Dependencies of a run; `before` holds the records of earlier runs, oldest first. */
+/** Dependencies of a run; `previousRecords` holds the records of earlier runs, oldest first. */
 export type RunDeps = {
   readonly core: CoreClient;
   readonly clock: Clock;
--- a/src/sim/sim-disk.ts
+++ b/src/sim/sim-disk.ts
@@ -10,7 +10,7 @@
 
 /**
  * Content of a simulated disk. `full`: no file can be created or replaced; `failing`: writes and syncs fail with EIO;
- * `lies`: syncs are acknowledged without making anything durable.
+ * `ignoresSyncs`: syncs are acknowledged without making anything durable.
  */
 export type Platter = {
   readonly files: Map<string, FileState>;
--- a/src/sim/world.ts
+++ b/src/sim/world.ts
@@ -15,7 +15,7 @@
 
 /**
  * A simulated machine. `life` counts the processes that ran on it; `frozen` pauses the process, whose callbacks wait in
- * `parked`; `wallOffset` shifts its wall clock, in milliseconds.
+ * `deferredCallbacks`; `wallOffset` shifts its wall clock, in milliseconds.
  */
 export type Host = {
   readonly name: string;
--- a/src/state/scaling/scaler-observation.ts
+++ b/src/state/scaling/scaler-observation.ts
@@ -24,7 +24,7 @@
 export type Price = { readonly spot: number; readonly onDemand: number };
 
 /**
- * Input of one tick. The lists are at least as new as the log slot `asOf`. `failedIn` has the zones where a spot launch
+ * Input of one tick. The lists are at least as new as the log slot `asOfSlot`. `failedSpotZones` has the zones where a spot launch
  * failed for lack of capacity since the last tick, `knownMachines` the machines that the cloud has listed before.
  */
 export type ScalerObservation = {
--- a/src/transport/http.ts
+++ b/src/transport/http.ts
@@ -31,7 +31,7 @@
   readonly lines?: AsyncIterable<unknown>;
 };
 
-/** A handler of one method and path. `gate` may reject a request by its headers, before the body is read. */
+/** A handler of one method and path. `earlyReply` may reject a request by its headers, before the body is read. */
 export type Route = {
   readonly method: 'GET' | 'POST' | 'DELETE';
   readonly path: string;
--- a/src/transport/wire.ts
+++ b/src/transport/wire.ts
@@ -21,7 +21,7 @@
   | { readonly tag: 'addressInUse'; readonly address: Address }
   | { readonly tag: 'badAddress'; readonly address: Address };
 
-/** Events of a connection. `heard` is called for any bytes received, also those of an incomplete frame. */
+/** Events of a connection. `bytesReceived` is called for any bytes received, also those of an incomplete frame. */
 export type ConnectionEvents = {
   readonly frame: (body: unknown) => void;
   readonly closed: () => void;
