--- a/src/sim/engine/engine-day.test.ts
+++ b/src/sim/engine/engine-day.test.ts
@@ -9,7 +9,7 @@
 const SEEDS = [3, 8, 14];
 const LENGTH_MS = 6_000;
 
-function played(over: Partial<EngineDayOptions> = {}): EngineDayResult[] {
+function runDays(over: Partial<EngineDayOptions> = {}): EngineDayResult[] {
   return SEEDS.map((seed) => playEngineDay(drawDeployment(seed, LENGTH_MS), { seed, tuning: EDGE_TUNING, ...over }));
 }
 function meanOf(results: readonly EngineDayResult[], figure: (result: EngineDayResult) => number): number {
@@ -22,10 +22,10 @@
   return result.worth;
 }
 
-/** The days with the tuning in use, played once for all tests. */
-const today = played();
+/** Results with the default tuning, simulated once for all tests. */
+const baseline = runDays();
 
-test('the same seed plays the same day, and every request ends', () => {
+test('the same seed gives the same day, and every request ends', () => {
   const deployment = drawDeployment(5, LENGTH_MS);
   const first = playEngineDay(deployment, { seed: 1, tuning: EDGE_TUNING });
   expect(playEngineDay(deployment, { seed: 1, tuning: EDGE_TUNING })).toEqual(first);
@@ -33,18 +33,18 @@
   expect(first.unserved).toBe(0);
 });
 
-test('on drawn deployments placement stays within a tenth of what the true state of all workers would allow', () => {
-  const here = meanOf(today, worthOf);
-  const bound = meanOf(played({ mode: 'omniscient' }), worthOf);
-  expect(here).toBeGreaterThan(bound - 0.1);
+test('on drawn deployments the worth is at most 0.1 below that of selection by the true state of all workers', () => {
+  const worth = meanOf(baseline, worthOf);
+  const bound = meanOf(runDays({ mode: 'omniscient' }), worthOf);
+  expect(worth).toBeGreaterThan(bound - 0.1);
 });
 
-test('loads as old as two relays of 600 ms make them are worth less than those of today', () => {
-  const here = meanOf(today, worthOf);
-  expect(here).toBeGreaterThan(meanOf(played({ loadMs: 300, relayMs: 600 }), worthOf));
+test('loads that are delayed by two relays of 600 ms give less worth than the default intervals', () => {
+  const here = meanOf(baseline, worthOf);
+  expect(here).toBeGreaterThan(meanOf(runDays({ loadMs: 300, relayMs: 600 }), worthOf));
 });
 
-test('without a price of reading again more is read again', () => {
-  const without = played({ tuning: { ...EDGE_TUNING, sharedMs: 0 } });
-  expect(meanOf(today, rereadOf)).toBeLessThan(meanOf(without, rereadOf));
+test('without a cost of repeated prefill more tokens are prefilled again', () => {
+  const withoutPrice = runDays({ tuning: { ...EDGE_TUNING, sharedMs: 0 } });
+  expect(meanOf(baseline, rereadOf)).toBeLessThan(meanOf(withoutPrice, rereadOf));
 });
--- a/src/sim/engine/engine-day.ts
+++ b/src/sim/engine/engine-day.ts
@@ -1,8 +1,8 @@
 /**
- * A day of a deployment in the engine model: callers ask, proxies place each request with their own
- * registry and tell each other their loads over controllers, workers read and answer. By seed, without
- * sockets or processes. `omniscient` places with the true state of every worker at the moment of choice:
- * what no proxy can know, and so the bound that a policy is measured against.
+ * Simulates a day of a deployment with the engine model: clients send requests, each proxy selects a worker
+ * with its own registry, proxies exchange their loads through controllers, and workers prefill and decode.
+ * Deterministic by seed, without sockets or processes. The mode `omniscient` selects workers by their true state
+ * at that moment, which no proxy can know; it is the upper bound for selection policies.
  */
 
 import { Heap } from 'mnemonist';
@@ -25,35 +25,35 @@
 import { createPromptSource, drawnSize } from './prompt-source.js';
 import type { PromptSource } from './prompt-source.js';
 
-/** How requests are placed: by the registries of the proxies, or with the true state of all workers. */
-export type PlacementMode = 'registry' | 'omniscient';
+/** How workers are selected: by the registries of the proxies, or by the true state of all workers. */
+export type SelectionMode = 'registry' | 'omniscient';
 
-/** Options of a day. */
+/** Options of a simulated day. */
 export type EngineDayOptions = Partial<LoadIntervals> & {
   readonly seed: number;
   readonly tuning: EdgeTuning;
-  readonly mode?: PlacementMode;
+  readonly mode?: SelectionMode;
 };
 
 const MODEL = 'm';
-/** As the proxies report and the controllers relay. */
-const LOAD_MS = 100;
-const RELAY_MS = 100;
-const CLIENT_MS = 1;
-const RETRY_LOOK_MS = 25;
-const QUEUE_AIM_FRACTION = 0.22;
-const CALLER_BACK_MS = 1_000;
-const SECOND_MS = 1_000;
-/** Omniscient placement weighs a token that is read again like so many milliseconds of wait. */
-const OMNISCIENT_REREAD_MS = 0.03;
+/** Default intervals, those at which real proxies report and real controllers relay loads. */
+const REPORT_INTERVAL_MS = 100;
+const RELAY_INTERVAL_MS = 100;
+const CLIENT_DELAY_MS = 1;
+const QUEUE_CHECK_INTERVAL_MS = 25;
+const QUEUE_TARGET_FRACTION = 0.22;
+const CLIENT_RETRY_DELAY_MS = 1_000;
+const MS_PER_SECOND = 1_000;
+/** Cost of a shared token that is prefilled again, as waiting time, in omniscient selection. */
+const OMNISCIENT_REREAD_MS_PER_TOKEN = 0.03;
 
-type Timed = { readonly at: number; readonly order: number; readonly run: () => void };
+type ScheduledEvent = { readonly at: number; readonly order: number; readonly run: () => void };
 
 type ProxyState = {
   readonly deployed: DeployedProxy;
   readonly registry: WorkerRegistry;
 };
-type WorkerState = { readonly deployed: DeployedWorker; readonly engine: EngineWorker; stepping: boolean };
+type WorkerState = { readonly deployed: DeployedWorker; readonly engine: EngineWorker; isStepping: boolean };
 /** A request of the day, from its arrival on. */
 type DayRequest = TalliedRequest & {
   readonly id: number;
@@ -62,12 +62,12 @@
   reservation: Reservation | null;
   lastEventAt: number;
   longestPauseMs: number;
-  firstAt: number | null;
-  returned: boolean;
+  firstEventAt: number | null;
+  hasRetried: boolean;
 };
 
 class EngineDay {
-  private readonly events = new Heap<Timed>((left, right) => left.at - right.at || left.order - right.order);
+  private readonly events = new Heap<ScheduledEvent>((left, right) => left.at - right.at || left.order - right.order);
   private readonly rng: Rng;
   private readonly workers = new Map<string, WorkerState>();
   private readonly proxies: ProxyState[] = [];
@@ -85,7 +85,7 @@
     this.rng = createRng(options.seed);
     this.tally = createEngineTally(deployment);
     const [first] = deployment.workers;
-    const { batch, kvTokens } = (first as DeployedWorker).figures;
+    const { batch, kvTokens } = (first as DeployedWorker).engine;
     this.traits = {
       at: 0,
       probePath: '/h',
@@ -95,16 +95,16 @@
       engine: { batch, kvTokens },
     };
     for (const deployed of deployment.workers)
-      this.workers.set(deployed.id, { deployed, engine: createEngineWorker(deployed.figures), stepping: false });
-    for (const deployed of deployment.proxies) this.proxies.push(this.openProxy(deployed));
+      this.workers.set(deployed.id, { deployed, engine: createEngineWorker(deployed.engine), isStepping: false });
+    for (const deployed of deployment.proxies) this.proxies.push(this.createProxy(deployed));
   }
 
-  private openProxy(deployed: DeployedProxy): ProxyState {
+  private createProxy(deployed: DeployedProxy): ProxyState {
     const registry = createWorkerRegistry({ ...deployed, openConnections: () => 1 }, this.options.tuning);
-    registry.applyList(this.deployment.workers.map(listed), 0);
-    const sharing: Record<string, { region: string }> = {};
-    for (const { name, region } of this.deployment.proxies) sharing[name] = { region };
-    registry.setSharingProxies(sharing);
+    registry.applyList(this.deployment.workers.map(workerEntryOf), 0);
+    const sharingProxies: Record<string, { region: string }> = {};
+    for (const { name, region } of this.deployment.proxies) sharingProxies[name] = { region };
+    registry.setSharingProxies(sharingProxies);
     return { deployed, registry };
   }
 
@@ -119,42 +119,42 @@
     return zone === proxy.deployed.zone ? this.deployment.inZoneMs : this.deployment.crossZoneMs;
   }
 
-  play(): EngineDayResult {
-    for (const kind of this.deployment.kinds) this.awaitArrival(kind, createPromptSource(kind, this.rng));
+  run(): EngineDayResult {
+    for (const kind of this.deployment.kinds) this.scheduleArrival(kind, createPromptSource(kind, this.rng));
     this.startLoadExchange();
     for (let next = this.events.pop(); next; next = this.events.pop()) {
       this.now = next.at;
       next.run();
     }
-    for (const request of this.requests.values()) this.tally.unserved(request);
+    for (const request of this.requests.values()) this.tally.addUnserved(request);
     for (const { engine } of this.workers.values()) this.tally.worker(engine.counts);
     return this.tally.result();
   }
 
   private startLoadExchange(): void {
-    const { loadMs = LOAD_MS, relayMs = RELAY_MS } = this.options;
-    const sharers = this.proxies.map(({ deployed, registry }) => ({ name: deployed.name, registry }));
+    const { loadMs = REPORT_INTERVAL_MS, relayMs = RELAY_INTERVAL_MS } = this.options;
+    const participants = this.proxies.map(({ deployed, registry }) => ({ name: deployed.name, registry }));
     const clock = {
       now: () => this.now,
       after: (ms: number, run: () => void) => this.after(ms, run),
       isOver: () => this.isOver(),
     };
-    startLoadExchange(this.deployment, clock, { loadMs, relayMs }, sharers);
+    startLoadExchange(this.deployment, clock, { loadMs, relayMs }, participants);
   }
 
   private isOver(): boolean {
     return this.now >= this.deployment.lengthMs;
   }
 
-  private awaitArrival(kind: RequestKind, prompts: PromptSource): void {
-    this.after((exponential(this.rng) * SECOND_MS) / kind.perS, () => {
+  private scheduleArrival(kind: RequestKind, prompts: PromptSource): void {
+    this.after((exponential(this.rng) * MS_PER_SECOND) / kind.ratePerSecond, () => {
       if (this.isOver()) return;
-      this.arrive(kind, prompts);
-      this.awaitArrival(kind, prompts);
+      this.onArrival(kind, prompts);
+      this.scheduleArrival(kind, prompts);
     });
   }
 
-  private arrive(kind: RequestKind, prompts: PromptSource): void {
+  private onArrival(kind: RequestKind, prompts: PromptSource): void {
     this.lastId += 1;
     const parts = prompts.next(this.lastId);
     let promptTokens = 0;
@@ -163,7 +163,7 @@
       id: this.lastId,
       kind,
       proxy: pick(this.rng, this.proxies),
-      cameAt: this.now,
+      arrivedAt: this.now,
       parts,
       promptTokens,
       outTokens: drawnSize(this.rng, kind.outTokens),
@@ -171,12 +171,12 @@
       reservation: null,
       lastEventAt: 0,
       longestPauseMs: 0,
-      firstAt: null,
-      returned: false,
+      firstEventAt: null,
+      hasRetried: false,
     };
     this.requests.set(request.id, request);
     this.tally.asked(request);
-    this.after(CLIENT_MS, () => this.place(request, this.now + kind.aimMs * QUEUE_AIM_FRACTION));
+    this.after(CLIENT_DELAY_MS, () => this.dispatch(request, this.now + kind.aimMs * QUEUE_TARGET_FRACTION));
   }
 
   private selectionOf(request: DayRequest): SelectionRequest {
@@ -194,19 +194,21 @@
     };
   }
 
-  private place(request: DayRequest, until: number): void {
-    const worker = this.options.mode === 'omniscient' ? this.placeOmniscient(request) : this.placeByRegistry(request);
+  private dispatch(request: DayRequest, deadline: number): void {
+    const worker = this.options.mode === 'omniscient' ? this.selectOmniscient(request) : this.selectByRegistry(request);
     if (worker) {
       request.worker = worker;
-      this.after(this.delayMs(request.proxy, worker), () => this.arriveAt(worker, request));
-    } else if (this.now < until) this.after(RETRY_LOOK_MS, () => this.place(request, until));
-    else if (!request.returned) {
-      request.returned = true;
-      this.after(CALLER_BACK_MS, () => this.place(request, this.now + request.kind.aimMs * QUEUE_AIM_FRACTION));
+      this.after(this.delayMs(request.proxy, worker), () => this.addToWorker(worker, request));
+    } else if (this.now < deadline) this.after(QUEUE_CHECK_INTERVAL_MS, () => this.dispatch(request, deadline));
+    else if (!request.hasRetried) {
+      request.hasRetried = true;
+      this.after(CLIENT_RETRY_DELAY_MS, () =>
+        this.dispatch(request, this.now + request.kind.aimMs * QUEUE_TARGET_FRACTION),
+      );
     }
   }
 
-  private placeByRegistry(request: DayRequest): WorkerState | null {
+  private selectByRegistry(request: DayRequest): WorkerState | null {
     const { registry } = request.proxy;
     const selection = this.selectionOf(request);
     const found = registry.selectWorker(selection);
@@ -215,28 +217,28 @@
     return this.workers.get(found.row.entry.id) ?? null;
   }
 
-  private placeOmniscient(request: DayRequest): WorkerState | null {
-    let best: WorkerState | null = null;
-    let least = Infinity;
+  private selectOmniscient(request: DayRequest): WorkerState | null {
+    let fastest: WorkerState | null = null;
+    let leastMs = Infinity;
     const sharedTokens = request.promptTokens - (request.parts[request.parts.length - 1] as PrefixBlock).tokens;
     for (const worker of this.workers.values()) {
       const { deployed, engine } = worker;
       if (request.kind.homes.length > 0 && !request.kind.homes.includes(deployed.region)) continue;
-      if (engine.running() >= deployed.figures.batch) continue;
-      const kept = Math.min(engine.keptTokens(request.parts), sharedTokens);
-      const toRead = request.promptTokens - kept + engine.unreadTokens();
-      const ms =
-        (toRead / deployed.figures.tokensPerMs + deployed.figures.stepMs) * deployed.figures.slowness +
+      if (engine.running() >= deployed.engine.batch) continue;
+      const cachedTokens = Math.min(engine.cachedTokens(request.parts), sharedTokens);
+      const prefillTokens = request.promptTokens - cachedTokens + engine.pendingPrefillTokens();
+      const estimatedMs =
+        (prefillTokens / deployed.engine.tokensPerMs + deployed.engine.stepMs) * deployed.engine.slowdown +
         2 * this.delayMs(request.proxy, worker) +
-        (sharedTokens - kept) * OMNISCIENT_REREAD_MS;
-      if (ms >= least) continue;
-      least = ms;
-      best = worker;
+        (sharedTokens - cachedTokens) * OMNISCIENT_REREAD_MS_PER_TOKEN;
+      if (estimatedMs >= leastMs) continue;
+      leastMs = estimatedMs;
+      fastest = worker;
     }
-    return best;
+    return fastest;
   }
 
-  private arriveAt(worker: WorkerState, request: DayRequest): void {
+  private addToWorker(worker: WorkerState, request: DayRequest): void {
     worker.engine.add({
       id: request.id,
       parts: request.parts,
@@ -244,43 +246,43 @@
       outTokens: request.outTokens,
       urgency: request.kind.rank,
     });
-    if (!worker.stepping) this.step(worker);
+    if (!worker.isStepping) this.step(worker);
   }
 
   private step(worker: WorkerState): void {
-    const played = worker.engine.advance(this.now);
-    worker.stepping = played !== null;
-    if (!played) return;
-    this.after(played.until - this.now, () => {
-      for (const event of played.events) this.onEvent(worker, event);
+    const result = worker.engine.advance(this.now);
+    worker.isStepping = result !== null;
+    if (!result) return;
+    this.after(result.until - this.now, () => {
+      for (const event of result.events) this.onEngineEvent(worker, event);
       this.step(worker);
     });
   }
 
-  private onEvent(worker: WorkerState, event: EngineEvent): void {
+  private onEngineEvent(worker: WorkerState, event: EngineEvent): void {
     const request = this.requests.get(event.id);
     if (!request) return;
-    if (event.tag === 'begun') this.tally.read(request, event.keptTokens);
-    else this.after(this.delayMs(request.proxy, worker), () => this.onAnswer(request, event));
+    if (event.tag === 'begun') this.tally.read(request, event.cachedTokens);
+    else this.after(this.delayMs(request.proxy, worker), () => this.onResponseEvent(request, event));
   }
 
-  private onAnswer(request: DayRequest, event: EngineEvent): void {
-    if (request.firstAt === null) request.firstAt = this.now;
+  private onResponseEvent(request: DayRequest, event: EngineEvent): void {
+    if (request.firstEventAt === null) request.firstEventAt = this.now;
     else request.longestPauseMs = Math.max(request.longestPauseMs, this.now - request.lastEventAt);
     request.lastEventAt = this.now;
     request.reservation?.read();
     if (event.tag !== 'end') return;
     request.reservation?.end();
     this.requests.delete(request.id);
-    this.tally.served(request);
+    this.tally.addServed(request);
   }
 }
 
-/** Plays one day of a deployment. The same deployment and options always give the same result. */
+/** Simulates one day of a deployment. The same deployment and options always give the same result. */
 export function playEngineDay(deployment: Deployment, options: EngineDayOptions): EngineDayResult {
-  return new EngineDay(deployment, options).play();
+  return new EngineDay(deployment, options).run();
 }
 
-function listed({ id, zone, region, figures }: DeployedWorker): WorkerEntry {
-  return workerEntry(id, zone, { model: MODEL, region, places: figures.batch });
+function workerEntryOf({ id, zone, region, engine }: DeployedWorker): WorkerEntry {
+  return workerEntry(id, zone, { model: MODEL, region, places: engine.batch });
 }
--- a/src/sim/engine/engine-tally.ts
+++ b/src/sim/engine/engine-tally.ts
@@ -1,18 +1,18 @@
-/** What a day in the engine model was worth: by kind of request, its largest prompts, zone and window. */
+/** Computes the result of a day in the engine model: its worth by kind of request, size class, zone and window. */
 
 import type { PrefixBlock } from '../../state/discovery/prefix-cache.js';
 import type { DeployedProxy, Deployment, RequestKind } from './deployment.js';
 import type { EngineCounts } from './engine-worker.js';
 
-/** The result of a day. Worth is a share of what all requests would earn in time. */
+/** The result of a day. Worth is a fraction of what all requests would earn if they were in time. */
 export type EngineDayResult = {
   readonly asked: number;
   readonly inAim: number;
   readonly late: number;
   readonly unserved: number;
-  /** Of those late, the ones whose first event was in time and a pause too long. */
+  /** Late requests whose first event was in time, but which had too long a pause. */
   readonly paused: number;
-  /** Mean worth, the worst kind or size class, the worst zone and the worst windows, and the price of reading again. */
+  /** Mean worth, that of the worst kind or size class, zone and windows, and the price of repeated prefill. */
   readonly mean: number;
   readonly worstClass: number;
   readonly worstZone: number;
@@ -22,28 +22,28 @@
   readonly readTokens: number;
   readonly rereadTokens: number;
   readonly putBack: number;
-  /** Milliseconds to the first event of the first kind: median, 90th and 99th of a hundred. */
+  /** Milliseconds to the first event, for requests of the first kind: median, 90th and 99th percentile. */
   readonly firstMs: { readonly p50: number; readonly p90: number; readonly p99: number };
 };
 
-/** What the tally needs of a request. Times are milliseconds of the day; `firstAt` is null before the first event. */
+/** A request as seen by the tally. Times are milliseconds of the day; `firstEventAt` is null before the first event. */
 export type TalliedRequest = {
   readonly kind: RequestKind;
   readonly proxy: { readonly deployed: DeployedProxy };
-  readonly cameAt: number;
+  readonly arrivedAt: number;
   readonly parts: readonly PrefixBlock[];
   readonly promptTokens: number;
   readonly outTokens: number;
-  readonly firstAt: number | null;
+  readonly firstEventAt: number | null;
   readonly longestPauseMs: number;
 };
 
-/** Collects a day. */
+/** Collects the outcomes of a day. */
 export interface EngineTally {
   asked(request: TalliedRequest): void;
-  read(request: TalliedRequest, keptTokens: number): void;
-  served(request: TalliedRequest): void;
-  unserved(request: TalliedRequest): void;
+  read(request: TalliedRequest, cachedTokens: number): void;
+  addServed(request: TalliedRequest): void;
+  addUnserved(request: TalliedRequest): void;
   worker(counts: EngineCounts): void;
   result(): EngineDayResult;
 }
@@ -64,54 +64,54 @@
 const WINDOW_MS = 2_000;
 const WORST_WINDOWS = 2;
 const OUT_TOKEN_WEIGHT = 10;
-const MOST_SIZE_WEIGHT = 4;
+const MAX_SIZE_WEIGHT = 4;
 const WEIGHTS = { mean: 0.4, class: 0.3, zone: 0.2, window: 0.1 };
 const LARGEST_FRACTION = 0.1;
 const LARGE_FRACTION = 0.3;
 
-class CollectedTally implements EngineTally {
+class OutcomeTally implements EngineTally {
   private readonly outcomes: Outcome[] = [];
   private readonly seen = new Set<string>();
   private rereadTokens = 0;
   private readTokens = 0;
-  private putBack = 0;
-  private askedCount = 0;
+  private preemptions = 0;
+  private requestCount = 0;
 
   constructor(private readonly deployment: Deployment) {}
 
   asked(): void {
-    this.askedCount += 1;
+    this.requestCount += 1;
   }
 
-  read(request: TalliedRequest, keptTokens: number): void {
-    let at = 0;
+  read(request: TalliedRequest, cachedTokens: number): void {
+    let offset = 0;
     for (const part of request.parts.slice(0, -1)) {
-      const had = this.seen.has(part.id);
+      const wasSeen = this.seen.has(part.id);
       this.seen.add(part.id);
-      if (had && at >= keptTokens) this.rereadTokens += part.tokens;
-      at += part.tokens;
+      if (wasSeen && offset >= cachedTokens) this.rereadTokens += part.tokens;
+      offset += part.tokens;
     }
   }
 
-  served(request: TalliedRequest): void {
-    const firstMs = (request.firstAt ?? Infinity) - request.cameAt;
+  addServed(request: TalliedRequest): void {
+    const firstMs = (request.firstEventAt ?? Infinity) - request.arrivedAt;
     const inAim = firstMs <= request.kind.aimMs && request.longestPauseMs <= request.kind.pauseMs;
-    this.note(request, firstMs, inAim, true);
+    this.addOutcome(request, firstMs, inAim, true);
   }
 
-  unserved(request: TalliedRequest): void {
-    this.note(request, Infinity, false, false);
+  addUnserved(request: TalliedRequest): void {
+    this.addOutcome(request, Infinity, false, false);
   }
 
-  private note(request: TalliedRequest, firstMs: number, inAim: boolean, served: boolean): void {
+  private addOutcome(request: TalliedRequest, firstMs: number, inAim: boolean, served: boolean): void {
     const { kind } = request;
     this.outcomes.push({
       kind: kind.name,
       zone: request.proxy.deployed.zone,
-      window: Math.floor(request.cameAt / WINDOW_MS),
+      window: Math.floor(request.arrivedAt / WINDOW_MS),
       size: request.promptTokens + OUT_TOKEN_WEIGHT * request.outTokens,
-      base: kind.worth,
-      lateFraction: kind.lateWorth / kind.worth,
+      base: kind.fullWorth,
+      lateFraction: kind.lateWorth / kind.fullWorth,
       inAim,
       paused: served && !inAim && firstMs <= kind.aimMs,
       served,
@@ -121,52 +121,58 @@
 
   worker(counts: EngineCounts): void {
     this.readTokens += counts.read;
-    this.putBack += counts.putBack;
+    this.preemptions += counts.preemptions;
   }
 
   result(): EngineDayResult {
     const means = meanSizes(this.outcomes);
-    const all = worthOf(this.outcomes, means);
-    const first = this.deployment.kinds[0]?.name;
-    const firsts = this.outcomes.filter((outcome) => outcome.kind === first && outcome.served).map(firstMsOf);
-    firsts.sort((left, right) => left - right);
+    const overall = worthOf(this.outcomes, means);
+    const firstKind = this.deployment.kinds[0]?.name;
+    const firstEventTimes = this.outcomes
+      .filter((outcome) => outcome.kind === firstKind && outcome.served)
+      .map(firstMsOf);
+    firstEventTimes.sort((left, right) => left - right);
     const windows = [...groupsBy(this.outcomes, (outcome) => String(outcome.window)).values()]
       .map((group) => worthOf(group, means).fraction)
       .sort((left, right) => left - right);
-    const worst = windows.slice(0, WORST_WINDOWS);
-    const worstWindows = worst.reduce(sum, 0) / Math.max(1, worst.length);
+    const lowestWindows = windows.slice(0, WORST_WINDOWS);
+    const worstWindows = lowestWindows.reduce(sum, 0) / Math.max(1, lowestWindows.length);
     const worstClass = Math.min(...classesOf(this.outcomes).map((group) => worthOf(group, means).fraction));
     const zones = [...groupsBy(this.outcomes, (outcome) => outcome.zone).values()];
     const worstZone = Math.min(...zones.map((group) => worthOf(group, means).fraction));
-    const rereadPrice = ((this.rereadTokens / 1_000) * this.deployment.rereadPrice) / Math.max(1, all.owed);
+    const rereadPrice = ((this.rereadTokens / 1_000) * this.deployment.rereadPrice) / Math.max(1, overall.attainable);
     return {
-      asked: this.askedCount,
+      asked: this.requestCount,
       inAim: this.outcomes.filter((outcome) => outcome.inAim).length,
       late: this.outcomes.filter((outcome) => outcome.served && !outcome.inAim).length,
       unserved: this.outcomes.filter((outcome) => !outcome.served).length,
       paused: this.outcomes.filter((outcome) => outcome.paused).length,
-      mean: all.fraction,
+      mean: overall.fraction,
       worstClass,
       worstZone,
       worstWindows,
       rereadPrice,
       worth:
-        WEIGHTS.mean * all.fraction +
+        WEIGHTS.mean * overall.fraction +
         WEIGHTS.class * worstClass +
         WEIGHTS.zone * worstZone +
         WEIGHTS.window * worstWindows -
         rereadPrice,
       readTokens: this.readTokens,
       rereadTokens: this.rereadTokens,
-      putBack: this.putBack,
-      firstMs: { p50: quantile(firsts, 0.5), p90: quantile(firsts, 0.9), p99: quantile(firsts, 0.99) },
+      putBack: this.preemptions,
+      firstMs: {
+        p50: quantile(firstEventTimes, 0.5),
+        p90: quantile(firstEventTimes, 0.9),
+        p99: quantile(firstEventTimes, 0.99),
+      },
     };
   }
 }
 
-/** A tally of nothing yet. */
+/** Creates an empty tally. */
 export function createEngineTally(deployment: Deployment): EngineTally {
-  return new CollectedTally(deployment);
+  return new OutcomeTally(deployment);
 }
 
 function sum(left: number, right: number): number {
@@ -186,16 +192,16 @@
   return means;
 }
 
-function worthOf(outcomes: readonly Outcome[], means: Map<string, number>): { owed: number; fraction: number } {
-  let owed = 0;
+function worthOf(outcomes: readonly Outcome[], means: Map<string, number>): { attainable: number; fraction: number } {
+  let attainable = 0;
   let earned = 0;
   for (const outcome of outcomes) {
     const relative = outcome.size / (means.get(outcome.kind) ?? outcome.size);
-    const worth = outcome.base * Math.min(MOST_SIZE_WEIGHT, 0.3 + 0.7 * relative);
-    owed += worth;
+    const worth = outcome.base * Math.min(MAX_SIZE_WEIGHT, 0.3 + 0.7 * relative);
+    attainable += worth;
     if (outcome.served) earned += outcome.inAim ? worth : worth * outcome.lateFraction;
   }
-  return { owed, fraction: owed === 0 ? 1 : earned / owed };
+  return { attainable, fraction: attainable === 0 ? 1 : earned / attainable };
 }
 
 function groupsBy(outcomes: readonly Outcome[], keyOf: (outcome: Outcome) => string): Map<string, Outcome[]> {
@@ -209,7 +215,7 @@
   return groups;
 }
 
-/** Each kind of request, its largest tenth, and the fifth below that. */
+/** For each kind of request: all its requests, the largest tenth, and the next fifth by size. */
 function classesOf(outcomes: readonly Outcome[]): Outcome[][] {
   const classes: Outcome[][] = [];
   for (const group of groupsBy(outcomes, (outcome) => outcome.kind).values()) {
--- a/src/sim/engine/engine-worker.ts
+++ b/src/sim/engine/engine-worker.ts
@@ -1,26 +1,27 @@
 /**
- * A model of a worker that serves a language model in batches: prompts are read in chunks between the
- * decode steps of the others, running requests and kept prompt parts share the KV memory, the least
- * lately used parts give way first, and the newest of the least urgent requests is put back when memory
- * runs out. One call of `advance` plays one step. Pure: time is given in and told back.
+ * A model of a worker that serves a language model with continuous batching: prompts are prefilled in chunks
+ * along with the decode steps of other requests, running requests and cached prompt parts share the KV memory,
+ * the least recently used parts are evicted first, and when memory runs out the newest of the least urgent
+ * requests is preempted: it goes back to the queue. One call of `advance` simulates one step. Pure: time is an
+ * argument and a result.
  */
 
 import { createPrefixCache } from '../../state/discovery/prefix-cache.js';
 import type { PrefixBlock, PrefixCache } from '../../state/discovery/prefix-cache.js';
 
-/** Figures of a worker's engine. `slowness` multiplies the length of every step. */
-export type EngineFigures = {
+/** Parameters of a worker's engine. `slowdown` multiplies the duration of every step. */
+export type EngineParameters = {
   readonly batch: number;
   readonly kvTokens: number;
   readonly stepMs: number;
   readonly stepMsPerRequest: number;
-  readonly contextMsPerThousand: number;
+  readonly contextMsPerThousandTokens: number;
   readonly tokensPerMs: number;
-  /** Attention: milliseconds for a million pairs of a token that is read and one before it. */
-  readonly pairsMsPerMillion: number;
+  /** Cost of attention: milliseconds per million pairs of a prefilled token and a preceding one. */
+  readonly attentionMsPerMillionPairs: number;
   readonly chunkTokens: number;
-  readonly stride: number;
-  readonly slowness: number;
+  readonly tokensPerEvent: number;
+  readonly slowdown: number;
 };
 
 /** A request at a worker. `urgency` 0 is the most urgent. */
@@ -32,75 +33,75 @@
   readonly urgency: number;
 };
 
-/** What happened in a step: a request's prompt was read, an event of its stream was full, or it ended. */
+/** What happened in a step: a prompt was prefilled, an event of a stream was complete, or a request ended. */
 export type EngineEvent =
-  | { readonly tag: 'begun'; readonly id: number; readonly at: number; readonly keptTokens: number }
+  | { readonly tag: 'begun'; readonly id: number; readonly at: number; readonly cachedTokens: number }
   | { readonly tag: 'event'; readonly id: number; readonly at: number }
   | { readonly tag: 'end'; readonly id: number; readonly at: number };
 
-/** Counts of prompt tokens since the worker began. */
-export type EngineCounts = { read: number; kept: number; putBack: number };
+/** Totals since the start: prompt tokens that were prefilled (`read`) or cached, and preempted requests. */
+export type EngineCounts = { read: number; cached: number; preemptions: number };
 
-type RunningRequest = {
+type EngineEntry = {
   readonly request: EngineRequest;
   readonly order: number;
-  toRead: number;
-  kept: number;
-  made: number;
+  prefillLeft: number;
+  cachedTokens: number;
+  decodedTokens: number;
   begun: boolean;
 };
 
-/** One worker of the model. */
+/** A worker of the model. */
 export interface EngineWorker {
   readonly counts: EngineCounts;
   add(request: EngineRequest): void;
   remove(id: number): void;
-  /** Plays one step from `now`; null when there is nothing to do. */
+  /** Simulates one step from `now`; returns null when there is nothing to do. */
   advance(now: number): { readonly until: number; readonly events: readonly EngineEvent[] } | null;
-  /** Tokens of prompts that are still to be read. */
-  unreadTokens(): number;
+  /** Number of prompt tokens that are still to be prefilled. */
+  pendingPrefillTokens(): number;
   running(): number;
-  keptTokens(parts: readonly PrefixBlock[]): number;
+  cachedTokens(parts: readonly PrefixBlock[]): number;
 }
 
 class BatchingEngineWorker implements EngineWorker {
-  readonly counts: EngineCounts = { read: 0, kept: 0, putBack: 0 };
-  private waiting: RunningRequest[] = [];
-  private active: RunningRequest[] = [];
-  private readonly kept: PrefixCache;
+  readonly counts: EngineCounts = { read: 0, cached: 0, preemptions: 0 };
+  private waiting: EngineEntry[] = [];
+  private active: EngineEntry[] = [];
+  private readonly prefixCache: PrefixCache;
   private orders = 0;
 
-  constructor(private readonly figures: EngineFigures) {
-    this.kept = createPrefixCache(figures.kvTokens);
+  constructor(private readonly parameters: EngineParameters) {
+    this.prefixCache = createPrefixCache(parameters.kvTokens);
   }
 
   add(request: EngineRequest): void {
     this.orders += 1;
-    this.enqueue({ request, order: this.orders, toRead: 0, kept: 0, made: 0, begun: false });
+    this.enqueue({ request, order: this.orders, prefillLeft: 0, cachedTokens: 0, decodedTokens: 0, begun: false });
   }
 
-  private enqueue(entry: RunningRequest): void {
-    let at = this.waiting.length;
-    while (at > 0 && isBefore(entry, this.waiting[at - 1] as RunningRequest)) at -= 1;
-    this.waiting.splice(at, 0, entry);
+  private enqueue(entry: EngineEntry): void {
+    let index = this.waiting.length;
+    while (index > 0 && isBefore(entry, this.waiting[index - 1] as EngineEntry)) index -= 1;
+    this.waiting.splice(index, 0, entry);
   }
 
   remove(id: number): void {
     this.waiting = this.waiting.filter(isOther);
     this.active = this.active.filter(isOther);
-    function isOther(entry: RunningRequest): boolean {
+    function isOther(entry: EngineEntry): boolean {
       return entry.request.id !== id;
     }
   }
 
-  keptTokens(parts: readonly PrefixBlock[]): number {
-    return this.kept.known(parts);
+  cachedTokens(parts: readonly PrefixBlock[]): number {
+    return this.prefixCache.known(parts);
   }
 
-  unreadTokens(): number {
+  pendingPrefillTokens(): number {
     let tokens = 0;
-    for (const entry of this.active) tokens += entry.toRead;
-    for (const { request } of this.waiting) tokens += request.promptTokens - this.keptTokens(request.parts);
+    for (const entry of this.active) tokens += entry.prefillLeft;
+    for (const { request } of this.waiting) tokens += request.promptTokens - this.cachedTokens(request.parts);
     return tokens;
   }
 
@@ -110,103 +111,105 @@
 
   private usedTokens(): number {
     let tokens = 0;
-    for (const { request, made, toRead } of this.active) tokens += request.promptTokens - toRead + made;
+    for (const { request, decodedTokens, prefillLeft } of this.active)
+      tokens += request.promptTokens - prefillLeft + decodedTokens;
     return tokens;
   }
 
   private admit(): void {
-    while (this.active.length < this.figures.batch && this.waiting.length > 0) {
-      const entry = this.waiting[0] as RunningRequest;
+    while (this.active.length < this.parameters.batch && this.waiting.length > 0) {
+      const entry = this.waiting[0] as EngineEntry;
       const { promptTokens, outTokens } = entry.request;
-      if (this.active.length > 0 && this.usedTokens() + promptTokens + outTokens > this.figures.kvTokens) return;
+      if (this.active.length > 0 && this.usedTokens() + promptTokens + outTokens > this.parameters.kvTokens) return;
       this.waiting.shift();
-      const kept = Math.min(this.keptTokens(entry.request.parts), promptTokens - 1);
-      entry.kept = kept;
-      entry.toRead = promptTokens - kept;
-      this.counts.kept += kept;
+      const cached = Math.min(this.cachedTokens(entry.request.parts), promptTokens - 1);
+      entry.cachedTokens = cached;
+      entry.prefillLeft = promptTokens - cached;
+      this.counts.cached += cached;
       this.active.push(entry);
     }
   }
 
-  private makeRoom(): void {
-    while (this.active.length > 1 && this.usedTokens() > this.figures.kvTokens) {
-      let victim = this.active[0] as RunningRequest;
+  private preemptForMemory(): void {
+    while (this.active.length > 1 && this.usedTokens() > this.parameters.kvTokens) {
+      let victim = this.active[0] as EngineEntry;
       for (const entry of this.active) if (isBefore(victim, entry)) victim = entry;
       this.active.splice(this.active.indexOf(victim), 1);
-      this.counts.putBack += 1;
+      this.counts.preemptions += 1;
       this.enqueue(victim);
     }
-    this.kept.shrinkTo(Math.max(0, this.figures.kvTokens - this.usedTokens()));
+    this.prefixCache.shrinkTo(Math.max(0, this.parameters.kvTokens - this.usedTokens()));
   }
 
-  /** Reads a chunk of prompts, oldest first; returns the milliseconds that this takes. */
-  private readChunk(): number {
-    let left = this.figures.chunkTokens;
+  /** Prefills a chunk of prompts, oldest first; returns the milliseconds that this takes. */
+  private prefillChunk(): number {
+    let remaining = this.parameters.chunkTokens;
     let pairs = 0;
     for (const entry of this.active) {
-      if (left <= 0) break;
-      const tokens = Math.min(left, entry.toRead);
-      const before = entry.request.promptTokens - entry.toRead;
+      if (remaining <= 0) break;
+      const tokens = Math.min(remaining, entry.prefillLeft);
+      const before = entry.request.promptTokens - entry.prefillLeft;
       pairs += tokens * (before + tokens / 2);
-      entry.toRead -= tokens;
-      left -= tokens;
+      entry.prefillLeft -= tokens;
+      remaining -= tokens;
     }
-    const read = this.figures.chunkTokens - left;
-    this.counts.read += read;
-    return read / this.figures.tokensPerMs + (pairs * this.figures.pairsMsPerMillion) / 1e6;
+    const prefilled = this.parameters.chunkTokens - remaining;
+    this.counts.read += prefilled;
+    return prefilled / this.parameters.tokensPerMs + (pairs * this.parameters.attentionMsPerMillionPairs) / 1e6;
   }
 
   advance(now: number): { readonly until: number; readonly events: readonly EngineEvent[] } | null {
     this.admit();
     if (this.active.length === 0) return null;
     const decoding = this.active.filter(isDecoding);
-    const readMs = this.readChunk();
-    const ms =
-      this.figures.slowness *
-      (this.figures.stepMs +
-        this.figures.stepMsPerRequest * this.active.length +
-        (this.figures.contextMsPerThousand * this.usedTokens()) / 1_000 +
-        readMs);
-    const until = now + ms;
+    const prefillMs = this.prefillChunk();
+    const stepMs =
+      this.parameters.slowdown *
+      (this.parameters.stepMs +
+        this.parameters.stepMsPerRequest * this.active.length +
+        (this.parameters.contextMsPerThousandTokens * this.usedTokens()) / 1_000 +
+        prefillMs);
+    const until = now + stepMs;
     const events: EngineEvent[] = [];
     for (const entry of decoding) this.decode(entry, until, events);
-    for (const entry of this.active) if (entry.toRead === 0 && !entry.begun) this.begin(entry, until, events);
+    for (const entry of this.active)
+      if (entry.prefillLeft === 0 && !entry.begun) this.onPrefilled(entry, until, events);
     this.active = this.active.filter(isUnfinished);
-    this.makeRoom();
+    this.preemptForMemory();
     return { until, events };
   }
 
-  private begin(entry: RunningRequest, at: number, events: EngineEvent[]): void {
+  private onPrefilled(entry: EngineEntry, at: number, events: EngineEvent[]): void {
     entry.begun = true;
-    entry.made = Math.max(1, entry.made);
-    this.kept.record(entry.request.parts);
+    entry.decodedTokens = Math.max(1, entry.decodedTokens);
+    this.prefixCache.record(entry.request.parts);
     const { id, outTokens } = entry.request;
-    events.push({ tag: 'begun', id, at, keptTokens: entry.kept });
-    if (entry.made >= outTokens) events.push({ tag: 'end', id, at });
+    events.push({ tag: 'begun', id, at, cachedTokens: entry.cachedTokens });
+    if (entry.decodedTokens >= outTokens) events.push({ tag: 'end', id, at });
   }
 
-  private decode(entry: RunningRequest, at: number, events: EngineEvent[]): void {
-    entry.made += 1;
+  private decode(entry: EngineEntry, at: number, events: EngineEvent[]): void {
+    entry.decodedTokens += 1;
     const { id, outTokens } = entry.request;
-    if (entry.made >= outTokens) events.push({ tag: 'end', id, at });
-    else if (entry.made % this.figures.stride === 0) events.push({ tag: 'event', id, at });
+    if (entry.decodedTokens >= outTokens) events.push({ tag: 'end', id, at });
+    else if (entry.decodedTokens % this.parameters.tokensPerEvent === 0) events.push({ tag: 'event', id, at });
   }
 }
 
-/** An idle worker with nothing kept. */
-export function createEngineWorker(figures: EngineFigures): EngineWorker {
-  return new BatchingEngineWorker(figures);
+/** Creates an idle worker with an empty cache. */
+export function createEngineWorker(parameters: EngineParameters): EngineWorker {
+  return new BatchingEngineWorker(parameters);
 }
 
-function isBefore(left: RunningRequest, right: RunningRequest): boolean {
+function isBefore(left: EngineEntry, right: EngineEntry): boolean {
   return (
     left.request.urgency < right.request.urgency ||
     (left.request.urgency === right.request.urgency && left.order < right.order)
   );
 }
-function isDecoding(entry: RunningRequest): boolean {
-  return entry.toRead === 0 && entry.begun;
+function isDecoding(entry: EngineEntry): boolean {
+  return entry.prefillLeft === 0 && entry.begun;
 }
-function isUnfinished(entry: RunningRequest): boolean {
-  return !entry.begun || entry.made < entry.request.outTokens;
+function isUnfinished(entry: EngineEntry): boolean {
+  return !entry.begun || entry.decodedTokens < entry.request.outTokens;
 }
--- a/src/sim/engine/load-exchange.ts
+++ b/src/sim/engine/load-exchange.ts
@@ -1,6 +1,6 @@
 /**
- * How the proxies of a day tell one another their loads: reports to a controller, sums between controllers,
- * and what changed back to the proxies, with the real tables and delays of the deployment.
+ * The load exchange among the proxies of a simulated day: proxies report to a controller, controllers exchange
+ * sums, and changes are sent back to the proxies. Uses the real load tables and the delays of the deployment.
  */
 
 import { createFleetLoad, sumOf } from '../../state/distribution/fleet-load.js';
@@ -12,20 +12,20 @@
 import type { WorkerRegistry } from '../../state/discovery/worker-registry.js';
 import type { Deployment } from './deployment.js';
 
-/** A proxy that takes part. */
-export type LoadSharer = { readonly name: string; readonly registry: WorkerRegistry };
+/** A proxy that takes part in the exchange. */
+export type LoadParticipant = { readonly name: string; readonly registry: WorkerRegistry };
 
-/** The day's time: what is due after so many milliseconds, and whether the day is over. */
+/** The simulated time of the day: schedules callbacks, and tells whether the day is over. */
 export type DayClock = {
   readonly now: () => number;
   readonly after: (ms: number, run: () => void) => void;
   readonly isOver: () => boolean;
 };
 
-/** Milliseconds between reports of a proxy, and between messages of a controller. */
+/** Intervals in milliseconds: `loadMs` between reports of a proxy, `relayMs` between messages of a controller. */
 export type LoadIntervals = { readonly loadMs: number; readonly relayMs: number };
 
-const STALE_MS = 2_500;
+const STALE_AFTER_MS = 2_500;
 
 type ControllerState = {
   readonly own: FleetLoad;
@@ -33,87 +33,87 @@
   readonly ownChanges: LoadChanges;
   readonly sumChanges: LoadChanges;
 };
-type SharerState = LoadSharer & { readonly controller: number; fleetLoad: LoadRows };
+type ParticipantState = LoadParticipant & { readonly controller: number; fleetLoad: LoadRows };
 
 class SimulatedLoadExchange {
   private readonly controllers: ControllerState[] = [];
-  private readonly sharers: SharerState[] = [];
+  private readonly participants: ParticipantState[] = [];
 
   constructor(
     private readonly deployment: Deployment,
     private readonly clock: DayClock,
     private readonly intervals: LoadIntervals,
-    sharers: readonly LoadSharer[],
+    participants: readonly LoadParticipant[],
   ) {
     for (let i = 0; i < deployment.controllers; i += 1)
       this.controllers.push({
-        own: createFleetLoad(STALE_MS),
-        others: createFleetLoad(STALE_MS),
+        own: createFleetLoad(STALE_AFTER_MS),
+        others: createFleetLoad(STALE_AFTER_MS),
         ownChanges: createLoadChanges(),
         sumChanges: createLoadChanges(),
       });
-    sharers.forEach((sharer, index) =>
-      this.sharers.push({ ...sharer, controller: index % deployment.controllers, fleetLoad: {} }),
+    participants.forEach((participant, index) =>
+      this.participants.push({ ...participant, controller: index % deployment.controllers, fleetLoad: {} }),
     );
   }
 
   start(): void {
-    this.sharers.forEach((sharer, index) => this.startReports(sharer, index));
+    this.participants.forEach((participant, index) => this.startReports(participant, index));
     this.controllers.forEach((controller, index) => this.startRelay(controller, index));
   }
 
-  private startReports(sharer: SharerState, index: number): void {
+  private startReports(participant: ParticipantState, index: number): void {
     const { now, after, isOver } = this.clock;
     const { loadMs } = this.intervals;
     let count = 0;
-    const report = (): void => {
+    const sendReport = (): void => {
       count += 1;
-      const told = { name: sharer.name, run: 'run', count, rows: sharer.registry.load(now()) };
-      const controller = this.controllers[sharer.controller] as ControllerState;
-      after(this.deployment.crossZoneMs, () => controller.own.record(told, now()));
-      if (!isOver()) after(loadMs, report);
+      const report = { name: participant.name, run: 'run', count, rows: participant.registry.load(now()) };
+      const controller = this.controllers[participant.controller] as ControllerState;
+      after(this.deployment.crossZoneMs, () => controller.own.record(report, now()));
+      if (!isOver()) after(loadMs, sendReport);
     };
-    after((loadMs * index) / this.sharers.length, report);
+    after((loadMs * index) / this.participants.length, sendReport);
   }
 
   private startRelay(controller: ControllerState, index: number): void {
     const { now, after, isOver } = this.clock;
     const { relayMs } = this.intervals;
     let count = 0;
-    const relay = (): void => {
+    const sendRelay = (): void => {
       count += 1;
-      const mine = controller.own.sums(now());
-      if (controller.ownChanges.next(mine, now())) this.tellControllers(controller, index, count);
-      const changed = controller.sumChanges.next(sumOf(mine, controller.others.sums(now())), now());
-      if (changed) this.tellSharers(index, changed);
-      if (!isOver()) after(relayMs, relay);
+      const ownSums = controller.own.sums(now());
+      if (controller.ownChanges.next(ownSums, now())) this.sendToControllers(controller, index, count);
+      const changed = controller.sumChanges.next(sumOf(ownSums, controller.others.sums(now())), now());
+      if (changed) this.sendToProxies(index, changed);
+      if (!isOver()) after(relayMs, sendRelay);
     };
-    after((relayMs * index) / this.controllers.length, relay);
+    after((relayMs * index) / this.controllers.length, sendRelay);
   }
 
-  private tellControllers(controller: ControllerState, index: number, count: number): void {
-    const told = { name: `c${index}`, run: 'run', count, rows: controller.ownChanges.told() };
+  private sendToControllers(controller: ControllerState, index: number, count: number): void {
+    const report = { name: `c${index}`, run: 'run', count, rows: controller.ownChanges.told() };
     for (const other of this.controllers)
       if (other !== controller)
-        this.clock.after(this.deployment.crossRegionMs, () => other.others.record(told, this.clock.now()));
+        this.clock.after(this.deployment.crossRegionMs, () => other.others.record(report, this.clock.now()));
   }
 
-  private tellSharers(controller: number, changed: LoadRows): void {
-    for (const sharer of this.sharers)
-      if (sharer.controller === controller)
+  private sendToProxies(controller: number, changed: LoadRows): void {
+    for (const participant of this.participants)
+      if (participant.controller === controller)
         this.clock.after(this.deployment.crossZoneMs, () => {
-          sharer.fleetLoad = withChanges(sharer.fleetLoad, changed);
-          sharer.registry.applyFleetLoad(sharer.fleetLoad, this.clock.now());
+          participant.fleetLoad = withChanges(participant.fleetLoad, changed);
+          participant.registry.applyFleetLoad(participant.fleetLoad, this.clock.now());
         });
   }
 }
 
-/** Starts the exchange; it ends by itself when the day is over. */
+/** Starts the exchange, which ends when the day is over. */
 export function startLoadExchange(
   deployment: Deployment,
   clock: DayClock,
   intervals: LoadIntervals,
-  sharers: readonly LoadSharer[],
+  participants: readonly LoadParticipant[],
 ): void {
-  new SimulatedLoadExchange(deployment, clock, intervals, sharers).start();
+  new SimulatedLoadExchange(deployment, clock, intervals, participants).start();
 }
--- a/src/sim/model/agreement-state.ts
+++ b/src/sim/model/agreement-state.ts
@@ -1,11 +1,11 @@
 /**
- * The state of the explored model: acceptors with their disks, proposals under
- * way and the messages they may still get. All that decides anything is the
- * product's own pure code (acceptor.ts, control-state.ts); this module only
- * keeps it in values that can be compared.
+ * The state of the explored model: acceptors with their disks, proposals in
+ * progress and the messages that may still be delivered. All decisions are made
+ * by the product's own pure code (acceptor.ts, control-state.ts); this module
+ * only represents its state as comparable values.
  *
- * A message that was sent stays: whether it is lost, late, doubled or overtaken
- * is whether and when the explorer delivers it.
+ * A message stays available once it was sent: the explorer models its loss, delay,
+ * duplication or reordering by whether and when it delivers the message.
  */
 import { accept, createAcceptor, prepare, restoreSlot } from '../../state/consensus/acceptor.js';
 import type { Acceptor, Accepted, SlotState } from '../../state/consensus/acceptor.js';
@@ -14,7 +14,7 @@
 import type { ControlState } from '../../state/consensus/control-state.js';
 import type { Command, Batch, Member } from '../../state/consensus/entry.js';
 
-/** A proposal that the explorer may start: who proposes which batch for which slot under which round. */
+/** A proposal that the explorer may start: the proposer, the slot, the round of the ballot and the batch. */
 export type PlannedProposal = {
   readonly by: string;
   readonly slot: number;
@@ -22,43 +22,46 @@
   readonly batch: string;
 };
 
+/** The state of a machine. */
 export type NodeState = {
-  /** Whether its disk is whole; one that is not never acts again. */
+  /** Whether its disk is intact; a node without its disk takes no further steps. */
   readonly alive: boolean;
-  /** Ids of the batches folded, from slot 0. */
+  /** Ids of the applied batches, from slot 0. */
   readonly log: readonly string[];
-  /** What the acceptor promised and accepted in open slots. */
+  /** What the acceptor promised and accepted in slots that are not applied yet. */
   readonly slots: readonly (readonly [number, SlotState])[];
 };
 
+/** The state of a proposal. */
 export type ProposalState = {
-  /** The members that the proposer asks; empty until it starts. */
+  /** The members that the proposer asks; empty until the proposal starts. */
   readonly electorate: readonly string[];
-  /** Who promised, and what each had accepted before. */
+  /** The members that promised, and what each had accepted before. */
   readonly promises: Readonly<Record<string, Accepted | null>>;
-  /** The batch put to the vote, once a majority promised. */
+  /** The batch of the accept requests, once a majority promised. */
   readonly batch: string | null;
   readonly acceptedBy: readonly string[];
-  /** Whether the proposer folded it, so that its caller was answered. */
+  /** Whether the proposer applied it, so that its caller was answered. */
   readonly learned: boolean;
 };
 
+/** A state of the explored model. */
 export type AgreementState = {
   readonly nodes: Readonly<Record<string, NodeState>>;
   readonly proposals: readonly ProposalState[];
-  /** Losses and crashes that may still come. */
+  /** Losses and crashes that may still happen. */
   readonly lossesLeft: number;
   readonly crashesLeft: number;
 };
 
-/** The four machines: three found the ledger, the fourth takes the place of the first. */
+/** The four machines: three bootstrap the ledger, the fourth replaces the first. */
 export const MACHINES = ['a', 'b', 'c', 'd'] as const;
 
 function member(name: string): Member {
   return { name, incarnation: 'i', address: `${name}:1` };
 }
 
-export function idOf(name: string): string {
+export function memberIdOf(name: string): string {
   return memberId(member(name));
 }
 
@@ -69,42 +72,42 @@
   };
 }
 
-const FOUNDERS = [member('a'), member('b'), member('c')];
+const INITIAL_MEMBERS = [member('a'), member('b'), member('c')];
 
 const BATCHES: Readonly<Record<string, Batch>> = {
-  founded: batchOf('founded', { tag: 'bootstrapped', ledger: 'ledger', ticketKey: 'key', members: FOUNDERS }),
-  replace: batchOf('replace', { tag: 'memberReplaced', old: idOf('a'), member: member('d') }),
+  founded: batchOf('founded', { tag: 'bootstrapped', ledger: 'ledger', ticketKey: 'key', members: INITIAL_MEMBERS }),
+  replace: batchOf('replace', { tag: 'memberReplaced', old: memberIdOf('a'), member: member('d') }),
   x: batchOf('x', { tag: 'evacuation', zone: 'x', begun: true }),
   y: batchOf('y', { tag: 'evacuation', zone: 'y', begun: true }),
   z: batchOf('z', { tag: 'evacuation', zone: 'z', begun: true }),
 };
 
-const folded = new Map<string, ControlState>([['', emptyControlState()]]);
+const controlStates = new Map<string, ControlState>([['', emptyControlState()]]);
 
-/** The control state after a log of batches; folded once for each log. */
+/** The control state after a log of batches; computed once for each log. */
 export function controlStateOf(log: readonly string[]): ControlState {
   const key = log.join();
-  const known = folded.get(key);
-  if (known) return known;
+  const cached = controlStates.get(key);
+  if (cached) return cached;
   const state = structuredClone(controlStateOf(log.slice(0, -1)));
   foldBatch(state, log.length - 1, BATCHES[log[log.length - 1] as string] as Batch);
-  folded.set(key, state);
+  controlStates.set(key, state);
   return state;
 }
 
 export function membersOf(log: readonly string[]): readonly string[] {
   const out: string[] = [];
-  for (const one of controlStateOf(log).members) out.push(one.name);
+  for (const member of controlStateOf(log).members) out.push(member.name);
   return out;
 }
 
 export function initialState(proposals: readonly PlannedProposal[], losses: number, crashes: number): AgreementState {
   const nodes: Record<string, NodeState> = {};
   for (const name of MACHINES) nodes[name] = { alive: true, log: name === 'd' ? [] : ['founded'], slots: [] };
-  const idle: ProposalState = { electorate: [], promises: {}, batch: null, acceptedBy: [], learned: false };
+  const notStarted: ProposalState = { electorate: [], promises: {}, batch: null, acceptedBy: [], learned: false };
   return {
     nodes,
-    proposals: new Array<ProposalState>(proposals.length).fill(idle),
+    proposals: new Array<ProposalState>(proposals.length).fill(notStarted),
     lossesLeft: losses,
     crashesLeft: crashes,
   };
@@ -120,16 +123,16 @@
   return { ...state, proposals };
 }
 
-/** The node once it folded up to this log; what it held of those slots goes, as with the real floor. */
+/** The node after it applied this log; drops its acceptor state of those slots, as the real acceptor does. */
 export function withLog(node: NodeState, log: readonly string[]): NodeState {
   const slots: (readonly [number, SlotState])[] = [];
-  for (const one of node.slots) if (one[0] >= log.length) slots.push(one);
+  for (const entry of node.slots) if (entry[0] >= log.length) slots.push(entry);
   return { ...node, log, slots };
 }
 
-function acceptorOf(node: NodeState): Acceptor {
+function acceptorFrom(node: NodeState): Acceptor {
   const acceptor = createAcceptor(node.log.length);
-  for (const [slot, held] of node.slots) restoreSlot(acceptor, slot, held);
+  for (const [slot, slotState] of node.slots) restoreSlot(acceptor, slot, slotState);
   return acceptor;
 }
 
@@ -140,33 +143,34 @@
   return left[0] - right[0];
 }
 
-export type Promised = { readonly node: NodeState; readonly accepted: Accepted | null };
+/** A node after its promise, and what it had accepted before. */
+export type PromiseResult = { readonly node: NodeState; readonly accepted: Accepted | null };
 
-/** Puts a prepare to the real acceptor; null if it does not promise. */
-export function promiseOf(node: NodeState, slot: number, ballot: Ballot): Promised | null {
-  const acceptor = acceptorOf(node);
+/** Sends a prepare to the real acceptor; null if it does not promise. */
+export function promiseOf(node: NodeState, slot: number, ballot: Ballot): PromiseResult | null {
+  const acceptor = acceptorFrom(node);
   const vote = prepare(acceptor, slot, ballot);
   return vote.tag === 'promised' ? { node: withAcceptor(node, acceptor), accepted: vote.accepted } : null;
 }
 
-/** Puts an accept to the real acceptor; null if it refuses. */
+/** Sends an accept to the real acceptor; null if it rejects the ballot. */
 export function acceptanceOf(node: NodeState, slot: number, ballot: Ballot, batch: string): NodeState | null {
-  const acceptor = acceptorOf(node);
+  const acceptor = acceptorFrom(node);
   const vote = accept(acceptor, slot, ballot, BATCHES[batch] as Batch);
   return vote.tag === 'accepted' ? withAcceptor(node, acceptor) : null;
 }
 
-/** The batch that a node holds for a slot, folded or accepted. */
-export function heldAt(node: NodeState, slot: number): string | null {
-  const done = node.log[slot];
-  if (done !== undefined) return done;
-  for (const [at, held] of node.slots) if (at === slot) return held.accepted?.batch.id ?? null;
+/** The batch that a node applied to a slot or accepted for it, or null. */
+export function batchAt(node: NodeState, slot: number): string | null {
+  const applied = node.log[slot];
+  if (applied !== undefined) return applied;
+  for (const [openSlot, slotState] of node.slots) if (openSlot === slot) return slotState.accepted?.batch.id ?? null;
   return null;
 }
 
-/** The newest slot that a node folded or accepted something for. */
-export function topOf(node: NodeState): number {
-  let top = node.log.length - 1;
-  for (const [slot, held] of node.slots) if (held.accepted && slot > top) top = slot;
-  return top;
+/** The newest slot that a node applied a batch to or accepted one for. */
+export function newestSlotOf(node: NodeState): number {
+  let newest = node.log.length - 1;
+  for (const [slot, slotState] of node.slots) if (slotState.accepted && slot > newest) newest = slot;
+  return newest;
 }
--- a/src/sim/model/agreement-steps.ts
+++ b/src/sim/model/agreement-steps.ts
@@ -1,9 +1,9 @@
 /**
- * What may happen next in a state of the explored model: proposals start, each
- * message is delivered to each acceptor, proposers go on, nodes learn from one
- * another, a disk is lost, a process crashes. Rules around the acceptors that
- * stand in ledger.ts and round.ts (who may vote, which batch a proposer must
- * take) are stated here, and broken here on purpose.
+ * The transitions of the explored model: a proposal starts, a message is
+ * delivered to an acceptor, a proposer proceeds, a node catches up with another,
+ * a disk is lost, a process crashes. The rules that ledger.ts and round.ts apply
+ * around the acceptors (who may vote, which batch a proposer must propose) are
+ * restated here, so that a defect can violate them on purpose.
  */
 import { compareBallots } from '../../state/consensus/ballot.js';
 import type { Ballot } from '../../state/consensus/ballot.js';
@@ -11,27 +11,30 @@
 import { acceptanceOf, MACHINES, membersOf, promiseOf, withLog, withNode, withProposal } from './agreement-state.js';
 import type { AgreementState, NodeState, PlannedProposal, ProposalState } from './agreement-state.js';
 
-export type AgreementBreak =
-  /** An acceptor votes on a slot before it holds all slots before it. */
+/** A deliberate defect of the protocol, which the rules must detect. */
+export type ProtocolDefect =
+  /** An acceptor votes on a slot although it lacks earlier slots. */
   | 'votesBeforeLearning'
-  /** A machine whose disk was lost goes on as the member it was. */
+  /** A machine whose disk was lost continues under its old identity. */
   | 'countsOldIdentity'
-  /** An acceptor accepts whatever it is sent. */
+  /** An acceptor accepts every batch, regardless of its promises. */
   | 'acceptsWithoutPromise'
-  /** A promise is not on the disk when the process crashes. */
+  /** A promise is not persisted before a crash. */
   | 'forgetsPromise'
-  /** A proposer puts its own batch to the vote, whatever was accepted before. */
+  /** A proposer proposes its own batch even if a promise reports an accepted one. */
   | 'ignoresAccepted'
-  /** A read does not ask again when it learns that the members changed. */
+  /** A read does not ask the new members when it learns that the membership changed. */
   | 'readsOnce';
 
+/** The proposals, losses and crashes that an exploration may use, and the defect, if any. */
 export type Scenario = {
   readonly proposals: readonly PlannedProposal[];
   readonly losses: number;
   readonly crashes: number;
-  readonly broken: AgreementBreak | null;
+  readonly broken: ProtocolDefect | null;
 };
 
+/** A state that follows from another, and a description of the step. */
 export type Successor = { readonly step: string; readonly state: AgreementState };
 
 function ballotOf(planned: PlannedProposal): Ballot {
@@ -79,25 +82,26 @@
   return out;
 }
 
-/** All smallest majorities of an electorate out of some of its members. */
+/** All minimal majorities of an electorate that consist of the given members. */
 export function majorities(electorate: readonly string[], from: readonly string[]): string[][] {
   const quorumSize = Math.floor(electorate.length / 2) + 1;
-  let sets: string[][] = [[]];
+  let subsets: string[][] = [[]];
   for (const name of from) {
     if (!electorate.includes(name)) continue;
-    const larger: string[][] = [];
-    for (const set of sets) larger.push([...set, name]);
-    sets = [...sets, ...larger];
+    const extended: string[][] = [];
+    for (const subset of subsets) extended.push([...subset, name]);
+    subsets = [...subsets, ...extended];
   }
   const out: string[][] = [];
-  for (const set of sets) if (set.length === quorumSize) out.push(set);
+  for (const subset of subsets) if (subset.length === quorumSize) out.push(subset);
   return out;
 }
 
 function batchFor(planned: PlannedProposal, promises: readonly (Accepted | null)[], scenario: Scenario): string {
-  let best: Accepted | null = null;
-  for (const one of promises) if (one && (!best || compareBallots(one.ballot, best.ballot) > 0)) best = one;
-  return best && scenario.broken !== 'ignoresAccepted' ? best.batch.id : planned.batch;
+  let highest: Accepted | null = null;
+  for (const accepted of promises)
+    if (accepted && (!highest || compareBallots(accepted.ballot, highest.ballot) > 0)) highest = accepted;
+  return highest && scenario.broken !== 'ignoresAccepted' ? highest.batch.id : planned.batch;
 }
 
 function voteSteps(state: AgreementState, index: number, scenario: Scenario): Successor[] {
@@ -106,23 +110,23 @@
   if (proposal.batch !== null || !nodeOf(state, planned.by).alive) return [];
   const batches = new Set<string>();
   for (const promisers of majorities(proposal.electorate, Object.keys(proposal.promises))) {
-    const told: (Accepted | null)[] = [];
-    for (const name of promisers) told.push(proposal.promises[name] ?? null);
-    batches.add(batchFor(planned, told, scenario));
+    const reported: (Accepted | null)[] = [];
+    for (const name of promisers) reported.push(proposal.promises[name] ?? null);
+    batches.add(batchFor(planned, reported, scenario));
   }
   const out: Successor[] = [];
   for (const batch of batches)
     out.push({
-      step: `${planned.by} puts ${batch} to the vote, round ${planned.round}`,
+      step: `${planned.by} requests votes for ${batch}, round ${planned.round}`,
       state: withProposal(state, index, { ...proposal, batch }),
     });
   return out;
 }
 
-/** The acceptor without its memory of the slot, for the break that accepts whatever comes. */
-function unbound(node: NodeState, slot: number): NodeState {
+/** The node without its acceptor state of the slot, for the defect `acceptsWithoutPromise`. */
+function withoutSlotState(node: NodeState, slot: number): NodeState {
   const slots: (readonly [number, SlotState])[] = [];
-  for (const one of node.slots) if (one[0] !== slot) slots.push(one);
+  for (const entry of node.slots) if (entry[0] !== slot) slots.push(entry);
   return { ...node, slots };
 }
 
@@ -134,11 +138,11 @@
   for (const name of proposal.electorate) {
     const node = nodeOf(state, name);
     if (proposal.acceptedBy.includes(name) || !mayVote(node, name, planned.slot, scenario)) continue;
-    const bound = scenario.broken === 'acceptsWithoutPromise' ? unbound(node, planned.slot) : node;
-    const voted = acceptanceOf(bound, planned.slot, ballotOf(planned), proposal.batch);
-    if (!voted) continue;
+    const acceptor = scenario.broken === 'acceptsWithoutPromise' ? withoutSlotState(node, planned.slot) : node;
+    const accepted = acceptanceOf(acceptor, planned.slot, ballotOf(planned), proposal.batch);
+    if (!accepted) continue;
     const acceptedBy = [...proposal.acceptedBy, name].sort();
-    const next = withProposal(withNode(state, name, voted), index, { ...proposal, acceptedBy });
+    const next = withProposal(withNode(state, name, accepted), index, { ...proposal, acceptedBy });
     out.push({
       step: `${name} accepts ${proposal.batch} for slot ${planned.slot}, round ${planned.round}`,
       state: next,
@@ -147,6 +151,7 @@
   return out;
 }
 
+/** Whether a majority of the electorate accepted the batch. */
 export function isChosen(proposal: ProposalState): boolean {
   return proposal.electorate.length > 0 && 2 * proposal.acceptedBy.length > proposal.electorate.length;
 }
@@ -157,16 +162,16 @@
   const node = nodeOf(state, planned.by);
   if (proposal.batch === null || proposal.learned || !isChosen(proposal)) return [];
   if (!node.alive || node.log.length !== planned.slot) return [];
-  const told = withProposal(state, index, { ...proposal, learned: true });
+  const learned = withProposal(state, index, { ...proposal, learned: true });
   return [
     {
       step: `${planned.by} learns that ${proposal.batch} was chosen for slot ${planned.slot}`,
-      state: withNode(told, planned.by, withLog(node, [...node.log, proposal.batch])),
+      state: withNode(learned, planned.by, withLog(node, [...node.log, proposal.batch])),
     },
   ];
 }
 
-/** A node takes the next slot of another, or its whole state if it is blank. */
+/** A node copies the next slot of another node, or its complete log if it has none itself. */
 function catchUpSteps(state: AgreementState): Successor[] {
   const out: Successor[] = [];
   for (const name of MACHINES) {
@@ -184,26 +189,27 @@
 function lossSteps(state: AgreementState, scenario: Scenario): Successor[] {
   if (state.lossesLeft === 0) return [];
   const alive = scenario.broken === 'countsOldIdentity';
-  const lost = withNode(state, 'a', { alive, log: [], slots: [] });
-  return [{ step: 'a loses its disk', state: { ...lost, lossesLeft: state.lossesLeft - 1 } }];
+  const afterLoss = withNode(state, 'a', { alive, log: [], slots: [] });
+  return [{ step: 'a loses its disk', state: { ...afterLoss, lossesLeft: state.lossesLeft - 1 } }];
 }
 
-function withoutPromise([slot, held]: readonly [number, SlotState]): readonly [number, SlotState] {
-  return [slot, { ...held, promised: held.accepted?.ballot ?? { round: 0, by: '' } }];
+function withoutPromise([slot, slotState]: readonly [number, SlotState]): readonly [number, SlotState] {
+  return [slot, { ...slotState, promised: slotState.accepted?.ballot ?? { round: 0, by: '' } }];
 }
 
-/** A crash takes nothing, since all is synced before it is answered; the break lets it take promises. */
+/** A crash loses nothing, since a node syncs before it answers; the defect `forgetsPromise` lets it lose promises. */
 function crashSteps(state: AgreementState, scenario: Scenario): Successor[] {
   if (state.crashesLeft === 0 || scenario.broken !== 'forgetsPromise') return [];
   const out: Successor[] = [];
   for (const name of MACHINES) {
     const node = nodeOf(state, name);
     const crashed = withNode(state, name, { ...node, slots: node.slots.map(withoutPromise) });
-    out.push({ step: `${name} crashes and starts again`, state: { ...crashed, crashesLeft: state.crashesLeft - 1 } });
+    out.push({ step: `${name} crashes and restarts`, state: { ...crashed, crashesLeft: state.crashesLeft - 1 } });
   }
   return out;
 }
 
+/** All states that may follow from a state, in a fixed order. */
 export function successorsOf(state: AgreementState, scenario: Scenario): Successor[] {
   const out = [...catchUpSteps(state), ...lossSteps(state, scenario), ...crashSteps(state, scenario)];
   for (const index of scenario.proposals.keys()) {
--- a/src/sim/model/answer-facts.ts
+++ b/src/sim/model/answer-facts.ts
@@ -1,105 +1,127 @@
 /**
- * What the callers were answered, and what follows from it: an answer that is
- * sure of a slot binds every call that starts after it; a confirmed change is in
- * force, once, on the base that it named; a refused one never is.
+ * Checks the answers that callers received: a call that starts after an answer
+ * must see the slot of that answer; a confirmed change is in force once, on the
+ * base number that it named; a rejected change is never in force.
  */
 import type { ControlState } from '../../state/consensus/control-state.js';
 import type { Batch } from '../../state/consensus/entry.js';
-import type { Fail } from './broken.js';
+import type { ReportViolation } from './broken.js';
 
-/** An operator change, known by a token in its contents that no other has. */
-export type ChangeFact = { readonly token: number; readonly base: number; readonly number: number };
+/** An operator change, identified by a unique token in its contents. */
+export type OperatorChange = { readonly token: number; readonly base: number; readonly number: number };
 
-export type AnswerFacts = {
-  /** The newest slot that an answered call was sure of: no later call may see less. */
-  readonly floor: () => number;
-  readonly noteAgreed: (id: string, slot: number, batch: Batch | null, floorAtStart: number) => void;
-  readonly noteSettled: (node: string, slot: number, floorAtStart: number) => void;
-  /** An operator is about to send this change. */
-  readonly recordChange: (change: ChangeFact) => void;
-  readonly noteTaken: (token: number) => void;
-  readonly noteRefused: (token: number) => void;
-  /** The state after a slot that nobody had folded before. */
-  readonly noteInstalled: (slot: number, state: ControlState) => void;
+/** Records calls and their answers, and reports violations. */
+export type AnswerChecker = {
+  /** The newest slot that an answer confirmed or a read returned; no later call may see an earlier one. */
+  readonly newestAnsweredSlot: () => number;
+  readonly recordConfirmedProposal: (id: string, slot: number, batch: Batch | null, answeredAtStart: number) => void;
+  readonly recordRead: (node: string, slot: number, answeredAtStart: number) => void;
+  /** Called before an operator sends this change. */
+  readonly recordSentChange: (change: OperatorChange) => void;
+  readonly recordConfirmedChange: (token: number) => void;
+  readonly recordRejectedChange: (token: number) => void;
+  /** Called with the state after a slot that no node had applied before. */
+  readonly recordNewSlot: (slot: number, state: ControlState) => void;
   readonly newestNumber: () => number;
-  /** Rules that can only be judged once all answers are in. */
-  readonly judge: () => void;
+  /** Checks the rules that need all answers; called at the end of a history. */
+  readonly checkOutcomes: () => void;
 };
 
-type Installed = { readonly slot: number; readonly number: number };
+type InstalledChange = { readonly slot: number; readonly number: number };
 
-/** The place of the token in a configuration; see the draft in operator-calls.ts. */
+/** The token of the change that a configuration came from; operator-calls.ts puts it into the limits. */
 function tokenOf(state: ControlState): number | null {
   return state.configuration.serving?.limits.headerBytes ?? null;
 }
 
-export function createAnswerFacts(fail: Fail): AnswerFacts {
-  const changes = new Map<number, ChangeFact>();
-  const installed = new Map<number, Installed>();
-  const taken = new Set<number>();
-  const refused = new Set<number>();
+/** Creates a checker that has seen no call yet. */
+export function createAnswerChecker(reportViolation: ReportViolation): AnswerChecker {
+  const changes = new Map<number, OperatorChange>();
+  const installed = new Map<number, InstalledChange>();
+  const confirmed = new Set<number>();
+  const rejected = new Set<number>();
   let inForce: number | null = null;
-  let floorSlot = -1;
+  let answeredSlot = -1;
 
-  function raise(slot: number): void {
-    floorSlot = Math.max(floorSlot, slot);
+  function raiseAnsweredSlot(slot: number): void {
+    answeredSlot = Math.max(answeredSlot, slot);
   }
-  function noteAgreed(id: string, slot: number, batch: Batch | null, floorAtStart: number): void {
-    let isThere = false;
-    for (const entry of batch?.entries ?? []) if (entry.id === id) isThere = true;
-    if (!isThere) fail('confirmedKept', `${id} was confirmed in slot ${slot}, which does not hold it`);
-    if (slot <= floorAtStart)
-      fail('realTime', `${id} was confirmed in slot ${slot}, proposed after slot ${floorAtStart} was answered for`);
-    raise(slot);
+  function recordConfirmedProposal(id: string, slot: number, batch: Batch | null, answeredAtStart: number): void {
+    let hasEntry = false;
+    for (const entry of batch?.entries ?? []) if (entry.id === id) hasEntry = true;
+    if (!hasEntry) reportViolation('confirmedKept', `${id} was confirmed in slot ${slot}, which does not contain it`);
+    if (slot <= answeredAtStart)
+      reportViolation(
+        'realTime',
+        `${id} was confirmed in slot ${slot}, although it was proposed after slot ${answeredAtStart} was confirmed`,
+      );
+    raiseAnsweredSlot(slot);
   }
-  function noteSettled(node: string, slot: number, floorAtStart: number): void {
-    if (slot < floorAtStart)
-      fail('staleRead', `${node} settled at slot ${slot} after slot ${floorAtStart} was answered for`);
-    raise(slot);
+  function recordRead(node: string, slot: number, answeredAtStart: number): void {
+    if (slot < answeredAtStart)
+      reportViolation('staleRead', `${node} read at slot ${slot} after slot ${answeredAtStart} was confirmed`);
+    raiseAnsweredSlot(slot);
   }
-  function recordChange(change: ChangeFact): void {
+  function recordSentChange(change: OperatorChange): void {
     changes.set(change.token, change);
   }
-  function noteTaken(token: number): void {
-    taken.add(token);
-    const held = installed.get(token);
-    if (held) raise(held.slot);
-    else fail('confirmedKept', `change ${token} was confirmed, and is in no state`);
+  function recordConfirmedChange(token: number): void {
+    confirmed.add(token);
+    const installation = installed.get(token);
+    if (installation) raiseAnsweredSlot(installation.slot);
+    else reportViolation('confirmedKept', `change ${token} was confirmed, but no state contains it`);
   }
-  function noteRefused(token: number): void {
-    refused.add(token);
+  function recordRejectedChange(token: number): void {
+    rejected.add(token);
   }
   function newestNumber(): number {
     return inForce === null ? 0 : (installed.get(inForce)?.number ?? 0);
   }
-  function noteInstalled(slot: number, state: ControlState): void {
+  function recordNewSlot(slot: number, state: ControlState): void {
     const token = tokenOf(state);
     if (token === null || token === inForce) return;
     const change = changes.get(token);
     const earlier = installed.get(token);
-    if (!change) fail('unknownChange', `slot ${slot} put a configuration in force that nobody sent`);
+    if (!change) reportViolation('unknownChange', `slot ${slot} put a configuration in force that no operator sent`);
     else if (change.base !== newestNumber())
-      fail('oneWinner', `slot ${slot} put a change on ${newestNumber()} that was made on ${change.base}`);
-    if (earlier) fail('oneWinner', `slot ${slot} put the change of slot ${earlier.slot} in force again`);
+      reportViolation(
+        'oneWinner',
+        `slot ${slot} applied a change to number ${newestNumber()} that was based on ${change.base}`,
+      );
+    if (earlier) reportViolation('oneWinner', `slot ${slot} put the change of slot ${earlier.slot} in force again`);
     installed.set(token, { slot, number: state.configuration.serving?.number ?? 0 });
     inForce = token;
   }
 
-  function judge(): void {
-    const winners = new Map<number, number>();
-    for (const token of taken) {
+  function checkOutcomes(): void {
+    const confirmedByBase = new Map<number, number>();
+    for (const token of confirmed) {
       const base = changes.get(token)?.base ?? -1;
-      if (winners.has(base))
-        fail('oneWinner', `changes ${winners.get(base)} and ${token} were both confirmed on ${base}`);
-      winners.set(base, token);
+      if (confirmedByBase.has(base))
+        reportViolation(
+          'oneWinner',
+          `changes ${confirmedByBase.get(base)} and ${token} were both confirmed on base ${base}`,
+        );
+      confirmedByBase.set(base, token);
     }
-    for (const token of refused) {
+    for (const token of rejected) {
       const held = installed.get(token);
-      if (held) fail('refusedInForce', `change ${token} was refused as stale, and in force from slot ${held.slot}`);
+      if (held)
+        reportViolation('refusedInForce', `change ${token} was rejected as stale, but in force from slot ${held.slot}`);
     }
   }
-  function floor(): number {
-    return floorSlot;
+  function newestAnsweredSlot(): number {
+    return answeredSlot;
   }
-  return { floor, noteAgreed, noteSettled, recordChange, noteTaken, noteRefused, noteInstalled, newestNumber, judge };
+  return {
+    newestAnsweredSlot,
+    recordConfirmedProposal,
+    recordRead,
+    recordSentChange,
+    recordConfirmedChange,
+    recordRejectedChange,
+    recordNewSlot,
+    newestNumber,
+    checkOutcomes,
+  };
 }
--- a/src/sim/model/apply-command.ts
+++ b/src/sim/model/apply-command.ts
@@ -1,28 +1,28 @@
-/** What each command of a history does to the group. */
+/** Applies the commands of a history to the group. */
 import type { ModelCommand } from './history.js';
 import type { ModelGroup } from './model-group.js';
 import type { ModelNode } from './model-node.js';
 import type { OperatorCalls } from './operator-calls.js';
 
-/** More machines than this at a time would only make histories slow. */
-const MOST_NODES = 6;
+/** Limit of machines at a time; more would only make histories slow. */
+const MAX_NODES = 6;
 
-function present(group: ModelGroup): ModelNode[] {
+function presentNodes(group: ModelGroup): ModelNode[] {
   const out: ModelNode[] = [];
   for (const node of group.nodes) if (!node.retired) out.push(node);
   return out;
 }
 
-/** The node at an index, counted modulo those that are there. */
+/** The node at an index, taken modulo the number of nodes present. */
 function nodeAt(group: ModelGroup, index: number): ModelNode {
-  const nodes = present(group);
+  const nodes = presentNodes(group);
   return nodes[index % nodes.length] as ModelNode;
 }
 
-/** The node that a caller reaches: calls go to those that run, while any does. */
-function callee(group: ModelGroup, index: number): ModelNode {
+/** The node that a call goes to: a running one, if there is any. */
+function nodeForCall(group: ModelGroup, index: number): ModelNode {
   const running: ModelNode[] = [];
-  for (const node of present(group)) if (node.controller) running.push(node);
+  for (const node of presentNodes(group)) if (node.controller) running.push(node);
   return running[index % Math.max(1, running.length)] ?? nodeAt(group, index);
 }
 
@@ -32,84 +32,85 @@
 
 function losePower(group: ModelGroup, node: ModelNode, atWrite: number): void {
   if (atWrite === 0) group.losePower(node);
-  else node.strikeIn = atWrite;
+  else node.writesUntilPowerLoss = atWrite;
 }
 
 function loseDisk(group: ModelGroup, node: ModelNode): void {
-  if (!node.ending && group.bearsLossOf(node)) group.loseDisk(node);
+  if (!node.stopping && group.toleratesLossOf(node)) group.loseDisk(node);
 }
 
-function cutBetween(group: ModelGroup, from: ModelNode, to: ModelNode, bothWays: boolean): void {
+function blockTraffic(group: ModelGroup, from: ModelNode, to: ModelNode, bothWays: boolean): void {
   if (from === to) return;
   group.world.cut(from.name, to.name);
   if (bothWays) group.world.cut(to.name, from.name);
 }
 
 function isolate(group: ModelGroup, node: ModelNode, bothWays: boolean): void {
-  for (const other of present(group)) cutBetween(group, node, other, bothWays);
+  for (const other of presentNodes(group)) blockTraffic(group, node, other, bothWays);
 }
 
 function join(group: ModelGroup): void {
-  if (present(group).length < MOST_NODES) group.start(group.add());
+  if (presentNodes(group).length < MAX_NODES) group.start(group.add());
 }
 
-const STOP_MS = 7_000;
+const STOP_TIMEOUT_MS = 7_000;
 
-/** Told to end: it leaves by its own entry where it can, and is not started again. */
+/** Stops a node for good: it leaves with an entry of its own if it can, and is not started again. */
 async function leave(group: ModelGroup, node: ModelNode): Promise<void> {
-  if (node.ending || node.retired || !group.bearsLossOf(node)) return;
-  node.ending = true;
-  await node.controller?.stop(STOP_MS);
+  if (node.stopping || node.retired || !group.toleratesLossOf(node)) return;
+  node.stopping = true;
+  await node.controller?.stop(STOP_TIMEOUT_MS);
   group.kill(node);
   group.retire(node);
 }
 
 function replaceLost(group: ModelGroup, node: ModelNode, afterMs: number): void {
-  if (node.ending || !group.bearsLossOf(node)) return;
+  if (node.stopping || !group.toleratesLossOf(node)) return;
   group.losePower(node);
   group.retire(node);
   const replacement = group.add();
-  function arrive(): void {
+  function startReplacement(): void {
     group.start(replacement);
   }
-  group.world.at(afterMs, arrive);
+  group.world.at(afterMs, startReplacement);
 }
 
 function replacePlanned(group: ModelGroup, node: ModelNode, afterMs: number): void {
   join(group);
-  function end(): void {
+  function stopNode(): void {
     void leave(group, node);
   }
-  group.world.at(afterMs, end);
+  group.world.at(afterMs, stopNode);
 }
 
-/** Takes away all that disturbs: cuts, frozen machines, lost and late frames. */
-export function calm(group: ModelGroup): void {
-  group.lostShare = 0;
+/** Ends all disturbances: partitions, frozen machines, scheduled losses of power, lost and delayed frames. */
+export function stopDisturbances(group: ModelGroup): void {
+  group.frameLossRate = 0;
   group.net.disturb({ slow: 0, twice: 0, overtake: 0 });
   group.world.healAll();
   for (const node of group.nodes) {
-    node.strikeIn = null;
+    node.writesUntilPowerLoss = null;
     if (node.host.frozen) group.world.thaw(node.host);
   }
 }
 
-export function applyCommand(group: ModelGroup, calls: OperatorCalls, command: ModelCommand): void {
+/** Applies one command; calls and stops that it starts run on in the background. */
+export function applyCommand(group: ModelGroup, operatorCalls: OperatorCalls, command: ModelCommand): void {
   switch (command.kind) {
     case 'propose':
-      return calls.propose(callee(group, command.node), command.bytes);
+      return operatorCalls.propose(nodeForCall(group, command.node), command.bytes);
     case 'change':
-      return calls.change(callee(group, command.node), command.onOlder);
+      return operatorCalls.change(nodeForCall(group, command.node), command.onOlder);
     case 'resend':
-      return calls.resend(callee(group, command.node), command.change);
+      return operatorCalls.resend(nodeForCall(group, command.node), command.change);
     case 'read':
-      return calls.read(callee(group, command.node));
+      return operatorCalls.read(nodeForCall(group, command.node));
     case 'kill':
       return group.kill(nodeAt(group, command.node));
     case 'powerLoss':
       return losePower(group, nodeAt(group, command.node), command.atWrite);
     case 'powerLossOfAll':
-      for (const node of present(group)) group.losePower(node);
+      for (const node of presentNodes(group)) group.losePower(node);
       return;
     case 'diskLoss':
       return loseDisk(group, nodeAt(group, command.node));
@@ -123,13 +124,13 @@
       for (const node of group.nodes) if (node.host.frozen) group.world.thaw(node.host);
       return;
     case 'cut':
-      return cutBetween(group, nodeAt(group, command.from), nodeAt(group, command.to), command.bothWays);
+      return blockTraffic(group, nodeAt(group, command.from), nodeAt(group, command.to), command.bothWays);
     case 'isolate':
       return isolate(group, nodeAt(group, command.node), command.bothWays);
     case 'heal':
       return group.world.healAll();
     case 'disturb':
-      group.lostShare = command.lost;
+      group.frameLossRate = command.lost;
       return group.net.disturb({ slow: command.slow, twice: command.twice, overtake: command.overtake });
     case 'join':
       return join(group);
--- a/src/sim/model/broken.ts
+++ b/src/sim/model/broken.ts
@@ -1,4 +1,5 @@
-/** Rules that did not hold in a history, and what was seen. */
-export type Broken = { readonly rule: string; readonly detail: string };
+/** A rule that a history violated, and a description of the violation. */
+export type RuleViolation = { readonly rule: string; readonly detail: string };
 
-export type Fail = (rule: string, detail: string) => void;
+/** Called for each violation that a checker finds. */
+export type ReportViolation = (rule: string, detail: string) => void;
--- a/src/sim/model/explorer.ts
+++ b/src/sim/model/explorer.ts
@@ -1,8 +1,8 @@
 /**
- * Visits every state of the small case, breadth first, up to a depth: all orders
- * of messages, each lost, late or doubled, with a change of membership and a lost
- * disk anywhere between. A state that was seen is not visited again; states are
- * told apart by a digest of their canonical text.
+ * Explores all states of a small case, breadth first, up to a given depth: all
+ * orders of messages, each of which may be lost, delayed or duplicated, with a
+ * change of membership and a lost disk at any point. Each state is visited once;
+ * states are identified by a digest of their canonical text.
  */
 import { sha256 } from '../../base/digest.js';
 import { initialState, MACHINES } from './agreement-state.js';
@@ -13,35 +13,36 @@
 
 export type Exploration = {
   readonly visited: number;
-  /** Steps from the first state to the last ones visited. */
+  /** Number of steps from the initial state to the deepest states visited. */
   readonly depth: number;
-  /** Whether no state was left to go on from. */
+  /** Whether all reachable states were visited. */
   readonly complete: boolean;
-  /** The first broken rule found, by a shortest way. */
+  /** The first violated rule, with a shortest sequence of steps that leads to it. */
   readonly broken: { readonly rule: string; readonly steps: readonly string[] } | null;
 };
 
+/** Limits of an exploration: the greatest depth, and the number of states after which it ends. */
 export type Bounds = { readonly depth: number; readonly states: number };
 
-/** How a state was come to; its own text is not kept. */
-type Visit = { readonly state: AgreementState; readonly step: string; readonly from: Visit | null };
+/** A visited state and how it was reached; its canonical text is not stored. */
+type VisitedState = { readonly state: AgreementState; readonly step: string; readonly from: VisitedState | null };
 
-function slotText([slot, held]: NodeState['slots'][number]): string {
-  const { promised, accepted } = held;
+function slotText([slot, acceptorState]: NodeState['slots'][number]): string {
+  const { promised, accepted } = acceptorState;
   const vote = accepted ? `${accepted.ballot.round}${accepted.ballot.by}${accepted.batch.id}` : '';
   return `${slot}:${promised.round}${promised.by}:${vote}`;
 }
 
-function promiseText(proposal: ProposalState): string {
-  const out: string[] = [];
+function promisesText(proposal: ProposalState): string {
+  const parts: string[] = [];
   for (const name of Object.keys(proposal.promises).sort()) {
     const accepted = proposal.promises[name];
-    out.push(accepted ? `${name}=${accepted.ballot.round}${accepted.ballot.by}${accepted.batch.id}` : name);
+    parts.push(accepted ? `${name}=${accepted.ballot.round}${accepted.ballot.by}${accepted.batch.id}` : name);
   }
-  return out.join();
+  return parts.join();
 }
 
-/** Equal for equal states, whatever the order in which they came to be. */
+/** Returns equal digests for equal states, regardless of the order in which their parts were created. */
 export function digestOf(state: AgreementState): string {
   const parts: string[] = [`${state.lossesLeft}${state.crashesLeft}`];
   for (const name of MACHINES) {
@@ -50,34 +51,41 @@
   }
   for (const proposal of state.proposals) {
     const { electorate, batch, acceptedBy, learned } = proposal;
-    parts.push(`${electorate.join()}|${promiseText(proposal)}|${batch}|${acceptedBy.join()}|${learned}`);
+    parts.push(`${electorate.join()}|${promisesText(proposal)}|${batch}|${acceptedBy.join()}|${learned}`);
   }
   return sha256(parts.join('\n')).slice(0, 24);
 }
 
-function stepsTo(visit: Visit): string[] {
+function stepsLeadingTo(visit: VisitedState): string[] {
   const out: string[] = [];
-  for (let at: Visit | null = visit; at && at.from; at = at.from) out.push(at.step);
+  for (let current: VisitedState | null = visit; current && current.from; current = current.from)
+    out.push(current.step);
   return out.reverse();
 }
 
+/** Explores a scenario until a rule is violated, a bound is reached or no state is left. */
 export function explore(scenario: Scenario, bounds: Bounds): Exploration {
   const first = initialState(scenario.proposals, scenario.losses, scenario.crashes);
   const seen = new Set<string>([digestOf(first)]);
-  let frontier: Visit[] = [{ state: first, step: '', from: null }];
+  let frontier: VisitedState[] = [{ state: first, step: '', from: null }];
   let depth = 0;
   while (frontier.length > 0 && depth < bounds.depth && seen.size < bounds.states) {
-    const next: Visit[] = [];
+    const next: VisitedState[] = [];
     for (const visit of frontier) {
       for (const { step, state } of successorsOf(visit.state, scenario)) {
         const digest = digestOf(state);
         if (seen.has(digest)) continue;
         seen.add(digest);
-        const reached = { state, step, from: visit };
+        const successor = { state, step, from: visit };
         const rule = brokenRule(state, scenario);
         if (rule !== null)
-          return { visited: seen.size, depth: depth + 1, complete: false, broken: { rule, steps: stepsTo(reached) } };
-        next.push(reached);
+          return {
+            visited: seen.size,
+            depth: depth + 1,
+            complete: false,
+            broken: { rule, steps: stepsLeadingTo(successor) },
+          };
+        next.push(successor);
       }
     }
     frontier = next;
--- a/src/sim/model/facts.ts
+++ b/src/sim/model/facts.ts
@@ -1,27 +1,27 @@
-/** All that is seen of a group of controllers from outside, in one place. */
-import { createAnswerFacts } from './answer-facts.js';
-import type { AnswerFacts } from './answer-facts.js';
-import type { Broken } from './broken.js';
-import { createSlotFacts } from './slot-facts.js';
-import type { SlotFacts } from './slot-facts.js';
-import { createVoteFacts } from './vote-facts.js';
-import type { VoteFacts } from './vote-facts.js';
+/** Combines the checkers of votes, slots and answers, which observe a group of controllers from outside. */
+import { createAnswerChecker } from './answer-facts.js';
+import type { AnswerChecker } from './answer-facts.js';
+import type { RuleViolation } from './broken.js';
+import { createSlotChecker } from './slot-facts.js';
+import type { SlotChecker } from './slot-facts.js';
+import { createVoteChecker } from './vote-facts.js';
+import type { VoteChecker } from './vote-facts.js';
 
-export type Facts = {
-  readonly broken: readonly Broken[];
-  readonly fail: (rule: string, detail: string) => void;
-  readonly votes: VoteFacts;
-  readonly slots: SlotFacts;
-  readonly answers: AnswerFacts;
+export type RuleChecker = {
+  readonly broken: readonly RuleViolation[];
+  readonly reportViolation: (rule: string, detail: string) => void;
+  readonly votes: VoteChecker;
+  readonly slots: SlotChecker;
+  readonly answers: AnswerChecker;
 };
 
-export function createFacts(): Facts {
-  const broken: Broken[] = [];
-  function fail(rule: string, detail: string): void {
+export function createRuleChecker(): RuleChecker {
+  const broken: RuleViolation[] = [];
+  function reportViolation(rule: string, detail: string): void {
     broken.push({ rule, detail });
   }
-  const votes = createVoteFacts(fail);
-  const answers = createAnswerFacts(fail);
-  const slots = createSlotFacts(fail, votes, answers.noteInstalled);
-  return { broken, fail, votes, slots, answers };
+  const votes = createVoteChecker(reportViolation);
+  const answers = createAnswerChecker(reportViolation);
+  const slots = createSlotChecker(reportViolation, votes, answers.recordNewSlot);
+  return { broken, reportViolation, votes, slots, answers };
 }
--- a/src/sim/model/history.ts
+++ b/src/sim/model/history.ts
@@ -1,44 +1,44 @@
 /**
- * The vocabulary of a model history: what the environment does to a group of
- * controllers, step by step. A history is plain data, so that it can be
- * generated, shrunk, printed and run again.
+ * The commands of a model history: what the environment does to a group of
+ * controllers, step by step. A history is plain data, so that it can be drawn,
+ * shrunk, printed and replayed.
  *
- * Indices such as `node` count modulo the controllers that are there when the
- * step is taken, so that a shrunk history stays meaningful.
+ * Indices such as `node` are taken modulo the number of controllers present when
+ * the step runs, so that they stay valid in a shrunk history.
  */
 
-/** A controller, by its place among those that have not been retired. */
+/** Selects a controller by its index among those that are not retired. */
 type AtNode = { readonly node: number };
 
 export type ModelCommand =
-  /** An ordinary entry of the ledger, padded by some bytes. */
+  /** Proposes an ordinary ledger entry, padded with the given number of bytes. */
   | ({ readonly kind: 'propose'; readonly bytes: number } & AtNode)
-  /** A new operator change on the newest confirmed number, or on an older one. */
+  /** Sends a new operator change based on the newest configuration number in force, or on an older one. */
   | ({ readonly kind: 'change'; readonly onOlder: boolean } & AtNode)
-  /** An earlier operator change once more, with the same contents and digest. */
+  /** Resends an earlier operator change with the same contents and digest. */
   | ({ readonly kind: 'resend'; readonly change: number } & AtNode)
-  /** A read that settles with a majority first. */
+  /** A linearizable read, which first confirms the newest slot with a majority. */
   | ({ readonly kind: 'read' } & AtNode)
-  /** The process ends without a word; what it wrote stays. */
+  /** Kills the process without a shutdown; what it wrote stays on the disk. */
   | ({ readonly kind: 'kill' } & AtNode)
-  /** Power is lost at the given write, sync or replacement from now on; 0 is at once. */
+  /** Power is lost at the n-th write, sync or file replacement from now on; 0 means immediately. */
   | ({ readonly kind: 'powerLoss'; readonly atWrite: number } & AtNode)
-  /** All controllers lose power at once. */
+  /** All controllers lose power at the same time. */
   | { readonly kind: 'powerLossOfAll' }
-  /** The machine loses power and its disk, while the group bears it. */
+  /** The machine loses power and its disk, if the group tolerates this loss. */
   | ({ readonly kind: 'diskLoss' } & AtNode)
-  /** Every stopped controller is started. */
+  /** Starts all stopped controllers. */
   | { readonly kind: 'startAll' }
-  /** One stopped controller is started. */
+  /** Starts one controller if it is stopped. */
   | ({ readonly kind: 'start' } & AtNode)
   | ({ readonly kind: 'freeze' } & AtNode)
   | { readonly kind: 'thawAll' }
-  /** The network loses all that goes from one to another, or both ways. */
+  /** The network drops all traffic from one controller to another, or in both directions. */
   | { readonly kind: 'cut'; readonly from: number; readonly to: number; readonly bothWays: boolean }
-  /** One controller is cut off from all others, both ways or only outwards. */
+  /** Partitions one controller from all others, in both directions or only for outgoing traffic. */
   | ({ readonly kind: 'isolate'; readonly bothWays: boolean } & AtNode)
   | { readonly kind: 'heal' }
-  /** Shares of frames that are lost, doubled, delayed, or overtake others. */
+  /** Fractions of frames that are lost, duplicated, delayed or reordered. */
   | {
       readonly kind: 'disturb';
       readonly lost: number;
@@ -46,29 +46,29 @@
       readonly slow: number;
       readonly overtake: number;
     }
-  /** A new machine joins. */
+  /** Starts a new machine, which joins the group. */
   | { readonly kind: 'join' }
-  /** A controller is told to end, for good, while the group bears it. */
+  /** Stops a controller for good, if the group tolerates this loss. */
   | ({ readonly kind: 'leave' } & AtNode)
-  /** A machine is gone for good, while the group bears it; a new one comes later. */
+  /** A machine is permanently lost, if the group tolerates this; a new machine starts later. */
   | ({ readonly kind: 'replaceLost'; readonly afterMs: number } & AtNode)
-  /** A new machine joins, and the old one is told to end some time after. */
+  /** A new machine joins, and the old one is stopped some time later. */
   | ({ readonly kind: 'replacePlanned'; readonly afterMs: number } & AtNode);
 
-/** One command and the simulated time that passes after it. */
+/** A command and the simulated time that passes after it. */
 export type ModelStep = { readonly command: ModelCommand; readonly waitMs: number };
 
 export type ModelHistory = {
-  /** Seeds delays, ids, the fate of unsynced writes and of frames. */
+  /** Seed of delays, ids, and the loss of unsynced writes and of frames. */
   readonly worldSeed: number;
-  /** How many controllers found the ledger or join it at the start: 3 to 5. */
+  /** Number of controllers that bootstrap the ledger or join it at the start: 3 to 5. */
   readonly controllers: number;
-  /** Files of the ring: 2 compacts at nearly each write, 3 each few slots. */
+  /** Number of files in the log ring: 2 compacts at nearly every write, 3 every few slots. */
   readonly ringFiles: number;
   readonly steps: readonly ModelStep[];
 };
 
-/** One line for each step, as it is printed for a history that failed. */
+/** Formats a history that violated a rule, with one line for each step. */
 export function describeHistory(history: ModelHistory): string[] {
   const lines = [
     `world seed ${history.worldSeed}, ${history.controllers} controllers, ring of ${history.ringFiles} files`,
--- a/src/sim/model/model-group.ts
+++ b/src/sim/model/model-group.ts
@@ -1,8 +1,8 @@
 /**
- * A group of real controllers on the simulated wire, disk and clock, with the
- * hooks that a model history needs: power lost at a chosen write, disks lost,
- * frames lost, machines that come and go. What the controllers do is recorded in
- * the facts; this module judges nothing.
+ * A group of real controllers on a simulated wire, disk and clock, with the hooks
+ * that a model history needs: loss of power at a chosen write, lost disks, lost
+ * frames, machines that join and leave. The behaviour of the controllers is
+ * passed to the rule checker; this module checks nothing itself.
  */
 import { startController } from '../../coordination/controller.js';
 import type { Controller } from '../../coordination/controller.js';
@@ -20,77 +20,79 @@
 import type { SimNet } from '../sim-wire.js';
 import { createWorld } from '../world.js';
 import type { Proc, World } from '../world.js';
-import type { Facts } from './facts.js';
-import { createTolerance, identityOn, IDENTITY_FILE } from './tolerance.js';
+import type { RuleChecker } from './facts.js';
+import { createTolerance, identityOnDisk, IDENTITY_FILE } from './tolerance.js';
 import type { ModelNode } from './model-node.js';
-import { watchDisk } from './watched-disk.js';
-import { watchWire } from './watched-wire.js';
+import { interruptibleDisk } from './watched-disk.js';
+import { recordingWire } from './watched-wire.js';
 
-/** Deliberate breaks, with which the rules are seen to fail. */
-export type Sabotage = {
-  /** Disks answer a sync without syncing. */
-  readonly disksLie?: boolean;
-  /** A machine whose disk was lost goes on under its old identity. */
+/** Deliberate faults that tests use to verify that the rules detect them. */
+export type InjectedFaults = {
+  /** Disks acknowledge a sync without syncing. */
+  readonly disksIgnoreSync?: boolean;
+  /** A machine whose disk was lost continues under its old identity. */
   readonly keepsIdentity?: boolean;
   /** Reads don't ask a majority. */
-  readonly readsAlone?: boolean;
-  /** A re-sending bears another digest than its first sending, so nobody can tell that it is one. */
+  readonly readsWithoutQuorum?: boolean;
+  /** A resent change carries a different digest than the first time, so that it is not recognised as a repetition. */
   readonly changesDigests?: boolean;
-  /** Disks are lost without regard for what the group bears. */
+  /** Disks are lost even if the group does not tolerate the loss. */
   readonly losesMajority?: boolean;
 };
 
+/** The group, as the commands of a history act on it. */
 export type ModelGroup = {
   readonly world: World;
   readonly net: SimNet;
-  readonly facts: Facts;
-  readonly sabotage: Sabotage;
+  readonly checker: RuleChecker;
+  readonly injectedFaults: InjectedFaults;
   readonly nodes: readonly ModelNode[];
-  /** Share of frames that the network loses. */
-  lostShare: number;
+  /** Fraction of frames that the network loses. */
+  frameLossRate: number;
   readonly add: () => ModelNode;
   readonly start: (node: ModelNode) => void;
   readonly kill: (node: ModelNode) => void;
   readonly losePower: (node: ModelNode) => void;
   readonly loseDisk: (node: ModelNode) => void;
-  /** The machine is gone for good. */
+  /** Marks a machine as permanently gone. */
   readonly retire: (node: ModelNode) => void;
-  /** Whether the members keep a majority of whole disks without this one. */
-  readonly bearsLossOf: (node: ModelNode) => boolean;
-  /** Notes who is out of touch; see tolerance.ts. */
-  readonly look: () => void;
+  /** Whether a majority of members with intact disks remains without this machine. */
+  readonly toleratesLossOf: (node: ModelNode) => boolean;
+  /** Records which machines are unavailable now; see tolerance.ts. */
+  readonly recordUnavailable: () => void;
 };
 
-const SEEDS = 3;
-const REGION_MS = 20;
+const SEED_COUNT = 3;
+const ZONE_DELAY_MS = 20;
 const RING_FILE_BYTES = 6_144;
 const SNAPSHOT_BYTES = 64 * 1_024;
-const LOGS = createQuietLog();
+const QUIET_LOGS = createQuietLog();
 
-function ignored(): void {}
+function noop(): void {}
 
+/** Creates a group of machines that are not started yet; the first `SEED_COUNT` of them may bootstrap. */
 export function createModelGroup(
   seed: number,
   controllers: number,
   ringFiles: number,
-  facts: Facts,
-  sabotage: Sabotage,
+  checker: RuleChecker,
+  injectedFaults: InjectedFaults,
 ): ModelGroup {
   const world = createWorld(seed);
   const net = createSimNet(world);
-  const http = createSimHttp(world, ignored);
+  const http = createSimHttp(world, noop);
   const nodes: ModelNode[] = [];
-  const tolerance = createTolerance(world, nodes, facts.slots);
+  const tolerance = createTolerance(world, nodes, checker.slots);
   let seeds: readonly string[] = [];
-  const shape = { name: 'ledger', files: ringFiles, fileBytes: RING_FILE_BYTES, snapshotBytes: SNAPSHOT_BYTES };
-  let processes = 0;
+  const logFormat = { name: 'ledger', files: ringFiles, fileBytes: RING_FILE_BYTES, snapshotBytes: SNAPSHOT_BYTES };
+  let processCount = 0;
 
   function add(): ModelNode {
     const name = `c${nodes.length + 1}`;
     const zone = `zone-${name}`;
     const address = `10.0.0.${nodes.length + 1}:7000`;
     const platter = createPlatter();
-    platter.lies = sabotage.disksLie === true;
+    platter.lies = injectedFaults.disksIgnoreSync === true;
     const node: ModelNode = {
       name,
       host: world.host(name, zone),
@@ -98,50 +100,50 @@
       platter,
       bootstrap: false,
       retired: false,
-      ending: false,
-      strikeIn: null,
+      stopping: false,
+      writesUntilPowerLoss: null,
       controller: null,
       operator: null,
     };
-    for (const other of nodes) world.setDelay(other.host.zone, zone, REGION_MS);
+    for (const other of nodes) world.setDelay(other.host.zone, zone, ZONE_DELAY_MS);
     nodes.push(node);
     return node;
   }
   for (let i = 0; i < controllers; i += 1) {
     const node = add();
-    node.bootstrap = i < SEEDS;
+    node.bootstrap = i < SEED_COUNT;
   }
 
-  // Operators keep the listed seeds up to date: a machine that starts is given some that are still there.
+  // Operators keep the list of seeds up to date: a starting machine gets seeds that are still present.
   function currentSeeds(): readonly string[] {
     const out: string[] = [];
-    for (const node of nodes) if (!node.retired && !node.ending && out.length < SEEDS) out.push(node.address);
+    for (const node of nodes) if (!node.retired && !node.stopping && out.length < SEED_COUNT) out.push(node.address);
     return out;
   }
   function processRng(): Rng {
-    processes += 1;
-    return createRng(Math.imul(seed, 7_919) + processes * 104_729);
+    processCount += 1;
+    return createRng(Math.imul(seed, 7_919) + processCount * 104_729);
   }
   function losesFrame(): boolean {
-    return group.lostShare > 0 && world.rng.next() < group.lostShare;
+    return group.frameLossRate > 0 && world.rng.next() < group.frameLossRate;
   }
-  function depsOf(node: ModelNode, proc: Proc, rng: Rng) {
-    function isOn(): boolean {
+  function dependenciesOf(node: ModelNode, proc: Proc, rng: Rng) {
+    function hasPower(): boolean {
       return world.alive(proc);
     }
-    function strike(): void {
-      if (node.strikeIn === null) return;
-      node.strikeIn -= 1;
-      if (node.strikeIn <= 0) group.losePower(node);
+    function onOperation(): void {
+      if (node.writesUntilPowerLoss === null) return;
+      node.writesUntilPowerLoss -= 1;
+      if (node.writesUntilPowerLoss <= 0) group.losePower(node);
     }
     return {
       clock: world.clockOf(proc),
       rng,
-      wire: watchWire(net.wireOf(proc), facts.votes, losesFrame, isOn),
+      wire: recordingWire(net.wireOf(proc), checker.votes, losesFrame, hasPower),
       httpServer: http.httpServerOf(proc),
       httpClient: http.httpClientOf(proc),
-      disk: watchDisk(simDisk(node.platter, proc, world), { isOn, strike }),
-      logs: LOGS,
+      disk: interruptibleDisk(simDisk(node.platter, proc, world), { hasPower, onOperation }),
+      logs: QUIET_LOGS,
       policies: POLICIES,
       meters: createMeters,
     };
@@ -169,33 +171,36 @@
     const proc = world.begin(node.host);
     const rng = processRng();
     seeds = currentSeeds();
-    const deps = depsOf(node, proc, rng);
-    const started = await startController(identityOf(node, rng), deps, { ledger: shape, claims: shape });
+    const dependencies = dependenciesOf(node, proc, rng);
+    const controller = await startController(identityOf(node, rng), dependencies, {
+      ledger: logFormat,
+      claims: logFormat,
+    });
     if (!world.alive(proc)) return;
-    if (!started.ok) {
-      facts.fail('starts', `${node.name} did not start: ${started.error.tag}`);
+    if (!controller.ok) {
+      checker.reportViolation('starts', `${node.name} did not start: ${controller.error.tag}`);
       return;
     }
-    node.controller = started.value;
+    node.controller = controller.value;
     node.operator = createConfigurationService({
-      ...started.value,
-      clock: deps.clock,
+      ...controller.value,
+      clock: dependencies.clock,
       log: createQuietLog().component('operator'),
     });
-    observe(node, started.value);
+    observe(node, controller.value);
   }
   function observe(node: ModelNode, controller: Controller): void {
     const { ledger } = controller;
-    function folded(event: { readonly slot: number; readonly batch: Batch }): void {
-      facts.slots.noteFolded(node.name, event.slot, event.batch, ledger.controlState());
+    function onApplied(event: { readonly slot: number; readonly batch: Batch }): void {
+      checker.slots.recordApplied(node.name, event.slot, event.batch, ledger.controlState());
     }
-    function adopted(): void {
-      facts.slots.noteAdopted(node.name, ledger.controlState());
+    function onSnapshotInstalled(): void {
+      checker.slots.recordSnapshotInstalled(node.name, ledger.controlState());
     }
-    facts.votes.noteRestart(memberId(ledger.self), ledger.top());
-    facts.slots.noteRestored(node.name, ledger.controlState());
-    ledger.events.on('folded', folded);
-    ledger.events.on('adopted', adopted);
+    checker.votes.recordRestart(memberId(ledger.self), ledger.top());
+    checker.slots.recordRestored(node.name, ledger.controlState());
+    ledger.events.on('folded', onApplied);
+    ledger.events.on('adopted', onSnapshotInstalled);
   }
 
   function start(node: ModelNode): void {
@@ -206,7 +211,7 @@
     node.controller = null;
     node.operator = null;
     node.bootstrap = false;
-    node.strikeIn = null;
+    node.writesUntilPowerLoss = null;
   }
   function losePowerOf(node: ModelNode): void {
     node.host.powered = false;
@@ -214,36 +219,36 @@
     losePower(node.platter, world);
   }
   function loseDiskOf(node: ModelNode): void {
-    tolerance.noteGone(node);
+    tolerance.recordLoss(node);
     losePowerOf(node);
-    const identity = identityOn(node);
-    const kept = node.platter.files.get(IDENTITY_FILE);
+    const identity = identityOnDisk(node);
+    const identityFile = node.platter.files.get(IDENTITY_FILE);
     loseDisk(node.platter);
-    if (identity !== null) facts.votes.onDisconnected(identity);
-    if (sabotage.keepsIdentity && kept) node.platter.files.set(IDENTITY_FILE, kept);
+    if (identity !== null) checker.votes.recordDiskLoss(identity);
+    if (injectedFaults.keepsIdentity && identityFile) node.platter.files.set(IDENTITY_FILE, identityFile);
   }
   function retire(node: ModelNode): void {
-    tolerance.noteGone(node);
+    tolerance.recordLoss(node);
     node.retired = true;
   }
-  function bearsLossOf(node: ModelNode): boolean {
-    return sabotage.losesMajority === true || tolerance.bearsLossOf(node);
+  function toleratesLossOf(node: ModelNode): boolean {
+    return injectedFaults.losesMajority === true || tolerance.toleratesLossOf(node);
   }
   const group: ModelGroup = {
     world,
     net,
-    facts,
-    sabotage,
+    checker,
+    injectedFaults,
     nodes,
-    lostShare: 0,
+    frameLossRate: 0,
     add,
     start,
     kill,
     losePower: losePowerOf,
     loseDisk: loseDiskOf,
     retire,
-    bearsLossOf,
-    look: tolerance.look,
+    toleratesLossOf,
+    recordUnavailable: tolerance.recordUnavailable,
   };
   return group;
 }
--- a/src/sim/model/model-node.ts
+++ b/src/sim/model/model-node.ts
@@ -1,4 +1,4 @@
-/** One machine of a model group: its host and disk, which last, and the controller that runs on it, if one does. */
+/** A machine of a model group: its host and disk, which outlive processes, and its running controller, if there is one. */
 import type { Controller } from '../../coordination/controller.js';
 import type { ConfigurationService } from '../../coordination/configuration/configuration-service.js';
 import type { Platter } from '../sim-disk.js';
@@ -9,14 +9,14 @@
   readonly host: Host;
   readonly address: string;
   readonly platter: Platter;
-  /** Whether its very first start is still to come, so that it may found. */
+  /** Whether it may bootstrap the ledger: only a seed that has not run before. */
   bootstrap: boolean;
-  /** Gone for good: never started again. */
+  /** Permanently gone: never started again. */
   retired: boolean;
-  /** Told to end, and on its way. */
-  ending: boolean;
-  /** Writes until power is lost, or null. */
-  strikeIn: number | null;
+  /** Asked to stop for good; the stop may still be in progress. */
+  stopping: boolean;
+  /** Remaining disk operations until power is lost, or null if no loss of power is scheduled. */
+  writesUntilPowerLoss: number | null;
   controller: Controller | null;
   operator: ConfigurationService | null;
 };
--- a/src/sim/model/model.test.ts
+++ b/src/sim/model/model.test.ts
@@ -1,21 +1,21 @@
 import { describe, expect, test } from '@jest/globals';
 import type { ModelCommand, ModelHistory } from './history.js';
-import type { Sabotage } from './model-group.js';
+import type { InjectedFaults } from './model-group.js';
 import { runHistory } from './run-history.js';
 import { reportOf, searchSeed } from './search.js';
 
 const HISTORIES = 100;
-const MOST_TO_BREAK = 20;
-const SHRINKING_RUNS = 40;
+const MAX_SEEDS = 20;
+const SHRINK_RUNS = 40;
 
 describe('model histories', () => {
   test(`all rules hold in the histories of seeds 1 to ${HISTORIES}, which are not idle`, async () => {
     const reports: string[] = [];
     const total = { slots: 0, confirmed: 0, adopted: 0 };
     for (let seed = 1; seed <= HISTORIES; seed += 1) {
-      const found = await searchSeed(seed);
-      if (found.end.broken.length > 0) reports.push(...reportOf(found));
-      for (const key of ['slots', 'confirmed', 'adopted'] as const) total[key] += found.end[key];
+      const result = await searchSeed(seed);
+      if (result.end.broken.length > 0) reports.push(...reportOf(result));
+      for (const key of ['slots', 'confirmed', 'adopted'] as const) total[key] += result.end[key];
     }
     expect(reports).toEqual([]);
     expect(total.slots).toBeGreaterThan(4 * HISTORIES);
@@ -23,36 +23,41 @@
     expect(total.adopted).toBeGreaterThan(HISTORIES);
   });
 
-  test('a seed draws the same history, and runs the same, each time', async () => {
+  test('a seed always draws the same history, which always runs the same', async () => {
     const first = await searchSeed(11);
     expect(await searchSeed(11)).toEqual(first);
   });
 });
 
-const breaks: readonly (readonly [string, Sabotage, number, readonly string[]])[] = [
+const faults: readonly (readonly [string, InjectedFaults, number, readonly string[]])[] = [
   [
-    'disks that lie about syncing',
-    { disksLie: true },
+    'disks that acknowledge a sync without syncing',
+    { disksIgnoreSync: true },
     3,
     ['starts', 'restartedBehind', 'acceptedKept', 'promiseKept', 'recovers'],
   ],
-  ['an identity that outlives its disk', { keepsIdentity: true }, 11, ['lostIdentity', 'restartedBehind']],
-  ['reads that ask nobody', { readsAlone: true }, 5, ['staleRead']],
-  ['re-sendings that can not be told from new changes', { changesDigests: true }, 61, ['refusedInForce']],
-  ['more disks lost than the group bears', { losesMajority: true }, 4, ['recovers']],
+  [
+    'an identity that is kept after its disk was lost',
+    { keepsIdentity: true },
+    11,
+    ['lostIdentity', 'restartedBehind'],
+  ],
+  ['reads that ask no other member', { readsWithoutQuorum: true }, 5, ['staleRead']],
+  ['resent changes that cannot be recognised as repetitions', { changesDigests: true }, 61, ['refusedInForce']],
+  ['more disks lost than the group tolerates', { losesMajority: true }, 4, ['recovers']],
 ];
 
-describe('a deliberate break is seen, and its history shrunk', () => {
-  test.each(breaks)('%s', async (_name, sabotage, firstSeed, rules) => {
-    for (let seed = firstSeed; seed < firstSeed + MOST_TO_BREAK; seed += 1) {
-      const found = await searchSeed(seed, sabotage, SHRINKING_RUNS);
-      if (found.end.broken.length === 0) continue;
-      expect(rules).toContain(found.end.broken[0]?.rule);
-      expect(found.shrunk?.steps.length).toBeLessThan(found.history.steps.length);
-      expect(found.shrunkEnd?.broken[0]?.rule).toBe(found.end.broken[0]?.rule);
+describe('an injected fault is detected, and its history is shrunk', () => {
+  test.each(faults)('%s', async (_name, injectedFaults, firstSeed, rules) => {
+    for (let seed = firstSeed; seed < firstSeed + MAX_SEEDS; seed += 1) {
+      const result = await searchSeed(seed, injectedFaults, SHRINK_RUNS);
+      if (result.end.broken.length === 0) continue;
+      expect(rules).toContain(result.end.broken[0]?.rule);
+      expect(result.shrunk?.steps.length).toBeLessThan(result.history.steps.length);
+      expect(result.shrunkEnd?.broken[0]?.rule).toBe(result.end.broken[0]?.rule);
       return;
     }
-    expect('a broken rule').toBe('seen');
+    expect('a violated rule').toBe('detected');
   });
 });
 
@@ -65,10 +70,10 @@
   return { worldSeed, controllers, ringFiles, steps: steps.map(([command, waitMs]) => ({ command, waitMs })) };
 }
 
-/** Histories that once broke a rule, shrunk, each with the fault that it found. */
-const found: readonly (readonly [string, ModelHistory])[] = [
+/** Shrunk histories that once violated a rule, each with the fault that it found. */
+const regressions: readonly (readonly [string, ModelHistory])[] = [
   [
-    'a read of one whose members were replaced while it was cut off asks the new ones too',
+    'a read at a node that was partitioned while its members were replaced also asks the new members',
     history(
       1_991_886_318,
       3,
@@ -85,7 +90,7 @@
     ),
   ],
   [
-    'one that was killed while it wrote, and then loses power at its next write, starts again',
+    'a node that was killed during a write and then loses power at its next write can start again',
     history(
       1_745_195_637,
       3,
@@ -99,8 +104,8 @@
   ],
 ];
 
-describe('what histories found', () => {
-  test.each(found)('%s', async (_name, steps) => {
+describe('regressions found by histories', () => {
+  test.each(regressions)('%s', async (_name, steps) => {
     expect((await runHistory(steps)).broken).toEqual([]);
   });
 });
--- a/src/sim/model/operator-calls.ts
+++ b/src/sim/model/operator-calls.ts
@@ -1,72 +1,79 @@
 /**
- * The callers of a model history: ordinary proposals, operator changes and
- * their re-sendings, and reads. Calls run beside the history; each records what
- * it was answered, if it was.
+ * The calls of a model history: proposals, operator changes, resent changes and
+ * reads. Calls run concurrently with the history; each records its answer, if it
+ * gets one.
  */
 import { DEFAULT_LIMITS } from '../../state/configuration/serving.js';
 import type { Serving } from '../../state/configuration/serving.js';
-import type { ChangeFact } from './answer-facts.js';
+import type { OperatorChange } from './answer-facts.js';
 import type { ModelGroup } from './model-group.js';
 import type { ModelNode } from './model-node.js';
 
-const PROPOSE_MS = 1_500;
+const PROPOSE_TIMEOUT_MS = 1_500;
 const READ_TIMEOUT_MS = 900;
 const FIRST_TOKEN = 20_000;
 
+/** Starts calls to controllers, without waiting for their answers. */
 export type OperatorCalls = {
   readonly propose: (node: ModelNode, bytes: number) => void;
   readonly change: (node: ModelNode, onOlder: boolean) => void;
   readonly resend: (node: ModelNode, index: number) => void;
   readonly read: (node: ModelNode) => void;
-  /** How many calls were answered with success. */
+  /** Number of calls that succeeded. */
   readonly confirmed: () => number;
 };
 
-/** A whole configuration; the token in its limits tells it from all others. */
-function draftOf(change: ChangeFact): Serving {
+/** A complete configuration, identified by the token in its limits. */
+function configurationOf(change: OperatorChange): Serving {
   return { number: change.number, mappings: {}, models: {}, limits: { ...DEFAULT_LIMITS, headerBytes: change.token } };
 }
 
+/** Creates the caller of a group. */
 export function createOperatorCalls(group: ModelGroup): OperatorCalls {
-  const { answers, slots } = group.facts;
-  const sent: ChangeFact[] = [];
-  let proposals = 0;
-  let sendings = 0;
-  let confirmedCalls = 0;
+  const { answers, slots } = group.checker;
+  const sent: OperatorChange[] = [];
+  let proposalCount = 0;
+  let sendCount = 0;
+  let confirmedCount = 0;
 
   async function propose(node: ModelNode, bytes: number): Promise<void> {
     const ledger = node.controller?.ledger;
     if (!ledger) return;
-    proposals += 1;
-    const id = `model-${proposals}`;
-    const floor = answers.floor();
-    const command = { tag: 'evacuation' as const, zone: `zone-${proposals}`, begun: true };
-    const got = await ledger.propose({ id, cause: 'x'.repeat(bytes), act: command }, PROPOSE_MS);
-    if (!got.ok) return;
-    confirmedCalls += 1;
-    answers.noteAgreed(id, got.value.slot, slots.batchOf(got.value.slot), floor);
+    proposalCount += 1;
+    const id = `model-${proposalCount}`;
+    const answeredSlot = answers.newestAnsweredSlot();
+    const command = { tag: 'evacuation' as const, zone: `zone-${proposalCount}`, begun: true };
+    const result = await ledger.propose({ id, cause: 'x'.repeat(bytes), act: command }, PROPOSE_TIMEOUT_MS);
+    if (!result.ok) return;
+    confirmedCount += 1;
+    answers.recordConfirmedProposal(id, result.value.slot, slots.batchOf(result.value.slot), answeredSlot);
   }
 
-  function digestOf(change: ChangeFact): string {
-    sendings += 1;
-    return group.sabotage.changesDigests ? `digest-${sendings}` : `digest-${change.token}`;
+  function digestOf(change: OperatorChange): string {
+    sendCount += 1;
+    return group.injectedFaults.changesDigests ? `digest-${sendCount}` : `digest-${change.token}`;
   }
-  async function send(node: ModelNode, change: ChangeFact): Promise<void> {
+  async function send(node: ModelNode, change: OperatorChange): Promise<void> {
     if (!node.operator) return;
-    const got = await node.operator.replace(change.base, draftOf(change), digestOf(change));
-    if (got.ok) {
-      confirmedCalls += 1;
-      answers.noteTaken(change.token);
-    } else if (got.error.tag === 'stale') answers.noteRefused(change.token);
-    else if (got.error.tag === 'invalid') group.facts.fail('valid', `change ${change.token} was called invalid`);
+    const result = await node.operator.replace(change.base, configurationOf(change), digestOf(change));
+    if (result.ok) {
+      confirmedCount += 1;
+      answers.recordConfirmedChange(change.token);
+    } else if (result.error.tag === 'stale') answers.recordRejectedChange(change.token);
+    else if (result.error.tag === 'invalid')
+      group.checker.reportViolation('valid', `change ${change.token} was rejected as invalid`);
   }
   function change(node: ModelNode, onOlder: boolean): void {
     const newest = answers.newestNumber();
     const base = onOlder ? (sent[sent.length - 1]?.base ?? newest) : newest;
-    const made = { token: FIRST_TOKEN + sent.length, base, number: Math.max(newest, base) + 1 + (sent.length % 3) };
-    sent.push(made);
-    answers.recordChange(made);
-    void send(node, made);
+    const newChange = {
+      token: FIRST_TOKEN + sent.length,
+      base,
+      number: Math.max(newest, base) + 1 + (sent.length % 3),
+    };
+    sent.push(newChange);
+    answers.recordSentChange(newChange);
+    void send(node, newChange);
   }
   function resend(node: ModelNode, index: number): void {
     const earlier = sent[index % Math.max(1, sent.length)];
@@ -76,21 +83,22 @@
   async function read(node: ModelNode): Promise<void> {
     const ledger = node.controller?.ledger;
     if (!ledger) return;
-    const floor = answers.floor();
-    const isCommitted = group.sabotage.readsAlone === true || (await ledger.linearizableRead(READ_TIMEOUT_MS));
+    const floor = answers.newestAnsweredSlot();
+    const isCommitted =
+      group.injectedFaults.readsWithoutQuorum === true || (await ledger.linearizableRead(READ_TIMEOUT_MS));
     if (!isCommitted) return;
-    confirmedCalls += 1;
-    answers.noteSettled(node.name, ledger.controlState().slot, floor);
+    confirmedCount += 1;
+    answers.recordRead(node.name, ledger.controlState().slot, floor);
   }
 
-  function startPropose(node: ModelNode, bytes: number): void {
+  function startProposal(node: ModelNode, bytes: number): void {
     void propose(node, bytes);
   }
   function startRead(node: ModelNode): void {
     void read(node);
   }
   function confirmed(): number {
-    return confirmedCalls;
+    return confirmedCount;
   }
-  return { propose: startPropose, change, resend, read: startRead, confirmed };
+  return { propose: startProposal, change, resend, read: startRead, confirmed };
 }
--- a/src/sim/model/run-history.ts
+++ b/src/sim/model/run-history.ts
@@ -1,46 +1,46 @@
 /**
- * Runs one history against real controllers: they found their ledger, the steps
- * are taken one by one, then all that disturbs is taken away and the group must
- * serve again, holding all that it confirmed. The rules are looked at as facts
- * come in, and the run ends at the first that did not hold.
+ * Runs a history against real controllers: they bootstrap their ledger, the steps
+ * run one by one, then all disturbances end and the group must serve again with
+ * everything that it confirmed. Rules are checked on each observation, and the
+ * run ends at the first violation.
  */
 import { memberId } from '../../state/consensus/control-state.js';
-import { applyCommand, calm } from './apply-command.js';
-import type { Broken } from './broken.js';
-import { createFacts } from './facts.js';
+import { applyCommand, stopDisturbances } from './apply-command.js';
+import type { RuleViolation } from './broken.js';
+import { createRuleChecker } from './facts.js';
 import type { ModelHistory } from './history.js';
 import { createModelGroup } from './model-group.js';
-import type { ModelGroup, Sabotage } from './model-group.js';
+import type { ModelGroup, InjectedFaults } from './model-group.js';
 import type { ModelNode } from './model-node.js';
 import { createOperatorCalls } from './operator-calls.js';
 
-export type HistoryEnd = {
-  readonly broken: readonly Broken[];
-  /** Figures of what the history did, to see that histories are not idle. */
+export type HistoryResult = {
+  readonly broken: readonly RuleViolation[];
+  /** Counts of what happened in the history; tests use them to verify that histories are not idle. */
   readonly slots: number;
   readonly confirmed: number;
   readonly adopted: number;
   readonly simulatedMs: number;
 };
 
-const FOUND_MS = 6_000;
-const RECOVER_MS = 20_000;
-const CHECK_MS = 100;
+const BOOTSTRAP_TIMEOUT_MS = 6_000;
+const RECOVERY_TIMEOUT_MS = 20_000;
+const CHECK_INTERVAL_MS = 100;
 const READ_TIMEOUT_MS = 1_000;
 
-function living(group: ModelGroup): ModelNode[] {
+function remainingNodes(group: ModelGroup): ModelNode[] {
   const out: ModelNode[] = [];
-  for (const node of group.nodes) if (!node.retired && !node.ending) out.push(node);
+  for (const node of group.nodes) if (!node.retired && !node.stopping) out.push(node);
   return out;
 }
 
-function isWhole(group: ModelGroup): boolean {
-  for (const node of living(group)) if (!node.controller?.ledger.isMember()) return false;
+function areAllMembers(group: ModelGroup): boolean {
+  for (const node of remainingNodes(group)) if (!node.controller?.ledger.isMember()) return false;
   return true;
 }
 
-/** What a node holds, to be read beside a rule that did not hold. */
-function portraitOf(node: ModelNode): string {
+/** Describes the ledger state of a node for the report of a violation. */
+function describeNode(node: ModelNode): string {
   const ledger = node.controller?.ledger;
   if (!ledger) return `${node.name} has no ledger`;
   const state = ledger.controlState();
@@ -49,59 +49,65 @@
   return `${memberId(ledger.self).slice(0, 8)} holds slot ${state.slot}, accepted up to ${ledger.top()}, members ${members.join(' ')}`;
 }
 
-/** All are started, and each must settle with a majority at or past all that was answered. */
-async function recover(group: ModelGroup): Promise<void> {
-  const { world, facts } = group;
-  calm(group);
+/**
+ * Starts all nodes. Each must complete a linearizable read at or after the newest slot that an answered call
+ * depends on.
+ */
+async function verifyRecovery(group: ModelGroup): Promise<void> {
+  const { world, checker } = group;
+  stopDisturbances(group);
   for (const node of group.nodes) group.start(node);
-  const settled = new Set<string>();
-  const until = world.now() + RECOVER_MS;
-  const floor = facts.answers.floor();
+  const recovered = new Set<string>();
+  const deadline = world.now() + RECOVERY_TIMEOUT_MS;
+  const answeredSlot = checker.answers.newestAnsweredSlot();
 
   async function linearizableRead(node: ModelNode): Promise<void> {
     const ledger = node.controller?.ledger;
     if (!ledger || !(await ledger.linearizableRead(READ_TIMEOUT_MS))) return;
-    facts.answers.noteSettled(node.name, ledger.controlState().slot, floor);
-    settled.add(node.name);
+    checker.answers.recordRead(node.name, ledger.controlState().slot, answeredSlot);
+    recovered.add(node.name);
   }
-  function isDone(): boolean {
-    for (const node of living(group)) if (!settled.has(node.name)) return false;
+  function haveAllRecovered(): boolean {
+    for (const node of remainingNodes(group)) if (!recovered.has(node.name)) return false;
     return true;
   }
-  while (!isDone() && world.now() < until && facts.broken.length === 0) {
-    for (const node of living(group)) if (!settled.has(node.name)) void linearizableRead(node);
-    await world.advance(CHECK_MS);
+  while (!haveAllRecovered() && world.now() < deadline && checker.broken.length === 0) {
+    for (const node of remainingNodes(group)) if (!recovered.has(node.name)) void linearizableRead(node);
+    await world.advance(CHECK_INTERVAL_MS);
   }
-  for (const node of living(group))
-    if (!settled.has(node.name))
-      facts.fail('recovers', `${node.name} did not settle within ${RECOVER_MS} ms: ${portraitOf(node)}`);
+  for (const node of remainingNodes(group))
+    if (!recovered.has(node.name))
+      checker.reportViolation(
+        'recovers',
+        `${node.name} completed no linearizable read within ${RECOVERY_TIMEOUT_MS} ms: ${describeNode(node)}`,
+      );
 }
 
-export async function runHistory(history: ModelHistory, sabotage: Sabotage = {}): Promise<HistoryEnd> {
-  const facts = createFacts();
-  const group = createModelGroup(history.worldSeed, history.controllers, history.ringFiles, facts, sabotage);
-  const calls = createOperatorCalls(group);
+export async function runHistory(history: ModelHistory, injectedFaults: InjectedFaults = {}): Promise<HistoryResult> {
+  const checker = createRuleChecker();
+  const group = createModelGroup(history.worldSeed, history.controllers, history.ringFiles, checker, injectedFaults);
+  const operatorCalls = createOperatorCalls(group);
   const { world } = group;
-  function bootstrapped(): boolean {
-    return isWhole(group);
+  function isBootstrapped(): boolean {
+    return areAllMembers(group);
   }
   for (const node of group.nodes) group.start(node);
-  if (!(await world.until(FOUND_MS, bootstrapped)))
-    facts.fail('bootstraps', `not all were members within ${FOUND_MS} ms`);
+  if (!(await world.until(BOOTSTRAP_TIMEOUT_MS, isBootstrapped)))
+    checker.reportViolation('bootstraps', `not all controllers became members within ${BOOTSTRAP_TIMEOUT_MS} ms`);
   for (const { command, waitMs } of history.steps) {
-    if (facts.broken.length > 0) break;
-    applyCommand(group, calls, command);
-    group.look();
+    if (checker.broken.length > 0) break;
+    applyCommand(group, operatorCalls, command);
+    group.recordUnavailable();
     await world.advance(waitMs);
-    group.look();
+    group.recordUnavailable();
   }
-  if (facts.broken.length === 0) await recover(group);
-  facts.answers.judge();
+  if (checker.broken.length === 0) await verifyRecovery(group);
+  checker.answers.checkOutcomes();
   return {
-    broken: facts.broken,
-    slots: facts.slots.count(),
-    confirmed: calls.confirmed(),
-    adopted: facts.slots.adopted(),
+    broken: checker.broken,
+    slots: checker.slots.count(),
+    confirmed: operatorCalls.confirmed(),
+    adopted: checker.slots.adopted(),
     simulatedMs: world.now(),
   };
 }
--- a/src/sim/model/same-value.ts
+++ b/src/sim/model/same-value.ts
@@ -1,4 +1,4 @@
-/** Deep equality of JSON values, whatever the order of their keys. */
+/** Deep equality of JSON values, regardless of the order of their keys. */
 import { isTable } from '../../base/is-table.js';
 
 export function sameValue(left: unknown, right: unknown): boolean {
--- a/src/sim/model/watched-disk.ts
+++ b/src/sim/model/watched-disk.ts
@@ -1,53 +1,55 @@
 /**
- * A disk that loses power at a write chosen beforehand. Each write, sync and
- * replacement counts. Once power is lost nothing that the dead process still
- * calls reaches the platter, and none of its calls ever returns.
+ * A disk that loses power at a scheduled operation: each write, sync and file
+ * replacement counts. After the loss, no call of the dead process reaches the
+ * platter, and none of its calls ever completes.
  */
 import { ok } from '../../base/result.js';
 import type { Result } from '../../base/result.js';
 import type { Disk, DiskError, DiskFile } from '../../transport/disk.js';
 
+/** The power supply of a simulated disk. */
 export type PowerSwitch = {
   /** Whether the process that owns the disk still has power. */
-  readonly isOn: () => boolean;
-  /** Called at each write, sync and replacement once it was handed to the disk: may take the power away. */
-  readonly strike: () => void;
+  readonly hasPower: () => boolean;
+  /** Called after each write, sync or replacement was passed to the disk; may turn the power off. */
+  readonly onOperation: () => void;
 };
 
-function never<T>(): Promise<T> {
-  function start(): void {}
-  return new Promise<T>(start);
+function neverResolves<T>(): Promise<T> {
+  function ignore(): void {}
+  return new Promise<T>(ignore);
 }
 
-export function watchDisk(inner: Disk, power: PowerSwitch): Disk {
-  function guarded<T>(work: () => Promise<T>): Promise<T> {
-    if (!power.isOn()) return never();
-    const result = work();
-    power.strike();
-    return power.isOn() ? result : never();
+/** Wraps a disk so that it can lose power at each operation. */
+export function interruptibleDisk(inner: Disk, power: PowerSwitch): Disk {
+  function whilePowered<T>(operation: () => Promise<T>): Promise<T> {
+    if (!power.hasPower()) return neverResolves();
+    const result = operation();
+    power.onOperation();
+    return power.hasPower() ? result : neverResolves();
   }
 
   function watchFile(file: DiskFile): DiskFile {
     function write(at: number, data: Buffer): Promise<Result<null, DiskError>> {
-      function work(): Promise<Result<null, DiskError>> {
+      function operation(): Promise<Result<null, DiskError>> {
         return file.write(at, data);
       }
-      return guarded(work);
+      return whilePowered(operation);
     }
     function sync(): Promise<Result<null, DiskError>> {
-      return guarded(file.sync);
+      return whilePowered(file.sync);
     }
     return { ...file, write, sync };
   }
   async function preallocated(name: string, size: number): Promise<Result<DiskFile, DiskError>> {
-    const made = await inner.preallocated(name, size);
-    return made.ok ? ok(watchFile(made.value)) : made;
+    const created = await inner.preallocated(name, size);
+    return created.ok ? ok(watchFile(created.value)) : created;
   }
   function replace(name: string, data: Buffer): Promise<Result<null, DiskError>> {
     function work(): Promise<Result<null, DiskError>> {
       return inner.replace(name, data);
     }
-    return guarded(work);
+    return whilePowered(work);
   }
   return { ...inner, preallocated, replace };
 }
--- a/src/sim/model/watched-wire.ts
+++ b/src/sim/model/watched-wire.ts
@@ -1,18 +1,18 @@
 /**
- * A wire that records the votes a controller sends and loses frames at random.
- * It wraps the simulated wire, so the controller's own messages, frames and
- * timeouts are the real ones.
+ * A wire that records the votes that a controller sends, and drops frames at
+ * random. It wraps the simulated wire, so that the controller uses its real
+ * messages, frames and timeouts.
  */
 import { err, ok } from '../../base/result.js';
 import type { Result } from '../../base/result.js';
 import type { Frame, Message } from '../../protocol/messages.js';
 import type { Address, Connection, ConnectionEvents, Listener, Wire, WireError } from '../../transport/wire.js';
-import type { VoteFacts, VoteRequest } from './vote-facts.js';
+import type { VoteChecker, VoteRequest } from './vote-facts.js';
 
-/** Says of each frame, when it is sent, whether the network loses it. */
+/** Called for each frame when it is sent; returns whether the network loses it. */
 export type LosesFrame = () => boolean;
 
-/** Whether the process that owns the wire still runs. */
+/** Whether the process that owns the wire is still running. */
 export type IsAlive = () => boolean;
 
 function requestOf(message: Message): VoteRequest | null {
@@ -21,27 +21,27 @@
   return null;
 }
 
-function watchConnection(inner: Connection, votes: VoteFacts, loses: LosesFrame): Connection {
-  const asked = new Map<number, VoteRequest>();
+function recordingConnection(inner: Connection, votes: VoteChecker, losesFrame: LosesFrame): Connection {
+  const requests = new Map<number, VoteRequest>();
 
-  function noteAnswer(id: number, message: Message): void {
-    const request = asked.get(id);
+  function recordResponse(id: number, message: Message): void {
+    const request = requests.get(id);
     if (!request) return;
     if (message.kind === 'promised')
-      votes.noteVote(request, { kind: 'promised', voter: message.voter, accepted: message.accepted?.ballot ?? null });
-    if (message.kind === 'accepted') votes.noteVote(request, { kind: 'accepted', voter: message.voter });
+      votes.recordVote(request, { kind: 'promised', voter: message.voter, accepted: message.accepted?.ballot ?? null });
+    if (message.kind === 'accepted') votes.recordVote(request, { kind: 'accepted', voter: message.voter });
   }
   function send(body: unknown): void {
     const frame = body as Frame;
-    if (frame.t === 'answer') noteAnswer(frame.id, frame.m);
-    if (!loses()) inner.send(body);
+    if (frame.t === 'answer') recordResponse(frame.id, frame.m);
+    if (!losesFrame()) inner.send(body);
   }
   function attach(events: ConnectionEvents): void {
     function frame(body: unknown): void {
-      const heard = body as Frame;
-      if (heard.t === 'call') {
-        const request = requestOf(heard.m);
-        if (request) asked.set(heard.id, request);
+      const received = body as Frame;
+      if (received.t === 'call') {
+        const request = requestOf(received.m);
+        if (request) requests.set(received.id, request);
       }
       events.frame(body);
     }
@@ -50,20 +50,21 @@
   return { peer: inner.peer, send, close: () => inner.close(), attach };
 }
 
-export function watchWire(inner: Wire, votes: VoteFacts, loses: LosesFrame, isAlive: IsAlive): Wire {
+/** Wraps a wire so that votes are recorded and frames may be lost. */
+export function recordingWire(inner: Wire, votes: VoteChecker, losesFrame: LosesFrame, isAlive: IsAlive): Wire {
   function listen(
     address: Address,
     onConnection: (connection: Connection) => void,
   ): Promise<Result<Listener, WireError>> {
-    function accepted(connection: Connection): void {
-      onConnection(watchConnection(connection, votes, loses));
+    function onAccepted(connection: Connection): void {
+      onConnection(recordingConnection(connection, votes, losesFrame));
     }
-    // A process that died in the middle of its start opens nothing.
-    return isAlive() ? inner.listen(address, accepted) : Promise.resolve(err({ tag: 'addressInUse', address }));
+    // A process that died during its start must not open a listener.
+    return isAlive() ? inner.listen(address, onAccepted) : Promise.resolve(err({ tag: 'addressInUse', address }));
   }
   async function dial(address: Address): Promise<Result<Connection, WireError>> {
-    const dialled = await inner.dial(address);
-    return dialled.ok ? ok(watchConnection(dialled.value, votes, loses)) : dialled;
+    const connected = await inner.dial(address);
+    return connected.ok ? ok(recordingConnection(connected.value, votes, losesFrame)) : connected;
   }
   return { listen, dial };
 }
