--- a/src/sim/engine/deployment.ts
+++ b/src/sim/engine/deployment.ts
@@ -130,7 +130,7 @@
 
 /** The load from which the kinds of request of a drawn deployment are derived. */
 type DrawnLoad = {
-  readonly perS: number;
+  readonly ratePerSecond: number;
   readonly requests: number;
   readonly longFraction: number;
   readonly sharedTokens: number;
@@ -141,14 +141,14 @@
 
 /** Long prompts that share most of their tokens and have short outputs, and short prompts with long outputs. */
 function drawKinds(rng: Rng, load: DrawnLoad): RequestKind[] {
-  const { perS, requests, longFraction, sharedTokens, ownTokens, shortTokens, tokensPerMs } = load;
+  const { ratePerSecond, requests, longFraction, sharedTokens, ownTokens, shortTokens, tokensPerMs } = load;
   const subjectCount = Math.max(20, Math.round(requests * longFraction * uniform(rng, 0.1, 0.4)));
   const longTargetMs = Math.max(400, (3.5 * (sharedTokens + ownTokens)) / tokensPerMs);
   return [
     {
       name: 'long',
       rank: 0,
-      ratePerSecond: perS * longFraction,
+      ratePerSecond: ratePerSecond * longFraction,
       fullWorth: 3,
       lateWorth: 0.9,
       aimMs: longTargetMs,
@@ -164,7 +164,7 @@
     {
       name: 'short',
       rank: 1,
-      ratePerSecond: perS * (1 - longFraction),
+      ratePerSecond: ratePerSecond * (1 - longFraction),
       fullWorth: 2,
       lateWorth: 0.6,
       aimMs: 1_200,
@@ -188,10 +188,18 @@
   const shortTokens = logUniform(rng, 200, 1_500);
   const longFraction = uniform(rng, 0.15, 0.7);
   const prefillPerRequest = longFraction * (sharedTokens * 0.5 + ownTokens) + (1 - longFraction) * shortTokens;
-  const perS = (loadFraction * workers * tokensPerMs * 1_000) / prefillPerRequest;
+  const ratePerSecond = (loadFraction * workers * tokensPerMs * 1_000) / prefillPerRequest;
   const batch = pick(rng, [16, 32, 64]);
-  const requests = (perS * lengthMs) / 1_000;
-  const kinds = drawKinds(rng, { perS, requests, longFraction, sharedTokens, ownTokens, shortTokens, tokensPerMs });
+  const requests = (ratePerSecond * lengthMs) / 1_000;
+  const kinds = drawKinds(rng, {
+    ratePerSecond,
+    requests,
+    longFraction,
+    sharedTokens,
+    ownTokens,
+    shortTokens,
+    tokensPerMs,
+  });
   return buildDeployment({
     workers,
     proxies: Math.round(logUniform(rng, 3, 70)),
--- a/src/sim/engine/engine-day.test.ts
+++ b/src/sim/engine/engine-day.test.ts
@@ -16,7 +16,7 @@
   return results.reduce((sum, result) => sum + figure(result), 0) / results.length;
 }
 function rereadOf(result: EngineDayResult): number {
-  return result.rereadTokens;
+  return result.repeatedPrefillTokens;
 }
 function worthOf(result: EngineDayResult): number {
   return result.worth;
@@ -29,7 +29,7 @@
   const deployment = drawDeployment(5, LENGTH_MS);
   const first = playEngineDay(deployment, { seed: 1, tuning: EDGE_TUNING });
   expect(playEngineDay(deployment, { seed: 1, tuning: EDGE_TUNING })).toEqual(first);
-  expect(first.inAim + first.late + first.unserved).toBe(first.asked);
+  expect(first.onTime + first.late + first.unserved).toBe(first.asked);
   expect(first.unserved).toBe(0);
 });
 
--- a/src/sim/engine/engine-day.ts
+++ b/src/sim/engine/engine-day.ts
@@ -211,15 +211,15 @@
   private selectByRegistry(request: DayRequest): WorkerState | null {
     const { registry } = request.proxy;
     const selection = this.selectionOf(request);
-    const found = registry.selectWorker(selection);
-    if (found.tag !== 'row') return null;
-    request.reservation = registry.reserve(found.row, selection);
-    return this.workers.get(found.row.entry.id) ?? null;
+    const selected = registry.selectWorker(selection);
+    if (selected.tag !== 'row') return null;
+    request.reservation = registry.reserve(selected.row, selection);
+    return this.workers.get(selected.row.entry.id) ?? null;
   }
 
   private selectOmniscient(request: DayRequest): WorkerState | null {
     let fastest: WorkerState | null = null;
-    let leastMs = Infinity;
+    let minMs = Infinity;
     const sharedTokens = request.promptTokens - (request.parts[request.parts.length - 1] as PrefixBlock).tokens;
     for (const worker of this.workers.values()) {
       const { deployed, engine } = worker;
@@ -231,8 +231,8 @@
         (prefillTokens / deployed.engine.tokensPerMs + deployed.engine.stepMs) * deployed.engine.slowdown +
         2 * this.delayMs(request.proxy, worker) +
         (sharedTokens - cachedTokens) * OMNISCIENT_REREAD_MS_PER_TOKEN;
-      if (estimatedMs >= leastMs) continue;
-      leastMs = estimatedMs;
+      if (estimatedMs >= minMs) continue;
+      minMs = estimatedMs;
       fastest = worker;
     }
     return fastest;
--- a/src/sim/engine/engine-tally.ts
+++ b/src/sim/engine/engine-tally.ts
@@ -7,7 +7,7 @@
 /** The result of a day. Worth is a fraction of what all requests would earn if they were in time. */
 export type EngineDayResult = {
   readonly asked: number;
-  readonly inAim: number;
+  readonly onTime: number;
   readonly late: number;
   readonly unserved: number;
   /** Late requests whose first event was in time, but which had too long a pause. */
@@ -19,9 +19,9 @@
   readonly worstWindows: number;
   readonly rereadPrice: number;
   readonly worth: number;
-  readonly readTokens: number;
-  readonly rereadTokens: number;
-  readonly putBack: number;
+  readonly prefilledTokens: number;
+  readonly repeatedPrefillTokens: number;
+  readonly preemptions: number;
   /** Milliseconds to the first event, for requests of the first kind: median, 90th and 99th percentile. */
   readonly firstMs: { readonly p50: number; readonly p90: number; readonly p99: number };
 };
@@ -38,12 +38,15 @@
   readonly longestPauseMs: number;
 };
 
-/** Collects the outcomes of a day. */
+/** Collects the outcomes of the requests of a day. */
 export interface EngineTally {
+  /** Called when a request arrives. */
   asked(request: TalliedRequest): void;
+  /** Called when a prompt is prefilled, with the number of its tokens that were cached. */
   read(request: TalliedRequest, cachedTokens: number): void;
   addServed(request: TalliedRequest): void;
   addUnserved(request: TalliedRequest): void;
+  /** Adds the totals of a worker at the end of the day. */
   worker(counts: EngineCounts): void;
   result(): EngineDayResult;
 }
@@ -55,7 +58,7 @@
   readonly size: number;
   readonly base: number;
   readonly lateFraction: number;
-  readonly inAim: boolean;
+  readonly onTime: boolean;
   readonly paused: boolean;
   readonly served: boolean;
   readonly firstMs: number;
@@ -72,8 +75,8 @@
 class OutcomeTally implements EngineTally {
   private readonly outcomes: Outcome[] = [];
   private readonly seen = new Set<string>();
-  private rereadTokens = 0;
-  private readTokens = 0;
+  private repeatedPrefillTokens = 0;
+  private prefilledTokens = 0;
   private preemptions = 0;
   private requestCount = 0;
 
@@ -88,22 +91,22 @@
     for (const part of request.parts.slice(0, -1)) {
       const wasSeen = this.seen.has(part.id);
       this.seen.add(part.id);
-      if (wasSeen && offset >= cachedTokens) this.rereadTokens += part.tokens;
+      if (wasSeen && offset >= cachedTokens) this.repeatedPrefillTokens += part.tokens;
       offset += part.tokens;
     }
   }
 
   addServed(request: TalliedRequest): void {
     const firstMs = (request.firstEventAt ?? Infinity) - request.arrivedAt;
-    const inAim = firstMs <= request.kind.aimMs && request.longestPauseMs <= request.kind.pauseMs;
-    this.addOutcome(request, firstMs, inAim, true);
+    const onTime = firstMs <= request.kind.aimMs && request.longestPauseMs <= request.kind.pauseMs;
+    this.addOutcome(request, firstMs, onTime, true);
   }
 
   addUnserved(request: TalliedRequest): void {
     this.addOutcome(request, Infinity, false, false);
   }
 
-  private addOutcome(request: TalliedRequest, firstMs: number, inAim: boolean, served: boolean): void {
+  private addOutcome(request: TalliedRequest, firstMs: number, onTime: boolean, served: boolean): void {
     const { kind } = request;
     this.outcomes.push({
       kind: kind.name,
@@ -112,15 +115,15 @@
       size: request.promptTokens + OUT_TOKEN_WEIGHT * request.outTokens,
       base: kind.fullWorth,
       lateFraction: kind.lateWorth / kind.fullWorth,
-      inAim,
-      paused: served && !inAim && firstMs <= kind.aimMs,
+      onTime,
+      paused: served && !onTime && firstMs <= kind.aimMs,
       served,
       firstMs,
     });
   }
 
   worker(counts: EngineCounts): void {
-    this.readTokens += counts.read;
+    this.prefilledTokens += counts.read;
     this.preemptions += counts.preemptions;
   }
 
@@ -140,11 +143,12 @@
     const worstClass = Math.min(...classesOf(this.outcomes).map((group) => worthOf(group, means).fraction));
     const zones = [...groupsBy(this.outcomes, (outcome) => outcome.zone).values()];
     const worstZone = Math.min(...zones.map((group) => worthOf(group, means).fraction));
-    const rereadPrice = ((this.rereadTokens / 1_000) * this.deployment.rereadPrice) / Math.max(1, overall.attainable);
+    const rereadPrice =
+      ((this.repeatedPrefillTokens / 1_000) * this.deployment.rereadPrice) / Math.max(1, overall.attainable);
     return {
       asked: this.requestCount,
-      inAim: this.outcomes.filter((outcome) => outcome.inAim).length,
-      late: this.outcomes.filter((outcome) => outcome.served && !outcome.inAim).length,
+      onTime: this.outcomes.filter((outcome) => outcome.onTime).length,
+      late: this.outcomes.filter((outcome) => outcome.served && !outcome.onTime).length,
       unserved: this.outcomes.filter((outcome) => !outcome.served).length,
       paused: this.outcomes.filter((outcome) => outcome.paused).length,
       mean: overall.fraction,
@@ -158,9 +162,9 @@
         WEIGHTS.zone * worstZone +
         WEIGHTS.window * worstWindows -
         rereadPrice,
-      readTokens: this.readTokens,
-      rereadTokens: this.rereadTokens,
-      putBack: this.preemptions,
+      prefilledTokens: this.prefilledTokens,
+      repeatedPrefillTokens: this.repeatedPrefillTokens,
+      preemptions: this.preemptions,
       firstMs: {
         p50: quantile(firstEventTimes, 0.5),
         p90: quantile(firstEventTimes, 0.9),
@@ -199,7 +203,7 @@
     const relative = outcome.size / (means.get(outcome.kind) ?? outcome.size);
     const worth = outcome.base * Math.min(MAX_SIZE_WEIGHT, 0.3 + 0.7 * relative);
     attainable += worth;
-    if (outcome.served) earned += outcome.inAim ? worth : worth * outcome.lateFraction;
+    if (outcome.served) earned += outcome.onTime ? worth : worth * outcome.lateFraction;
   }
   return { attainable, fraction: attainable === 0 ? 1 : earned / attainable };
 }
--- a/src/sim/engine/engine-worker.test.ts
+++ b/src/sim/engine/engine-worker.test.ts
@@ -30,7 +30,7 @@
   return events.find((event) => event.tag === tag && event.id === id)?.at ?? NaN;
 }
 
-test('a single prompt is prefilled in chunks, and an event is complete after its number of tokens', () => {
+test('a single prompt is prefilled in one chunk per step, and an event is complete after its number of tokens', () => {
   const worker = createEngineWorker(PARAMETERS);
   worker.add(request(1));
   const events = runToEnd(worker);
--- a/src/sim/engine/engine-worker.ts
+++ b/src/sim/engine/engine-worker.ts
@@ -42,10 +42,10 @@
 /** Totals since the start: prompt tokens that were prefilled (`read`) or cached, and preempted requests. */
 export type EngineCounts = { read: number; cached: number; preemptions: number };
 
-type EngineEntry = {
+type ScheduledRequest = {
   readonly request: EngineRequest;
   readonly order: number;
-  prefillLeft: number;
+  remainingPrefill: number;
   cachedTokens: number;
   decodedTokens: number;
   begun: boolean;
@@ -60,14 +60,16 @@
   advance(now: number): { readonly until: number; readonly events: readonly EngineEvent[] } | null;
   /** Number of prompt tokens that are still to be prefilled. */
   pendingPrefillTokens(): number;
+  /** Number of requests at the worker, waiting or active. */
   running(): number;
+  /** Number of leading tokens of a prompt that are cached. */
   cachedTokens(parts: readonly PrefixBlock[]): number;
 }
 
 class BatchingEngineWorker implements EngineWorker {
   readonly counts: EngineCounts = { read: 0, cached: 0, preemptions: 0 };
-  private waiting: EngineEntry[] = [];
-  private active: EngineEntry[] = [];
+  private waiting: ScheduledRequest[] = [];
+  private active: ScheduledRequest[] = [];
   private readonly prefixCache: PrefixCache;
   private orders = 0;
 
@@ -77,19 +79,19 @@
 
   add(request: EngineRequest): void {
     this.orders += 1;
-    this.enqueue({ request, order: this.orders, prefillLeft: 0, cachedTokens: 0, decodedTokens: 0, begun: false });
+    this.enqueue({ request, order: this.orders, remainingPrefill: 0, cachedTokens: 0, decodedTokens: 0, begun: false });
   }
 
-  private enqueue(entry: EngineEntry): void {
+  private enqueue(entry: ScheduledRequest): void {
     let index = this.waiting.length;
-    while (index > 0 && isBefore(entry, this.waiting[index - 1] as EngineEntry)) index -= 1;
+    while (index > 0 && isBefore(entry, this.waiting[index - 1] as ScheduledRequest)) index -= 1;
     this.waiting.splice(index, 0, entry);
   }
 
   remove(id: number): void {
     this.waiting = this.waiting.filter(isOther);
     this.active = this.active.filter(isOther);
-    function isOther(entry: EngineEntry): boolean {
+    function isOther(entry: ScheduledRequest): boolean {
       return entry.request.id !== id;
     }
   }
@@ -100,7 +102,7 @@
 
   pendingPrefillTokens(): number {
     let tokens = 0;
-    for (const entry of this.active) tokens += entry.prefillLeft;
+    for (const entry of this.active) tokens += entry.remainingPrefill;
     for (const { request } of this.waiting) tokens += request.promptTokens - this.cachedTokens(request.parts);
     return tokens;
   }
@@ -111,20 +113,20 @@
 
   private usedTokens(): number {
     let tokens = 0;
-    for (const { request, decodedTokens, prefillLeft } of this.active)
-      tokens += request.promptTokens - prefillLeft + decodedTokens;
+    for (const { request, decodedTokens, remainingPrefill } of this.active)
+      tokens += request.promptTokens - remainingPrefill + decodedTokens;
     return tokens;
   }
 
   private admit(): void {
     while (this.active.length < this.parameters.batch && this.waiting.length > 0) {
-      const entry = this.waiting[0] as EngineEntry;
+      const entry = this.waiting[0] as ScheduledRequest;
       const { promptTokens, outTokens } = entry.request;
       if (this.active.length > 0 && this.usedTokens() + promptTokens + outTokens > this.parameters.kvTokens) return;
       this.waiting.shift();
       const cached = Math.min(this.cachedTokens(entry.request.parts), promptTokens - 1);
       entry.cachedTokens = cached;
-      entry.prefillLeft = promptTokens - cached;
+      entry.remainingPrefill = promptTokens - cached;
       this.counts.cached += cached;
       this.active.push(entry);
     }
@@ -132,7 +134,7 @@
 
   private preemptForMemory(): void {
     while (this.active.length > 1 && this.usedTokens() > this.parameters.kvTokens) {
-      let victim = this.active[0] as EngineEntry;
+      let victim = this.active[0] as ScheduledRequest;
       for (const entry of this.active) if (isBefore(victim, entry)) victim = entry;
       this.active.splice(this.active.indexOf(victim), 1);
       this.counts.preemptions += 1;
@@ -147,10 +149,10 @@
     let pairs = 0;
     for (const entry of this.active) {
       if (remaining <= 0) break;
-      const tokens = Math.min(remaining, entry.prefillLeft);
-      const before = entry.request.promptTokens - entry.prefillLeft;
+      const tokens = Math.min(remaining, entry.remainingPrefill);
+      const before = entry.request.promptTokens - entry.remainingPrefill;
       pairs += tokens * (before + tokens / 2);
-      entry.prefillLeft -= tokens;
+      entry.remainingPrefill -= tokens;
       remaining -= tokens;
     }
     const prefilled = this.parameters.chunkTokens - remaining;
@@ -173,13 +175,13 @@
     const events: EngineEvent[] = [];
     for (const entry of decoding) this.decode(entry, until, events);
     for (const entry of this.active)
-      if (entry.prefillLeft === 0 && !entry.begun) this.onPrefilled(entry, until, events);
+      if (entry.remainingPrefill === 0 && !entry.begun) this.onPrefilled(entry, until, events);
     this.active = this.active.filter(isUnfinished);
     this.preemptForMemory();
     return { until, events };
   }
 
-  private onPrefilled(entry: EngineEntry, at: number, events: EngineEvent[]): void {
+  private onPrefilled(entry: ScheduledRequest, at: number, events: EngineEvent[]): void {
     entry.begun = true;
     entry.decodedTokens = Math.max(1, entry.decodedTokens);
     this.prefixCache.record(entry.request.parts);
@@ -188,7 +190,7 @@
     if (entry.decodedTokens >= outTokens) events.push({ tag: 'end', id, at });
   }
 
-  private decode(entry: EngineEntry, at: number, events: EngineEvent[]): void {
+  private decode(entry: ScheduledRequest, at: number, events: EngineEvent[]): void {
     entry.decodedTokens += 1;
     const { id, outTokens } = entry.request;
     if (entry.decodedTokens >= outTokens) events.push({ tag: 'end', id, at });
@@ -201,15 +203,15 @@
   return new BatchingEngineWorker(parameters);
 }
 
-function isBefore(left: EngineEntry, right: EngineEntry): boolean {
+function isBefore(left: ScheduledRequest, right: ScheduledRequest): boolean {
   return (
     left.request.urgency < right.request.urgency ||
     (left.request.urgency === right.request.urgency && left.order < right.order)
   );
 }
-function isDecoding(entry: EngineEntry): boolean {
-  return entry.prefillLeft === 0 && entry.begun;
+function isDecoding(entry: ScheduledRequest): boolean {
+  return entry.remainingPrefill === 0 && entry.begun;
 }
-function isUnfinished(entry: EngineEntry): boolean {
+function isUnfinished(entry: ScheduledRequest): boolean {
   return !entry.begun || entry.decodedTokens < entry.request.outTokens;
 }
--- a/src/sim/model/agreement-rules.ts
+++ b/src/sim/model/agreement-rules.ts
@@ -87,13 +87,13 @@
   asksOnce: boolean,
 ): boolean {
   const members = membersOf(chosenLog(chosen, knownSlot));
-  for (const asked of majorities(members, aliveNodes(state))) {
-    let top = knownSlot;
-    for (const name of asked) top = Math.max(top, newestSlotOf(state.nodes[name] as NodeState));
-    if (top >= answeredSlot) continue;
-    const newMembers = membersOf(chosenLog(chosen, top));
+  for (const quorum of majorities(members, aliveNodes(state))) {
+    let newestSlot = knownSlot;
+    for (const name of quorum) newestSlot = Math.max(newestSlot, newestSlotOf(state.nodes[name] as NodeState));
+    if (newestSlot >= answeredSlot) continue;
+    const newMembers = membersOf(chosenLog(chosen, newestSlot));
     const asksAgain = !asksOnce && newMembers.join() !== members.join();
-    if (!asksAgain || mayReadStale(state, chosen, top, answeredSlot, asksOnce)) return true;
+    if (!asksAgain || mayReadStale(state, chosen, newestSlot, answeredSlot, asksOnce)) return true;
   }
   return false;
 }
@@ -110,7 +110,7 @@
 }
 
 /** A node that accepted a batch for a slot holds all slots before it, so that its disk alone has the complete log. */
-function checkHasPredecessors(state: AgreementState): string | null {
+function checkCompletePrefix(state: AgreementState): string | null {
   for (const [name, node] of Object.entries(state.nodes)) {
     if (newestSlotOf(node) > node.log.length)
       return `holdsBefore: ${name} accepted slot ${newestSlotOf(node)} but holds only ${node.log.length} slots before it`;
@@ -123,7 +123,7 @@
   const chosen = chosenIn(state, scenario);
   return (
     checkAgreement(state, chosen) ??
-    checkHasPredecessors(state) ??
+    checkCompletePrefix(state) ??
     checkDurability(state, chosen) ??
     checkReads(state, chosen, scenario)
   );
--- a/src/sim/model/answer-facts.ts
+++ b/src/sim/model/answer-facts.ts
@@ -105,9 +105,12 @@
       confirmedByBase.set(base, token);
     }
     for (const token of rejected) {
-      const held = installed.get(token);
-      if (held)
-        reportViolation('refusedInForce', `change ${token} was rejected as stale, but in force from slot ${held.slot}`);
+      const installation = installed.get(token);
+      if (installation)
+        reportViolation(
+          'refusedInForce',
+          `change ${token} was rejected as stale, but in force from slot ${installation.slot}`,
+        );
     }
   }
   function newestAnsweredSlot(): number {
--- a/src/sim/model/apply-command.ts
+++ b/src/sim/model/apply-command.ts
@@ -32,7 +32,7 @@
 
 function losePower(group: ModelGroup, node: ModelNode, atWrite: number): void {
   if (atWrite === 0) group.losePower(node);
-  else node.writesUntilPowerLoss = atWrite;
+  else node.operationsUntilPowerLoss = atWrite;
 }
 
 function loseDisk(group: ModelGroup, node: ModelNode): void {
@@ -89,7 +89,7 @@
   group.net.disturb({ slow: 0, twice: 0, overtake: 0 });
   group.world.healAll();
   for (const node of group.nodes) {
-    node.writesUntilPowerLoss = null;
+    node.operationsUntilPowerLoss = null;
     if (node.host.frozen) group.world.thaw(node.host);
   }
 }
--- a/src/sim/model/explorer.ts
+++ b/src/sim/model/explorer.ts
@@ -56,10 +56,9 @@
   return sha256(parts.join('\n')).slice(0, 24);
 }
 
-function stepsLeadingTo(visit: VisitedState): string[] {
+function stepsLeadingTo(last: VisitedState): string[] {
   const out: string[] = [];
-  for (let current: VisitedState | null = visit; current && current.from; current = current.from)
-    out.push(current.step);
+  for (let current: VisitedState | null = last; current && current.from; current = current.from) out.push(current.step);
   return out.reverse();
 }
 
@@ -71,12 +70,12 @@
   let depth = 0;
   while (frontier.length > 0 && depth < bounds.depth && seen.size < bounds.states) {
     const next: VisitedState[] = [];
-    for (const visit of frontier) {
-      for (const { step, state } of successorsOf(visit.state, scenario)) {
+    for (const current of frontier) {
+      for (const { step, state } of successorsOf(current.state, scenario)) {
         const digest = digestOf(state);
         if (seen.has(digest)) continue;
         seen.add(digest);
-        const successor = { state, step, from: visit };
+        const successor = { state, step, from: current };
         const rule = brokenRule(state, scenario);
         if (rule !== null)
           return {
--- a/src/sim/model/facts.ts
+++ b/src/sim/model/facts.ts
@@ -7,6 +7,7 @@
 import { createVoteChecker } from './vote-facts.js';
 import type { VoteChecker } from './vote-facts.js';
 
+/** The checkers of a history, and the violations that they have reported. */
 export type RuleChecker = {
   readonly broken: readonly RuleViolation[];
   readonly reportViolation: (rule: string, detail: string) => void;
--- a/src/sim/model/model-group.ts
+++ b/src/sim/model/model-group.ts
@@ -84,7 +84,7 @@
   const nodes: ModelNode[] = [];
   const tolerance = createTolerance(world, nodes, checker.slots);
   let seeds: readonly string[] = [];
-  const logFormat = { name: 'ledger', files: ringFiles, fileBytes: RING_FILE_BYTES, snapshotBytes: SNAPSHOT_BYTES };
+  const logLayout = { name: 'ledger', files: ringFiles, fileBytes: RING_FILE_BYTES, snapshotBytes: SNAPSHOT_BYTES };
   let processCount = 0;
 
   function add(): ModelNode {
@@ -101,7 +101,7 @@
       bootstrap: false,
       retired: false,
       stopping: false,
-      writesUntilPowerLoss: null,
+      operationsUntilPowerLoss: null,
       controller: null,
       operator: null,
     };
@@ -132,9 +132,9 @@
       return world.alive(proc);
     }
     function onOperation(): void {
-      if (node.writesUntilPowerLoss === null) return;
-      node.writesUntilPowerLoss -= 1;
-      if (node.writesUntilPowerLoss <= 0) group.losePower(node);
+      if (node.operationsUntilPowerLoss === null) return;
+      node.operationsUntilPowerLoss -= 1;
+      if (node.operationsUntilPowerLoss <= 0) group.losePower(node);
     }
     return {
       clock: world.clockOf(proc),
@@ -148,7 +148,7 @@
       meters: createMeters,
     };
   }
-  function identityOf(node: ModelNode, rng: Rng) {
+  function startOptionsOf(node: ModelNode, rng: Rng) {
     return {
       name: node.name,
       run: newId(rng, 'run'),
@@ -172,22 +172,22 @@
     const rng = processRng();
     seeds = currentSeeds();
     const dependencies = dependenciesOf(node, proc, rng);
-    const controller = await startController(identityOf(node, rng), dependencies, {
-      ledger: logFormat,
-      claims: logFormat,
+    const startResult = await startController(startOptionsOf(node, rng), dependencies, {
+      ledger: logLayout,
+      claims: logLayout,
     });
     if (!world.alive(proc)) return;
-    if (!controller.ok) {
-      checker.reportViolation('starts', `${node.name} did not start: ${controller.error.tag}`);
+    if (!startResult.ok) {
+      checker.reportViolation('starts', `${node.name} did not start: ${startResult.error.tag}`);
       return;
     }
-    node.controller = controller.value;
+    node.controller = startResult.value;
     node.operator = createConfigurationService({
-      ...controller.value,
+      ...startResult.value,
       clock: dependencies.clock,
       log: createQuietLog().component('operator'),
     });
-    observe(node, controller.value);
+    observe(node, startResult.value);
   }
   function observe(node: ModelNode, controller: Controller): void {
     const { ledger } = controller;
@@ -211,7 +211,7 @@
     node.controller = null;
     node.operator = null;
     node.bootstrap = false;
-    node.writesUntilPowerLoss = null;
+    node.operationsUntilPowerLoss = null;
   }
   function losePowerOf(node: ModelNode): void {
     node.host.powered = false;
--- a/src/sim/model/model-node.ts
+++ b/src/sim/model/model-node.ts
@@ -1,4 +1,4 @@
-/** A machine of a model group: its host and disk, which outlive processes, and its running controller, if there is one. */
+/** A machine of a model group: its host and disk, which outlive processes, and its running controller, if any. */
 import type { Controller } from '../../coordination/controller.js';
 import type { ConfigurationService } from '../../coordination/configuration/configuration-service.js';
 import type { Platter } from '../sim-disk.js';
@@ -16,7 +16,7 @@
   /** Asked to stop for good; the stop may still be in progress. */
   stopping: boolean;
   /** Remaining disk operations until power is lost, or null if no loss of power is scheduled. */
-  writesUntilPowerLoss: number | null;
+  operationsUntilPowerLoss: number | null;
   controller: Controller | null;
   operator: ConfigurationService | null;
 };
--- a/src/sim/model/operator-calls.ts
+++ b/src/sim/model/operator-calls.ts
@@ -83,12 +83,12 @@
   async function read(node: ModelNode): Promise<void> {
     const ledger = node.controller?.ledger;
     if (!ledger) return;
-    const floor = answers.newestAnsweredSlot();
+    const answeredSlot = answers.newestAnsweredSlot();
     const isCommitted =
       group.injectedFaults.readsWithoutQuorum === true || (await ledger.linearizableRead(READ_TIMEOUT_MS));
     if (!isCommitted) return;
     confirmedCount += 1;
-    answers.recordRead(node.name, ledger.controlState().slot, floor);
+    answers.recordRead(node.name, ledger.controlState().slot, answeredSlot);
   }
 
   function startProposal(node: ModelNode, bytes: number): void {
--- a/src/sim/model/run-history.ts
+++ b/src/sim/model/run-history.ts
@@ -14,9 +14,10 @@
 import type { ModelNode } from './model-node.js';
 import { createOperatorCalls } from './operator-calls.js';
 
+/** The violations in a history, and counts of its slots, confirmed calls, installed snapshots and simulated time. */
 export type HistoryResult = {
   readonly broken: readonly RuleViolation[];
-  /** Counts of what happened in the history; tests use them to verify that histories are not idle. */
+  /** These counts show that a history was not idle. */
   readonly slots: number;
   readonly confirmed: number;
   readonly adopted: number;
@@ -28,14 +29,14 @@
 const CHECK_INTERVAL_MS = 100;
 const READ_TIMEOUT_MS = 1_000;
 
-function remainingNodes(group: ModelGroup): ModelNode[] {
+function activeNodes(group: ModelGroup): ModelNode[] {
   const out: ModelNode[] = [];
   for (const node of group.nodes) if (!node.retired && !node.stopping) out.push(node);
   return out;
 }
 
 function areAllMembers(group: ModelGroup): boolean {
-  for (const node of remainingNodes(group)) if (!node.controller?.ledger.isMember()) return false;
+  for (const node of activeNodes(group)) if (!node.controller?.ledger.isMember()) return false;
   return true;
 }
 
@@ -50,8 +51,8 @@
 }
 
 /**
- * Starts all nodes. Each must complete a linearizable read at or after the newest slot that an answered call
- * depends on.
+ * Ends all disturbances and starts all nodes; each must complete a linearizable read that includes the newest
+ * slot that a caller was answered for.
  */
 async function verifyRecovery(group: ModelGroup): Promise<void> {
   const { world, checker } = group;
@@ -68,14 +69,14 @@
     recovered.add(node.name);
   }
   function haveAllRecovered(): boolean {
-    for (const node of remainingNodes(group)) if (!recovered.has(node.name)) return false;
+    for (const node of activeNodes(group)) if (!recovered.has(node.name)) return false;
     return true;
   }
   while (!haveAllRecovered() && world.now() < deadline && checker.broken.length === 0) {
-    for (const node of remainingNodes(group)) if (!recovered.has(node.name)) void linearizableRead(node);
+    for (const node of activeNodes(group)) if (!recovered.has(node.name)) void linearizableRead(node);
     await world.advance(CHECK_INTERVAL_MS);
   }
-  for (const node of remainingNodes(group))
+  for (const node of activeNodes(group))
     if (!recovered.has(node.name))
       checker.reportViolation(
         'recovers',
@@ -83,6 +84,7 @@
       );
 }
 
+/** Runs a history to its end or to the first violation. */
 export async function runHistory(history: ModelHistory, injectedFaults: InjectedFaults = {}): Promise<HistoryResult> {
   const checker = createRuleChecker();
   const group = createModelGroup(history.worldSeed, history.controllers, history.ringFiles, checker, injectedFaults);
--- a/src/sim/model/same-value.ts
+++ b/src/sim/model/same-value.ts
@@ -1,16 +1,16 @@
 /** Deep equality of JSON values, regardless of the order of their keys. */
 import { isTable } from '../../base/is-table.js';
 
-export function sameValue(left: unknown, right: unknown): boolean {
+export function isEqualJson(left: unknown, right: unknown): boolean {
   if (Object.is(left, right)) return true;
   if (Array.isArray(left) && Array.isArray(right)) {
     if (left.length !== right.length) return false;
-    for (let i = 0; i < left.length; i += 1) if (!sameValue(left[i], right[i])) return false;
+    for (let i = 0; i < left.length; i += 1) if (!isEqualJson(left[i], right[i])) return false;
     return true;
   }
   if (!isTable(left) || !isTable(right) || Array.isArray(left) || Array.isArray(right)) return false;
   const keys = Object.keys(left);
   if (keys.length !== Object.keys(right).length) return false;
-  for (const key of keys) if (!Object.hasOwn(right, key) || !sameValue(left[key], right[key])) return false;
+  for (const key of keys) if (!Object.hasOwn(right, key) || !isEqualJson(left[key], right[key])) return false;
   return true;
 }
--- a/src/sim/model/search.ts
+++ b/src/sim/model/search.ts
@@ -11,6 +11,7 @@
 import { runHistory } from './run-history.js';
 import type { HistoryResult } from './run-history.js';
 
+/** The result of the search for one seed. */
 export type SeedResult = {
   readonly seed: number;
   /** The history drawn for the seed. */
@@ -28,7 +29,7 @@
 type SeedSearch = { history: ModelHistory | null; end: HistoryResult | null; runs: number; readonly maxRuns: number };
 
 /** Whether a history violates the same rule as the first one. */
-async function stillBreaksRule(
+async function violatesSameRule(
   search: SeedSearch,
   history: ModelHistory,
   injectedFaults: InjectedFaults,
@@ -58,7 +59,7 @@
         ...shortest,
         steps: [...shortest.steps.slice(0, start), ...shortest.steps.slice(start + size)],
       };
-      if (await stillBreaksRule(search, candidate, injectedFaults)) shortest = candidate;
+      if (await violatesSameRule(search, candidate, injectedFaults)) shortest = candidate;
       else start += size;
     }
   }
@@ -73,7 +74,7 @@
 ): Promise<SeedResult> {
   const search: SeedSearch = { history: null, end: null, runs: 0, maxRuns };
   async function holdsRules(history: ModelHistory): Promise<boolean> {
-    return !(await stillBreaksRule(search, history, injectedFaults));
+    return !(await violatesSameRule(search, history, injectedFaults));
   }
   const checked = await fc.check(fc.asyncProperty(arbitraryHistory, holdsRules), { seed, numRuns: 1 });
   const end = search.end as HistoryResult;
--- a/src/sim/model/slot-facts.ts
+++ b/src/sim/model/slot-facts.ts
@@ -8,7 +8,7 @@
 import type { ControlState } from '../../state/consensus/control-state.js';
 import type { Batch, Member } from '../../state/consensus/entry.js';
 import type { ReportViolation } from './broken.js';
-import { sameValue } from './same-value.js';
+import { isEqualJson } from './same-value.js';
 import type { VoteChecker } from './vote-facts.js';
 
 /** Records the applied slots of all nodes, and reports violations. */
@@ -49,7 +49,7 @@
     const expected = slots.get(state.slot);
     if (!expected)
       reportViolation('unheardState', `${node} holds a state of slot ${state.slot}, which no node applied`);
-    else if (expected.text !== JSON.stringify(state) && !sameValue(expected.state, state))
+    else if (expected.text !== JSON.stringify(state) && !isEqualJson(expected.state, state))
       reportViolation('equalStates', `${node} holds a different state at slot ${state.slot}`);
   }
   // The proposer's own vote is not sent over the wire, so it is assumed.
@@ -74,7 +74,7 @@
   function recordApplied(node: string, slot: number, batch: Batch, state: ControlState): void {
     const existing = slots.get(slot);
     if (existing) {
-      if (!sameValue(existing.batch, batch))
+      if (!isEqualJson(existing.batch, batch))
         reportViolation('oneBatch', `${node} applied ${batch.id} to slot ${slot}, which held ${existing.batch.id}`);
       compareState(node, state);
       return;
--- a/src/sim/model/tolerance.ts
+++ b/src/sim/model/tolerance.ts
@@ -55,8 +55,8 @@
   }
 
   /**
-   * The identities on intact disks of all machines but the lost one and those that are retired or stopping, from
-   * `fromSlot` on only of those that hold that slot.
+   * The identities on intact disks, except those of the lost machine and of machines that are retired or stopping.
+   * If `fromSlot` is not negative, only machines that hold this slot count.
    */
   function intactIdentitiesWithout(lost: ModelNode | null, fromSlot: number): ReadonlySet<string> {
     const out = new Set<string>();
--- a/src/sim/model/watched-disk.ts
+++ b/src/sim/model/watched-disk.ts
@@ -8,7 +8,7 @@
 import type { Disk, DiskError, DiskFile } from '../../transport/disk.js';
 
 /** The power supply of a simulated disk. */
-export type PowerSwitch = {
+export type PowerSupply = {
   /** Whether the process that owns the disk still has power. */
   readonly hasPower: () => boolean;
   /** Called after each write, sync or replacement was passed to the disk; may turn the power off. */
@@ -21,7 +21,7 @@
 }
 
 /** Wraps a disk so that it can lose power at each operation. */
-export function interruptibleDisk(inner: Disk, power: PowerSwitch): Disk {
+export function interruptibleDisk(inner: Disk, power: PowerSupply): Disk {
   function whilePowered<T>(operation: () => Promise<T>): Promise<T> {
     if (!power.hasPower()) return neverResolves();
     const result = operation();
@@ -29,7 +29,7 @@
     return power.hasPower() ? result : neverResolves();
   }
 
-  function watchFile(file: DiskFile): DiskFile {
+  function interruptibleFile(file: DiskFile): DiskFile {
     function write(at: number, data: Buffer): Promise<Result<null, DiskError>> {
       function operation(): Promise<Result<null, DiskError>> {
         return file.write(at, data);
@@ -43,13 +43,13 @@
   }
   async function preallocated(name: string, size: number): Promise<Result<DiskFile, DiskError>> {
     const created = await inner.preallocated(name, size);
-    return created.ok ? ok(watchFile(created.value)) : created;
+    return created.ok ? ok(interruptibleFile(created.value)) : created;
   }
   function replace(name: string, data: Buffer): Promise<Result<null, DiskError>> {
-    function work(): Promise<Result<null, DiskError>> {
+    function operation(): Promise<Result<null, DiskError>> {
       return inner.replace(name, data);
     }
-    return whilePowered(work);
+    return whilePowered(operation);
   }
   return { ...inner, preallocated, replace };
 }
