--- a/src/sim/model/answer-facts.ts
+++ b/src/sim/model/answer-checker.ts
@@ -5,7 +5,7 @@
  */
 import type { ControlState } from '../../state/consensus/control-state.js';
 import type { Batch } from '../../state/consensus/entry.js';
-import type { ReportViolation } from './broken.js';
+import type { ReportViolation } from './rule-violation.js';
 
 /** An operator change, identified by a unique token in its contents. */
 export type OperatorChange = { readonly token: number; readonly base: number; readonly number: number };
--- a/src/sim/model/model-group.ts
+++ b/src/sim/model/model-group.ts
@@ -20,11 +20,11 @@
 import type { SimNet } from '../sim-wire.js';
 import { createWorld } from '../world.js';
 import type { Proc, World } from '../world.js';
-import type { RuleChecker } from './facts.js';
+import type { RuleChecker } from './rule-checker.js';
 import { createTolerance, identityOnDisk, IDENTITY_FILE } from './tolerance.js';
 import type { ModelNode } from './model-node.js';
-import { interruptibleDisk } from './watched-disk.js';
-import { recordingWire } from './watched-wire.js';
+import { interruptibleDisk } from './interruptible-disk.js';
+import { recordingWire } from './recording-wire.js';
 
 /** Deliberate faults that tests use to verify that the rules detect them. */
 export type InjectedFaults = {
--- a/src/sim/model/operator-calls.ts
+++ b/src/sim/model/operator-calls.ts
@@ -5,7 +5,7 @@
  */
 import { DEFAULT_LIMITS } from '../../state/configuration/serving.js';
 import type { Serving } from '../../state/configuration/serving.js';
-import type { OperatorChange } from './answer-facts.js';
+import type { OperatorChange } from './answer-checker.js';
 import type { ModelGroup } from './model-group.js';
 import type { ModelNode } from './model-node.js';
 
--- a/src/sim/model/watched-wire.ts
+++ b/src/sim/model/recording-wire.ts
@@ -7,7 +7,7 @@
 import type { Result } from '../../base/result.js';
 import type { Frame, Message } from '../../protocol/messages.js';
 import type { Address, Connection, ConnectionEvents, Listener, Wire, WireError } from '../../transport/wire.js';
-import type { VoteChecker, VoteRequest } from './vote-facts.js';
+import type { VoteChecker, VoteRequest } from './vote-checker.js';
 
 /** Called for each frame when it is sent; returns whether the network loses it. */
 export type LosesFrame = () => boolean;
--- a/src/sim/model/facts.ts
+++ b/src/sim/model/rule-checker.ts
@@ -1,11 +1,11 @@
 /** Combines the checkers of votes, slots and answers, which observe a group of controllers from outside. */
-import { createAnswerChecker } from './answer-facts.js';
-import type { AnswerChecker } from './answer-facts.js';
-import type { RuleViolation } from './broken.js';
-import { createSlotChecker } from './slot-facts.js';
-import type { SlotChecker } from './slot-facts.js';
-import { createVoteChecker } from './vote-facts.js';
-import type { VoteChecker } from './vote-facts.js';
+import { createAnswerChecker } from './answer-checker.js';
+import type { AnswerChecker } from './answer-checker.js';
+import type { RuleViolation } from './rule-violation.js';
+import { createSlotChecker } from './slot-checker.js';
+import type { SlotChecker } from './slot-checker.js';
+import { createVoteChecker } from './vote-checker.js';
+import type { VoteChecker } from './vote-checker.js';
 
 /** The checkers of a history, and the violations that they have reported. */
 export type RuleChecker = {
--- a/src/sim/model/run-history.ts
+++ b/src/sim/model/run-history.ts
@@ -6,8 +6,8 @@
  */
 import { memberId } from '../../state/consensus/control-state.js';
 import { applyCommand, stopDisturbances } from './apply-command.js';
-import type { RuleViolation } from './broken.js';
-import { createRuleChecker } from './facts.js';
+import type { RuleViolation } from './rule-violation.js';
+import { createRuleChecker } from './rule-checker.js';
 import type { ModelHistory } from './history.js';
 import { createModelGroup } from './model-group.js';
 import type { ModelGroup, InjectedFaults } from './model-group.js';
--- a/src/sim/model/slot-facts.ts
+++ b/src/sim/model/slot-checker.ts
@@ -7,9 +7,9 @@
 import { majorityOf, memberId } from '../../state/consensus/control-state.js';
 import type { ControlState } from '../../state/consensus/control-state.js';
 import type { Batch, Member } from '../../state/consensus/entry.js';
-import type { ReportViolation } from './broken.js';
-import { isEqualJson } from './same-value.js';
-import type { VoteChecker } from './vote-facts.js';
+import type { ReportViolation } from './rule-violation.js';
+import { isEqualJson } from './is-equal-json.js';
+import type { VoteChecker } from './vote-checker.js';
 
 /** Records the applied slots of all nodes, and reports violations. */
 export type SlotChecker = {
--- a/src/sim/model/tolerance.ts
+++ b/src/sim/model/tolerance.ts
@@ -7,7 +7,7 @@
 import { parseJson } from '../../base/parse-json.js';
 import { memberId } from '../../state/consensus/control-state.js';
 import type { World } from '../world.js';
-import type { SlotChecker } from './slot-facts.js';
+import type { SlotChecker } from './slot-checker.js';
 import type { ModelNode } from './model-node.js';
 
 /** Tracks lost and unavailable machines, and decides whether a further loss is tolerable. */
--- a/src/sim/model/vote-facts.ts
+++ b/src/sim/model/vote-checker.ts
@@ -6,7 +6,7 @@
  */
 import { compareBallots } from '../../state/consensus/ballot.js';
 import type { Ballot } from '../../state/consensus/ballot.js';
-import type { ReportViolation } from './broken.js';
+import type { ReportViolation } from './rule-violation.js';
 
 /** A prepare or accept as received by an acceptor; `batch` is empty for a prepare. */
 export type VoteRequest = { readonly slot: number; readonly ballot: Ballot; readonly batch: string };
