--- a/src/sim/invariant-checker.ts
+++ b/src/sim/invariant-checker.ts
@@ -19,7 +19,7 @@
   readonly acknowledged: (version: number, value: number) => void;
   readonly newestAcknowledged: () => number;
   /** Checks a configuration that was read at a node; `floor` is the newest version acknowledged before the read. */
-  readonly read: (nodeName: string, floor: number, version: number, configuration: unknown) => void;
+  readonly read: (reader: string, floor: number, version: number, configuration: unknown) => void;
   /**
    * Records an acknowledged evacuation: from 5 s later until it is restored, no request may reach a worker of the zone.
    */
@@ -158,23 +158,23 @@
     return canonicalText;
   }
 
-  function checkContent(nodeName: string, version: number, text: string, value: number | null): void {
+  function checkContent(reader: string, version: number, text: string, value: number | null): void {
     const known = textByVersion.get(version);
     if (known === undefined) textByVersion.set(version, text);
     else if (known !== text)
       reportOnce(
         'oneContent',
-        `${nodeName} ${version}`,
-        `${nodeName} holds a different configuration for version ${version}`,
+        `${reader} ${version}`,
+        `${reader} holds a different configuration for version ${version}`,
       );
     if (value !== null && refusedValues.has(value))
-      reportOnce('refusedSeen', `${nodeName} ${value}`, `${nodeName} holds ${value}, which was refused`);
+      reportOnce('refusedSeen', `${reader} ${value}`, `${reader} holds ${value}, which was refused`);
     const agreedValue = valueByVersion.get(version);
     if (agreedValue !== undefined && value !== agreedValue)
       reportOnce(
         'readBack',
-        `${nodeName} ${version}`,
-        `${nodeName} holds ${value} in version ${version}, not ${agreedValue}`,
+        `${reader} ${version}`,
+        `${reader} holds ${value} in version ${version}, not ${agreedValue}`,
       );
   }
 
@@ -237,10 +237,10 @@
   function newestAcknowledgedVersion(): number {
     return newestAcknowledged.version;
   }
-  function read(nodeName: string, floor: number, version: number, configuration: unknown): void {
+  function read(reader: string, floor: number, version: number, configuration: unknown): void {
     if (version < floor)
-      reportViolation('readBack', `${nodeName} reads version ${version}, ${floor} was acknowledged before`);
-    checkContent(nodeName, version, canonical(configuration), lineLimitIn(configuration));
+      reportViolation('readBack', `${reader} reads version ${version}, ${floor} was acknowledged before`);
+    checkContent(reader, version, canonical(configuration), lineLimitIn(configuration));
     const value = valueByVersion.get(version);
     if (value === undefined) return;
     const base = fleet.shape.configuration as { readonly deployment?: object };
@@ -248,7 +248,7 @@
     if (canonical(configuration) !== expected)
       reportViolation(
         'readBack',
-        `${nodeName} reads a configuration that differs from the acknowledged version ${version}`,
+        `${reader} reads a configuration that differs from the acknowledged version ${version}`,
       );
   }
   function evacuated(zone: string): void {
--- a/src/sim/sim-http.ts
+++ b/src/sim/sim-http.ts
@@ -57,7 +57,7 @@
 export function createSimHttp(world: World, onBody: OnBody): SimHttp {
   const httpServers = new Map<Address, OpenServer>();
   const killListeners = new Map<Host, Set<() => void>>();
-  let callCount = 0;
+  let requestCount = 0;
 
   function onKill(host: Host): void {
     for (const [address, openServer] of httpServers) if (openServer.proc.host === host) httpServers.delete(address);
@@ -93,7 +93,7 @@
 
   function httpClientOf(proc: Proc): HttpClient {
     function call(httpCall: HttpCall): Promise<Result<HttpAnswer, HttpError>> {
-      callCount += 1;
+      requestCount += 1;
       function start(resolve: (result: Result<HttpAnswer, HttpError>) => void): void {
         exchange(proc, httpCall, resolve);
       }
@@ -287,7 +287,7 @@
   }
 
   function calls(): number {
-    return callCount;
+    return requestCount;
   }
   return { httpServerOf, httpClientOf, calls };
 }
