--- a/standin-platform/caller.test.ts
+++ b/standin-platform/caller.test.ts
@@ -147,7 +147,7 @@
     const result = caller.call(requestSpec('repeatable'));
     await records.until((r) => r.what === 'finished');
     worker.fault(null);
-    expect(await result).toMatchObject({ served: true, tries: 2 });
+    expect(await result).toMatchObject({ succeeded: true, tries: 2 });
     const ids = recordsOfType(records.all(), 'asked').map((a) => a.attempt);
     expect(new Set(ids).size).toBe(2);
   });
@@ -156,9 +156,9 @@
     const worker = await startWorker();
     worker.fault({ mode: 'fail', share: 1 });
     const caller = await createTestCaller();
-    expect(await caller.call(requestSpec('once'))).toMatchObject({ served: false, tries: 1, status: 500 });
+    expect(await caller.call(requestSpec('once'))).toMatchObject({ succeeded: false, tries: 1, status: 500 });
     worker.fault({ mode: 'refuse', share: 1 });
-    expect(await caller.call(requestSpec('once'))).toMatchObject({ served: false, tries: 3, status: 503 });
+    expect(await caller.call(requestSpec('once'))).toMatchObject({ succeeded: false, tries: 3, status: 503 });
   });
 
   test('obeys Retry-After up to a third of the remaining time', async () => {
@@ -187,7 +187,7 @@
     const result = caller.call(requestSpec('stream', { resumable: true }));
     await records.until((r) => r.what === 'finished');
     worker.fault(null);
-    expect(await result).toMatchObject({ served: true, tries: 2 });
+    expect(await result).toMatchObject({ succeeded: true, tries: 2 });
     const [, second] = recordsOfType(records.all(), 'asked');
     expect(second?.lastEvent).toBeGreaterThan(0);
   });
@@ -196,7 +196,7 @@
     const worker = await startWorker();
     worker.setUnresponsive(true);
     const caller = await createTestCaller();
-    expect(await caller.call(requestSpec('stream', { aimMs: 10, pauseMs: 10 }))).toMatchObject({ served: false });
+    expect(await caller.call(requestSpec('stream', { aimMs: 10, pauseMs: 10 }))).toMatchObject({ succeeded: false });
     expect(recordsOfType(records.all(), 'answered').map((a) => a.end)).toEqual(['silence']);
   });
 
