--- a/src/base/result.ts
+++ b/src/base/result.ts
@@ -1,6 +1,6 @@
 /**
- * Results as values. Every operation that may fail returns a result whose error is a tagged union named `…Error`, with
- * the fields of each case. Nothing in the core throws.
+ * Results as values. Every operation that may fail returns a result whose error is a tagged union named `…Error`,
+ * with the fields of each case. Nothing in the core throws.
  */
 
 /** The result of an operation that succeeded. */
--- a/src/coordination/forwarding/dispatcher.test.ts
+++ b/src/coordination/forwarding/dispatcher.test.ts
@@ -23,7 +23,7 @@
   bound: { mapping: null, kind: null, asked: null },
 } as unknown as AdmissionToken;
 
-/** Creates a dispatcher with two workers that respond with `replies` in turn, and with claims granted after `claimMs`. */
+/** Creates a dispatcher with two workers that respond with `replies` in turn. Claims are granted after `claimMs`. */
 function createFixture(replies: readonly Reply[], claimMs = 0, firstReply = 0) {
   const world = createWorld(3);
   const clock = world.clockOf(world.startProcess(world.host('edge', 'z1')));
--- a/src/coordination/forwarding/dispatcher.ts
+++ b/src/coordination/forwarding/dispatcher.ts
@@ -1,7 +1,8 @@
 /**
  * Dispatches requests of the HTTP server that requires admission tokens: waits for a worker slot, claims the key of a
- * run-once request, sends the request, and retries at another worker if `decideAfterAttempt` allows it (docs/repeats.md).
- * A run-once request is sent only under a claim, and its claim is released only if no attempt may have run.
+ * run-once request, sends the request, and retries at another worker if `decideAfterAttempt` allows it
+ * (docs/repeats.md). A run-once request is sent only under a claim, and its claim is released only if no attempt may
+ * have run.
  */
 import type { Failure, SubmittedRequest } from '../../protocol/caller-wire.js';
 import type { Run, CompleteResponse } from '../../protocol/worker-wire.js';
--- a/src/coordination/forwarding/relay.test.ts
+++ b/src/coordination/forwarding/relay.test.ts
@@ -178,7 +178,10 @@
     };
   }
   every(clock, 250, () => relay.tick());
-  /** Unfreezes the process and runs what arrived meanwhile, each callback with its microtasks, as an event loop does. */
+  /**
+   * Unfreezes the process and runs the callbacks that were deferred meanwhile, each with its microtasks, as an event
+   * loop does.
+   */
   async function unfreeze(): Promise<void> {
     proc.host.frozen = false;
     for (const fn of proc.host.deferredCallbacks.splice(0)) {
--- a/src/coordination/forwarding/relay.ts
+++ b/src/coordination/forwarding/relay.ts
@@ -1,7 +1,8 @@
 /**
  * Forwards requests of the opaque HTTP server: matches the route, waits for a worker, sends the request, forwards the
- * response, and retries at another worker if `decideAfterAttempt` allows it. A run-once request is sent again only if nothing was
- * written, or if its worker stated under the id of the attempt that it did not run it (docs/repeats.md).
+ * response, and retries at another worker if `decideAfterAttempt` allows it. A run-once request is sent
+ * again only if nothing was written, or if its worker stated under the id of the attempt that it did not run it
+ * (docs/repeats.md).
  */
 import { describeError } from '../../base/describe-error.js';
 import type { HeaderNames } from '../../protocol/header-names.js';
--- a/src/sim/call-history.ts
+++ b/src/sim/call-history.ts
@@ -22,15 +22,25 @@
 /** Records the result of a read. A read without a result is not part of the history. */
 export type ReadRecorder = (number: number, content: string) => void;
 
+/**
+ * The operator calls of one run. `recordChange` and `recordRead` are called when a call is sent, which is its start;
+ * the recorder that they return is called with the answer, which is its end.
+ */
 export type CallHistory = {
   readonly recordChange: (change: SentChange) => AnswerRecorder;
   readonly recordRead: (node: string) => ReadRecorder;
+  /** Number of recorded calls: all changes that were sent, and the reads that were answered. */
   readonly size: () => number;
+  /** Number of changes with the answer `confirmed`; a retry counts as a change of its own. */
   readonly confirmed: () => number;
   /** Returns a violation if no order of the calls so far is linearizable, otherwise null. */
   readonly check: () => LinearizabilityViolation | null;
 };
 
+/**
+ * Creates an empty history. `now` returns the simulated time in milliseconds; `initial` must be the configuration in
+ * force before the first recorded call, since the check starts from it.
+ */
 export function createCallHistory(now: () => number, initial: InitialConfiguration): CallHistory {
   const calls: OperatorCall[] = [];
 
--- a/src/sim/chaos-operators.ts
+++ b/src/sim/chaos-operators.ts
@@ -13,12 +13,36 @@
 import type { SimFleet } from './sim-fleet.js';
 import type { InvariantChecker } from './invariant-checker.js';
 
+/**
+ * The operators of a chaos run. `raceChanges`, `evacuate` and `trackFirstConfirmed` return at once and send their calls
+ * in the background.
+ */
 export type Operators = {
+  /**
+   * Sends one change, based on the version that it reads first, with at most `MAX_ATTEMPTS` attempts until its answer
+   * is clear. Sends none if the read fails.
+   */
   readonly amend: () => Promise<void>;
+  /**
+   * Sends six changes at once, based on the version that it reads first. Three have a negative value, and one of these
+   * is based on the version before.
+   */
   readonly raceChanges: () => void;
+  /** Evacuates a zone, and restores it `ms` later. */
   readonly evacuate: (zone: string, ms: number) => void;
+  /**
+   * Sends changes until one is confirmed or the simulated time is `until`. The returned function returns the time of
+   * the confirmation, or null.
+   */
   readonly trackFirstConfirmed: (until: number) => () => number | null;
+  /**
+   * Restores all zones that the first controller reads as evacuated; false if the read or an order is not confirmed.
+   */
   readonly restoreAllZones: () => Promise<boolean>;
+  /**
+   * Whether each zone is evacuated according to its last order. A zone is left out if this order was refused, or if the
+   * outcome of an order is unknown.
+   */
   readonly confirmedEvacuations: () => Readonly<Record<string, boolean>>;
   readonly history: CallHistory;
 };
@@ -32,10 +56,12 @@
 /** Share of confirmed changes that are sent a second time. */
 const DUPLICATE_SHARE = 0.15;
 
+/** Returns the configuration version in the body of a response, or -1 if it has none. */
 export function versionOf(response: HttpAnswer): number {
   const body = response.body as { readonly version?: unknown } | null;
   return typeof body?.version === 'number' ? body.version : -1;
 }
+/** Returns the configuration in the body of a response, without checking its form, or null if it has none. */
 export function configurationOf(response: HttpAnswer): unknown {
   return (response.body as { readonly configuration?: unknown } | null)?.configuration ?? null;
 }
--- a/src/sim/edge-day.ts
+++ b/src/sim/edge-day.ts
@@ -23,6 +23,10 @@
 import { createWorld } from './world.js';
 import type { Host } from './world.js';
 
+/**
+ * Options of a day. By default it has 12 requests and no sabotage, and the proxy is paused once with a probability of
+ * 0.4.
+ */
 export type EdgeDayOptions = {
   /** Creates the relay under test; a test may pass one that is broken on purpose. */
   readonly createRelay: (deps: RelayDeps) => Relay;
@@ -34,6 +38,7 @@
   readonly mayFreeze?: boolean;
 };
 
+/** Result of a day. A correct relay breaks no rule and leaves no request open and no worker slot reserved. */
 export type EdgeDayResult = {
   readonly broken: readonly BrokenRule[];
   readonly journal: EdgeJournal;
--- a/src/sim/edge-journal.ts
+++ b/src/sim/edge-journal.ts
@@ -37,6 +37,10 @@
   fullBody: string;
 };
 
+/**
+ * The record of a day: `asked` has one entry for each request, `arrivals` one for each attempt that arrived at a
+ * worker. The entries are updated in place while the day runs.
+ */
 export type EdgeJournal = { readonly asked: CallerRequest[]; readonly arrivals: Arrival[] };
 
 /** A broken rule, and where it was broken. */
--- a/src/sim/edge-workers.ts
+++ b/src/sim/edge-workers.ts
@@ -12,6 +12,10 @@
 /** Deliberate faults of the connections, used to test that the checker detects them. */
 export type EdgeSabotage = 'none' | 'resetToldAsNotConnected' | 'idsIgnored' | 'cutToldAsEnd';
 
+/**
+ * What the stand-in workers need. `proc` is the process of the proxy, in which responses are delivered. A request must
+ * be in `journal.asked` before it arrives; otherwise it gets no response.
+ */
 export type EdgeWorkersOptions = {
   readonly world: World;
   readonly proc: Proc;
@@ -69,6 +73,10 @@
 const UNREACHABLE_MS = 2_500;
 const PROBE_SUCCESS_SHARE = 0.4;
 
+/**
+ * Creates the connection pool of the relay under test. There is a worker at every address; `open` and `totalDialled`
+ * always return 0, and `forget` and `stop` have no effect.
+ */
 export function createEdgeWorkers(options: EdgeWorkersOptions): ConnectionPool {
   const { world, proc, headerNames, rng, journal } = options;
   const idle = new Map<string, Connection[]>();
--- a/src/sim/faults.ts
+++ b/src/sim/faults.ts
@@ -39,6 +39,7 @@
   return true;
 }
 
+/** Returns the names of the given controllers or proxies, in the same order and whether or not they are running. */
 export function namesOf(list: readonly { readonly name: string }[]): string[] {
   const out: string[] = [];
   for (const item of list) out.push(item.name);
@@ -368,5 +369,9 @@
   crowd,
 } as const;
 
+/** Name of a fault in the options of a chaos run and in `--faults` of tools/soak.mjs. */
 export type FaultName = keyof typeof FAULTS;
+/**
+ * The names of all faults. Runs draw from them by position, so a change of their order changes the faults of a seed.
+ */
 export const ALL_FAULTS = Object.keys(FAULTS) as FaultName[];
--- a/src/sim/linearizability.ts
+++ b/src/sim/linearizability.ts
@@ -16,6 +16,10 @@
 export type ViolationKind =
   'twoWinners' | 'refusedAfterConfirmed' | 'olderRead' | 'twoContents' | 'unexplained' | 'searchTooLarge';
 
+/**
+ * Why a history was rejected; `detail` describes the calls involved. With `searchTooLarge` the search was abandoned, so
+ * the history may still be linearizable.
+ */
 export type LinearizabilityViolation = { readonly kind: ViolationKind; readonly detail: string };
 
 /** A possible value of the register with all changes that led to it. Equal sequences of changes share one object. */
--- a/src/sim/model/agreement-state.ts
+++ b/src/sim/model/agreement-state.ts
@@ -61,6 +61,10 @@
   return { name, incarnation: 'i', address: `${name}:1` };
 }
 
+/**
+ * Returns the id under which a machine votes. All machines of the model have the same incarnation, so the id depends
+ * only on the name.
+ */
 export function memberIdOf(name: string): string {
   return memberId(member(name));
 }
@@ -95,12 +99,17 @@
   return state;
 }
 
+/** Returns the names of the members as of the end of a log; none for an empty log. */
 export function membersOf(log: readonly string[]): readonly string[] {
   const out: string[] = [];
   for (const member of controlStateOf(log).members) out.push(member.name);
   return out;
 }
 
+/**
+ * Returns the state in which an exploration starts: `a`, `b` and `c` have applied the bootstrap batch, `d` has an empty
+ * log, and no proposal has started.
+ */
 export function initialState(proposals: readonly PlannedProposal[], losses: number, crashes: number): AgreementState {
   const nodes: Record<string, NodeState> = {};
   for (const name of MACHINES) nodes[name] = { alive: true, log: name === 'd' ? [] : ['founded'], slots: [] };
@@ -113,10 +122,12 @@
   };
 }
 
+/** Returns a copy of the state with this node. The given state is not changed, since the explorer may still need it. */
 export function withNode(state: AgreementState, name: string, node: NodeState): AgreementState {
   return { ...state, nodes: { ...state.nodes, [name]: node } };
 }
 
+/** Returns a copy of the state with this proposal; `index` is its position among the proposals of the scenario. */
 export function withProposal(state: AgreementState, index: number, proposal: ProposalState): AgreementState {
   const proposals = [...state.proposals];
   proposals[index] = proposal;
--- a/src/sim/model/explorer.ts
+++ b/src/sim/model/explorer.ts
@@ -11,6 +11,10 @@
 import { successorsOf } from './agreement-steps.js';
 import type { Scenario } from './agreement-steps.js';
 
+/**
+ * Result of an exploration; `visited` counts the distinct states, including the initial one. The rules hold in all
+ * reachable states only if `complete` is true and `broken` is null.
+ */
 export type Exploration = {
   readonly visited: number;
   /** Number of steps from the initial state to the deepest states visited. */
--- a/src/sim/model/history.ts
+++ b/src/sim/model/history.ts
@@ -10,6 +10,10 @@
 /** Selects a controller by its index among those that are not retired. */
 type AtNode = { readonly node: number };
 
+/**
+ * What the environment does to the group in one step, as `applyCommand` carries it out. Calls and stops that a command
+ * starts may still be in progress during later steps.
+ */
 export type ModelCommand =
   /** Proposes an ordinary ledger entry, padded with the given number of bytes. */
   | ({ readonly kind: 'propose'; readonly bytes: number } & AtNode)
@@ -58,6 +62,7 @@
 /** A command and the simulated time that passes after it. */
 export type ModelStep = { readonly command: ModelCommand; readonly waitMs: number };
 
+/** Input of `runHistory`: the group, and the steps that run after its bootstrap until a rule is violated. */
 export type ModelHistory = {
   /** Seed of delays, ids, and the loss of unsynced writes and of frames. */
   readonly worldSeed: number;
--- a/src/sim/model/is-equal-json.ts
+++ b/src/sim/model/is-equal-json.ts
@@ -1,6 +1,10 @@
 /** Deep equality of JSON values, regardless of the order of their keys. */
 import { isJsonObject } from '../../base/is-json-object.js';
 
+/**
+ * Returns whether two values are equal as JSON; the order of array elements matters. A key with the value undefined
+ * differs from a missing key, although `JSON.stringify` omits it.
+ */
 export function isEqualJson(left: unknown, right: unknown): boolean {
   if (Object.is(left, right)) return true;
   if (Array.isArray(left) && Array.isArray(right)) {
--- a/src/sim/model/model-node.ts
+++ b/src/sim/model/model-node.ts
@@ -4,6 +4,9 @@
 import type { Platter } from '../sim-disk.js';
 import type { Host } from '../world.js';
 
+/**
+ * A machine of a model group. `controller` and `operator` are null while its controller is stopped or still starting.
+ */
 export type ModelNode = {
   readonly name: string;
   readonly host: Host;
--- a/src/sim/model/rule-checker.ts
+++ b/src/sim/model/rule-checker.ts
@@ -16,6 +16,10 @@
   readonly answers: AnswerChecker;
 };
 
+/**
+ * Creates the checkers for one run of a history. They add to one list of violations; the slot checker reads the votes
+ * of the vote checker and passes each new slot to the answer checker.
+ */
 export function createRuleChecker(): RuleChecker {
   const broken: RuleViolation[] = [];
   function reportViolation(rule: string, detail: string): void {
--- a/src/sim/racing-day.ts
+++ b/src/sim/racing-day.ts
@@ -25,19 +25,32 @@
 import type { SimCore } from './sim-core.js';
 import { createQuietLog } from '../transport/log.js';
 
+/**
+ * Options of a day. Faults are injected for `seconds` of simulated time; `sabotage` applies to the ledgers of all
+ * controllers.
+ */
 export type RacingDayOptions = {
   readonly controllers: 3 | 5;
   readonly seconds: number;
   readonly sabotage?: LedgerSabotage;
 };
 
+/**
+ * Result of a day. The controllers pass if `violation` is null, which covers changes and reads, and `broken` is empty.
+ */
 export type RacingDayResult = {
   readonly seed: number;
+  /** The injected faults, in order. */
   readonly troubles: readonly string[];
   readonly calls: number;
   readonly confirmed: number;
+  /** Number of confirmed evacuations and restorations. */
   readonly zoneOrders: number;
   readonly violation: LinearizabilityViolation | null;
+  /**
+   * Wrong reads of zones, groups that did not become complete, unanswered reads at the end of the day, and violations
+   * that the simulated core found.
+   */
   readonly broken: readonly string[];
 };
 
--- a/src/sim/racing-zones.ts
+++ b/src/sim/racing-zones.ts
@@ -10,14 +10,18 @@
 import type { Rng } from '../transport/rng.js';
 import type { SimCore } from './sim-core.js';
 
+/** What the orders for one zone need; `runZoneOrders` is called once for each zone of a racing day. */
 export type ZoneOperator = {
   readonly core: SimCore;
   readonly clock: Clock;
   readonly rng: Rng;
+  /** Names of the controllers to choose from; it changes during the day as controllers are replaced. */
   readonly running: readonly string[];
   readonly zone: string;
   readonly isOver: () => boolean;
+  /** Returns null if the controller isn't running. */
   readonly serviceOf: (name: string) => ConfigurationService | null;
+  /** Draws how long the operator waits for the answer to an order, in milliseconds; a short wait loses the answer. */
   readonly drawTimeoutMs: () => number;
   /** Called once for each confirmed order. */
   readonly onConfirmed: () => void;
--- a/src/sim/replay.ts
+++ b/src/sim/replay.ts
@@ -15,9 +15,11 @@
 
 /** Traces of spot capacity; `reported` uses the availabilities of zones and regions in the constants below. */
 export const TRACES = ['calm', 'volatile', 'correlated', 'reported'] as const;
+/** Name of a trace. Its position in `TRACES` is part of the seed that `makeTrace` uses. */
 export type TraceName = (typeof TRACES)[number];
 /** Launch policies: `skyserve` is the scaler of this project, the others are baselines. */
 export const BUYERS = ['skyserve', 'staticSpread', 'roundRobin', 'onDemandOnly'] as const;
+/** Name of a launch policy, which `replay` runs and tools/replay.mjs prints. */
 export type BuyerName = (typeof BUYERS)[number];
 
 /** Spot capacity of each zone over time; `room` returns the number of spot machines that a zone can hold at a step. */
--- a/src/sim/sabotage.ts
+++ b/src/sim/sabotage.ts
@@ -9,10 +9,15 @@
   readonly forgetsChanges?: boolean;
 };
 
+/** Faults of a whole fleet, in addition to those of the ledgers. */
 export type Sabotage = LedgerSabotage & {
+  /** Name of a policy that worker selection leaves out; a name that no policy has leaves out none. */
   readonly withoutPolicy?: string;
+  /** The cloud rents a second machine for an order that is sent again. */
   readonly cloudForgetsKeys?: boolean;
+  /** How long after its order a machine first appears on the list of the cloud. A lag alone must break no rule. */
   readonly listLagMs?: number;
+  /** The disks of controllers acknowledge a sync without making anything durable. */
   readonly disksLie?: boolean;
 };
 
--- a/src/sim/scenarios.ts
+++ b/src/sim/scenarios.ts
@@ -88,7 +88,9 @@
   clockBackRestart,
 } as const satisfies Record<string, Scenario>;
 
+/** Name of a scenario, as `playScenario` and tools/recovery.mjs accept it. */
 export type ScenarioName = keyof typeof SCENARIOS;
+/** The names of all scenarios. The seeds in scenarios.test.ts depend on their order. */
 export const SCENARIO_NAMES = Object.keys(SCENARIOS) as ScenarioName[];
 
 /** Runs a scenario on a new fleet and checks all rules. */
--- a/src/sim/shapes.ts
+++ b/src/sim/shapes.ts
@@ -97,4 +97,5 @@
 
 /** Fleets by the name that the tools accept. */
 export const SHAPES = { small: SMALL, kutfo: KUTFO, telar: TELAR } as const;
+/** Name of a fleet in the options of a chaos run, which uses `small` by default, and in `--shape` of tools/soak.mjs. */
 export type ShapeName = keyof typeof SHAPES;
--- a/src/state/forwarding/attempt-outcome.test.ts
+++ b/src/state/forwarding/attempt-outcome.test.ts
@@ -17,8 +17,8 @@
 }
 
 /**
- * An outcome and the decisions after it, as one word each: for a request that may run once, a repeatable one, a resumable
- * stream before and after its first event, and for any of them without time left.
+ * An outcome and the decisions after it, each as a short text: for a request that may run once, a repeatable one, a
+ * resumable stream before and after its first event, and for any of them without time left.
  */
 type Row = readonly [
   AttemptOutcome,
--- a/src/state/scaling/scaler-observation.ts
+++ b/src/state/scaling/scaler-observation.ts
@@ -24,8 +24,9 @@
 export type Price = { readonly spot: number; readonly onDemand: number };
 
 /**
- * Input of one tick. The lists are at least as new as the log slot `asOfSlot`. `failedSpotZones` has the zones where a spot launch
- * failed for lack of capacity since the last tick, `knownMachines` the machines that the cloud has listed before.
+ * Input of one tick. The lists are at least as new as the log slot `asOfSlot`. `failedSpotZones` has the zones where a
+ * spot launch failed for lack of capacity since the last tick, `knownMachines` the machines that the cloud has listed
+ * before.
  */
 export type ScalerObservation = {
   readonly now: number;
